--- a/crates/rushcourse-admission/src/order.rs
+++ b/crates/rushcourse-admission/src/order.rs
@@ -48,11 +48,20 @@
     pub fn at(configuration: &Configuration, service: &str) -> Order {
         let mut ranks: BTreeMap<Rank, Vec<String>> = BTreeMap::new();
         for route in &configuration.routes {
-            if route.split.iter().any(|(s, weight)| s == service && *weight > 0.0) {
-                ranks.entry(Rank::of(route)).or_default().push(route.name.clone());
+            if route
+                .split
+                .iter()
+                .any(|(s, weight)| s == service && *weight > 0.0)
+            {
+                ranks
+                    .entry(Rank::of(route))
+                    .or_default()
+                    .push(route.name.clone());
             }
         }
-        Order { ranks: ranks.into_iter().collect() }
+        Order {
+            ranks: ranks.into_iter().collect(),
+        }
     }
 
     pub fn ranks(&self) -> &[(Rank, Vec<String>)] {
@@ -72,7 +81,10 @@
     /// Where a request stands, from 0 up to `all`. `shared`: what all tries of it have in common, `Operation-Key` or host and
     /// path. None: no route of its rank sends anything here.
     pub fn place(&self, route: &Route, shared: &[u8]) -> Option<f64> {
-        let rank = self.ranks.binary_search_by(|r| r.0.cmp(&Rank::of(route))).ok()?;
+        let rank = self
+            .ranks
+            .binary_search_by(|r| r.0.cmp(&Rank::of(route)))
+            .ok()?;
         let part = (hash64(shared, SEED) >> (64 - BITS)) as f64 / (1u64 << BITS) as f64;
         Some(rank as f64 + part)
     }
--- a/crates/rushcourse-admission/tests/order.rs
+++ b/crates/rushcourse-admission/tests/order.rs
@@ -32,18 +32,29 @@
 }
 
 fn route<'a>(configuration: &'a Configuration, name: &str) -> &'a Route {
-    configuration.routes.iter().find(|r| r.name == name).expect("a route")
+    configuration
+        .routes
+        .iter()
+        .find(|r| r.name == name)
+        .expect("a route")
 }
 
 #[test]
 fn what_binds_gives_way_last_then_the_highest_rank_then_the_shortest_aim() {
     let order = Order::at(&shop(), "a");
     let names: Vec<&[String]> = order.ranks().iter().map(|r| r.1.as_slice()).collect();
-    assert_eq!(names, [["orders"], ["holds"], ["statements"], ["prices"], ["stock"]]);
+    assert_eq!(
+        names,
+        [["orders"], ["holds"], ["statements"], ["prices"], ["stock"]]
+    );
     assert_eq!((order.all(), order.binding()), (5.0, 2.0));
     let at_b = Order::at(&shop(), "b");
     let names: Vec<&[String]> = at_b.ranks().iter().map(|r| r.1.as_slice()).collect();
-    assert_eq!(names, [["holds"], ["statements"], ["moved"]], "a part without weight sends nothing");
+    assert_eq!(
+        names,
+        [["holds"], ["statements"], ["moved"]],
+        "a part without weight sends nothing"
+    );
 }
 
 /// Directors get routes in any order, and each configuration is whole: the order follows from what it says alone.
@@ -57,7 +68,11 @@
         for key in 0..50u32 {
             let shared = key.to_be_bytes();
             let place = one.place(route(&all, name), &shared);
-            assert_eq!(place, other.place(route(&turned, name), &shared), "{name} {key}");
+            assert_eq!(
+                place,
+                other.place(route(&turned, name), &shared),
+                "{name} {key}"
+            );
         }
     }
 }
@@ -66,7 +81,10 @@
 fn whoever_passes_at_a_level_passes_at_every_higher_one_and_shares_are_what_the_level_says() {
     let shop = shop();
     let order = Order::at(&shop, "a");
-    for (k, name) in ["orders", "holds", "statements", "prices", "stock"].into_iter().enumerate() {
+    for (k, name) in ["orders", "holds", "statements", "prices", "stock"]
+        .into_iter()
+        .enumerate()
+    {
         let passing = |level: f64| {
             let passes = |key: &u32| order.passes(level, route(&shop, name), &key.to_be_bytes());
             (0..4_000u32).filter(passes).collect::<Vec<u32>>()
@@ -75,15 +93,30 @@
         for step in 0..=20 {
             let level = f64::from(step) / 4.0;
             let now = passing(level);
-            assert!(before.iter().all(|key| now.binary_search(key).is_ok()), "{name} at {level}");
+            assert!(
+                before.iter().all(|key| now.binary_search(key).is_ok()),
+                "{name} at {level}"
+            );
             let share = (level - k as f64).clamp(0.0, 1.0);
             let off = (now.len() as f64 / 4_000.0 - share).abs();
-            assert!(off < 0.03, "{name} at {level}: {} of 4,000 pass, {share} should", now.len());
+            assert!(
+                off < 0.03,
+                "{name} at {level}: {} of 4,000 pass, {share} should",
+                now.len()
+            );
             before = now;
         }
     }
-    assert!((0..100u32).all(|k| order.passes(order.binding(), route(&shop, "orders"), &k.to_be_bytes())));
-    assert!((0..100u32).all(|k| !order.passes(order.binding(), route(&shop, "prices"), &k.to_be_bytes())));
+    assert!((0..100u32).all(|k| order.passes(
+        order.binding(),
+        route(&shop, "orders"),
+        &k.to_be_bytes()
+    )));
+    assert!((0..100u32).all(|k| !order.passes(
+        order.binding(),
+        route(&shop, "prices"),
+        &k.to_be_bytes()
+    )));
 }
 
 /// A route that another version has added or moved here: refused by nobody's word but the newer version's.
@@ -91,7 +124,10 @@
 fn a_route_that_is_not_of_this_order_passes() {
     let shop = shop();
     let order = Order::at(&shop, "a");
-    assert!(order.place(route(&shop, "moved"), b"k").is_some(), "it shares the rank of prices");
+    assert!(
+        order.place(route(&shop, "moved"), b"k").is_some(),
+        "it shares the rank of prices"
+    );
     let other = configuration(&[("new", "read_only", "0.7", 9, "a:1")]);
     assert!(order.passes(0.0, route(&other, "new"), b"k"));
 }
--- a/crates/rushcourse-cli/src/calls.rs
+++ b/crates/rushcourse-cli/src/calls.rs
@@ -12,21 +12,39 @@
 const ROUNDS: u32 = 4;
 const PAUSE: Duration = Duration::from_millis(300);
 
-async fn call(at: &str, method: &str, path: &str, body: Vec<u8>) -> Result<(StatusCode, String), String> {
+async fn call(
+    at: &str,
+    method: &str,
+    path: &str,
+    body: Vec<u8>,
+) -> Result<(StatusCode, String), String> {
     let with_address = |e: &dyn std::fmt::Display| format!("{at}: {e}");
-    let stream = tokio::net::TcpStream::connect(at).await.map_err(|e| with_address(&e))?;
-    let (mut sender, connection) =
-        hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.map_err(|e| with_address(&e))?;
+    let stream = tokio::net::TcpStream::connect(at)
+        .await
+        .map_err(|e| with_address(&e))?;
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+        .await
+        .map_err(|e| with_address(&e))?;
     let request = Request::builder()
         .method(method)
         .uri(path)
         .header("host", at)
         .header("content-type", "application/json");
-    let request = request.body(Full::new(Bytes::from(body))).map_err(|e| with_address(&e))?;
+    let request = request
+        .body(Full::new(Bytes::from(body)))
+        .map_err(|e| with_address(&e))?;
     let answer = async {
-        let response = sender.send_request(request).await.map_err(|e| with_address(&e))?;
+        let response = sender
+            .send_request(request)
+            .await
+            .map_err(|e| with_address(&e))?;
         let status = response.status();
-        let body = response.into_body().collect().await.map_err(|e| with_address(&e))?.to_bytes();
+        let body = response
+            .into_body()
+            .collect()
+            .await
+            .map_err(|e| with_address(&e))?
+            .to_bytes();
         Ok((status, String::from_utf8_lossy(&body).into_owned()))
     };
     tokio::select! {
@@ -36,11 +54,14 @@
 }
 
 fn now(at: &str, method: &str, path: &str, body: Vec<u8>) -> Result<(StatusCode, String), String> {
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .map_err(|e| e.to_string())?;
     runtime.block_on(async {
         let wait = tokio::time::timeout(WAIT, call(at, method, path, body));
-        wait.await.unwrap_or_else(|_| Err(format!("{at}: no answer")))
+        wait.await
+            .unwrap_or_else(|_| Err(format!("{at}: no answer")))
     })
 }
 
@@ -72,7 +93,10 @@
     }
     failed.sort();
     failed.dedup();
-    Err((format!("no director answered clearly: {}", failed.join("; ")), 2))
+    Err((
+        format!("no director answered clearly: {}", failed.join("; ")),
+        2,
+    ))
 }
 
 /// Asks each director once.
--- a/crates/rushcourse-cli/src/keys.rs
+++ b/crates/rushcourse-cli/src/keys.rs
@@ -14,7 +14,15 @@
 /// Writes a file that only its owner reads.
 fn secret(path: &Path, text: &str) -> Result<(), String> {
     let mut options = std::fs::OpenOptions::new();
-    let mut file = at_path(path, options.write(true).create(true).truncate(true).mode(0o600).open(path))?;
+    let mut file = at_path(
+        path,
+        options
+            .write(true)
+            .create(true)
+            .truncate(true)
+            .mode(0o600)
+            .open(path),
+    )?;
     at_path(path, file.write_all(text.as_bytes()))
 }
 
@@ -22,15 +30,23 @@
 fn authority(folder: &Path) -> Result<Issuer<'static, KeyPair>, String> {
     let (pem, key) = (folder.join("authority.pem"), folder.join("authority.key"));
     if pem.exists() != key.exists() {
-        return Err(format!("{}: holds only one of authority.pem and authority.key", folder.display()));
+        return Err(format!(
+            "{}: holds only one of authority.pem and authority.key",
+            folder.display()
+        ));
     }
     // An authority is its name and its key: the certificate that is there was made of the same two.
     let mut params = at_path(&pem, CertificateParams::new(Vec::new()))?;
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-    params.distinguished_name.push(DnType::CommonName, "directors of this gateway");
+    params
+        .distinguished_name
+        .push(DnType::CommonName, "directors of this gateway");
     if pem.exists() {
         let text = at_path(&key, std::fs::read_to_string(&key))?;
-        return Ok(Issuer::new(params, at_path(&key, KeyPair::from_pem(&text))?));
+        return Ok(Issuer::new(
+            params,
+            at_path(&key, KeyPair::from_pem(&text))?,
+        ));
     }
     let pair = at_path(&key, KeyPair::generate())?;
     let made = at_path(&pem, params.self_signed(&pair))?;
@@ -61,7 +77,9 @@
         let (cert, key) = (place("cert"), place("key"));
         let pair = at_path(&key, KeyPair::generate())?;
         let mut params = at_path(&cert, CertificateParams::new(names))?;
-        params.distinguished_name.push(DnType::CommonName, boot.node_name.as_str());
+        params
+            .distinguished_name
+            .push(DnType::CommonName, boot.node_name.as_str());
         let made = at_path(&cert, params.signed_by(&pair, &issuer))?;
         secret(&key, &pair.serialize_pem())?;
         at_path(&cert, std::fs::write(&cert, made.pem()))?;
--- a/crates/rushcourse-cli/src/main.rs
+++ b/crates/rushcourse-cli/src/main.rs
@@ -46,7 +46,9 @@
     Hosts(Plain),
     #[options(help = "tables of hosts that frontend directors are bound to, by core director")]
     Tables(Plain),
-    #[options(help = "frontend directors: which core directors they are in session with, and which is home")]
+    #[options(
+        help = "frontend directors: which core directors they are in session with, and which is home"
+    )]
     Members(Plain),
     #[options(help = "the voting set: who is reached, remembers, votes, and what it holds")]
     Voters(Plain),
@@ -98,26 +100,40 @@
 const ANOTHER_TEXT: &str = "another_text_in_force";
 
 fn carry(line: &Line, command: &Command) -> Came {
-    let at: Vec<String> =
-        line.at.split(',').map(|a| a.trim().to_string()).filter(|a| !a.is_empty()).collect();
-    let file =
-        |n: &Named, k: usize| n.files.get(k).cloned().ok_or_else(|| wrong("a file must be named".into()));
+    let at: Vec<String> = line
+        .at
+        .split(',')
+        .map(|a| a.trim().to_string())
+        .filter(|a| !a.is_empty())
+        .collect();
+    let file = |n: &Named, k: usize| {
+        n.files
+            .get(k)
+            .cloned()
+            .ok_or_else(|| wrong("a file must be named".into()))
+    };
     match command {
-        Command::Check(n) => configuration(&file(n, 0)?).map(|c| format!("version {}: well\n", c.version)),
+        Command::Check(n) => {
+            configuration(&file(n, 0)?).map(|c| format!("version {}: well\n", c.version))
+        }
         Command::CheckSettings(n) => {
             let path = file(n, 0)?;
-            let text =
-                String::from_utf8(read(&path).map_err(wrong)?).map_err(|e| wrong(format!("{path}: {e}")))?;
+            let text = String::from_utf8(read(&path).map_err(wrong)?)
+                .map_err(|e| wrong(format!("{path}: {e}")))?;
             Boot::read(&text)
                 .map(|b| format!("{}: well\n", b.node_name))
                 .map_err(|e| wrong(format!("{path}: {e}")))
         }
         Command::Diff(n) if n.files.len() == 1 => {
             let (who, body) = calls::until_clear(&at, "GET", "/-/configuration", Vec::new())?;
-            let held = Configuration::read(body.as_bytes()).map_err(|e| (format!("{who}: {e}"), 2))?;
+            let held =
+                Configuration::read(body.as_bytes()).map_err(|e| (format!("{who}: {e}"), 2))?;
             Ok(show::diff(&held, &configuration(&file(n, 0)?)?))
         }
-        Command::Diff(n) => Ok(show::diff(&configuration(&file(n, 0)?)?, &configuration(&file(n, 1)?)?)),
+        Command::Diff(n) => Ok(show::diff(
+            &configuration(&file(n, 0)?)?,
+            &configuration(&file(n, 1)?)?,
+        )),
         Command::MakeKeys(n) if n.files.len() < 2 => {
             Err(wrong("a folder and settings files must be named".into()))
         }
@@ -127,7 +143,11 @@
         Command::Key(n) => {
             let path = format!("/-/keys/{}", escaped(&file(n, 0)?));
             let pages = calls::each(&at, &path);
-            if line.json { Ok(show::raw(&pages)) } else { show::key(&pages) }
+            if line.json {
+                Ok(show::raw(&pages))
+            } else {
+                show::key(&pages)
+            }
         }
         Command::MakeSettings(n) => make::settings(&file(n, 0)?).map_err(wrong),
         Command::Put(n) => {
@@ -137,15 +157,20 @@
             let (who, body) = calls::until_clear(&at, "PUT", "/-/configuration", text)?;
             if body.contains(ANOTHER_TEXT) {
                 return Err((
-                    format!("version {version}: another text is in force, this one changed nothing"),
+                    format!(
+                        "version {version}: another text is in force, this one changed nothing"
+                    ),
                     1,
                 ));
             }
-            if line.json { Ok(body) } else { Ok(format!("version {version} acknowledged by {who}\n")) }
-        }
-        Command::Get(_) => {
-            calls::until_clear(&at, "GET", "/-/configuration", Vec::new()).map(|(_, body)| body + "\n")
+            if line.json {
+                Ok(body)
+            } else {
+                Ok(format!("version {version} acknowledged by {who}\n"))
+            }
         }
+        Command::Get(_) => calls::until_clear(&at, "GET", "/-/configuration", Vec::new())
+            .map(|(_, body)| body + "\n"),
         Command::Status(_) | Command::Members(_) | Command::Voters(_) | Command::Disks(_) => {
             let pages = calls::each(&at, "/-/status");
             match command {
@@ -170,7 +195,15 @@
 /// A word as a part of a path.
 fn escaped(word: &str) -> String {
     let plain = |b: &u8| b.is_ascii_alphanumeric() || b"-._~".contains(b);
-    word.bytes().map(|b| if plain(&b) { char::from(b).to_string() } else { format!("%{b:02X}") }).collect()
+    word.bytes()
+        .map(|b| {
+            if plain(&b) {
+                char::from(b).to_string()
+            } else {
+                format!("%{b:02X}")
+            }
+        })
+        .collect()
 }
 
 const MANUAL: &str = "\
--- a/crates/rushcourse-cli/src/make.rs
+++ b/crates/rushcourse-cli/src/make.rs
@@ -17,7 +17,10 @@
     let core = (1..=CORES).map(|k| (format!("core-{k}"), k, true));
     let front = (1..=FRONTS).map(|k| (format!("frontend-{k}"), 10 + k, false));
     for (name, at, core) in core.chain(front) {
-        let (ip, zone) = (format!("127.30.0.{at}"), ZONES[usize::from(at) % ZONES.len()]);
+        let (ip, zone) = (
+            format!("127.30.0.{at}"),
+            ZONES[usize::from(at) % ZONES.len()],
+        );
         let mut text = format!(
             "node_name={name}\nip_address={ip}\nzone={zone}\nzones.north=home\nzones.south=home\n\
              internal_port_range=7540,7555\nseed_nodes={}\nfirst_start=true\nheartbeat_interval_s=1\n\
@@ -27,12 +30,17 @@
         if core {
             let data = Path::new(folder).join(&name);
             std::fs::create_dir_all(&data).map_err(|e| format!("{}: {e}", data.display()))?;
-            let _ =
-                write!(text, "listen_addresses.control_plane={ip}:8544\ndata_directory={}\n", data.display());
+            let _ = write!(
+                text,
+                "listen_addresses.control_plane={ip}:8544\ndata_directory={}\n",
+                data.display()
+            );
         } else {
             std::fs::create_dir_all(folder).map_err(|e| format!("{folder}: {e}"))?;
-            let _ =
-                write!(text, "listen_addresses.front_http={ip}:8548\nlisten_addresses.readiness={ip}:8542\n");
+            let _ = write!(
+                text,
+                "listen_addresses.front_http={ip}:8548\nlisten_addresses.readiness={ip}:8542\n"
+            );
         }
         let path = Path::new(folder).join(format!("{name}.conf"));
         std::fs::write(&path, text).map_err(|e| format!("{}: {e}", path.display()))?;
--- a/crates/rushcourse-cli/src/show.rs
+++ b/crates/rushcourse-cli/src/show.rs
@@ -31,7 +31,10 @@
 }
 
 fn list<'a>(of: &'a VObject, name: &str) -> Vec<&'a Value> {
-    of.get(name).and_then(|v| v.as_array()).map(|a| a.iter().collect()).unwrap_or_default()
+    of.get(name)
+        .and_then(|v| v.as_array())
+        .map(|a| a.iter().collect())
+        .unwrap_or_default()
 }
 
 /// Columns as wide as their widest cell.
@@ -40,13 +43,20 @@
     // The last cell of a short row is a remark: it widens no column.
     let counts = |r: &&Vec<String>, k: usize| r.len() == count || k + 1 < r.len();
     let width = |k: usize| {
-        let cells = rows.iter().filter(|r| counts(r, k)).filter_map(|r| r.get(k));
+        let cells = rows
+            .iter()
+            .filter(|r| counts(r, k))
+            .filter_map(|r| r.get(k));
         cells.map(|c| c.chars().count()).max().unwrap_or(0)
     };
     let widths: Vec<usize> = (0..count).map(width).collect();
     let mut out = String::new();
     for row in rows {
-        let cells: Vec<String> = row.iter().zip(&widths).map(|(c, w)| format!("{c:w$}", w = *w)).collect();
+        let cells: Vec<String> = row
+            .iter()
+            .zip(&widths)
+            .map(|(c, w)| format!("{c:w$}", w = *w))
+            .collect();
         let _ = writeln!(out, "{}", cells.join("  ").trim_end());
     }
     out
@@ -57,13 +67,17 @@
 }
 
 pub fn raw(pages: &Pages) -> String {
-    pages.iter().filter_map(|p| p.1.as_ref().ok()).map(|p| format!("{p}\n")).collect()
+    pages
+        .iter()
+        .filter_map(|p| p.1.as_ref().ok())
+        .map(|p| format!("{p}\n"))
+        .collect()
 }
 
 pub fn status(pages: &Pages) -> Came {
     let mut rows = vec![head(&[
-        "director", "name", "set", "voters", "votes", "held", "in force", "claims", "peers", "fronts",
-        "hosts", "refused",
+        "director", "name", "set", "voters", "votes", "held", "in force", "claims", "peers",
+        "fronts", "hosts", "refused",
     ])];
     for (at, came) in pages {
         let body = match came {
@@ -97,19 +111,33 @@
 /// Sessions and messages that were refused, for all reasons.
 fn refused(page: &VObject) -> u64 {
     let by = page.get("refused").and_then(|r| r.as_object());
-    by.map_or(0, |by| by.iter().filter_map(|(_, n)| n.as_number().and_then(|n| n.to_u64())).sum())
+    by.map_or(0, |by| {
+        by.iter()
+            .filter_map(|(_, n)| n.as_number().and_then(|n| n.to_u64()))
+            .sum()
+    })
 }
 
 /// Why there is no page.
 fn remark(at: &str, e: &str) -> String {
-    format!("({})", e.strip_prefix(at).map_or(e, |e| e.trim_start_matches([':', ' '])))
+    format!(
+        "({})",
+        e.strip_prefix(at)
+            .map_or(e, |e| e.trim_start_matches([':', ' ']))
+    )
 }
 
 type Pages = [(String, Result<String, String>)];
 
 /// Rows of all pages that came; a line for each director that did not answer.
 fn of_each(pages: &Pages, names: &[&str], row: impl Fn(&VObject) -> Vec<Vec<String>>) -> Came {
-    let mut rows = vec![[&["director"], names].concat().iter().map(|n| n.to_string()).collect()];
+    let mut rows = vec![
+        [&["director"], names]
+            .concat()
+            .iter()
+            .map(|n| n.to_string())
+            .collect(),
+    ];
     for (at, came) in pages {
         match came {
             Err(e) => rows.push(vec![at.clone(), remark(at, e)]),
@@ -124,40 +152,91 @@
 }
 
 pub fn disks(pages: &Pages) -> Came {
-    let names = ["name", "bytes", "syncs", "refused", "last ms", "most ms", "stalled ms"];
+    let names = [
+        "name",
+        "bytes",
+        "syncs",
+        "refused",
+        "last ms",
+        "most ms",
+        "stalled ms",
+    ];
     of_each(pages, &names, |p| {
-        let Some(d) = p.get("disk").and_then(|d| d.as_object()) else { return Vec::new() };
-        let fields = ["bytes", "syncs", "refused", "last_ms", "most_ms", "writing_ms"];
+        let Some(d) = p.get("disk").and_then(|d| d.as_object()) else {
+            return Vec::new();
+        };
+        let fields = [
+            "bytes",
+            "syncs",
+            "refused",
+            "last_ms",
+            "most_ms",
+            "writing_ms",
+        ];
         vec![[vec![text(p, "name")], fields.map(|f| text(d, f)).to_vec()].concat()]
     })
 }
 
 pub fn key(pages: &Pages) -> Came {
-    of_each(pages, &["held", "by", "life", "number", "age s", "on disk"], |p| {
-        vec![["held", "by", "life", "number", "age_s", "on_disk"].map(|f| text(p, f)).to_vec()]
-    })
+    of_each(
+        pages,
+        &["held", "by", "life", "number", "age s", "on disk"],
+        |p| {
+            vec![
+                ["held", "by", "life", "number", "age_s", "on_disk"]
+                    .map(|f| text(p, f))
+                    .to_vec(),
+            ]
+        },
+    )
 }
 
 /// What a page says of itself and, of each voter, whether it is in session with it.
 pub fn voters(pages: &Pages) -> Came {
-    let table = of_each(pages, &["name", "set", "members", "reached", "remembers", "votes", "held"], |p| {
-        let set = p.get("set").and_then(|s| s.as_object());
-        let members = set.map(|s| list(s, "members")).unwrap_or_default();
-        let word = |v: &Value| v.as_string().map(|s| s.as_str().to_string()).unwrap_or_default();
-        let peers: Vec<String> = list(p, "peers").into_iter().map(word).collect();
-        // Itself is no peer of its own.
-        let reached = members.iter().filter(|m| peers.contains(&word(m))).count() + 1;
-        let number = set.map_or_else(|| "-".into(), |s| text(s, "number"));
-        let members = members.into_iter().map(word).collect::<Vec<_>>().join(",");
-        let own = ["remembers", "votes", "held"].map(|f| text(p, f));
-        vec![[vec![text(p, "name"), number, members, reached.to_string()], own.to_vec()].concat()]
-    })?;
+    let table = of_each(
+        pages,
+        &[
+            "name",
+            "set",
+            "members",
+            "reached",
+            "remembers",
+            "votes",
+            "held",
+        ],
+        |p| {
+            let set = p.get("set").and_then(|s| s.as_object());
+            let members = set.map(|s| list(s, "members")).unwrap_or_default();
+            let word = |v: &Value| {
+                v.as_string()
+                    .map(|s| s.as_str().to_string())
+                    .unwrap_or_default()
+            };
+            let peers: Vec<String> = list(p, "peers").into_iter().map(word).collect();
+            // Itself is no peer of its own.
+            let reached = members.iter().filter(|m| peers.contains(&word(m))).count() + 1;
+            let number = set.map_or_else(|| "-".into(), |s| text(s, "number"));
+            let members = members.into_iter().map(word).collect::<Vec<_>>().join(",");
+            let own = ["remembers", "votes", "held"].map(|f| text(p, f));
+            vec![
+                [
+                    vec![text(p, "name"), number, members, reached.to_string()],
+                    own.to_vec(),
+                ]
+                .concat(),
+            ]
+        },
+    )?;
     let sets: std::collections::BTreeSet<String> = pages
         .iter()
         .filter_map(|p| page(p.1.as_ref().ok()?).ok())
         .filter_map(|p| Some(format!("{:?}", p.as_object()?.get("set")?)))
         .collect();
-    let told = if sets.len() > 1 { "directors differ: not all count in one set\n" } else { "" };
+    let told = if sets.len() > 1 {
+        "directors differ: not all count in one set\n"
+    } else {
+        ""
+    };
     Ok(format!("{table}{told}"))
 }
 
@@ -175,7 +254,10 @@
             }
         };
         let Some(p) = body.as_object() else { continue };
-        for session in list(p, "sessions").into_iter().filter_map(|s| s.as_object()) {
+        for session in list(p, "sessions")
+            .into_iter()
+            .filter_map(|s| s.as_object())
+        {
             if text(session, "role") != "gateway" {
                 continue;
             }
@@ -187,9 +269,19 @@
             }
         }
     }
-    let mut rows = vec![head(&["member", "address", "zone", "home", "in session with"])];
+    let mut rows = vec![head(&[
+        "member",
+        "address",
+        "zone",
+        "home",
+        "in session with",
+    ])];
     for (name, (address, zone, with, homes)) in known {
-        let home = if homes.is_empty() { "-".into() } else { homes.join(",") };
+        let home = if homes.is_empty() {
+            "-".into()
+        } else {
+            homes.join(",")
+        };
         rows.push(vec![name, address, zone, home, with.join(",")]);
     }
     Ok(format!("{}{silent}", columns(&rows)))
@@ -197,10 +289,20 @@
 
 pub fn hosts(who: &str, body: &str) -> Came {
     let body = page(body)?;
-    let mut rows = vec![head(&["host", "service", "address", "zone", "state", "age s"])];
-    for host in body.as_object().map(|p| list(p, "hosts")).unwrap_or_default() {
+    let mut rows = vec![head(&[
+        "host", "service", "address", "zone", "state", "age s",
+    ])];
+    for host in body
+        .as_object()
+        .map(|p| list(p, "hosts"))
+        .unwrap_or_default()
+    {
         if let Some(h) = host.as_object() {
-            rows.push(["id", "service", "address", "zone", "state", "age_s"].map(|f| text(h, f)).to_vec());
+            rows.push(
+                ["id", "service", "address", "zone", "state", "age_s"]
+                    .map(|f| text(h, f))
+                    .to_vec(),
+            );
         }
     }
     Ok(format!("as {who} sees them\n{}", columns(&rows)))
@@ -209,10 +311,19 @@
 pub fn tables(who: &str, body: &str) -> Came {
     let body = page(body)?;
     let mut rows = vec![head(&["service", "table", "fronts", "lines"])];
-    for table in body.as_object().map(|p| list(p, "tables")).unwrap_or_default() {
+    for table in body
+        .as_object()
+        .map(|p| list(p, "tables"))
+        .unwrap_or_default()
+    {
         if let Some(t) = table.as_object() {
             let lines = list(t, "lines").len().to_string();
-            rows.push(vec![text(t, "service"), text(t, "table"), text(t, "fronts"), lines]);
+            rows.push(vec![
+                text(t, "service"),
+                text(t, "table"),
+                text(t, "fronts"),
+                lines,
+            ]);
         }
     }
     Ok(format!("as {who} orders them\n{}", columns(&rows)))
@@ -220,7 +331,14 @@
 
 /// Who gives way first, service by service.
 pub fn order(configuration: &Configuration) -> String {
-    let mut rows = vec![head(&["service", "gives way", "routes", "kind", "priority", "aim s"])];
+    let mut rows = vec![head(&[
+        "service",
+        "gives way",
+        "routes",
+        "kind",
+        "priority",
+        "aim s",
+    ])];
     for service in configuration.services.keys() {
         let order = Order::at(configuration, service);
         for (k, (rank, routes)) in order.ranks().iter().enumerate().rev() {
@@ -235,7 +353,14 @@
                 format!("{:.3}", rank.aim_ms as f64 / 1000.0)
             };
             let kind = if rank.read_only { "reads" } else { "binds" }.to_string();
-            rows.push(vec![service.clone(), place, routes.join(","), kind, rank.priority.to_string(), aim]);
+            rows.push(vec![
+                service.clone(),
+                place,
+                routes.join(","),
+                kind,
+                rank.priority.to_string(),
+                aim,
+            ]);
         }
     }
     columns(&rows)
@@ -250,7 +375,11 @@
     let place = |r: &rushcourse_config::Route| (r.host.clone(), r.prefix.clone());
     for route in &new.routes {
         match old.routes.iter().find(|r| place(r) == place(route)) {
-            None => say(writeln!(out, "+ route {} {} {}", route.name, route.host, route.prefix)),
+            None => say(writeln!(
+                out,
+                "+ route {} {} {}",
+                route.name, route.host, route.prefix
+            )),
             Some(before) if before != route => {
                 let _ = writeln!(
                     out,
@@ -261,8 +390,16 @@
             Some(_) => {}
         }
     }
-    for route in old.routes.iter().filter(|r| !new.routes.iter().any(|n| place(n) == place(r))) {
-        let _ = writeln!(out, "- route {} {} {}", route.name, route.host, route.prefix);
+    for route in old
+        .routes
+        .iter()
+        .filter(|r| !new.routes.iter().any(|n| place(n) == place(r)))
+    {
+        let _ = writeln!(
+            out,
+            "- route {} {} {}",
+            route.name, route.host, route.prefix
+        );
     }
     for (name, service) in &new.services {
         match old.services.get(name) {
@@ -273,7 +410,11 @@
             Some(_) => {}
         }
     }
-    for name in old.services.keys().filter(|n| !new.services.contains_key(*n)) {
+    for name in old
+        .services
+        .keys()
+        .filter(|n| !new.services.contains_key(*n))
+    {
         let _ = writeln!(out, "- service {name}");
     }
     if old.limits != new.limits {
@@ -306,7 +447,15 @@
 
     /// Cells of a table's rows.
     fn cells(table: &str) -> Vec<Vec<&str>> {
-        table.lines().map(|l| l.split("  ").map(str::trim).filter(|c| !c.is_empty()).collect()).collect()
+        table
+            .lines()
+            .map(|l| {
+                l.split("  ")
+                    .map(str::trim)
+                    .filter(|c| !c.is_empty())
+                    .collect()
+            })
+            .collect()
     }
 
     #[test]
@@ -315,7 +464,16 @@
         let rows = cells(&table);
         assert_eq!(
             rows[1],
-            ["10.0.0.1:80", "core-1", "1", "10.0.0.1,10.0.0.2,10.0.0.3", "2", "yes", "yes", "7"]
+            [
+                "10.0.0.1:80",
+                "core-1",
+                "1",
+                "10.0.0.1,10.0.0.2,10.0.0.3",
+                "2",
+                "yes",
+                "yes",
+                "7"
+            ]
         );
         assert_eq!(rows[3], ["10.0.0.3:80", "(no answer)"]);
         assert_eq!(rows[4], ["directors differ: not all count in one set"]);
@@ -325,11 +483,21 @@
     #[test]
     fn members_have_their_home_and_disks_their_troubles() {
         let table = members(&pages()).expect("a table");
-        assert_eq!(cells(&table)[1], ["front-1", "10.0.0.9", "n", "core-2", "core-1,core-2"]);
+        assert_eq!(
+            cells(&table)[1],
+            ["front-1", "10.0.0.9", "n", "core-2", "core-1,core-2"]
+        );
         assert!(table.ends_with("10.0.0.3:80  (no answer)\n"), "{table}");
         let table = disks(&pages()).expect("a table");
-        assert_eq!(cells(&table)[1], ["10.0.0.1:80", "core-1", "4096", "9", "1", "0.5", "31", "-"]);
+        assert_eq!(
+            cells(&table)[1],
+            ["10.0.0.1:80", "core-1", "4096", "9", "1", "0.5", "31", "-"]
+        );
         let table = status(&pages()).expect("a table");
-        assert_eq!(cells(&table)[1].last(), Some(&"3"), "refused, for all reasons: {table}");
+        assert_eq!(
+            cells(&table)[1].last(),
+            Some(&"3"),
+            "refused, for all reasons: {table}"
+        );
     }
 }
--- a/crates/rushcourse-cluster/src/cluster.rs
+++ b/crates/rushcourse-cluster/src/cluster.rs
@@ -92,7 +92,11 @@
 
 impl Cluster {
     pub fn new(place: Place) -> Cluster {
-        let my_zone = place.zones.iter().position(|z| *z == place.zone).unwrap_or(0);
+        let my_zone = place
+            .zones
+            .iter()
+            .position(|z| *z == place.zone)
+            .unwrap_or(0);
         Cluster {
             started: None,
             hosts: Subscribers::new(place.beat_ms),
@@ -126,9 +130,14 @@
             }
             Input::PeerUp(peer) => {
                 self.peers.insert(peer);
-                self.out.push(Effect::ToPeer(peer, Message::Hosts(self.hosts.all(now))));
-                self.out.push(Effect::ToPeer(peer, Message::Sessions(self.members.here())));
-                let message = Message::Standing { primed: self.primed, fronts: 0 };
+                self.out
+                    .push(Effect::ToPeer(peer, Message::Hosts(self.hosts.all(now))));
+                self.out
+                    .push(Effect::ToPeer(peer, Message::Sessions(self.members.here())));
+                let message = Message::Standing {
+                    primed: self.primed,
+                    fronts: 0,
+                };
                 self.out.push(Effect::ToPeer(peer, message));
             }
             Input::PeerDown(peer) => {
@@ -136,11 +145,16 @@
                 self.members.forget(peer);
             }
             Input::PeerSaid(peer, message) => self.peer_said(now, peer, message),
-            Input::FrontUp { session, node, zone } => {
+            Input::FrontUp {
+                session,
+                node,
+                zone,
+            } => {
                 self.members.joined(session, node);
                 self.zones.insert(node, zone);
                 self.said = None;
-                self.out.push(Effect::ToPeers(Message::Sessions(self.members.here())));
+                self.out
+                    .push(Effect::ToPeers(Message::Sessions(self.members.here())));
             }
             Input::FrontDown { session } => self.front_down(now, session),
             Input::FrontSaid { session, message } => self.front_said(now, session, message),
@@ -154,14 +168,19 @@
     }
 
     fn call(&mut self, now: u64, news: HostNews) {
-        let (id, sequence, known) = (news.id.clone(), news.sequence, self.hosts.get(&news.id).is_some());
+        let (id, sequence, known) = (
+            news.id.clone(),
+            news.sequence,
+            self.hosts.get(&news.id).is_some(),
+        );
         if self.hosts.heard(now, news) {
             if let Some(s) = self.hosts.get(&id) {
                 let news = self.hosts.tell(now, s);
                 self.spread(news);
             }
             if !known {
-                self.out.push(Effect::Say(format!("event=host_known id={id}")));
+                self.out
+                    .push(Effect::Say(format!("event=host_known id={id}")));
             }
             self.changed(now, &[id]);
         } else {
@@ -173,8 +192,12 @@
     /// frontend directors too, whoever binds them.
     fn spread(&mut self, news: HostNews) {
         if news.state != HostState::Ready {
-            self.out.push(Effect::Say(format!("event=host_leaving id={} state={:?}", news.id, news.state)));
-            self.out.push(Effect::ToFronts(Message::Out(vec![news.clone()])));
+            self.out.push(Effect::Say(format!(
+                "event=host_leaving id={} state={:?}",
+                news.id, news.state
+            )));
+            self.out
+                .push(Effect::ToFronts(Message::Out(vec![news.clone()])));
         }
         self.out.push(Effect::ToPeers(Message::Hosts(vec![news])));
     }
@@ -185,9 +208,17 @@
         let ids: Vec<Arc<str>> = news.iter().map(|n| n.id.clone()).collect();
         for n in news {
             // What was cold then may be warm now; it says so in its next call.
-            self.hosts.heard(now, HostNews { age_ms: 0, cold_ms: 0, ..n });
+            self.hosts.heard(
+                now,
+                HostNews {
+                    age_ms: 0,
+                    cold_ms: 0,
+                    ..n
+                },
+            );
         }
-        self.out.push(Effect::Say(format!("event=hosts_held hosts={}", ids.len())));
+        self.out
+            .push(Effect::Say(format!("event=hosts_held hosts={}", ids.len())));
         let hosts = ids.iter().filter_map(|id| self.hosts.get(id));
         let orders = self.distribution.hosts(now, hosts);
         self.carry(now, orders);
@@ -197,7 +228,10 @@
         for id in ids {
             if let Some(s) = self.hosts.get(id) {
                 let state = s.state();
-                self.out.push(Effect::Keep(HostNews { state, ..self.hosts.tell(now, s) }));
+                self.out.push(Effect::Keep(HostNews {
+                    state,
+                    ..self.hosts.tell(now, s)
+                }));
             }
         }
         let hosts = ids.iter().filter_map(|id| self.hosts.get(id));
@@ -209,8 +243,14 @@
         match message {
             Message::Hosts(news) => {
                 let ids: Vec<Arc<str>> = news.iter().map(|n| n.id.clone()).collect();
-                let changed: Vec<bool> = news.into_iter().map(|n| self.hosts.heard(now, n)).collect();
-                let ids: Vec<Arc<str>> = ids.into_iter().zip(changed).filter(|c| c.1).map(|c| c.0).collect();
+                let changed: Vec<bool> =
+                    news.into_iter().map(|n| self.hosts.heard(now, n)).collect();
+                let ids: Vec<Arc<str>> = ids
+                    .into_iter()
+                    .zip(changed)
+                    .filter(|c| c.1)
+                    .map(|c| c.0)
+                    .collect();
                 self.changed(now, &ids);
             }
             Message::Beats(beats) => {
@@ -225,7 +265,8 @@
             Message::HostDigest(digest) => {
                 let ranges = self.hosts.differing(&digest);
                 if !ranges.is_empty() {
-                    self.out.push(Effect::ToPeer(peer, Message::HostRanges(ranges)));
+                    self.out
+                        .push(Effect::ToPeer(peer, Message::HostRanges(ranges)));
                 }
             }
             Message::HostRanges(ranges) => {
@@ -240,7 +281,9 @@
     }
 
     fn front_down(&mut self, now: u64, session: u64) {
-        let Some(node) = self.members.left(session) else { return };
+        let Some(node) = self.members.left(session) else {
+            return;
+        };
         if self.homes.get(&node) == Some(&session) {
             self.homes.remove(&node);
             let orders = self.distribution.left(now, node);
@@ -249,16 +292,23 @@
         if self.members.session(node).is_none() {
             self.zones.remove(&node);
         }
-        self.out.push(Effect::ToPeers(Message::Sessions(self.members.here())));
+        self.out
+            .push(Effect::ToPeers(Message::Sessions(self.members.here())));
     }
 
     fn front_said(&mut self, now: u64, session: u64, message: Message) {
-        let Some(node) = self.members.node(session) else { return };
+        let Some(node) = self.members.node(session) else {
+            return;
+        };
         let at_home = self.homes.get(&node) == Some(&session);
         match message {
             Message::Home(true) if self.primed => {
                 self.homes.insert(node, session);
-                let zone = self.zones.get(&node).cloned().unwrap_or_else(|| self.place.zone.clone());
+                let zone = self
+                    .zones
+                    .get(&node)
+                    .cloned()
+                    .unwrap_or_else(|| self.place.zone.clone());
                 let mut orders = self.distribution.left(now, node);
                 orders.extend(self.distribution.joined(now, node, &zone));
                 self.carry(now, orders);
@@ -272,9 +322,16 @@
                 let orders = self.distribution.applied(now, node, &service, mark);
                 self.carry(now, orders);
             }
-            Message::Usage { service, tries, failed, span_ms } if at_home => {
+            Message::Usage {
+                service,
+                tries,
+                failed,
+                span_ms,
+            } if at_home => {
                 let (tries, failed) = (f64::from(tries), f64::from(failed));
-                let orders = self.distribution.usage(now, node, &service, tries, failed, f64::from(span_ms));
+                let orders =
+                    self.distribution
+                        .usage(now, node, &service, tries, failed, f64::from(span_ms));
                 self.carry(now, orders);
             }
             _ => {}
@@ -284,22 +341,31 @@
     fn tick(&mut self, now: u64, started: u64) {
         if !self.primed && now >= started + (self.place.beat_ms as f64 * PRIMED_AFTER) as u64 {
             self.primed = true;
-            self.out.push(Effect::Say(format!("event=primed hosts={}", self.hosts.iter().count())));
-            self.out.push(Effect::ToPeers(Message::Standing { primed: true, fronts: 0 }));
+            self.out.push(Effect::Say(format!(
+                "event=primed hosts={}",
+                self.hosts.iter().count()
+            )));
+            self.out.push(Effect::ToPeers(Message::Standing {
+                primed: true,
+                fronts: 0,
+            }));
         }
         if now >= self.beats_at + BEATS_EVERY && !self.beats.is_empty() {
             self.beats_at = now;
             let beats = std::mem::take(&mut self.beats);
-            self.out.push(Effect::ToPeers(Message::Beats(beats.into_iter().collect())));
+            self.out
+                .push(Effect::ToPeers(Message::Beats(beats.into_iter().collect())));
         }
         if now >= self.digest_at + DIGEST_EVERY {
             self.digest_at = now;
-            self.out.push(Effect::ToPeers(Message::HostDigest(self.hosts.digest())));
+            self.out
+                .push(Effect::ToPeers(Message::HostDigest(self.hosts.digest())));
         }
         let may_judge = self.company && self.primed && now >= self.judges_from;
         let fell = self.hosts.tick(now, may_judge);
         for id in &fell {
-            self.out.push(Effect::Say(format!("event=host_silent id={id}")));
+            self.out
+                .push(Effect::Say(format!("event=host_silent id={id}")));
         }
         self.changed(now, &fell);
         let orders = self.distribution.tick(now);
@@ -318,29 +384,58 @@
         let now = (self.primed && self.company, self.members.all().len() as u32);
         if self.said != Some(now) {
             self.said = Some(now);
-            self.out.push(Effect::ToFronts(Message::Standing { primed: now.0, fronts: now.1 }));
+            self.out.push(Effect::ToFronts(Message::Standing {
+                primed: now.0,
+                fronts: now.1,
+            }));
         }
     }
 
     fn line(&self, now: u64, host: &Arc<str>, weight: f64) -> Option<Line> {
         let s = self.hosts.get(host)?;
-        Some(Line { host: HostNews { state: s.state(), ..self.hosts.tell(now, s) }, weight: weight as f32 })
+        Some(Line {
+            host: HostNews {
+                state: s.state(),
+                ..self.hosts.tell(now, s)
+            },
+            weight: weight as f32,
+        })
     }
 
     fn carry(&mut self, now: u64, orders: Vec<Order>) {
         for order in orders {
-            let Some(session) = self.homes.get(&order.to).copied() else { continue };
-            let out: Vec<HostNews> =
-                order.out.iter().filter_map(|(id, shut)| self.shut(now, id, *shut)).collect();
+            let Some(session) = self.homes.get(&order.to).copied() else {
+                continue;
+            };
+            let out: Vec<HostNews> = order
+                .out
+                .iter()
+                .filter_map(|(id, shut)| self.shut(now, id, *shut))
+                .collect();
             if !out.is_empty() {
-                self.out.push(Effect::ToFront { session, message: Message::Out(out) });
+                self.out.push(Effect::ToFront {
+                    session,
+                    message: Message::Out(out),
+                });
             }
             let (service, mark) = (order.service.clone(), order.mark);
             // A host that is forgotten has no news: a frontend director drops a line by its weight alone.
-            let lines: Vec<Line> = order.lines.iter().filter_map(|l| self.line(now, &l.0, l.1)).collect();
+            let lines: Vec<Line> = order
+                .lines
+                .iter()
+                .filter_map(|l| self.line(now, &l.0, l.1))
+                .collect();
             let message = match order.whole {
-                true => Message::Table { service, mark, lines },
-                false => Message::Lines { service, mark, lines },
+                true => Message::Table {
+                    service,
+                    mark,
+                    lines,
+                },
+                false => Message::Lines {
+                    service,
+                    mark,
+                    lines,
+                },
             };
             self.out.push(Effect::ToFront { session, message });
         }
@@ -352,7 +447,10 @@
             (true, HostState::Ready) => HostState::Draining,
             (_, state) => state,
         };
-        Some(HostNews { state, ..self.hosts.tell(now, s) })
+        Some(HostNews {
+            state,
+            ..self.hosts.tell(now, s)
+        })
     }
 
     pub fn primed(&self) -> bool {
--- a/crates/rushcourse-cluster/src/contact.rs
+++ b/crates/rushcourse-cluster/src/contact.rs
@@ -41,7 +41,10 @@
 
     /// A majority has answered a question of that time. One that was asked before the last stall proves nothing.
     pub fn proven(&mut self, asked_at: u64) {
-        if self.stalled_at.is_some_and(|stalled_at| asked_at >= stalled_at) {
+        if self
+            .stalled_at
+            .is_some_and(|stalled_at| asked_at >= stalled_at)
+        {
             self.stalled_at = None;
         }
     }
@@ -82,7 +85,13 @@
     pub fn ask(&mut self, now: u64) -> u64 {
         self.asked += 1;
         let token = ROUND_BIT | self.asked;
-        self.open.insert(token, Round { until: now + ROUND_WAIT, told: BTreeSet::new() });
+        self.open.insert(
+            token,
+            Round {
+                until: now + ROUND_WAIT,
+                told: BTreeSet::new(),
+            },
+        );
         token
     }
 
@@ -97,7 +106,12 @@
     /// Rounds that are over: whether a majority of the set has answered, this director (`me`) counted where it is a
     /// member.
     pub fn over(&mut self, now: u64, me: NodeId, set: &VotingSet) -> Vec<(u64, bool)> {
-        let answered = |r: &Round| set.members.iter().filter(|m| **m == me || r.told.contains(m)).count();
+        let answered = |r: &Round| {
+            set.members
+                .iter()
+                .filter(|m| **m == me || r.told.contains(m))
+                .count()
+        };
         let majority = |r: &Round| set.number > 0 && answered(r) >= set.majority();
         let ended = |(token, round): (&u64, &Round)| {
             let reached = majority(round);
--- a/crates/rushcourse-cluster/src/distribution.rs
+++ b/crates/rushcourse-cluster/src/distribution.rs
@@ -6,8 +6,8 @@
 use crate::subscribers::Subscriber;
 use rushcourse_core::Director;
 use rushcourse_core::interface::{
-    Action, Again, Channel, Class, Effect, Entry, Event, KeyScope, LevelKind, ListKind, Ms, Readiness,
-    Settings, TableId,
+    Action, Again, Channel, Class, Effect, Entry, Event, KeyScope, LevelKind, ListKind, Ms,
+    Readiness, Settings, TableId,
 };
 use rushcourse_messages::{HostState, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -56,7 +56,13 @@
 
 impl Distribution {
     pub fn new(zones: Vec<Arc<str>>, my_zone: usize, drain_ms: f64) -> Distribution {
-        Distribution { zones, my_zone, drain_ms, boards: BTreeMap::new(), proxies: BTreeMap::new() }
+        Distribution {
+            zones,
+            my_zone,
+            drain_ms,
+            boards: BTreeMap::new(),
+            proxies: BTreeMap::new(),
+        }
     }
 
     fn settings(&self) -> Settings {
@@ -115,16 +121,29 @@
     }
 
     /// Hosts that are new or have changed.
-    pub fn hosts<'a>(&mut self, now: u64, changed: impl Iterator<Item = &'a Subscriber>) -> Vec<Order> {
+    pub fn hosts<'a>(
+        &mut self,
+        now: u64,
+        changed: impl Iterator<Item = &'a Subscriber>,
+    ) -> Vec<Order> {
         let mut by: BTreeMap<Arc<str>, Vec<Entry>> = BTreeMap::new();
         for s in changed {
-            by.entry(s.news.service.clone()).or_default().push(self.entry(s));
+            by.entry(s.news.service.clone())
+                .or_default()
+                .push(self.entry(s));
         }
         let mut orders = Vec::new();
         for (service, entries) in by {
-            let mut events = vec![Event::List { kind: ListKind::Delta, entries }];
+            let mut events = vec![Event::List {
+                kind: ListKind::Delta,
+                entries,
+            }];
             if !self.boards.contains_key(&service) {
-                events.extend(self.proxies.iter().map(|(proxy, zone)| joined(*proxy, *zone)));
+                events.extend(
+                    self.proxies
+                        .iter()
+                        .map(|(proxy, zone)| joined(*proxy, *zone)),
+                );
                 let board = Board {
                     director: Director::new(self.settings(), 0),
                     tables: BTreeMap::new(),
@@ -154,17 +173,33 @@
         for board in self.boards.values_mut() {
             board.bound.remove(&proxy);
         }
-        self.each(now, |_| vec![Event::Left { proxy, channel: Channel::Own }])
+        self.each(now, |_| {
+            vec![Event::Left {
+                proxy,
+                channel: Channel::Own,
+            }]
+        })
     }
 
     /// A frontend director holds what a mark asked for.
     pub fn applied(&mut self, now: u64, proxy: NodeId, service: &str, mark: u16) -> Vec<Order> {
-        let Some((service, _)) = self.boards.get_key_value(service) else { return Vec::new() };
+        let Some((service, _)) = self.boards.get_key_value(service) else {
+            return Vec::new();
+        };
         if !self.proxies.contains_key(&proxy) {
             return Vec::new();
         }
         let service = service.clone();
-        self.give(now, &service, vec![Event::Applied { mark, proxy, took: 0.0, channel: Channel::Own }])
+        self.give(
+            now,
+            &service,
+            vec![Event::Applied {
+                mark,
+                proxy,
+                took: 0.0,
+                channel: Channel::Own,
+            }],
+        )
     }
 
     pub fn usage(
@@ -176,17 +211,32 @@
         failed: f64,
         span: Ms,
     ) -> Vec<Order> {
-        let Some((service, _)) = self.boards.get_key_value(service) else { return Vec::new() };
+        let Some((service, _)) = self.boards.get_key_value(service) else {
+            return Vec::new();
+        };
         if !self.proxies.contains_key(&proxy) {
             return Vec::new();
         }
         let service = service.clone();
-        self.give(now, &service, vec![Event::Usage { proxy, class: 0, tries, failed, span }])
+        self.give(
+            now,
+            &service,
+            vec![Event::Usage {
+                proxy,
+                class: 0,
+                tries,
+                failed,
+                span,
+            }],
+        )
     }
 
     /// When the module wants to be called next: ms, or none.
     pub fn due(&self) -> Option<u64> {
-        let all = self.boards.values().flat_map(|b| b.timers.iter().map(|t| t.0));
+        let all = self
+            .boards
+            .values()
+            .flat_map(|b| b.timers.iter().map(|t| t.0));
         all.reduce(f64::min).map(|t| t as u64)
     }
 
@@ -195,7 +245,9 @@
             let (due, later) = board.timers.drain(..).partition(|t| t.0 <= now as Ms);
             board.timers = later;
             let due: Vec<(Ms, String)> = due;
-            due.into_iter().map(|(_, token)| Event::Timer { token }).collect()
+            due.into_iter()
+                .map(|(_, token)| Event::Timer { token })
+                .collect()
         })
     }
 
@@ -203,7 +255,11 @@
         let services: Vec<Arc<str>> = self.boards.keys().cloned().collect();
         let mut orders = Vec::new();
         for service in services {
-            let events = self.boards.get_mut(&service).map(&events).unwrap_or_default();
+            let events = self
+                .boards
+                .get_mut(&service)
+                .map(&events)
+                .unwrap_or_default();
             if !events.is_empty() {
                 orders.extend(self.give(now, &service, events));
             }
@@ -212,7 +268,9 @@
     }
 
     fn give(&mut self, now: u64, service: &Arc<str>, events: Vec<Event>) -> Vec<Order> {
-        let Some(board) = self.boards.get_mut(service) else { return Vec::new() };
+        let Some(board) = self.boards.get_mut(service) else {
+            return Vec::new();
+        };
         let actions = board.director.handle(now as Ms, events);
         board.carry_out(service, actions)
     }
@@ -224,7 +282,12 @@
             for (id, lines) in &board.tables {
                 let on = board.bound.values().filter(|t| *t == id).count();
                 let lines = lines.iter().map(|l| (l.0.clone(), *l.1)).collect();
-                found.push(TableView { service: service.clone(), table: *id, fronts: on, lines });
+                found.push(TableView {
+                    service: service.clone(),
+                    table: *id,
+                    fronts: on,
+                    lines,
+                });
             }
         }
         found
@@ -232,7 +295,13 @@
 }
 
 fn joined(proxy: NodeId, zone: usize) -> Event {
-    Event::Joined { proxy, zone, rate: 1.0, fresh: true, channel: Channel::Own }
+    Event::Joined {
+        proxy,
+        zone,
+        rate: 1.0,
+        fresh: true,
+        channel: Channel::Own,
+    }
 }
 
 /// What a proxy gets by one reply of the module.
@@ -248,7 +317,11 @@
         let mut out: Vec<(Arc<str>, bool)> = Vec::new();
         for action in actions {
             match action {
-                Action::Line { table, host, weight } => {
+                Action::Line {
+                    table,
+                    host,
+                    weight,
+                } => {
                     let lines = self.tables.entry(table).or_default();
                     if weight > 0.0 {
                         lines.insert(host.clone(), weight)
@@ -256,7 +329,11 @@
                         lines.remove(&host)
                     };
                     for (proxy, _) in self.bound.iter().filter(|b| *b.1 == table) {
-                        parcels.entry(*proxy).or_default().lines.insert(host.clone(), weight);
+                        parcels
+                            .entry(*proxy)
+                            .or_default()
+                            .lines
+                            .insert(host.clone(), weight);
                     }
                 }
                 Action::Clear { table } => {
@@ -269,7 +346,11 @@
                     self.bound.insert(proxy, table);
                     parcels.entry(proxy).or_default().whole = true;
                 }
-                Action::Withdraw { host, out: shut, channel: Channel::Own } => {
+                Action::Withdraw {
+                    host,
+                    out: shut,
+                    channel: Channel::Own,
+                } => {
                     if shut {
                         self.withdrawn.insert(host.clone())
                     } else {
@@ -285,7 +366,11 @@
         let reached: BTreeSet<NodeId> = if out.is_empty() {
             parcels.keys().copied().collect()
         } else {
-            self.bound.keys().copied().chain(parcels.keys().copied()).collect()
+            self.bound
+                .keys()
+                .copied()
+                .chain(parcels.keys().copied())
+                .collect()
         };
         let mut orders = Vec::new();
         for to in reached {
--- a/crates/rushcourse-cluster/src/members.rs
+++ b/crates/rushcourse-cluster/src/members.rs
@@ -34,7 +34,9 @@
     }
 
     pub fn here(&self) -> Vec<NodeId> {
-        BTreeSet::from_iter(self.mine.values().copied()).into_iter().collect()
+        BTreeSet::from_iter(self.mine.values().copied())
+            .into_iter()
+            .collect()
     }
 
     /// What another core director told of its sessions.
--- a/crates/rushcourse-cluster/src/subscribers.rs
+++ b/crates/rushcourse-cluster/src/subscribers.rs
@@ -30,7 +30,11 @@
 impl Subscriber {
     /// What tables go by.
     pub fn state(&self) -> HostState {
-        if self.silent { HostState::Gone } else { self.news.state }
+        if self.silent {
+            HostState::Gone
+        } else {
+            self.news.state
+        }
     }
 }
 
@@ -43,7 +47,10 @@
 impl Subscribers {
     /// `beat_ms`: how often a host calls.
     pub fn new(beat_ms: u64) -> Subscribers {
-        Subscribers { silent_after: (beat_ms as f64 * MISSED) as u64 + 400, hosts: BTreeMap::new() }
+        Subscribers {
+            silent_after: (beat_ms as f64 * MISSED) as u64 + 400,
+            hosts: BTreeMap::new(),
+        }
     }
 
     pub fn get(&self, id: &str) -> Option<&Subscriber> {
@@ -59,9 +66,23 @@
         let heard = now.saturating_sub(news.age_ms);
         let Some(known) = self.hosts.get_mut(&news.id) else {
             let up_since = if news.cold_ms > 0 { now.max(1) } else { 0 };
-            let ended = if news.state == HostState::Gone { now } else { 0 };
-            let silent = news.state != HostState::Gone && now.saturating_sub(heard) > self.silent_after;
-            self.hosts.insert(news.id.clone(), Subscriber { news, heard, up_since, silent, ended });
+            let ended = if news.state == HostState::Gone {
+                now
+            } else {
+                0
+            };
+            let silent =
+                news.state != HostState::Gone && now.saturating_sub(heard) > self.silent_after;
+            self.hosts.insert(
+                news.id.clone(),
+                Subscriber {
+                    news,
+                    heard,
+                    up_since,
+                    silent,
+                    ended,
+                },
+            );
             return true;
         };
         if known.news.state == HostState::Gone {
@@ -77,7 +98,11 @@
             || known.news.address != news.address
             || known.news.service != news.service
             || known.news.slots != news.slots;
-        known.ended = if news.state == HostState::Gone { now } else { 0 };
+        known.ended = if news.state == HostState::Gone {
+            now
+        } else {
+            0
+        };
         known.news = news;
         differs || woke
     }
@@ -122,7 +147,10 @@
 
     /// News as they go to another director.
     pub fn tell(&self, now: u64, s: &Subscriber) -> HostNews {
-        HostNews { age_ms: now.saturating_sub(s.heard), ..s.news.clone() }
+        HostNews {
+            age_ms: now.saturating_sub(s.heard),
+            ..s.news.clone()
+        }
     }
 
     pub fn all(&self, now: u64) -> Vec<HostNews> {
@@ -138,7 +166,10 @@
         let mut digest = vec![0u64; RANGES];
         for s in self.hosts.values() {
             let n = &s.news;
-            let text = format!("{} {} {} {} {:?}", n.id, n.service, n.address, n.slots, n.state);
+            let text = format!(
+                "{} {} {} {} {:?}",
+                n.id, n.service, n.address, n.slots, n.state
+            );
             digest[Self::range(&n.id)] ^= hash64(text.as_bytes(), 4);
         }
         digest
@@ -147,11 +178,18 @@
     /// Ranges in which another's digest differs.
     pub fn differing(&self, other: &[u64]) -> Vec<u16> {
         let mine = self.digest();
-        (0..RANGES).filter(|k| other.get(*k) != Some(&mine[*k])).map(|k| k as u16).collect()
+        (0..RANGES)
+            .filter(|k| other.get(*k) != Some(&mine[*k]))
+            .map(|k| k as u16)
+            .collect()
     }
 
     pub fn in_ranges(&self, now: u64, ranges: &[u16]) -> Vec<HostNews> {
         let of = |s: &&Subscriber| ranges.contains(&(Self::range(&s.news.id) as u16));
-        self.hosts.values().filter(of).map(|s| self.tell(now, s)).collect()
+        self.hosts
+            .values()
+            .filter(of)
+            .map(|s| self.tell(now, s))
+            .collect()
     }
 }
--- a/crates/rushcourse-cluster/tests/contact.rs
+++ b/crates/rushcourse-cluster/tests/contact.rs
@@ -53,14 +53,20 @@
     assert!(contact.turn(3_000));
     assert!(contact.turn(6_000), "and the question is asked again");
     contact.proven(3_000);
-    assert!(!contact.is_recent(), "that answer is older than the second freeze");
+    assert!(
+        !contact.is_recent(),
+        "that answer is older than the second freeze"
+    );
     contact.proven(6_000);
     assert!(contact.is_recent());
 }
 
 /// Four core directors, of which the first is asked here.
 fn four() -> VotingSet {
-    VotingSet { number: 1, members: vec![1, 2, 3, 4] }
+    VotingSet {
+        number: 1,
+        members: vec![1, 2, 3, 4],
+    }
 }
 
 #[test]
@@ -85,7 +91,11 @@
     assert_eq!(rounds.over(1_110, 1, &four()), [(early, true)]);
     assert!(rounds.told(2, early), "late, and still no answer to a read");
     assert!(!rounds.told(2, 7), "a read's token");
-    assert_eq!(rounds.over(1_900, 1, &four()), [(late, false)], "cut off meanwhile");
+    assert_eq!(
+        rounds.over(1_900, 1, &four()),
+        [(late, false)],
+        "cut off meanwhile"
+    );
 }
 
 #[test]
@@ -99,6 +109,12 @@
     rounds.told(4, token);
     assert_eq!(rounds.over(1_020, 5, &four()), [(token, true)]);
     let none = rounds.ask(2_000);
-    assert!(rounds.over(2_010, 1, &VotingSet::default()).is_empty(), "no set yet, no majority");
-    assert_eq!(rounds.over(2_700, 1, &VotingSet::default()), [(none, false)]);
+    assert!(
+        rounds.over(2_010, 1, &VotingSet::default()).is_empty(),
+        "no set yet, no majority"
+    );
+    assert_eq!(
+        rounds.over(2_700, 1, &VotingSet::default()),
+        [(none, false)]
+    );
 }
--- a/crates/rushcourse-cluster/tests/talk.rs
+++ b/crates/rushcourse-cluster/tests/talk.rs
@@ -7,12 +7,27 @@
 fn news(id: &str, sequence: u64, state: HostState) -> HostNews {
     let word = |w: &str| Arc::<str>::from(w);
     let (id, service, zone, address) = (word(id), word("s"), word("z1"), word("10.0.0.1:80"));
-    HostNews { id, service, zone, address, slots: 4, state, sequence, cold_ms: 0, age_ms: 0 }
+    HostNews {
+        id,
+        service,
+        zone,
+        address,
+        slots: 4,
+        state,
+        sequence,
+        cold_ms: 0,
+        age_ms: 0,
+    }
 }
 
 fn director() -> Cluster {
     let zones = vec!["z1".into(), "z2".into()];
-    Cluster::new(Place { zone: "z1".into(), zones, beat_ms: 1_500, drain_ms: 2_500.0 })
+    Cluster::new(Place {
+        zone: "z1".into(),
+        zones,
+        beat_ms: 1_500,
+        drain_ms: 2_500.0,
+    })
 }
 
 /// What goes to a frontend director's session.
@@ -25,7 +40,10 @@
 }
 
 fn pass(p: &mut Cluster, from: u64, until: u64) -> Vec<Effect> {
-    (from..until).step_by(50).flat_map(|now| p.step(now, Input::Tick)).collect()
+    (from..until)
+        .step_by(50)
+        .flat_map(|now| p.step(now, Input::Tick))
+        .collect()
 }
 
 /// A director that knows three hosts, with a frontend director that takes its tables from it.
@@ -36,8 +54,21 @@
         p.step(1_000, Input::Call(news(id, 1, HostState::Ready)));
     }
     pass(&mut p, 1_000, 4_000);
-    p.step(4_000, Input::FrontUp { session: 7, node: 70, zone: "z1".into() });
-    let mut all = p.step(4_000, Input::FrontSaid { session: 7, message: Message::Home(true) });
+    p.step(
+        4_000,
+        Input::FrontUp {
+            session: 7,
+            node: 70,
+            zone: "z1".into(),
+        },
+    );
+    let mut all = p.step(
+        4_000,
+        Input::FrontSaid {
+            session: 7,
+            message: Message::Home(true),
+        },
+    );
     all.extend(pass(&mut p, 4_050, 4_500));
     (p, all)
 }
@@ -51,14 +82,33 @@
     });
     let (lines, mark) = table.expect("a table");
     assert_eq!(lines, 3);
-    let applied = Message::Applied { service: "s".into(), mark };
-    p.step(4_500, Input::FrontSaid { session: 7, message: applied });
+    let applied = Message::Applied {
+        service: "s".into(),
+        mark,
+    };
+    p.step(
+        4_500,
+        Input::FrontSaid {
+            session: 7,
+            message: applied,
+        },
+    );
     let effects = p.step(4_600, Input::Call(news("i-1", 2, HostState::Draining)));
     let out = |e: &Effect| matches!(e, Effect::ToFronts(Message::Out(n)) if &*n[0].id == "i-1");
-    assert!(effects.iter().any(out), "every frontend director, whoever binds it");
+    assert!(
+        effects.iter().any(out),
+        "every frontend director, whoever binds it"
+    );
     let shut = |m: &Message| matches!(m, Message::Out(n) if &*n[0].id == "i-1");
-    assert!(to(&effects, 7).iter().any(shut), "and by the module's order in the same reply");
-    assert!(effects.iter().any(|e| matches!(e, Effect::ToPeers(Message::Hosts(_)))));
+    assert!(
+        to(&effects, 7).iter().any(shut),
+        "and by the module's order in the same reply"
+    );
+    assert!(
+        effects
+            .iter()
+            .any(|e| matches!(e, Effect::ToPeers(Message::Hosts(_))))
+    );
 }
 
 #[test]
@@ -75,7 +125,11 @@
         let state = p.hosts().get("i-1").expect("known").state();
         assert_eq!(state == HostState::Gone, gone, "with a majority: {company}");
         p.step(13_000, Input::Call(news("i-1", 9, HostState::Ready)));
-        assert_eq!(p.hosts().get("i-1").expect("known").state(), HostState::Ready, "it calls again");
+        assert_eq!(
+            p.hosts().get("i-1").expect("known").state(),
+            HostState::Ready,
+            "it calls again"
+        );
     }
 }
 
@@ -87,13 +141,22 @@
     p.step(24_500, Input::Company(true));
     let effects = pass(&mut p, 24_500, 24_600);
     let judged = |e: &Effect| matches!(e, Effect::Say(s) if s.contains("host_silent"));
-    assert!(!effects.iter().any(judged), "it did not hear where they beat meanwhile");
-    let mut lived = vec![news("i-1", 20, HostState::Ready), news("i-2", 20, HostState::Ready)];
+    assert!(
+        !effects.iter().any(judged),
+        "it did not hear where they beat meanwhile"
+    );
+    let mut lived = vec![
+        news("i-1", 20, HostState::Ready),
+        news("i-2", 20, HostState::Ready),
+    ];
     lived[1].age_ms = 900;
     p.step(24_600, Input::PeerSaid(2, Message::Hosts(lived)));
     pass(&mut p, 24_600, 26_000);
     let state = |id: &str| p.hosts().get(id).expect("known").state();
-    assert_eq!((state("i-1"), state("i-2")), (HostState::Ready, HostState::Ready));
+    assert_eq!(
+        (state("i-1"), state("i-2")),
+        (HostState::Ready, HostState::Ready)
+    );
     assert_eq!(state("i-3"), HostState::Gone, "nobody heard it");
 }
 
@@ -121,8 +184,14 @@
 fn late_calls_change_nothing_and_an_ended_life_stays_ended() {
     let mut hosts = Subscribers::new(1_500);
     assert!(hosts.heard(0, news("i-1", 5, HostState::Draining)));
-    assert!(!hosts.heard(10, news("i-1", 4, HostState::Ready)), "sent before, came after");
-    assert_eq!(hosts.get("i-1").expect("known").state(), HostState::Draining);
+    assert!(
+        !hosts.heard(10, news("i-1", 4, HostState::Ready)),
+        "sent before, came after"
+    );
+    assert_eq!(
+        hosts.get("i-1").expect("known").state(),
+        HostState::Draining
+    );
     assert!(hosts.signed_off(20, "i-1").is_some() && hosts.signed_off(21, "i-1").is_none());
     assert!(!hosts.heard(30, news("i-1", 6, HostState::Ready)));
     hosts.tick(100_000, true);
@@ -143,26 +212,56 @@
     for turn in 0..3 {
         let p = if turn % 2 == 0 { &mut b } else { &mut a };
         let came = std::mem::take(&mut mail);
-        let effects: Vec<Effect> =
-            came.into_iter().flat_map(|m| p.step(20, Input::PeerSaid(here, m))).collect();
-        let back = |e: Effect| if let Effect::ToPeer(_, m) = e { Some(m) } else { None };
+        let effects: Vec<Effect> = came
+            .into_iter()
+            .flat_map(|m| p.step(20, Input::PeerSaid(here, m)))
+            .collect();
+        let back = |e: Effect| {
+            if let Effect::ToPeer(_, m) = e {
+                Some(m)
+            } else {
+                None
+            }
+        };
         mail = effects.into_iter().filter_map(back).collect();
         if let Some(Message::Hosts(sent)) = mail.first() {
             assert!(sent.len() < 10, "a range, not all: {}", sent.len());
         }
         std::mem::swap(&mut here, &mut there);
     }
-    assert_eq!(b.hosts().get("i-7").expect("known").state(), HostState::Gone);
+    assert_eq!(
+        b.hosts().get("i-7").expect("known").state(),
+        HostState::Gone
+    );
     assert!(b.hosts().differing(&a.hosts().digest()).is_empty());
 }
 
 #[test]
 fn hosts_that_the_disk_held_are_tables_at_once_after_a_start() {
     let mut p = director();
-    p.step(1_000, Input::Held(vec![news("i-1", 5, HostState::Ready), news("i-2", 5, HostState::Draining)]));
+    p.step(
+        1_000,
+        Input::Held(vec![
+            news("i-1", 5, HostState::Ready),
+            news("i-2", 5, HostState::Draining),
+        ]),
+    );
     assert!(p.primed());
-    p.step(1_000, Input::FrontUp { session: 7, node: 70, zone: "z1".into() });
-    let mut all = p.step(1_000, Input::FrontSaid { session: 7, message: Message::Home(true) });
+    p.step(
+        1_000,
+        Input::FrontUp {
+            session: 7,
+            node: 70,
+            zone: "z1".into(),
+        },
+    );
+    let mut all = p.step(
+        1_000,
+        Input::FrontSaid {
+            session: 7,
+            message: Message::Home(true),
+        },
+    );
     all.extend(pass(&mut p, 1_050, 1_400));
     let lines = |m: &Message| match m {
         Message::Table { lines, .. } | Message::Lines { lines, .. } => {
@@ -170,5 +269,9 @@
         }
         _ => 0,
     };
-    assert_eq!(to(&all, 7).iter().map(lines).sum::<usize>(), 1, "the one that drains is in none");
+    assert_eq!(
+        to(&all, 7).iter().map(lines).sum::<usize>(),
+        1,
+        "the one that drains is in none"
+    );
 }
--- a/crates/rushcourse-config/src/configuration.rs
+++ b/crates/rushcourse-config/src/configuration.rs
@@ -82,9 +82,10 @@
     /// # Errors
     /// The first thing that is wrong, with its place.
     pub fn read(text: &[u8]) -> Result<Configuration, Invalid> {
-        let text = std::str::from_utf8(text).map_err(|e| Invalid::at("body", format!("is no text: {e}")))?;
-        let value: facet_value::Value =
-            facet_json::from_str(text).map_err(|e| Invalid::at("body", format!("can't be read: {e}")))?;
+        let text = std::str::from_utf8(text)
+            .map_err(|e| Invalid::at("body", format!("is no text: {e}")))?;
+        let value: facet_value::Value = facet_json::from_str(text)
+            .map_err(|e| Invalid::at("body", format!("can't be read: {e}")))?;
         let top = object(&value, "body")?;
         let version = whole(needed(top, "version", "body")?, "version")?;
         let services = services(object(needed(top, "services", "body")?, "services")?)?;
@@ -102,19 +103,31 @@
         for list in by_host.values_mut() {
             list.sort_by_key(|k| std::cmp::Reverse(routes[*k].prefix.len()));
         }
-        Ok(Configuration { version, routes, services, limits, by_host })
+        Ok(Configuration {
+            version,
+            routes,
+            services,
+            limits,
+            by_host,
+        })
     }
 
     /// The route of a request: by its `Host` header, with or without a port, and the longest prefix of its path.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
-        let bare = host
-            .rsplit_once(':')
-            .map_or(host, |(name, port)| if port.parse::<u16>().is_ok() { name } else { host });
+        let bare = host.rsplit_once(':').map_or(host, |(name, port)| {
+            if port.parse::<u16>().is_ok() {
+                name
+            } else {
+                host
+            }
+        });
         let list = match self.by_host.get(bare) {
             Some(list) => list,
             None => self.by_host.get(&bare.to_ascii_lowercase())?,
         };
-        list.iter().map(|k| &self.routes[*k]).find(|r| path.starts_with(&r.prefix))
+        list.iter()
+            .map(|k| &self.routes[*k])
+            .find(|r| path.starts_with(&r.prefix))
     }
 }
 
@@ -144,8 +157,13 @@
         }
         let service = Service {
             name: name.clone(),
-            health_path: row.maybe_word("health_check_path")?.unwrap_or_else(|| "/health".into()),
-            connections: row.maybe_whole("connection_capacity")?.unwrap_or(100).min(1_000_000) as u32,
+            health_path: row
+                .maybe_word("health_check_path")?
+                .unwrap_or_else(|| "/health".into()),
+            connections: row
+                .maybe_whole("connection_capacity")?
+                .unwrap_or(100)
+                .min(1_000_000) as u32,
             deduplicates: row.flag("deduplicates")?,
         };
         if found.insert(name.clone(), service).is_some() {
@@ -163,7 +181,10 @@
     }
 }
 
-fn routes(table: &facet_value::VObject, services: &IndexMap<String, Service>) -> Result<Vec<Route>, Invalid> {
+fn routes(
+    table: &facet_value::VObject,
+    services: &IndexMap<String, Service>,
+) -> Result<Vec<Route>, Invalid> {
     let names = columns(table, "routes")?;
     let rows = bounded(rows(table, &names, "routes")?, "routes")?;
     rows.iter().map(|row| route(row, services)).collect()
@@ -176,7 +197,10 @@
     }
     let prefix = row.word("path_prefix")?;
     if !prefix.starts_with('/') {
-        return Err(Invalid::at(&row.at("path_prefix"), format!("{prefix:?} does not begin with a slash")));
+        return Err(Invalid::at(
+            &row.at("path_prefix"),
+            format!("{prefix:?} does not begin with a slash"),
+        ));
     }
     let kind = match row.word("route_kind")?.as_str() {
         "read_only" => RouteKind::ReadOnly,
@@ -190,13 +214,24 @@
     let timeout = row.maybe_number("timeout_s")?;
     match timeout {
         Some(t) if t > TIMEOUT_MOST => {
-            return Err(Invalid::at(&row.at("timeout_s"), format!("{t} is over {TIMEOUT_MOST}")));
+            return Err(Invalid::at(
+                &row.at("timeout_s"),
+                format!("{t} is over {TIMEOUT_MOST}"),
+            ));
+        }
+        Some(t) if t <= 0.0 => {
+            return Err(Invalid::at(
+                &row.at("timeout_s"),
+                format!("{t} is not over 0"),
+            ));
         }
-        Some(t) if t <= 0.0 => return Err(Invalid::at(&row.at("timeout_s"), format!("{t} is not over 0"))),
         _ => {}
     }
     let aim = row.maybe_number("target_latency_s")?;
-    if let Some((aim, timeout)) = aim.zip(timeout).filter(|(aim, timeout)| *aim >= timeout + AIM_OVER) {
+    if let Some((aim, timeout)) = aim
+        .zip(timeout)
+        .filter(|(aim, timeout)| *aim >= timeout + AIM_OVER)
+    {
         let text = format!("{aim} lies a minute or more over timeout_s {timeout}");
         return Err(Invalid::at(&row.at("target_latency_s"), text));
     }
@@ -208,12 +243,18 @@
         timeout,
         aim,
         priority: row.maybe_whole("priority")?.unwrap_or(0).min(1000) as u32,
-        attempts: row.maybe_whole("maximum_attempts")?.unwrap_or(1).clamp(1, 100) as u32,
+        attempts: row
+            .maybe_whole("maximum_attempts")?
+            .unwrap_or(1)
+            .clamp(1, 100) as u32,
         split: split(row, services)?,
     })
 }
 
-fn split(row: &Row<'_>, services: &IndexMap<String, Service>) -> Result<Vec<(String, f64)>, Invalid> {
+fn split(
+    row: &Row<'_>,
+    services: &IndexMap<String, Service>,
+) -> Result<Vec<(String, f64)>, Invalid> {
     let known = |name: &str, place: &str| {
         let text = || Invalid::at(place, format!("names the unknown service {name:?}"));
         services.contains_key(name).then_some(()).ok_or_else(text)
@@ -224,17 +265,25 @@
         return Ok(vec![(name, 1.0)]);
     };
     let place = row.at("weighted_split");
-    let list = list.as_array().ok_or_else(|| Invalid::at(&place, "must be a list"))?;
+    let list = list
+        .as_array()
+        .ok_or_else(|| Invalid::at(&place, "must be a list"))?;
     let mut parts = Vec::new();
     for (k, part) in list.iter().enumerate() {
         let place = format!("{place}[{k}]");
         let part = object(part, &place)?;
-        let name = needed(part, "service", &place)?.as_string().map(|s| s.as_str().to_string());
-        let name = name.ok_or_else(|| Invalid::at(&format!("{place}.service"), "must be a word"))?;
+        let name = needed(part, "service", &place)?
+            .as_string()
+            .map(|s| s.as_str().to_string());
+        let name =
+            name.ok_or_else(|| Invalid::at(&format!("{place}.service"), "must be a word"))?;
         known(&name, &format!("{place}.service"))?;
         let weight = number(needed(part, "weight", &place)?, &format!("{place}.weight"))?;
         if weight < 0.0 {
-            return Err(Invalid::at(&format!("{place}.weight"), format!("{weight} is under 0")));
+            return Err(Invalid::at(
+                &format!("{place}.weight"),
+                format!("{weight} is under 0"),
+            ));
         }
         parts.push((name, weight));
     }
@@ -255,10 +304,15 @@
         head_timeout: get("header_timeout_s", 3.0)?,
         idle_timeout: get("idle_timeout_s", 15.0)?,
     };
-    for (name, value) in [("header_timeout_s", limits.head_timeout), ("idle_timeout_s", limits.idle_timeout)]
-    {
+    for (name, value) in [
+        ("header_timeout_s", limits.head_timeout),
+        ("idle_timeout_s", limits.idle_timeout),
+    ] {
         if value <= 0.0 {
-            return Err(Invalid::at(&format!("limits.{name}"), format!("{value} is not over 0")));
+            return Err(Invalid::at(
+                &format!("limits.{name}"),
+                format!("{value} is not over 0"),
+            ));
         }
     }
     Ok(limits)
--- a/crates/rushcourse-config/src/invalid.rs
+++ b/crates/rushcourse-config/src/invalid.rs
@@ -11,7 +11,10 @@
 
 impl Invalid {
     pub fn at(place: &str, why: impl Into<String>) -> Invalid {
-        Invalid { place: place.to_string(), why: why.into() }
+        Invalid {
+            place: place.to_string(),
+            why: why.into(),
+        }
     }
 }
 
--- a/crates/rushcourse-config/src/settings.rs
+++ b/crates/rushcourse-config/src/settings.rs
@@ -97,7 +97,11 @@
             }
             let Some((name, value)) = line.split_once('=') else {
                 let why = "is not of the form a.b=value".to_string();
-                return Err(BootError { line: k + 1, field: line.chars().take(60).collect(), why });
+                return Err(BootError {
+                    line: k + 1,
+                    field: line.chars().take(60).collect(),
+                    why,
+                });
             };
             fields.insert(name.trim(), (k + 1, value.trim()));
         }
@@ -105,18 +109,30 @@
     }
 
     fn maybe<T: FromStr>(&self, name: &str, what: &str) -> Result<Option<T>, BootError> {
-        let Some((line, value)) = self.0.get(name).filter(|f| !f.1.is_empty()) else { return Ok(None) };
+        let Some((line, value)) = self.0.get(name).filter(|f| !f.1.is_empty()) else {
+            return Ok(None);
+        };
         let why = || format!("{value:?} is not {what}");
-        value.parse().map(Some).map_err(|_| BootError { line: *line, field: name.into(), why: why() })
+        value.parse().map(Some).map_err(|_| BootError {
+            line: *line,
+            field: name.into(),
+            why: why(),
+        })
     }
 
     fn need<T: FromStr>(&self, name: &str, what: &str) -> Result<T, BootError> {
-        let lacking = || BootError { line: 0, field: name.into(), why: format!("is missing; it is {what}") };
+        let lacking = || BootError {
+            line: 0,
+            field: name.into(),
+            why: format!("is missing; it is {what}"),
+        };
         self.maybe(name, what)?.ok_or_else(lacking)
     }
 
     fn list<T: FromStr>(&self, name: &str, what: &str) -> Result<Vec<T>, BootError> {
-        let Some((line, value)) = self.0.get(name) else { return Ok(Vec::new()) };
+        let Some((line, value)) = self.0.get(name) else {
+            return Ok(Vec::new());
+        };
         let parts = value.split(',').map(str::trim).filter(|p| !p.is_empty());
         let bad = |part: &str| BootError {
             line: *line,
@@ -128,12 +144,18 @@
 
     /// A number over 0, or its default.
     fn positive(&self, name: &str, default: f64) -> Result<f64, BootError> {
-        let Some(value) = self.maybe::<f64>(name, "a number")? else { return Ok(default) };
+        let Some(value) = self.maybe::<f64>(name, "a number")? else {
+            return Ok(default);
+        };
         if value.is_finite() && value >= 0.0 {
             return Ok(value);
         }
         let line = self.0.get(name).map_or(0, |f| f.0);
-        Err(BootError { line, field: name.into(), why: format!("{value} is under 0") })
+        Err(BootError {
+            line,
+            field: name.into(),
+            why: format!("{value} is under 0"),
+        })
     }
 }
 
@@ -149,15 +171,26 @@
         let line = f.0.get("internal_port_range").map_or(0, |f| f.0);
         let &[first, last] = ports.as_slice() else {
             let why = "must hold two ports, first and last".to_string();
-            return Err(BootError { line, field: "internal_port_range".into(), why });
+            return Err(BootError {
+                line,
+                field: "internal_port_range".into(),
+                why,
+            });
         };
         if first > last {
             let why = format!("{first} is above {last}");
-            return Err(BootError { line, field: "internal_port_range".into(), why });
+            return Err(BootError {
+                line,
+                field: "internal_port_range".into(),
+                why,
+            });
         }
         let zone: String = f.need("zone", "a zone's name")?;
         let mut zones: Vec<String> =
-            f.0.keys().filter_map(|k| k.strip_prefix("zones.")).map(String::from).collect();
+            f.0.keys()
+                .filter_map(|k| k.strip_prefix("zones."))
+                .map(String::from)
+                .collect();
         if !zones.contains(&zone) {
             zones.push(zone.clone());
             zones.sort();
@@ -190,7 +223,9 @@
             beat_s: f.positive("heartbeat_interval_s", 1.5)?.max(0.05),
             tolerated: tolerated(&f)?,
             bounds,
-            log_level: f.maybe("log_level", "a level")?.unwrap_or_else(|| "info".into()),
+            log_level: f
+                .maybe("log_level", "a level")?
+                .unwrap_or_else(|| "info".into()),
             keys: keys(&f)?,
         })
     }
@@ -199,7 +234,11 @@
 /// Machines, zones or regions that may be lost at once, whichever are more.
 fn tolerated(f: &Fields<'_>) -> Result<usize, BootError> {
     let mut most = 0.0_f64;
-    for field in ["fault_tolerance.machines", "fault_tolerance.zones", "fault_tolerance.regions"] {
+    for field in [
+        "fault_tolerance.machines",
+        "fault_tolerance.zones",
+        "fault_tolerance.regions",
+    ] {
         most = most.max(f.positive(field, 0.0)?);
     }
     Ok(most as usize)
@@ -208,9 +247,17 @@
 /// All three files or none: half of them would be taken for safety that is not there.
 fn keys(f: &Fields<'_>) -> Result<Option<PeerKeys>, BootError> {
     let names = ["peers.certificate", "peers.key", "peers.authority"];
-    if names.iter().all(|name| f.0.get(name).is_none_or(|field| field.1.is_empty())) {
+    if names
+        .iter()
+        .all(|name| f.0.get(name).is_none_or(|field| field.1.is_empty()))
+    {
         return Ok(None);
     }
-    let [certificate, key, authority] = names.map(|name| f.need(name, "a file, as the other two of peers."));
-    Ok(Some(PeerKeys { certificate: certificate?, key: key?, authority: authority? }))
+    let [certificate, key, authority] =
+        names.map(|name| f.need(name, "a file, as the other two of peers."));
+    Ok(Some(PeerKeys {
+        certificate: certificate?,
+        key: key?,
+        authority: authority?,
+    }))
 }
--- a/crates/rushcourse-config/tests/properties.rs
+++ b/crates/rushcourse-config/tests/properties.rs
@@ -36,27 +36,59 @@
 
 /// Values by their places in the text: a change there makes configurations that can be read, and are wrong.
 fn value_changed(at: prop::sample::Index, come: &str) -> String {
-    let values =
-        ["7", "\"a.example\"", "\"/x/\"", "\"read_only\"", "1.5", "0.25", "90", "\"s1\"", "\"s2\"", "110"];
+    let values = [
+        "7",
+        "\"a.example\"",
+        "\"/x/\"",
+        "\"read_only\"",
+        "1.5",
+        "0.25",
+        "90",
+        "\"s1\"",
+        "\"s2\"",
+        "110",
+    ];
     let value = values[at.index(values.len())];
     GOOD.replacen(value, come, 1)
 }
 
 fn keeps_the_list(text: &str) {
-    let Ok(read) = Configuration::read(text.as_bytes()) else { return };
+    let Ok(read) = Configuration::read(text.as_bytes()) else {
+        return;
+    };
     for route in &read.routes {
-        assert!(!route.split.is_empty() && !route.host.is_empty(), "{route:?}");
+        assert!(
+            !route.split.is_empty() && !route.host.is_empty(),
+            "{route:?}"
+        );
         assert!(route.prefix.starts_with('/'), "{route:?}");
-        assert!(route.split.iter().all(|(s, _)| read.services.contains_key(s)), "{route:?}");
-        assert!(route.split.iter().all(|(_, w)| w.is_finite() && *w >= 0.0), "{route:?}");
-        assert!(route.split.iter().map(|p| p.1).sum::<f64>() > 0.0, "{route:?}");
-        assert!(route.timeout.is_none_or(|t| t > 0.0 && t <= 600.0), "{route:?}");
+        assert!(
+            route
+                .split
+                .iter()
+                .all(|(s, _)| read.services.contains_key(s)),
+            "{route:?}"
+        );
+        assert!(
+            route.split.iter().all(|(_, w)| w.is_finite() && *w >= 0.0),
+            "{route:?}"
+        );
+        assert!(
+            route.split.iter().map(|p| p.1).sum::<f64>() > 0.0,
+            "{route:?}"
+        );
+        assert!(
+            route.timeout.is_none_or(|t| t > 0.0 && t <= 600.0),
+            "{route:?}"
+        );
         if let (Some(timeout), Some(aim)) = (route.timeout, route.aim) {
             assert!(aim < timeout + 60.0, "{route:?}");
         }
         assert!(route.attempts > 0, "{route:?}");
         // It is found where it says it is, or a longer prefix hides nothing of it.
-        let found = read.route(&route.host, &route.prefix).expect("a route at its own place");
+        let found = read
+            .route(&route.host, &route.prefix)
+            .expect("a route at its own place");
         assert!(found.prefix.len() >= route.prefix.len(), "{route:?}");
     }
 }
--- a/crates/rushcourse-consensus/src/acceptor.rs
+++ b/crates/rushcourse-consensus/src/acceptor.rs
@@ -3,7 +3,9 @@
 
 use crate::context::{Context, Waits};
 use crate::effects::{Op, is_pruned};
-use rushcourse_messages::{Accepted, AcceptorRecord, Ballot, Cast, Message, NodeId, Slot, SlotRecord};
+use rushcourse_messages::{
+    Accepted, AcceptorRecord, Ballot, Cast, Message, NodeId, Slot, SlotRecord,
+};
 use std::collections::BTreeMap;
 
 /// Slots that may be open at once (ours): an operator has up to eight orders under way; beyond, nothing new is promised
@@ -38,19 +40,36 @@
 impl Acceptor {
     pub fn new(stored: Vec<(Slot, AcceptorRecord)>) -> Acceptor {
         let entry = |(slot, record): (Slot, AcceptorRecord)| {
-            let cast = record.accepted.as_ref().filter(|_| record.counts).map(|a| a.ballot);
-            (slot, Entry { record, cast, unwritten: false })
+            let cast = record
+                .accepted
+                .as_ref()
+                .filter(|_| record.counts)
+                .map(|a| a.ballot);
+            (
+                slot,
+                Entry {
+                    record,
+                    cast,
+                    unwritten: false,
+                },
+            )
         };
-        Acceptor { entries: stored.into_iter().map(entry).collect() }
+        Acceptor {
+            entries: stored.into_iter().map(entry).collect(),
+        }
     }
 
     pub fn accepted(&self, slot: Slot) -> Option<&Accepted> {
-        self.entries.get(&slot).and_then(|e| e.record.accepted.as_ref())
+        self.entries
+            .get(&slot)
+            .and_then(|e| e.record.accepted.as_ref())
     }
 
     /// The highest ballot that a promise was given for.
     pub fn promised(&self, slot: Slot) -> Ballot {
-        self.entries.get(&slot).map_or(Ballot::default(), |e| e.record.promised)
+        self.entries
+            .get(&slot)
+            .map_or(Ballot::default(), |e| e.record.promised)
     }
 
     /// The vote for a slot that the disk holds.
@@ -60,7 +79,10 @@
 
     /// Accepted proposals of versions above this one, highest first.
     pub fn versions_above(&self, version: u64) -> impl Iterator<Item = (u64, &Accepted)> {
-        let above = self.entries.range(Slot::Version(version.saturating_add(1))..).rev();
+        let above = self
+            .entries
+            .range(Slot::Version(version.saturating_add(1))..)
+            .rev();
         above.filter_map(|(slot, entry)| match slot {
             Slot::Version(v) => Some((*v, entry.record.accepted.as_ref()?)),
             Slot::Set(_) => None,
@@ -68,17 +90,32 @@
     }
 
     pub fn casts(&self) -> Vec<Cast> {
-        let cast = |(slot, e): (&Slot, &Entry)| Some(Cast { slot: *slot, ballot: e.cast? });
+        let cast = |(slot, e): (&Slot, &Entry)| {
+            Some(Cast {
+                slot: *slot,
+                ballot: e.cast?,
+            })
+        };
         self.entries.iter().filter_map(cast).collect()
     }
 
     pub fn records(&self) -> Vec<SlotRecord> {
-        let record = |(slot, e): (&Slot, &Entry)| SlotRecord { slot: *slot, record: e.record.clone() };
+        let record = |(slot, e): (&Slot, &Entry)| SlotRecord {
+            slot: *slot,
+            record: e.record.clone(),
+        };
         self.entries.iter().map(record).collect()
     }
 
     /// A proposer asks for a promise; the caller has checked that this replica votes and that the slot is open.
-    pub fn prepare(&mut self, context: &mut Context, from: NodeId, set: u64, slot: Slot, ballot: Ballot) {
+    pub fn prepare(
+        &mut self,
+        context: &mut Context,
+        from: NodeId,
+        set: u64,
+        slot: Slot,
+        ballot: Ballot,
+    ) {
         if !self.entries.contains_key(&slot) && self.entries.len() >= OPEN_MOST {
             return;
         }
@@ -86,13 +123,30 @@
         if ballot <= record.promised {
             let promised = record.promised;
             if ballot < promised {
-                context.send(from, Message::Refuse { set, slot, promised });
+                context.send(
+                    from,
+                    Message::Refuse {
+                        set,
+                        slot,
+                        promised,
+                    },
+                );
             }
             return;
         }
         record.promised = ballot;
-        let op = Op::Record { slot, record: record.clone() };
-        context.write(vec![op], Waits::Promise { to: from, slot, ballot });
+        let op = Op::Record {
+            slot,
+            record: record.clone(),
+        };
+        context.write(
+            vec![op],
+            Waits::Promise {
+                to: from,
+                slot,
+                ballot,
+            },
+        );
     }
 
     /// The disk holds a promise: it is given, unless a higher one was given since.
@@ -104,9 +158,23 @@
         slot: Slot,
         ballot: Ballot,
     ) {
-        let Some(entry) = self.entries.get(&slot).filter(|e| e.record.promised == ballot) else { return };
+        let Some(entry) = self
+            .entries
+            .get(&slot)
+            .filter(|e| e.record.promised == ballot)
+        else {
+            return;
+        };
         let accepted = entry.record.accepted.clone();
-        context.send(to, Message::Promise { set, slot, ballot, accepted });
+        context.send(
+            to,
+            Message::Promise {
+                set,
+                slot,
+                ballot,
+                accepted,
+            },
+        );
     }
 
     /// A proposal is brought. It is written unless it is here already, or a higher ballot was promised.
@@ -131,7 +199,14 @@
         }
         if capacity == Capacity::Voter && !votes {
             let promised = record.promised;
-            return context.send(from, Message::Refuse { set, slot, promised });
+            return context.send(
+                from,
+                Message::Refuse {
+                    set,
+                    slot,
+                    promised,
+                },
+            );
         }
         if capacity == Capacity::Copy && here.is_some_and(|h| h >= ballot) {
             return;
@@ -141,14 +216,23 @@
         }
         record.accepted = Some(proposal);
         record.counts = votes;
-        let op = Op::Record { slot, record: record.clone() };
+        let op = Op::Record {
+            slot,
+            record: record.clone(),
+        };
         context.write(vec![op], Waits::Accepted { slot, ballot });
     }
 
     /// The disk holds an accepted proposal. Whether a vote became durable by it.
     pub fn accept_synced(&mut self, slot: Slot, ballot: Ballot) -> bool {
-        let Some(entry) = self.entries.get_mut(&slot) else { return false };
-        let now = entry.record.accepted.as_ref().is_some_and(|a| a.ballot == ballot);
+        let Some(entry) = self.entries.get_mut(&slot) else {
+            return false;
+        };
+        let now = entry
+            .record
+            .accepted
+            .as_ref()
+            .is_some_and(|a| a.ballot == ballot);
         let counts = now && entry.record.counts;
         if counts {
             entry.cast = Some(ballot);
@@ -167,16 +251,31 @@
     pub fn write_again(&mut self, context: &mut Context) {
         for (slot, entry) in self.entries.iter_mut().filter(|e| e.1.unwritten) {
             entry.unwritten = false;
-            let Some(accepted) = &entry.record.accepted else { continue };
-            let op = Op::Record { slot: *slot, record: entry.record.clone() };
-            context.write(vec![op], Waits::Accepted { slot: *slot, ballot: accepted.ballot });
+            let Some(accepted) = &entry.record.accepted else {
+                continue;
+            };
+            let op = Op::Record {
+                slot: *slot,
+                record: entry.record.clone(),
+            };
+            context.write(
+                vec![op],
+                Waits::Accepted {
+                    slot: *slot,
+                    ballot: accepted.ballot,
+                },
+            );
         }
     }
 
     /// Takes in what a voter holds: promises and proposals, the higher of both. None of it is a vote yet.
     pub fn merge(&mut self, told: &[SlotRecord]) -> Vec<Op> {
         let mut ops = Vec::new();
-        for SlotRecord { slot, record: theirs } in told {
+        for SlotRecord {
+            slot,
+            record: theirs,
+        } in told
+        {
             let record = &mut self.entries.entry(*slot).or_default().record;
             record.promised = record.promised.max(theirs.promised);
             let ballot = |r: &AcceptorRecord| r.accepted.as_ref().map(|a| a.ballot);
@@ -184,7 +283,10 @@
                 record.accepted = theirs.accepted.clone();
                 record.counts = false;
             }
-            ops.push(Op::Record { slot: *slot, record: record.clone() });
+            ops.push(Op::Record {
+                slot: *slot,
+                record: record.clone(),
+            });
         }
         ops
     }
@@ -194,8 +296,14 @@
         let mut ops = Vec::new();
         for (slot, entry) in &mut self.entries {
             let record = &mut entry.record;
-            record.counts |= record.accepted.as_ref().is_some_and(|a| a.ballot >= record.promised);
-            ops.push(Op::Record { slot: *slot, record: record.clone() });
+            record.counts |= record
+                .accepted
+                .as_ref()
+                .is_some_and(|a| a.ballot >= record.promised);
+            ops.push(Op::Record {
+                slot: *slot,
+                record: record.clone(),
+            });
         }
         ops
     }
@@ -218,9 +326,16 @@
     /// Forgets slots that are settled.
     pub fn prune(&mut self, context: &mut Context, versions_below: u64, sets_through: u64) {
         let before = self.entries.len();
-        self.entries.retain(|slot, _| !is_pruned(*slot, versions_below, sets_through));
+        self.entries
+            .retain(|slot, _| !is_pruned(*slot, versions_below, sets_through));
         if self.entries.len() < before {
-            context.write(vec![Op::Prune { versions_below, sets_through }], Waits::Nothing);
+            context.write(
+                vec![Op::Prune {
+                    versions_below,
+                    sets_through,
+                }],
+                Waits::Nothing,
+            );
         }
     }
 }
--- a/crates/rushcourse-consensus/src/context.rs
+++ b/crates/rushcourse-consensus/src/context.rs
@@ -62,7 +62,10 @@
     pub fn write(&mut self, ops: Vec<Op>, waits: Waits) {
         self.next_batch += 1;
         self.waits.insert(self.next_batch, waits);
-        self.out.push(Effect::Write { batch: self.next_batch, ops });
+        self.out.push(Effect::Write {
+            batch: self.next_batch,
+            ops,
+        });
     }
 
     /// What waited for a batch.
--- a/crates/rushcourse-consensus/src/effects.rs
+++ b/crates/rushcourse-consensus/src/effects.rs
@@ -67,8 +67,12 @@
                     self.records.push((slot, record));
                     self.records.sort_unstable_by_key(|r| r.0);
                 }
-                Op::Prune { versions_below, sets_through } => {
-                    self.records.retain(|r| !is_pruned(r.0, versions_below, sets_through));
+                Op::Prune {
+                    versions_below,
+                    sets_through,
+                } => {
+                    self.records
+                        .retain(|r| !is_pruned(r.0, versions_below, sets_through));
                 }
                 Op::Claim { key, claim } => {
                     self.claims.retain(|c| c.0 != key);
@@ -77,7 +81,8 @@
                 Op::Release { key } => self.claims.retain(|c| c.0 != key),
                 Op::Host(news) => {
                     self.hosts.retain(|h| h.id != news.id);
-                    self.hosts.extend((news.state != HostState::Gone).then_some(news));
+                    self.hosts
+                        .extend((news.state != HostState::Gone).then_some(news));
                 }
             }
         }
--- a/crates/rushcourse-consensus/src/keys.rs
+++ b/crates/rushcourse-consensus/src/keys.rs
@@ -58,16 +58,34 @@
     pub(crate) fn new(window_ms: u64, mut stored: Vec<(u128, Claim)>) -> Keys {
         stored.sort_by_key(|s| s.1.at);
         let order = stored.iter().map(|(key, _)| (0, *key)).collect();
-        let entry = |(key, claim)| (key, Entry { claim, until: 0, durable: true, asker: None });
+        let entry = |(key, claim)| {
+            (
+                key,
+                Entry {
+                    claim,
+                    until: 0,
+                    durable: true,
+                    asker: None,
+                },
+            )
+        };
         let claims = stored.into_iter().map(entry).collect();
         let (keep_ms, recent) = (window_ms + KEEP_LONGER, VecDeque::new());
-        Keys { keep_ms, claims, order, recent, recent_from: 0 }
+        Keys {
+            keep_ms,
+            claims,
+            order,
+            recent,
+            recent_from: 0,
+        }
     }
 
     /// The first step of this life: what the disk held counts as new.
     pub(crate) fn start(&mut self, now: u64) {
         let until = now + self.keep_ms;
-        self.claims.values_mut().for_each(|entry| entry.until = until);
+        self.claims
+            .values_mut()
+            .for_each(|entry| entry.until = until);
         self.order.iter_mut().for_each(|place| place.0 = until);
     }
 
@@ -94,7 +112,14 @@
     }
 
     /// A claim, asked for under the set that `asker` names; `votes`: this replica votes in that set.
-    pub(crate) fn claim(&mut self, context: &mut Context, votes: bool, asker: Asker, key: u128, id: ClaimId) {
+    pub(crate) fn claim(
+        &mut self,
+        context: &mut Context,
+        votes: bool,
+        asker: Asker,
+        key: u128,
+        id: ClaimId,
+    ) {
         if !votes {
             return vote(context, asker, key, id, Verdict::Cannot);
         }
@@ -108,28 +133,60 @@
             Some(entry) => entry.asker = Some(asker),
             None if full => vote(context, asker, key, id, Verdict::Cannot),
             None => {
-                let claim = Claim { id, at: context.wall };
+                let claim = Claim {
+                    id,
+                    at: context.wall,
+                };
                 let until = context.now + self.keep_ms;
-                self.insert(key, Entry { claim, until, durable: false, asker: Some(asker) });
+                self.insert(
+                    key,
+                    Entry {
+                        claim,
+                        until,
+                        durable: false,
+                        asker: Some(asker),
+                    },
+                );
                 self.order.push_back((until, key));
-                context.write(vec![Op::Claim { key, claim }], Waits::Claim { key, claim: id });
+                context.write(
+                    vec![Op::Claim { key, claim }],
+                    Waits::Claim { key, claim: id },
+                );
             }
         }
     }
 
     /// The disk holds a claim: its vote goes out, if this replica still votes in the set (`in_set`) that it is asked under.
-    pub(crate) fn synced(&mut self, context: &mut Context, in_set: Option<u64>, key: u128, id: ClaimId) {
-        let Some(entry) = self.claims.get_mut(&key).filter(|e| e.claim.id == id) else { return };
+    pub(crate) fn synced(
+        &mut self,
+        context: &mut Context,
+        in_set: Option<u64>,
+        key: u128,
+        id: ClaimId,
+    ) {
+        let Some(entry) = self.claims.get_mut(&key).filter(|e| e.claim.id == id) else {
+            return;
+        };
         entry.durable = true;
         if let Some(asker) = entry.asker.take() {
-            let verdict = if in_set == Some(asker.set) { Verdict::Granted } else { Verdict::Cannot };
+            let verdict = if in_set == Some(asker.set) {
+                Verdict::Granted
+            } else {
+                Verdict::Cannot
+            };
             vote(context, asker, key, id, verdict);
         }
     }
 
     /// The disk did not take it: no vote was given, and none will be for this claim.
     pub(crate) fn refused(&mut self, context: &mut Context, key: u128, id: ClaimId) {
-        let Some(entry) = self.claims.get(&key).filter(|e| e.claim.id == id && !e.durable) else { return };
+        let Some(entry) = self
+            .claims
+            .get(&key)
+            .filter(|e| e.claim.id == id && !e.durable)
+        else {
+            return;
+        };
         if let Some(asker) = entry.asker {
             vote(context, asker, key, id, Verdict::Cannot);
         }
@@ -160,9 +217,15 @@
         match from.filter(|p| (self.recent_from..=self.place()).contains(p)) {
             Some(place) => {
                 let since = self.recent.iter().skip((place - self.recent_from) as usize);
-                since.filter_map(|key| Some(tell(key, self.claims.get(key)?))).collect()
+                since
+                    .filter_map(|key| Some(tell(key, self.claims.get(key)?)))
+                    .collect()
             }
-            None => self.claims.iter().map(|(key, entry)| tell(key, entry)).collect(),
+            None => self
+                .claims
+                .iter()
+                .map(|(key, entry)| tell(key, entry))
+                .collect(),
         }
     }
 
@@ -173,11 +236,25 @@
             if self.claims.contains_key(&told.key) {
                 continue;
             }
-            let claim = Claim { id: told.claim, at: context.wall.saturating_sub(told.age_ms) };
+            let claim = Claim {
+                id: told.claim,
+                at: context.wall.saturating_sub(told.age_ms),
+            };
             let until = context.now + self.keep_ms.saturating_sub(told.age_ms);
-            self.insert(told.key, Entry { claim, until, durable: false, asker: None });
+            self.insert(
+                told.key,
+                Entry {
+                    claim,
+                    until,
+                    durable: false,
+                    asker: None,
+                },
+            );
             self.order.push_back((until, told.key));
-            ops.push(Op::Claim { key: told.key, claim });
+            ops.push(Op::Claim {
+                key: told.key,
+                claim,
+            });
         }
         self.order.make_contiguous().sort_unstable();
         ops
@@ -203,7 +280,8 @@
     pub(crate) fn tick(&mut self, context: &mut Context) {
         let mut ops = Vec::new();
         for _ in 0..PRUNE_MOST {
-            let Some((until, key)) = self.order.front().copied().filter(|o| context.now >= o.0) else {
+            let Some((until, key)) = self.order.front().copied().filter(|o| context.now >= o.0)
+            else {
                 break;
             };
             self.order.pop_front();
@@ -220,7 +298,13 @@
 
 fn vote(context: &mut Context, asker: Asker, key: u128, claim: ClaimId, verdict: Verdict) {
     let Asker { session, set } = asker;
-    context.out.push(Effect::Vote { session, set, key, claim, verdict });
+    context.out.push(Effect::Vote {
+        session,
+        set,
+        key,
+        claim,
+        verdict,
+    });
 }
 
 /// Digest of a claim, for the check of a lesson.
--- a/crates/rushcourse-consensus/src/lessons.rs
+++ b/crates/rushcourse-consensus/src/lessons.rs
@@ -31,7 +31,11 @@
 
 impl Lessons {
     pub fn new(life: Life) -> Lessons {
-        Lessons { life, cursors: BTreeMap::new(), receiving: BTreeMap::new() }
+        Lessons {
+            life,
+            cursors: BTreeMap::new(),
+            receiving: BTreeMap::new(),
+        }
     }
 
     /// A session broke: a lesson that was under way is not finished.
@@ -66,16 +70,30 @@
         let from = after.filter(|c| c.life == self.life).map(|c| c.place);
         let claims = keys.lesson(context.now, from);
         let end = LessonEnd {
-            cursor: LessonCursor { life: self.life, place: keys.place() },
+            cursor: LessonCursor {
+                life: self.life,
+                place: keys.place(),
+            },
             claims: claims.len() as u64,
             digest: claims.iter().fold(0, |sum, claim| sum ^ digest(claim)),
             records: acceptor.records(),
         };
         for part in claims.chunks(PART_MOST) {
-            let lesson = Lesson { set, claims: part.to_vec(), end: None };
+            let lesson = Lesson {
+                set,
+                claims: part.to_vec(),
+                end: None,
+            };
             context.send(to, Message::Lesson(lesson));
         }
-        context.send(to, Message::Lesson(Lesson { set, claims: Vec::new(), end: Some(end) }));
+        context.send(
+            to,
+            Message::Lesson(Lesson {
+                set,
+                claims: Vec::new(),
+                end: Some(end),
+            }),
+        );
     }
 
     /// Takes a part of a lesson. `in_force`: the version in force here; records of lower ones are settled.
@@ -94,13 +112,23 @@
         }
         let receiving = self.receiving.entry(from).or_default();
         receiving.claims += lesson.claims.len() as u64;
-        receiving.digest ^= lesson.claims.iter().fold(0, |sum, claim| sum ^ digest(claim));
+        receiving.digest ^= lesson
+            .claims
+            .iter()
+            .fold(0, |sum, claim| sum ^ digest(claim));
         let mut ops = keys.taught(context, &lesson.claims);
-        let taught: Vec<u128> = lesson.claims.iter().map(|claim: &HeldClaim| claim.key).collect();
+        let taught: Vec<u128> = lesson
+            .claims
+            .iter()
+            .map(|claim: &HeldClaim| claim.key)
+            .collect();
         let complete = lesson.end.and_then(|end| {
             let whole = self.receiving.remove(&from)?;
             if whole.claims != end.claims || whole.digest != end.digest {
-                context.say(format!("event=lesson_damaged claims={} of={}", whole.claims, end.claims));
+                context.say(format!(
+                    "event=lesson_damaged claims={} of={}",
+                    whole.claims, end.claims
+                ));
                 return None;
             }
             self.cursors.insert(from, end.cursor);
@@ -117,7 +145,13 @@
             ops.push(Op::Remember);
         }
         if !ops.is_empty() || complete.is_some() {
-            context.write(ops, Waits::Taught { keys: taught, complete });
+            context.write(
+                ops,
+                Waits::Taught {
+                    keys: taught,
+                    complete,
+                },
+            );
         }
     }
 }
--- a/crates/rushcourse-consensus/src/membership.rs
+++ b/crates/rushcourse-consensus/src/membership.rs
@@ -161,7 +161,12 @@
 
     /// Members of the set that are in session with this replica, itself counted.
     pub fn reached_members(&self) -> Vec<NodeId> {
-        self.set.members.iter().copied().filter(|m| self.is_here(*m)).collect()
+        self.set
+            .members
+            .iter()
+            .copied()
+            .filter(|m| self.is_here(*m))
+            .collect()
     }
 
     pub fn in_company(&self) -> bool {
@@ -171,7 +176,10 @@
     /// This replica's place among the members that are in session; spares come last.
     pub fn rank(&self) -> u64 {
         let reached = self.reached_members();
-        reached.iter().position(|m| *m == self.setup.me).unwrap_or(reached.len()) as u64
+        reached
+            .iter()
+            .position(|m| *m == self.setup.me)
+            .unwrap_or(reached.len()) as u64
     }
 
     pub fn up(&mut self, context: &mut Context, peer: NodeId, zone: Arc<str>) {
@@ -235,9 +243,19 @@
 
     fn write(&mut self, context: &mut Context, set: VotingSet) {
         self.writing = set.number;
-        let remembers = if self.will_remember(&set) { Op::Remember } else { Op::Forget };
-        let prune = Op::Prune { versions_below: 0, sets_through: set.number };
-        context.write(vec![Op::Set(set.clone()), remembers, prune], Waits::Set(set));
+        let remembers = if self.will_remember(&set) {
+            Op::Remember
+        } else {
+            Op::Forget
+        };
+        let prune = Op::Prune {
+            versions_below: 0,
+            sets_through: set.number,
+        };
+        context.write(
+            vec![Op::Set(set.clone()), remembers, prune],
+            Waits::Set(set),
+        );
     }
 
     pub fn set_refused(&mut self) {
@@ -261,8 +279,12 @@
         for peer in self.peers() {
             context.send(peer, Message::Set(self.set.clone()));
         }
-        let members: Vec<String> =
-            self.set.members.iter().map(|m| std::net::Ipv4Addr::from(*m).to_string()).collect();
+        let members: Vec<String> = self
+            .set
+            .members
+            .iter()
+            .map(|m| std::net::Ipv4Addr::from(*m).to_string())
+            .collect();
         context.say(format!(
             "event=voting_set number={} members={} remembers={}",
             self.set.number,
@@ -289,7 +311,9 @@
         let mut members = Vec::new();
         while members.len() < most {
             let fewest = |m: &&NodeId| (by_zone.get(&left[*m]).copied().unwrap_or(0), **m);
-            let Some(member) = left.keys().min_by_key(fewest).copied() else { break };
+            let Some(member) = left.keys().min_by_key(fewest).copied() else {
+                break;
+            };
             let zone = left.remove(&member).unwrap_or_default();
             *by_zone.entry(zone).or_default() += 1;
             members.push(member);
@@ -319,7 +343,12 @@
         if self.is_here(member) {
             return None;
         }
-        let since = self.absent_since.get(&member).copied().or(self.started).unwrap_or(0);
+        let since = self
+            .absent_since
+            .get(&member)
+            .copied()
+            .or(self.started)
+            .unwrap_or(0);
         Some(since + self.absent_bound() + delay)
     }
 
@@ -343,7 +372,11 @@
     }
 
     fn zone_of(&self, node: NodeId) -> Option<&Arc<str>> {
-        if node == self.setup.me { Some(&self.setup.zone) } else { self.peers.get(&node) }
+        if node == self.setup.me {
+            Some(&self.setup.zone)
+        } else {
+            self.peers.get(&node)
+        }
     }
 
     /// The change that this replica is to bring about now, if there is one.
@@ -358,10 +391,22 @@
             return None;
         }
         let with = self.best_spare(without)?;
-        let stay = self.set.members.iter().copied().filter(|m| Some(*m) != without);
+        let stay = self
+            .set
+            .members
+            .iter()
+            .copied()
+            .filter(|m| Some(*m) != without);
         let mut members: Vec<NodeId> = stay.chain([with]).collect();
         members.sort_unstable();
-        Some(Change { next: VotingSet { number: self.set.number + 1, members }, with, without })
+        Some(Change {
+            next: VotingSet {
+                number: self.set.number + 1,
+                members,
+            },
+            with,
+            without,
+        })
     }
 
     pub fn has_learned(&self, spare: NodeId) -> bool {
@@ -372,7 +417,12 @@
     pub fn invite(&mut self, context: &mut Context, spare: NodeId) {
         if context.now >= self.invited_at + ASK_EVERY {
             self.invited_at = context.now;
-            context.send(spare, Message::Learn { set: self.set.number });
+            context.send(
+                spare,
+                Message::Learn {
+                    set: self.set.number,
+                },
+            );
         }
     }
 
@@ -398,7 +448,8 @@
     pub fn is_learning(&self, now: u64) -> bool {
         let age = now.saturating_sub(self.started.unwrap_or(now));
         let lost = self.is_member() && !self.remembers && age >= FORGOT_WAIT;
-        let spare = !self.is_member() && now < self.learning_until && self.learned != self.set.number;
+        let spare =
+            !self.is_member() && now < self.learning_until && self.learned != self.set.number;
         !self.teaching && self.set.number > 0 && (lost || spare)
     }
 
@@ -408,7 +459,12 @@
             return Vec::new();
         }
         self.asked_at = now;
-        self.set.members.iter().copied().filter(|m| self.peers.contains_key(m)).collect()
+        self.set
+            .members
+            .iter()
+            .copied()
+            .filter(|m| self.peers.contains_key(m))
+            .collect()
     }
 
     /// One more voter has taught this replica. The set's number once they are enough.
@@ -432,7 +488,10 @@
         self.teaching = false;
         if self.is_member() {
             self.remembers = true;
-            context.say(format!("event=remembers set={set} taught_by={}", self.taught_by.len()));
+            context.say(format!(
+                "event=remembers set={set} taught_by={}",
+                self.taught_by.len()
+            ));
         } else {
             self.learned = set;
             for peer in self.peers() {
--- a/crates/rushcourse-consensus/src/proposer.rs
+++ b/crates/rushcourse-consensus/src/proposer.rs
@@ -19,7 +19,10 @@
 
 #[derive(Clone, Debug)]
 enum Phase {
-    Preparing { promises: BTreeSet<NodeId>, best: Option<Accepted> },
+    Preparing {
+        promises: BTreeSet<NodeId>,
+        best: Option<Accepted>,
+    },
     Accepting,
 }
 
@@ -53,7 +56,11 @@
 
 impl Proposer {
     pub fn new(life: Life) -> Proposer {
-        Proposer { life, round: 0, proposals: BTreeMap::new() }
+        Proposer {
+            life,
+            round: 0,
+            proposals: BTreeMap::new(),
+        }
     }
 
     pub fn is_proposing(&self, slot: Slot) -> bool {
@@ -81,15 +88,32 @@
 
     fn prepare(&mut self, context: &mut Context, membership: &Membership, slot: Slot) {
         self.round += 1;
-        let ballot = Ballot { round: self.round, node: context.me, life: self.life };
-        let Some(proposal) = self.proposals.get_mut(&slot) else { return };
+        let ballot = Ballot {
+            round: self.round,
+            node: context.me,
+            life: self.life,
+        };
+        let Some(proposal) = self.proposals.get_mut(&slot) else {
+            return;
+        };
         proposal.ballot = ballot;
-        proposal.phase = Phase::Preparing { promises: BTreeSet::new(), best: None };
+        proposal.phase = Phase::Preparing {
+            promises: BTreeSet::new(),
+            best: None,
+        };
         proposal.started = context.now;
         proposal.retry_at = context.now + RETRY + membership.rank() * RETRY_RANK;
         let (set, without) = (membership.set().number, proposal.without);
         for member in membership.reached_members() {
-            context.send(member, Message::Prepare { set, slot, ballot, without });
+            context.send(
+                member,
+                Message::Prepare {
+                    set,
+                    slot,
+                    ballot,
+                    without,
+                },
+            );
         }
     }
 
@@ -103,8 +127,12 @@
         ballot: Ballot,
         accepted: Option<Accepted>,
     ) {
-        let Some(proposal) = self.proposals.get_mut(&slot).filter(|p| p.ballot == ballot) else { return };
-        let Phase::Preparing { promises, best } = &mut proposal.phase else { return };
+        let Some(proposal) = self.proposals.get_mut(&slot).filter(|p| p.ballot == ballot) else {
+            return;
+        };
+        let Phase::Preparing { promises, best } = &mut proposal.phase else {
+            return;
+        };
         if context.now >= proposal.started + BALLOT_WAIT || !membership.set().contains(from) {
             return;
         }
@@ -115,19 +143,35 @@
         if promises.len() < membership.set().majority() {
             return;
         }
-        let value = best.take().map_or_else(|| proposal.value.clone(), |a| a.value);
+        let value = best
+            .take()
+            .map_or_else(|| proposal.value.clone(), |a| a.value);
         proposal.phase = Phase::Accepting;
         let set = membership.set().number;
         for member in membership.reached_members() {
-            let proposal = Accepted { ballot, value: value.clone() };
-            context.send(member, Message::Accept { set, slot, proposal });
+            let proposal = Accepted {
+                ballot,
+                value: value.clone(),
+            };
+            context.send(
+                member,
+                Message::Accept {
+                    set,
+                    slot,
+                    proposal,
+                },
+            );
         }
     }
 
     /// A voter has promised a higher ballot: the next one of this proposer is higher still, and comes soon.
     pub fn refused(&mut self, now: u64, membership: &Membership, slot: Slot, promised: Ballot) {
         self.round = self.round.max(promised.round);
-        if let Some(proposal) = self.proposals.get_mut(&slot).filter(|p| p.ballot < promised) {
+        if let Some(proposal) = self
+            .proposals
+            .get_mut(&slot)
+            .filter(|p| p.ballot < promised)
+        {
             let soon = now + REFUSED_RETRY + membership.rank() * REFUSED_RETRY_RANK;
             proposal.retry_at = proposal.retry_at.min(soon);
         }
@@ -135,19 +179,26 @@
 
     /// The set changed: what is proposed for versions goes to the new set's voters, under a new ballot.
     pub fn set_changed(&mut self, now: u64) {
-        self.proposals.retain(|slot, _| matches!(slot, Slot::Version(_)));
+        self.proposals
+            .retain(|slot, _| matches!(slot, Slot::Version(_)));
         self.proposals.values_mut().for_each(|p| p.retry_at = now);
     }
 
     /// A slot is settled, and so are lower versions.
     pub fn settled(&mut self, version: u64) {
-        self.proposals.retain(|slot, _| *slot > Slot::Version(version) || matches!(slot, Slot::Set(_)));
+        self.proposals
+            .retain(|slot, _| *slot > Slot::Version(version) || matches!(slot, Slot::Set(_)));
     }
 
     pub fn tick(&mut self, context: &mut Context, membership: &Membership) {
         let now = context.now;
         self.proposals.retain(|_, p| now < p.until);
-        let due: Vec<Slot> = self.proposals.iter().filter(|p| now >= p.1.retry_at).map(|p| *p.0).collect();
+        let due: Vec<Slot> = self
+            .proposals
+            .iter()
+            .filter(|p| now >= p.1.retry_at)
+            .map(|p| *p.0)
+            .collect();
         for slot in due {
             self.prepare(context, membership, slot);
         }
--- a/crates/rushcourse-consensus/src/register.rs
+++ b/crates/rushcourse-consensus/src/register.rs
@@ -78,7 +78,13 @@
 
 impl Register {
     pub fn new(setup: Setup, stored: Stored) -> Register {
-        let Stored { set, remembers, records, claims, hosts: _ } = stored;
+        let Stored {
+            set,
+            remembers,
+            records,
+            claims,
+            hosts: _,
+        } = stored;
         Register {
             context: Context::new(setup.me),
             lessons: Lessons::new(setup.life),
@@ -120,15 +126,32 @@
             Input::Heard(peer, message) => self.heard(peer, message),
             Input::Synced(batch) => self.synced(batch),
             Input::Refused(batch) => self.refused(batch),
-            Input::Put { ticket, version, text } => {
-                self.versions.put(&mut self.context, ticket, version, text, &mut self.agreement);
+            Input::Put {
+                ticket,
+                version,
+                text,
+            } => {
+                self.versions.put(
+                    &mut self.context,
+                    ticket,
+                    version,
+                    text,
+                    &mut self.agreement,
+                );
             }
             Input::Get { ticket } => {
-                self.versions.get(&mut self.context, ticket, &self.agreement);
+                self.versions
+                    .get(&mut self.context, ticket, &self.agreement);
             }
-            Input::Claim { session, set, key, claim } => {
+            Input::Claim {
+                session,
+                set,
+                key,
+                claim,
+            } => {
                 let votes = self.agreement.membership.votes_in() == Some(set);
-                self.keys.claim(&mut self.context, votes, Asker { session, set }, key, claim);
+                self.keys
+                    .claim(&mut self.context, votes, Asker { session, set }, key, claim);
             }
             Input::Withdraw { key, claim } => self.keys.withdraw(&mut self.context, key, claim),
             Input::Leave => self.agreement.membership.leave(&mut self.context),
@@ -147,15 +170,23 @@
         self.agreement.membership.tick(&mut self.context);
         self.change_set();
         let voters = self.agreement.membership.ask_for_lessons(self.context.now);
-        self.lessons.ask(&mut self.context, self.agreement.membership.set().number, voters);
-        self.agreement.proposer.tick(&mut self.context, &self.agreement.membership);
+        self.lessons.ask(
+            &mut self.context,
+            self.agreement.membership.set().number,
+            voters,
+        );
+        self.agreement
+            .proposer
+            .tick(&mut self.context, &self.agreement.membership);
         self.versions.tick(&mut self.context, &mut self.agreement);
         self.keys.tick(&mut self.context);
     }
 
     /// Brings about a change of the set that is due: the spare is taught first, then the change is proposed.
     fn change_set(&mut self) {
-        let Some(change) = self.agreement.membership.change_due(self.context.now) else { return };
+        let Some(change) = self.agreement.membership.change_due(self.context.now) else {
+            return;
+        };
         let slot = Slot::Set(change.next.number);
         if self.agreement.proposer.is_proposing(slot) {
             return;
@@ -167,10 +198,20 @@
         if !self.agreement.membership.has_learned(change.with) {
             return self.agreement.membership.invite(context, change.with);
         }
-        context.say(format!("event=set_change number={} with={}", change.next.number, change.with));
+        context.say(format!(
+            "event=set_change number={} with={}",
+            change.next.number, change.with
+        ));
         let value = change.next.to_value();
-        let intent = Intent { slot, value, without: change.without, until: context.now + CHANGE_WAIT };
-        self.agreement.proposer.begin(context, &self.agreement.membership, intent);
+        let intent = Intent {
+            slot,
+            value,
+            without: change.without,
+            until: context.now + CHANGE_WAIT,
+        };
+        self.agreement
+            .proposer
+            .begin(context, &self.agreement.membership, intent);
     }
 
     /// Whether those that stay are enough to vote in the next set and to teach its newcomer: a member that does not
@@ -179,17 +220,28 @@
         let set = self.agreement.membership.set();
         let (now, me) = (self.context.now, self.context.me);
         let votes = |m: &&NodeId| **m == me || self.agreement.replicas.is_voter(now, set, **m);
-        let stay = set.members.iter().filter(|m| Some(**m) != change.without).filter(votes).count();
+        let stay = set
+            .members
+            .iter()
+            .filter(|m| Some(**m) != change.without)
+            .filter(votes)
+            .count();
         stay >= change.next.majority().max(change.next.teachers())
     }
 
     fn adopt_chosen_set(&mut self) {
         let set = self.agreement.membership.set();
         let slot = Slot::Set(set.number + 1);
-        let Some(accepted) = self.agreement.acceptor.accepted(slot) else { return };
-        let own =
-            self.agreement.membership.votes() && self.agreement.acceptor.cast(slot) == Some(accepted.ballot);
-        if !self.agreement.replicas.chosen(self.context.now, set, slot, accepted.ballot, own) {
+        let Some(accepted) = self.agreement.acceptor.accepted(slot) else {
+            return;
+        };
+        let own = self.agreement.membership.votes()
+            && self.agreement.acceptor.cast(slot) == Some(accepted.ballot);
+        if !self
+            .agreement
+            .replicas
+            .chosen(self.context.now, set, slot, accepted.ballot, own)
+        {
             return;
         }
         if let Some(next) = VotingSet::from_value(&accepted.value) {
@@ -201,8 +253,22 @@
         let number = self.agreement.membership.set().number;
         match message {
             Message::Set(set) => self.agreement.membership.told(&mut self.context, set),
-            Message::Held { stamp, echo, set, votes, in_force, casts } => {
-                let held = HeldState { stamp, echo, set, votes, in_force, casts };
+            Message::Held {
+                stamp,
+                echo,
+                set,
+                votes,
+                in_force,
+                casts,
+            } => {
+                let held = HeldState {
+                    stamp,
+                    echo,
+                    set,
+                    votes,
+                    in_force,
+                    casts,
+                };
                 self.agreement.replicas.heard(peer, held);
                 // It has read nothing from here yet: with this one's stamp what it tells will count.
                 if echo == 0 {
@@ -217,33 +283,78 @@
             {
                 self.other_epoch(peer, set);
             }
-            Message::Prepare { slot, ballot, without, .. } => self.prepare(peer, slot, ballot, without),
-            Message::Promise { slot, ballot, accepted, .. } => {
+            Message::Prepare {
+                slot,
+                ballot,
+                without,
+                ..
+            } => self.prepare(peer, slot, ballot, without),
+            Message::Promise {
+                slot,
+                ballot,
+                accepted,
+                ..
+            } => {
                 let (context, membership) = (&mut self.context, &self.agreement.membership);
-                self.agreement.proposer.promised(context, membership, peer, slot, ballot, accepted);
+                self.agreement
+                    .proposer
+                    .promised(context, membership, peer, slot, ballot, accepted);
             }
             Message::Accept { slot, proposal, .. } => self.accept(peer, slot, proposal),
             Message::Refuse { slot, promised, .. } => {
-                self.agreement.proposer.refused(self.context.now, &self.agreement.membership, slot, promised);
+                self.agreement.proposer.refused(
+                    self.context.now,
+                    &self.agreement.membership,
+                    slot,
+                    promised,
+                );
             }
             Message::AskHeld { token, .. } => {
                 let highest = self.versions.highest(&self.agreement.acceptor);
                 let votes = self.agreement.membership.votes();
-                self.context.send(peer, Message::TellHeld { token, set: number, votes, highest });
+                self.context.send(
+                    peer,
+                    Message::TellHeld {
+                        token,
+                        set: number,
+                        votes,
+                        highest,
+                    },
+                );
             }
-            Message::TellHeld { token, set, votes, highest } if set == number => {
+            Message::TellHeld {
+                token,
+                set,
+                votes,
+                highest,
+            } if set == number => {
                 self.versions.told_held(peer, token, votes, highest);
             }
-            Message::AskLesson { set, after } if self.agreement.membership.votes_in() == Some(set) => {
+            Message::AskLesson { set, after }
+                if self.agreement.membership.votes_in() == Some(set) =>
+            {
                 let held = (&self.keys, &self.agreement.acceptor);
-                self.lessons.teach(&mut self.context, peer, set, after, held);
+                self.lessons
+                    .teach(&mut self.context, peer, set, after, held);
             }
             Message::Lesson(lesson) => {
                 let (keys, acceptor) = (&mut self.keys, &mut self.agreement.acceptor);
-                let (membership, in_force) = (&mut self.agreement.membership, self.versions.version());
-                self.lessons.take(&mut self.context, peer, lesson, membership, (keys, acceptor), in_force);
+                let (membership, in_force) =
+                    (&mut self.agreement.membership, self.versions.version());
+                self.lessons.take(
+                    &mut self.context,
+                    peer,
+                    lesson,
+                    membership,
+                    (keys, acceptor),
+                    in_force,
+                );
+            }
+            Message::Learn { set } => {
+                self.agreement
+                    .membership
+                    .invited(&mut self.context, peer, set)
             }
-            Message::Learn { set } => self.agreement.membership.invited(&mut self.context, peer, set),
             Message::Learned { set } => self.agreement.membership.spare_learned(peer, set),
             Message::Leaving => self.agreement.membership.peer_leaves(peer),
             _ => {}
@@ -252,17 +363,22 @@
 
     fn prepare(&mut self, peer: NodeId, slot: Slot, ballot: Ballot, without: Option<NodeId>) {
         let membership = &self.agreement.membership;
-        let (set, agrees) =
-            (membership.set().number, membership.votes() && membership.may_leave_out(without));
+        let (set, agrees) = (
+            membership.set().number,
+            membership.votes() && membership.may_leave_out(without),
+        );
         if agrees && self.is_open(peer, slot) {
-            self.agreement.acceptor.prepare(&mut self.context, peer, set, slot, ballot);
+            self.agreement
+                .acceptor
+                .prepare(&mut self.context, peer, set, slot, ballot);
         }
     }
 
     /// A message of another set's epoch counts for nothing; who is behind is told of the newer set.
     fn other_epoch(&mut self, peer: NodeId, set: u64) {
         if set < self.agreement.membership.set().number {
-            self.context.send(peer, Message::Set(self.agreement.membership.set().clone()));
+            self.context
+                .send(peer, Message::Set(self.agreement.membership.set().clone()));
         }
     }
 
@@ -289,7 +405,10 @@
             return;
         }
         let number = set.number;
-        let chosen = self.agreement.replicas.chosen(self.context.now, set, slot, proposal.ballot, false);
+        let chosen =
+            self.agreement
+                .replicas
+                .chosen(self.context.now, set, slot, proposal.ballot, false);
         let refused = self.agreement.acceptor.promised(slot) > proposal.ballot;
         let capacity = match (votes, chosen) {
             (true, true) if refused => Capacity::Chosen,
@@ -297,7 +416,9 @@
             (false, true) => Capacity::Chosen,
             (false, false) => Capacity::Copy,
         };
-        self.agreement.acceptor.accept(&mut self.context, peer, number, slot, proposal, capacity);
+        self.agreement
+            .acceptor
+            .accept(&mut self.context, peer, number, slot, proposal, capacity);
     }
 
     fn synced(&mut self, batch: u64) {
@@ -306,7 +427,9 @@
         match context.done(batch) {
             Some(Waits::Set(set)) => self.adopted(set),
             Some(Waits::Promise { to, slot, ballot }) if self.agreement.membership.votes() => {
-                self.agreement.acceptor.promise_synced(context, number, to, slot, ballot);
+                self.agreement
+                    .acceptor
+                    .promise_synced(context, number, to, slot, ballot);
             }
             Some(Waits::Accepted { slot, ballot }) => {
                 if self.agreement.acceptor.accept_synced(slot, ballot) {
@@ -329,16 +452,21 @@
         if !self.agreement.membership.remembers() {
             self.agreement.acceptor.stop_counting();
         }
-        self.agreement.acceptor.prune(&mut self.context, 0, self.agreement.membership.set().number);
+        self.agreement
+            .acceptor
+            .prune(&mut self.context, 0, self.agreement.membership.set().number);
         self.agreement.proposer.set_changed(self.context.now);
-        self.versions.set_changed(&mut self.context, &mut self.agreement);
+        self.versions
+            .set_changed(&mut self.context, &mut self.agreement);
     }
 
     /// What a voter taught is on this disk.
     fn taught(&mut self, keys: &[u128], complete: Option<u64>) {
         self.keys.taught_synced(keys);
         let Some(set) = complete else { return };
-        self.agreement.membership.lessons_synced(&mut self.context, set);
+        self.agreement
+            .membership
+            .lessons_synced(&mut self.context, set);
         if self.agreement.membership.votes() {
             self.agreement.acceptor.counts_synced();
             self.versions.announce(&mut self.context, &self.agreement);
--- a/crates/rushcourse-consensus/src/replicas.rs
+++ b/crates/rushcourse-consensus/src/replicas.rs
@@ -40,8 +40,22 @@
 
 impl From<HeldState> for Message {
     fn from(held: HeldState) -> Message {
-        let HeldState { stamp, echo, set, votes, in_force, casts } = held;
-        Message::Held { stamp, echo, set, votes, in_force, casts }
+        let HeldState {
+            stamp,
+            echo,
+            set,
+            votes,
+            in_force,
+            casts,
+        } = held;
+        Message::Held {
+            stamp,
+            echo,
+            set,
+            votes,
+            in_force,
+            casts,
+        }
     }
 }
 
@@ -52,9 +66,26 @@
 
 impl Replicas {
     pub fn heard(&mut self, from: NodeId, held: HeldState) {
-        let HeldState { stamp, echo, set, votes, in_force, casts } = held;
+        let HeldState {
+            stamp,
+            echo,
+            set,
+            votes,
+            in_force,
+            casts,
+        } = held;
         let casts = casts.into_iter().map(|c| (c.slot, c.ballot)).collect();
-        self.told.insert(from, Told { at: echo, stamp, set, votes, in_force, casts });
+        self.told.insert(
+            from,
+            Told {
+                at: echo,
+                stamp,
+                set,
+                votes,
+                in_force,
+                casts,
+            },
+        );
     }
 
     /// The last stamp that a peer sent in this session; 0: none.
@@ -64,7 +95,9 @@
 
     /// Whether another member told lately that it votes in this set.
     pub fn is_voter(&self, now: u64, set: &VotingSet, node: NodeId) -> bool {
-        self.told.get(&node).is_some_and(|told| told.is_fresh(now) && told.votes && told.set == set.number)
+        self.told
+            .get(&node)
+            .is_some_and(|told| told.is_fresh(now) && told.votes && told.set == set.number)
     }
 
     /// Its session broke: it may come back with less.
@@ -88,6 +121,8 @@
     }
 
     pub fn has_cast(&self, node: NodeId, slot: Slot, ballot: Ballot) -> bool {
-        self.told.get(&node).is_some_and(|t| t.casts.get(&slot) == Some(&ballot))
+        self.told
+            .get(&node)
+            .is_some_and(|t| t.casts.get(&slot) == Some(&ballot))
     }
 }
--- a/crates/rushcourse-consensus/src/versions.rs
+++ b/crates/rushcourse-consensus/src/versions.rs
@@ -87,7 +87,10 @@
 
     /// The highest version that is accepted here or in force.
     pub fn highest(&self, acceptor: &Acceptor) -> u64 {
-        acceptor.versions_above(self.in_force).next().map_or(self.in_force, |v| v.0)
+        acceptor
+            .versions_above(self.in_force)
+            .next()
+            .map_or(self.in_force, |v| v.0)
     }
 
     pub fn down(&mut self, peer: NodeId) {
@@ -125,9 +128,16 @@
     ) {
         let membership = &agreement.membership;
         if version > self.in_force && membership.set().number > 0 && !membership.in_company() {
-            return context.out.push(Effect::Answer { ticket, outcome: Outcome::Unclear });
+            return context.out.push(Effect::Answer {
+                ticket,
+                outcome: Outcome::Unclear,
+            });
         }
-        let put = Put { version, text, until: context.now + CALL_WAIT };
+        let put = Put {
+            version,
+            text,
+            until: context.now + CALL_WAIT,
+        };
         self.propose(context, &put, agreement);
         self.puts.insert(ticket, put);
     }
@@ -138,30 +148,54 @@
             return;
         }
         let slot = Slot::Version(put.version);
-        let intent = Intent { slot, value: put.text.clone(), without: None, until: put.until };
-        agreement.proposer.begin(context, &agreement.membership, intent);
+        let intent = Intent {
+            slot,
+            value: put.text.clone(),
+            without: None,
+            until: put.until,
+        };
+        agreement
+            .proposer
+            .begin(context, &agreement.membership, intent);
     }
 
     pub fn get(&mut self, context: &mut Context, ticket: u64, agreement: &Agreement) {
         let membership = &agreement.membership;
         if !membership.in_company() {
-            return context.out.push(Effect::Answer { ticket, outcome: Outcome::Unclear });
+            return context.out.push(Effect::Answer {
+                ticket,
+                outcome: Outcome::Unclear,
+            });
         }
         self.next_token += 1;
         let token = self.next_token;
         let told = BTreeSet::from_iter(membership.votes().then_some(context.me));
         let highest = self.highest(&agreement.acceptor);
-        self.gets.insert(ticket, Reading { token, until: context.now + CALL_WAIT, told, highest });
+        self.gets.insert(
+            ticket,
+            Reading {
+                token,
+                until: context.now + CALL_WAIT,
+                told,
+                highest,
+            },
+        );
         let set = membership.set().number;
         let me = context.me;
-        for member in membership.reached_members().into_iter().filter(|m| *m != me) {
+        for member in membership
+            .reached_members()
+            .into_iter()
+            .filter(|m| *m != me)
+        {
             context.send(member, Message::AskHeld { token, set });
         }
     }
 
     /// A voter's answer to a read.
     pub fn told_held(&mut self, peer: NodeId, token: u64, votes: bool, highest: u64) {
-        let Some(reading) = self.gets.values_mut().find(|r| r.token == token) else { return };
+        let Some(reading) = self.gets.values_mut().find(|r| r.token == token) else {
+            return;
+        };
         reading.highest = reading.highest.max(highest);
         if votes {
             reading.told.insert(peer);
@@ -182,21 +216,32 @@
             let own = membership.votes() && agreement.acceptor.cast(slot) == Some(accepted.ballot);
             replicas.chosen(context.now, membership.set(), slot, accepted.ballot, own)
         };
-        let found = agreement.acceptor.versions_above(self.in_force).find(chosen);
-        let Some((version, text)) = found.map(|(version, accepted)| (version, accepted.value.clone())) else {
+        let found = agreement
+            .acceptor
+            .versions_above(self.in_force)
+            .find(chosen);
+        let Some((version, text)) =
+            found.map(|(version, accepted)| (version, accepted.value.clone()))
+        else {
             return;
         };
         self.in_force = version;
         self.open = None;
         agreement.proposer.settled(version);
         agreement.acceptor.prune(context, version, 0);
-        context.say(format!("event=in_force version={version} set={}", membership.set().number));
+        context.say(format!(
+            "event=in_force version={version} set={}",
+            membership.set().number
+        ));
         context.out.push(Effect::InForce { version, text });
         self.announce(context, agreement);
     }
 
     fn answer_puts(&mut self, context: &mut Context, agreement: &Agreement) {
-        let text = agreement.acceptor.accepted(Slot::Version(self.in_force)).map(|a| a.value.clone());
+        let text = agreement
+            .acceptor
+            .accepted(Slot::Version(self.in_force))
+            .map(|a| a.value.clone());
         let (in_force, now) = (self.in_force, context.now);
         let outcome = |put: &Put| {
             if put.version <= in_force {
@@ -205,8 +250,11 @@
             }
             (now >= put.until).then_some(Outcome::Unclear)
         };
-        let ended: Vec<(u64, Outcome)> =
-            self.puts.iter().filter_map(|(ticket, put)| Some((*ticket, outcome(put)?))).collect();
+        let ended: Vec<(u64, Outcome)> = self
+            .puts
+            .iter()
+            .filter_map(|(ticket, put)| Some((*ticket, outcome(put)?)))
+            .collect();
         for (ticket, outcome) in ended {
             self.puts.remove(&ticket);
             context.out.push(Effect::Answer { ticket, outcome });
@@ -216,7 +264,11 @@
     fn answer_gets(&mut self, context: &mut Context, agreement: &Agreement) {
         let set = agreement.membership.set();
         let outcome = |reading: &Reading| {
-            let told = set.members.iter().filter(|m| reading.told.contains(m)).count();
+            let told = set
+                .members
+                .iter()
+                .filter(|m| reading.told.contains(m))
+                .count();
             if set.number > 0 && told >= set.majority() && self.in_force >= reading.highest {
                 let whole = self.in_force(&agreement.acceptor);
                 let whole = whole.map(|(version, text)| Outcome::Whole { version, text });
@@ -224,8 +276,11 @@
             }
             (context.now >= reading.until).then_some(Outcome::Unclear)
         };
-        let ended: Vec<(u64, Outcome)> =
-            self.gets.iter().filter_map(|(ticket, reading)| Some((*ticket, outcome(reading)?))).collect();
+        let ended: Vec<(u64, Outcome)> = self
+            .gets
+            .iter()
+            .filter_map(|(ticket, reading)| Some((*ticket, outcome(reading)?)))
+            .collect();
         for (ticket, outcome) in ended {
             self.gets.remove(&ticket);
             context.out.push(Effect::Answer { ticket, outcome });
@@ -262,15 +317,26 @@
         };
         let open = match self.open {
             Some(open) if (open.version, open.ballot) == (version, accepted.ballot) => open,
-            _ => Open { version, ballot: accepted.ballot, since: context.now },
+            _ => Open {
+                version,
+                ballot: accepted.ballot,
+                since: context.now,
+            },
         };
         self.open = Some(open);
         let due = open.since + SETTLE_AFTER + agreement.membership.rank() * SETTLE_RANK;
         if context.now >= due && agreement.membership.votes() && agreement.membership.in_company() {
             let until = context.now + SETTLE_WAIT;
             let slot = Slot::Version(version);
-            let intent = Intent { slot, value: accepted.value, without: None, until };
-            agreement.proposer.begin(context, &agreement.membership, intent);
+            let intent = Intent {
+                slot,
+                value: accepted.value,
+                without: None,
+                until,
+            };
+            agreement
+                .proposer
+                .begin(context, &agreement.membership, intent);
         }
     }
 
@@ -278,28 +344,56 @@
     /// does not help.
     fn push_behind(&mut self, context: &mut Context, agreement: &Agreement) {
         let slot = Slot::Version(self.in_force);
-        let Some(accepted) = agreement.acceptor.accepted(slot).filter(|_| self.in_force > 0).cloned() else {
+        let Some(accepted) = agreement
+            .acceptor
+            .accepted(slot)
+            .filter(|_| self.in_force > 0)
+            .cloned()
+        else {
             return;
         };
         let lacks = |(node, told): &(NodeId, &Told)| {
-            told.in_force < self.in_force && !agreement.replicas.has_cast(*node, slot, accepted.ballot)
+            told.in_force < self.in_force
+                && !agreement.replicas.has_cast(*node, slot, accepted.ballot)
         };
-        let behind: Vec<NodeId> = agreement.replicas.all().filter(lacks).map(|t| t.0).collect();
+        let behind: Vec<NodeId> = agreement
+            .replicas
+            .all()
+            .filter(lacks)
+            .map(|t| t.0)
+            .collect();
         self.behind.retain(|node, _| behind.contains(node));
-        let others = agreement.replicas.all().filter(|t| t.1.in_force >= self.in_force).map(|t| t.0);
+        let others = agreement
+            .replicas
+            .all()
+            .filter(|t| t.1.in_force >= self.in_force)
+            .map(|t| t.0);
         let first = others.min().is_none_or(|other| context.me < other);
         for node in behind {
-            let fresh = Behind { version: self.in_force, since: context.now, pushed_at: None };
+            let fresh = Behind {
+                version: self.in_force,
+                since: context.now,
+                pushed_at: None,
+            };
             let state = self.behind.entry(node).or_insert(fresh);
             if state.version != self.in_force {
                 *state = fresh;
             }
             let mine = first || context.now >= state.since + PUSH_BY_ANY;
-            let due = state.pushed_at.is_none_or(|at| context.now >= at + PUSH_EVERY);
+            let due = state
+                .pushed_at
+                .is_none_or(|at| context.now >= at + PUSH_EVERY);
             if mine && due {
                 state.pushed_at = Some(context.now);
                 let set = agreement.membership.set().number;
-                context.send(node, Message::Accept { set, slot, proposal: accepted.clone() });
+                context.send(
+                    node,
+                    Message::Accept {
+                        set,
+                        slot,
+                        proposal: accepted.clone(),
+                    },
+                );
             }
         }
     }
--- a/crates/rushcourse-consensus/tests/membership.rs
+++ b/crates/rushcourse-consensus/tests/membership.rs
@@ -158,7 +158,9 @@
 /// All lose power in the middle of a change: it is finished, or as if it had not begun; nothing is forgotten.
 #[test]
 fn a_loss_of_power_in_the_middle_of_a_change_is_borne() {
-    for at in [5_460, 5_470, 5_480, 5_490, 5_500, 5_510, 5_520, 5_530, 5_540, 5_550, 5_560, 5_600] {
+    for at in [
+        5_460, 5_470, 5_480, 5_490, 5_500, 5_510, 5_520, 5_530, 5_540, 5_550, 5_560, 5_600,
+    ] {
         let timeline = "
         0     start      start      start      start  .
         1500  claim:k:1  claim:k:1  claim:k:1  .      .
--- a/crates/rushcourse-consensus/tests/world/mod.rs
+++ b/crates/rushcourse-consensus/tests/world/mod.rs
@@ -66,7 +66,11 @@
 }
 
 fn id(claimant: u64) -> ClaimId {
-    ClaimId { node: 1000 + claimant as u32, life: claimant, number: claimant }
+    ClaimId {
+        node: 1000 + claimant as u32,
+        life: claimant,
+        number: claimant,
+    }
 }
 
 fn text(version: u64) -> Arc<[u8]> {
@@ -110,32 +114,57 @@
 
     fn step(&mut self, n: NodeId, input: Input) {
         // The time of day runs with the clock, from some day on, and may step.
-        let (now, wall) = (self.now, (self.now + 1_000_000).wrapping_add_signed(self.nodes[&n].clock));
-        let Some(register) = self.nodes.get_mut(&n).and_then(|x| x.register.as_mut()) else { return };
+        let (now, wall) = (
+            self.now,
+            (self.now + 1_000_000).wrapping_add_signed(self.nodes[&n].clock),
+        );
+        let Some(register) = self.nodes.get_mut(&n).and_then(|x| x.register.as_mut()) else {
+            return;
+        };
         for effect in register.step(now, wall, input) {
             match effect {
                 Effect::Write { batch, ops } => {
                     let due = now + SYNC;
-                    self.nodes.get_mut(&n).expect("known").writing.push_back((due, batch, ops));
+                    self.nodes
+                        .get_mut(&n)
+                        .expect("known")
+                        .writing
+                        .push_back((due, batch, ops));
                 }
                 Effect::Send { to, message } => {
                     let lives = (self.nodes[&n].life, self.nodes[&to].life);
-                    self.mail.push_back((now + DELAY, (n, lives.0), (to, lives.1), message));
+                    self.mail
+                        .push_back((now + DELAY, (n, lives.0), (to, lives.1), message));
                 }
-                Effect::Vote { set, key: k, claim, verdict, .. } => {
+                Effect::Vote {
+                    set,
+                    key: k,
+                    claim,
+                    verdict,
+                    ..
+                } => {
                     let word: Vec<u8> = k.to_be_bytes().into_iter().filter(|b| *b > 0).collect();
                     let word = String::from_utf8(word).expect("a word");
-                    self.verdicts.entry((word.clone(), claim.life)).or_default().insert(n, (set, verdict));
+                    self.verdicts
+                        .entry((word.clone(), claim.life))
+                        .or_default()
+                        .insert(n, (set, verdict));
                     self.note_winner(&word, claim.life);
                 }
                 Effect::Answer { ticket, outcome } => match outcome {
-                    Outcome::Acknowledged { another } => drop(self.acked.insert(n, (ticket, another))),
+                    Outcome::Acknowledged { another } => {
+                        drop(self.acked.insert(n, (ticket, another)))
+                    }
                     Outcome::Whole { version, text: t } => {
                         assert!(
                             [text(version), twin(version)].contains(&t),
                             "what was sent under its number"
                         );
-                        assert_eq!(self.served.get(&version), Some(&t), "what is in force under its number");
+                        assert_eq!(
+                            self.served.get(&version),
+                            Some(&t),
+                            "what is in force under its number"
+                        );
                         self.read.insert(n, Some(version));
                     }
                     Outcome::Unclear if ticket < READS => drop(self.open.insert(n, ticket)),
@@ -151,11 +180,18 @@
     }
 
     fn sessions(&mut self, n: NodeId, up: bool) {
-        let others: Vec<NodeId> =
-            self.nodes.keys().copied().filter(|o| *o != n && self.reach(n, *o)).collect();
+        let others: Vec<NodeId> = self
+            .nodes
+            .keys()
+            .copied()
+            .filter(|o| *o != n && self.reach(n, *o))
+            .collect();
         for other in others {
             let change = |peer: NodeId| match up {
-                true => Input::Up { peer, zone: format!("zone-{}", peer % 4).into() },
+                true => Input::Up {
+                    peer,
+                    zone: format!("zone-{}", peer % 4).into(),
+                },
                 false => Input::Down(peer),
             };
             self.step(other, change(n));
@@ -190,7 +226,9 @@
         node.register = None;
         let writing = std::mem::take(&mut node.writing);
         if !power {
-            writing.into_iter().for_each(|(_, _, ops)| node.stored.apply(ops));
+            writing
+                .into_iter()
+                .for_each(|(_, _, ops)| node.stored.apply(ops));
         }
     }
 
@@ -200,7 +238,9 @@
             for n in self.nodes.keys().copied().collect::<Vec<_>>() {
                 let node = self.nodes.get_mut(&n).expect("known");
                 let mut done = Vec::new();
-                while node.disk != Disk::Stalls && node.writing.front().is_some_and(|w| w.0 <= self.now) {
+                while node.disk != Disk::Stalls
+                    && node.writing.front().is_some_and(|w| w.0 <= self.now)
+                {
                     let (_, batch, ops) = node.writing.pop_front().expect("looked");
                     if node.disk == Disk::Flows {
                         node.stored.apply(ops);
@@ -226,8 +266,13 @@
 
     /// Whether a majority of one set granted a key, each under that set.
     fn has_won(&self, word: &str, claimant: u64) -> bool {
-        let Some(verdicts) = self.verdicts.get(&(word.to_string(), claimant)) else { return false };
-        let registers = self.nodes.values().filter_map(|node| node.register.as_ref());
+        let Some(verdicts) = self.verdicts.get(&(word.to_string(), claimant)) else {
+            return false;
+        };
+        let registers = self
+            .nodes
+            .values()
+            .filter_map(|node| node.register.as_ref());
         let won = |register: &Register| {
             let set = register.set();
             let granted = |m: &&NodeId| verdicts.get(m) == Some(&(set.number, Verdict::Granted));
@@ -241,7 +286,11 @@
         if self.has_won(word, claimant) {
             let window = format!("{word} in window {}", self.now / 70_000);
             let winner = *self.winners.entry(window).or_insert(claimant);
-            assert_eq!(winner, claimant, "{word} is won by one claimant at {} ms", self.now);
+            assert_eq!(
+                winner, claimant,
+                "{word} is won by one claimant at {} ms",
+                self.now
+            );
         }
     }
 
@@ -250,7 +299,12 @@
         let (k, who) = rest.split_once(':').unwrap_or((rest, "0"));
         let number = || rest.parse::<u64>().unwrap_or(0);
         let who: u64 = who.parse().unwrap_or(0);
-        let verdict = |w: &World| w.verdicts.get(&(k.to_string(), who)).and_then(|v| v.get(&n)).map(|v| v.1);
+        let verdict = |w: &World| {
+            w.verdicts
+                .get(&(k.to_string(), who))
+                .and_then(|v| v.get(&n))
+                .map(|v| v.1)
+        };
         let ready = |w: &World| w.nodes[&n].register.as_ref().map(Register::ready);
         match what {
             "start" => self.start(n),
@@ -259,10 +313,21 @@
                 self.start(n);
             }
             "leave" => self.step(n, Input::Leave),
-            "set" => assert_eq!(ready(self).map(|r| r.set.number), Some(number()), "{at} {word}"),
+            "set" => assert_eq!(
+                ready(self).map(|r| r.set.number),
+                Some(number()),
+                "{at} {word}"
+            ),
             "voters" => {
-                let members: Vec<NodeId> = rest.split(',').map(|m| m.parse().expect("a member")).collect();
-                assert_eq!(ready(self).map(|r| r.set.members), Some(members), "{at} {word}");
+                let members: Vec<NodeId> = rest
+                    .split(',')
+                    .map(|m| m.parse().expect("a member"))
+                    .collect();
+                assert_eq!(
+                    ready(self).map(|r| r.set.members),
+                    Some(members),
+                    "{at} {word}"
+                );
             }
             "kill" => self.end(n, false),
             "power" => self.end(n, true),
@@ -285,15 +350,42 @@
             }
             "get" => {
                 self.read.remove(&n);
-                self.step(n, Input::Get { ticket: READS + self.now });
+                self.step(
+                    n,
+                    Input::Get {
+                        ticket: READS + self.now,
+                    },
+                );
             }
             "claim" => {
                 let set = ready(self).map_or(0, |r| r.set.number);
-                self.step(n, Input::Claim { session: who, set, key: key(k), claim: id(who) });
+                self.step(
+                    n,
+                    Input::Claim {
+                        session: who,
+                        set,
+                        key: key(k),
+                        claim: id(who),
+                    },
+                );
             }
-            "drop" => self.step(n, Input::Withdraw { key: key(k), claim: id(who) }),
-            "force" => assert_eq!(ready(self).map(|r| r.in_force), Some(number()), "{at} {word}"),
-            "acked" => assert_eq!(self.acked.get(&n).map(|a| a.0), Some(number()), "{at} {word}"),
+            "drop" => self.step(
+                n,
+                Input::Withdraw {
+                    key: key(k),
+                    claim: id(who),
+                },
+            ),
+            "force" => assert_eq!(
+                ready(self).map(|r| r.in_force),
+                Some(number()),
+                "{at} {word}"
+            ),
+            "acked" => assert_eq!(
+                self.acked.get(&n).map(|a| a.0),
+                Some(number()),
+                "{at} {word}"
+            ),
             "open" => assert_eq!(self.open.get(&n), Some(&number()), "{at} {word}"),
             "other" => assert_eq!(self.acked.get(&n), Some(&(number(), true)), "{at} {word}"),
             "read" => assert_eq!(self.read.get(&n), Some(&Some(number())), "{at} {word}"),
@@ -311,10 +403,23 @@
             "lost" => assert!(!self.has_won(k, who), "{at} {word}: {:?}", self.verdicts),
             put => {
                 let other = put.strip_prefix("twin");
-                let number = other.or(put.strip_prefix("put")).expect("a word of the timeline");
+                let number = other
+                    .or(put.strip_prefix("put"))
+                    .expect("a word of the timeline");
                 let version: u64 = number.parse().expect("a version");
-                let text = if other.is_some() { twin(version) } else { text(version) };
-                self.step(n, Input::Put { ticket: version, version, text });
+                let text = if other.is_some() {
+                    twin(version)
+                } else {
+                    text(version)
+                };
+                self.step(
+                    n,
+                    Input::Put {
+                        ticket: version,
+                        version,
+                        text,
+                    },
+                );
             }
         }
     }
@@ -332,7 +437,11 @@
         world.pass(row[0].parse().expect("a time"));
         for (k, cell) in row[1..].iter().enumerate().filter(|c| *c.1 != ".") {
             for word in cell.split('+') {
-                world.word(k as u32 + 1, word, &format!("{} ms, director {}:", row[0], k + 1));
+                world.word(
+                    k as u32 + 1,
+                    word,
+                    &format!("{} ms, director {}:", row[0], k + 1),
+                );
             }
         }
     }
--- a/crates/rushcourse-controller/src/calls.rs
+++ b/crates/rushcourse-controller/src/calls.rs
@@ -60,16 +60,64 @@
 
 /// Every call that is taken; what is not here gets 404 or 405.
 pub const CALLS: [Call; 6] = [
-    call(Method::PUT, "/-/instances/{id}", Caller::Host, Name::Register, 16 << 10),
-    call(Method::DELETE, "/-/instances/{id}", Caller::Host, Name::SignOff, 1 << 10),
-    call(Method::PUT, "/-/configuration", Caller::Operator, Name::PutConfiguration, 8 << 20),
-    call(Method::GET, "/-/configuration", Caller::Operator, Name::GetConfiguration, 1 << 10),
-    call(Method::GET, "/-/status", Caller::Operator, Name::Status, 1 << 10),
-    call(Method::GET, "/-/keys/{id}", Caller::Operator, Name::Key, 1 << 10),
+    call(
+        Method::PUT,
+        "/-/instances/{id}",
+        Caller::Host,
+        Name::Register,
+        16 << 10,
+    ),
+    call(
+        Method::DELETE,
+        "/-/instances/{id}",
+        Caller::Host,
+        Name::SignOff,
+        1 << 10,
+    ),
+    call(
+        Method::PUT,
+        "/-/configuration",
+        Caller::Operator,
+        Name::PutConfiguration,
+        8 << 20,
+    ),
+    call(
+        Method::GET,
+        "/-/configuration",
+        Caller::Operator,
+        Name::GetConfiguration,
+        1 << 10,
+    ),
+    call(
+        Method::GET,
+        "/-/status",
+        Caller::Operator,
+        Name::Status,
+        1 << 10,
+    ),
+    call(
+        Method::GET,
+        "/-/keys/{id}",
+        Caller::Operator,
+        Name::Key,
+        1 << 10,
+    ),
 ];
 
-const fn call(method: Method, path: &'static str, caller: Caller, name: Name, body_most: usize) -> Call {
-    Call { method, path, caller, name, body_most }
+const fn call(
+    method: Method,
+    path: &'static str,
+    caller: Caller,
+    name: Name,
+    body_most: usize,
+) -> Call {
+    Call {
+        method,
+        path,
+        caller,
+        name,
+        body_most,
+    }
 }
 
 type Queue = mpsc::UnboundedSender<Work>;
@@ -79,11 +127,13 @@
     for call in &CALLS {
         let filter = MethodFilter::try_from(call.method.clone()).unwrap_or(MethodFilter::GET);
         let (name, caller, most) = (call.name, call.caller, call.body_most);
-        let method: MethodRouter<Queue> =
-            on(filter, move |State(work): State<Queue>, id: Option<Path<String>>, request: Request| {
+        let method: MethodRouter<Queue> = on(
+            filter,
+            move |State(work): State<Queue>, id: Option<Path<String>>, request: Request| {
                 log::trace!("event=call caller={caller:?} call={name:?}");
                 handle(name, most, work, id.map(|p| p.0), request)
-            });
+            },
+        );
         router = router.route(call.path, method);
     }
     router.with_state(work)
@@ -92,9 +142,14 @@
 fn answer(status: StatusCode, body: impl Into<Body>) -> Response<Body> {
     let mut response = Response::new(body.into());
     *response.status_mut() = status;
-    response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response.headers_mut().insert(
+        header::CONTENT_TYPE,
+        HeaderValue::from_static("application/json"),
+    );
     if status == StatusCode::SERVICE_UNAVAILABLE {
-        response.headers_mut().insert(header::RETRY_AFTER, HeaderValue::from_static(COME_BACK));
+        response
+            .headers_mut()
+            .insert(header::RETRY_AFTER, HeaderValue::from_static(COME_BACK));
     }
     response
 }
@@ -115,7 +170,10 @@
     let body = match timeout(BODY_WAIT, to_bytes(request.into_body(), most)).await {
         Ok(Ok(body)) => body,
         Ok(Err(_)) => {
-            return refuse(StatusCode::PAYLOAD_TOO_LARGE, &format!("body: over {most} bytes, or broken off"));
+            return refuse(
+                StatusCode::PAYLOAD_TOO_LARGE,
+                &format!("body: over {most} bytes, or broken off"),
+            );
         }
         Err(_) => return refuse(StatusCode::REQUEST_TIMEOUT, "body: did not come"),
     };
@@ -125,32 +183,56 @@
         Name::Register => match reading::host(&id, &body) {
             Ok(news) => Command::Register { news, reply },
             Err(e) => {
-                log::warn!("event=call_refused call=register id={id:?} why={:?}", e.to_string());
+                log::warn!(
+                    "event=call_refused call=register id={id:?} why={:?}",
+                    e.to_string()
+                );
                 return refuse(StatusCode::BAD_REQUEST, &e.to_string());
             }
         },
-        Name::SignOff => Command::SignOff { id: id.as_str().into(), reply },
+        Name::SignOff => Command::SignOff {
+            id: id.as_str().into(),
+            reply,
+        },
         Name::PutConfiguration => match Configuration::read(&body) {
-            Ok(read) => Command::Put { version: read.version, text: Arc::from(&*body), reply },
+            Ok(read) => Command::Put {
+                version: read.version,
+                text: Arc::from(&*body),
+                reply,
+            },
             Err(e) => {
-                log::warn!("event=call_refused call=put_configuration why={:?}", e.to_string());
+                log::warn!(
+                    "event=call_refused call=put_configuration why={:?}",
+                    e.to_string()
+                );
                 return refuse(StatusCode::BAD_REQUEST, &e.to_string());
             }
         },
         Name::GetConfiguration => Command::Get { reply },
         Name::Status => Command::Status { reply },
-        Name::Key => Command::Key { key: hash128(id.as_bytes()), reply },
+        Name::Key => Command::Key {
+            key: hash128(id.as_bytes()),
+            reply,
+        },
     };
     if work.send(Work::Command(command)).is_err() {
         return refuse(StatusCode::SERVICE_UNAVAILABLE, "ending");
     }
     match timeout(CALL_WAIT, answered).await {
-        Ok(Ok(Reply::Done | Reply::Acknowledged { another: false })) => answer(StatusCode::OK, "{}"),
+        Ok(Ok(Reply::Done | Reply::Acknowledged { another: false })) => {
+            answer(StatusCode::OK, "{}")
+        }
         Ok(Ok(Reply::Acknowledged { another: true })) => answer(StatusCode::OK, ANOTHER_TEXT),
         Ok(Ok(Reply::Text(text))) => answer(StatusCode::OK, bytes::Bytes::from_owner(text)),
-        Ok(Ok(Reply::Nothing)) => refuse(StatusCode::NOT_FOUND, "no configuration has been acknowledged"),
+        Ok(Ok(Reply::Nothing)) => refuse(
+            StatusCode::NOT_FOUND,
+            "no configuration has been acknowledged",
+        ),
         Ok(Ok(Reply::NoContact)) => refuse(StatusCode::SERVICE_UNAVAILABLE, NO_CONTACT),
-        _ => refuse(StatusCode::SERVICE_UNAVAILABLE, "no majority in time: it may be in force or not"),
+        _ => refuse(
+            StatusCode::SERVICE_UNAVAILABLE,
+            "no majority in time: it may be in force or not",
+        ),
     }
 }
 
--- a/crates/rushcourse-controller/src/links.rs
+++ b/crates/rushcourse-controller/src/links.rs
@@ -27,7 +27,12 @@
 impl Links {
     pub fn new(dialler: Dialler) -> Links {
         let (known, sessions, peers) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
-        Links { dialler, known, sessions, peers }
+        Links {
+            dialler,
+            known,
+            sessions,
+            peers,
+        }
     }
 
     pub fn office(&self) -> &Office {
@@ -45,13 +50,22 @@
     }
 
     pub fn known(&self) -> Vec<NodeId> {
-        self.known.iter().copied().chain([self.dialler.me().node]).collect()
+        self.known
+            .iter()
+            .copied()
+            .chain([self.dialler.me().node])
+            .collect()
     }
 
     /// Dials those that are known and not in session. Of two, the lower address dials; the other one only after a
     /// while (`patient` turns), if it is not dialled itself.
     pub fn dial_missing(&mut self, turn: u64) {
-        for node in self.known.iter().copied().filter(|n| !self.peers.contains_key(n)) {
+        for node in self
+            .known
+            .iter()
+            .copied()
+            .filter(|n| !self.peers.contains_key(n))
+        {
             if self.dialler.me().node < node || turn % 4 == 3 {
                 self.dialler.dial(node);
             }
@@ -106,7 +120,9 @@
     /// The zone of a core director that is in session.
     pub fn zone(&self, node: NodeId) -> Option<std::sync::Arc<str>> {
         let session = self.peers.get(&node).and_then(|peer| peer.1.last())?;
-        self.sessions.get(session).map(|s| s.peer.zone.as_str().into())
+        self.sessions
+            .get(session)
+            .map(|s| s.peer.zone.as_str().into())
     }
 
     pub fn to(&self, id: u64, message: &Message) {
@@ -122,12 +138,17 @@
     }
 
     pub fn to_peers(&self, message: &Message) {
-        self.peers.keys().for_each(|node| self.to_peer(*node, message));
+        self.peers
+            .keys()
+            .for_each(|node| self.to_peer(*node, message));
     }
 
     /// Sessions of gateways.
     pub fn fronts(&self) -> impl Iterator<Item = u64> {
-        self.sessions.values().filter(|s| s.peer.role == Role::Gateway).map(|s| s.id)
+        self.sessions
+            .values()
+            .filter(|s| s.peer.role == Role::Gateway)
+            .map(|s| s.id)
     }
 
     pub fn to_fronts(&self, message: &Message) {
@@ -135,6 +156,9 @@
     }
 
     pub fn view(&self) -> Vec<(u64, Hello)> {
-        self.sessions.values().map(|s| (s.id, s.peer.clone())).collect()
+        self.sessions
+            .values()
+            .map(|s| (s.id, s.peer.clone()))
+            .collect()
     }
 }
--- a/crates/rushcourse-controller/src/owner.rs
+++ b/crates/rushcourse-controller/src/owner.rs
@@ -43,8 +43,9 @@
     let local = tokio::task::LocalSet::new();
     let path = path.to_path_buf();
     local.block_on(&runtime, async move {
-        let control =
-            boot.control_plane.ok_or_else(|| unbound("listen_addresses.control_plane: is missing"))?;
+        let control = boot
+            .control_plane
+            .ok_or_else(|| unbound("listen_addresses.control_plane: is missing"))?;
         let control = bind(control).await?;
         let internal = bind(SocketAddrV4::new(boot.ip, boot.internal_ports.0)).await?;
         let owner = Owner::start(&boot)?;
@@ -54,7 +55,9 @@
 }
 
 async fn bind(at: SocketAddrV4) -> Result<TcpListener, Report<StartError>> {
-    TcpListener::bind(at).await.change_context_lazy(|| StartError::Unbound(at.to_string()))
+    TcpListener::bind(at)
+        .await
+        .change_context_lazy(|| StartError::Unbound(at.to_string()))
 }
 
 pub(crate) fn node(at: &SocketAddrV4) -> NodeId {
@@ -75,7 +78,10 @@
     times: Times,
     name: String,
     work: (mpsc::UnboundedSender<Work>, mpsc::UnboundedReceiver<Work>),
-    sessions: (mpsc::UnboundedSender<SessionEvent>, mpsc::UnboundedReceiver<SessionEvent>),
+    sessions: (
+        mpsc::UnboundedSender<SessionEvent>,
+        mpsc::UnboundedReceiver<SessionEvent>,
+    ),
     disk: std::sync::mpsc::Sender<(u64, Vec<Op>)>,
     health: Arc<Health>,
     /// The state file.
@@ -122,7 +128,9 @@
         let tell: mpsc::UnboundedSender<Work> = work.0.clone();
         let health = Arc::new(Health::default());
         let beside = health.clone();
-        let thread = std::thread::Builder::new().name("storage".into()).stack_size(512 << 10);
+        let thread = std::thread::Builder::new()
+            .name("storage".into())
+            .stack_size(512 << 10);
         let spawned = thread.spawn(move || {
             rushcourse_storage::run(store, &batches, &beside, |done| {
                 let _ = tell.send(Work::Disk(done));
@@ -160,7 +168,9 @@
         };
         let sessions = mpsc::unbounded_channel();
         let office = Office::new(hello, sessions.0.clone());
-        office.set_keys(boot.keys.as_ref()).map_err(|e| Report::new(StartError::Keys).attach(e))?;
+        office
+            .set_keys(boot.keys.as_ref())
+            .map_err(|e| Report::new(StartError::Keys).attach(e))?;
         let mut links = Links::new(Dialler::new(office, boot.internal_ports.0));
         links.know(seeds);
         let tickets = BTreeMap::new();
@@ -204,7 +214,9 @@
         tokio::task::spawn_local(calls::take(control, most, self.work.0.clone()));
         tokio::task::spawn_local(listen(internal, most, self.links.office().clone()));
         tokio::task::spawn_local(hang_up(self.work.0.clone()));
-        let Ok(mut term) = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate()) else {
+        let Ok(mut term) =
+            tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
+        else {
             return;
         };
         let mut tick = tokio::time::interval(Duration::from_millis(TICK));
@@ -257,14 +269,19 @@
     }
 
     fn may_end(&self) -> bool {
-        self.leaves_by.is_some_and(|by| self.register.may_end() || self.times.now() >= by)
+        self.leaves_by
+            .is_some_and(|by| self.register.may_end() || self.times.now() >= by)
     }
 
     fn reread(&mut self, path: &Path) {
         match rushcourse_net::start(path) {
             Ok(boot) => {
                 self.links.know(boot.seeds.iter().map(node));
-                log::info!("event=settings_read seeds={} keys={}", boot.seeds.len(), boot.keys.is_some());
+                log::info!(
+                    "event=settings_read seeds={} keys={}",
+                    boot.seeds.len(),
+                    boot.keys.is_some()
+                );
                 if let Err(e) = self.links.office().set_keys(boot.keys.as_ref()) {
                     log::error!("event=keys_unusable why={e:?}");
                 }
@@ -311,7 +328,9 @@
     /// The configuration in force, to frontend directors that came while it may have been an old one.
     fn tell_in_force(&mut self) {
         let untold = std::mem::take(&mut self.untold);
-        let Some((version, _)) = self.register.in_force().filter(|_| !untold.is_empty()) else { return };
+        let Some((version, _)) = self.register.in_force().filter(|_| !untold.is_empty()) else {
+            return;
+        };
         for session in untold {
             self.links.to(session, &Message::NewVersion { version });
         }
@@ -344,7 +363,11 @@
                 Some(Asking::Proof { asked_at }) if reached => self.contact.proven(asked_at),
                 Some(Asking::Proof { .. }) if self.contact.needs_proof() => self.ask_proof(),
                 Some(Asking::Heard(reply)) => {
-                    let _ = reply.send(if reached { Reply::Done } else { Reply::NoContact });
+                    let _ = reply.send(if reached {
+                        Reply::Done
+                    } else {
+                        Reply::NoContact
+                    });
                 }
                 Some(Asking::Order(ticket)) if !reached => self.answer(ticket, Outcome::Unclear),
                 Some(Asking::Proof { .. } | Asking::Order(_)) | None => {}
@@ -353,7 +376,9 @@
     }
 
     fn register(&mut self, input: register::Input) {
-        let effects = self.register.step(self.times.now(), self.times.wall(), input);
+        let effects = self
+            .register
+            .step(self.times.now(), self.times.wall(), input);
         for effect in effects {
             match effect {
                 register::Effect::Write { batch, ops } => {
@@ -362,8 +387,22 @@
                     }
                 }
                 register::Effect::Send { to, message } => self.links.to_peer(to, &message),
-                register::Effect::Vote { session, set, key, claim, verdict } => {
-                    self.links.to(session, &Message::Vote { set, key, claim, verdict });
+                register::Effect::Vote {
+                    session,
+                    set,
+                    key,
+                    claim,
+                    verdict,
+                } => {
+                    self.links.to(
+                        session,
+                        &Message::Vote {
+                            set,
+                            key,
+                            claim,
+                            verdict,
+                        },
+                    );
                 }
                 register::Effect::Answer { ticket, outcome } => self.answer(ticket, outcome),
                 register::Effect::InForce { version, text } => {
@@ -398,20 +437,30 @@
         let in_force = Message::InForce { version, text };
         let named = Message::NewVersion { version };
         for session in self.links.fronts() {
-            let message = if self.party.is_home(session) { &in_force } else { &named };
+            let message = if self.party.is_home(session) {
+                &in_force
+            } else {
+                &named
+            };
             self.links.to(session, message);
         }
     }
 
     /// A gateway asks for the text in force.
     fn asked_for_version(&self, session: u64, above: u64) {
-        if let Some((version, text)) = self.register.in_force().filter(|(version, _)| *version > above) {
+        if let Some((version, text)) = self
+            .register
+            .in_force()
+            .filter(|(version, _)| *version > above)
+        {
             self.links.to(session, &Message::InForce { version, text });
         }
     }
 
     fn answer(&mut self, ticket: u64, outcome: Outcome) {
-        let Some(reply) = self.tickets.remove(&ticket) else { return };
+        let Some(reply) = self.tickets.remove(&ticket) else {
+            return;
+        };
         let _ = reply.send(match outcome {
             Outcome::Acknowledged { another } => Reply::Acknowledged { another },
             Outcome::Whole { text, .. } => Reply::Text(text),
@@ -453,9 +502,17 @@
             Command::Put { reply, .. } | Command::Get { reply } if !self.may_acknowledge() => {
                 let _ = reply.send(Reply::NoContact);
             }
-            Command::Put { version, text, reply } => {
+            Command::Put {
+                version,
+                text,
+                reply,
+            } => {
                 let ticket = self.ticket(reply);
-                self.register(register::Input::Put { ticket, version, text });
+                self.register(register::Input::Put {
+                    ticket,
+                    version,
+                    text,
+                });
                 self.bound_order(ticket);
             }
             Command::Get { reply } => {
@@ -464,7 +521,10 @@
                 self.bound_order(ticket);
             }
             Command::Status { reply } => {
-                let disk = (self.health.doing(), std::fs::metadata(&self.file).map_or(0, |m| m.len()));
+                let disk = (
+                    self.health.doing(),
+                    std::fs::metadata(&self.file).map_or(0, |m| m.len()),
+                );
                 let page = pages::status(
                     &self.name,
                     self.times.now(),
@@ -531,12 +591,19 @@
                 self.party(cluster::Input::PeerDown(node));
             }
             Change::FrontUp(id) => {
-                let Some(session) = self.links.session(id) else { return };
+                let Some(session) = self.links.session(id) else {
+                    return;
+                };
                 let (node, zone) = (session.peer.node, session.peer.zone.as_str().into());
-                self.links.to(id, &Message::Set(self.register.set().clone()));
+                self.links
+                    .to(id, &Message::Set(self.register.set().clone()));
                 self.untold.insert(id);
                 self.judge_contact();
-                self.party(cluster::Input::FrontUp { session: id, node, zone });
+                self.party(cluster::Input::FrontUp {
+                    session: id,
+                    node,
+                    zone,
+                });
             }
             Change::FrontDown(session) => {
                 self.untold.remove(&session);
@@ -546,13 +613,17 @@
     }
 
     fn said(&mut self, id: u64, message: Message) {
-        let Some(session) = self.links.session(id) else { return };
+        let Some(session) = self.links.session(id) else {
+            return;
+        };
         let (node, role) = (session.peer.node, session.peer.role);
         match (role, message) {
             (Role::Controller, Message::Cores(nodes)) => {
                 self.links.know(nodes);
             }
-            (Role::Controller, Message::TellHeld { token, .. }) if self.rounds.told(node, token) => {
+            (Role::Controller, Message::TellHeld { token, .. })
+                if self.rounds.told(node, token) =>
+            {
                 self.end_rounds();
             }
             (Role::Controller, message) => match message {
@@ -565,19 +636,28 @@
                 agreed => self.register(register::Input::Heard(node, agreed)),
             },
             (Role::Gateway, Message::Claim { set, key, claim }) => {
-                self.register(register::Input::Claim { session: id, set, key, claim });
+                self.register(register::Input::Claim {
+                    session: id,
+                    set,
+                    key,
+                    claim,
+                });
             }
             (Role::Gateway, Message::AskVersion { above }) => self.asked_for_version(id, above),
             (Role::Gateway, Message::Withdraw { key, claim }) => {
                 self.register(register::Input::Withdraw { key, claim });
             }
-            (Role::Gateway, message) => self.party(cluster::Input::FrontSaid { session: id, message }),
+            (Role::Gateway, message) => self.party(cluster::Input::FrontSaid {
+                session: id,
+                message,
+            }),
         }
     }
 }
 
 async fn hang_up(work: mpsc::UnboundedSender<Work>) {
-    let Ok(mut signal) = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup()) else {
+    let Ok(mut signal) = tokio::signal::unix::signal(tokio::signal::unix::SignalKind::hangup())
+    else {
         return;
     };
     while signal.recv().await.is_some() {
--- a/crates/rushcourse-controller/src/pages.rs
+++ b/crates/rushcourse-controller/src/pages.rs
@@ -12,12 +12,17 @@
 }
 
 fn list<T>(items: impl IntoIterator<Item = T>, show: impl Fn(T) -> String) -> String {
-    format!("[{}]", items.into_iter().map(show).collect::<Vec<_>>().join(","))
+    format!(
+        "[{}]",
+        items.into_iter().map(show).collect::<Vec<_>>().join(",")
+    )
 }
 
 /// Who holds an operation key, as far as this director has it.
 pub fn key(wall: u64, held: Option<(Claim, bool)>) -> String {
-    let Some((claim, durable)) = held else { return "{\"held\":false}".into() };
+    let Some((claim, durable)) = held else {
+        return "{\"held\":false}".into();
+    };
     format!(
         "{{\"held\":true,\"on_disk\":{durable},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
         quoted(&Ipv4Addr::from(claim.id.node).to_string()),
@@ -55,7 +60,9 @@
         list(r.peers, node),
     );
     let (doing, bytes) = disk;
-    let stalled = doing.writing_ms.map_or("null".to_string(), |ms| format!("{ms:.1}"));
+    let stalled = doing
+        .writing_ms
+        .map_or("null".to_string(), |ms| format!("{ms:.1}"));
     let _ = write!(
         page,
         ",\"disk\":{{\"bytes\":{bytes},\"syncs\":{},\"refused\":{},\"last_ms\":{:.1},\"most_ms\":{:.1},\
@@ -87,14 +94,22 @@
         )
     });
     let tables = list(party.distribution().view(), |t| {
-        let lines = list(t.lines, |(host, weight)| format!("[{},{weight:.3}]", quoted(&host)));
+        let lines = list(t.lines, |(host, weight)| {
+            format!("[{},{weight:.3}]", quoted(&host))
+        });
         let (service, table, fronts) = (quoted(&t.service), t.table, t.fronts);
         format!("{{\"service\":{service},\"table\":{table},\"fronts\":{fronts},\"lines\":{lines}}}")
     });
     let _ = write!(page, ",\"members\":{}", list(party.members().all(), node));
     let refused = links.office().refused();
-    let refused: Vec<String> = refused.iter().map(|(why, n)| format!("{}:{n}", quoted(why))).collect();
+    let refused: Vec<String> = refused
+        .iter()
+        .map(|(why, n)| format!("{}:{n}", quoted(why)))
+        .collect();
     let _ = write!(page, ",\"refused\":{{{}}}", refused.join(","));
-    let _ = write!(page, ",\"sessions\":{sessions},\"hosts\":{hosts},\"tables\":{tables}}}");
+    let _ = write!(
+        page,
+        ",\"sessions\":{sessions},\"hosts\":{hosts},\"tables\":{tables}}}"
+    );
     page
 }
--- a/crates/rushcourse-controller/tests/cut_off.rs
+++ b/crates/rushcourse-controller/tests/cut_off.rs
@@ -42,14 +42,28 @@
             std::fs::write(&settings, text).expect("a settings file");
             let mut command = Command::new(env!("CARGO_BIN_EXE_controller"));
             let quiet = command.stdout(Stdio::null()).stderr(Stdio::null());
-            quiet.arg("--settings").arg(settings).spawn().expect("a controller")
+            quiet
+                .arg("--settings")
+                .arg(settings)
+                .spawn()
+                .expect("a controller")
         };
         let children = (1..=3).map(start).collect();
-        Controllers { folder, net, children }
+        Controllers {
+            folder,
+            net,
+            children,
+        }
     }
 
     /// One call to a controller: status, body, and how long it took.
-    fn call(&self, at: u32, method: &str, path: &str, body: &str) -> Option<(u16, String, Duration)> {
+    fn call(
+        &self,
+        at: u32,
+        method: &str,
+        path: &str,
+        body: &str,
+    ) -> Option<(u16, String, Duration)> {
         let begun = Instant::now();
         let mut stream = TcpStream::connect(format!("{}.{at}:8544", self.net)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(3))).ok()?;
@@ -67,7 +81,10 @@
     /// Calls until the answer has this status.
     fn until(&self, at: u32, method: &str, path: &str, body: &str, status: u16) {
         let begun = Instant::now();
-        while self.call(at, method, path, body).is_none_or(|c| c.0 != status) {
+        while self
+            .call(at, method, path, body)
+            .is_none_or(|c| c.0 != status)
+        {
             assert!(begun.elapsed() < FORMING, "{method} {path}: never {status}");
             std::thread::sleep(Duration::from_millis(50));
         }
@@ -137,10 +154,18 @@
     }
     let (_, page, _) = all.call(1, "GET", "/-/status", "").expect("an answer");
     let state = |id: &str| {
-        let host = page.split(r#"{"id":"#).find(|h| h.starts_with(&format!("\"{id}\""))).unwrap_or_default();
-        let found = ["ready", "draining", "gone"].map(|s| host.contains(&format!(r#""state":"{s}""#)));
+        let host = page
+            .split(r#"{"id":"#)
+            .find(|h| h.starts_with(&format!("\"{id}\"")))
+            .unwrap_or_default();
+        let found =
+            ["ready", "draining", "gone"].map(|s| host.contains(&format!(r#""state":"{s}""#)));
         found.iter().position(|f| *f)
     };
-    assert_eq!([state("i-1"), state("i-2"), state("i-3")], [Some(1), Some(2), Some(0)], "{page}");
+    assert_eq!(
+        [state("i-1"), state("i-2"), state("i-3")],
+        [Some(1), Some(2), Some(0)],
+        "{page}"
+    );
     assert!(page.contains(r#""held":1,"#), "no order was taken: {page}");
 }
--- a/crates/rushcourse-daemon/src/cli.rs
+++ b/crates/rushcourse-daemon/src/cli.rs
@@ -10,8 +10,10 @@
 
 /// A director: it sends routing tables to a service's proxies, and never leaves one without a line.
 #[derive(FromArgs)]
-#[argh(note = "Exit codes: 0 done or ended by SIGTERM, 1 something is wrong with the configuration or the
-machine, 2 the command line or the environment is wrong.")]
+#[argh(
+    note = "Exit codes: 0 done or ended by SIGTERM, 1 something is wrong with the configuration or the
+machine, 2 the command line or the environment is wrong."
+)]
 struct Rushcourse {
     #[argh(subcommand)]
     command: Command,
@@ -53,7 +55,10 @@
 struct Version {}
 
 pub fn main() -> ExitCode {
-    let args: Vec<String> = std::env::args_os().skip(1).map(|a| a.to_string_lossy().into_owned()).collect();
+    let args: Vec<String> = std::env::args_os()
+        .skip(1)
+        .map(|a| a.to_string_lossy().into_owned())
+        .collect();
     let args: Vec<&str> = args.iter().map(String::as_str).collect();
     let command = match Rushcourse::from_args(&["rushcourse"], &args) {
         Ok(parsed) => parsed.command,
@@ -72,14 +77,22 @@
             println!("rushcourse {}", env!("CARGO_PKG_VERSION"));
             Ok(())
         }
-        Command::Check(check) => {
-            Config::read(&check.file, &Place::of(check.fronts)).map_err(Failure::Other).map(|c| {
-                println!("{}: director {}, listens on {}", check.file.display(), c.name, c.listen);
+        Command::Check(check) => Config::read(&check.file, &Place::of(check.fronts))
+            .map_err(Failure::Other)
+            .map(|c| {
+                println!(
+                    "{}: director {}, listens on {}",
+                    check.file.display(),
+                    c.name,
+                    c.listen
+                );
                 if let Some(grpc) = c.grpc {
-                    println!("gRPC on {}, {} connections at most", grpc.listen, grpc.connections);
+                    println!(
+                        "gRPC on {}, {} connections at most",
+                        grpc.listen, grpc.connections
+                    );
                 }
-            })
-        }
+            }),
         Command::Serve(serve) => effects::serve(&Place::of(serve.fronts)),
     };
     match done {
--- a/crates/rushcourse-daemon/src/clock.rs
+++ b/crates/rushcourse-daemon/src/clock.rs
@@ -11,8 +11,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
-        Clock { unix: unix.as_secs_f64() * 1000.0, start: Instant::now() }
+        let unix = SystemTime::now()
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            unix: unix.as_secs_f64() * 1000.0,
+            start: Instant::now(),
+        }
     }
 
     pub fn now(&self) -> f64 {
