--- a/crates/rushcourse-lab/src/proxy.rs
+++ b/crates/rushcourse-lab/src/proxy.rs
@@ -32,23 +32,34 @@
 impl Streamed {
     pub fn take(&mut self, response: &Response) {
         let (resources, version) = match response {
-            Response::Whole { resources, version, .. } => (resources, version),
-            Response::Delta { resources, version, .. } => (resources, version),
+            Response::Whole {
+                resources, version, ..
+            } => (resources, version),
+            Response::Delta {
+                resources, version, ..
+            } => (resources, version),
             Response::Load { .. } => return,
         };
         self.version = version.clone();
         for r in resources {
-            self.versions.insert(r.table.cluster.clone(), r.version.clone());
-            self.tables.insert(r.table.cluster.clone(), (*r.table).clone());
+            self.versions
+                .insert(r.table.cluster.clone(), r.version.clone());
+            self.tables
+                .insert(r.table.cluster.clone(), (*r.table).clone());
         }
     }
 
     /// Goes on with the hosts of before: a proxy that does not follow its tables.
     pub fn keep(&mut self, before: &BTreeMap<String, Assignment>) {
         for (class, old) in before {
-            let Some(table) = self.tables.get_mut(class) else { continue };
+            let Some(table) = self.tables.get_mut(class) else {
+                continue;
+            };
             let has = |host: &str, t: &Assignment| {
-                t.localities.iter().flat_map(|l| &l.endpoints).any(|e| &*e.host == host)
+                t.localities
+                    .iter()
+                    .flat_map(|l| &l.endpoints)
+                    .any(|e| &*e.host == host)
             };
             for mut locality in old.localities.clone() {
                 locality.endpoints.retain(|e| !has(&e.host, table));
@@ -59,9 +70,17 @@
 
     pub fn table(&self, class: &str) -> Option<Table> {
         let a = self.tables.get(class)?;
-        let endpoints = a.localities.iter().flat_map(|l| &l.endpoints).filter(|e| !e.draining);
+        let endpoints = a
+            .localities
+            .iter()
+            .flat_map(|l| &l.endpoints)
+            .filter(|e| !e.draining);
         let lines = endpoints.map(|e| (e.host.to_string(), e.weight)).collect();
-        Some(Table { lines, level_ppm: 1_000_000 - a.drop_ppm, again: a.again as u8 })
+        Some(Table {
+            lines,
+            level_ppm: 1_000_000 - a.drop_ppm,
+            again: a.again as u8,
+        })
     }
 }
 
@@ -83,10 +102,19 @@
             let words: Vec<&str> = order.split(',').collect();
             let named = |word: &str| -> Vec<String> {
                 let all = || classes.iter().map(|c| c.to_string()).collect();
-                if word == "*" { all() } else { word.split('+').map(String::from).collect() }
+                if word == "*" {
+                    all()
+                } else {
+                    word.split('+').map(String::from).collect()
+                }
             };
             let users = |relay: &Relay, table: u32| -> Vec<u32> {
-                relay.bound.iter().filter(|(_, t)| **t == table).map(|((p, _), _)| *p).collect()
+                relay
+                    .bound
+                    .iter()
+                    .filter(|(_, t)| **t == table)
+                    .map(|((p, _), _)| *p)
+                    .collect()
             };
             let number = |word: &str| word.parse::<u32>().expect("a number");
             match words[..] {
@@ -114,14 +142,25 @@
                     } else {
                         self.shut.remove(host)
                     };
-                    let tables: Vec<u32> =
-                        self.tables.iter().filter(|(_, l)| l.contains_key(host)).map(|(t, _)| *t).collect();
-                    tables.into_iter().for_each(|t| reached.extend(users(self, t)));
+                    let tables: Vec<u32> = self
+                        .tables
+                        .iter()
+                        .filter(|(_, l)| l.contains_key(host))
+                        .map(|(t, _)| *t)
+                        .collect();
+                    tables
+                        .into_iter()
+                        .for_each(|t| reached.extend(users(self, t)));
                 }
                 ["admit", table, classes, quota, again] => {
                     let table = number(table);
-                    let level = (quota.parse().expect("a level"), again.parse().expect("a way"));
-                    named(classes).into_iter().for_each(|c| _ = self.levels.insert((table, c), level));
+                    let level = (
+                        quota.parse().expect("a level"),
+                        again.parse().expect("a way"),
+                    );
+                    named(classes)
+                        .into_iter()
+                        .for_each(|c| _ = self.levels.insert((table, c), level));
                     reached.extend(users(self, table));
                 }
                 ["mark", number, _] => mark = number.parse().ok(),
@@ -146,8 +185,11 @@
         let lines = self.tables.get(&table).unwrap_or(&empty);
         let open = lines.iter().filter(|(host, _)| !self.shut.contains(*host));
         let whole = |w: f64| ((w * SCALE).round() as u32).max(1);
-        let (level, again) =
-            self.levels.get(&(table, class.to_string())).copied().unwrap_or((1.0, self.base));
+        let (level, again) = self
+            .levels
+            .get(&(table, class.to_string()))
+            .copied()
+            .unwrap_or((1.0, self.base));
         Some(Table {
             lines: open.map(|(host, w)| (host.clone(), whole(*w))).collect(),
             level_ppm: 1_000_000 - ((1.0 - level) * 1_000_000.0).round() as u32,
--- a/crates/rushcourse-lab/src/script.rs
+++ b/crates/rushcourse-lab/src/script.rs
@@ -103,7 +103,10 @@
             })
             .collect();
         let first = hosts.len();
-        hosts.extend((0..late).map(|k| Host { id: format!("n{k}"), zone: k % zones }));
+        hosts.extend((0..late).map(|k| Host {
+            id: format!("n{k}"),
+            zone: k % zones,
+        }));
         let proxies: Vec<Proxy> = (0..rng.random_range(4..=10))
             .map(|k| Proxy {
                 number: k,
@@ -144,24 +147,48 @@
         }
         if rng.random_bool(0.4) {
             let at = rng.random_range(5000.0f64..busy - 6000.0).round();
-            events.extend([(at, Happens::RelayStalls), (at + 2500.0, Happens::RelayResumes)]);
+            events.extend([
+                (at, Happens::RelayStalls),
+                (at + 2500.0, Happens::RelayResumes),
+            ]);
         }
         if rng.random_bool(0.2) {
-            events.push((rng.random_range(8000.0f64..busy - 6000.0).round(), Happens::Restarts));
+            events.push((
+                rng.random_range(8000.0f64..busy - 6000.0).round(),
+                Happens::Restarts,
+            ));
         }
         events.push((ANEW + 3.0, Happens::Restarts));
-        let silent = if rng.random_bool(0.2) { rng.random_range(6000.0f64..15_000.0) } else { f64::INFINITY };
-        let jam = if rng.random_bool(0.3) { rng.random_range(6000.0f64..15_000.0) } else { f64::INFINITY };
+        let silent = if rng.random_bool(0.2) {
+            rng.random_range(6000.0f64..15_000.0)
+        } else {
+            f64::INFINITY
+        };
+        let jam = if rng.random_bool(0.3) {
+            rng.random_range(6000.0f64..15_000.0)
+        } else {
+            f64::INFINITY
+        };
         for second in 1..(LASTS / 1000.0) as usize {
             let at = second as At * 1000.0 + 7.0;
             if !(silent..silent + 4000.0).contains(&at) {
                 let slow = (jam..jam + 4000.0).contains(&at);
-                events.push((at, Happens::Reports(reports(&mut rng, &proxies, &hosts, &fates, at, slow))));
+                events.push((
+                    at,
+                    Happens::Reports(reports(&mut rng, &proxies, &hosts, &fates, at, slow)),
+                ));
             }
         }
         events.sort_by(|a, b| a.0.total_cmp(&b.0));
         let zones = (0..zones).map(|z| format!("z{z}")).collect();
-        Script { seed, zones, hosts, proxies, first, events }
+        Script {
+            seed,
+            zones,
+            hosts,
+            proxies,
+            first,
+            events,
+        }
     }
 
     /// Events by kind, for a line that says what was played.
@@ -171,7 +198,10 @@
             let kind = match e {
                 Happens::Joins(_) => "joins",
                 Happens::Leaves(_) => "leaves",
-                Happens::Lists { phase: Phase::Terminating, .. } => "drains",
+                Happens::Lists {
+                    phase: Phase::Terminating,
+                    ..
+                } => "drains",
                 Happens::Lists { cold: true, .. } => "cold starts",
                 Happens::Lists { .. } => "ends",
                 Happens::Stalls(_) => "stalls",
@@ -203,7 +233,11 @@
             Fate::Fine
         } else {
             left[host.zone] -= 1;
-            [Fate::Drains(at), Fate::Restarts(at), Fate::Fails(at, at + 5000.0)][kind]
+            [
+                Fate::Drains(at),
+                Fate::Restarts(at),
+                Fate::Fails(at, at + 5000.0),
+            ][kind]
         });
     }
     fates
@@ -231,8 +265,17 @@
             .map(|h| {
                 let tries = rng.random_range(1..=3);
                 let fails = matches!(fates[*h], Fate::Fails(from, to) if (from..to).contains(&at));
-                let mean = if slow { 2400.0 } else { rng.random_range(90.0f64..180.0).round() };
-                Met { host: *h, tries, failed: if fails { tries } else { 0 }, mean }
+                let mean = if slow {
+                    2400.0
+                } else {
+                    rng.random_range(90.0f64..180.0).round()
+                };
+                Met {
+                    host: *h,
+                    tries,
+                    failed: if fails { tries } else { 0 },
+                    mean,
+                }
             })
             .collect();
         let tries = (p.rate * 0.7).round() as u64;
--- a/crates/rushcourse-lab/src/world/deliveries.rs
+++ b/crates/rushcourse-lab/src/world/deliveries.rs
@@ -22,16 +22,26 @@
                 self.play_event(event);
             }
             Pending::WatchEnds(ask) if ask == self.list_request => {
-                let body = json!({"revision": self.revision, "complete": false, "members": []}).to_string();
-                self.give(Input::Listed { ask, body: body.into() });
+                let body = json!({"revision": self.revision, "complete": false, "members": []})
+                    .to_string();
+                self.give(Input::Listed {
+                    ask,
+                    body: body.into(),
+                });
             }
             Pending::WatchEnds(_) => {}
             Pending::Keepalive => {
                 self.news("*".into());
                 self.after(KEEPALIVE, Pending::Keepalive);
             }
-            Pending::RelayTables { proxies, tables, mark } => {
-                proxies.into_iter().for_each(|k| self.relay_tables(k, &tables, mark));
+            Pending::RelayTables {
+                proxies,
+                tables,
+                mark,
+            } => {
+                proxies
+                    .into_iter()
+                    .for_each(|k| self.relay_tables(k, &tables, mark));
             }
             Pending::Applied { proxy, mark } => {
                 if self.proxies[proxy].joined {
@@ -41,7 +51,9 @@
             }
             Pending::Response { stream, response } => self.response(stream, response),
             Pending::Answer { stream, nonce } => {
-                let Some(k) = self.streams.get(&stream).copied() else { return };
+                let Some(k) = self.streams.get(&stream).copied() else {
+                    return;
+                };
                 let said = self.request(k, nonce, false);
                 self.give(Input::Stream(xds::Input::Said { stream, said }));
             }
@@ -57,7 +69,11 @@
             return;
         }
         if proxy.stalled {
-            let pending = Pending::RelayTables { proxies: vec![k], tables: tables.clone(), mark };
+            let pending = Pending::RelayTables {
+                proxies: vec![k],
+                tables: tables.clone(),
+                mark,
+            };
             return proxy.waiting.push(pending);
         }
         proxy.tables = Some(tables.clone());
@@ -69,7 +85,9 @@
 
     /// A response reaches its proxy, or waits until it runs again.
     fn response(&mut self, stream: u64, response: xds::Response) {
-        let Some(k) = self.streams.get(&stream).copied() else { return };
+        let Some(k) = self.streams.get(&stream).copied() else {
+            return;
+        };
         let proxy = &mut self.proxies[k];
         if proxy.stalled {
             return proxy.waiting.push(Pending::Response { stream, response });
@@ -97,6 +115,10 @@
     /// The relay tells a line of news.
     pub(super) fn news(&mut self, text: String) {
         let turn = self.news_turn;
-        self.give(Input::Line { link: Link::News, turn, text });
+        self.give(Input::Line {
+            link: Link::News,
+            turn,
+            text,
+        });
     }
 }
--- a/crates/rushcourse-lab/src/world/effects.rs
+++ b/crates/rushcourse-lab/src/world/effects.rs
@@ -37,15 +37,34 @@
                 }
                 inputs.extend([Input::Up { link, turn }, Input::Wake]);
             }
-            Effect::Send { link: Link::News, turn, .. } => {
-                inputs.push_back(Input::Line { link: Link::News, turn, text: "OK".into() });
+            Effect::Send {
+                link: Link::News,
+                turn,
+                ..
+            } => {
+                inputs.push_back(Input::Line {
+                    link: Link::News,
+                    turn,
+                    text: "OK".into(),
+                });
                 inputs.push_back(Input::Wake);
             }
-            Effect::Send { link: Link::Calls, turn, text } if !self.relay_stalls => {
+            Effect::Send {
+                link: Link::Calls,
+                turn,
+                text,
+            } if !self.relay_stalls => {
                 let orders = text.trim_end().trim_start_matches("APPLY ").to_string();
                 self.relay_call(&orders);
                 let text = format!("OK {}", orders.split(';').count());
-                inputs.extend([Input::Line { link: Link::Calls, turn, text }, Input::Wake]);
+                inputs.extend([
+                    Input::Line {
+                        link: Link::Calls,
+                        turn,
+                        text,
+                    },
+                    Input::Wake,
+                ]);
             }
             Effect::List { ask, path, .. } => {
                 self.list_request = ask;
@@ -53,8 +72,15 @@
                     self.after(WATCH, Pending::WatchEnds(ask));
                 } else {
                     let members = setup::members(self.script, &self.hosts);
-                    let body = json!({"revision": self.revision, "complete": true, "members": members});
-                    inputs.extend([Input::Listed { ask, body: body.to_string().into() }, Input::Wake]);
+                    let body =
+                        json!({"revision": self.revision, "complete": true, "members": members});
+                    inputs.extend([
+                        Input::Listed {
+                            ask,
+                            body: body.to_string().into(),
+                        },
+                        Input::Wake,
+                    ]);
                 }
             }
             Effect::Wake { at } => self.wake = at,
@@ -78,33 +104,52 @@
     fn relay_call(&mut self, orders: &str) {
         let (reached, mark) = self.relay.apply(orders, &CLASSES);
         let index = |number: &u32| self.script.proxies.iter().position(|p| p.number == *number);
-        let proxies: Vec<usize> =
-            reached.iter().filter_map(index).filter(|k| self.proxies[*k].joined).collect();
+        let proxies: Vec<usize> = reached
+            .iter()
+            .filter_map(index)
+            .filter(|k| self.proxies[*k].joined)
+            .collect();
         for k in &proxies {
             self.messages += 1;
-            self.checker.message(self.now, self.script.proxies[*k].number);
+            self.checker
+                .message(self.now, self.script.proxies[*k].number);
         }
         if !proxies.is_empty() {
             let tables = Rc::new(self.relay.clone());
-            self.after(TRANSIT, Pending::RelayTables { proxies, tables, mark });
+            self.after(
+                TRANSIT,
+                Pending::RelayTables {
+                    proxies,
+                    tables,
+                    mark,
+                },
+            );
         }
     }
 
     fn respond(&mut self, stream: u64, mut response: xds::Response, inputs: &mut VecDeque<Input>) {
-        let Some(k) = self.streams.get(&stream).copied() else { return };
+        let Some(k) = self.streams.get(&stream).copied() else {
+            return;
+        };
         if matches!(response, xds::Response::Load { .. }) {
             return;
         }
         self.spoil(&mut response);
         let number = self.script.proxies[k].number;
-        let times = if self.flaw == Some(Flaw::Babbles) { BABBLED } else { 1 };
+        let times = if self.flaw == Some(Flaw::Babbles) {
+            BABBLED
+        } else {
+            1
+        };
         for _ in 0..times {
             self.messages += 1;
             self.checker.message(self.now, number);
         }
         if self.proxies[k].stalled {
             self.proxies[k].untaken = true;
-            self.proxies[k].waiting.push(Pending::Response { stream, response });
+            self.proxies[k]
+                .waiting
+                .push(Pending::Response { stream, response });
         } else {
             inputs.extend([Input::Stream(xds::Input::Taken { stream }), Input::Wake]);
             self.after(TRANSIT, Pending::Response { stream, response });
@@ -113,13 +158,18 @@
 
     /// Puts the flaw of this run into a response.
     fn spoil(&self, response: &mut xds::Response) {
-        let (xds::Response::Whole { resources, .. } | xds::Response::Delta { resources, .. }) = response
+        let (xds::Response::Whole { resources, .. } | xds::Response::Delta { resources, .. }) =
+            response
         else {
             return;
         };
         for r in resources {
             let mut table = (*r.table).clone();
-            for e in table.localities.iter_mut().flat_map(|l| l.endpoints.iter_mut()) {
+            for e in table
+                .localities
+                .iter_mut()
+                .flat_map(|l| l.endpoints.iter_mut())
+            {
                 match self.flaw {
                     Some(Flaw::KeepsHosts) => e.draining = false,
                     Some(Flaw::FloodsColdHosts) if e.weight < 9000 => e.weight = 60_000,
@@ -128,7 +178,9 @@
             }
             match self.flaw {
                 Some(Flaw::EmptiesTables) => table.localities.clear(),
-                Some(Flaw::RepeatsAll) => table.again = rushcourse_core::interface::Again::TwiceAfterAny,
+                Some(Flaw::RepeatsAll) => {
+                    table.again = rushcourse_core::interface::Again::TwiceAfterAny
+                }
                 _ => {}
             }
             r.table = table.into();
--- a/crates/rushcourse-lab/src/world/events.rs
+++ b/crates/rushcourse-lab/src/world/events.rs
@@ -28,7 +28,11 @@
         let p = self.script.proxies[k];
         self.checker.joined(self.now, p.number, p.rate);
         let stalled = self.proxies[k].stalled;
-        self.proxies[k] = Proxy { joined: true, stalled, ..Proxy::default() };
+        self.proxies[k] = Proxy {
+            joined: true,
+            stalled,
+            ..Proxy::default()
+        };
         if self.mode.way(k) == Way::Platform {
             self.news(setup::joined(self.script, &p, true));
         } else {
@@ -47,7 +51,10 @@
         }
         for stream in [self.proxies[k].ads, self.proxies[k].lrs] {
             self.streams.remove(&stream);
-            self.give(Input::Stream(xds::Input::Closed { stream, why: String::new() }));
+            self.give(Input::Stream(xds::Input::Closed {
+                stream,
+                why: String::new(),
+            }));
         }
     }
 
@@ -64,21 +71,26 @@
         let changed = setup::member(self.script, host, phase, up);
         let body = json!({"revision": self.revision, "complete": false, "members": [changed]});
         let ask = self.list_request;
-        self.give(Input::Listed { ask, body: body.to_string().into() });
+        self.give(Input::Listed {
+            ask,
+            body: body.to_string().into(),
+        });
     }
 
     fn stall_relay(&mut self, stalls: bool) {
         self.relay_stalls = stalls;
         for k in 0..self.proxies.len() {
             if self.mode.way(k) == Way::Platform && !self.proxies[k].stalled {
-                self.checker.stalled(self.now, self.script.proxies[k].number, stalls);
+                self.checker
+                    .stalled(self.now, self.script.proxies[k].number, stalls);
             }
         }
     }
 
     fn stall(&mut self, k: usize, stalls: bool) {
         self.proxies[k].stalled = stalls;
-        self.checker.stalled(self.now, self.script.proxies[k].number, stalls);
+        self.checker
+            .stalled(self.now, self.script.proxies[k].number, stalls);
         if stalls {
             return;
         }
@@ -98,15 +110,21 @@
     /// stands. What was on its way from the old one is lost with it.
     fn restart(&mut self) {
         self.director_starts += 1;
-        self.session =
-            setup::director(self.script, setup::members(self.script, &self.hosts), self.director_starts);
+        self.session = setup::director(
+            self.script,
+            setup::members(self.script, &self.hosts),
+            self.director_starts,
+        );
         self.streams.clear();
         // What the relay kept of the old one's tables went with it; proxies hold what they had.
         self.relay = setup::relay();
         self.wake = f64::INFINITY;
         self.checker.restarted(self.now);
         self.queue.retain(|_, t| {
-            !matches!(t, Pending::WatchEnds(_) | Pending::Answer { .. } | Pending::Response { .. })
+            !matches!(
+                t,
+                Pending::WatchEnds(_) | Pending::Answer { .. } | Pending::Response { .. }
+            )
         });
         self.begin();
         for k in 0..self.proxies.len() {
--- a/crates/rushcourse-lab/src/world/play.rs
+++ b/crates/rushcourse-lab/src/world/play.rs
@@ -27,7 +27,10 @@
         self.begin();
         let (mut look, mut before) = (CHECK_INTERVAL, None);
         while self.now < LASTS {
-            let next = self.queue.first_key_value().map_or(f64::INFINITY, |(k, _)| k.0 as f64 / 1000.0);
+            let next = self
+                .queue
+                .first_key_value()
+                .map_or(f64::INFINITY, |(k, _)| k.0 as f64 / 1000.0);
             let wake = self.wake - START;
             self.now = next.min(wake).min(look).max(self.now);
             if self.now >= look {
@@ -46,27 +49,49 @@
                 self.give(Input::Wake);
             }
             self.steps += 1;
-            assert!(self.steps < STEPS_MOST, "it ends: seed {}", self.script.seed);
+            assert!(
+                self.steps < STEPS_MOST,
+                "it ends: seed {}",
+                self.script.seed
+            );
         }
         let (tables, anew) = (before.unwrap_or_default(), self.all_tables());
         let Checker { broken, made, .. } = self.checker;
         let invariants = self.session.counters().get("invariant_failures");
-        Outcome { broken, made, tables, anew, messages: self.messages, invariants, steps: self.steps }
+        Outcome {
+            broken,
+            made,
+            tables,
+            anew,
+            messages: self.messages,
+            invariants,
+            steps: self.steps,
+        }
     }
 
     /// A director starts: collectors dial in.
     pub(super) fn begin(&mut self) {
         self.give(Input::Start);
-        self.give(Input::Opened { conn: COLLECTOR, peer: "collector".into() });
+        self.give(Input::Opened {
+            conn: COLLECTOR,
+            peer: "collector".into(),
+        });
         let joins = json!({"@type": "collector", "az": self.script.zones[0]}).to_string();
-        self.give(Input::Frame { conn: COLLECTOR, bytes: joins.into() });
+        self.give(Input::Frame {
+            conn: COLLECTOR,
+            bytes: joins.into(),
+        });
     }
 
     /// Tells the checker where hosts stand in the list.
     pub(super) fn tell_checker_list(&mut self) {
         for (host, listed) in self.script.hosts.iter().zip(&self.hosts) {
             if let Some((phase, up)) = listed {
-                let up = if *up > 0.0 { up - START } else { f64::NEG_INFINITY };
+                let up = if *up > 0.0 {
+                    up - START
+                } else {
+                    f64::NEG_INFINITY
+                };
                 self.checker.listed(self.now, &host.id, *phase, up);
             }
         }
--- a/crates/rushcourse-lab/src/world/reports.rs
+++ b/crates/rushcourse-lab/src/world/reports.rs
@@ -23,7 +23,11 @@
     /// stream's report is believed a little later, as it may be one of a burst of old ones; the collector speaks as
     /// much later then, so that the same is known at the same time.
     pub(super) fn reports(&mut self, all: Vec<Reported>) {
-        let late = if self.now - self.last_report > SILENCE { BURST_DELAY } else { 0.0 };
+        let late = if self.now - self.last_report > SILENCE {
+            BURST_DELAY
+        } else {
+            0.0
+        };
         self.last_report = self.now;
         let all = Rc::new(all);
         self.after(late, Pending::Reports(all.clone()));
@@ -50,7 +54,10 @@
             for (class, (n, bad)) in CLASSES.iter().zip(usage) {
                 let text = json!({"@type": "usage", "sidecar": p.number, "kind": class, "n": n, "bad": bad,
                     "window": WINDOW});
-                self.give(Input::Frame { conn: COLLECTOR, bytes: Bytes::from(text.to_string()) });
+                self.give(Input::Frame {
+                    conn: COLLECTOR,
+                    bytes: Bytes::from(text.to_string()),
+                });
             }
         }
         for ((zone, host), (n, bad, time)) in heard {
@@ -59,7 +66,10 @@
             if n > bad {
                 text["avg"] = json!(time / (n - bad) as f64);
             }
-            self.give(Input::Frame { conn: COLLECTOR, bytes: Bytes::from(text.to_string()) });
+            self.give(Input::Frame {
+                conn: COLLECTOR,
+                bytes: Bytes::from(text.to_string()),
+            });
         }
     }
 
@@ -69,18 +79,28 @@
             issued: m.tries,
             errors: m.failed,
             in_progress: 0,
-            metrics: [("latency_ms".to_string(), (m.tries - m.failed, m.mean * (m.tries - m.failed) as f64))]
-                .into(),
+            metrics: [(
+                "latency_ms".to_string(),
+                (m.tries - m.failed, m.mean * (m.tries - m.failed) as f64),
+            )]
+            .into(),
         };
         let cluster = |(c, (n, bad)): (usize, &(u64, u64))| xds::ClusterLoad {
             cluster: CLASSES[c].into(),
             interval: Some(WINDOW),
             successes: n - bad,
             errors: *bad,
-            hosts: if c == 0 { met.iter().map(host).collect() } else { Vec::new() },
+            hosts: if c == 0 {
+                met.iter().map(host).collect()
+            } else {
+                Vec::new()
+            },
         };
         let clusters = usage.iter().enumerate().map(cluster).collect();
-        let said = xds::Said::Load(xds::LoadStats { node: None, clusters });
+        let said = xds::Said::Load(xds::LoadStats {
+            node: None,
+            clusters,
+        });
         let stream = self.proxies[k].lrs;
         self.give(Input::Stream(xds::Input::Said { stream, said }));
     }
--- a/crates/rushcourse-lab/src/world/setup.rs
+++ b/crates/rushcourse-lab/src/world/setup.rs
@@ -57,23 +57,38 @@
         settings: rushcourse_settings::settings(options),
         names,
         seed: script.seed,
-        places: Places { relay: at, discovery: at },
+        places: Places {
+            relay: at,
+            discovery: at,
+        },
         bounds: Bounds::of(192.0, 1024),
         relay: true,
         streams: Some(xds::Rules {
             identities: xds::Identities::default(),
             epoch: life,
-            limits: xds::Limits { streams: 64, strangers: 16, nodes: 0 },
+            limits: xds::Limits {
+                streams: 64,
+                strangers: 16,
+                nodes: 0,
+            },
             join_within: 1200.0,
             take_within: 10_000.0,
             ask_hosts: false,
         }),
-        known: json!({"revision": 1, "complete": true, "members": members}).to_string().into(),
+        known: json!({"revision": 1, "complete": true, "members": members})
+            .to_string()
+            .into(),
     })
 }
 
 pub(super) fn joined(script: &Script, p: &Proxy, fresh: bool) -> String {
-    format!("* joined {} {} {} {}", p.number, script.zones[p.zone], p.rate, u8::from(fresh))
+    format!(
+        "* joined {} {} {} {}",
+        p.number,
+        script.zones[p.zone],
+        p.rate,
+        u8::from(fresh)
+    )
 }
 
 pub(super) fn member(script: &Script, host: usize, phase: Phase, up: f64) -> Value {
@@ -83,7 +98,10 @@
 }
 
 pub(super) fn members(script: &Script, hosts: &[Option<(Phase, f64)>]) -> Vec<Value> {
-    let listed = hosts.iter().enumerate().filter_map(|(k, h)| h.map(|(phase, up)| (k, phase, up)));
+    let listed = hosts
+        .iter()
+        .enumerate()
+        .filter_map(|(k, h)| h.map(|(phase, up)| (k, phase, up)));
     listed
         .filter(|(_, phase, _)| *phase != Phase::Gone)
         .map(|(k, phase, up)| member(script, k, phase, up))
--- a/crates/rushcourse-lab/src/world/state.rs
+++ b/crates/rushcourse-lab/src/world/state.rs
@@ -19,11 +19,18 @@
     /// The relay's news say that it is there.
     Keepalive,
     /// The platform's tables reach proxies, as they stood then.
-    RelayTables { proxies: Vec<usize>, tables: Rc<Relay>, mark: Option<u16> },
+    RelayTables {
+        proxies: Vec<usize>,
+        tables: Rc<Relay>,
+        mark: Option<u16>,
+    },
     /// The relay says that a proxy has applied a call.
     Applied { proxy: usize, mark: u16 },
     /// A response reaches its proxy.
-    Response { stream: u64, response: xds::Response },
+    Response {
+        stream: u64,
+        response: xds::Response,
+    },
     /// A proxy's answer reaches the director.
     Answer { stream: u64, nonce: String },
     /// A proxy opens its streams, or the relay tells that it stands.
@@ -111,13 +118,17 @@
     /// Puts something on its way: it arrives in so many ms.
     pub(super) fn after(&mut self, ms: At, pending: Pending) {
         self.sequence += 1;
-        self.queue.insert((((self.now + ms) * 1000.0) as u64, self.sequence), pending);
+        self.queue
+            .insert((((self.now + ms) * 1000.0) as u64, self.sequence), pending);
     }
 
     /// What a proxy holds for a class.
     pub(super) fn held(&self, k: usize, class: &str) -> Option<Table> {
         match self.mode.way(k) {
-            Way::Platform => self.proxies[k].tables.as_ref()?.table(self.script.proxies[k].number, class),
+            Way::Platform => self.proxies[k]
+                .tables
+                .as_ref()?
+                .table(self.script.proxies[k].number, class),
             _ => self.proxies[k].streamed.table(class),
         }
     }
@@ -126,7 +137,8 @@
     pub(super) fn table_changed(&mut self, k: usize) {
         for class in CLASSES {
             if let Some(table) = self.held(k, class) {
-                self.checker.holds(self.script.proxies[k].number, class, table);
+                self.checker
+                    .holds(self.script.proxies[k].number, class, table);
             }
         }
     }
@@ -136,7 +148,11 @@
         let mut tables = BTreeMap::new();
         for (k, p) in self.script.proxies.iter().enumerate() {
             for class in CLASSES {
-                let held = if self.proxies[k].joined { self.held(k, class) } else { None };
+                let held = if self.proxies[k].joined {
+                    self.held(k, class)
+                } else {
+                    None
+                };
                 tables.insert((p.number, class), held);
             }
         }
--- a/crates/rushcourse-lab/tests/suite.rs
+++ b/crates/rushcourse-lab/tests/suite.rs
@@ -7,18 +7,41 @@
 
 #[test]
 fn two_hundred_scripts_give_the_same_tables_and_verdicts_over_both_protocols() {
-    let proof = prove(1..201, std::thread::available_parallelism().map_or(1, |n| n.get()));
+    let proof = prove(
+        1..201,
+        std::thread::available_parallelism().map_or(1, |n| n.get()),
+    );
     assert_eq!((proof.scripts, proof.runs), (200, 800));
     assert_eq!(proof.broken, Vec::<String>::new());
     assert_eq!(proof.verdicts, Vec::<String>::new());
     assert_eq!(proof.differing, Vec::<String>::new());
-    assert!(proof.tables > 10_000 && proof.tables_after > 10_000, "{}", proof.tables);
+    assert!(
+        proof.tables > 10_000 && proof.tables_after > 10_000,
+        "{}",
+        proof.tables
+    );
     for rule in ["lines", "repeats", "drains", "cold", "messages"] {
-        assert!(proof.checks.get(rule).is_some_and(|n| *n > 5_000), "{rule}: {:?}", proof.checks);
+        assert!(
+            proof.checks.get(rule).is_some_and(|n| *n > 5_000),
+            "{rule}: {:?}",
+            proof.checks
+        );
     }
-    for kind in ["joins", "leaves", "drains", "cold starts", "stalls", "relay stalls", "restarts", "reports"]
-    {
-        assert!(proof.events.get(kind).is_some_and(|n| *n > 50), "{kind}: {:?}", proof.events);
+    for kind in [
+        "joins",
+        "leaves",
+        "drains",
+        "cold starts",
+        "stalls",
+        "relay stalls",
+        "restarts",
+        "reports",
+    ] {
+        assert!(
+            proof.events.get(kind).is_some_and(|n| *n > 50),
+            "{kind}: {:?}",
+            proof.events
+        );
     }
 }
 
--- a/crates/rushcourse-messages/src/ballots.rs
+++ b/crates/rushcourse-messages/src/ballots.rs
@@ -8,7 +8,9 @@
 /// One attempt to have a value chosen. Ordered by round first. No two proposals share a ballot: a life of a node never
 /// uses a round twice, and lives are drawn at random at each start. Round 0
 /// is of texts that a state file of form 1 held: there `life` is the text's digest.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
+)]
 pub struct Ballot {
     pub round: u64,
     pub node: NodeId,
--- a/crates/rushcourse-messages/src/frames.rs
+++ b/crates/rushcourse-messages/src/frames.rs
@@ -49,7 +49,11 @@
 /// More than `FRAME_MOST`.
 pub fn length(head: [u8; 4]) -> Result<usize, Damage> {
     let length = u32::from_be_bytes(head) as usize;
-    if length > FRAME_MOST { Err(Damage::TooLong(length)) } else { Ok(length) }
+    if length > FRAME_MOST {
+        Err(Damage::TooLong(length))
+    } else {
+        Ok(length)
+    }
 }
 
 /// Reads a message whole.
@@ -59,7 +63,10 @@
 pub fn decode(bytes: &[u8]) -> Result<Message, Damage> {
     match postcard::take_from_bytes(bytes) {
         Ok((message, [])) => Ok(message),
-        Ok((_, rest)) => Err(Damage::Unreadable(format!("{} bytes left over", rest.len()))),
+        Ok((_, rest)) => Err(Damage::Unreadable(format!(
+            "{} bytes left over",
+            rest.len()
+        ))),
         Err(e) => Err(Damage::Unreadable(e.to_string())),
     }
 }
--- a/crates/rushcourse-messages/src/speakers.rs
+++ b/crates/rushcourse-messages/src/speakers.rs
@@ -48,7 +48,12 @@
         match self {
             Foreign::Form(form) => write!(f, "speaks form {form}, not {FORM}"),
             Foreign::Machine { says, is } => {
-                write!(f, "greets as {}, but is {}", Ipv4Addr::from(*says), Ipv4Addr::from(*is))
+                write!(
+                    f,
+                    "greets as {}, but is {}",
+                    Ipv4Addr::from(*says),
+                    Ipv4Addr::from(*is)
+                )
             }
             other => write!(f, "{}", other.reason()),
         }
@@ -80,7 +85,10 @@
     } else if word(&hello.name) || word(&hello.zone) {
         Err(Foreign::Word)
     } else if hello.node != shown.address || !of_machine {
-        Err(Foreign::Machine { says: hello.node, is: shown.address })
+        Err(Foreign::Machine {
+            says: hello.node,
+            is: shown.address,
+        })
     } else if hello.life == me.life {
         Err(Foreign::Itself)
     } else if hello.role == Role::Controller && !as_core {
@@ -138,12 +146,19 @@
         ) => Ok(()),
         // A claim is made and taken back by the life that makes it: another's withdrawal would free a key that is sent.
         (Gateway, Controller, Message::Claim { claim, .. } | Message::Withdraw { claim, .. }) => {
-            if own(claim) { Ok(()) } else { Err(Foreign::Claimant) }
+            if own(claim) {
+                Ok(())
+            } else {
+                Err(Foreign::Claimant)
+            }
         }
         (
             Gateway,
             Controller,
-            Message::Home(_) | Message::Applied { .. } | Message::Usage { .. } | Message::AskVersion { .. },
+            Message::Home(_)
+            | Message::Applied { .. }
+            | Message::Usage { .. }
+            | Message::AskVersion { .. },
         ) => Ok(()),
         (Gateway, Gateway, Message::AskKey { .. } | Message::TellKey { .. }) => Ok(()),
         _ => Err(Foreign::Speaker),
--- a/crates/rushcourse-messages/tests/kinds/mod.rs
+++ b/crates/rushcourse-messages/tests/kinds/mod.rs
@@ -17,7 +17,8 @@
 }
 
 kinds!(
-    Hello, Ping, Cores, Sessions, Hosts, Beats, HostDigest, HostRanges, Set, Prepare, Promise, Accept,
-    Refuse, Held, AskHeld, TellHeld, AskLesson, Lesson, Learn, Learned, Leaving, Claim, Withdraw, Home,
-    Applied, Usage, Vote, InForce, NewVersion, AskVersion, Standing, Table, Lines, Out, AskKey, TellKey,
+    Hello, Ping, Cores, Sessions, Hosts, Beats, HostDigest, HostRanges, Set, Prepare, Promise,
+    Accept, Refuse, Held, AskHeld, TellHeld, AskLesson, Lesson, Learn, Learned, Leaving, Claim,
+    Withdraw, Home, Applied, Usage, Vote, InForce, NewVersion, AskVersion, Standing, Table, Lines,
+    Out, AskKey, TellKey,
 );
--- a/crates/rushcourse-messages/tests/properties.rs
+++ b/crates/rushcourse-messages/tests/properties.rs
@@ -16,22 +16,32 @@
 }
 
 fn claim() -> impl Strategy<Value = ClaimId> {
-    (any::<u32>(), any::<u64>(), any::<u64>()).prop_map(|(node, life, number)| ClaimId { node, life, number })
+    (any::<u32>(), any::<u64>(), any::<u64>()).prop_map(|(node, life, number)| ClaimId {
+        node,
+        life,
+        number,
+    })
 }
 
 fn host() -> impl Strategy<Value = HostNews> {
-    let state = prop_oneof![Just(HostState::Ready), Just(HostState::Draining), Just(HostState::Gone)];
+    let state = prop_oneof![
+        Just(HostState::Ready),
+        Just(HostState::Draining),
+        Just(HostState::Gone)
+    ];
     let words = (word(), word(), word(), word());
-    (words, any::<u32>(), state, any::<(u64, u64, u64)>()).prop_map(|(w, slots, state, n)| HostNews {
-        id: w.0,
-        service: w.1,
-        zone: w.2,
-        address: w.3,
-        slots,
-        state,
-        sequence: n.0,
-        cold_ms: n.1,
-        age_ms: n.2,
+    (words, any::<u32>(), state, any::<(u64, u64, u64)>()).prop_map(|(w, slots, state, n)| {
+        HostNews {
+            id: w.0,
+            service: w.1,
+            zone: w.2,
+            address: w.3,
+            slots,
+            state,
+            sequence: n.0,
+            cold_ms: n.1,
+            age_ms: n.2,
+        }
     })
 }
 
@@ -44,7 +54,10 @@
 }
 
 fn slot() -> impl Strategy<Value = Slot> {
-    prop_oneof![any::<u64>().prop_map(Slot::Set), any::<u64>().prop_map(Slot::Version)]
+    prop_oneof![
+        any::<u64>().prop_map(Slot::Set),
+        any::<u64>().prop_map(Slot::Version)
+    ]
 }
 
 fn ballot() -> impl Strategy<Value = Ballot> {
@@ -64,8 +77,13 @@
 }
 
 fn record() -> impl Strategy<Value = SlotRecord> {
-    let record = (ballot(), prop::option::of(accepted()), any::<bool>())
-        .prop_map(|(promised, accepted, counts)| AcceptorRecord { promised, accepted, counts });
+    let record = (ballot(), prop::option::of(accepted()), any::<bool>()).prop_map(
+        |(promised, accepted, counts)| AcceptorRecord {
+            promised,
+            accepted,
+            counts,
+        },
+    );
     (slot(), record).prop_map(|(slot, record)| SlotRecord { slot, record })
 }
 
@@ -75,8 +93,14 @@
         claim,
         age_ms,
     });
-    let end = (cursor(), any::<u64>(), any::<u64>(), list(record()))
-        .prop_map(|(cursor, claims, digest, records)| LessonEnd { cursor, claims, digest, records });
+    let end = (cursor(), any::<u64>(), any::<u64>(), list(record())).prop_map(
+        |(cursor, claims, digest, records)| LessonEnd {
+            cursor,
+            claims,
+            digest,
+            records,
+        },
+    );
     (any::<u64>(), list(held), prop::option::of(end)).prop_map(|(set, claims, end)| Lesson {
         set,
         claims,
@@ -86,21 +110,33 @@
 
 fn hello() -> impl Strategy<Value = Hello> {
     let role = prop_oneof![Just(Role::Controller), Just(Role::Gateway)];
-    (any::<(u32, u32, u64)>(), role, word(), word()).prop_map(|((form, node, life), role, name, zone)| {
-        Hello { form, role, node, life, name: name.to_string(), zone: zone.to_string() }
-    })
+    (any::<(u32, u32, u64)>(), role, word(), word()).prop_map(
+        |((form, node, life), role, name, zone)| Hello {
+            form,
+            role,
+            node,
+            life,
+            name: name.to_string(),
+            zone: zone.to_string(),
+        },
+    )
 }
 
 fn verdict() -> impl Strategy<Value = Verdict> {
-    prop_oneof![Just(Verdict::Granted), Just(Verdict::Cannot), claim().prop_map(Verdict::Held)]
+    prop_oneof![
+        Just(Verdict::Granted),
+        Just(Verdict::Cannot),
+        claim().prop_map(Verdict::Held)
+    ]
 }
 
 fn progress() -> impl Strategy<Value = Progress> {
-    let kept = (any::<u16>(), prop::collection::vec(any::<u8>(), 0..64)).prop_map(|(status, body)| Kept {
-        status,
-        headers: vec![("a-b".into(), body.clone())],
-        body,
-    });
+    let kept =
+        (any::<u16>(), prop::collection::vec(any::<u8>(), 0..64)).prop_map(|(status, body)| Kept {
+            status,
+            headers: vec![("a-b".into(), body.clone())],
+            body,
+        });
     prop_oneof![
         Just(Progress::Running),
         Just(Progress::Unknown),
@@ -121,14 +157,26 @@
     vec![
         hello().prop_map(Message::Hello).boxed(),
         Just(Message::Ping).boxed(),
-        prop::collection::vec(any::<u32>(), 0..9).prop_map(Message::Cores).boxed(),
-        prop::collection::vec(any::<u32>(), 0..9).prop_map(Message::Sessions).boxed(),
+        prop::collection::vec(any::<u32>(), 0..9)
+            .prop_map(Message::Cores)
+            .boxed(),
+        prop::collection::vec(any::<u32>(), 0..9)
+            .prop_map(Message::Sessions)
+            .boxed(),
         list(host()).prop_map(Message::Hosts).boxed(),
-        list((word(), any::<u64>())).prop_map(Message::Beats).boxed(),
-        prop::collection::vec(any::<u64>(), 0..40).prop_map(Message::HostDigest).boxed(),
-        prop::collection::vec(any::<u16>(), 0..40).prop_map(Message::HostRanges).boxed(),
+        list((word(), any::<u64>()))
+            .prop_map(Message::Beats)
+            .boxed(),
+        prop::collection::vec(any::<u64>(), 0..40)
+            .prop_map(Message::HostDigest)
+            .boxed(),
+        prop::collection::vec(any::<u16>(), 0..40)
+            .prop_map(Message::HostRanges)
+            .boxed(),
         any::<bool>().prop_map(Message::Home).boxed(),
-        (word(), any::<u16>()).prop_map(|(service, mark)| Message::Applied { service, mark }).boxed(),
+        (word(), any::<u16>())
+            .prop_map(|(service, mark)| Message::Applied { service, mark })
+            .boxed(),
         usage
             .prop_map(|(service, (tries, failed, span_ms))| Message::Usage {
                 service,
@@ -137,9 +185,23 @@
                 span_ms,
             })
             .boxed(),
-        any::<(bool, u32)>().prop_map(|(primed, fronts)| Message::Standing { primed, fronts }).boxed(),
-        lines().prop_map(|(service, mark, lines)| Message::Table { service, mark, lines }).boxed(),
-        lines().prop_map(|(service, mark, lines)| Message::Lines { service, mark, lines }).boxed(),
+        any::<(bool, u32)>()
+            .prop_map(|(primed, fronts)| Message::Standing { primed, fronts })
+            .boxed(),
+        lines()
+            .prop_map(|(service, mark, lines)| Message::Table {
+                service,
+                mark,
+                lines,
+            })
+            .boxed(),
+        lines()
+            .prop_map(|(service, mark, lines)| Message::Lines {
+                service,
+                mark,
+                lines,
+            })
+            .boxed(),
         list(host()).prop_map(Message::Out).boxed(),
     ]
 }
@@ -153,40 +215,75 @@
     vec![
         set.prop_map(Message::Set).boxed(),
         (any::<u64>(), slot(), ballot(), without)
-            .prop_map(|(set, slot, ballot, without)| Message::Prepare { set, slot, ballot, without })
+            .prop_map(|(set, slot, ballot, without)| Message::Prepare {
+                set,
+                slot,
+                ballot,
+                without,
+            })
             .boxed(),
         (any::<u64>(), slot(), ballot(), prop::option::of(accepted()))
-            .prop_map(|(set, slot, ballot, accepted)| Message::Promise { set, slot, ballot, accepted })
+            .prop_map(|(set, slot, ballot, accepted)| Message::Promise {
+                set,
+                slot,
+                ballot,
+                accepted,
+            })
             .boxed(),
         (any::<u64>(), slot(), accepted())
-            .prop_map(|(set, slot, proposal)| Message::Accept { set, slot, proposal })
+            .prop_map(|(set, slot, proposal)| Message::Accept {
+                set,
+                slot,
+                proposal,
+            })
             .boxed(),
         (any::<u64>(), slot(), ballot())
-            .prop_map(|(set, slot, promised)| Message::Refuse { set, slot, promised })
+            .prop_map(|(set, slot, promised)| Message::Refuse {
+                set,
+                slot,
+                promised,
+            })
             .boxed(),
-        held.prop_map(|((stamp, echo, set, votes, in_force), casts)| Message::Held {
-            stamp,
-            echo,
-            set,
-            votes,
-            in_force,
-            casts,
-        })
+        held.prop_map(
+            |((stamp, echo, set, votes, in_force), casts)| Message::Held {
+                stamp,
+                echo,
+                set,
+                votes,
+                in_force,
+                casts,
+            },
+        )
         .boxed(),
-        any::<(u64, u64)>().prop_map(|(token, set)| Message::AskHeld { token, set }).boxed(),
+        any::<(u64, u64)>()
+            .prop_map(|(token, set)| Message::AskHeld { token, set })
+            .boxed(),
         any::<(u64, u64, bool, u64)>()
-            .prop_map(|(token, set, votes, highest)| Message::TellHeld { token, set, votes, highest })
+            .prop_map(|(token, set, votes, highest)| Message::TellHeld {
+                token,
+                set,
+                votes,
+                highest,
+            })
             .boxed(),
         (any::<u64>(), prop::option::of(cursor()))
             .prop_map(|(set, after)| Message::AskLesson { set, after })
             .boxed(),
         lesson().prop_map(Message::Lesson).boxed(),
         any::<u64>().prop_map(|set| Message::Learn { set }).boxed(),
-        any::<u64>().prop_map(|set| Message::Learned { set }).boxed(),
+        any::<u64>()
+            .prop_map(|set| Message::Learned { set })
+            .boxed(),
         Just(Message::Leaving).boxed(),
-        (any::<u64>(), bytes()).prop_map(|(version, text)| Message::InForce { version, text }).boxed(),
-        any::<u64>().prop_map(|version| Message::NewVersion { version }).boxed(),
-        any::<u64>().prop_map(|above| Message::AskVersion { above }).boxed(),
+        (any::<u64>(), bytes())
+            .prop_map(|(version, text)| Message::InForce { version, text })
+            .boxed(),
+        any::<u64>()
+            .prop_map(|version| Message::NewVersion { version })
+            .boxed(),
+        any::<u64>()
+            .prop_map(|above| Message::AskVersion { above })
+            .boxed(),
     ]
 }
 
@@ -196,14 +293,23 @@
         (any::<u64>(), any::<u128>(), claim())
             .prop_map(|(set, key, claim)| Message::Claim { set, key, claim })
             .boxed(),
-        (any::<u128>(), claim()).prop_map(|(key, claim)| Message::Withdraw { key, claim }).boxed(),
+        (any::<u128>(), claim())
+            .prop_map(|(key, claim)| Message::Withdraw { key, claim })
+            .boxed(),
         (any::<u64>(), any::<u128>(), claim(), verdict())
-            .prop_map(|(set, key, claim, verdict)| Message::Vote { set, key, claim, verdict })
+            .prop_map(|(set, key, claim, verdict)| Message::Vote {
+                set,
+                key,
+                claim,
+                verdict,
+            })
             .boxed(),
         (any::<u64>(), any::<u128>(), claim())
             .prop_map(|(token, key, claim)| Message::AskKey { token, key, claim })
             .boxed(),
-        (any::<u64>(), progress()).prop_map(|(token, progress)| Message::TellKey { token, progress }).boxed(),
+        (any::<u64>(), progress())
+            .prop_map(|(token, progress)| Message::TellKey { token, progress })
+            .boxed(),
     ]
 }
 
@@ -216,7 +322,8 @@
 fn each_kind_of_message_is_tried() {
     let mut runner = TestRunner::deterministic();
     let strategies = [of_cluster(), of_consensus(), of_keys()].concat();
-    let mut tried = |s: &BoxedStrategy<Message>| kind(&s.new_tree(&mut runner).expect("a message").current());
+    let mut tried =
+        |s: &BoxedStrategy<Message>| kind(&s.new_tree(&mut runner).expect("a message").current());
     let found: Vec<&str> = strategies.iter().map(&mut tried).collect();
     assert_eq!(found.len(), KINDS.len());
     assert_eq!(BTreeSet::from_iter(found), KINDS.iter().copied().collect());
--- a/crates/rushcourse-modelcheck/src/claimants.rs
+++ b/crates/rushcourse-modelcheck/src/claimants.rs
@@ -6,22 +6,42 @@
 
 impl World {
     pub(crate) fn begin(&mut self, n: u32) {
-        let up: Vec<NodeId> = self.cores.iter().filter(|c| c.1.register.is_some()).map(|c| *c.0).collect();
+        let up: Vec<NodeId> = self
+            .cores
+            .iter()
+            .filter(|c| c.1.register.is_some())
+            .map(|c| *c.0)
+            .collect();
         let claimant = self.claimants.get_mut(&n).expect("known");
         claimant.begun += 1;
         let set = claimant.claims.voting_set().number;
-        let Some((claim, voters)) = claimant.claims.begin(self.now, KEY, |m| up.contains(&m)) else { return };
-        self.ask(n, VoteRequest { set, key: KEY, claim, voters });
+        let Some((claim, voters)) = claimant.claims.begin(self.now, KEY, |m| up.contains(&m))
+        else {
+            return;
+        };
+        self.ask(
+            n,
+            VoteRequest {
+                set,
+                key: KEY,
+                claim,
+                voters,
+            },
+        );
     }
 
     pub(crate) fn ask(&mut self, n: u32, request: VoteRequest) {
-        let VoteRequest { set, key, claim, voters } = request;
+        let VoteRequest {
+            set,
+            key,
+            claim,
+            voters,
+        } = request;
         for voter in voters {
-            self.links.entry((n, voter)).or_default().push_back(Sent::Message(Message::Claim {
-                set,
-                key,
-                claim,
-            }));
+            self.links
+                .entry((n, voter))
+                .or_default()
+                .push_back(Sent::Message(Message::Claim { set, key, claim }));
         }
     }
 
@@ -37,12 +57,28 @@
 
     /// A claimant hears of a voting set.
     pub(crate) fn renewed(&mut self, from: NodeId, n: u32, set: VotingSet) {
-        let up: Vec<NodeId> = self.cores.iter().filter(|c| c.1.register.is_some()).map(|c| *c.0).collect();
+        let up: Vec<NodeId> = self
+            .cores
+            .iter()
+            .filter(|c| c.1.register.is_some())
+            .map(|c| *c.0)
+            .collect();
         let claimant = self.claimants.get_mut(&n).expect("known");
-        let renewal = claimant.claims.set(self.now, from, set, |m| up.contains(&m));
-        renewal.requests.into_iter().for_each(|request| self.ask(n, request));
-        renewal.withdrawals.into_iter().for_each(|withdrawal| self.withdraw(n, withdrawal));
-        for Decision { claim, verdicts, .. } in renewal.decided {
+        let renewal = claimant
+            .claims
+            .set(self.now, from, set, |m| up.contains(&m));
+        renewal
+            .requests
+            .into_iter()
+            .for_each(|request| self.ask(n, request));
+        renewal
+            .withdrawals
+            .into_iter()
+            .for_each(|withdrawal| self.withdraw(n, withdrawal));
+        for Decision {
+            claim, verdicts, ..
+        } in renewal.decided
+        {
             self.decided(n, claim, verdicts);
         }
     }
--- a/crates/rushcourse-modelcheck/src/explore.rs
+++ b/crates/rushcourse-modelcheck/src/explore.rs
@@ -77,17 +77,31 @@
                 if let Some(rule) = after.violation() {
                     let way = way(&ways);
                     let violation = Some((rule.to_string(), way));
-                    return Found { states: seen.len(), depth: depth + 1, violation, ..Found::default() };
+                    return Found {
+                        states: seen.len(),
+                        depth: depth + 1,
+                        violation,
+                        ..Found::default()
+                    };
                 }
                 next.push((after, ways.len() - 1));
             }
             if seen.len() >= most {
-                return Found { states: seen.len(), depth, ..Found::default() };
+                return Found {
+                    states: seen.len(),
+                    depth,
+                    ..Found::default()
+                };
             }
         }
         (edge, depth) = (next, depth + 1);
     }
-    Found { states: seen.len(), depth, whole: true, ..Found::default() }
+    Found {
+        states: seen.len(),
+        depth,
+        whole: true,
+        ..Found::default()
+    }
 }
 
 /// The moves that lead to the last state met.
--- a/crates/rushcourse-modelcheck/src/main.rs
+++ b/crates/rushcourse-modelcheck/src/main.rs
@@ -14,7 +14,11 @@
     help: bool,
     #[options(help = "only the scene of this name", meta = "NAME")]
     scene: Option<String>,
-    #[options(help = "states of a scene looked at breadth first", meta = "N", default = "60000")]
+    #[options(
+        help = "states of a scene looked at breadth first",
+        meta = "N",
+        default = "60000"
+    )]
     states: usize,
     #[options(help = "walks by lot behind that, for what the scene has", meta = "N")]
     walks: Option<usize>,
@@ -22,7 +26,10 @@
     steps: usize,
     #[options(help = "other walks than the usual ones", meta = "N", default = "0")]
     seed: u64,
-    #[options(help = "scenes and variants explored at once; all processors if not given", meta = "N")]
+    #[options(
+        help = "scenes and variants explored at once; all processors if not given",
+        meta = "N"
+    )]
     jobs: Option<usize>,
 }
 
@@ -44,7 +51,11 @@
     // Each scene and variant by itself: the same figures on any number of processors.
     let jobs: Vec<(&'static Scene, Option<Broken>)> = scenes
         .iter()
-        .flat_map(|s| std::iter::once(None).chain(s.catches.iter().copied().map(Some)).map(move |b| (*s, b)))
+        .flat_map(|s| {
+            std::iter::once(None)
+                .chain(s.catches.iter().copied().map(Some))
+                .map(move |b| (*s, b))
+        })
         .collect();
     let processors = std::thread::available_parallelism().map_or(1, usize::from);
     let next = AtomicUsize::new(0);
@@ -53,7 +64,12 @@
         let work = || {
             while let Some((at, (scene, broken))) = claim(&next, &jobs) {
                 let walks = line.walks.unwrap_or(scene.walks);
-                let bounds = Bounds { states: line.states, walks, steps: line.steps, seed: line.seed };
+                let bounds = Bounds {
+                    states: line.states,
+                    walks,
+                    steps: line.steps,
+                    seed: line.seed,
+                };
                 *all[at].lock().expect("a scene does not panic") = explore(scene, *broken, bounds);
             }
         };
@@ -61,7 +77,9 @@
             scope.spawn(work);
         }
     });
-    let all = all.into_iter().map(|found| found.into_inner().expect("a scene does not panic"));
+    let all = all
+        .into_iter()
+        .map(|found| found.into_inner().expect("a scene does not panic"));
     let mut well = true;
     for ((scene, broken), found) in jobs.iter().zip(all) {
         let (caught, wanted) = (found.violation.is_some(), broken.is_some());
@@ -83,5 +101,9 @@
             println!("  {rule}\n  {}", moves.join(" "));
         }
     }
-    if well { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if well {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
--- a/crates/rushcourse-modelcheck/src/moves.rs
+++ b/crates/rushcourse-modelcheck/src/moves.rs
@@ -39,6 +39,9 @@
 impl Move {
     /// Whether it carries on what is under way, and is no fault, no new call and no passing of time.
     pub fn is_work(&self) -> bool {
-        matches!(self, Move::Deliver(..) | Move::Sync(_) | Move::Start(_) | Move::Join(_) | Move::Thaw(_))
+        matches!(
+            self,
+            Move::Deliver(..) | Move::Sync(_) | Move::Start(_) | Move::Join(_) | Move::Thaw(_)
+        )
     }
 }
--- a/crates/rushcourse-modelcheck/src/play.rs
+++ b/crates/rushcourse-modelcheck/src/play.rs
@@ -4,8 +4,8 @@
 use crate::scenes::{Broken, Scene};
 use crate::variants::{joins, unasked};
 use crate::world::{
-    CATCH_UP, CLAIMANTS, Core, DAY, LIVES, READS, Sent, TOLERATED, WAIT, WINDOW, World, is_accepted, sent_as,
-    text, version, zone,
+    CATCH_UP, CLAIMANTS, Core, DAY, LIVES, READS, Sent, TOLERATED, WAIT, WINDOW, World,
+    is_accepted, sent_as, text, version, zone,
 };
 use rushcourse_consensus::{Effect, Input, Outcome, Register, Setup, Stored};
 use rushcourse_messages::{Message, NodeId, VotingSet};
@@ -30,11 +30,18 @@
     fn next_between_cores(&self) -> Option<(u32, u32)> {
         let takes = |n: u32| self.cores.get(&n).is_some_and(|c| !c.frozen);
         let cores = |l: &(u32, u32)| l.0 < CLAIMANTS && takes(l.0) && takes(l.1);
-        self.links.iter().find(|(l, queue)| cores(l) && !queue.is_empty()).map(|l| *l.0)
+        self.links
+            .iter()
+            .find(|(l, queue)| cores(l) && !queue.is_empty())
+            .map(|l| *l.0)
     }
 
     fn arrive(&mut self, scene: &Scene, broken: Option<Broken>, from: u32, to: u32) {
-        match self.links.get_mut(&(from, to)).and_then(VecDeque::pop_front) {
+        match self
+            .links
+            .get_mut(&(from, to))
+            .and_then(VecDeque::pop_front)
+        {
             Some(Sent::Message(message)) => self.deliver(scene, broken, from, to, message),
             Some(Sent::Down) => self.noticed(scene, broken, to, from, None),
             Some(Sent::Up(session)) => self.noticed(scene, broken, to, from, Some(session)),
@@ -44,8 +51,12 @@
 
     /// Syncs the oldest batch of a disk.
     fn sync(&mut self, scene: &Scene, broken: Option<Broken>, n: NodeId) {
-        let Some(core) = self.cores.get_mut(&n) else { return };
-        let Some((batch, ops)) = core.writing.pop_front() else { return };
+        let Some(core) = self.cores.get_mut(&n) else {
+            return;
+        };
+        let Some((batch, ops)) = core.writing.pop_front() else {
+            return;
+        };
         let joins = broken == Some(Broken::LearnerCounts) && joins(n, &ops);
         core.stored.apply(ops);
         if broken != Some(Broken::AnswerBeforeSync) {
@@ -61,7 +72,9 @@
         loop {
             self.quiet(scene, broken);
             let writes = |c: &&NodeId| !self.cores[*c].frozen && !self.cores[*c].writing.is_empty();
-            let Some(n) = self.cores.keys().find(writes).copied() else { return };
+            let Some(n) = self.cores.keys().find(writes).copied() else {
+                return;
+            };
             self.sync(scene, broken, n);
         }
     }
@@ -93,8 +106,11 @@
     }
 
     fn unsettled(&self) -> Option<String> {
-        let registers: Vec<(NodeId, &Register)> =
-            self.cores.iter().filter_map(|(n, c)| Some((*n, c.register.as_ref()?))).collect();
+        let registers: Vec<(NodeId, &Register)> = self
+            .cores
+            .iter()
+            .filter_map(|(n, c)| Some((*n, c.register.as_ref()?)))
+            .collect();
         if let Some(put) = self.open.keys().next() {
             return Some(format!("STUCK: order {put} is not answered"));
         }
@@ -102,8 +118,12 @@
         for member in &self.newest.members {
             let register = registers.iter().find(|r| r.0 == *member).map(|r| r.1);
             match register.map(Register::ready) {
-                None if spares => return Some(format!("STUCK: {member} is gone and a spare is there")),
-                Some(ready) if !ready.votes => return Some(format!("STUCK: {member} does not vote")),
+                None if spares => {
+                    return Some(format!("STUCK: {member} is gone and a spare is there"));
+                }
+                Some(ready) if !ready.votes => {
+                    return Some(format!("STUCK: {member} does not vote"));
+                }
                 Some(ready) if ready.held > ready.in_force => {
                     return Some(format!("STUCK: {} stays open at {member}", ready.held));
                 }
@@ -165,7 +185,11 @@
                 self.end(scene, broken, n, false);
                 let forgets = broken != Some(Broken::VoteAfterWipe);
                 let set = self.cores[&n].stored.set.clone();
-                let as_new = Stored { set, remembers: true, ..Stored::default() };
+                let as_new = Stored {
+                    set,
+                    remembers: true,
+                    ..Stored::default()
+                };
                 let core = self.cores.get_mut(&n).expect("known");
                 core.stored = if forgets { Stored::default() } else { as_new };
                 self.start(scene, broken, n);
@@ -195,7 +219,16 @@
                 if self.cores[&n].register.is_some() {
                     self.open.insert(put, n);
                 }
-                self.step(scene, broken, n, Input::Put { ticket: put, version, text });
+                self.step(
+                    scene,
+                    broken,
+                    n,
+                    Input::Put {
+                        ticket: put,
+                        version,
+                        text,
+                    },
+                );
             }
             Move::Get(n) => {
                 self.left.reads = self.left.reads.saturating_sub(1);
@@ -207,7 +240,13 @@
                 self.left.waits = self.left.waits.saturating_sub(1);
                 self.now += WAIT;
                 let ticks = |c: &(&NodeId, &Core)| !c.1.frozen;
-                for n in self.cores.iter().filter(ticks).map(|c| *c.0).collect::<Vec<_>>() {
+                for n in self
+                    .cores
+                    .iter()
+                    .filter(ticks)
+                    .map(|c| *c.0)
+                    .collect::<Vec<_>>()
+                {
                     self.step(scene, broken, n, Input::Tick);
                 }
                 if broken != Some(Broken::VotesWithoutEnd) {
@@ -225,10 +264,18 @@
         }
         if broken == Some(Broken::AcknowledgeAtHalf) {
             let holds = |v: u64| {
-                let on = self.cores.values().filter(|c| c.stored.records.iter().any(|r| is_accepted(r, v)));
+                let on = self
+                    .cores
+                    .values()
+                    .filter(|c| c.stored.records.iter().any(|r| is_accepted(r, v)));
                 2 * on.count() as u32 + 1 >= scene.cores
             };
-            self.acked = scene.puts.iter().copied().filter(|v| holds(*v)).fold(self.acked, u64::max);
+            self.acked = scene
+                .puts
+                .iter()
+                .copied()
+                .filter(|v| holds(*v))
+                .fold(self.acked, u64::max);
         }
     }
 
@@ -236,13 +283,21 @@
     pub(crate) fn step(&mut self, scene: &Scene, broken: Option<Broken>, n: NodeId, input: Input) {
         let now = self.now;
         let inputs = self.with_told(broken, n, input);
-        let Some(register) = self.cores.get_mut(&n).and_then(|c| c.register.as_mut()) else { return };
-        let effects: Vec<Effect> =
-            inputs.into_iter().flat_map(|input| register.step(now, now + DAY, input)).collect();
+        let Some(register) = self.cores.get_mut(&n).and_then(|c| c.register.as_mut()) else {
+            return;
+        };
+        let effects: Vec<Effect> = inputs
+            .into_iter()
+            .flat_map(|input| register.step(now, now + DAY, input))
+            .collect();
         for effect in effects {
             match effect {
                 Effect::Write { batch, ops } => {
-                    self.cores.get_mut(&n).expect("known").writing.push_back((batch, ops));
+                    self.cores
+                        .get_mut(&n)
+                        .expect("known")
+                        .writing
+                        .push_back((batch, ops));
                     if broken == Some(Broken::AnswerBeforeSync) {
                         self.step(scene, broken, n, Input::Synced(batch));
                     }
@@ -251,25 +306,52 @@
                     Some(promise) => self.step(scene, broken, n, Input::Heard(to, promise)),
                     None => self.post(scene, n, to, message),
                 },
-                Effect::Vote { session, set, key, claim, verdict } => {
-                    self.post(scene, n, session as u32, Message::Vote { set, key, claim, verdict });
+                Effect::Vote {
+                    session,
+                    set,
+                    key,
+                    claim,
+                    verdict,
+                } => {
+                    self.post(
+                        scene,
+                        n,
+                        session as u32,
+                        Message::Vote {
+                            set,
+                            key,
+                            claim,
+                            verdict,
+                        },
+                    );
                 }
                 Effect::Answer { ticket, outcome } => self.answered(ticket, &outcome),
-                Effect::InForce { version, text: sent } => {
+                Effect::InForce {
+                    version,
+                    text: sent,
+                } => {
                     let core = self.cores.get_mut(&n).expect("known");
                     if version < core.in_force || !sent_as(version, &sent) {
-                        self.broken = Some(format!("CONFIG: {n} goes from {} to {version}", core.in_force));
+                        self.broken = Some(format!(
+                            "CONFIG: {n} goes from {} to {version}",
+                            core.in_force
+                        ));
                     }
                     if *self.texts.entry(version).or_insert_with(|| sent.clone()) != sent {
-                        self.broken = Some(format!("CONFIG: two texts are in force under {version}"));
+                        self.broken =
+                            Some(format!("CONFIG: two texts are in force under {version}"));
                     }
                     core.in_force = version;
                     self.served = self.served.max(version);
                 }
                 Effect::Set(set) => {
-                    let known = self.sets.entry(set.number).or_insert_with(|| set.members.clone());
+                    let known = self
+                        .sets
+                        .entry(set.number)
+                        .or_insert_with(|| set.members.clone());
                     if *known != set.members {
-                        self.broken = Some(format!("LOST: two voting sets of number {}", set.number));
+                        self.broken =
+                            Some(format!("LOST: two voting sets of number {}", set.number));
                     }
                     self.adopted(scene, n, set);
                 }
@@ -281,8 +363,17 @@
     /// A core director counts in a set: it tells the claimants.
     fn adopted(&mut self, scene: &Scene, n: NodeId, set: VotingSet) {
         if set.number > self.newest.number {
-            let joined = set.members.iter().find(|m| !self.newest.contains(**m)).copied();
-            let left = self.newest.members.iter().find(|m| !set.contains(**m)).copied();
+            let joined = set
+                .members
+                .iter()
+                .find(|m| !self.newest.contains(**m))
+                .copied();
+            let left = self
+                .newest
+                .members
+                .iter()
+                .find(|m| !set.contains(**m))
+                .copied();
             self.replaced = joined.zip(left).into_iter().collect();
             self.newest = set.clone();
         }
@@ -302,12 +393,18 @@
         let floor = self.floors.get(&ticket).copied().unwrap_or(0);
         match outcome {
             Outcome::Acknowledged { another } => self.acknowledged(ticket, *another),
-            Outcome::Whole { version, text: read } if *version < floor || !sent_as(*version, read) => {
-                self.broken =
-                    Some(format!("LOST: read {version} where {floor} was acknowledged or in force"));
+            Outcome::Whole {
+                version,
+                text: read,
+            } if *version < floor || !sent_as(*version, read) => {
+                self.broken = Some(format!(
+                    "LOST: read {version} where {floor} was acknowledged or in force"
+                ));
             }
             Outcome::Nothing if floor > 0 => {
-                self.broken = Some(format!("LOST: nothing is there where {floor} was acknowledged"));
+                self.broken = Some(format!(
+                    "LOST: nothing is there where {floor} was acknowledged"
+                ));
             }
             Outcome::Whole { .. } | Outcome::Nothing | Outcome::Unclear => {}
         }
@@ -319,15 +416,18 @@
         self.acked = self.acked.max(number);
         let is_own = self.texts.get(&number).is_none_or(|t| *t == text(put));
         if self.served <= number && is_own == another {
-            self.broken =
-                Some(format!("CONFIG: {put} is confirmed with another={another} where the text is another"));
+            self.broken = Some(format!(
+                "CONFIG: {put} is confirmed with another={another} where the text is another"
+            ));
         }
         if another || self.served > number {
             return;
         }
         let of = *self.confirmed.entry(number).or_insert(put);
         if of != put {
-            self.broken = Some(format!("CONFIG: {of} and {put} are both confirmed under {number}"));
+            self.broken = Some(format!(
+                "CONFIG: {of} and {put} are both confirmed under {number}"
+            ));
         }
     }
 
@@ -350,17 +450,41 @@
 
     /// Whether what one says to the other goes to a session that both have.
     fn stands(&self, from: u32, to: u32) -> bool {
-        let Some(core) = self.cores.get(&from).filter(|_| self.cores.contains_key(&to)) else { return true };
+        let Some(core) = self
+            .cores
+            .get(&from)
+            .filter(|_| self.cores.contains_key(&to))
+        else {
+            return true;
+        };
         let session = self.sessions.get(&(from.min(to), from.max(to)));
         session.is_some() && core.sessions.get(&to) == session
     }
 
-    fn deliver(&mut self, scene: &Scene, broken: Option<Broken>, from: u32, to: u32, message: Message) {
+    fn deliver(
+        &mut self,
+        scene: &Scene,
+        broken: Option<Broken>,
+        from: u32,
+        to: u32,
+        message: Message,
+    ) {
         let (from, message) = self.altered(scene, broken, from, to, message);
         match message {
-            Message::Vote { set, key, claim, verdict } => {
-                let now = if broken == Some(Broken::VotesWithoutEnd) { 0 } else { self.now };
-                let Some(claimant) = self.claimants.get_mut(&to) else { return };
+            Message::Vote {
+                set,
+                key,
+                claim,
+                verdict,
+            } => {
+                let now = if broken == Some(Broken::VotesWithoutEnd) {
+                    0
+                } else {
+                    self.now
+                };
+                let Some(claimant) = self.claimants.get_mut(&to) else {
+                    return;
+                };
                 let decided = claimant.claims.vote(now, from, set, key, claim, verdict);
                 if let Some(verdicts) = decided {
                     self.decided(to, claim, verdicts);
@@ -368,9 +492,21 @@
             }
             Message::Claim { set, key, claim } => {
                 let session = u64::from(from);
-                self.step(scene, broken, to, Input::Claim { session, set, key, claim });
+                self.step(
+                    scene,
+                    broken,
+                    to,
+                    Input::Claim {
+                        session,
+                        set,
+                        key,
+                        claim,
+                    },
+                );
+            }
+            Message::Withdraw { key, claim } => {
+                self.step(scene, broken, to, Input::Withdraw { key, claim })
             }
-            Message::Withdraw { key, claim } => self.step(scene, broken, to, Input::Withdraw { key, claim }),
             Message::Set(set) if to >= CLAIMANTS => {
                 if broken != Some(Broken::EpochUnchecked) || self.claimants[&to].claims.idle() {
                     self.renewed(from, to, set);
@@ -419,7 +555,10 @@
             self.session(scene, broken, n, other, false);
         }
         // What claimants have not been told yet may lie in their own buffers, and still arrives.
-        self.links.iter_mut().filter(|l| l.0.1 == n).for_each(|l| l.1.clear());
+        self.links
+            .iter_mut()
+            .filter(|l| l.0.1 == n)
+            .for_each(|l| l.1.clear());
         let core = self.cores.get_mut(&n).expect("known");
         core.register = None;
         core.frozen = false;
@@ -443,12 +582,21 @@
 
     /// What is on the way is lost, and the session with it.
     fn cut(&mut self, scene: &Scene, broken: Option<Broken>, a: NodeId, b: NodeId) {
-        [(a, b), (b, a)].into_iter().for_each(|l| drop(self.links.remove(&l)));
+        [(a, b), (b, a)]
+            .into_iter()
+            .for_each(|l| drop(self.links.remove(&l)));
         self.session(scene, broken, a, b, false);
     }
 
     /// A session comes to stand, or breaks at both ends: at once, or as each end reads it.
-    fn session(&mut self, scene: &Scene, broken: Option<Broken>, a: NodeId, b: NodeId, stands: bool) {
+    fn session(
+        &mut self,
+        scene: &Scene,
+        broken: Option<Broken>,
+        a: NodeId,
+        b: NodeId,
+        stands: bool,
+    ) {
         let pair = (a.min(b), a.max(b));
         let session = stands.then_some(self.session + 1);
         match session {
@@ -459,7 +607,9 @@
             None => drop(self.sessions.remove(&pair)),
         }
         if !stands && !scene.late {
-            [(a, b), (b, a)].into_iter().for_each(|l| drop(self.links.remove(&l)));
+            [(a, b), (b, a)]
+                .into_iter()
+                .for_each(|l| drop(self.links.remove(&l)));
         }
         for (at, peer) in [(a, b), (b, a)] {
             if scene.late {
@@ -472,15 +622,31 @@
     }
 
     /// One end of a session hears that it stands, or broke.
-    fn noticed(&mut self, scene: &Scene, broken: Option<Broken>, at: u32, peer: u32, session: Option<u64>) {
-        let Some(core) = self.cores.get_mut(&at) else { return };
+    fn noticed(
+        &mut self,
+        scene: &Scene,
+        broken: Option<Broken>,
+        at: u32,
+        peer: u32,
+        session: Option<u64>,
+    ) {
+        let Some(core) = self.cores.get_mut(&at) else {
+            return;
+        };
         match session {
             Some(session) => drop(core.sessions.insert(peer, session)),
             None => drop(core.sessions.remove(&peer)),
         }
         self.told.remove(&(peer, at));
-        let up = Input::Up { peer, zone: zone(peer) };
-        let input = if session.is_some() { up } else { Input::Down(peer) };
+        let up = Input::Up {
+            peer,
+            zone: zone(peer),
+        };
+        let input = if session.is_some() {
+            up
+        } else {
+            Input::Down(peer)
+        };
         self.step(scene, broken, at, input);
     }
 }
--- a/crates/rushcourse-modelcheck/src/scenes.rs
+++ b/crates/rushcourse-modelcheck/src/scenes.rs
@@ -122,7 +122,9 @@
 };
 
 /// All have been up for longer than one that lost its disk is silent.
-const STANDS: [Move; 10] = [Wait, Settle, Wait, Settle, Wait, Settle, Wait, Settle, Wait, Settle];
+const STANDS: [Move; 10] = [
+    Wait, Settle, Wait, Settle, Wait, Settle, Wait, Settle, Wait, Settle,
+];
 
 /// Member 3 is cut off, and spare 4 has been taught: at the next wait the change is proposed.
 #[rustfmt::skip]
@@ -176,8 +178,23 @@
         catches: &[Broken::VoteAfterWipe, Broken::VotesWithoutEnd],
         ..NOTHING
     },
-    Scene { name: "keys-taught", claimants: 2, claims: 1, wipes: 2, waits: 8, ..NOTHING },
-    Scene { name: "keys-again", cores: 4, claimants: 2, claims: 2, powers: 1, waits: 2, ..NOTHING },
+    Scene {
+        name: "keys-taught",
+        claimants: 2,
+        claims: 1,
+        wipes: 2,
+        waits: 8,
+        ..NOTHING
+    },
+    Scene {
+        name: "keys-again",
+        cores: 4,
+        claimants: 2,
+        claims: 2,
+        powers: 1,
+        waits: 2,
+        ..NOTHING
+    },
     Scene {
         name: "configuration-power",
         puts: &[5, 7],
@@ -208,8 +225,25 @@
         catches: &[Broken::TwinTextsCount],
         ..NOTHING
     },
-    Scene { name: "configuration-cut", cores: 4, puts: &[5, 7], reads: 2, cuts: 2, waits: 1, ..NOTHING },
-    Scene { name: "voting-set", cores: 4, puts: &[5], powers: 2, cuts: 1, waits: 5, first: true, ..NOTHING },
+    Scene {
+        name: "configuration-cut",
+        cores: 4,
+        puts: &[5, 7],
+        reads: 2,
+        cuts: 2,
+        waits: 1,
+        ..NOTHING
+    },
+    Scene {
+        name: "voting-set",
+        cores: 4,
+        puts: &[5],
+        powers: 2,
+        cuts: 1,
+        waits: 5,
+        first: true,
+        ..NOTHING
+    },
     Scene {
         name: "replaced-keys",
         spares: 1,
--- a/crates/rushcourse-modelcheck/src/variants.rs
+++ b/crates/rushcourse-modelcheck/src/variants.rs
@@ -8,16 +8,25 @@
 
 /// Whether a batch makes this replica a member that does not remember.
 pub(crate) fn joins(n: NodeId, ops: &[Op]) -> bool {
-    let member = ops.iter().any(|op| matches!(op, Op::Set(set) if set.contains(n)));
+    let member = ops
+        .iter()
+        .any(|op| matches!(op, Op::Set(set) if set.contains(n)));
     member && ops.contains(&Op::Forget)
 }
 
 /// The promise that a proposer takes for given, where it does not ask for it.
 pub(crate) fn unasked(broken: Option<Broken>, message: &Message) -> Option<Message> {
     match message {
-        Message::Prepare { set, slot, ballot, .. } if broken == Some(Broken::BallotsSkipped) => {
+        Message::Prepare {
+            set, slot, ballot, ..
+        } if broken == Some(Broken::BallotsSkipped) => {
             let (set, slot, ballot) = (*set, *slot, *ballot);
-            Some(Message::Promise { set, slot, ballot, accepted: None })
+            Some(Message::Promise {
+                set,
+                slot,
+                ballot,
+                accepted: None,
+            })
         }
         _ => None,
     }
@@ -42,7 +51,9 @@
         to: u32,
         message: Message,
     ) -> (u32, Message) {
-        if matches!(message, Message::Held { .. }) && scene.catches.contains(&Broken::ToldWithoutEnd) {
+        if matches!(message, Message::Held { .. })
+            && scene.catches.contains(&Broken::ToldWithoutEnd)
+        {
             self.told.insert((from, to), message.clone());
         }
         match broken {
@@ -61,17 +72,46 @@
 
     /// Votes for whatever text as if they were for the one that this disk holds under that number.
     fn as_own(&self, n: NodeId, message: Message) -> Message {
-        let Message::Held { stamp, echo, set, votes, in_force, casts } = message else { return message };
+        let Message::Held {
+            stamp,
+            echo,
+            set,
+            votes,
+            in_force,
+            casts,
+        } = message
+        else {
+            return message;
+        };
         let records = &self.cores[&n].stored.records;
-        let own = |slot: Slot| records.iter().find(|r| r.0 == slot).and_then(|r| r.1.accepted.as_ref());
-        let alter = |cast: Cast| Cast { ballot: own(cast.slot).map_or(cast.ballot, |a| a.ballot), ..cast };
+        let own = |slot: Slot| {
+            records
+                .iter()
+                .find(|r| r.0 == slot)
+                .and_then(|r| r.1.accepted.as_ref())
+        };
+        let alter = |cast: Cast| Cast {
+            ballot: own(cast.slot).map_or(cast.ballot, |a| a.ballot),
+            ..cast
+        };
         let casts = casts.into_iter().map(alter).collect();
-        Message::Held { stamp, echo, set, votes, in_force, casts }
+        Message::Held {
+            stamp,
+            echo,
+            set,
+            votes,
+            in_force,
+            casts,
+        }
     }
 
     /// The number of the set that one counts in.
     fn epoch(&self, n: u32) -> u64 {
-        let core = self.cores.get(&n).and_then(|c| c.register.as_ref()).map(Register::set);
+        let core = self
+            .cores
+            .get(&n)
+            .and_then(|c| c.register.as_ref())
+            .map(Register::set);
         let claimant = self.claimants.get(&n).map(|c| c.claims.voting_set());
         core.or(claimant).map_or(0, |set: &VotingSet| set.number)
     }
@@ -81,11 +121,33 @@
     fn in_epoch_of(&self, to: u32, message: Message) -> Message {
         let set = self.epoch(to);
         match message {
-            Message::Vote { key, claim, verdict, .. } => Message::Vote { set, key, claim, verdict },
+            Message::Vote {
+                key,
+                claim,
+                verdict,
+                ..
+            } => Message::Vote {
+                set,
+                key,
+                claim,
+                verdict,
+            },
             Message::Claim { key, claim, .. } => Message::Claim { set, key, claim },
-            Message::Held { stamp, echo, votes, in_force, casts, .. } => {
-                Message::Held { stamp, echo, set, votes, in_force, casts }
-            }
+            Message::Held {
+                stamp,
+                echo,
+                votes,
+                in_force,
+                casts,
+                ..
+            } => Message::Held {
+                stamp,
+                echo,
+                set,
+                votes,
+                in_force,
+                casts,
+            },
             other => other,
         }
     }
@@ -100,11 +162,35 @@
                 (from, message)
             }
             Message::Claim { key, claim, .. } if self.replaced.values().any(|left| *left == to) => {
-                (from, Message::Claim { set: self.epoch(to), key, claim })
+                (
+                    from,
+                    Message::Claim {
+                        set: self.epoch(to),
+                        key,
+                        claim,
+                    },
+                )
             }
-            Message::Vote { key, claim, verdict, .. } if self.replaced.values().any(|left| *left == from) => {
-                let joined = self.replaced.iter().find(|r| *r.1 == from).map_or(from, |r| *r.0);
-                (joined, Message::Vote { set: self.epoch(to), key, claim, verdict })
+            Message::Vote {
+                key,
+                claim,
+                verdict,
+                ..
+            } if self.replaced.values().any(|left| *left == from) => {
+                let joined = self
+                    .replaced
+                    .iter()
+                    .find(|r| *r.1 == from)
+                    .map_or(from, |r| *r.0);
+                (
+                    joined,
+                    Message::Vote {
+                        set: self.epoch(to),
+                        key,
+                        claim,
+                        verdict,
+                    },
+                )
             }
             other => (from, other),
         }
@@ -115,7 +201,9 @@
         let mut inputs = Vec::new();
         if broken == Some(Broken::ToldWithoutEnd) {
             let told = self.told.iter().filter(|t| t.0.1 == n);
-            inputs.extend(told.map(|((from, _), message)| Input::Heard(*from, as_of(self.now, message))));
+            inputs.extend(
+                told.map(|((from, _), message)| Input::Heard(*from, as_of(self.now, message))),
+            );
         }
         inputs.push(input);
         inputs
--- a/crates/rushcourse-modelcheck/src/world.rs
+++ b/crates/rushcourse-modelcheck/src/world.rs
@@ -129,7 +129,11 @@
 
 /// A core director before its start; spares are no members of the set that is there.
 fn core(scene: &Scene, set: &VotingSet, n: NodeId) -> Core {
-    let there = Stored { set: set.clone(), remembers: true, ..Stored::default() };
+    let there = Stored {
+        set: set.clone(),
+        remembers: true,
+        ..Stored::default()
+    };
     let is_empty = scene.first || !set.contains(n);
     let stored = if is_empty { Stored::default() } else { there };
     Core {
@@ -168,22 +172,35 @@
 
 /// Whether this is a text that was sent under its number.
 pub(crate) fn sent_as(number: u64, sent: &[u8]) -> bool {
-    [text(number), text(number + TWIN)].iter().any(|t| **t == *sent)
+    [text(number), text(number + TWIN)]
+        .iter()
+        .any(|t| **t == *sent)
 }
 
 impl World {
     pub fn new(scene: &Scene) -> World {
         let members: Vec<NodeId> = (1..=scene.cores).collect();
-        let set = VotingSet { number: 1, members: members.clone() };
+        let set = VotingSet {
+            number: 1,
+            members: members.clone(),
+        };
         let claimant = |n: u32| {
             let mut claims = Claims::new(n, 1);
             claims.set(0, 1, set.clone(), |_| true);
-            Claimant { claims, begun: 0, won: None }
+            Claimant {
+                claims,
+                begun: 0,
+                won: None,
+            }
         };
         let mut world = World {
             now: 0,
-            cores: (1..=scene.cores + scene.spares).map(|n| (n, core(scene, &set, n))).collect(),
-            claimants: (0..scene.claimants).map(|n| (CLAIMANTS + n, claimant(CLAIMANTS + n))).collect(),
+            cores: (1..=scene.cores + scene.spares)
+                .map(|n| (n, core(scene, &set, n)))
+                .collect(),
+            claimants: (0..scene.claimants)
+                .map(|n| (CLAIMANTS + n, claimant(CLAIMANTS + n)))
+                .collect(),
             links: BTreeMap::new(),
             sessions: BTreeMap::new(),
             session: 0,
@@ -240,7 +257,10 @@
 
     pub fn moves(&self, scene: &Scene) -> Vec<Move> {
         let frozen = |n: &u32| self.cores.get(n).is_some_and(|c| c.frozen);
-        let arrives = self.links.iter().filter(|(l, queue)| !queue.is_empty() && !frozen(&l.1));
+        let arrives = self
+            .links
+            .iter()
+            .filter(|(l, queue)| !queue.is_empty() && !frozen(&l.1));
         let mut all: Vec<Move> = arrives.map(|((a, b), _)| Move::Deliver(*a, *b)).collect();
         for (n, core) in &self.cores {
             self.moves_of(*n, core, &mut all);
@@ -277,7 +297,9 @@
             all.extend((left.losses > 0).then_some(Move::Lose(n)));
         }
         let removed = self.newest.number > 0 && !self.newest.contains(n);
-        all.extend((left.old_disks > 0 && removed && core.old.remembers).then_some(Move::OldDisk(n)));
+        all.extend(
+            (left.old_disks > 0 && removed && core.old.remembers).then_some(Move::OldDisk(n)),
+        );
         all.extend((left.leaves > 0 && self.newest.contains(n)).then_some(Move::Leave(n)));
         if core.apart {
             all.push(Move::Join(n));
@@ -285,14 +307,23 @@
             all.extend((left.parts > 0).then_some(Move::Part(n)));
         }
         if left.cuts > 0 {
-            let up = self.cores.iter().filter(|(m, c)| **m > n && c.register.is_some() && !c.apart);
+            let up = self
+                .cores
+                .iter()
+                .filter(|(m, c)| **m > n && c.register.is_some() && !c.apart);
             all.extend(up.filter(|_| !core.apart).map(|(m, _)| Move::Cut(n, *m)));
         }
     }
 
     /// A minority of disks may be lost at once, and is until it has been taught or replaced.
     fn may_lose(&self, n: NodeId) -> bool {
-        let lost = |m: &&NodeId| **m != n && self.cores.get(*m).is_none_or(|c| c.gone || !c.stored.remembers);
+        let lost = |m: &&NodeId| {
+            **m != n
+                && self
+                    .cores
+                    .get(*m)
+                    .is_none_or(|c| c.gone || !c.stored.remembers)
+        };
         let members = &self.newest.members;
         let most = members.len().saturating_sub(1) / 2;
         let known = self.newest.number > 0 && !self.newest.contains(n);
--- a/crates/rushcourse-modelcheck/tests/ways.rs
+++ b/crates/rushcourse-modelcheck/tests/ways.rs
@@ -10,7 +10,8 @@
 /// What rule is broken on a way, if one is.
 fn walked(name: &str, broken: Option<Broken>, way: &[Move]) -> Option<String> {
     let mut world = World::opened(scene(name));
-    way.iter().for_each(|what| world.play(scene(name), broken, *what));
+    way.iter()
+        .for_each(|what| world.play(scene(name), broken, *what));
     world.violation().map(String::from)
 }
 
@@ -23,9 +24,22 @@
 #[test]
 fn no_sound_scene_breaks_a_rule_as_far_as_a_test_may_look() {
     for scene in &SCENES {
-        let found = explore(scene, None, Bounds { states: 1_500, walks: 150, steps: 100, seed: 0 });
+        let found = explore(
+            scene,
+            None,
+            Bounds {
+                states: 1_500,
+                walks: 150,
+                steps: 100,
+                seed: 0,
+            },
+        );
         assert_eq!(found.violation, None, "{}", scene.name);
-        assert!(found.whole || found.states >= 1_500 && found.longest > 10, "{}: {found:?}", scene.name);
+        assert!(
+            found.whole || found.states >= 1_500 && found.longest > 10,
+            "{}: {found:?}",
+            scene.name
+        );
     }
 }
 
@@ -43,12 +57,34 @@
         Deliver(3, 2),
         Deliver(2, 1),
     ];
-    caught("configuration-wiped", Broken::AcknowledgeAtHalf, "LOST", &way);
+    caught(
+        "configuration-wiped",
+        Broken::AcknowledgeAtHalf,
+        "LOST",
+        &way,
+    );
     // A ballot takes more moves than a copy did: breadth first gets there where nothing but orders of delivery is open.
-    let calm = Scene { powers: 0, wipes: 0, waits: 0, ..*scene("configuration-wiped") };
+    let calm = Scene {
+        powers: 0,
+        wipes: 0,
+        waits: 0,
+        ..*scene("configuration-wiped")
+    };
     let broken = Some(Broken::AcknowledgeAtHalf);
-    let found = explore(&calm, broken, Bounds { states: 8_000, walks: 0, steps: 0, seed: 0 });
-    assert!(found.violation.is_some(), "breadth first finds it too: {found:?}");
+    let found = explore(
+        &calm,
+        broken,
+        Bounds {
+            states: 8_000,
+            walks: 0,
+            steps: 0,
+            seed: 0,
+        },
+    );
+    assert!(
+        found.violation.is_some(),
+        "breadth first finds it too: {found:?}"
+    );
 }
 
 #[test]
@@ -82,7 +118,12 @@
         Start(1), Deliver(1, 3), Deliver(3, 1), Get(1), Deliver(3, 1), Deliver(1, 3), Deliver(1, 3),
         Deliver(3, 1),
     ];
-    caught("configuration-power", Broken::AnswerBeforeSync, "LOST", &way);
+    caught(
+        "configuration-power",
+        Broken::AnswerBeforeSync,
+        "LOST",
+        &way,
+    );
 }
 
 /// Two operators, one number, two texts: counted by the number alone, each text found its majority.
@@ -100,7 +141,12 @@
         Deliver(3, 2), Sync(1), Sync(2), Sync(3), Deliver(2, 3), Deliver(2, 1), Deliver(2, 3),
         Deliver(3, 4), Sync(4), Deliver(4, 3), Deliver(4, 1),
     ];
-    caught("configuration-twins", Broken::TwinTextsCount, "CONFIG", &way);
+    caught(
+        "configuration-twins",
+        Broken::TwinTextsCount,
+        "CONFIG",
+        &way,
+    );
 }
 
 /// Claimant 101 has heard of the new set, 100 has not, and its claim goes on with what the one that left granted.
@@ -184,23 +230,48 @@
 
 /// Whether a core director votes, and in which set.
 fn votes_in(world: &World, n: u32) -> Option<u64> {
-    world.ready(n).filter(|ready| ready.votes).map(|ready| ready.set.number)
+    world
+        .ready(n)
+        .filter(|ready| ready.votes)
+        .map(|ready| ready.set.number)
 }
 
 #[test]
 fn openings_lead_to_where_their_scenes_are_said_to_begin() {
-    for scene in SCENES.iter().filter(|s| s.name.starts_with("replaced-") && !s.opening.contains(&Part(3))) {
+    for scene in SCENES
+        .iter()
+        .filter(|s| s.name.starts_with("replaced-") && !s.opening.contains(&Part(3)))
+    {
         let world = World::opened(scene);
         assert_eq!(world.newest_set().number, 1, "{}: all stand", scene.name);
     }
-    for name in ["replaced-keys", "replaced-old-disk", "replaced-power", "replaced-configuration"] {
+    for name in [
+        "replaced-keys",
+        "replaced-old-disk",
+        "replaced-power",
+        "replaced-configuration",
+    ] {
         let mut world = World::opened(scene(name));
-        assert_eq!(world.newest_set().number, 1, "{name}: the change is not made yet");
-        [Wait, Settle].iter().for_each(|what| world.play(scene(name), None, *what));
-        assert_eq!(world.newest_set().members, [1, 2, 4], "{name}: it is at the next wait");
+        assert_eq!(
+            world.newest_set().number,
+            1,
+            "{name}: the change is not made yet"
+        );
+        [Wait, Settle]
+            .iter()
+            .for_each(|what| world.play(scene(name), None, *what));
+        assert_eq!(
+            world.newest_set().members,
+            [1, 2, 4],
+            "{name}: it is at the next wait"
+        );
     }
     let mut proposed = World::opened(scene("replaced-proposed"));
-    assert_eq!(proposed.newest_set().number, 1, "the change is not made yet");
+    assert_eq!(
+        proposed.newest_set().number,
+        1,
+        "the change is not made yet"
+    );
     proposed.play(scene("replaced-proposed"), None, Settle);
     assert_eq!(proposed.newest_set().members, [1, 2, 4], "it is under way");
     for name in ["replaced-votes", "replaced-second"] {
@@ -212,8 +283,15 @@
         );
     }
     let held = World::opened(scene("told-late"));
-    assert_eq!([1, 2, 3, 4, 5].map(|n| votes_in(&held, n)), [Some(1); 5], "2 has been taught");
-    assert_eq!([1, 2].map(|n| held.ready(n).map(|ready| ready.held)), [Some(5), Some(0)]);
+    assert_eq!(
+        [1, 2, 3, 4, 5].map(|n| votes_in(&held, n)),
+        [Some(1); 5],
+        "2 has been taught"
+    );
+    assert_eq!(
+        [1, 2].map(|n| held.ready(n).map(|ready| ready.held)),
+        [Some(5), Some(0)]
+    );
 }
 
 /// As in `told-late`, but what 2 told lies unread at 1 when it is held: it is read only after 2 has lost its disk, was
@@ -226,11 +304,16 @@
         Deliver(1, 2), Sync(2), Cut(1, 4), Cut(1, 5), Freeze(1), Wipe(2),
         Settle, Wait, Settle, Wait, Settle, Wait, Settle, Wait, Settle, Wait, Settle,
     ];
-    let scene = Scene { opening: &UNREAD, ..*scene("told-late") };
+    let scene = Scene {
+        opening: &UNREAD,
+        ..*scene("told-late")
+    };
     let mut world = World::opened(&scene);
     for what in LATE {
         if what == Thaw(1) {
-            [what, Deliver(2, 1)].into_iter().for_each(|what| world.play(&scene, None, what));
+            [what, Deliver(2, 1)]
+                .into_iter()
+                .for_each(|what| world.play(&scene, None, what));
         } else {
             world.play(&scene, None, what);
         }
--- a/crates/rushcourse-net/src/boot.rs
+++ b/crates/rushcourse-net/src/boot.rs
@@ -23,13 +23,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StartError::NoFile => {
-                write!(f, "no settings file: give --settings FILE or set {SETTINGS_VARIABLE}")
+                write!(
+                    f,
+                    "no settings file: give --settings FILE or set {SETTINGS_VARIABLE}"
+                )
             }
             StartError::Unreadable(path) => write!(f, "{}: can't be read", path.display()),
             StartError::Wrong(path) => write!(f, "{}: can't be used", path.display()),
             StartError::Unbound(what) => write!(f, "can't listen at {what}"),
             StartError::Disk => write!(f, "the state on disk can't be used"),
-            StartError::Keys => write!(f, "the keys for sessions between directors (peers.) can't be used"),
+            StartError::Keys => write!(
+                f,
+                "the keys for sessions between directors (peers.) can't be used"
+            ),
         }
     }
 }
@@ -41,7 +47,9 @@
 /// # Errors
 /// None is named.
 pub fn place(named: Option<&str>) -> Result<PathBuf, Report<StartError>> {
-    let found = named.map(PathBuf::from).or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
+    let found = named
+        .map(PathBuf::from)
+        .or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from));
     found.ok_or_else(|| Report::new(StartError::NoFile))
 }
 
@@ -65,6 +73,7 @@
 /// # Errors
 /// A file that can't be read, or its first line or field that can't be used.
 pub fn start(path: &Path) -> Result<Boot, Report<StartError>> {
-    let text = std::fs::read_to_string(path).change_context_lazy(|| StartError::Unreadable(path.into()))?;
+    let text = std::fs::read_to_string(path)
+        .change_context_lazy(|| StartError::Unreadable(path.into()))?;
     Boot::read(&text).change_context_lazy(|| StartError::Wrong(path.into()))
 }
--- a/crates/rushcourse-net/src/logs.rs
+++ b/crates/rushcourse-net/src/logs.rs
@@ -9,7 +9,10 @@
     let form = move |out: fern::FormatCallback<'_>,
                      message: &std::fmt::Arguments<'_>,
                      record: &log::Record<'_>| {
-        out.finish(format_args!("level={} node={node} {message}", record.level().as_str().to_lowercase()));
+        out.finish(format_args!(
+            "level={} node={node} {message}",
+            record.level().as_str().to_lowercase()
+        ));
     };
     // Libraries speak from their warnings on.
     let logger = fern::Dispatch::new()
--- a/crates/rushcourse-net/src/office.rs
+++ b/crates/rushcourse-net/src/office.rs
@@ -24,19 +24,28 @@
 
 impl From<io::Error> for Ended {
     fn from(e: io::Error) -> Ended {
-        Ended { refused: None, why: e.to_string() }
+        Ended {
+            refused: None,
+            why: e.to_string(),
+        }
     }
 }
 
 impl From<Foreign> for Ended {
     fn from(foreign: Foreign) -> Ended {
-        Ended { refused: Some(foreign.reason()), why: foreign.to_string() }
+        Ended {
+            refused: Some(foreign.reason()),
+            why: foreign.to_string(),
+        }
     }
 }
 
 impl Ended {
     pub fn refused(reason: &'static str, why: String) -> Ended {
-        Ended { refused: Some(reason), why }
+        Ended {
+            refused: Some(reason),
+            why,
+        }
     }
 }
 
@@ -58,8 +67,16 @@
     /// All sessions' events go into one queue.
     pub fn new(me: Hello, events: mpsc::UnboundedSender<SessionEvent>) -> Office {
         let (keys, next) = (RefCell::default(), Cell::new(0));
-        let inside = Inside { me, keys, refused: RefCell::new(Tally::new("refused")), next };
-        Office { inside: Rc::new(inside), events }
+        let inside = Inside {
+            me,
+            keys,
+            refused: RefCell::new(Tally::new("refused")),
+            next,
+        };
+        Office {
+            inside: Rc::new(inside),
+            events,
+        }
     }
 
     pub fn me(&self) -> &Hello {
@@ -79,7 +96,10 @@
         };
         let made = match keys.map(files) {
             None => None,
-            Some(files) => Some((TlsAcceptor::from(files.server(&[])?), TlsConnector::from(files.client()?))),
+            Some(files) => Some((
+                TlsAcceptor::from(files.server(&[])?),
+                TlsConnector::from(files.client()?),
+            )),
         };
         *self.inside.keys.borrow_mut() = made;
         Ok(())
@@ -107,12 +127,25 @@
             io::ErrorKind::InvalidData => Ended::refused("bad certificate", e.to_string()),
             _ => Ended::from(e),
         })?;
-        let shown = stream.get_ref().1.peer_certificates().and_then(|c| c.first());
+        let shown = stream
+            .get_ref()
+            .1
+            .peer_certificates()
+            .and_then(|c| c.first());
         let certified = shown.map_or((false, false), |c| {
             let (machine, controller) = rushcourse_keys::names(c, address, CORE_NAME);
-            (machine, controller || rushcourse_keys::names(c, address, EARLIER_CORE_NAME).1)
+            (
+                machine,
+                controller || rushcourse_keys::names(c, address, EARLIER_CORE_NAME).1,
+            )
         });
-        Ok((stream, Shown { address: u32::from(address), certified: Some(certified) }))
+        Ok((
+            stream,
+            Shown {
+                address: u32::from(address),
+                certified: Some(certified),
+            },
+        ))
     }
 
     pub(crate) fn tell(&self, event: SessionEvent) {
--- a/crates/rushcourse-net/src/outbox.rs
+++ b/crates/rushcourse-net/src/outbox.rs
@@ -20,7 +20,11 @@
 
 impl Outbox {
     pub(crate) fn new() -> Outbox {
-        Outbox(Rc::new(Box { bytes: RefCell::default(), wake: Notify::new(), closed: Cell::new(false) }))
+        Outbox(Rc::new(Box {
+            bytes: RefCell::default(),
+            wake: Notify::new(),
+            closed: Cell::new(false),
+        }))
     }
 
     /// Puts a message behind what waits. A session that can't take it is closed.
--- a/crates/rushcourse-net/src/sessions.rs
+++ b/crates/rushcourse-net/src/sessions.rs
@@ -3,7 +3,9 @@
 
 use crate::office::{Ended, Office};
 use crate::outbox::{Outbox, Session, SessionEvent};
-use rushcourse_messages::{Damage, Hello, Message, NodeId, Shown, decode, encode, length, speakers};
+use rushcourse_messages::{
+    Damage, Hello, Message, NodeId, Shown, decode, encode, length, speakers,
+};
 use socket2::SockRef;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
@@ -35,7 +37,11 @@
 }
 
 fn damaged(damage: &Damage) -> Ended {
-    let reason = if matches!(damage, Damage::TooLong(_)) { "too long" } else { "unreadable" };
+    let reason = if matches!(damage, Damage::TooLong(_)) {
+        "too long"
+    } else {
+        "unreadable"
+    };
     Ended::refused(reason, damage.to_string())
 }
 
@@ -87,12 +93,16 @@
         return Err(Ended::refused("other machine", "no IPv4 address".into()));
     };
     if office.secured() {
-        let (mut stream, shown) = within(GREETING_WAIT, office.secure(stream, *from.ip(), dialled)).await?;
+        let (mut stream, shown) =
+            within(GREETING_WAIT, office.secure(stream, *from.ip(), dialled)).await?;
         let peer = within(GREETING_WAIT, greet(&mut stream, office, shown)).await?;
         let (read, write) = tokio::io::split(stream);
         return talk(read, write, office, peer).await;
     }
-    let shown = Shown { address: u32::from(*from.ip()), certified: None };
+    let shown = Shown {
+        address: u32::from(*from.ip()),
+        certified: None,
+    };
     let peer = within(GREETING_WAIT, greet(&mut stream, office, shown)).await?;
     let (read, write) = stream.into_split();
     talk(read, write, office, peer).await
@@ -106,11 +116,19 @@
     peer: Hello,
 ) -> Result<(), Ended> {
     let (id, out) = (office.number(), Outbox::new());
-    office.tell(SessionEvent::Up(Session { id, peer: peer.clone(), out: out.clone() }));
+    office.tell(SessionEvent::Up(Session {
+        id,
+        peer: peer.clone(),
+        out: out.clone(),
+    }));
     let reading = async {
         let mut read = BufReader::with_capacity(16 << 10, read);
         loop {
-            let message = within(SILENCE, read_frame(&mut read, rushcourse_messages::FRAME_MOST)).await?;
+            let message = within(
+                SILENCE,
+                read_frame(&mut read, rushcourse_messages::FRAME_MOST),
+            )
+            .await?;
             speakers::message(&peer, office.me().role, &message)?;
             if message != Message::Ping {
                 office.tell(SessionEvent::Said(id, message));
@@ -149,7 +167,9 @@
         socket.bind(SocketAddrV4::new(Ipv4Addr::from(office.me().node), 0).into())?;
         socket.connect(to.into()).await
     };
-    let Ok(Ok(stream)) = timeout(DIAL_WAIT, connect).await else { return };
+    let Ok(Ok(stream)) = timeout(DIAL_WAIT, connect).await else {
+        return;
+    };
     if let Err(ended) = run(stream, office, true).await {
         office.ended(&to, &ended);
     }
@@ -175,7 +195,11 @@
 impl Dialler {
     /// `port`: where directors listen for each other, the same on all machines.
     pub fn new(office: Office, port: u16) -> Dialler {
-        Dialler { office, port, dialling: Rc::default() }
+        Dialler {
+            office,
+            port,
+            dialling: Rc::default(),
+        }
     }
 
     pub fn office(&self) -> &Office {
@@ -206,7 +230,10 @@
     loop {
         let (stream, from) = accept(&listener).await;
         if open.get() >= most {
-            office.ended(&from, &Ended::refused("too many", format!("{most} sessions are open")));
+            office.ended(
+                &from,
+                &Ended::refused("too many", format!("{most} sessions are open")),
+            );
             continue;
         }
         open.set(open.get() + 1);
--- a/crates/rushcourse-net/src/tally.rs
+++ b/crates/rushcourse-net/src/tally.rs
@@ -16,7 +16,12 @@
 
 impl Tally {
     pub fn new(event: &'static str) -> Tally {
-        Tally { event, counts: BTreeMap::new(), totals: BTreeMap::new(), told_at: 0 }
+        Tally {
+            event,
+            counts: BTreeMap::new(),
+            totals: BTreeMap::new(),
+            told_at: 0,
+        }
     }
 
     /// True for the first of its reason since the last line.
@@ -65,7 +70,10 @@
         );
         assert_eq!(tally.due(20_000), None, "nothing since");
         tally.count("no route");
-        assert_eq!(tally.due(31_500).as_deref(), Some("event=own_answers span_s=11 no_route=1"));
+        assert_eq!(
+            tally.due(31_500).as_deref(),
+            Some("event=own_answers span_s=11 no_route=1")
+        );
         assert_eq!(tally.totals().values().sum::<u64>(), 4);
     }
 }
--- a/crates/rushcourse-net/src/times.rs
+++ b/crates/rushcourse-net/src/times.rs
@@ -23,12 +23,16 @@
 
     /// ms since 1970.
     pub fn wall(&self) -> u64 {
-        SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64)
+        SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .map_or(0, |d| d.as_millis() as u64)
     }
 
     /// A number by lot, for lives and retries; not for secrets.
     pub fn lot(&self) -> u64 {
         use std::hash::{BuildHasher, Hasher};
-        std::collections::hash_map::RandomState::new().build_hasher().finish()
+        std::collections::hash_map::RandomState::new()
+            .build_hasher()
+            .finish()
     }
 }
--- a/crates/rushcourse-net/tests/sessions.rs
+++ b/crates/rushcourse-net/tests/sessions.rs
@@ -30,7 +30,10 @@
         let names: Vec<String> = names.iter().map(|n| n.to_string()).collect();
         let key = KeyPair::generate().expect("a key");
         let params = CertificateParams::new(names).expect("parameters");
-        let certificate = params.signed_by(&key, &self.0).expect("a certificate").pem();
+        let certificate = params
+            .signed_by(&key, &self.0)
+            .expect("a certificate")
+            .pem();
         let write = |what: &str, text: String| {
             let path = folder.join(format!("{file}.{what}"));
             std::fs::write(&path, text).expect("a file");
@@ -63,13 +66,19 @@
         name: format!("director-{}", at.octets()[3]),
         zone: "north".into(),
     };
-    Director { at, office: Office::new(hello, tell), events }
+    Director {
+        at,
+        office: Office::new(hello, tell),
+        events,
+    }
 }
 
 impl Director {
     /// Takes sessions; at which port.
     async fn open(&self) -> u16 {
-        let listener = TcpListener::bind((self.at, 0)).await.expect("an address of loopback");
+        let listener = TcpListener::bind((self.at, 0))
+            .await
+            .expect("an address of loopback");
         let port = listener.local_addr().expect("an address").port();
         tokio::task::spawn_local(listen(listener, 8, self.office.clone()));
         port
@@ -80,7 +89,10 @@
     }
 
     async fn next(&mut self) -> SessionEvent {
-        tokio::time::timeout(MOST, self.events.recv()).await.expect("in time").expect("events")
+        tokio::time::timeout(MOST, self.events.recv())
+            .await
+            .expect("in time")
+            .expect("events")
     }
 
     async fn up(&mut self) -> Session {
@@ -106,13 +118,20 @@
             }
         };
         let met = tokio::time::timeout(MOST, wait).await;
-        assert!(met.is_ok(), "{reason} was to be refused: {:?}", self.office.refused());
+        assert!(
+            met.is_ok(),
+            "{reason} was to be refused: {:?}",
+            self.office.refused()
+        );
         assert!(self.events.try_recv().is_err(), "no session came of it");
     }
 }
 
 fn run(test: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
@@ -133,7 +152,10 @@
         hello.node = front.office.me().node;
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind((false_one.at, 0).into()).expect("an address");
-        let mut stream = socket.connect((core.at, port).into()).await.expect("a connection");
+        let mut stream = socket
+            .connect((core.at, port).into())
+            .await
+            .expect("a connection");
         let mut bytes = Vec::new();
         encode(&Message::Hello(hello), &mut bytes).expect("a frame");
         stream.write_all(&bytes).await.expect("written");
@@ -154,7 +176,10 @@
             encode(message, &mut bytes).expect("a frame");
             bytes
         };
-        let vote = Message::AskLesson { set: 1, after: None };
+        let vote = Message::AskLesson {
+            set: 1,
+            after: None,
+        };
         let cases: [(&str, Vec<u8>); 4] = [
             ("unreadable", vec![0, 0, 0, 2, 0xff, 0xff]),
             ("too long", vec![0xff; 8]),
@@ -164,20 +189,36 @@
         for (count, (reason, bytes)) in cases.into_iter().enumerate() {
             let socket = TcpSocket::new_v4().expect("a socket");
             socket.bind((front.at, 0).into()).expect("an address");
-            let mut stream = socket.connect((core.at, port).into()).await.expect("a connection");
+            let mut stream = socket
+                .connect((core.at, port).into())
+                .await
+                .expect("a connection");
             stream.write_all(&greeting).await.expect("written");
             let _ = core.up().await;
             stream.write_all(&bytes).await.expect("written");
-            assert!(matches!(core.next().await, SessionEvent::Down(_)), "{reason}: nothing was handed on");
+            assert!(
+                matches!(core.next().await, SessionEvent::Down(_)),
+                "{reason}: nothing was handed on"
+            );
             // The other side sees the end.
             let mut rest = Vec::new();
-            let _ = tokio::time::timeout(MOST, stream.read_to_end(&mut rest)).await.expect("an end");
+            let _ = tokio::time::timeout(MOST, stream.read_to_end(&mut rest))
+                .await
+                .expect("an end");
             core.refuses(reason).await;
-            assert_eq!(core.office.refused().values().sum::<u64>(), count as u64 + 1);
+            assert_eq!(
+                core.office.refused().values().sum::<u64>(),
+                count as u64 + 1
+            );
         }
         // Who says something else than a greeting first makes no session.
-        let mut stream = tokio::net::TcpStream::connect((core.at, port)).await.expect("a connection");
-        stream.write_all(&frame(&Message::Ping)).await.expect("written");
+        let mut stream = tokio::net::TcpStream::connect((core.at, port))
+            .await
+            .expect("a connection");
+        stream
+            .write_all(&frame(&Message::Ping))
+            .await
+            .expect("written");
         core.refuses("no greeting").await;
     });
 }
@@ -192,12 +233,20 @@
     run(async {
         let mut core = director([127, 31, 2, 1], Role::Controller);
         core.office
-            .set_keys(Some(&keys(&ours, "core", &["127.31.2.1", "controller"], &[&ours])))
+            .set_keys(Some(&keys(
+                &ours,
+                "core",
+                &["127.31.2.1", "controller"],
+                &[&ours],
+            )))
             .expect("keys");
         let port = core.open().await;
 
         let mut front = director([127, 31, 2, 11], Role::Gateway);
-        front.office.set_keys(Some(&keys(&ours, "front", &["127.31.2.11"], &[&ours]))).expect("keys");
+        front
+            .office
+            .set_keys(Some(&keys(&ours, "front", &["127.31.2.11"], &[&ours])))
+            .expect("keys");
         front.dial(&core, port);
         assert_eq!(core.up().await.peer.role, Role::Gateway);
         let session = front.up().await;
@@ -209,19 +258,30 @@
         core.refuses("bad certificate").await;
         // A certificate of another machine.
         let other = director([127, 31, 2, 13], Role::Gateway);
-        other.office.set_keys(Some(&keys(&ours, "other", &["127.31.2.99"], &[&ours]))).expect("keys");
+        other
+            .office
+            .set_keys(Some(&keys(&ours, "other", &["127.31.2.99"], &[&ours])))
+            .expect("keys");
         other.dial(&core, port);
         core.refuses("other machine").await;
         // A frontend machine that would vote.
         let false_core = director([127, 31, 2, 14], Role::Controller);
-        false_core.office.set_keys(Some(&keys(&ours, "false", &["127.31.2.14"], &[&ours]))).expect("keys");
+        false_core
+            .office
+            .set_keys(Some(&keys(&ours, "false", &["127.31.2.14"], &[&ours])))
+            .expect("keys");
         false_core.dial(&core, port);
         core.refuses("role not certified").await;
         // Who dials looks as well: a listener of another cluster is refused.
         let mut stranger = director([127, 31, 2, 15], Role::Controller);
         stranger
             .office
-            .set_keys(Some(&keys(&theirs, "theirs", &["127.31.2.15", "controller"], &[&theirs])))
+            .set_keys(Some(&keys(
+                &theirs,
+                "theirs",
+                &["127.31.2.15", "controller"],
+                &[&theirs],
+            )))
             .expect("keys");
         let strange = stranger.open().await;
         front.dial(&stranger, strange);
@@ -250,8 +310,11 @@
         let port = core.open().await;
         front.dial(&core, port);
         let (_, session) = (core.up().await, front.up().await);
-        let steps: [(&Authority, &[&Authority]); 3] =
-            [(&old, &[&old, &new]), (&new, &[&old, &new]), (&new, &[&new])];
+        let steps: [(&Authority, &[&Authority]); 3] = [
+            (&old, &[&old, &new]),
+            (&new, &[&old, &new]),
+            (&new, &[&new]),
+        ];
         for (by, trusted) in steps {
             set(&core, 0, by, trusted);
             // One machine after the other: between the two, new sessions are made all the same.
@@ -261,11 +324,21 @@
             assert!(matches!(front.next().await, SessionEvent::Down(_)));
             assert!(matches!(core.next().await, SessionEvent::Down(_)));
             let keys = set(&front, 1, by, trusted);
-            let broken = PeerKeys { key: keys.certificate.clone(), ..keys };
-            let why = front.office.set_keys(Some(&broken)).expect_err("no key in it");
+            let broken = PeerKeys {
+                key: keys.certificate.clone(),
+                ..keys
+            };
+            let why = front
+                .office
+                .set_keys(Some(&broken))
+                .expect_err("no key in it");
             assert!(why.contains("1.cert"), "the file is named: {why}");
             session.out.send(&Message::Home(true));
-            assert_eq!(core.said().await, Message::Home(true), "the first session goes on");
+            assert_eq!(
+                core.said().await,
+                Message::Home(true),
+                "the first session goes on"
+            );
         }
         assert!(core.office.refused().is_empty() && front.office.refused().is_empty());
     });
--- a/crates/rushcourse-netcost/src/hollow/configuration.rs
+++ b/crates/rushcourse-netcost/src/hollow/configuration.rs
@@ -38,8 +38,13 @@
     }
     text.push_str("]},\"tenants\":{\"columns\":[\"name\",\"api_keys\"],\"rows\":[");
     for k in 0..size.tenants {
-        write!(text, "{}[\"tenant-{k:06}\",[\"{:032x}\"]]", joined(k), k as u128 * 0x9e37_79b9_7f4a_7c15)
-            .expect(wrote);
+        write!(
+            text,
+            "{}[\"tenant-{k:06}\",[\"{:032x}\"]]",
+            joined(k),
+            k as u128 * 0x9e37_79b9_7f4a_7c15
+        )
+        .expect(wrote);
     }
     text.push_str("]},\"limits\":{}}");
     text.into_bytes()
@@ -69,7 +74,10 @@
     fn new(count: usize) -> Controllers {
         let members: Vec<NodeId> = (0..count).map(node).collect();
         let stored = || Stored {
-            set: VotingSet { number: 1, members: members.clone() },
+            set: VotingSet {
+                number: 1,
+                members: members.clone(),
+            },
             remembers: true,
             ..Stored::default()
         };
@@ -85,12 +93,23 @@
         };
         let all = (0..count).map(|k| Register::new(setup(k), stored()));
         let (all, ways, counts) = (all.collect(), VecDeque::new(), Counts::default());
-        let mut controllers = Controllers { now: 1_000, all, ways, counts };
+        let mut controllers = Controllers {
+            now: 1_000,
+            all,
+            ways,
+            counts,
+        };
         for k in 0..count {
             let peers = (0..count).filter(|other| *other != k);
-            controllers
-                .ways
-                .extend(peers.map(|other| (k, Input::Up { peer: node(other), zone: "zone".into() })));
+            controllers.ways.extend(peers.map(|other| {
+                (
+                    k,
+                    Input::Up {
+                        peer: node(other),
+                        zone: "zone".into(),
+                    },
+                )
+            }));
         }
         controllers.deliver();
         controllers
@@ -113,7 +132,8 @@
                     Message::Accept { .. } => self.counts.texts += bytes,
                     _ => self.counts.others += bytes,
                 }
-                self.ways.push_back(((to - node(0)) as usize, Input::Heard(node(from), message)));
+                self.ways
+                    .push_back(((to - node(0)) as usize, Input::Heard(node(from), message)));
             }
             Effect::InForce { version, text } => {
                 self.counts.in_force += length(&Message::InForce { version, text });
@@ -124,7 +144,14 @@
     }
 
     fn put(&mut self, text: Arc<[u8]>) {
-        self.ways.push_back((0, Input::Put { ticket: 1, version: 2, text }));
+        self.ways.push_back((
+            0,
+            Input::Put {
+                ticket: 1,
+                version: 2,
+                text,
+            },
+        ));
         self.deliver();
         while self.now < PLAYED {
             self.now += TICK;
@@ -147,7 +174,8 @@
 pub fn measure(size: &Size) {
     let text: Arc<[u8]> = text(size).into();
     let empty = gauge::resident_mb();
-    let (read, reading) = gauge::timed(|| Configuration::read(&text).expect("a text of ours is valid"));
+    let (read, reading) =
+        gauge::timed(|| Configuration::read(&text).expect("a text of ours is valid"));
     let peak = gauge::resident_mb() - empty;
     assert_eq!(read.routes.len(), size.routes, "all routes were read");
     let mut controllers = Controllers::new(size.controllers);
--- a/crates/rushcourse-netcost/src/hollow/controller.rs
+++ b/crates/rushcourse-netcost/src/hollow/controller.rs
@@ -133,8 +133,8 @@
                 }
                 Effect::ToFront { session, message } => {
                     self.counts.to_gateways += self.written(&message, 1);
-                    if let Message::Table { service, mark, .. } | Message::Lines { service, mark, .. } =
-                        message
+                    if let Message::Table { service, mark, .. }
+                    | Message::Lines { service, mark, .. } = message
                     {
                         self.unanswered.push((session, service, mark));
                     }
@@ -150,7 +150,8 @@
         let length = bytes.len() as u64;
         match (from, message) {
             (From::Host, Message::Hosts(news)) => {
-                news.into_iter().for_each(|news| self.step(Input::Call(news)));
+                news.into_iter()
+                    .for_each(|news| self.step(Input::Call(news)));
             }
             (From::Host, _) => unreachable!("hosts only tell of themselves"),
             (From::Peer(node), message) => {
@@ -168,7 +169,10 @@
     fn answer(&mut self) {
         while !self.unanswered.is_empty() {
             for (session, service, mark) in std::mem::take(&mut self.unanswered) {
-                self.hear(From::Gateway(session), &frame(&Message::Applied { service, mark }));
+                self.hear(
+                    From::Gateway(session),
+                    &frame(&Message::Applied { service, mark }),
+                );
             }
         }
     }
@@ -189,7 +193,13 @@
         (0..peers).for_each(|k| self.step(Input::PeerUp(peer(k))));
         let hosts = (0..self.size.hosts).map(|k| host(k, &self.size)).collect();
         self.hear(From::Peer(peer(0)), &frame(&Message::Hosts(hosts)));
-        self.hear(From::Peer(peer(0)), &frame(&Message::Standing { primed: true, fronts: 0 }));
+        self.hear(
+            From::Peer(peer(0)),
+            &frame(&Message::Standing {
+                primed: true,
+                fronts: 0,
+            }),
+        );
         self.pass(TICK);
     }
 
@@ -197,7 +207,11 @@
         self.sessions += 1;
         let (session, node) = (self.sessions, gateway(self.sessions));
         let zone = zone(session as usize, &self.size);
-        self.step(Input::FrontUp { session, node, zone });
+        self.step(Input::FrontUp {
+            session,
+            node,
+            zone,
+        });
         session
     }
 
@@ -228,11 +242,16 @@
         for at in (TICK..=CALM).step_by(TICK as usize) {
             let due = |h: &usize, span: u64| (*h as u64 * 37 % BEAT) / span == (at % BEAT) / span;
             for h in (0..self.size.hosts).filter(|h| h % controllers == 0 && due(h, TICK)) {
-                let news = HostNews { sequence: 1 + at, ..host(h, &self.size) };
+                let news = HostNews {
+                    sequence: 1 + at,
+                    ..host(h, &self.size)
+                };
                 script.push((at, From::Host, frame(&Message::Hosts(vec![news]))));
             }
             if at % BEATS_EVERY == 0 {
-                script.extend((1..controllers).map(|k| (at, From::Peer(peer(k - 1)), self.beats(k, at))));
+                script.extend(
+                    (1..controllers).map(|k| (at, From::Peer(peer(k - 1)), self.beats(k, at))),
+                );
             }
             if at % USAGE_EVERY == 0 {
                 let homed = (1..self.homed()).flat_map(|session| self.usage(session));
@@ -246,13 +265,20 @@
     fn beats(&self, k: usize, at: u64) -> Vec<u8> {
         let share = (0..self.size.hosts).filter(|h| h % self.size.controllers == k);
         let heard = share.filter(|h| (*h as u64 * 37 + at) % BEAT < BEATS_EVERY);
-        frame(&Message::Beats(heard.map(|h| (host(h, &self.size).id, 1 + at)).collect()))
+        frame(&Message::Beats(
+            heard.map(|h| (host(h, &self.size).id, 1 + at)).collect(),
+        ))
     }
 
     fn usage(&self, session: u64) -> impl Iterator<Item = (u64, Vec<u8>)> {
         (0..self.size.services).map(move |k| {
             let service = format!("service-{k:03}").into();
-            let message = Message::Usage { service, tries: TRIES, failed: 0, span_ms: USAGE_EVERY as u32 };
+            let message = Message::Usage {
+                service,
+                tries: TRIES,
+                failed: 0,
+                span_ms: USAGE_EVERY as u32,
+            };
             (session, frame(&message))
         })
     }
@@ -303,7 +329,11 @@
     let seconds = passed as f64 / 1_000.0;
     let counts = fleet.counts;
     fleet.counts = Counts::default();
-    let leaving = HostNews { sequence: u64::MAX, state: HostState::Draining, ..host(0, size) };
+    let leaving = HostNews {
+        sequence: u64::MAX,
+        state: HostState::Draining,
+        ..host(0, size)
+    };
     fleet.step(Input::Call(leaving));
     let drained = fleet.counts;
     let rate = |bytes: u64| bytes as f64 / 1_000.0 / seconds;
--- a/crates/rushcourse-netcost/src/hollow/gateway.rs
+++ b/crates/rushcourse-netcost/src/hollow/gateway.rs
@@ -24,8 +24,12 @@
 
 /// Prints one row: a gateway at a size.
 pub fn measure(size: &Size) {
-    let names: Vec<Arc<str>> = (0..size.services).map(|k| format!("service-{k:03}").into()).collect();
-    let frames: Vec<Vec<u8>> = (0..size.services).map(|k| table(size, k, &names[k])).collect();
+    let names: Vec<Arc<str>> = (0..size.services)
+        .map(|k| format!("service-{k:03}").into())
+        .collect();
+    let frames: Vec<Vec<u8>> = (0..size.services)
+        .map(|k| table(size, k, &names[k]))
+        .collect();
     let bytes: usize = frames.iter().map(Vec::len).sum();
     let empty = gauge::resident_mb();
     let mut tables = Tables::new("zone-00");
@@ -41,7 +45,10 @@
         }
     });
     let told = tables.usage();
-    let usage: usize = told.into_iter().map(|(service, tries, failed)| usage(service, tries, failed)).sum();
+    let usage: usize = told
+        .into_iter()
+        .map(|(service, tries, failed)| usage(service, tries, failed))
+        .sum();
     println!(
         "{:>5} | {:>8} | {:>9.0} | {:>8.0} | {:>6.1} | {:>7.2} | {:>10.1}",
         size.hosts,
@@ -56,9 +63,15 @@
 
 /// The frame of one service's whole table.
 fn table(size: &Size, k: usize, service: &Arc<str>) -> Vec<u8> {
-    let hosts = (k..size.hosts).step_by(size.services).map(|h| host(h, size));
+    let hosts = (k..size.hosts)
+        .step_by(size.services)
+        .map(|h| host(h, size));
     let lines = hosts.map(|host| Line { host, weight: 4.0 }).collect();
-    frame(&Message::Table { service: service.clone(), mark: 1, lines })
+    frame(&Message::Table {
+        service: service.clone(),
+        mark: 1,
+        lines,
+    })
 }
 
 fn take(tables: &mut Tables, frame: &[u8]) {
@@ -69,7 +82,13 @@
 }
 
 fn usage(service: Arc<str>, tries: u32, failed: u32) -> usize {
-    frame(&Message::Usage { service, tries, failed, span_ms: 1_000 }).len()
+    frame(&Message::Usage {
+        service,
+        tries,
+        failed,
+        span_ms: 1_000,
+    })
+    .len()
 }
 
 fn frame(message: &Message) -> Vec<u8> {
--- a/crates/rushcourse-netcost/src/hollow/gauge.rs
+++ b/crates/rushcourse-netcost/src/hollow/gauge.rs
@@ -20,7 +20,10 @@
 /// MB (10^6 bytes) of this process that are resident.
 pub fn resident_mb() -> f64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = text.split_whitespace().nth(1).and_then(|p| p.parse::<f64>().ok());
+    let pages = text
+        .split_whitespace()
+        .nth(1)
+        .and_then(|p| p.parse::<f64>().ok());
     pages.unwrap_or(0.0) * PAGE / 1e6
 }
 
--- a/crates/rushcourse-netcost/src/hollow/keys.rs
+++ b/crates/rushcourse-netcost/src/hollow/keys.rs
@@ -26,7 +26,10 @@
 
 fn voter() -> Register {
     let members: Vec<NodeId> = (1..=VOTERS).collect();
-    let set = VotingSet { number: 1, members: members.clone() };
+    let set = VotingSet {
+        number: 1,
+        members: members.clone(),
+    };
     let setup = Setup {
         me: 1,
         zone: "zone".into(),
@@ -37,13 +40,24 @@
         catch_up_ms: CATCH_UP,
         key_window_ms: WINDOW,
     };
-    Register::new(setup, Stored { set, remembers: true, ..Stored::default() })
+    Register::new(
+        setup,
+        Stored {
+            set,
+            remembers: true,
+            ..Stored::default()
+        },
+    )
 }
 
 /// The frames of claims of different keys, by many gateways.
 fn claims(count: usize, size: &Size) -> Vec<Vec<u8>> {
     let claim = |k: usize| {
-        let claim = ClaimId { node: 1_000 + (k % size.gateways) as NodeId, life: 7, number: k as u64 };
+        let claim = ClaimId {
+            node: 1_000 + (k % size.gateways) as NodeId,
+            life: 7,
+            number: k as u64,
+        };
         let key = (k as u128 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15_f39c_c060_5ced_c835);
         let mut bytes = Vec::new();
         encode(&Message::Claim { set: 1, key, claim }, &mut bytes).expect("a message that fits");
@@ -56,12 +70,23 @@
     for effect in register.step(now, WALL + now, input) {
         match effect {
             Effect::Write { batch, .. } => carry(register, now, Input::Synced(batch), counts),
-            Effect::Vote { set, key, claim, verdict, .. } => {
+            Effect::Vote {
+                set,
+                key,
+                claim,
+                verdict,
+                ..
+            } => {
                 match verdict {
                     Verdict::Granted => counts.granted += 1,
                     _ => counts.turned_away += 1,
                 }
-                counts.bytes_out += length(&Message::Vote { set, key, claim, verdict });
+                counts.bytes_out += length(&Message::Vote {
+                    set,
+                    key,
+                    claim,
+                    verdict,
+                });
             }
             Effect::Send { message, .. } => counts.lesson += length(&message),
             _ => {}
@@ -90,7 +115,17 @@
         for frame in &frames {
             match decode(&frame[HEAD..]) {
                 Ok(Message::Claim { set, key, claim }) => {
-                    carry(&mut register, 1_000, Input::Claim { session: 1, set, key, claim }, &mut counts);
+                    carry(
+                        &mut register,
+                        1_000,
+                        Input::Claim {
+                            session: 1,
+                            set,
+                            key,
+                            claim,
+                        },
+                        &mut counts,
+                    );
                 }
                 other => unreachable!("a claim was written: {other:?}"),
             }
@@ -98,7 +133,18 @@
     });
     let resident = gauge::resident_mb() - empty;
     let (granted, turned_away, bytes_out) = (counts.granted, counts.turned_away, counts.bytes_out);
-    carry(&mut register, 1_000, Input::Heard(2, Message::AskLesson { set: 1, after: None }), &mut counts);
+    carry(
+        &mut register,
+        1_000,
+        Input::Heard(
+            2,
+            Message::AskLesson {
+                set: 1,
+                after: None,
+            },
+        ),
+        &mut counts,
+    );
     println!(
         "{:>6} | {:>7} | {:>11} | {:>8.2} | {:>8.0} | {:>9.0} | {:>6.1} | {:>9.2}",
         count,
--- a/crates/rushcourse-netcost/src/hollow/mod.rs
+++ b/crates/rushcourse-netcost/src/hollow/mod.rs
@@ -27,7 +27,11 @@
 const ALL_PARTS: [(&str, &str, Part); 4] = [
     ("controller", controller::HEADING, controller::measure),
     ("gateway", gateway::HEADING, gateway::measure),
-    ("configuration", configuration::HEADING, configuration::measure),
+    (
+        "configuration",
+        configuration::HEADING,
+        configuration::measure,
+    ),
     ("keys", keys::HEADING, keys::measure),
 ];
 
@@ -68,24 +72,35 @@
         [] => run_all(),
         [name, part] => {
             let unknown = || Error::new(ErrorKind::InvalidInput, format!("no part {name} {part}"));
-            let measure = ALL_PARTS.iter().find(|p| p.0 == name).ok_or_else(unknown)?.2;
+            let measure = ALL_PARTS
+                .iter()
+                .find(|p| p.0 == name)
+                .ok_or_else(unknown)?
+                .2;
             let part: usize = part.parse().map_err(|_| unknown())?;
             measure(&TARGET.over(part.max(1)));
             Ok(())
         }
-        _ => Err(Error::new(ErrorKind::InvalidInput, "hollow takes no arguments")),
+        _ => Err(Error::new(
+            ErrorKind::InvalidInput,
+            "hollow takes no arguments",
+        )),
     }
 }
 
 fn run_all() -> Result<(), Error> {
-    println!("Target: {TARGET:?}. Processor time in steps of 10 ms; memory is what this process holds.");
+    println!(
+        "Target: {TARGET:?}. Processor time in steps of 10 ms; memory is what this process holds."
+    );
     for (name, heading, _) in ALL_PARTS {
         println!("\n{name}\n{heading}");
         for part in PARTS {
             let mut child = Command::new(std::env::current_exe()?);
             let status = child.args(["hollow", name, &part.to_string()]).status()?;
             if !status.success() {
-                return Err(Error::other(format!("part {name} at 1/{part} ended with {status}")));
+                return Err(Error::other(format!(
+                    "part {name} at 1/{part} ended with {status}"
+                )));
             }
         }
     }
--- a/crates/rushcourse-netcost/src/main.rs
+++ b/crates/rushcourse-netcost/src/main.rs
@@ -23,7 +23,14 @@
 }
 
 fn measure(fronts: usize, hosts: usize) -> Row {
-    let size = Size { cores: 5, fronts, hosts, services: 3, zones: 5, beat_ms: 1_500 };
+    let size = Size {
+        cores: 5,
+        fronts,
+        hosts,
+        services: 3,
+        zones: 5,
+        beat_ms: 1_500,
+    };
     let mut world = World::new(size);
     (0..fronts - 1).for_each(|f| world.join(f));
     world.run(3_000);
@@ -36,15 +43,26 @@
     let calm = world.take();
     world.call(1, HostState::Draining);
     let drain = world.take();
-    assert!(world.lines().values().all(|lines| (1..30).contains(lines)), "tables of under thirty hosts");
-    Row { size, calm, drain, join }
+    assert!(
+        world.lines().values().all(|lines| (1..30).contains(lines)),
+        "tables of under thirty hosts"
+    );
+    Row {
+        size,
+        calm,
+        drain,
+        join,
+    }
 }
 
 fn main() {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     match arguments.split_first() {
         Some((verb, rest)) if verb == "hollow" => end_with(hollow::run(rest)),
-        Some((other, _)) => end_with(Err(Error::new(ErrorKind::InvalidInput, format!("no verb {other}")))),
+        Some((other, _)) => end_with(Err(Error::new(
+            ErrorKind::InvalidInput,
+            format!("no verb {other}"),
+        ))),
         None => prove(),
     }
 }
@@ -110,7 +128,11 @@
                 grown(few.drain.most_to_one, many.drain.most_to_one),
                 GROWS,
             ),
-            ("a join, to who joins", grown(few.join.most_to_one, many.join.most_to_one), GROWS),
+            (
+                "a join, to who joins",
+                grown(few.join.most_to_one, many.join.most_to_one),
+                GROWS,
+            ),
             (
                 "calm, of and to all frontend directors",
                 grown(few.calm.from_fronts.0, many.calm.from_fronts.0),
@@ -121,7 +143,11 @@
                 grown(few.calm.between_cores.0, many.calm.between_cores.0),
                 GROWS,
             ),
-            ("steps of core directors in calm", grown(few.calm.steps, many.calm.steps), by * GROWS),
+            (
+                "steps of core directors in calm",
+                grown(few.calm.steps, many.calm.steps),
+                by * GROWS,
+            ),
         ];
         for (what, grew, most) in each {
             println!(
--- a/crates/rushcourse-netcost/src/world.rs
+++ b/crates/rushcourse-netcost/src/world.rs
@@ -107,9 +107,18 @@
 
     /// What was said since the last look.
     pub fn take(&mut self) -> Counts {
-        let most_to_one = self.fronts.iter().flatten().map(|f| f.got).max().unwrap_or(0);
+        let most_to_one = self
+            .fronts
+            .iter()
+            .flatten()
+            .map(|f| f.got)
+            .max()
+            .unwrap_or(0);
         self.fronts.iter_mut().flatten().for_each(|f| f.got = 0);
-        Counts { most_to_one, ..std::mem::take(&mut self.counts) }
+        Counts {
+            most_to_one,
+            ..std::mem::take(&mut self.counts)
+        }
     }
 
     fn core(&mut self, k: usize, input: Input) {
@@ -117,11 +126,14 @@
         let effects = self.cores[k].step(self.now, input);
         for effect in effects {
             let fronts = |world: &World| -> Vec<usize> {
-                (0..world.fronts.len()).filter(|f| world.fronts[*f].is_some()).collect()
+                (0..world.fronts.len())
+                    .filter(|f| world.fronts[*f].is_some())
+                    .collect()
             };
             match effect {
                 Effect::ToPeer(node, message) => {
-                    self.ways.push_back((k, To::Core((node - core_node(0)) as usize), message));
+                    self.ways
+                        .push_back((k, To::Core((node - core_node(0)) as usize), message));
                 }
                 Effect::ToPeers(message) => {
                     for to in (0..self.size.cores).filter(|to| *to != k) {
@@ -129,7 +141,8 @@
                     }
                 }
                 Effect::ToFront { session, message } => {
-                    self.ways.push_back((k, To::Front(session as usize - 1), message));
+                    self.ways
+                        .push_back((k, To::Front(session as usize - 1), message));
                 }
                 Effect::ToFronts(message) => {
                     for to in fronts(self) {
@@ -148,7 +161,14 @@
         self.fronts[f] = Some(Front { homing, got: 0 });
         for k in 0..self.size.cores {
             let (session, node, zone) = (f as u64 + 1, front_node(f), zone(f, &self.size));
-            self.core(k, Input::FrontUp { session, node, zone });
+            self.core(
+                k,
+                Input::FrontUp {
+                    session,
+                    node,
+                    zone,
+                },
+            );
         }
         self.deliver();
     }
@@ -182,7 +202,9 @@
     }
 
     fn front(&mut self, f: usize, from: usize, message: Message, length: u64) {
-        let Some(front) = &mut self.fronts[f] else { return };
+        let Some(front) = &mut self.fronts[f] else {
+            return;
+        };
         front.got += length;
         let mut said: Vec<(usize, Message)> = Vec::new();
         match message {
@@ -198,7 +220,8 @@
             }
             _ => {}
         }
-        said.into_iter().for_each(|(to, message)| self.say(f, to, message));
+        said.into_iter()
+            .for_each(|(to, message)| self.say(f, to, message));
     }
 
     fn say(&mut self, f: usize, to: usize, message: Message) {
@@ -206,7 +229,13 @@
         encode(&message, &mut bytes).expect("a message that fits");
         let c = &mut self.counts.from_fronts;
         *c = (c.0 + bytes.len() as u64, c.1 + 1);
-        self.core(to, Input::FrontSaid { session: f as u64 + 1, message });
+        self.core(
+            to,
+            Input::FrontSaid {
+                session: f as u64 + 1,
+                message,
+            },
+        );
     }
 
     /// Lets time pass: hosts beat, frontend directors tell what came, core directors tick.
@@ -217,7 +246,8 @@
             for h in 0..self.hosts.len() {
                 // Beats are spread over their interval.
                 let at = (h as u64 * 37) % self.size.beat_ms;
-                if self.now % self.size.beat_ms / TICK == at / TICK && self.hosts[h].state == HostState::Ready
+                if self.now % self.size.beat_ms / TICK == at / TICK
+                    && self.hosts[h].state == HostState::Ready
                 {
                     self.call(h, HostState::Ready);
                 }
@@ -234,10 +264,20 @@
 
     fn usage(&mut self) {
         for f in 0..self.fronts.len() {
-            let Some(home) = self.fronts[f].as_ref().and_then(|front| front.homing.home()) else { continue };
+            let Some(home) = self.fronts[f]
+                .as_ref()
+                .and_then(|front| front.homing.home())
+            else {
+                continue;
+            };
             for k in 0..self.size.services {
                 let service = format!("service-{k}").into();
-                let message = Message::Usage { service, tries: 40, failed: 0, span_ms: 1_000 };
+                let message = Message::Usage {
+                    service,
+                    tries: 40,
+                    failed: 0,
+                    span_ms: 1_000,
+                };
                 self.say(f, (home - core_node(0)) as usize, message);
             }
             self.deliver();
@@ -247,7 +287,12 @@
     /// Lines of tables that the homes of all frontend directors hold, by service.
     pub fn lines(&self) -> BTreeMap<Arc<str>, usize> {
         let mut lines: BTreeMap<Arc<str>, usize> = BTreeMap::new();
-        for table in self.cores.iter().flat_map(|c| c.distribution().view()).filter(|t| t.fronts > 0) {
+        for table in self
+            .cores
+            .iter()
+            .flat_map(|c| c.distribution().view())
+            .filter(|t| t.fronts > 0)
+        {
             let most = lines.entry(table.service).or_default();
             *most = table.lines.len().max(*most);
         }
--- a/crates/rushcourse-netcost/tests/hollow.rs
+++ b/crates/rushcourse-netcost/tests/hollow.rs
@@ -3,7 +3,10 @@
 use std::process::{Command, Output};
 
 fn netcost(arguments: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_netcost")).args(arguments).output().expect("netcost starts")
+    Command::new(env!("CARGO_BIN_EXE_netcost"))
+        .args(arguments)
+        .output()
+        .expect("netcost starts")
 }
 
 #[test]
@@ -33,9 +36,12 @@
 
 #[test]
 fn what_is_not_known_ends_with_code_1() {
-    for arguments in
-        [&["hollow", "moon", "1"][..], &["hollow", "keys", "many"], &["hollow", "keys"], &["moon"]]
-    {
+    for arguments in [
+        &["hollow", "moon", "1"][..],
+        &["hollow", "keys", "many"],
+        &["hollow", "keys"],
+        &["moon"],
+    ] {
         let output = netcost(arguments);
         assert_eq!(output.status.code(), Some(1), "{arguments:?}");
         assert!(!output.stderr.is_empty());
--- a/crates/rushcourse-protocol/src/discovery.rs
+++ b/crates/rushcourse-protocol/src/discovery.rs
@@ -34,7 +34,9 @@
 
 /// A figure; 0 for anything else, as where it is null.
 fn figure<'de, D: serde::Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    Ok(serde_json::Value::deserialize(from)?.as_f64().unwrap_or(0.0))
+    Ok(serde_json::Value::deserialize(from)?
+        .as_f64()
+        .unwrap_or(0.0))
 }
 
 impl<'a> Listing<'a> {
--- a/crates/rushcourse-protocol/src/frames.rs
+++ b/crates/rushcourse-protocol/src/frames.rs
@@ -67,7 +67,9 @@
     /// A field by its name; null is none.
     fn maybe<T: Deserialize<'a>>(&self, name: &'static str) -> Result<Option<T>, &'static str> {
         let raw = self.0.get(name);
-        raw.map_or(Ok(None), |raw| serde_json::from_str(raw.get()).map_err(|_| name))
+        raw.map_or(Ok(None), |raw| {
+            serde_json::from_str(raw.get()).map_err(|_| name)
+        })
     }
 
     fn field<T: Deserialize<'a>>(&self, name: &'static str) -> Result<T, &'static str> {
@@ -84,7 +86,9 @@
         let kind = self.word("@type")?;
         Ok(match kind.as_ref() {
             "ping" => Message::Ping,
-            "collector" => Message::Collector { zone: self.word("az")? },
+            "collector" => Message::Collector {
+                zone: self.word("az")?,
+            },
             "heard" => Message::Heard(Heard {
                 az: self.word("az")?,
                 host: self.word("host")?,
@@ -126,5 +130,9 @@
 
 /// The last word to somebody who is not served.
 pub fn refused(why: &'static str) -> Bytes {
-    encode(serde_json::json!({"@type": "refused", "why": why}).to_string().as_bytes())
+    encode(
+        serde_json::json!({"@type": "refused", "why": why})
+            .to_string()
+            .as_bytes(),
+    )
 }
--- a/crates/rushcourse-protocol/src/load.rs
+++ b/crates/rushcourse-protocol/src/load.rs
@@ -39,8 +39,17 @@
 pub fn text(body: &[u8]) -> Load {
     let mut load = Load::default();
     let body = String::from_utf8_lossy(body);
-    let mut pairs =
-        body.trim().strip_prefix("TEXT").unwrap_or("").split(',').filter_map(|p| p.split_once('='));
-    let read = pairs.try_for_each(|(name, value)| set(&mut load, name.trim(), value.trim().parse().ok()));
-    if read.is_some() { load } else { Load::default() }
+    let mut pairs = body
+        .trim()
+        .strip_prefix("TEXT")
+        .unwrap_or("")
+        .split(',')
+        .filter_map(|p| p.split_once('='));
+    let read =
+        pairs.try_for_each(|(name, value)| set(&mut load, name.trim(), value.trim().parse().ok()));
+    if read.is_some() {
+        load
+    } else {
+        Load::default()
+    }
 }
--- a/crates/rushcourse-protocol/src/relay.rs
+++ b/crates/rushcourse-protocol/src/relay.rs
@@ -13,7 +13,10 @@
 /// The classes that a mask names.
 pub fn named(mask: u32, classes: &[String]) -> Vec<&str> {
     let in_mask = |k: &ClassId| mask >> k & 1 == 1;
-    (0..classes.len()).filter(in_mask).map(|k| classes[k].as_str()).collect()
+    (0..classes.len())
+        .filter(in_mask)
+        .map(|k| classes[k].as_str())
+        .collect()
 }
 
 /// Writes an action as an order; `None` for an action that is none of the relay's, which is the shared channel.
@@ -27,15 +30,44 @@
     let written = match action {
         Action::Line { table, .. } | Action::Clear { table } if own(table) => return None,
         Action::Bind { table, .. } | Action::Level { table, .. } if own(table) => return None,
-        Action::Withdraw { channel: Channel::Own, .. } => return None,
-        Action::Line { table, host, weight } => write!(out, "share,{table},{host},{weight}"),
+        Action::Withdraw {
+            channel: Channel::Own,
+            ..
+        } => return None,
+        Action::Line {
+            table,
+            host,
+            weight,
+        } => write!(out, "share,{table},{host},{weight}"),
         Action::Clear { table } => write!(out, "clear,{table}"),
-        Action::Bind { proxy, table, classes } => write!(out, "bind,{proxy},{table},{}", words(*classes)),
-        Action::Withdraw { host, out: true, .. } => write!(out, "withdraw,{host}"),
-        Action::Withdraw { host, out: false, .. } => write!(out, "restore,{host}"),
-        Action::Level { table, classes, quota, again } => {
-            let table = if *table == ALL_TABLES { "*".into() } else { table.to_string() };
-            write!(out, "admit,{table},{},{quota},{}", words(*classes), *again as u8)
+        Action::Bind {
+            proxy,
+            table,
+            classes,
+        } => write!(out, "bind,{proxy},{table},{}", words(*classes)),
+        Action::Withdraw {
+            host, out: true, ..
+        } => write!(out, "withdraw,{host}"),
+        Action::Withdraw {
+            host, out: false, ..
+        } => write!(out, "restore,{host}"),
+        Action::Level {
+            table,
+            classes,
+            quota,
+            again,
+        } => {
+            let table = if *table == ALL_TABLES {
+                "*".into()
+            } else {
+                table.to_string()
+            };
+            write!(
+                out,
+                "admit,{table},{},{quota},{}",
+                words(*classes),
+                *again as u8
+            )
         }
         Action::Mark { number } => write!(out, "mark,{number},0"),
         Action::Timer { .. }
@@ -109,7 +141,11 @@
 /// `None`: no news, or news that can't be read.
 pub fn news(line: &str) -> Option<News<'_>> {
     let words: Vec<&str> = line.strip_prefix('*')?.split_ascii_whitespace().collect();
-    let number = |word: &str| word.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+    let number = |word: &str| {
+        word.parse::<f64>()
+            .ok()
+            .filter(|v| v.is_finite() && *v >= 0.0)
+    };
     Some(match words.as_slice() {
         [] => News::Alive,
         ["joined", proxy, zone, rate, fresh, ..] => News::Joined {
@@ -122,10 +158,14 @@
                 _ => return None,
             },
         },
-        ["left", proxy, ..] => News::Left { proxy: proxy.parse().ok()? },
-        ["applied", proxy, mark, took, ..] => {
-            News::Applied { proxy: proxy.parse().ok()?, mark: mark.parse().ok()?, took: number(took)? }
-        }
+        ["left", proxy, ..] => News::Left {
+            proxy: proxy.parse().ok()?,
+        },
+        ["applied", proxy, mark, took, ..] => News::Applied {
+            proxy: proxy.parse().ok()?,
+            mark: mark.parse().ok()?,
+            took: number(took)?,
+        },
         ["joined" | "left" | "applied", ..] => return None,
         _ => News::Other,
     })
--- a/crates/rushcourse-protocol/tests/properties.rs
+++ b/crates/rushcourse-protocol/tests/properties.rs
@@ -14,7 +14,15 @@
     // Half of them out of the letters that messages are made of.
     let letters = b"{}[]\":,*OK 0123456789.-joinedleftapplied@type\r\n\\u";
     let plain = rng.random_bool(0.5);
-    (0..n).map(|_| if plain { letters[rng.random_range(0..letters.len())] } else { rng.random() }).collect()
+    (0..n)
+        .map(|_| {
+            if plain {
+                letters[rng.random_range(0..letters.len())]
+            } else {
+                rng.random()
+            }
+        })
+        .collect()
 }
 
 fn word(rng: &mut ChaCha8Rng) -> String {
@@ -46,10 +54,16 @@
 fn any_cut_of_a_stream_of_lines_gives_the_same_lines() {
     let mut rng = ChaCha8Rng::seed_from_u64(12);
     for _ in 0..200 {
-        let lines: Vec<String> = (0..rng.random_range(1..20)).map(|_| word(&mut rng)).collect();
+        let lines: Vec<String> = (0..rng.random_range(1..20))
+            .map(|_| word(&mut rng))
+            .collect();
         let stream: String = lines.iter().map(|l| format!("{l}\r\n")).collect();
         assert_eq!(
-            cut(&mut rng, &mut LinesCodec::new_with_max_length(relay::LINE_MOST), stream.as_bytes()),
+            cut(
+                &mut rng,
+                &mut LinesCodec::new_with_max_length(relay::LINE_MOST),
+                stream.as_bytes()
+            ),
             lines
         );
     }
@@ -97,21 +111,49 @@
         let (proxy, mark): (u32, u16) = (rng.random_range(0..65_535), rng.random());
         let (zone, host, kind) = (word(&mut rng), word(&mut rng), word(&mut rng));
         // Eighths are exact in any reader of decimal figures.
-        let (rate, n): (f64, u32) =
-            (f64::from(rng.random_range(0..4000u32)) / 8.0, rng.random_range(0..10_000));
+        let (rate, n): (f64, u32) = (
+            f64::from(rng.random_range(0..4000u32)) / 8.0,
+            rng.random_range(0..10_000),
+        );
         let fresh = rng.random_bool(0.5);
         let line = format!("* joined {proxy} {zone} {rate} {}", u8::from(fresh));
-        assert_eq!(relay::news(&line), Some(News::Joined { proxy, zone: &zone, rate, fresh }));
+        assert_eq!(
+            relay::news(&line),
+            Some(News::Joined {
+                proxy,
+                zone: &zone,
+                rate,
+                fresh
+            })
+        );
         let line = format!("* applied {proxy} {mark} {rate}");
-        assert_eq!(relay::news(&line), Some(News::Applied { proxy, mark, took: rate }));
+        assert_eq!(
+            relay::news(&line),
+            Some(News::Applied {
+                proxy,
+                mark,
+                took: rate
+            })
+        );
         let json = format!(
             r#"{{"@type":"heard","az":"{zone}","host":"{host}","n":{n},"bad":0,"avg":{rate},"window":1.0}}"#
         );
-        let Ok(Message::Heard(h)) = frames::decode(json.as_bytes()) else { panic!("{json}") };
-        assert_eq!((h.az.as_ref(), h.host.as_ref(), h.n, h.avg), (&*zone, &*host, f64::from(n), Some(rate)));
-        let json =
-            format!(r#"{{"@type":"usage","sidecar":{proxy},"kind":"{kind}","n":{n},"bad":0,"window":1.0}}"#);
-        let Ok(Message::Usage(u)) = frames::decode(json.as_bytes()) else { panic!("{json}") };
-        assert_eq!((u.sidecar, u.kind.as_ref(), u.n), (proxy, &*kind, f64::from(n)));
+        let Ok(Message::Heard(h)) = frames::decode(json.as_bytes()) else {
+            panic!("{json}")
+        };
+        assert_eq!(
+            (h.az.as_ref(), h.host.as_ref(), h.n, h.avg),
+            (&*zone, &*host, f64::from(n), Some(rate))
+        );
+        let json = format!(
+            r#"{{"@type":"usage","sidecar":{proxy},"kind":"{kind}","n":{n},"bad":0,"window":1.0}}"#
+        );
+        let Ok(Message::Usage(u)) = frames::decode(json.as_bytes()) else {
+            panic!("{json}")
+        };
+        assert_eq!(
+            (u.sidecar, u.kind.as_ref(), u.n),
+            (proxy, &*kind, f64::from(n))
+        );
     }
 }
--- a/crates/rushcourse-reducer/src/backoff.rs
+++ b/crates/rushcourse-reducer/src/backoff.rs
@@ -10,7 +10,11 @@
 
 impl Backoff {
     pub fn new(first: Ms, most: Ms) -> Backoff {
-        Backoff { first, most, tries: 0 }
+        Backoff {
+            first,
+            most,
+            tries: 0,
+        }
     }
 
     /// The pause after one more try that came to nothing.
--- a/crates/rushcourse-reducer/src/bounds.rs
+++ b/crates/rushcourse-reducer/src/bounds.rs
@@ -53,13 +53,23 @@
 
 impl Bounds {
     pub fn of(memory_mb: f64, sockets: usize) -> Bounds {
-        let mb = if memory_mb.is_finite() { memory_mb.clamp(8.0, 1024.0) } else { 1024.0 };
+        let mb = if memory_mb.is_finite() {
+            memory_mb.clamp(8.0, 1024.0)
+        } else {
+            1024.0
+        };
         let kib = (mb * 1024.0) as usize;
         let own = OWN_SOCKETS.max(sockets / 4);
         let peers = sockets.saturating_sub(own).clamp(16, PEERS_MOST);
         // A message that is not complete takes up to 1 MiB.
         let collectors = (kib / 4 / 1024).clamp(4, COLLECTORS_MOST).min(peers / 2);
-        Bounds { peers, collectors, waiting_kib: kib / 8, list: kib * 128, calls: kib * 128 }
+        Bounds {
+            peers,
+            collectors,
+            waiting_kib: kib / 8,
+            list: kib * 128,
+            calls: kib * 128,
+        }
     }
 
     /// The same with a gRPC front beside; `most` is what an operator allows of streams, `asks` whether hosts are
@@ -72,10 +82,16 @@
     ) -> (Bounds, StreamBounds) {
         let all = Bounds::of(memory_mb, sockets);
         // What relays may take follows the whole limit: an install of thousands has it.
-        let mb = if memory_mb.is_finite() { memory_mb.clamp(8.0, MEMORY_MOST_MB) } else { 1024.0 };
+        let mb = if memory_mb.is_finite() {
+            memory_mb.clamp(8.0, MEMORY_MOST_MB)
+        } else {
+            1024.0
+        };
         let kib = (mb * 1024.0) as usize;
         let peers = all.peers.min(PEERS_BESIDE).min(sockets / 4).max(8);
-        let collectors = (all.waiting_kib / 1024).clamp(4, COLLECTORS_MOST).min(peers / 2);
+        let collectors = (all.waiting_kib / 1024)
+            .clamp(4, COLLECTORS_MOST)
+            .min(peers / 2);
         let left = sockets.saturating_sub(OWN_SOCKETS.max(sockets / 4) + peers);
         let nodes = if asks { left / 4 } else { 0 };
         let connections = (kib / 4 / CONNECTION_KIB).min(left - nodes).max(4);
@@ -83,8 +99,18 @@
         let strangers = (streams / 4).clamp(4, STRANGERS_MOST);
         let message = MESSAGE_KIB * 1024;
         (
-            Bounds { peers, collectors, ..all },
-            StreamBounds { connections, streams, strangers, nodes, message },
+            Bounds {
+                peers,
+                collectors,
+                ..all
+            },
+            StreamBounds {
+                connections,
+                streams,
+                strangers,
+                nodes,
+                message,
+            },
         )
     }
 }
@@ -100,8 +126,12 @@
             assert!(b.peers + OWN_SOCKETS <= sockets, "{b:?}");
             assert!(b.collectors >= 8 && b.collectors < b.peers, "{b:?}");
             let strangers = b.peers * 16 * 1024;
-            let bytes = b.waiting_kib * 1024 + b.collectors * (1 << 20) + b.list + b.calls + strangers;
-            assert!((bytes as f64) < 0.8 * mb * 1024.0 * 1024.0, "{mb} MB: {bytes}");
+            let bytes =
+                b.waiting_kib * 1024 + b.collectors * (1 << 20) + b.list + b.calls + strangers;
+            assert!(
+                (bytes as f64) < 0.8 * mb * 1024.0 * 1024.0,
+                "{mb} MB: {bytes}"
+            );
         }
     }
 
@@ -110,12 +140,24 @@
         for (mb, sockets) in [(32.0, 256), (48.0, 384), (192.0, 1024), (2048.0, 65_536)] {
             for asks in [false, true] {
                 let (b, s) = Bounds::with_streams(mb, sockets, None, asks);
-                assert!(b.peers + s.connections + s.nodes + OWN_SOCKETS <= sockets, "{b:?} {s:?}");
-                assert!(b.collectors >= 4 && s.connections >= 40 && (s.nodes >= 16) == asks, "{b:?} {s:?}");
-                let own =
-                    b.waiting_kib * 1024 + b.collectors * (1 << 20) + b.list + b.calls + b.peers * 16 * 1024;
+                assert!(
+                    b.peers + s.connections + s.nodes + OWN_SOCKETS <= sockets,
+                    "{b:?} {s:?}"
+                );
+                assert!(
+                    b.collectors >= 4 && s.connections >= 40 && (s.nodes >= 16) == asks,
+                    "{b:?} {s:?}"
+                );
+                let own = b.waiting_kib * 1024
+                    + b.collectors * (1 << 20)
+                    + b.list
+                    + b.calls
+                    + b.peers * 16 * 1024;
                 let bytes = own + s.connections * CONNECTION_KIB * 1024 + s.nodes * 32 * 1024;
-                assert!((bytes as f64) < 0.9 * mb * 1024.0 * 1024.0, "{mb} MB: {bytes}");
+                assert!(
+                    (bytes as f64) < 0.9 * mb * 1024.0 * 1024.0,
+                    "{mb} MB: {bytes}"
+                );
             }
         }
         let (_, few) = Bounds::with_streams(192.0, 1024, Some(10), false);
--- a/crates/rushcourse-reducer/src/calls.rs
+++ b/crates/rushcourse-reducer/src/calls.rs
@@ -40,7 +40,11 @@
 impl Call {
     /// Whether it bears this mark: of the parts of a split reply only the last one does.
     fn bears(&self, mark: u16) -> bool {
-        self.mark == Some(mark) && self.orders.last().is_some_and(|order| order.starts_with("mark,"))
+        self.mark == Some(mark)
+            && self
+                .orders
+                .last()
+                .is_some_and(|order| order.starts_with("mark,"))
     }
 }
 
@@ -67,7 +71,10 @@
 
 /// A call left at this time.
 fn waiting(sent: Ms) -> State {
-    State::Waiting { sent, by: sent + ANSWER_WITHIN + SLACK }
+    State::Waiting {
+        sent,
+        by: sent + ANSWER_WITHIN + SLACK,
+    }
 }
 
 pub struct Calls {
@@ -126,14 +133,26 @@
     /// Whether the module may be asked for more. A relay that is silent holds up its own proxies; those that are
     /// reached another way are served on, until far more calls wait than ever do.
     pub fn has_room(&self, others: bool) -> bool {
-        let bytes = || self.queue.iter().flat_map(|c| &c.orders).map(String::len).sum::<usize>();
+        let bytes = || {
+            self.queue
+                .iter()
+                .flat_map(|c| &c.orders)
+                .map(String::len)
+                .sum::<usize>()
+        };
         let most = if others { OTHERS_FACTOR } else { 1 };
         self.queue.len() < most * CALLS_MOST && bytes() < self.most
     }
 
     /// The orders of one reply, in order, with the mark that ends them. A reply too long for one call is
     /// split: each further part is one more message to proxies, and the module is told.
-    pub fn push(&mut self, context: &mut StepContext, orders: Vec<String>, mark: Option<u16>, born: Ms) {
+    pub fn push(
+        &mut self,
+        context: &mut StepContext,
+        orders: Vec<String>,
+        mark: Option<u16>,
+        born: Ms,
+    ) {
         let (mut parts, mut size): (Vec<Vec<String>>, usize) = (Vec::new(), 0);
         for order in orders {
             size += order.len() + 1;
@@ -145,20 +164,35 @@
         let further = parts.len().saturating_sub(1);
         if further > 0 {
             context.counters.add("calls_split", further as u64);
-            context.note(Weight::Warning, "split", || format!("a reply was sent in {} calls", further + 1));
+            context.note(Weight::Warning, "split", || {
+                format!("a reply was sent in {} calls", further + 1)
+            });
         }
         if let Some(mark) = mark {
             (0..further).for_each(|_| context.event(Event::Delayed { mark, twice: true }));
         }
-        let calls = parts.into_iter().map(|orders| Call { orders, mark, born, sent: false, proved: false });
+        let calls = parts.into_iter().map(|orders| Call {
+            orders,
+            mark,
+            born,
+            sent: false,
+            proved: false,
+        });
         self.queue.extend(calls);
     }
 
     /// Tells the module that nothing which waits here is known to be carried out yet.
     fn tell(&self, context: &mut StepContext, unsure: bool) {
-        let marked = self.queue.iter().enumerate().find_map(|(at, c)| c.mark.map(|mark| (at, mark)));
+        let marked = self
+            .queue
+            .iter()
+            .enumerate()
+            .find_map(|(at, c)| c.mark.map(|mark| (at, mark)));
         if let Some((at, mark)) = marked {
-            context.event(Event::Delayed { mark, twice: unsure && at == 0 });
+            context.event(Event::Delayed {
+                mark,
+                twice: unsure && at == 0,
+            });
         }
     }
 
@@ -166,11 +200,17 @@
     fn unknown(&mut self, context: &mut StepContext, why: &str) {
         let pause = REPEAT_PAUSES[self.unknown.min(REPEAT_PAUSES.len() - 1)];
         self.unknown += 1;
-        self.state = State::Down { until: context.now + pause };
+        self.state = State::Down {
+            until: context.now + pause,
+        };
         self.tell(context, true);
         context.counters.add("calls_unknown", 1);
         let proved = self.queue.front().is_some_and(|c| c.proved);
-        let next = if proved { "a proxy has answered it already" } else { "the same call goes out again" };
+        let next = if proved {
+            "a proxy has answered it already"
+        } else {
+            "the same call goes out again"
+        };
         context.note(Weight::Warning, "call unknown", || format!("{why}; {next}"));
         if proved {
             self.known(context);
@@ -179,7 +219,9 @@
 
     /// No connection came up: nothing was carried out.
     fn unconnected(&mut self, context: &mut StepContext, why: &str) {
-        self.state = State::Down { until: context.now + self.connection.backoff.pause() };
+        self.state = State::Down {
+            until: context.now + self.connection.backoff.pause(),
+        };
         self.tell(context, false);
         context.counters.add("calls_unconnected", 1);
         context.note(Weight::Warning, "relay", || format!("calls: {why}"));
@@ -204,8 +246,12 @@
             return;
         }
         match self.state {
-            State::Waiting { .. } => self.unknown(context, &format!("the relay broke a call ({why})")),
-            State::Connecting { .. } => self.unconnected(context, &format!("no connection ({why})")),
+            State::Waiting { .. } => {
+                self.unknown(context, &format!("the relay broke a call ({why})"))
+            }
+            State::Connecting { .. } => {
+                self.unconnected(context, &format!("no connection ({why})"))
+            }
             State::Ready { .. } => self.state = State::Down { until: context.now },
             State::Resting { until } => self.state = State::Down { until },
             State::Down { .. } => {}
@@ -218,7 +264,9 @@
         }
         let State::Waiting { sent, .. } = self.state else {
             self.connection.drop(context);
-            context.note(Weight::Warning, "relay", || "calls: a line that answers nothing".into());
+            context.note(Weight::Warning, "relay", || {
+                "calls: a line that answers nothing".into()
+            });
             if !matches!(self.state, State::Down { .. }) {
                 self.state = State::Down { until: context.now };
             }
@@ -238,20 +286,32 @@
             Answer::Busy | Answer::Refused if self.taking => {
                 context.counters.add("calls_refused", 1);
                 self.connection.drop(context);
-                self.unknown(context, &format!("the relay takes calls, yet its answer is {text:.60?}"));
+                self.unknown(
+                    context,
+                    &format!("the relay takes calls, yet its answer is {text:.60?}"),
+                );
             }
             answer @ (Answer::Busy | Answer::Refused) => {
                 let read = answer == Answer::Busy;
-                context.counters.add(if read { "calls_busy" } else { "calls_refused" }, 1);
-                self.state = State::Resting { until: context.now + BUSY_WAIT };
+                context
+                    .counters
+                    .add(if read { "calls_busy" } else { "calls_refused" }, 1);
+                self.state = State::Resting {
+                    until: context.now + BUSY_WAIT,
+                };
                 self.tell(context, false);
                 if !read {
-                    context.note(Weight::Error, "call refused", || format!("it goes out again: {text:.60}"));
+                    context.note(Weight::Error, "call refused", || {
+                        format!("it goes out again: {text:.60}")
+                    });
                 }
             }
             Answer::Taken(_) | Answer::Watching | Answer::Unreadable => {
                 self.connection.drop(context);
-                self.unknown(context, &format!("the relay's answer can't be read ({text:.60?})"));
+                self.unknown(
+                    context,
+                    &format!("the relay's answer can't be read ({text:.60?})"),
+                );
             }
         }
     }
@@ -259,7 +319,9 @@
     /// A proxy has answered a mark. Where the outcome of its call was unknown, it is known now: all orders were
     /// taken, as the mark is the last of them.
     pub fn proved(&mut self, context: &mut StepContext, mark: u16) {
-        let Some(call) = self.queue.front_mut().filter(|c| c.sent && c.bears(mark)) else { return };
+        let Some(call) = self.queue.front_mut().filter(|c| c.sent && c.bears(mark)) else {
+            return;
+        };
         call.proved = true;
         if !matches!(self.state, State::Waiting { .. }) {
             self.known(context);
@@ -278,17 +340,25 @@
 
     /// So many orders were taken: the next one is bad and is dropped, the rest goes out as a call of its own.
     fn taken(&mut self, context: &mut StepContext, n: usize) {
-        let Some(mut call) = self.queue.pop_front() else { return };
+        let Some(mut call) = self.queue.pop_front() else {
+            return;
+        };
         context.counters.add("calls_answered", 1);
         context.counters.add("orders_taken", n as u64);
         if n < call.orders.len() {
             let rest = call.orders.split_off(n + 1);
             context.counters.add("orders_dropped", 1);
             let bad = call.orders.pop().unwrap_or_default();
-            context.note(Weight::Warning, "order dropped", || format!("the relay does not take {bad}"));
+            context.note(Weight::Warning, "order dropped", || {
+                format!("the relay does not take {bad}")
+            });
             // A mark alone reaches nobody.
             if rest.iter().any(|order| !order.starts_with("mark,")) {
-                self.queue.push_front(Call { orders: rest, sent: true, ..call });
+                self.queue.push_front(Call {
+                    orders: rest,
+                    sent: true,
+                    ..call
+                });
                 self.tell(context, n > 0);
             }
         }
@@ -296,11 +366,18 @@
 
     /// Whether the next call is the repeat of one of unknown outcome, whose messages may break the cap.
     fn repeats(&self) -> Option<u16> {
-        self.queue.front().filter(|c| c.sent && self.unknown > 0).and_then(|c| c.mark)
+        self.queue
+            .front()
+            .filter(|c| c.sent && self.unknown > 0)
+            .and_then(|c| c.mark)
     }
 
     /// Does what is due; answers when it wants to be called again. `may_repeat` is the module's word on a mark.
-    pub fn advance(&mut self, context: &mut StepContext, may_repeat: impl Fn(u16) -> bool) -> Option<Ms> {
+    pub fn advance(
+        &mut self,
+        context: &mut StepContext,
+        may_repeat: impl Fn(u16) -> bool,
+    ) -> Option<Ms> {
         let now = context.now;
         loop {
             if self.moved && !matches!(self.state, State::Waiting { .. }) {
@@ -313,12 +390,18 @@
                 State::Down { .. } if self.repeats().is_some_and(|mark| !may_repeat(mark)) => {
                     context.counters.add("repeats_held", 1);
                     self.tell(context, false);
-                    self.state = State::Down { until: now + HELD_WAIT };
+                    self.state = State::Down {
+                        until: now + HELD_WAIT,
+                    };
                 }
                 State::Down { .. } => {
-                    self.state = State::Connecting { by: self.connection.connect(context) };
+                    self.state = State::Connecting {
+                        by: self.connection.connect(context),
+                    };
+                }
+                State::Connecting { by } | State::Waiting { by, .. } if now < by => {
+                    return Some(by);
                 }
-                State::Connecting { by } | State::Waiting { by, .. } if now < by => return Some(by),
                 State::Connecting { .. } => {
                     self.connection.drop(context);
                     self.unconnected(context, "no connection in time");
--- a/crates/rushcourse-reducer/src/listing.rs
+++ b/crates/rushcourse-reducer/src/listing.rs
@@ -112,7 +112,11 @@
         self.old_ask = None;
         match discovery::decode(body) {
             Ok(list) if list.revision > self.revision => {
-                let kind = if list.complete { ListKind::Full } else { ListKind::Delta };
+                let kind = if list.complete {
+                    ListKind::Full
+                } else {
+                    ListKind::Delta
+                };
                 self.revision = list.revision;
                 self.give(context, &list, kind, zones);
             }
@@ -135,7 +139,13 @@
         self.give(context, list, ListKind::Held, zones);
     }
 
-    fn give(&mut self, context: &mut StepContext, list: &Listing, kind: ListKind, zones: &[String]) {
+    fn give(
+        &mut self,
+        context: &mut StepContext,
+        list: &Listing,
+        kind: ListKind,
+        zones: &[String],
+    ) {
         let mut entries = Vec::new();
         for member in list.members() {
             let (read, id) = match member {
@@ -149,7 +159,8 @@
                 self.known.get(id.as_str()).cloned().ok_or(())
             });
             if let Ok((entry, address)) = read {
-                self.known.insert(entry.host.clone(), (entry.clone(), address));
+                self.known
+                    .insert(entry.host.clone(), (entry.clone(), address));
                 entries.push(entry);
             }
         }
@@ -173,12 +184,23 @@
         };
         let zone = zones.iter().position(|z| *z == m.locality);
         let before = self.known.get(&host);
-        let zone = zone.or(before.filter(|_| readiness == Some(Readiness::Gone)).map(|k| k.0.zone));
+        let zone = zone.or(before
+            .filter(|_| readiness == Some(Readiness::Gone))
+            .map(|k| k.0.zone));
         let (Some(readiness), Some(zone)) = (readiness, zone) else {
-            return Err(format!("{}: phase {:?}, zone {:?}", m.id, m.phase, m.locality));
+            return Err(format!(
+                "{}: phase {:?}, zone {:?}",
+                m.id, m.phase, m.locality
+            ));
+        };
+        let entry = Entry {
+            host,
+            zone,
+            cell: m.cell as u32,
+            readiness,
+            weight: m.size,
+            up_since: m.up_since_ms,
         };
-        let entry =
-            Entry { host, zone, cell: m.cell as u32, readiness, weight: m.size, up_since: m.up_since_ms };
         Ok((entry, m.host_port.to_string()))
     }
 
@@ -186,7 +208,9 @@
         if self.old_ask == Some(ask) {
             return self.old_listed(context, body, zones);
         }
-        let State::Asked { whole, .. } = self.state else { return };
+        let State::Asked { whole, .. } = self.state else {
+            return;
+        };
         if ask != self.ask {
             return;
         }
@@ -196,14 +220,23 @@
         };
         self.state = State::Idle { until: context.now };
         self.backoff.reset();
-        let (new, old) =
-            (list.revision > self.revision, list.revision < self.revision && !(self.moved && list.complete));
+        let (new, old) = (
+            list.revision > self.revision,
+            list.revision < self.revision && !(self.moved && list.complete),
+        );
         self.old = if old { self.old + 1 } else { 0 };
         if old && !(whole && list.complete && self.old >= OLD_MOST) {
             let held = self.revision;
             context.counters.add("lists_old", 1);
-            context.note(Weight::Warning, "list old", || format!("{} while {held} is held", list.revision));
-            (self.whole, self.state) = (true, State::Idle { until: context.now + PAUSE_MOST });
+            context.note(Weight::Warning, "list old", || {
+                format!("{} while {held} is held", list.revision)
+            });
+            (self.whole, self.state) = (
+                true,
+                State::Idle {
+                    until: context.now + PAUSE_MOST,
+                },
+            );
             return;
         }
         self.last = Some(context.now);
@@ -219,7 +252,9 @@
         }
         (self.revision, self.whole) = (list.revision, self.whole && !list.complete);
         if !new && context.now - self.asked < EMPTY_WITHIN && !whole {
-            self.state = State::Idle { until: context.now + EMPTY_PAUSE };
+            self.state = State::Idle {
+                until: context.now + EMPTY_PAUSE,
+            };
         }
     }
 
@@ -232,9 +267,13 @@
     /// No answer, or none that can be used: what changed meanwhile is in the whole list only.
     fn fail(&mut self, context: &mut StepContext, why: &str) {
         self.whole = true;
-        self.state = State::Idle { until: context.now + self.backoff.pause() };
+        self.state = State::Idle {
+            until: context.now + self.backoff.pause(),
+        };
         context.counters.add("lists_failed", 1);
-        context.note(Weight::Warning, "discovery", || format!("{why}; the whole list is asked for"));
+        context.note(Weight::Warning, "discovery", || {
+            format!("{why}; the whole list is asked for")
+        });
     }
 
     pub fn advance(&mut self, context: &mut StepContext) -> Option<Ms> {
@@ -250,8 +289,16 @@
                     (discovery::watch(self.revision, WAIT), WAIT)
                 };
                 let within = wait as f64 + BEYOND;
-                context.ask(Effect::List { ask: self.ask, at: self.at, path, within });
-                self.state = State::Asked { by: now + within + BEYOND, whole: self.whole };
+                context.ask(Effect::List {
+                    ask: self.ask,
+                    at: self.at,
+                    path,
+                    within,
+                });
+                self.state = State::Asked {
+                    by: now + within + BEYOND,
+                    whole: self.whole,
+                };
             }
             State::Asked { by, .. } if now >= by => self.fail(context, "no answer"),
             State::Asked { .. } => {}
@@ -269,21 +316,47 @@
 
     #[test]
     fn a_host_is_reached_where_it_was_last_listed() {
-        let (mut hosts, mut context) = (Hosts::new(([127, 0, 0, 1], 1).into()), StepContext::default());
+        let (mut hosts, mut context) = (
+            Hosts::new(([127, 0, 0, 1], 1).into()),
+            StepContext::default(),
+        );
         let zones = ["east".to_string()];
         let mut after = |kind: ListKind, revision: u64, member: &str| {
             let text = format!(r#"{{"revision":{revision},"complete":true,"members":[{member}]}}"#);
-            hosts.give(&mut context, &discovery::decode(text.as_bytes()).expect("a list"), kind, &zones);
+            hosts.give(
+                &mut context,
+                &discovery::decode(text.as_bytes()).expect("a list"),
+                kind,
+                &zones,
+            );
             hosts.address(&"h".into()).cloned()
         };
         let at = |port: u32, phase: &str| {
-            format!(r#"{{"id":"h","host_port":"127.0.0.1:{port}","locality":"east","phase":"{phase}"}}"#)
+            format!(
+                r#"{{"id":"h","host_port":"127.0.0.1:{port}","locality":"east","phase":"{phase}"}}"#
+            )
         };
-        assert_eq!(after(ListKind::Full, 1, &at(1, "Ready")).as_deref(), Some("127.0.0.1:1"));
-        assert_eq!(after(ListKind::Delta, 2, &at(2, "Ready")).as_deref(), Some("127.0.0.1:2"));
-        assert_eq!(after(ListKind::Delta, 3, &at(2, "Odd")).as_deref(), Some("127.0.0.1:2"));
+        assert_eq!(
+            after(ListKind::Full, 1, &at(1, "Ready")).as_deref(),
+            Some("127.0.0.1:1")
+        );
+        assert_eq!(
+            after(ListKind::Delta, 2, &at(2, "Ready")).as_deref(),
+            Some("127.0.0.1:2")
+        );
+        assert_eq!(
+            after(ListKind::Delta, 3, &at(2, "Odd")).as_deref(),
+            Some("127.0.0.1:2")
+        );
         assert_eq!(after(ListKind::Delta, 4, &at(2, "Gone")), None);
-        assert_eq!(after(ListKind::Full, 5, &at(3, "Ready")).as_deref(), Some("127.0.0.1:3"));
-        assert_eq!(after(ListKind::Full, 6, ""), None, "a list that does not name it forgets it");
+        assert_eq!(
+            after(ListKind::Full, 5, &at(3, "Ready")).as_deref(),
+            Some("127.0.0.1:3")
+        );
+        assert_eq!(
+            after(ListKind::Full, 6, ""),
+            None,
+            "a list that does not name it forgets it"
+        );
     }
 }
--- a/crates/rushcourse-reducer/src/news.rs
+++ b/crates/rushcourse-reducer/src/news.rs
@@ -110,7 +110,11 @@
         self.connection.backoff.reset();
         if let State::Live { silent } = self.state {
             self.drop_old(context);
-            self.old = Some(Old { turn: self.connection.turn(), until: silent, replaced: false });
+            self.old = Some(Old {
+                turn: self.connection.turn(),
+                until: silent,
+                replaced: false,
+            });
         } else if !matches!(self.state, State::Down { .. }) {
             self.connection.drop(context);
         }
@@ -129,8 +133,9 @@
             self.gap.get_or_insert(since);
             context.counters.add("news_breaks", 1);
             let turn = old.turn;
-            context
-                .note(Weight::Warning, "news lost", || format!("{why} (watch {turn}, of before the reload)"));
+            context.note(Weight::Warning, "news lost", || {
+                format!("{why} (watch {turn}, of before the reload)")
+            });
         }
     }
 
@@ -147,7 +152,11 @@
             }
             None => {
                 self.connection.drop_turn(context, old.turn);
-                self.old_lost(context, context.now, &format!("news can't be read ({text:.60?})"));
+                self.old_lost(
+                    context,
+                    context.now,
+                    &format!("news can't be read ({text:.60?})"),
+                );
             }
         }
     }
@@ -162,17 +171,23 @@
         } else {
             self.connection.backoff.pause()
         };
-        self.state = State::Down { until: context.now + pause };
+        self.state = State::Down {
+            until: context.now + pause,
+        };
         if self.old.as_ref().is_none_or(|old| old.replaced) {
             self.gap.get_or_insert(since);
         }
         context.counters.add("news_breaks", 1);
-        context.note(Weight::Warning, "news lost", || format!("{why}; asking again"));
+        context.note(Weight::Warning, "news lost", || {
+            format!("{why}; asking again")
+        });
     }
 
     pub fn up(&mut self, context: &mut StepContext, turn: u64) {
         if self.connection.is(turn) && matches!(self.state, State::Connecting { .. }) {
-            self.state = State::Asked { by: context.now + ANSWER_WITHIN };
+            self.state = State::Asked {
+                by: context.now + ANSWER_WITHIN,
+            };
             self.connection.send(context, relay::WATCH.into());
         }
     }
@@ -202,11 +217,15 @@
                     if let Some(old) = &mut self.old {
                         (old.until, old.replaced) = (context.now + LAST_ANSWERS, true);
                     }
-                    self.state = State::Standing { quiet: context.now + SILENCE_MOST };
+                    self.state = State::Standing {
+                        quiet: context.now + SILENCE_MOST,
+                    };
                 }
                 Answer::Busy => {
                     self.connection.drop(context);
-                    self.state = State::Down { until: context.now + BUSY_WAIT };
+                    self.state = State::Down {
+                        until: context.now + BUSY_WAIT,
+                    };
                 }
                 _ => self.unreadable(context, text),
             },
@@ -220,7 +239,11 @@
     fn unreadable(&mut self, context: &mut StepContext, text: &str) {
         self.connection.drop(context);
         // All before this line was read: only from here on something is missing.
-        self.lost(context, context.now, &format!("news can't be read ({text:.60?})"));
+        self.lost(
+            context,
+            context.now,
+            &format!("news can't be read ({text:.60?})"),
+        );
     }
 
     fn take(&mut self, context: &mut StepContext, news: News, zones: &[String]) {
@@ -230,8 +253,12 @@
         }
         self.last = context.now;
         self.state = match self.state {
-            State::Standing { .. } => State::Standing { quiet: context.now + STANDING_QUIET },
-            _ => State::Live { silent: context.now + SILENCE_MOST },
+            State::Standing { .. } => State::Standing {
+                quiet: context.now + STANDING_QUIET,
+            },
+            _ => State::Live {
+                silent: context.now + SILENCE_MOST,
+            },
         };
         self.live(context, news, zones, standing);
     }
@@ -240,24 +267,38 @@
         context.proved.push(mark);
         if let Some(seen) = self.joined.get_mut(&proxy) {
             seen.applied = true;
-            context.event(Event::Applied { mark, proxy, took, channel: Channel::Shared });
+            context.event(Event::Applied {
+                mark,
+                proxy,
+                took,
+                channel: Channel::Shared,
+            });
         }
     }
 
     fn live(&mut self, context: &mut StepContext, news: News, zones: &[String], standing: bool) {
         match news {
-            News::Joined { proxy, zone, rate, fresh } => {
+            News::Joined {
+                proxy,
+                zone,
+                rate,
+                fresh,
+            } => {
                 let Some(zone) = zones.iter().position(|z| z == zone) else {
                     context.counters.add("news_odd", 1);
-                    return context
-                        .note(Weight::Warning, "news", || format!("{proxy} in unknown zone {zone}"));
+                    return context.note(Weight::Warning, "news", || {
+                        format!("{proxy} in unknown zone {zone}")
+                    });
                 };
                 self.named.insert(proxy);
                 self.join(context, standing, proxy, zone, rate, fresh);
             }
             News::Left { proxy } => {
                 if self.joined.remove(&proxy).is_some() {
-                    context.event(Event::Left { proxy, channel: Channel::Shared });
+                    context.event(Event::Left {
+                        proxy,
+                        channel: Channel::Shared,
+                    });
                 }
             }
             News::Applied { proxy, mark, took } => self.applied(context, proxy, mark, took),
@@ -276,13 +317,29 @@
         rate: f64,
         fresh: bool,
     ) {
-        let joined = Event::Joined { proxy, zone, rate, fresh, channel: Channel::Shared };
+        let joined = Event::Joined {
+            proxy,
+            zone,
+            rate,
+            fresh,
+            channel: Channel::Shared,
+        };
         let gap = self.gap.map_or(0.0, |since| context.now - since);
-        match self.joined.insert(proxy, Seen { applied: false, zone, rate }) {
+        match self.joined.insert(
+            proxy,
+            Seen {
+                applied: false,
+                zone,
+                rate,
+            },
+        ) {
             None => context.event(joined),
             // It holds nothing of what it had applied: it has started anew.
             Some(old) if !standing || fresh && old.applied => {
-                context.event(Event::Left { proxy, channel: Channel::Shared });
+                context.event(Event::Left {
+                    proxy,
+                    channel: Channel::Shared,
+                });
                 context.event(joined);
             }
             // That it still stands here is no news of one that has joined by a stream since.
@@ -302,24 +359,43 @@
     pub fn rejoin(&self, context: &mut StepContext, proxy: ProxyId) {
         if let Some(Seen { zone, rate, .. }) = self.joined.get(&proxy) {
             let (zone, rate) = (*zone, *rate);
-            context.event(Event::Joined { proxy, zone, rate, fresh: false, channel: Channel::Shared });
+            context.event(Event::Joined {
+                proxy,
+                zone,
+                rate,
+                fresh: false,
+                channel: Channel::Shared,
+            });
         }
     }
 
     /// What stands was told: who was not named has left.
     fn complete(&mut self, context: &mut StepContext) {
-        let gone: Vec<ProxyId> = self.joined.keys().filter(|p| !self.named.contains(p)).copied().collect();
+        let gone: Vec<ProxyId> = self
+            .joined
+            .keys()
+            .filter(|p| !self.named.contains(p))
+            .copied()
+            .collect();
         if let Some(since) = self.gap.take() {
             let (ms, joined) = (context.now - since, self.named.len());
             context.note(Weight::Info, "news back", || {
-                format!("after {ms:.0} ms; {joined} proxies stand, {} are gone", gone.len())
+                format!(
+                    "after {ms:.0} ms; {joined} proxies stand, {} are gone",
+                    gone.len()
+                )
             });
         }
         for proxy in gone {
             self.joined.remove(&proxy);
-            context.event(Event::Left { proxy, channel: Channel::Shared });
+            context.event(Event::Left {
+                proxy,
+                channel: Channel::Shared,
+            });
         }
-        self.state = State::Live { silent: context.now + SILENCE_MOST };
+        self.state = State::Live {
+            silent: context.now + SILENCE_MOST,
+        };
     }
 
     pub fn advance(&mut self, context: &mut StepContext) -> Option<Ms> {
@@ -329,7 +405,9 @@
             self.old_lost(context, self.last, "no sign of life");
         }
         let next = self.go_on(context);
-        next.into_iter().chain(self.old.as_ref().map(|old| old.until)).reduce(f64::min)
+        next.into_iter()
+            .chain(self.old.as_ref().map(|old| old.until))
+            .reduce(f64::min)
     }
 
     fn go_on(&mut self, context: &mut StepContext) -> Option<Ms> {
@@ -342,15 +420,27 @@
             match self.state {
                 State::Down { until } if now < until => return Some(until),
                 State::Down { .. } => {
-                    self.state = State::Connecting { by: self.connection.connect(context) };
+                    self.state = State::Connecting {
+                        by: self.connection.connect(context),
+                    };
                 }
                 State::Connecting { by } | State::Asked { by } if now < by => return Some(by),
-                State::Standing { quiet: by } | State::Live { silent: by } if now < by => return Some(by),
+                State::Standing { quiet: by } | State::Live { silent: by } if now < by => {
+                    return Some(by);
+                }
                 State::Standing { .. } => self.complete(context),
                 State::Connecting { .. } | State::Asked { .. } | State::Live { .. } => {
                     self.connection.drop(context);
                     let (since, live) = (self.last, matches!(self.state, State::Live { .. }));
-                    self.lost(context, since, if live { "no sign of life" } else { "no watch in time" });
+                    self.lost(
+                        context,
+                        since,
+                        if live {
+                            "no sign of life"
+                        } else {
+                            "no watch in time"
+                        },
+                    );
                 }
             }
         }
