--- a/crates/rushcourse-reducer/src/peers.rs
+++ b/crates/rushcourse-reducer/src/peers.rs
@@ -42,7 +42,10 @@
 
 impl Peers {
     pub fn new(bounds: Bounds) -> Peers {
-        Peers { bounds, open: BTreeMap::new() }
+        Peers {
+            bounds,
+            open: BTreeMap::new(),
+        }
     }
 
     pub fn count(&self) -> usize {
@@ -50,7 +53,10 @@
     }
 
     fn collectors(&self) -> impl Iterator<Item = (Conn, &Peer)> {
-        let joined = self.open.iter().filter(|(_, p)| p.standing == Standing::Collector);
+        let joined = self
+            .open
+            .iter()
+            .filter(|(_, p)| p.standing == Standing::Collector);
         joined.map(|(conn, p)| (*conn, p))
     }
 
@@ -59,17 +65,32 @@
     }
 
     pub fn has_joined(&self, conn: Conn) -> bool {
-        self.open.get(&conn).is_some_and(|p| p.standing == Standing::Collector)
+        self.open
+            .get(&conn)
+            .is_some_and(|p| p.standing == Standing::Collector)
     }
 
     /// Somebody connected. Where there are too many, who came first of those that have not joined goes: that
     /// is never a collector, which joins at once.
     pub fn opened(&mut self, context: &mut StepContext, conn: Conn, name: String) {
         let now = context.now;
-        self.open.insert(conn, Peer { standing: Standing::New, name, since: now, last: now });
+        self.open.insert(
+            conn,
+            Peer {
+                standing: Standing::New,
+                name,
+                since: now,
+                last: now,
+            },
+        );
         if self.open.len() > self.bounds.peers {
-            let strangers = self.open.iter().filter(|(_, p)| p.standing != Standing::Collector);
-            let first = strangers.min_by(|a, b| a.1.since.total_cmp(&b.1.since)).map(|(conn, _)| *conn);
+            let strangers = self
+                .open
+                .iter()
+                .filter(|(_, p)| p.standing != Standing::Collector);
+            let first = strangers
+                .min_by(|a, b| a.1.since.total_cmp(&b.1.since))
+                .map(|(conn, _)| *conn);
             self.close(context, first.unwrap_or(conn), "too many connections", None);
         }
     }
@@ -77,7 +98,9 @@
     fn close(&mut self, context: &mut StepContext, conn: Conn, why: &str, last: Option<Bytes>) {
         if let Some(peer) = self.open.remove(&conn) {
             context.counters.add("peers_closed", 1);
-            context.note(Weight::Warning, "connection closed", || format!("{}: {why}", peer.name));
+            context.note(Weight::Warning, "connection closed", || {
+                format!("{}: {why}", peer.name)
+            });
             context.ask(Effect::Close { conn, last });
         }
     }
@@ -97,13 +120,17 @@
     pub fn closed(&mut self, context: &mut StepContext, conn: Conn, why: &str) {
         if let Some(peer) = self.open.remove(&conn).filter(|_| !why.is_empty()) {
             context.counters.add("peers_broken", 1);
-            context.note(Weight::Info, "connection ended", || format!("{}: {why}", peer.name));
+            context.note(Weight::Info, "connection ended", || {
+                format!("{}: {why}", peer.name)
+            });
         }
     }
 
     pub fn frame(&mut self, context: &mut StepContext, conn: Conn, bytes: &Bytes, known: &Known) {
         let now = context.now;
-        let Some(peer) = self.open.get_mut(&conn) else { return };
+        let Some(peer) = self.open.get_mut(&conn) else {
+            return;
+        };
         peer.last = now;
         let joined = peer.standing == Standing::Collector;
         let message = match frames::decode(bytes) {
@@ -115,25 +142,34 @@
             }
         };
         let event = match message {
-            Message::Ping => return context.ask(Effect::Write { conn, bytes: frames::pong() }),
+            Message::Ping => {
+                return context.ask(Effect::Write {
+                    conn,
+                    bytes: frames::pong(),
+                });
+            }
             Message::Collector { zone } if known.zone(&zone).is_some() => {
                 if !joined {
                     self.join(context, conn, &zone);
                 }
                 return;
             }
-            _ if !joined => return self.refuse(context, conn, "only a collector of a known zone is served"),
+            _ if !joined => {
+                return self.refuse(context, conn, "only a collector of a known zone is served");
+            }
             Message::Collector { .. } => Err(("messages_odd", "collector of an unknown zone")),
             // Its last reports may come after the list has forgotten it.
             Message::Heard(h) => match (known.host)(&h.host) {
                 None => return context.counters.add("heard_unlisted", 1),
-                Some(host) => {
-                    known.heard(h, host).map(|e| ("reports_heard", e)).map_err(|why| ("heard_spoilt", why))
-                }
+                Some(host) => known
+                    .heard(h, host)
+                    .map(|e| ("reports_heard", e))
+                    .map_err(|why| ("heard_spoilt", why)),
             },
-            Message::Usage(u) => {
-                known.usage(u).map(|e| ("reports_usage", e)).map_err(|why| ("usage_spoilt", why))
-            }
+            Message::Usage(u) => known
+                .usage(u)
+                .map(|e| ("reports_usage", e))
+                .map_err(|why| ("usage_spoilt", why)),
             Message::Other(_) => Err(("messages_odd", "of a kind that is no report")),
             Message::Spoilt(field) => Err(("fields_spoilt", field)),
         };
@@ -156,15 +192,24 @@
     fn join(&mut self, context: &mut StepContext, conn: Conn, zone: &str) {
         let now = context.now;
         if self.joined() >= self.bounds.collectors {
-            let silent = self.collectors().min_by(|a, b| a.1.last.total_cmp(&b.1.last));
-            match silent.filter(|(_, p)| now - p.last > SILENT).map(|(conn, _)| conn) {
-                Some(silent) => self.close(context, silent, "silent, another collector joins", None),
+            let silent = self
+                .collectors()
+                .min_by(|a, b| a.1.last.total_cmp(&b.1.last));
+            match silent
+                .filter(|(_, p)| now - p.last > SILENT)
+                .map(|(conn, _)| conn)
+            {
+                Some(silent) => {
+                    self.close(context, silent, "silent, another collector joins", None)
+                }
                 None => return self.refuse(context, conn, "too many collectors"),
             }
         }
         if let Some(peer) = self.open.get_mut(&conn) {
             (peer.standing, peer.since) = (Standing::Collector, now);
-            context.note(Weight::Info, "collector", || format!("{} collects for {zone}", peer.name));
+            context.note(Weight::Info, "collector", || {
+                format!("{} collects for {zone}", peer.name)
+            });
         }
     }
 
@@ -174,7 +219,10 @@
             Standing::Page => Some(p.since + PAGE_WITHIN),
             Standing::Collector => None,
         };
-        let due = self.open.iter().filter(|(_, p)| by(p).is_some_and(|by| context.now >= by));
+        let due = self
+            .open
+            .iter()
+            .filter(|(_, p)| by(p).is_some_and(|by| context.now >= by));
         for conn in due.map(|(conn, _)| *conn).collect::<Vec<_>>() {
             self.close(context, conn, "has not joined in time", None);
         }
--- a/crates/rushcourse-reducer/src/relay_connection.rs
+++ b/crates/rushcourse-reducer/src/relay_connection.rs
@@ -25,7 +25,12 @@
 
 impl RelayConnection {
     pub fn new(link: Link, relay: SocketAddr) -> RelayConnection {
-        RelayConnection { link, relay, turn: 0, backoff: Backoff::new(PAUSE, PAUSE_MOST) }
+        RelayConnection {
+            link,
+            relay,
+            turn: 0,
+            backoff: Backoff::new(PAUSE, PAUSE_MOST),
+        }
     }
 
     /// Whether something is of the connection that stands or is in the making, not of an earlier one.
@@ -36,7 +41,11 @@
     /// Connects anew; answers until when that may take.
     pub fn connect(&mut self, context: &mut StepContext) -> Ms {
         self.turn += 1;
-        context.ask(Effect::Connect { link: self.link, turn: self.turn, to: self.relay });
+        context.ask(Effect::Connect {
+            link: self.link,
+            turn: self.turn,
+            to: self.relay,
+        });
         context.now + CONNECT_WITHIN
     }
 
@@ -45,7 +54,11 @@
     }
 
     pub fn send(&self, context: &mut StepContext, text: String) {
-        context.ask(Effect::Send { link: self.link, turn: self.turn, text });
+        context.ask(Effect::Send {
+            link: self.link,
+            turn: self.turn,
+            text,
+        });
     }
 
     pub fn drop(&self, context: &mut StepContext) {
@@ -54,6 +67,9 @@
 
     /// Ends an earlier connection that was kept.
     pub fn drop_turn(&self, context: &mut StepContext, turn: u64) {
-        context.ask(Effect::Drop { link: self.link, turn });
+        context.ask(Effect::Drop {
+            link: self.link,
+            turn,
+        });
     }
 }
--- a/crates/rushcourse-reducer/src/reload.rs
+++ b/crates/rushcourse-reducer/src/reload.rs
@@ -25,20 +25,34 @@
         read: Result<Reread, String>,
     ) -> Option<(Places, Option<Rules>)> {
         match read {
-            Ok(Reread { places, streams, left }) => {
+            Ok(Reread {
+                places,
+                streams,
+                left,
+            }) => {
                 *self = Reload::default();
                 context.counters.add("reloads", 1);
                 context.note(Weight::Info, "reload", || {
-                    let same = if places == held { "; nothing has moved" } else { "" };
-                    format!("relay {}, discovery {}{same}", places.relay, places.discovery)
+                    let same = if places == held {
+                        "; nothing has moved"
+                    } else {
+                        ""
+                    };
+                    format!(
+                        "relay {}, discovery {}{same}",
+                        places.relay, places.discovery
+                    )
                 });
-                left.into_iter().for_each(|text| context.note(Weight::Warning, "reload", || text));
+                left.into_iter()
+                    .for_each(|text| context.note(Weight::Warning, "reload", || text));
                 Some((places, streams))
             }
             Err(why) => {
                 if self.tries == 0 {
                     context.counters.add("reloads_failed", 1);
-                    context.note(Weight::Error, "reload", || format!("{why}; nothing is changed"));
+                    context.note(Weight::Error, "reload", || {
+                        format!("{why}; nothing is changed")
+                    });
                 }
                 self.tries += 1;
                 self.again = (self.tries <= AGAIN_MOST).then_some(context.now + AGAIN_AFTER);
--- a/crates/rushcourse-reducer/src/reports.rs
+++ b/crates/rushcourse-reducer/src/reports.rs
@@ -32,18 +32,37 @@
             None if h.bad >= h.n => 0.0,
             _ => return Err("avg is out of range"),
         };
-        Ok(Event::Heard { zone, host, tries: h.n, failed: h.bad, mean, span: h.window, load: h.load })
+        Ok(Event::Heard {
+            zone,
+            host,
+            tries: h.n,
+            failed: h.bad,
+            mean,
+            span: h.window,
+            load: h.load,
+        })
     }
 
     pub fn usage(&self, u: Usage) -> Result<Event, &'static str> {
-        let class = self.names.classes.iter().position(|c| *c == u.kind).ok_or("kind is no known class")?;
+        let class = self
+            .names
+            .classes
+            .iter()
+            .position(|c| *c == u.kind)
+            .ok_or("kind is no known class")?;
         let proxies = self.settings.proxies;
         if proxies > 0 && u.sidecar as usize >= proxies {
             return Err("sidecar is no proxy");
         }
         match figures::spoilt(u.n, u.bad, u.window) {
             Some(why) => Err(why),
-            None => Ok(Event::Usage { proxy: u.sidecar, class, tries: u.n, failed: u.bad, span: u.window }),
+            None => Ok(Event::Usage {
+                proxy: u.sidecar,
+                class,
+                tries: u.n,
+                failed: u.bad,
+                span: u.window,
+            }),
         }
     }
 }
--- a/crates/rushcourse-reducer/src/session.rs
+++ b/crates/rushcourse-reducer/src/session.rs
@@ -72,7 +72,9 @@
 
 impl Session {
     pub fn new(setup: Setup) -> Session {
-        let streams = setup.streams.map(|rules| Streams::new(rules, &setup.settings, &setup.names));
+        let streams = setup
+            .streams
+            .map(|rules| Streams::new(rules, &setup.settings, &setup.names));
         Session {
             relay: setup.relay,
             streams,
@@ -105,16 +107,56 @@
         let now = self.context.now;
         let age = |age: Option<Ms>| age.map_or(-1.0, |ms| ms / 1000.0);
         let mut gauges = vec![
-            ("calls_waiting", "Calls that wait for the relay.", self.calls.waiting() as f64),
-            ("events_waiting", "Events that wait for the next tick.", self.context.events.len() as f64),
-            ("proxies_joined", "Proxies that are joined, as the news tell.", self.watch.joined() as f64),
-            ("hosts_known", "Hosts that the list names.", self.hosts.known() as f64),
-            ("list_revision", "Revision of the list.", self.hosts.revision() as f64),
-            ("list_age_seconds", "Time since discovery last answered.", age(self.hosts.age(now))),
-            ("news_age_seconds", "Time since the last line of news.", age(self.watch.age(now))),
-            ("peers_open", "Connections at the director's address.", self.peers.count() as f64),
-            ("collectors_joined", "Connections that have joined as collectors.", self.peers.joined() as f64),
-            ("timers_pending", "Timers of the module.", self.timers.len() as f64),
+            (
+                "calls_waiting",
+                "Calls that wait for the relay.",
+                self.calls.waiting() as f64,
+            ),
+            (
+                "events_waiting",
+                "Events that wait for the next tick.",
+                self.context.events.len() as f64,
+            ),
+            (
+                "proxies_joined",
+                "Proxies that are joined, as the news tell.",
+                self.watch.joined() as f64,
+            ),
+            (
+                "hosts_known",
+                "Hosts that the list names.",
+                self.hosts.known() as f64,
+            ),
+            (
+                "list_revision",
+                "Revision of the list.",
+                self.hosts.revision() as f64,
+            ),
+            (
+                "list_age_seconds",
+                "Time since discovery last answered.",
+                age(self.hosts.age(now)),
+            ),
+            (
+                "news_age_seconds",
+                "Time since the last line of news.",
+                age(self.watch.age(now)),
+            ),
+            (
+                "peers_open",
+                "Connections at the director's address.",
+                self.peers.count() as f64,
+            ),
+            (
+                "collectors_joined",
+                "Connections that have joined as collectors.",
+                self.peers.joined() as f64,
+            ),
+            (
+                "timers_pending",
+                "Timers of the module.",
+                self.timers.len() as f64,
+            ),
             (
                 "module_entries",
                 "What the module remembers of hosts, tables, messages.",
@@ -155,7 +197,9 @@
     /// Proxies may change the way by which they are reached: the newest joining counts, and who has left a stream
     /// is reached by the relay if it still stands there.
     fn settle_ways(&mut self) {
-        let Some(streams) = &mut self.streams else { return };
+        let Some(streams) = &mut self.streams else {
+            return;
+        };
         for proxy in std::mem::take(&mut self.context.superseded) {
             streams.lost(self.context.now, proxy);
         }
@@ -180,7 +224,9 @@
                 self.status = context.now + STATUS_EVERY;
                 match discovery::decode(&self.known) {
                     Ok(list) => self.hosts.held(context, &list, zones),
-                    Err(e) => context.note(Weight::Warning, "known list", || format!("can't be read ({e})")),
+                    Err(e) => context.note(Weight::Warning, "known list", || {
+                        format!("can't be read ({e})")
+                    }),
                 }
                 self.known = Bytes::new();
                 self.tell_places();
@@ -188,24 +234,55 @@
             Input::Opened { conn, peer } => self.peers.opened(context, conn, peer),
             Input::Frame { conn, bytes } => {
                 let host = |id: &str| self.hosts.listed_as(id);
-                let known = Known { names: &self.names, settings: &self.settings, host: &host };
+                let known = Known {
+                    names: &self.names,
+                    settings: &self.settings,
+                    host: &host,
+                };
                 self.peers.frame(context, conn, &bytes, &known);
             }
             Input::Http { conn } => self.peers.page(context, conn),
             Input::Closed { conn, why } => self.peers.closed(context, conn, &why),
-            Input::Up { link: Link::Calls, turn } => self.calls.up(context, turn),
-            Input::Up { link: Link::News, turn } => self.watch.up(context, turn),
-            Input::Line { link: Link::Calls, turn, text } => self.calls.line(context, turn, &text),
-            Input::Line { link: Link::News, turn, text } => {
+            Input::Up {
+                link: Link::Calls,
+                turn,
+            } => self.calls.up(context, turn),
+            Input::Up {
+                link: Link::News,
+                turn,
+            } => self.watch.up(context, turn),
+            Input::Line {
+                link: Link::Calls,
+                turn,
+                text,
+            } => self.calls.line(context, turn, &text),
+            Input::Line {
+                link: Link::News,
+                turn,
+                text,
+            } => {
                 self.watch.line(context, turn, &text, zones);
                 std::mem::take(&mut context.proved)
                     .into_iter()
                     .for_each(|mark| self.calls.proved(context, mark));
             }
-            Input::Written { link: Link::Calls, turn } => self.calls.written(context, turn),
-            Input::Written { link: Link::News, .. } => {}
-            Input::Down { link: Link::Calls, turn, why } => self.calls.down(context, turn, &why),
-            Input::Down { link: Link::News, turn, why } => self.watch.down(context, turn, &why),
+            Input::Written {
+                link: Link::Calls,
+                turn,
+            } => self.calls.written(context, turn),
+            Input::Written {
+                link: Link::News, ..
+            } => {}
+            Input::Down {
+                link: Link::Calls,
+                turn,
+                why,
+            } => self.calls.down(context, turn, &why),
+            Input::Down {
+                link: Link::News,
+                turn,
+                why,
+            } => self.watch.down(context, turn, &why),
             Input::Listed { ask, body } => {
                 self.hosts.listed(context, ask, &body, zones);
                 self.tell_places();
@@ -216,9 +293,19 @@
                 }
             }
             Input::Unlisted { ask, why } => self.hosts.unlisted(context, ask, &why),
-            Input::Probed { host, took, status, body } => {
-                self.probes.done(context, &self.settings, host, took, status == Some(200), &body)
-            }
+            Input::Probed {
+                host,
+                took,
+                status,
+                body,
+            } => self.probes.done(
+                context,
+                &self.settings,
+                host,
+                took,
+                status == Some(200),
+                &body,
+            ),
             Input::Reload => {
                 self.reload.requested();
                 context.ask(Effect::Reread);
@@ -272,7 +359,11 @@
     /// Does all that is due, and asks to be woken for what comes next.
     fn advance(&mut self) {
         let now = self.context.now;
-        while let Some(due) = self.timers.first_entry().filter(|t| t.key().0 <= micros(now)) {
+        while let Some(due) = self
+            .timers
+            .first_entry()
+            .filter(|t| t.key().0 <= micros(now))
+        {
             let token = due.remove();
             self.context.event(Event::Timer { token });
         }
@@ -284,14 +375,24 @@
         // While many calls wait, events wait too; but those that may not be dropped stay bounded as well.
         let others = !self.context.streamed.is_empty();
         let room = self.calls.has_room(others) || self.context.is_full();
-        if room && self.context.since.is_some_and(|since| now >= since + quantum) {
+        if room
+            && self
+                .context
+                .since
+                .is_some_and(|since| now >= since + quantum)
+        {
             self.tick();
         }
         let streams = self.streams.as_mut().map(|s| s.advance(now));
         self.settle_ways();
-        let timer = self.timers.first_key_value().map(|(at, _)| at.0 as f64 / 1000.0);
+        let timer = self
+            .timers
+            .first_key_value()
+            .map(|(at, _)| at.0 as f64 / 1000.0);
         let (calls, watch) = if self.relay {
-            let calls = self.calls.advance(&mut self.context, |mark| self.director.may_repeat(mark, now));
+            let calls = self.calls.advance(&mut self.context, |mark| {
+                self.director.may_repeat(mark, now)
+            });
             (calls, self.watch.advance(&mut self.context))
         } else {
             (None, None)
@@ -304,7 +405,10 @@
             self.peers.advance(&mut self.context),
             self.reload.advance(&mut self.context),
             // What the parts above had to tell the module waits for a quantum too.
-            self.context.since.map(|since| since + quantum).filter(|_| room),
+            self.context
+                .since
+                .map(|since| since + quantum)
+                .filter(|_| room),
             timer,
             Some(self.status),
         ];
@@ -313,7 +417,11 @@
     }
 
     fn say_status(&mut self) {
-        let (joined, revision, waiting) = (self.watch.joined(), self.hosts.revision(), self.calls.waiting());
+        let (joined, revision, waiting) = (
+            self.watch.joined(),
+            self.hosts.revision(),
+            self.calls.waiting(),
+        );
         let c = &self.context.counters;
         let delay = |h: &Histogram| format!("{}/{}", h.quantile(0.5), h.quantile(0.99));
         let text = format!(
@@ -347,20 +455,28 @@
                 Action::Timer { token, at } => {
                     self.set += 1;
                     self.timers.insert((micros(at), self.set), token);
-                    self.context.must(self.timers.len() <= TIMERS_MOST, "few timers are pending");
+                    self.context
+                        .must(self.timers.len() <= TIMERS_MOST, "few timers are pending");
                 }
                 Action::Probe { host } => {
                     let address = self.hosts.address(&host);
-                    self.probes.want(&mut self.context, &self.settings, host, address);
+                    self.probes
+                        .want(&mut self.context, &self.settings, host, address);
                 }
                 Action::Subscribe => self.hosts.refresh(),
                 Action::Tell { .. } => self.context.counters.add("tells_not_sent", 1),
-                Action::Log { text } => self.context.note(Weight::Info, step_context::MODULE, || text),
+                Action::Log { text } => {
+                    self.context
+                        .note(Weight::Info, step_context::MODULE, || text)
+                }
                 _ => {}
             }
         }
         // An answer to the mark proves the whole call.
-        let ended = last.is_none() || orders.last().is_some_and(|order| order.starts_with("mark,"));
+        let ended = last.is_none()
+            || orders
+                .last()
+                .is_some_and(|order| order.starts_with("mark,"));
         self.context.must(ended, "a mark ends its reply");
         // A mark alone reaches nobody.
         let reaches = orders.iter().any(|order| !order.starts_with("mark,"));
--- a/crates/rushcourse-reducer/src/step_context.rs
+++ b/crates/rushcourse-reducer/src/step_context.rs
@@ -42,9 +42,18 @@
         }
         // The newest joining counts, whichever way it came.
         match &event {
-            Event::Joined { proxy, channel: Channel::Own, .. } => _ = self.streamed.insert(*proxy),
-            Event::Left { proxy, channel: Channel::Own } => _ = self.streamed.remove(proxy),
-            Event::Joined { proxy, .. } if self.streamed.remove(proxy) => self.superseded.push(*proxy),
+            Event::Joined {
+                proxy,
+                channel: Channel::Own,
+                ..
+            } => _ = self.streamed.insert(*proxy),
+            Event::Left {
+                proxy,
+                channel: Channel::Own,
+            } => _ = self.streamed.remove(proxy),
+            Event::Joined { proxy, .. } if self.streamed.remove(proxy) => {
+                self.superseded.push(*proxy)
+            }
             _ => {}
         }
         self.since.get_or_insert(self.now);
@@ -68,7 +77,13 @@
             (*since, *lines) = (now, 0);
         }
         *lines += 1;
-        if *lines > if kind == MODULE { MODULE_LINES_MOST } else { LINES_MOST } {
+        if *lines
+            > if kind == MODULE {
+                MODULE_LINES_MOST
+            } else {
+                LINES_MOST
+            }
+        {
             *left += 1;
             return self.counters.add("log_lines_limited", 1);
         }
@@ -77,7 +92,10 @@
             n => format!(" ({n} more of this kind were left out)"),
         };
         let text: String = text().chars().take(LETTERS_MOST).collect();
-        self.effects.push(Effect::Log { weight, text: format!("{kind}: {text}{more}") });
+        self.effects.push(Effect::Log {
+            weight,
+            text: format!("{kind}: {text}{more}"),
+        });
     }
 
     /// What must hold: asserted in debug builds, counted in release builds.
--- a/crates/rushcourse-reducer/src/streams.rs
+++ b/crates/rushcourse-reducer/src/streams.rs
@@ -10,14 +10,24 @@
     let out = streams.take();
     let mut left = Vec::new();
     for event in out.events {
-        if let Event::Left { proxy, channel: Channel::Own } = &event {
+        if let Event::Left {
+            proxy,
+            channel: Channel::Own,
+        } = &event
+        {
             left.push(*proxy);
         }
         context.event(event);
     }
-    out.effects.into_iter().for_each(|effect| context.ask(Effect::Stream(effect)));
-    out.counts.into_iter().for_each(|(name, n)| context.counters.add(name, n));
-    out.broken.into_iter().for_each(|what| context.must(false, what));
+    out.effects
+        .into_iter()
+        .for_each(|effect| context.ask(Effect::Stream(effect)));
+    out.counts
+        .into_iter()
+        .for_each(|(name, n)| context.counters.add(name, n));
+    out.broken
+        .into_iter()
+        .for_each(|what| context.must(false, what));
     for note in out.notes {
         let weight = match note.grade {
             Grade::Info => Weight::Info,
--- a/crates/rushcourse-reducer/tests/common/mod.rs
+++ b/crates/rushcourse-reducer/tests/common/mod.rs
@@ -13,7 +13,10 @@
 /// Where relay and discovery are: the first places, the second, and so on.
 pub fn places(n: u16) -> Places {
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port + n));
-    Places { relay: at(7000), discovery: at(8000) }
+    Places {
+        relay: at(7000),
+        discovery: at(8000),
+    }
 }
 
 pub fn options() -> Options {
@@ -41,13 +44,22 @@
 }
 
 pub fn list(revision: u64, complete: bool, members: &[String]) -> String {
-    format!(r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#, members.join(","))
+    format!(
+        r#"{{"revision":{revision},"complete":{complete},"members":[{}]}}"#,
+        members.join(",")
+    )
 }
 
 /// Two hosts a zone.
 pub fn fleet() -> Vec<String> {
-    let all = [("a1", "east"), ("a2", "east"), ("b1", "west"), ("b2", "west")];
-    all.map(|(id, zone)| member(id, zone, "Ready", 0.0)).to_vec()
+    let all = [
+        ("a1", "east"),
+        ("a2", "east"),
+        ("b1", "west"),
+        ("b2", "west"),
+    ];
+    all.map(|(id, zone)| member(id, zone, "Ready", 0.0))
+        .to_vec()
 }
 
 /// What the relay does with the next call.
@@ -102,7 +114,11 @@
     rushcourse_xds::Rules {
         identities: rushcourse_xds::Identities::default(),
         epoch: 1,
-        limits: rushcourse_xds::Limits { streams: 16, strangers: 4, nodes: 0 },
+        limits: rushcourse_xds::Limits {
+            streams: 16,
+            strangers: 4,
+            nodes: 0,
+        },
         join_within: 1200.0,
         take_within: 10_000.0,
         ask_hosts: false,
@@ -175,7 +191,10 @@
     /// A proxy of each zone joined, bound, and their answers are in.
     pub fn usual() -> Stand {
         let mut stand = Stand::started();
-        stand.standing = vec!["* joined 1 east 5.0 1".into(), "* joined 2 west 5.0 1".into()];
+        stand.standing = vec![
+            "* joined 1 east 5.0 1".into(),
+            "* joined 2 west 5.0 1".into(),
+        ];
         let standing = stand.standing.clone();
         standing.iter().for_each(|line| stand.news(line));
         stand.pass(300.0);
@@ -219,26 +238,50 @@
                         inputs.push_back(Input::Up { link, turn });
                     }
                 }
-                Effect::Send { link: Link::News, turn, text } => {
+                Effect::Send {
+                    link: Link::News,
+                    turn,
+                    text,
+                } => {
                     assert_eq!(text, relay::WATCH);
                     if self.relay_up {
-                        let line = |text: String| Input::Line { link: Link::News, turn, text };
+                        let line = |text: String| Input::Line {
+                            link: Link::News,
+                            turn,
+                            text,
+                        };
                         inputs.push_back(line("OK".into()));
                         inputs.extend(self.standing.iter().cloned().map(line));
                     }
                 }
-                Effect::Send { link: Link::Calls, turn, text } => {
+                Effect::Send {
+                    link: Link::Calls,
+                    turn,
+                    text,
+                } => {
                     assert!(!self.outstanding, "one call is in flight");
                     assert!(text.ends_with("\r\n") && text.len() <= relay::ORDERS_MOST + 8);
-                    let text = text.trim_end().strip_prefix("APPLY ").expect("a call").to_string();
+                    let text = text
+                        .trim_end()
+                        .strip_prefix("APPLY ")
+                        .expect("a call")
+                        .to_string();
                     let taken = format!("OK {}", text.split(';').count());
                     self.calls.push(text);
                     self.outstanding = true;
                     let link = Link::Calls;
                     match self.plan.pop_front().unwrap_or(Do::Take) {
-                        Do::Take => inputs.push_back(Input::Line { link, turn, text: taken }),
+                        Do::Take => inputs.push_back(Input::Line {
+                            link,
+                            turn,
+                            text: taken,
+                        }),
                         Do::Say(text) => inputs.push_back(Input::Line { link, turn, text }),
-                        Do::Break => inputs.push_back(Input::Down { link, turn, why: "reset".into() }),
+                        Do::Break => inputs.push_back(Input::Down {
+                            link,
+                            turn,
+                            why: "reset".into(),
+                        }),
                         Do::Silence => continue,
                     }
                     self.outstanding = false;
@@ -249,18 +292,32 @@
                         "what was connected is dropped"
                     );
                     let last = turn == self.turns[link as usize];
-                    assert!(last || link == Link::News, "only news are kept beside their successor");
+                    assert!(
+                        last || link == Link::News,
+                        "only news are kept beside their successor"
+                    );
                     self.drops[link as usize] += 1;
                     if link == Link::Calls {
                         self.outstanding = false;
                     }
                 }
-                Effect::List { ask, at, path, within } => {
+                Effect::List {
+                    ask,
+                    at,
+                    path,
+                    within,
+                } => {
                     self.asked_at.push(at);
-                    assert!(within > 0.0 && within < 10_000.0, "a deadline on every call");
+                    assert!(
+                        within > 0.0 && within < 10_000.0,
+                        "a deadline on every call"
+                    );
                     self.asks.push((ask, path.clone()));
                     if self.discovery_up && !path.contains('?') {
-                        inputs.push_back(Input::Listed { ask, body: self.list.clone().into() });
+                        inputs.push_back(Input::Listed {
+                            ask,
+                            body: self.list.clone().into(),
+                        });
                     }
                 }
                 Effect::Probe { host, .. } => self.probes.push(host.to_string()),
@@ -297,18 +354,30 @@
 
     pub fn news(&mut self, line: &str) {
         let turn = self.turns[Link::News as usize];
-        self.give(Input::Line { link: Link::News, turn, text: line.into() });
+        self.give(Input::Line {
+            link: Link::News,
+            turn,
+            text: line.into(),
+        });
     }
 
     pub fn down(&mut self, link: Link) {
         let turn = self.turns[link as usize];
-        self.give(Input::Down { link, turn, why: "reset".into() });
+        self.give(Input::Down {
+            link,
+            turn,
+            why: "reset".into(),
+        });
     }
 
     pub fn answer(&mut self, text: &str) {
         let (link, turn) = (Link::Calls, self.turns[Link::Calls as usize]);
         self.outstanding = false;
-        self.give(Input::Line { link, turn, text: text.into() });
+        self.give(Input::Line {
+            link,
+            turn,
+            text: text.into(),
+        });
     }
 
     /// The number of the last mark sent.
@@ -320,13 +389,18 @@
 
     pub fn applied(&mut self, proxies: &[u32]) {
         let mark = self.mark();
-        proxies.iter().for_each(|p| self.news(&format!("* applied {p} {mark} 250.0")));
+        proxies
+            .iter()
+            .for_each(|p| self.news(&format!("* applied {p} {mark} 250.0")));
     }
 
     /// Discovery answers the watch that is open.
     pub fn change(&mut self, revision: u64, members: &[String]) {
         let ask = self.asks.last().expect("an ask").0;
-        self.give(Input::Listed { ask, body: list(revision, false, members).into() });
+        self.give(Input::Listed {
+            ask,
+            body: list(revision, false, members).into(),
+        });
     }
 
     pub fn drain(&mut self, revision: u64, id: &str, zone: &str) {
@@ -338,11 +412,20 @@
     }
 
     pub fn gauge(&self, name: &str) -> f64 {
-        self.session.gauges().iter().find(|g| g.0 == name).expect("a gauge").2
+        self.session
+            .gauges()
+            .iter()
+            .find(|g| g.0 == name)
+            .expect("a gauge")
+            .2
     }
 
     /// Orders in calls from the `from`th on.
     pub fn orders(&self, from: usize) -> Vec<String> {
-        self.calls[from..].iter().flat_map(|c| c.split(';')).map(str::to_string).collect()
+        self.calls[from..]
+            .iter()
+            .flat_map(|c| c.split(';'))
+            .map(str::to_string)
+            .collect()
     }
 }
--- a/crates/rushcourse-reducer/tests/listing.rs
+++ b/crates/rushcourse-reducer/tests/listing.rs
@@ -14,16 +14,25 @@
 
 fn answer(stand: &mut Stand, body: &str) {
     let ask = stand.asks.last().expect("an ask").0;
-    stand.give(Input::Listed { ask, body: body.to_string().into() });
+    stand.give(Input::Listed {
+        ask,
+        body: body.to_string().into(),
+    });
 }
 
 #[test]
 fn the_whole_list_first_then_watches_from_its_revision() {
     let mut stand = Stand::usual();
     let paths: Vec<&str> = stand.asks.iter().map(|a| a.1.as_str()).collect();
-    assert_eq!(paths, ["/v1/endpoints", "/v1/endpoints?after=5&wait_ms=4000"]);
+    assert_eq!(
+        paths,
+        ["/v1/endpoints", "/v1/endpoints?after=5&wait_ms=4000"]
+    );
     stand.drain(9, "a1", "east");
-    assert!(last_path(&stand).contains("after=9"), "the next watch follows at once");
+    assert!(
+        last_path(&stand).contains("after=9"),
+        "the next watch follows at once"
+    );
     stand.pass(50.0);
     assert!(withdrawn(&stand, "a1"));
 }
@@ -48,7 +57,9 @@
     stand.news("* joined 1 east 5.0 1");
     stand.pass(100.0);
     let orders = stand.orders(0);
-    assert!(orders.iter().any(|o| o.contains(",a9,")) && !orders.iter().any(|o| o.contains(",a1,")));
+    assert!(
+        orders.iter().any(|o| o.contains(",a9,")) && !orders.iter().any(|o| o.contains(",a1,"))
+    );
 }
 
 #[test]
@@ -70,7 +81,10 @@
     stand.list = list(3, true, &fleet()[..3]);
     stand.change(2, &[]);
     stand.pass(4000.0);
-    assert!(withdrawn(&stand, "b2"), "its whole list says so again and again");
+    assert!(
+        withdrawn(&stand, "b2"),
+        "its whole list says so again and again"
+    );
 }
 
 #[test]
@@ -87,10 +101,17 @@
     let mut stand = Stand::usual();
     stand.discovery_up = false;
     let ask = stand.asks.last().expect("a watch").0;
-    stand.give(Input::Unlisted { ask, why: "no answer within 4700 ms".into() });
+    stand.give(Input::Unlisted {
+        ask,
+        why: "no answer within 4700 ms".into(),
+    });
     stand.pass(3000.0);
     let tries = stand.asks.len();
-    assert!(stand.asks[2..].iter().all(|a| a.1 == "/v1/endpoints"), "{:?}", stand.asks);
+    assert!(
+        stand.asks[2..].iter().all(|a| a.1 == "/v1/endpoints"),
+        "{:?}",
+        stand.asks
+    );
     assert!((2..20).contains(&tries), "{tries} tries");
     stand.discovery_up = true;
     let mut changed = fleet();
@@ -111,8 +132,13 @@
 
 #[test]
 fn what_is_no_list_is_a_fault() {
-    for body in ["", "no json", "[]", "{\"revision\":-1,\"complete\":true,\"members\":[]}", "{\"revision\":9"]
-    {
+    for body in [
+        "",
+        "no json",
+        "[]",
+        "{\"revision\":-1,\"complete\":true,\"members\":[]}",
+        "{\"revision\":9",
+    ] {
         let mut stand = Stand::usual();
         stand.discovery_up = false;
         answer(&mut stand, body);
@@ -136,7 +162,10 @@
     stand.pass(100.0);
     assert!(withdrawn(&stand, "a1"));
     assert_eq!(stand.count("list_entries_odd"), 4);
-    assert!(!withdrawn(&stand, "b1") && !withdrawn(&stand, "b2"), "what was known of them stands");
+    assert!(
+        !withdrawn(&stand, "b1") && !withdrawn(&stand, "b2"),
+        "what was known of them stands"
+    );
 }
 
 #[test]
@@ -146,7 +175,10 @@
     members[2] = member("b1", "west", "Resting", 0.0);
     answer(&mut stand, &list(9, true, &members));
     stand.pass(100.0);
-    assert!(!withdrawn(&stand, "b1"), "it is listed, only its phase is not known");
+    assert!(
+        !withdrawn(&stand, "b1"),
+        "it is listed, only its phase is not known"
+    );
 }
 
 #[test]
@@ -156,11 +188,21 @@
     stand.give(Input::Wake);
     stand.now += 30_000.0;
     let ask = stand.asks.last().expect("a watch").0;
-    let effects = stand.session.step(stand.now, Input::Listed { ask, body: list(9, false, &[]).into() });
+    let effects = stand.session.step(
+        stand.now,
+        Input::Listed {
+            ask,
+            body: list(9, false, &[]).into(),
+        },
+    );
     assert!(effects.is_empty());
     stand.now += 500.0;
     stand.give(Input::Wake);
-    assert!(stand.asks.iter().filter(|a| a.1 == "/v1/endpoints").count() >= 2, "{:?}", stand.asks);
+    assert!(
+        stand.asks.iter().filter(|a| a.1 == "/v1/endpoints").count() >= 2,
+        "{:?}",
+        stand.asks
+    );
 }
 
 #[test]
@@ -170,9 +212,16 @@
     // a1 says that it started two seconds ago: it must not carry its full part.
     stand.change(9, &[member("a1", "east", "Ready", stand.now - 2000.0)]);
     stand.pass(600.0);
-    let line = stand.orders(before).into_iter().find(|o| o.starts_with("share,") && o.contains(",a1,"));
-    let weight: f64 =
-        line.expect("its weight is cut").rsplit(',').next().and_then(|w| w.parse().ok()).expect("a weight");
+    let line = stand
+        .orders(before)
+        .into_iter()
+        .find(|o| o.starts_with("share,") && o.contains(",a1,"));
+    let weight: f64 = line
+        .expect("its weight is cut")
+        .rsplit(',')
+        .next()
+        .and_then(|w| w.parse().ok())
+        .expect("a weight");
     assert!(weight > 0.0 && weight < 0.5, "{weight}");
 }
 
@@ -186,5 +235,8 @@
     }
     let asked = stand.asks.len() - asks;
     assert!((5..=20).contains(&asked), "{asked} asks in a second");
-    assert!(stand.asks.iter().filter(|a| a.1 == "/v1/endpoints").count() == 1, "each continues the watch");
+    assert!(
+        stand.asks.iter().filter(|a| a.1 == "/v1/endpoints").count() == 1,
+        "each continues the watch"
+    );
 }
--- a/crates/rushcourse-reducer/tests/long.rs
+++ b/crates/rushcourse-reducer/tests/long.rs
@@ -61,7 +61,10 @@
                 stand.change(w.revision, &[member(&w.hosts[old], zone(old), "Gone", 0.0)]);
             } else {
                 let ask = stand.asks.last().expect("an ask").0;
-                stand.give(Input::Unlisted { ask, why: "reset".into() });
+                stand.give(Input::Unlisted {
+                    ask,
+                    why: "reset".into(),
+                });
             }
         }
         // Reports, also on who is gone and on who never was.
@@ -72,20 +75,32 @@
                 zone(k + second),
                 w.hosts[k]
             );
-            stand.give(Input::Frame { conn: w.collector, bytes: Bytes::from(text) });
+            stand.give(Input::Frame {
+                conn: w.collector,
+                bytes: Bytes::from(text),
+            });
         }
         let odd = format!(
             r#"{{"@type":"heard","az":"east","host":"odd-{}","n":9,"bad":1,"avg":200.0,"window":1000.0}}"#,
             w.rng.random::<u32>()
         );
-        stand.give(Input::Frame { conn: w.collector, bytes: Bytes::from(odd) });
+        stand.give(Input::Frame {
+            conn: w.collector,
+            bytes: Bytes::from(odd),
+        });
         // A stranger that pings and holds on, one that says nothing.
         for say in [true, false] {
             w.conn += 1;
-            stand.give(Input::Opened { conn: w.conn, peer: format!("127.0.0.1:{}", w.conn) });
+            stand.give(Input::Opened {
+                conn: w.conn,
+                peer: format!("127.0.0.1:{}", w.conn),
+            });
             if say {
                 let bytes = Bytes::from_static(br#"{"@type":"ping"}"#);
-                stand.give(Input::Frame { conn: w.conn, bytes });
+                stand.give(Input::Frame {
+                    conn: w.conn,
+                    bytes,
+                });
             }
         }
         let proxy = w.rng.random_range(1..9u32);
@@ -102,9 +117,15 @@
         if w.rng.random_bool(0.1) {
             w.conn += 1;
             w.collector = w.conn;
-            stand.give(Input::Opened { conn: w.conn, peer: "collector".into() });
+            stand.give(Input::Opened {
+                conn: w.conn,
+                peer: "collector".into(),
+            });
             let bytes = Bytes::from_static(br#"{"@type":"collector","az":"east"}"#);
-            stand.give(Input::Frame { conn: w.conn, bytes });
+            stand.give(Input::Frame {
+                conn: w.conn,
+                bytes,
+            });
         }
         stand.news("*");
         let proxies: Vec<u32> = (1..9).collect();
@@ -124,12 +145,26 @@
 #[test]
 fn hours_of_churn_leave_sizes_flat() {
     let mut stand = Stand::started();
-    stand.standing = (1..9).map(|p| format!("* joined {p} {} 5.0 0", zone(p))).collect();
+    stand.standing = (1..9)
+        .map(|p| format!("* joined {p} {} 5.0 0", zone(p)))
+        .collect();
     (1..9).for_each(|p| stand.news(&format!("* joined {p} {} 5.0 1", zone(p))));
     let hosts = ["a1", "b1", "a2", "b2"].map(String::from).to_vec();
-    let mut w = World { rng: ChaCha8Rng::seed_from_u64(21), revision: 10, hosts, conn: 1, collector: 1 };
-    stand.give(Input::Opened { conn: 1, peer: "collector".into() });
-    stand.give(Input::Frame { conn: 1, bytes: Bytes::from_static(br#"{"@type":"collector","az":"east"}"#) });
+    let mut w = World {
+        rng: ChaCha8Rng::seed_from_u64(21),
+        revision: 10,
+        hosts,
+        conn: 1,
+        collector: 1,
+    };
+    stand.give(Input::Opened {
+        conn: 1,
+        peer: "collector".into(),
+    });
+    stand.give(Input::Frame {
+        conn: 1,
+        bytes: Bytes::from_static(br#"{"@type":"collector","az":"east"}"#),
+    });
     let mut most = [[0.0f64; SIZES.len()]; 2];
     // Two hours: 240 hosts come and go.
     for turn in 0..240 {
@@ -139,11 +174,23 @@
         half.iter_mut().zip(sizes).for_each(|(m, s)| *m = m.max(s));
     }
     for (k, name) in SIZES.iter().enumerate() {
-        assert!(most[1][k] <= 1.2 * most[0][k] + 2.0, "{name} grows: {:?}, {:?}", most[0][k], most[1][k]);
+        assert!(
+            most[1][k] <= 1.2 * most[0][k] + 2.0,
+            "{name} grows: {:?}, {:?}",
+            most[0][k],
+            most[1][k]
+        );
     }
     let by_name = |name: &str| most[1][SIZES.iter().position(|n| *n == name).expect("a size")];
-    assert!(by_name("hosts_known") <= 6.0 && by_name("module_entries") < 80.0, "{most:?}");
+    assert!(
+        by_name("hosts_known") <= 6.0 && by_name("module_entries") < 80.0,
+        "{most:?}"
+    );
     assert!(by_name("peers_open") < 24.0, "{most:?}");
-    assert!(stand.session.view().withdrawn.len() <= 6, "{:?}", stand.session.view().withdrawn);
+    assert!(
+        stand.session.view().withdrawn.len() <= 6,
+        "{:?}",
+        stand.session.view().withdrawn
+    );
     assert_eq!(stand.count("invariant_failures"), 0);
 }
--- a/crates/rushcourse-reducer/tests/news.rs
+++ b/crates/rushcourse-reducer/tests/news.rs
@@ -6,7 +6,11 @@
 
 fn binds(stand: &Stand, from: usize, proxy: u32) -> usize {
     let start = format!("bind,{proxy},");
-    stand.orders(from).iter().filter(|o| o.starts_with(&start)).count()
+    stand
+        .orders(from)
+        .iter()
+        .filter(|o| o.starts_with(&start))
+        .count()
 }
 
 #[test]
@@ -17,13 +21,20 @@
     let before = stand.calls.len();
     stand.news("* joined 1 east 5.0 0");
     stand.pass(100.0);
-    assert_eq!(binds(&stand, before, 1), 1, "a new stream is bound to nothing");
+    assert_eq!(
+        binds(&stand, before, 1),
+        1,
+        "a new stream is bound to nothing"
+    );
 }
 
 #[test]
 fn a_short_break_judges_nobody_anew() {
     let mut stand = Stand::usual();
-    stand.standing = vec!["* joined 1 east 5.0 0".into(), "* joined 2 west 5.0 0".into()];
+    stand.standing = vec![
+        "* joined 1 east 5.0 0".into(),
+        "* joined 2 west 5.0 0".into(),
+    ];
     let before = stand.calls.len();
     stand.down(Link::News);
     stand.pass(1500.0);
@@ -34,7 +45,10 @@
 #[test]
 fn after_a_gap_who_is_not_named_has_left_and_new_ones_are_bound() {
     let mut stand = Stand::usual();
-    stand.standing = vec!["* joined 2 west 5.0 0".into(), "* joined 3 east 5.0 1".into()];
+    stand.standing = vec![
+        "* joined 2 west 5.0 0".into(),
+        "* joined 3 east 5.0 1".into(),
+    ];
     let before = stand.calls.len();
     stand.down(Link::News);
     stand.pass(50.0);
@@ -52,7 +66,10 @@
 #[test]
 fn one_that_started_anew_in_a_gap_is_bound() {
     let mut stand = Stand::usual();
-    stand.standing = vec!["* joined 1 east 5.0 1".into(), "* joined 2 west 5.0 0".into()];
+    stand.standing = vec![
+        "* joined 1 east 5.0 1".into(),
+        "* joined 2 west 5.0 0".into(),
+    ];
     let before = stand.calls.len();
     stand.down(Link::News);
     stand.pass(500.0);
@@ -62,7 +79,10 @@
 #[test]
 fn after_a_long_gap_all_are_bound_anew_as_they_may_have_left_unseen() {
     let mut stand = Stand::usual();
-    stand.standing = vec!["* joined 1 east 5.0 0".into(), "* joined 2 west 5.0 0".into()];
+    stand.standing = vec![
+        "* joined 1 east 5.0 0".into(),
+        "* joined 2 west 5.0 0".into(),
+    ];
     let before = stand.calls.len();
     stand.relay_up = false;
     stand.down(Link::News);
@@ -82,13 +102,29 @@
     }
     assert_eq!(stand.connects[1], 1);
     stand.pass(2500.0);
-    assert_eq!((stand.connects[1], stand.drops[1]), (2, 1), "a cut peer is silent forever");
-    assert!(stand.logs.iter().any(|l| l.contains("news lost") && l.contains("no sign of life")));
+    assert_eq!(
+        (stand.connects[1], stand.drops[1]),
+        (2, 1),
+        "a cut peer is silent forever"
+    );
+    assert!(
+        stand
+            .logs
+            .iter()
+            .any(|l| l.contains("news lost") && l.contains("no sign of life"))
+    );
 }
 
 #[test]
 fn news_that_can_not_be_read_end_the_watch_and_it_is_asked_for_again() {
-    for line in ["garbage", "* joined 1", "* joined x east 5.0 1", "* applied 1 70000 2.0", "* left -3", ""] {
+    for line in [
+        "garbage",
+        "* joined 1",
+        "* joined x east 5.0 1",
+        "* applied 1 70000 2.0",
+        "* left -3",
+        "",
+    ] {
         let mut stand = Stand::usual();
         stand.news(line);
         stand.pass(10.0);
@@ -97,7 +133,10 @@
     // All before the line was read: who stands again at once has stayed.
     let mut stand = Stand::usual();
     stand.pass(900.0);
-    stand.standing = vec!["* joined 1 east 5.0 0".into(), "* joined 2 west 5.0 0".into()];
+    stand.standing = vec![
+        "* joined 1 east 5.0 0".into(),
+        "* joined 2 west 5.0 0".into(),
+    ];
     stand.news("* left ?");
     stand.pass(1000.0);
     assert_eq!(stand.count("proxies_bound_anew"), 0);
@@ -105,7 +144,10 @@
     stand.news("* moved 1 5");
     stand.news("* joined 9 nowhere 5.0 1");
     stand.pass(10.0);
-    assert_eq!(stand.connects[1], 1, "news of a kind or zone that is not known are skipped");
+    assert_eq!(
+        stand.connects[1], 1,
+        "news of a kind or zone that is not known are skipped"
+    );
 }
 
 #[test]
--- a/crates/rushcourse-reducer/tests/peers.rs
+++ b/crates/rushcourse-reducer/tests/peers.rs
@@ -7,11 +7,17 @@
 use rushcourse_reducer::{Bounds, Input};
 
 fn open(stand: &mut Stand, conn: u64) {
-    stand.give(Input::Opened { conn, peer: format!("127.0.0.1:{conn}") });
+    stand.give(Input::Opened {
+        conn,
+        peer: format!("127.0.0.1:{conn}"),
+    });
 }
 
 fn frame(stand: &mut Stand, conn: u64, json: &str) {
-    stand.give(Input::Frame { conn, bytes: Bytes::copy_from_slice(json.as_bytes()) });
+    stand.give(Input::Frame {
+        conn,
+        bytes: Bytes::copy_from_slice(json.as_bytes()),
+    });
 }
 
 #[test]
@@ -29,7 +35,11 @@
 
 fn collector(stand: &mut Stand, conn: u64, zone: &str) {
     open(stand, conn);
-    frame(stand, conn, &format!(r#"{{"@type":"collector","az":"{zone}"}}"#));
+    frame(
+        stand,
+        conn,
+        &format!(r#"{{"@type":"collector","az":"{zone}"}}"#),
+    );
 }
 
 #[test]
@@ -40,8 +50,14 @@
         frame(&mut stand, conn, HEARD);
         frame(&mut stand, conn, USAGE);
     }
-    assert_eq!((stand.count("reports_heard"), stand.count("reports_usage")), (2, 2));
-    assert!(stand.written.is_empty(), "nothing is ever written to a collector");
+    assert_eq!(
+        (stand.count("reports_heard"), stand.count("reports_usage")),
+        (2, 2)
+    );
+    assert!(
+        stand.written.is_empty(),
+        "nothing is ever written to a collector"
+    );
 }
 
 /// Whoever has not joined as a collector of a known zone may ping, and nothing else.
@@ -67,12 +83,19 @@
         open(&mut stand, 1);
         frame(&mut stand, 1, r#"{"@type":"ping"}"#);
         frame(&mut stand, 1, json);
-        assert_eq!((stand.refused.clone(), stand.closed.clone()), (vec![1], vec![1]), "{json:?}");
+        assert_eq!(
+            (stand.refused.clone(), stand.closed.clone()),
+            (vec![1], vec![1]),
+            "{json:?}"
+        );
         // What came behind it on the same connection is nobody's.
         frame(&mut stand, 1, r#"{"@type":"collector","az":"east"}"#);
         frame(&mut stand, 1, HEARD);
         stand.pass(100.0);
-        assert_eq!((stand.count("reports_heard"), stand.count("reports_usage")), (0, 0));
+        assert_eq!(
+            (stand.count("reports_heard"), stand.count("reports_usage")),
+            (0, 0)
+        );
         assert_eq!(stand.count("events"), events);
         assert_eq!(stand.gauge("peers_open"), 0.0);
     }
@@ -90,8 +113,24 @@
         ("window", "1000.0"),
         ("report", r#"{"util":0.5}"#),
     ];
-    let usage = [("sidecar", "1"), ("kind", r#""look""#), ("n", "12"), ("bad", "1"), ("window", "1000.0")];
-    let values = ["-3", "1e30", "1e999", "38654705664", "[1]", r#""nan""#, r#""""#, "null", "true"];
+    let usage = [
+        ("sidecar", "1"),
+        ("kind", r#""look""#),
+        ("n", "12"),
+        ("bad", "1"),
+        ("window", "1000.0"),
+    ];
+    let values = [
+        "-3",
+        "1e30",
+        "1e999",
+        "38654705664",
+        "[1]",
+        r#""nan""#,
+        r#""""#,
+        "null",
+        "true",
+    ];
     let mut stand = Stand::usual();
     collector(&mut stand, 1, "east");
     let events = stand.count("events");
@@ -125,15 +164,40 @@
     }
     stand.pass(100.0);
     assert!(stand.closed.is_empty());
-    assert_eq!((stand.count("reports_heard"), stand.count("reports_usage")), (0, 0));
-    let counts = ["heard_unlisted", "heard_spoilt", "usage_spoilt", "fields_spoilt", "messages_odd"];
-    assert_eq!(counts.map(|c| stand.count(c)).iter().sum::<u64>(), spoilt, "each is counted");
+    assert_eq!(
+        (stand.count("reports_heard"), stand.count("reports_usage")),
+        (0, 0)
+    );
+    let counts = [
+        "heard_unlisted",
+        "heard_spoilt",
+        "usage_spoilt",
+        "fields_spoilt",
+        "messages_odd",
+    ];
+    assert_eq!(
+        counts.map(|c| stand.count(c)).iter().sum::<u64>(),
+        spoilt,
+        "each is counted"
+    );
     assert_eq!(stand.count("events"), events, "nothing reached the module");
     frame(&mut stand, 1, HEARD);
-    frame(&mut stand, 1, r#"{"@type":"heard","az":"east","host":"a1","n":3,"bad":3,"window":7907.1}"#);
-    assert_eq!(stand.count("reports_heard"), 2, "the good ones pass, also where nothing was good");
+    frame(
+        &mut stand,
+        1,
+        r#"{"@type":"heard","az":"east","host":"a1","n":3,"bad":3,"window":7907.1}"#,
+    );
+    assert_eq!(
+        stand.count("reports_heard"),
+        2,
+        "the good ones pass, also where nothing was good"
+    );
     // What a proxy could not serve was let in earlier, or not at all.
-    frame(&mut stand, 1, r#"{"@type":"usage","sidecar":1,"kind":"look","n":0,"bad":2,"window":1000.0}"#);
+    frame(
+        &mut stand,
+        1,
+        r#"{"@type":"usage","sidecar":1,"kind":"look","n":0,"bad":2,"window":1000.0}"#,
+    );
     assert_eq!(stand.count("reports_usage"), 1);
 }
 
@@ -163,10 +227,18 @@
         // A sign of life is no joining.
         frame(&mut stand, 4, r#"{"@type":"ping"}"#);
     }
-    assert_eq!(stand.closed, [1, 4], "well within the 3 s that they are owed");
+    assert_eq!(
+        stand.closed,
+        [1, 4],
+        "well within the 3 s that they are owed"
+    );
     assert!(stand.written.len() >= 3, "it had its answers");
     stand.pass(1200.0);
-    assert_eq!(stand.closed, [1, 4, 3], "a page that is not fetched ends too");
+    assert_eq!(
+        stand.closed,
+        [1, 4, 3],
+        "a page that is not fetched ends too"
+    );
     stand.pass(120_000.0);
     assert_eq!(stand.closed, [1, 4, 3], "a quiet collector stays");
 }
@@ -191,13 +263,21 @@
     let mut stand = Stand::usual();
     (1..=most + 3).for_each(|conn| collector(&mut stand, conn, "east"));
     assert_eq!(stand.gauge("collectors_joined"), most as f64);
-    assert_eq!(stand.refused, [most + 1, most + 2, most + 3], "those who report stay");
+    assert_eq!(
+        stand.refused,
+        [most + 1, most + 2, most + 3],
+        "those who report stay"
+    );
     for _ in 0..6 {
         stand.pass(1000.0);
         (2..=most).for_each(|conn| frame(&mut stand, conn, HEARD));
     }
     collector(&mut stand, 100, "east");
-    assert_eq!(stand.closed.last(), Some(&1), "its stream broke without a sign");
+    assert_eq!(
+        stand.closed.last(),
+        Some(&1),
+        "its stream broke without a sign"
+    );
     frame(&mut stand, 100, HEARD);
     assert_eq!(stand.gauge("collectors_joined"), most as f64);
 }
@@ -208,7 +288,9 @@
     collector(&mut stand, 1, "east");
     for _ in 0..20_000 {
         let bytes = Bytes::from_static(USAGE.as_bytes());
-        stand.session.step(stand.now, Input::Frame { conn: 1, bytes });
+        stand
+            .session
+            .step(stand.now, Input::Frame { conn: 1, bytes });
     }
     let waiting = stand.gauge("events_waiting");
     assert!(waiting <= 8192.0);
@@ -219,7 +301,11 @@
 fn a_long_word_of_a_stranger_is_cut_in_the_log() {
     let mut stand = Stand::usual();
     collector(&mut stand, 1, "east");
-    frame(&mut stand, 1, &format!(r#"{{"@type":"{}"}}"#, "x".repeat(900_000)));
+    frame(
+        &mut stand,
+        1,
+        &format!(r#"{{"@type":"{}"}}"#, "x".repeat(900_000)),
+    );
     assert!(stand.logs.iter().all(|l| l.len() < 600));
 }
 
@@ -245,5 +331,9 @@
         stand.now += 0.05;
     }
     stand.pass(10.0);
-    assert!(stand.count("ticks") - ticks <= 2, "{}", stand.count("ticks") - ticks);
+    assert!(
+        stand.count("ticks") - ticks <= 2,
+        "{}",
+        stand.count("ticks") - ticks
+    );
 }
--- a/crates/rushcourse-reducer/tests/properties.rs
+++ b/crates/rushcourse-reducer/tests/properties.rs
@@ -26,7 +26,10 @@
 }
 
 fn standing(w: &World) -> Vec<String> {
-    w.joined.iter().map(|p| format!("* joined {p} {} 5.0 0", ["east", "west"][*p as usize % 2])).collect()
+    w.joined
+        .iter()
+        .map(|p| format!("* joined {p} {} 5.0 0", ["east", "west"][*p as usize % 2]))
+        .collect()
 }
 
 fn step(rng: &mut ChaCha8Rng, stand: &mut Stand, w: &mut World) {
@@ -35,7 +38,11 @@
     match rng.random_range(0..14) {
         0 | 1 if !w.joined.contains(&proxy) => {
             w.joined.insert(proxy);
-            stand.news(&format!("* joined {proxy} {} 5.0 {}", zone(proxy), rng.random_range(0..2)));
+            stand.news(&format!(
+                "* joined {proxy} {} 5.0 {}",
+                zone(proxy),
+                rng.random_range(0..2)
+            ));
         }
         2 if w.joined.remove(&proxy) => stand.news(&format!("* left {proxy}")),
         3 if !stand.calls.is_empty() && stand.calls.iter().any(|c| c.contains("mark,")) => {
@@ -43,11 +50,20 @@
             stand.news(&format!("* applied {proxy} {mark} 200.0"));
         }
         4 | 5 => {
-            let ids = [("a1", "east"), ("a2", "east"), ("b1", "west"), ("b2", "west")];
+            let ids = [
+                ("a1", "east"),
+                ("a2", "east"),
+                ("b1", "west"),
+                ("b2", "west"),
+            ];
             let (id, zone) = ids[rng.random_range(0..4)];
             let phase = ["Ready", "Ready", "Terminating", "Gone", "Odd"][rng.random_range(0..5)];
             w.revision += 1;
-            let up = if rng.random_bool(0.3) { stand.now - 500.0 } else { 0.0 };
+            let up = if rng.random_bool(0.3) {
+                stand.now - 500.0
+            } else {
+                0.0
+            };
             stand.change(w.revision, &[member(id, zone, phase, up)]);
         }
         6 => stand.news("*"),
@@ -63,7 +79,10 @@
         }
         10 => {
             let conn = rng.random_range(1..6);
-            stand.give(Input::Opened { conn: conn + stand.closed.len() as u64 * 10, peer: "x".into() });
+            stand.give(Input::Opened {
+                conn: conn + stand.closed.len() as u64 * 10,
+                peer: "x".into(),
+            });
         }
         11 => {
             let text = format!(
@@ -73,12 +92,18 @@
                 rng.random_range(0..30)
             );
             let conn = rng.random_range(1..40);
-            stand.give(Input::Frame { conn, bytes: Bytes::from(text) });
+            stand.give(Input::Frame {
+                conn,
+                bytes: Bytes::from(text),
+            });
         }
         12 => stand.relay_up = rng.random_bool(0.7),
         _ => {
             let ask = stand.asks.last().expect("an ask").0;
-            stand.give(Input::Unlisted { ask, why: "reset".into() });
+            stand.give(Input::Unlisted {
+                ask,
+                why: "reset".into(),
+            });
         }
     }
     stand.standing = standing(w);
@@ -89,7 +114,10 @@
     for seed in 0..60 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut stand = Stand::started();
-        let mut w = World { joined: BTreeSet::new(), revision: 10 };
+        let mut w = World {
+            joined: BTreeSet::new(),
+            revision: 10,
+        };
         for _ in 0..400 {
             step(&mut rng, &mut stand, &mut w);
             stand.list = list(w.revision, true, &fleet());
@@ -107,7 +135,11 @@
         stand.news("*");
         stand.pass(500.0);
         assert_eq!(stand.gauge("calls_waiting"), 0.0, "seed {seed}");
-        assert_eq!(stand.gauge("proxies_joined"), w.joined.len() as f64, "seed {seed}");
+        assert_eq!(
+            stand.gauge("proxies_joined"),
+            w.joined.len() as f64,
+            "seed {seed}"
+        );
         assert_eq!(stand.count("invariant_failures"), 0, "seed {seed}");
         marks_in_order(&stand, seed);
     }
@@ -121,7 +153,10 @@
         .flat_map(|c| c.split(';'))
         .filter_map(|o| o.strip_prefix("mark,")?.split(',').next()?.parse().ok())
         .collect();
-    assert!(marks.windows(2).all(|w| w[1] >= w[0]), "seed {seed}: {marks:?}");
+    assert!(
+        marks.windows(2).all(|w| w[1] >= w[0]),
+        "seed {seed}: {marks:?}"
+    );
 }
 
 #[test]
@@ -129,7 +164,10 @@
     let play = |seed: u64| {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut stand = Stand::started();
-        let mut w = World { joined: BTreeSet::new(), revision: 10 };
+        let mut w = World {
+            joined: BTreeSet::new(),
+            revision: 10,
+        };
         for _ in 0..200 {
             step(&mut rng, &mut stand, &mut w);
             stand.pass(50.0);
--- a/crates/rushcourse-reducer/tests/reload.rs
+++ b/crates/rushcourse-reducer/tests/reload.rs
@@ -7,7 +7,10 @@
 /// Two proxies that have applied their tables, and a relay that says so of who stands.
 fn usual() -> Stand {
     let mut stand = Stand::usual();
-    stand.standing = vec!["* joined 1 east 5.0 0".into(), "* joined 2 west 5.0 0".into()];
+    stand.standing = vec![
+        "* joined 1 east 5.0 0".into(),
+        "* joined 2 west 5.0 0".into(),
+    ];
     stand
 }
 
@@ -18,7 +21,11 @@
 }
 
 fn news_on(stand: &mut Stand, turn: u64, line: &str) {
-    stand.give(Input::Line { link: Link::News, turn, text: line.into() });
+    stand.give(Input::Line {
+        link: Link::News,
+        turn,
+        text: line.into(),
+    });
 }
 
 /// Brings up the last connections of both links.
@@ -31,7 +38,11 @@
 }
 
 fn binds(stand: &Stand, proxy: u32) -> usize {
-    stand.orders(0).iter().filter(|o| o.starts_with(&format!("bind,{proxy},"))).count()
+    stand
+        .orders(0)
+        .iter()
+        .filter(|o| o.starts_with(&format!("bind,{proxy},")))
+        .count()
 }
 
 #[test]
@@ -41,15 +52,26 @@
     stand.relay_up = false;
     reload(&mut stand, 1);
     stand.pass(100.0);
-    assert_eq!(stand.went.last().map(|w| (w.0, w.2)), Some((Link::News, places(1).relay)));
+    assert_eq!(
+        stand.went.last().map(|w| (w.0, w.2)),
+        Some((Link::News, places(1).relay))
+    );
     news_on(&mut stand, old, "* joined 3 east 5.0 1");
     stand.pass(50.0);
-    assert_eq!(stand.gauge("proxies_joined"), 3.0, "told where the relay was");
+    assert_eq!(
+        stand.gauge("proxies_joined"),
+        3.0,
+        "told where the relay was"
+    );
     stand.standing.push("* joined 3 east 5.0 1".into());
     stand.drops = [0; 2];
     up(&mut stand);
     stand.pass(20.0);
-    assert_eq!(stand.drops[Link::News as usize], 0, "answers to marks may still come");
+    assert_eq!(
+        stand.drops[Link::News as usize],
+        0,
+        "answers to marks may still come"
+    );
     // Whatever the old place still says of joins is told by the new one.
     news_on(&mut stand, old, "* left 1");
     news_on(&mut stand, old, "* joined 2 west 5.0 0");
@@ -59,7 +81,13 @@
     stand.news("*");
     stand.pass(1000.0);
     assert_eq!(binds(&stand, 1), before, "nobody is judged or bound anew");
-    assert_eq!((stand.count("proxies_bound_anew"), stand.count("news_breaks")), (0, 0));
+    assert_eq!(
+        (
+            stand.count("proxies_bound_anew"),
+            stand.count("news_breaks")
+        ),
+        (0, 0)
+    );
     assert!(binds(&stand, 3) >= 1, "who joined meanwhile is bound");
     stand.news("* left 2");
     assert_eq!(stand.gauge("proxies_joined"), 2.0);
@@ -79,7 +107,11 @@
         news_on(&mut stand, old, &format!("* applied {proxy} {mark} 200.0"));
     }
     stand.pass(20.0);
-    assert_eq!(stand.session.view().flying, 0.0, "the mark was answered where the relay was");
+    assert_eq!(
+        stand.session.view().flying,
+        0.0,
+        "the mark was answered where the relay was"
+    );
 }
 
 #[test]
@@ -89,13 +121,21 @@
     stand.relay_up = false;
     reload(&mut stand, 1);
     stand.pass(50.0);
-    stand.give(Input::Down { link: Link::News, turn: old, why: "closed".into() });
+    stand.give(Input::Down {
+        link: Link::News,
+        turn: old,
+        why: "closed".into(),
+    });
     assert_eq!(stand.count("news_breaks"), 1);
     stand.pass(900.0);
     stand.standing = vec!["* joined 1 east 5.0 0".into()];
     stand.relay_up = true;
     stand.pass(2000.0);
-    assert_eq!(stand.gauge("proxies_joined"), 1.0, "who is not named has left");
+    assert_eq!(
+        stand.gauge("proxies_joined"),
+        1.0,
+        "who is not named has left"
+    );
     assert_eq!(stand.count("proxies_bound_anew"), 1);
 }
 
@@ -110,14 +150,25 @@
     stand.drops = [0; 2];
     reload(&mut stand, 1);
     stand.pass(5.0);
-    assert_eq!((stand.drops[Link::Calls as usize], stand.calls.len()), (0, calls));
+    assert_eq!(
+        (stand.drops[Link::Calls as usize], stand.calls.len()),
+        (0, calls)
+    );
     let orders = stand.calls.last().expect("a call").split(';').count();
     stand.answer(&format!("OK {orders}"));
     stand.drain(7, "b1", "west");
     stand.pass(300.0);
-    let went = stand.went.iter().rev().find(|w| w.0 == Link::Calls).map(|w| w.2);
+    let went = stand
+        .went
+        .iter()
+        .rev()
+        .find(|w| w.0 == Link::Calls)
+        .map(|w| w.2);
     assert_eq!(went, Some(places(1).relay));
-    assert!(stand.calls.len() > calls && stand.calls[calls] != stand.calls[calls - 1], "told once");
+    assert!(
+        stand.calls.len() > calls && stand.calls[calls] != stand.calls[calls - 1],
+        "told once"
+    );
     assert_eq!(stand.count("calls_repeated"), 0);
 }
 
@@ -133,9 +184,25 @@
     stand.drain(7, "b1", "west");
     stand.down(Link::Calls);
     stand.pass(200.0);
-    assert_eq!(stand.calls[calls], stand.calls[calls - 1], "the same call first");
-    assert!(stand.calls[calls + 1..].iter().any(|c| c.contains("withdraw,b1")));
-    assert_eq!(stand.went.iter().rev().find(|w| w.0 == Link::Calls).map(|w| w.2), Some(places(1).relay));
+    assert_eq!(
+        stand.calls[calls],
+        stand.calls[calls - 1],
+        "the same call first"
+    );
+    assert!(
+        stand.calls[calls + 1..]
+            .iter()
+            .any(|c| c.contains("withdraw,b1"))
+    );
+    assert_eq!(
+        stand
+            .went
+            .iter()
+            .rev()
+            .find(|w| w.0 == Link::Calls)
+            .map(|w| w.2),
+        Some(places(1).relay)
+    );
 }
 
 #[test]
@@ -147,8 +214,16 @@
     stand.pass(1000.0);
     stand.news("*");
     assert_eq!(stand.went.len(), went);
-    assert_eq!((stand.count("reloads_failed"), stand.count("reloads")), (1, 0));
-    let said = |s: &Stand| s.logs[logs..].iter().filter(|l| l.contains("nothing is changed")).count();
+    assert_eq!(
+        (stand.count("reloads_failed"), stand.count("reloads")),
+        (1, 0)
+    );
+    let said = |s: &Stand| {
+        s.logs[logs..]
+            .iter()
+            .filter(|l| l.contains("nothing is changed"))
+            .count()
+    };
     assert_eq!(said(&stand), 1, "one line");
     stand.file = Ok(places(1));
     stand.pass(500.0);
@@ -160,7 +235,10 @@
     (0..20).for_each(|_| (stand.pass(1000.0), stand.news("*")).1);
     stand.file = Ok(places(2));
     (0..20).for_each(|_| (stand.pass(1000.0), stand.news("*")).1);
-    assert_eq!((stand.count("reloads_failed"), stand.count("reloads")), (2, 1));
+    assert_eq!(
+        (stand.count("reloads_failed"), stand.count("reloads")),
+        (2, 1)
+    );
     stand.give(Input::Reload);
     assert_eq!(stand.count("reloads"), 2);
 }
@@ -207,19 +285,31 @@
     assert_eq!(stand.asked_at[asks..], [places(1).discovery], "at once");
     // The watch that was open still counts until the new place has answered.
     let body = list(91, false, &[member("b1", "west", "Terminating", 0.0)]);
-    stand.give(Input::Listed { ask: open, body: body.into() });
+    stand.give(Input::Listed {
+        ask: open,
+        body: body.into(),
+    });
     stand.pass(20.0);
     assert!(stand.orders(0).iter().any(|o| o == "withdraw,b1"));
     let mut fleet = fleet();
     fleet[2] = member("b1", "west", "Terminating", 0.0);
     let ask = stand.asks.last().expect("an ask").0;
-    stand.give(Input::Listed { ask, body: list(3, true, &fleet).into() });
+    stand.give(Input::Listed {
+        ask,
+        body: list(3, true, &fleet).into(),
+    });
     assert_eq!(stand.gauge("list_revision"), 3.0);
     stand.pass(10.0);
     assert!(stand.asks.last().expect("a watch").1.contains("after=3&"));
     // What the old place says now is no news.
     let body = list(92, false, &[member("a2", "east", "Terminating", 0.0)]);
-    stand.give(Input::Listed { ask: open, body: body.into() });
+    stand.give(Input::Listed {
+        ask: open,
+        body: body.into(),
+    });
     assert_eq!(stand.gauge("list_revision"), 3.0);
-    assert_eq!((stand.count("lists_old"), stand.count("lists_failed")), (0, 0));
+    assert_eq!(
+        (stand.count("lists_old"), stand.count("lists_failed")),
+        (0, 0)
+    );
 }
--- a/crates/rushcourse-reducer/tests/streams.rs
+++ b/crates/rushcourse-reducer/tests/streams.rs
@@ -11,13 +11,19 @@
     let mut stand = Stand::serving(options(), Some(rules()));
     stand.rules = Some(rules());
     stand.start();
-    stand.standing = vec!["* joined 1 east 5.0 1".into(), "* joined 2 west 5.0 1".into()];
+    stand.standing = vec![
+        "* joined 1 east 5.0 1".into(),
+        "* joined 2 west 5.0 1".into(),
+    ];
     let standing = stand.standing.clone();
     standing.iter().for_each(|line| stand.news(line));
     stand.pass(300.0);
     stand.applied(&[1, 2]);
     // From here on they hold what they were ordered there.
-    stand.standing = vec!["* joined 1 east 5.0 0".into(), "* joined 2 west 5.0 0".into()];
+    stand.standing = vec![
+        "* joined 1 east 5.0 0".into(),
+        "* joined 2 west 5.0 0".into(),
+    ];
     stand.pass(300.0);
     stand
 }
@@ -25,11 +31,28 @@
 /// A relay opens a stream, says who it is, and asks for a class.
 fn opens(stand: &mut Stand, stream: u64, number: u32) {
     let (service, peer) = (Service::Whole, "127.0.0.1:9".to_string());
-    stand.give(Input::Stream(rushcourse_xds::Input::Opened { stream, connection: stream, service, peer }));
-    let node = Node { id: format!("relay-{number}"), zone: "east".into(), rate: Some(5.0) };
+    stand.give(Input::Stream(rushcourse_xds::Input::Opened {
+        stream,
+        connection: stream,
+        service,
+        peer,
+    }));
+    let node = Node {
+        id: format!("relay-{number}"),
+        zone: "east".into(),
+        rate: Some(5.0),
+    };
     let (names, type_url) = (vec!["look".into()], TABLE_TYPE.into());
-    let ask = Ask { node: Some(node), type_url, names, ..Ask::default() };
-    stand.give(Input::Stream(rushcourse_xds::Input::Said { stream, said: Said::Whole(ask) }));
+    let ask = Ask {
+        node: Some(node),
+        type_url,
+        names,
+        ..Ask::default()
+    };
+    stand.give(Input::Stream(rushcourse_xds::Input::Said {
+        stream,
+        said: Said::Whole(ask),
+    }));
 }
 
 /// The transport takes what was handed to it.
@@ -41,11 +64,22 @@
 fn sent(stand: &mut Stand, to: u64) -> Vec<Vec<String>> {
     let mut all = Vec::new();
     for effect in std::mem::take(&mut stand.streamed) {
-        if let Effect::Respond { stream, response: Response::Whole { resources, .. } } = effect
+        if let Effect::Respond {
+            stream,
+            response: Response::Whole { resources, .. },
+        } = effect
             && stream == to
         {
-            let lines = resources.iter().flat_map(|r| &r.table.localities).flat_map(|l| &l.endpoints);
-            all.push(lines.filter(|e| !e.draining).map(|e| e.host.to_string()).collect());
+            let lines = resources
+                .iter()
+                .flat_map(|r| &r.table.localities)
+                .flat_map(|l| &l.endpoints);
+            all.push(
+                lines
+                    .filter(|e| !e.draining)
+                    .map(|e| e.host.to_string())
+                    .collect(),
+            );
         }
     }
     all
@@ -53,7 +87,11 @@
 
 fn binds(stand: &Stand, from: usize, proxy: u32) -> usize {
     let word = format!("bind,{proxy},");
-    stand.orders(from).iter().filter(|o| o.starts_with(&word)).count()
+    stand
+        .orders(from)
+        .iter()
+        .filter(|o| o.starts_with(&word))
+        .count()
 }
 
 #[test]
@@ -66,9 +104,17 @@
     let from = stand.calls.len();
     stand.drain(6, "a1", "east");
     stand.pass(20.0);
-    assert_eq!(sent(&mut stand, 7), [["a2", "b1", "b2"]], "the drain, at once");
+    assert_eq!(
+        sent(&mut stand, 7),
+        [["a2", "b1", "b2"]],
+        "the drain, at once"
+    );
     stand.pass(3000.0);
-    assert_eq!(binds(&stand, from, 1), 0, "the relay hears nothing more of it");
+    assert_eq!(
+        binds(&stand, from, 1),
+        0,
+        "the relay hears nothing more of it"
+    );
     // That the relay's old stream goes is no news of it.
     stand.news("* left 1");
     stand.pass(300.0);
@@ -76,7 +122,10 @@
     takes(&mut stand, 7);
     stand.drain(7, "b1", "west");
     stand.pass(20.0);
-    assert_eq!(sent(&mut stand, 7).last().expect("served on"), &["a2", "b2"]);
+    assert_eq!(
+        sent(&mut stand, 7).last().expect("served on"),
+        &["a2", "b2"]
+    );
 }
 
 #[test]
@@ -85,7 +134,10 @@
     opens(&mut stand, 7, 1);
     stand.pass(300.0);
     let from = stand.calls.len();
-    stand.give(Input::Stream(rushcourse_xds::Input::Closed { stream: 7, why: "reset".into() }));
+    stand.give(Input::Stream(rushcourse_xds::Input::Closed {
+        stream: 7,
+        why: "reset".into(),
+    }));
     stand.pass(300.0);
     assert_eq!(binds(&stand, from, 1), 1, "{:?}", stand.orders(from));
 }
@@ -103,8 +155,17 @@
     stand.relay_up = true;
     stand.pass(2000.0);
     assert_eq!(stand.gauge("streams_joined"), 1.0);
-    assert_eq!(binds(&stand, from, 1), 0, "it is its stream's: {:?}", stand.orders(from));
-    assert_eq!(binds(&stand, from, 2), 1, "who may have left unseen is bound anew");
+    assert_eq!(
+        binds(&stand, from, 1),
+        0,
+        "it is its stream's: {:?}",
+        stand.orders(from)
+    );
+    assert_eq!(
+        binds(&stand, from, 2),
+        1,
+        "who may have left unseen is bound anew"
+    );
 }
 
 #[test]
@@ -116,9 +177,21 @@
     stand.news("* joined 1 east 5.0 1");
     let from = stand.calls.len();
     stand.pass(300.0);
-    let ended = |e: &Effect| matches!(e, Effect::End { stream: 7, code: Code::Aborted, .. });
+    let ended = |e: &Effect| {
+        matches!(
+            e,
+            Effect::End {
+                stream: 7,
+                code: Code::Aborted,
+                ..
+            }
+        )
+    };
     assert!(stand.streamed.iter().any(ended), "{:?}", stand.streamed);
-    assert_eq!((stand.gauge("streams_joined"), binds(&stand, from, 1)), (0.0, 1));
+    assert_eq!(
+        (stand.gauge("streams_joined"), binds(&stand, from, 1)),
+        (0.0, 1)
+    );
 }
 
 #[test]
@@ -134,7 +207,12 @@
     stand.rules = None;
     stand.give(Input::Reload);
     stand.pass(300.0);
-    assert!(stand.streamed.iter().any(|e| matches!(e, Effect::End { stream: 8, .. })));
+    assert!(
+        stand
+            .streamed
+            .iter()
+            .any(|e| matches!(e, Effect::End { stream: 8, .. }))
+    );
     let from = stand.calls.len();
     stand.news("* joined 3 east 5.0 1");
     stand.pass(300.0);
@@ -146,6 +224,15 @@
     let mut stand = both();
     opens(&mut stand, 7, 1);
     stand.give(Input::Stop);
-    let ended = |e: &Effect| matches!(e, Effect::End { stream: 7, code: Code::Unavailable, .. });
+    let ended = |e: &Effect| {
+        matches!(
+            e,
+            Effect::End {
+                stream: 7,
+                code: Code::Unavailable,
+                ..
+            }
+        )
+    };
     assert!(stand.exit && stand.streamed.iter().any(ended));
 }
--- a/crates/rushcourse-routing/src/budget.rs
+++ b/crates/rushcourse-routing/src/budget.rs
@@ -26,7 +26,13 @@
 impl Budget {
     /// `ratio` and `slack` as in RULES.md, `window_ms` the span that they are counted over.
     pub fn new(ratio: f64, slack: f64, window_ms: u64) -> Budget {
-        Budget { ratio, slack, window_ms: window_ms.max(BUCKETS), members: 16.0, services: BTreeMap::new() }
+        Budget {
+            ratio,
+            slack,
+            window_ms: window_ms.max(BUCKETS),
+            members: 16.0,
+            services: BTreeMap::new(),
+        }
     }
 
     /// Frontend directors that share it.
@@ -37,7 +43,11 @@
     fn counts(&mut self, now: u64, service: &Arc<str>) -> &mut Counts {
         let bucket = now / (self.window_ms / BUCKETS);
         let counts = self.services.entry(service.clone()).or_default();
-        while counts.buckets.front().is_some_and(|b| b.0 + BUCKETS < bucket) {
+        while counts
+            .buckets
+            .front()
+            .is_some_and(|b| b.0 + BUCKETS < bucket)
+        {
             counts.buckets.pop_front();
         }
         if counts.buckets.back().is_none_or(|b| b.0 != bucket) {
@@ -55,9 +65,15 @@
 
     /// Takes one further arrival, if there is room.
     pub fn take(&mut self, now: u64, service: &Arc<str>) -> bool {
-        let (ratio, slack) = (self.ratio * SPENT_PART, self.slack * SPENT_PART / self.members);
+        let (ratio, slack) = (
+            self.ratio * SPENT_PART,
+            self.slack * SPENT_PART / self.members,
+        );
         let counts = self.counts(now, service);
-        let (came, spent) = counts.buckets.iter().fold((0.0, 0.0), |a, b| (a.0 + b.1, a.1 + b.2));
+        let (came, spent) = counts
+            .buckets
+            .iter()
+            .fold((0.0, 0.0), |a, b| (a.0 + b.1, a.1 + b.2));
         if spent + 1.0 > came * ratio + slack {
             return false;
         }
--- a/crates/rushcourse-routing/src/claims.rs
+++ b/crates/rushcourse-routing/src/claims.rs
@@ -138,7 +138,10 @@
         if set.number > self.set.number {
             self.adopt(now, set, reached)
         } else if set.number == self.set.number && self.set.members.contains(&from) {
-            Renewal { requests: self.ask_again(now, from), ..Renewal::default() }
+            Renewal {
+                requests: self.ask_again(now, from),
+                ..Renewal::default()
+            }
         } else {
             Renewal::default()
         }
@@ -149,7 +152,10 @@
         let former = std::mem::replace(&mut self.set, set);
         let withdrawals = self.retell(now, &former);
         if former.number > 0 {
-            self.former.push_back(FormerSet { members: former.members, last_claim: self.number });
+            self.former.push_back(FormerSet {
+                members: former.members,
+                last_claim: self.number,
+            });
         }
         if self.former.len() > FORMER_SETS_MOST {
             self.former.pop_front();
@@ -160,8 +166,16 @@
         }
         // Too few of the new set are reached, for all that wait.
         decided.extend(self.over(now));
-        let requests = self.pending.iter().map(|(key, p)| p.vote_request(*key, asked.clone())).collect();
-        Renewal { requests, withdrawals, decided }
+        let requests = self
+            .pending
+            .iter()
+            .map(|(key, p)| p.vote_request(*key, asked.clone()))
+            .collect();
+        Renewal {
+            requests,
+            withdrawals,
+            decided,
+        }
     }
 
     /// The claims that a voter which is now in the newest set has not voted on.
@@ -185,12 +199,20 @@
         if voters.is_empty() {
             return Vec::new();
         }
-        let tell = |w: &Withdrawn| Withdrawal { key: w.key, claim: w.claim, voters: voters.clone() };
+        let tell = |w: &Withdrawn| Withdrawal {
+            key: w.key,
+            claim: w.claim,
+            voters: voters.clone(),
+        };
         self.withdrawn.iter().map(tell).collect()
     }
 
     fn forget_withdrawn(&mut self, now: u64) {
-        while self.withdrawn.front().is_some_and(|w| now >= w.at + RETOLD_FOR) {
+        while self
+            .withdrawn
+            .front()
+            .is_some_and(|w| now >= w.at + RETOLD_FOR)
+        {
             self.withdrawn.pop_front();
         }
     }
@@ -201,15 +223,28 @@
         if self.withdrawn.len() >= RETOLD_MOST {
             self.withdrawn.pop_front();
         }
-        self.withdrawn.push_back(Withdrawn { at: now, key, claim });
+        self.withdrawn.push_back(Withdrawn {
+            at: now,
+            key,
+            claim,
+        });
         let since = self.former.iter().filter(|f| f.last_claim >= claim.number);
         let former = since.flat_map(|f| f.members.iter());
         let voters: BTreeSet<NodeId> = self.set.members.iter().chain(former).copied().collect();
-        Withdrawal { key, claim, voters: voters.into_iter().collect() }
+        Withdrawal {
+            key,
+            claim,
+            voters: voters.into_iter().collect(),
+        }
     }
 
     fn reached(&self, reached: impl Fn(NodeId) -> bool) -> Vec<NodeId> {
-        self.set.members.iter().copied().filter(|m| reached(*m)).collect()
+        self.set
+            .members
+            .iter()
+            .copied()
+            .filter(|m| reached(*m))
+            .collect()
     }
 
     pub fn voting_set(&self) -> &VotingSet {
@@ -234,11 +269,18 @@
         reached: impl Fn(NodeId) -> bool,
     ) -> Option<(ClaimId, Vec<NodeId>)> {
         let asked = self.reached(reached);
-        if self.set.number == 0 || asked.len() < self.set.majority() || self.pending.len() >= CLAIMS_MOST {
+        if self.set.number == 0
+            || asked.len() < self.set.majority()
+            || self.pending.len() >= CLAIMS_MOST
+        {
             return None;
         }
         self.number += 1;
-        let claim = ClaimId { node: self.me, life: self.life, number: self.number };
+        let claim = ClaimId {
+            node: self.me,
+            life: self.life,
+            number: self.number,
+        };
         let pending = Pending {
             set: self.set.clone(),
             claim,
@@ -279,7 +321,11 @@
     /// A session with a voter broke: its vote can no longer come.
     pub fn lost_voter(&mut self, now: u64, from: NodeId) -> Vec<Decision> {
         self.told.remove(&from);
-        for pending in self.pending.values_mut().filter(|p| p.asked.contains(&from)) {
+        for pending in self
+            .pending
+            .values_mut()
+            .filter(|p| p.asked.contains(&from))
+        {
             pending.votes.entry(from).or_insert(Verdict::Cannot);
         }
         self.over(now)
@@ -288,7 +334,11 @@
     /// Claims that are decided by now, or whose time is over.
     pub fn over(&mut self, now: u64) -> Vec<Decision> {
         let decision = |(key, p): (&u128, &Pending)| {
-            Some(Decision { key: *key, claim: p.claim, verdicts: p.decided(now)? })
+            Some(Decision {
+                key: *key,
+                claim: p.claim,
+                verdicts: p.decided(now)?,
+            })
         };
         let decided: Vec<Decision> = self.pending.iter().filter_map(decision).collect();
         for decision in &decided {
@@ -307,11 +357,20 @@
     }
 
     fn vote_request(&self, key: u128, voters: Vec<NodeId>) -> VoteRequest {
-        VoteRequest { set: self.set.number, key, claim: self.claim, voters }
+        VoteRequest {
+            set: self.set.number,
+            key,
+            claim: self.claim,
+            voters,
+        }
     }
 
     fn decided(&self, now: u64) -> Option<Verdicts> {
-        let granted = self.votes.values().filter(|v| **v == Verdict::Granted).count();
+        let granted = self
+            .votes
+            .values()
+            .filter(|v| **v == Verdict::Granted)
+            .count();
         if granted >= self.set.majority() {
             return Some(Verdicts::Won);
         }
@@ -319,8 +378,13 @@
         if granted + open >= self.set.majority() && now < self.until {
             return None;
         }
-        let held =
-            self.votes.values().filter_map(|v| if let Verdict::Held(by) = v { Some(*by) } else { None });
+        let held = self.votes.values().filter_map(|v| {
+            if let Verdict::Held(by) = v {
+                Some(*by)
+            } else {
+                None
+            }
+        });
         let mut counts: BTreeMap<ClaimId, usize> = BTreeMap::new();
         held.for_each(|by| *counts.entry(by).or_default() += 1);
         let most = counts.into_iter().max_by_key(|c| c.1);
--- a/crates/rushcourse-routing/src/homing.rs
+++ b/crates/rushcourse-routing/src/homing.rs
@@ -19,11 +19,22 @@
 
 impl Homing {
     pub fn new(me: NodeId, zone: &str) -> Homing {
-        Homing { me, zone: zone.into(), cores: BTreeMap::new(), home: None }
+        Homing {
+            me,
+            zone: zone.into(),
+            cores: BTreeMap::new(),
+            home: None,
+        }
     }
 
     pub fn up(&mut self, node: NodeId, zone: &str) {
-        self.cores.insert(node, Core { zone: zone.into(), primed: false });
+        self.cores.insert(
+            node,
+            Core {
+                zone: zone.into(),
+                primed: false,
+            },
+        );
     }
 
     pub fn down(&mut self, node: NodeId) {
@@ -49,16 +60,29 @@
 
     /// Chooses anew where it must. Who is told that it is home, and who that it no longer is.
     pub fn choose(&mut self) -> (Option<NodeId>, Option<NodeId>) {
-        if self.home.is_some_and(|h| self.cores.get(&h).is_some_and(|c| c.primed)) {
+        if self
+            .home
+            .is_some_and(|h| self.cores.get(&h).is_some_and(|c| c.primed))
+        {
             return (None, None);
         }
         let order = |node: &NodeId, core: &Core| {
             let far = core.zone != self.zone;
-            (far, hash64(&[node.to_be_bytes(), self.me.to_be_bytes()].concat(), 5))
+            (
+                far,
+                hash64(&[node.to_be_bytes(), self.me.to_be_bytes()].concat(), 5),
+            )
         };
-        let best = self.cores.iter().filter(|c| c.1.primed).min_by_key(|c| order(c.0, c.1)).map(|c| *c.0);
+        let best = self
+            .cores
+            .iter()
+            .filter(|c| c.1.primed)
+            .min_by_key(|c| order(c.0, c.1))
+            .map(|c| *c.0);
         // One that lost its company is left only for one that has it.
-        let Some(best) = best else { return (None, None) };
+        let Some(best) = best else {
+            return (None, None);
+        };
         let old = self.home.replace(best);
         (Some(best), old)
     }
--- a/crates/rushcourse-routing/src/operations.rs
+++ b/crates/rushcourse-routing/src/operations.rs
@@ -34,7 +34,12 @@
 fn weight(state: &State) -> usize {
     match state {
         State::Answered(kept) => {
-            kept.body.len() + kept.headers.iter().map(|h| h.0.len() + h.1.len() + 64).sum::<usize>()
+            kept.body.len()
+                + kept
+                    .headers
+                    .iter()
+                    .map(|h| h.0.len() + h.1.len() + 64)
+                    .sum::<usize>()
         }
         _ => 0,
     }
@@ -45,7 +50,13 @@
     /// repeats are told that the operation is at work.
     pub fn new(window_ms: u64, bytes_most: usize) -> Operations {
         let (known, order) = (BTreeMap::new(), VecDeque::new());
-        Operations { keep_ms: window_ms + KEEP_LONGER, bytes_most, bytes: 0, known, order }
+        Operations {
+            keep_ms: window_ms + KEEP_LONGER,
+            bytes_most,
+            bytes: 0,
+            known,
+            order,
+        }
     }
 
     /// What is known of a key here.
@@ -55,7 +66,12 @@
 
     /// What another director is told of a claim of this one.
     pub fn progress(&self, key: u128, claim: ClaimId) -> Progress {
-        match self.known.get(&key).filter(|o| o.claim == claim).map(|o| &o.state) {
+        match self
+            .known
+            .get(&key)
+            .filter(|o| o.claim == claim)
+            .map(|o| &o.state)
+        {
             Some(State::Running) => Progress::Running,
             Some(State::Answered(kept)) => Progress::Answered(Kept::clone(kept)),
             Some(State::Unknown) => Progress::Unknown,
@@ -65,13 +81,22 @@
 
     pub fn begin(&mut self, now: u64, key: u128, claim: ClaimId) {
         let until = now + self.keep_ms;
-        self.known.insert(key, Operation { claim, state: State::Running, until });
+        self.known.insert(
+            key,
+            Operation {
+                claim,
+                state: State::Running,
+                until,
+            },
+        );
         self.order.push_back((until, key));
     }
 
     /// It ended, answered or not known.
     pub fn end(&mut self, key: u128, claim: ClaimId, state: State) {
-        let Some(operation) = self.known.get_mut(&key).filter(|o| o.claim == claim) else { return };
+        let Some(operation) = self.known.get_mut(&key).filter(|o| o.claim == claim) else {
+            return;
+        };
         self.bytes = self.bytes + weight(&state) - weight(&operation.state);
         operation.state = state;
         if self.bytes > self.bytes_most {
@@ -107,7 +132,9 @@
     pub fn tick(&mut self, now: u64) {
         while let Some((until, key)) = self.order.front().copied().filter(|o| now >= o.0) {
             self.order.pop_front();
-            let Some(operation) = self.known.get_mut(&key).filter(|o| o.until == until) else { continue };
+            let Some(operation) = self.known.get_mut(&key).filter(|o| o.until == until) else {
+                continue;
+            };
             if matches!(operation.state, State::Running) {
                 operation.until = now + self.keep_ms;
                 self.order.push_back((operation.until, key));
--- a/crates/rushcourse-routing/src/tables.rs
+++ b/crates/rushcourse-routing/src/tables.rs
@@ -68,7 +68,12 @@
 
 impl Tables {
     pub fn new(zone: &str) -> Tables {
-        Tables { zone: zone.into(), services: BTreeMap::new(), ended: BTreeMap::new(), ended_order: 0 }
+        Tables {
+            zone: zone.into(),
+            services: BTreeMap::new(),
+            ended: BTreeMap::new(),
+            ended_order: 0,
+        }
     }
 
     fn end(&mut self, id: &Arc<str>) {
@@ -141,12 +146,17 @@
 
     /// Services with at least one host that may be picked.
     pub fn serves(&self, service: &str) -> bool {
-        self.services.get(service).is_some_and(|t| t.hosts.values().any(|h| h.weight > 0.0 && !h.out))
+        self.services
+            .get(service)
+            .is_some_and(|t| t.hosts.values().any(|h| h.weight > 0.0 && !h.out))
     }
 
     /// Whether new requests may go to a host.
     pub fn open(&self, service: &str, id: &str) -> bool {
-        self.services.get(service).and_then(|t| t.hosts.get(id)).is_some_and(|h| h.weight > 0.0 && !h.out)
+        self.services
+            .get(service)
+            .and_then(|t| t.hosts.get(id))
+            .is_some_and(|h| h.weight > 0.0 && !h.out)
     }
 
     /// Picks a host that was not tried yet and counts a request on it; `chance` gives numbers from 0 up to 1.
@@ -158,7 +168,8 @@
         mut chance: impl FnMut() -> f64,
     ) -> Option<Pick> {
         let table = self.services.get_mut(service)?;
-        let may = |h: &(&Arc<str>, &mut Known)| h.1.weight > 0.0 && !h.1.out && !tried.contains(h.0);
+        let may =
+            |h: &(&Arc<str>, &mut Known)| h.1.weight > 0.0 && !h.1.out && !tried.contains(h.0);
         let mut all: Vec<(&Arc<str>, &mut Known)> = table.hosts.iter_mut().filter(may).collect();
         // Where all are shut, those that are shut are tried: one of them may be back.
         if all.iter().any(|h| h.1.shut_until <= now) {
@@ -167,8 +178,16 @@
         if all.is_empty() {
             return None;
         }
-        let means: Vec<f64> = all.iter().map(|h| h.1.mean_ms).filter(|m| *m > 0.0).collect();
-        let usual = if means.is_empty() { 1.0 } else { means.iter().sum::<f64>() / means.len() as f64 };
+        let means: Vec<f64> = all
+            .iter()
+            .map(|h| h.1.mean_ms)
+            .filter(|m| *m > 0.0)
+            .collect();
+        let usual = if means.is_empty() {
+            1.0
+        } else {
+            means.iter().sum::<f64>() / means.len() as f64
+        };
         let cost = |h: &Known| {
             let mean = if h.mean_ms > 0.0 { h.mean_ms } else { usual };
             let far = if h.near { 1.0 } else { 1.0 / ZONE_PART };
@@ -184,14 +203,21 @@
         let (id, host) = all.swap_remove(best?.1);
         host.busy += 1;
         table.tries += 1;
-        Some(Pick { id: id.clone(), address: host.address.clone() })
+        Some(Pick {
+            id: id.clone(),
+            address: host.address.clone(),
+        })
     }
 
     /// A try at a host ended.
     pub fn met(&mut self, now: u64, service: &str, id: &Arc<str>, met: Met) {
-        let Some(table) = self.services.get_mut(service) else { return };
+        let Some(table) = self.services.get_mut(service) else {
+            return;
+        };
         table.failed += u32::from(!matches!(met, Met::Answer(_)));
-        let Some(host) = table.hosts.get_mut(id) else { return };
+        let Some(host) = table.hosts.get_mut(id) else {
+            return;
+        };
         host.busy = host.busy.saturating_sub(1);
         match met {
             Met::Answer(ms) => {
@@ -213,7 +239,11 @@
 
     /// A try that was given up by its client, or never begun.
     pub fn dropped(&mut self, service: &str, id: &Arc<str>) {
-        if let Some(host) = self.services.get_mut(service).and_then(|t| t.hosts.get_mut(id)) {
+        if let Some(host) = self
+            .services
+            .get_mut(service)
+            .and_then(|t| t.hosts.get_mut(id))
+        {
             host.busy = host.busy.saturating_sub(1);
         }
     }
@@ -221,7 +251,11 @@
     /// Tries and failures for each service since the last call.
     pub fn usage(&mut self) -> Vec<(Arc<str>, u32, u32)> {
         let take = |(s, t): (&Arc<str>, &mut Table)| {
-            (s.clone(), std::mem::take(&mut t.tries), std::mem::take(&mut t.failed))
+            (
+                s.clone(),
+                std::mem::take(&mut t.tries),
+                std::mem::take(&mut t.failed),
+            )
         };
         self.services.iter_mut().map(take).collect()
     }
@@ -229,7 +263,11 @@
     /// Hosts of a service that may be picked, for the pages and tests.
     pub fn hosts(&self, service: &str) -> Vec<Arc<str>> {
         let open = |h: &(&Arc<str>, &Known)| h.1.weight > 0.0 && !h.1.out;
-        let all = self.services.get(service).into_iter().flat_map(|t| t.hosts.iter());
+        let all = self
+            .services
+            .get(service)
+            .into_iter()
+            .flat_map(|t| t.hosts.iter());
         all.filter(open).map(|h| h.0.clone()).collect()
     }
 }
--- a/crates/rushcourse-routing/src/versions.rs
+++ b/crates/rushcourse-routing/src/versions.rs
@@ -34,7 +34,12 @@
             return;
         }
         let known = self.wanted.take().filter(|w| w.version >= version);
-        let mut wanted = known.unwrap_or(Wanted { version, holders: Vec::new(), since: now, asked_at: None });
+        let mut wanted = known.unwrap_or(Wanted {
+            version,
+            holders: Vec::new(),
+            since: now,
+            asked_at: None,
+        });
         let new = !wanted.holders.contains(&holder) && wanted.holders.len() < HOLDERS_MOST;
         if wanted.version == version && new {
             wanted.holders.push(holder);
@@ -51,7 +56,11 @@
             Some(asked_at) => now >= asked_at + ASK_AGAIN,
             None => now >= wanted.since + wait,
         };
-        let place = wanted.holders.iter().position(|holder| reached(*holder)).filter(|_| due)?;
+        let place = wanted
+            .holders
+            .iter()
+            .position(|holder| reached(*holder))
+            .filter(|_| due)?;
         let holder = wanted.holders.remove(place);
         wanted.holders.push(holder);
         wanted.asked_at = Some(now);
--- a/crates/rushcourse-routing/tests/decisions.rs
+++ b/crates/rushcourse-routing/tests/decisions.rs
@@ -21,12 +21,18 @@
 }
 
 fn line(id: &str, zone: &str, weight: f32) -> Line {
-    Line { host: host(id, zone, HostState::Ready), weight }
+    Line {
+        host: host(id, zone, HostState::Ready),
+        weight,
+    }
 }
 
 fn tables(lines: &[(&str, &str)]) -> Tables {
     let mut tables = Tables::new("z1");
-    tables.table(&"s".into(), lines.iter().map(|l| line(l.0, l.1, 4.0)).collect());
+    tables.table(
+        &"s".into(),
+        lines.iter().map(|l| line(l.0, l.1, 4.0)).collect(),
+    );
     tables
 }
 
@@ -62,7 +68,10 @@
     assert!(!t.open("s", "a") && t.open("s", "b"));
     t.out(&[host("b", "z1", HostState::Gone)]);
     // A table that was sent before that arrives after it.
-    t.table(&"s".into(), vec![line("a", "z1", 4.0), line("b", "z1", 4.0)]);
+    t.table(
+        &"s".into(),
+        vec![line("a", "z1", 4.0), line("b", "z1", 4.0)],
+    );
     assert_eq!(
         t.hosts("s"),
         [Arc::<str>::from("a")],
@@ -79,8 +88,16 @@
     assert!((0..8).any(|_| &*t.pick(400, "s", &[], &mut chance).expect("a host").id == "a"));
     // The only one that was not tried is taken, resting or not.
     t.met(400, "s", &"a".into(), Met::Unreached);
-    assert_eq!(&*t.pick(500, "s", &["b".into()], &mut chance).expect("a host").id, "a");
-    assert_eq!(t.pick(500, "s", &["b".into(), "a".into()], &mut chance), None);
+    assert_eq!(
+        &*t.pick(500, "s", &["b".into()], &mut chance)
+            .expect("a host")
+            .id,
+        "a"
+    );
+    assert_eq!(
+        t.pick(500, "s", &["b".into(), "a".into()], &mut chance),
+        None
+    );
 }
 
 #[test]
@@ -99,15 +116,28 @@
         }
     }
     for from in (0..10_000).step_by(100) {
-        let within = spent.iter().filter(|t| (from..from + 10_000).contains(*t)).count();
-        assert!(within as f64 <= 0.2 * 8_000.0 + 56.0, "{within} from {from} ms");
+        let within = spent
+            .iter()
+            .filter(|t| (from..from + 10_000).contains(*t))
+            .count();
+        assert!(
+            within as f64 <= 0.2 * 8_000.0 + 56.0,
+            "{within} from {from} ms"
+        );
     }
     assert!(spent.len() > 1_000, "and they are used: {}", spent.len());
 }
 
-#[allow(clippy::needless_update, reason = "the set gains fields that don't matter here")]
+#[allow(
+    clippy::needless_update,
+    reason = "the set gains fields that don't matter here"
+)]
 fn voting_set(number: u64, members: &[NodeId]) -> VotingSet {
-    VotingSet { number, members: members.to_vec(), ..Default::default() }
+    VotingSet {
+        number,
+        members: members.to_vec(),
+        ..Default::default()
+    }
 }
 
 fn claims() -> Claims {
@@ -122,10 +152,21 @@
     let (claim, asked) = c.begin(0, 5, |_| true).expect("all are reached");
     assert_eq!(asked, [1, 2, 3, 4]);
     assert_eq!(c.vote(10, 1, 1, 5, claim, Verdict::Granted), None);
-    assert_eq!(c.vote(10, 1, 1, 5, claim, Verdict::Granted), None, "one voter counts once");
+    assert_eq!(
+        c.vote(10, 1, 1, 5, claim, Verdict::Granted),
+        None,
+        "one voter counts once"
+    );
     assert_eq!(c.vote(11, 2, 1, 5, claim, Verdict::Granted), None);
-    assert_eq!(c.vote(12, 3, 2, 5, claim, Verdict::Granted), None, "of another set");
-    assert_eq!(c.vote(13, 3, 1, 5, claim, Verdict::Granted), Some(Verdicts::Won));
+    assert_eq!(
+        c.vote(12, 3, 2, 5, claim, Verdict::Granted),
+        None,
+        "of another set"
+    );
+    assert_eq!(
+        c.vote(13, 3, 1, 5, claim, Verdict::Granted),
+        Some(Verdicts::Won)
+    );
 }
 
 #[test]
@@ -135,27 +176,56 @@
     c.vote(10, 1, 1, 5, claim, Verdict::Granted);
     c.vote(11, 2, 1, 5, claim, Verdict::Granted);
     // Frozen and woken: the third grant lay in its socket all the while.
-    assert_eq!(c.vote(VOTE_WAIT, 3, 1, 5, claim, Verdict::Granted), Some(Verdicts::Unclear));
+    assert_eq!(
+        c.vote(VOTE_WAIT, 3, 1, 5, claim, Verdict::Granted),
+        Some(Verdicts::Unclear)
+    );
 }
 
 #[test]
 fn a_claim_is_lost_as_soon_as_no_majority_is_left() {
     let mut c = claims();
-    let other = ClaimId { node: 8, life: 1, number: 1 };
+    let other = ClaimId {
+        node: 8,
+        life: 1,
+        number: 1,
+    };
     let (claim, _) = c.begin(0, 5, |_| true).expect("all are reached");
     c.vote(10, 1, 1, 5, claim, Verdict::Held(other));
-    assert_eq!(c.vote(11, 2, 1, 5, claim, Verdict::Held(other)), Some(Verdicts::Lost(other)));
+    assert_eq!(
+        c.vote(11, 2, 1, 5, claim, Verdict::Held(other)),
+        Some(Verdicts::Lost(other))
+    );
     let (claim, _) = c.begin(20, 6, |n| n != 4).expect("three are reached");
-    assert_eq!(c.lost_voter(30, 2), vec![Decision { key: 6, claim, verdicts: Verdicts::Unclear }]);
-    assert!(c.begin(40, 7, |n| n < 3).is_none(), "two of four are no majority");
+    assert_eq!(
+        c.lost_voter(30, 2),
+        vec![Decision {
+            key: 6,
+            claim,
+            verdicts: Verdicts::Unclear
+        }]
+    );
+    assert!(
+        c.begin(40, 7, |n| n < 3).is_none(),
+        "two of four are no majority"
+    );
 }
 
 #[test]
 fn a_repeat_gets_the_first_answer_until_the_window_is_over() {
     let mut o = Operations::new(60_000, 1_000);
-    let claim = ClaimId { node: 9, life: 1, number: 1 };
-    let kept =
-        |bytes: usize| State::Answered(Arc::new(Kept { status: 200, headers: vec![], body: vec![7; bytes] }));
+    let claim = ClaimId {
+        node: 9,
+        life: 1,
+        number: 1,
+    };
+    let kept = |bytes: usize| {
+        State::Answered(Arc::new(Kept {
+            status: 200,
+            headers: vec![],
+            body: vec![7; bytes],
+        }))
+    };
     o.begin(0, 5, claim);
     assert_eq!(o.progress(5, claim), Progress::Running);
     o.end(5, claim, kept(600));
@@ -168,7 +238,10 @@
     // The oldest answers go when there is no room; what ran is never forgotten sooner than the window.
     o.begin(1, 6, claim);
     o.end(6, claim, kept(600));
-    assert!(matches!(o.state(5), Some(State::Unknown)) && matches!(o.state(6), Some(State::Answered(_))));
+    assert!(
+        matches!(o.state(5), Some(State::Unknown))
+            && matches!(o.state(6), Some(State::Answered(_)))
+    );
     o.begin(2, 7, claim);
     o.withdraw(7, claim);
     assert!(o.state(7).is_none(), "nothing was sent: free again");
@@ -181,11 +254,23 @@
 #[test]
 fn an_operation_that_runs_beyond_the_window_is_forgotten_after_its_end() {
     let mut o = Operations::new(60_000, 1_000);
-    let claim = ClaimId { node: 9, life: 1, number: 1 };
+    let claim = ClaimId {
+        node: 9,
+        life: 1,
+        number: 1,
+    };
     o.begin(0, 5, claim);
     o.tick(70_000);
     assert_eq!(o.progress(5, claim), Progress::Running, "not while it runs");
-    o.end(5, claim, State::Answered(Arc::new(Kept { status: 200, headers: vec![], body: vec![7; 10] })));
+    o.end(
+        5,
+        claim,
+        State::Answered(Arc::new(Kept {
+            status: 200,
+            headers: vec![],
+            body: vec![7; 10],
+        })),
+    );
     o.tick(80_000);
     assert_eq!(o.len(), 1, "its repeats still come");
     o.tick(140_000);
@@ -200,11 +285,19 @@
     assert_eq!(h.choose(), (Some(1), None));
     h.up(2, "z1");
     h.primed(2, true);
-    assert_eq!(h.choose(), (None, None), "a nearer one comes: no change while the first one is good");
+    assert_eq!(
+        h.choose(),
+        (None, None),
+        "a nearer one comes: no change while the first one is good"
+    );
     h.primed(1, false);
     assert_eq!(h.choose(), (Some(2), Some(1)));
     h.primed(2, false);
-    assert_eq!((h.choose(), h.home()), ((None, None), Some(2)), "nobody better: it stays");
+    assert_eq!(
+        (h.choose(), h.home()),
+        ((None, None), Some(2)),
+        "nobody better: it stays"
+    );
     h.down(2);
     assert_eq!(h.home(), None);
 }
--- a/crates/rushcourse-routing/tests/versions.rs
+++ b/crates/rushcourse-routing/tests/versions.rs
@@ -8,7 +8,11 @@
     fetch.named(1_000, 1, 5, 0);
     fetch.named(1_001, 2, 5, 0);
     assert_eq!(fetch.ask(1_001, 0, |_| true), Some(1));
-    assert_eq!(fetch.ask(1_200, 0, |_| true), None, "its answer is under way");
+    assert_eq!(
+        fetch.ask(1_200, 0, |_| true),
+        None,
+        "its answer is under way"
+    );
     assert_eq!(fetch.ask(1_301, 0, |_| true), Some(2));
     assert_eq!(fetch.ask(1_400, 5, |_| true), None, "it came");
     assert_eq!(fetch.ask(9_000, 5, |_| true), None);
@@ -29,7 +33,11 @@
     let mut fetch = VersionFetch::default();
     fetch.named(1_000, 1, 7, 5);
     fetch.named(1_050, 2, 6, 5);
-    assert_eq!(fetch.ask(1_100, 5, |_| true), Some(1), "the one that is behind is not asked");
+    assert_eq!(
+        fetch.ask(1_100, 5, |_| true),
+        Some(1),
+        "the one that is behind is not asked"
+    );
     fetch.named(1_150, 2, 8, 5);
     assert_eq!(fetch.ask(1_200, 5, |_| true), None);
     assert_eq!(fetch.ask(1_250, 5, |_| true), Some(2));
--- a/crates/rushcourse-script/src/fronts.rs
+++ b/crates/rushcourse-script/src/fronts.rs
@@ -56,7 +56,10 @@
 
 impl Default for Fronts {
     fn default() -> Fronts {
-        Fronts { grpc: None, relay: true }
+        Fronts {
+            grpc: None,
+            relay: true,
+        }
     }
 }
 
@@ -99,7 +102,10 @@
     fn grpc(
         #[starlark(require = named)] listen: &str,
         #[starlark(require = named, default = "relay-")] node_prefix: &str,
-        #[starlark(require = named, default = SmallMap::default())] node_names: SmallMap<String, i32>,
+        #[starlark(require = named, default = SmallMap::default())] node_names: SmallMap<
+            String,
+            i32,
+        >,
         #[starlark(require = named, default = 0)] streams: i32,
         #[starlark(require = named, default = false)] ask_hosts: bool,
         #[starlark(require = named, default = 1200)] join_within_ms: i32,
@@ -110,12 +116,17 @@
         #[starlark(require = named, default = "")] tls_key: &str,
         #[starlark(require = named, default = "")] tls_client_ca: &str,
     ) -> anyhow::Result<NoneType> {
-        let listen = listen.parse().map_err(|_| anyhow!("listen is no address and port: {listen:?}"))?;
+        let listen = listen
+            .parse()
+            .map_err(|_| anyhow!("listen is no address and port: {listen:?}"))?;
         if node_prefix.is_empty() && node_names.is_empty() {
             bail!("node_prefix is empty and node_names too: no relay could say who it is");
         }
         if node_names.len() > NAMES_MOST {
-            bail!("node_names has {} entries, {NAMES_MOST} at most", node_names.len());
+            bail!(
+                "node_names has {} entries, {NAMES_MOST} at most",
+                node_names.len()
+            );
         }
         let mut names = BTreeMap::new();
         let mut taken: BTreeMap<u32, String> = BTreeMap::new();
@@ -135,8 +146,16 @@
         }
         let path = |text: &str| (!text.is_empty()).then(|| PathBuf::from(text));
         let client_ca = path(tls_client_ca);
-        let tls = path(tls_cert).zip(path(tls_key)).map(|(cert, key)| TlsFiles { cert, key, client_ca });
-        let ms = |field: &str, value: i32, least: i32| within(field, value, least, 600_000).map(f64::from);
+        let tls = path(tls_cert)
+            .zip(path(tls_key))
+            .map(|(cert, key)| TlsFiles {
+                cert,
+                key,
+                client_ca,
+            });
+        let ms = |field: &str, value: i32, least: i32| {
+            within(field, value, least, 600_000).map(f64::from)
+        };
         let grpc = Grpc {
             listen,
             prefix: node_prefix.to_string(),
@@ -154,7 +173,9 @@
     }
 
     /// The platform's own parts.
-    fn platform(#[starlark(require = named, default = true)] relay: bool) -> anyhow::Result<NoneType> {
+    fn platform(
+        #[starlark(require = named, default = true)] relay: bool,
+    ) -> anyhow::Result<NoneType> {
         keep("platform", |fronts| fronts.relay = relay)?;
         Ok(NoneType)
     }
@@ -168,7 +189,9 @@
     let Store { fronts, .. } = STORE.take();
     done?;
     if fronts.grpc.is_none() && !fronts.relay {
-        return Err(format!("{name}: platform(relay = False) without grpc(...): no proxy could be reached"));
+        return Err(format!(
+            "{name}: platform(relay = False) without grpc(...): no proxy could be reached"
+        ));
     }
     Ok(fronts)
 }
@@ -176,7 +199,9 @@
 /// Reads a file.
 pub fn read(path: &Path) -> Result<Fronts, String> {
     let name = path.display().to_string();
-    let size = std::fs::metadata(path).map_err(|e| format!("{name}: can't be read: {e}"))?.len();
+    let size = std::fs::metadata(path)
+        .map_err(|e| format!("{name}: can't be read: {e}"))?
+        .len();
     if size > run::TEXT_MOST as u64 {
         return Err(format!("{name}: {size} bytes, {} at most", run::TEXT_MOST));
     }
--- a/crates/rushcourse-script/src/run.rs
+++ b/crates/rushcourse-script/src/run.rs
@@ -28,7 +28,11 @@
     if text.len() > TEXT_MOST {
         return Err(format!("{name}: {} bytes, {TEXT_MOST} at most", text.len()));
     }
-    let dialect = Dialect { enable_load: false, enable_top_level_stmt: true, ..Dialect::Standard };
+    let dialect = Dialect {
+        enable_load: false,
+        enable_top_level_stmt: true,
+        ..Dialect::Standard
+    };
     let ast = AstModule::parse(name, text.to_string(), &dialect).map_err(|e| located(name, e))?;
     Module::with_temp_heap(|module| {
         let mut eval = Evaluator::new(&module);
@@ -36,6 +40,8 @@
         eval.set_max_tick_count(TICKS_MOST).map_err(bounds)?;
         eval.set_max_heap_size(HEAP_MOST).map_err(bounds)?;
         eval.set_max_callstack_size(DEPTH_MOST).map_err(bounds)?;
-        eval.eval_module(ast, globals).map(|_| ()).map_err(|e| located(name, e))
+        eval.eval_module(ast, globals)
+            .map(|_| ())
+            .map_err(|e| located(name, e))
     })
 }
--- a/crates/rushcourse-script/tests/fronts.rs
+++ b/crates/rushcourse-script/tests/fronts.rs
@@ -8,7 +8,13 @@
 
 #[test]
 fn an_empty_file_opens_nothing() {
-    assert_eq!(read_text("f", "# nothing\n"), Ok(Fronts { grpc: None, relay: true }));
+    assert_eq!(
+        read_text("f", "# nothing\n"),
+        Ok(Fronts {
+            grpc: None,
+            relay: true
+        })
+    );
 }
 
 #[test]
@@ -23,33 +29,58 @@
     let fronts = read_text("f", text).expect("a file");
     let grpc = fronts.grpc.expect("gRPC");
     assert_eq!(
-        (grpc.listen.to_string().as_str(), grpc.streams, grpc.ask_hosts),
+        (
+            grpc.listen.to_string().as_str(),
+            grpc.streams,
+            grpc.ask_hosts
+        ),
         ("127.0.0.1:7900", Some(40), true)
     );
     assert_eq!(grpc.names.get("edge-2"), Some(&2));
-    assert_eq!((grpc.prefix.as_str(), grpc.join_within, fronts.relay), ("relay-", 1200.0, false));
+    assert_eq!(
+        (grpc.prefix.as_str(), grpc.join_within, fronts.relay),
+        ("relay-", 1200.0, false)
+    );
 }
 
 #[test]
 fn errors_name_file_line_column_and_field() {
     let cases = [
         ("grpc(listen = 5)", "fronts.star:1:"),
-        ("\n\ngrpc(listen = \"127.0.0.1:80\", strems = 4)", "fronts.star:3:"),
+        (
+            "\n\ngrpc(listen = \"127.0.0.1:80\", strems = 4)",
+            "fronts.star:3:",
+        ),
         ("\n  grpc(", "fronts.star:"),
         ("grpc()", "listen"),
-        ("x = 1\ngrpc(listen = \"nowhere\")", "fronts.star:2:1: listen is no address and port: \"nowhere\""),
-        ("grpc(listen = \"127.0.0.1:80\", streams = -1)", "streams must be 0 to 100000, it is -1"),
+        (
+            "x = 1\ngrpc(listen = \"nowhere\")",
+            "fronts.star:2:1: listen is no address and port: \"nowhere\"",
+        ),
+        (
+            "grpc(listen = \"127.0.0.1:80\", streams = -1)",
+            "streams must be 0 to 100000, it is -1",
+        ),
         (
             "grpc(listen = \"127.0.0.1:80\", take_within_ms = 5)",
             "take_within_ms must be 1000 to 600000, it is 5",
         ),
-        ("grpc(listen = \"127.0.0.1:80\", node_names = {\"a\": 1, \"b\": 1})", "node_names gives relay 1"),
+        (
+            "grpc(listen = \"127.0.0.1:80\", node_names = {\"a\": 1, \"b\": 1})",
+            "node_names gives relay 1",
+        ),
         (
             "grpc(listen = \"127.0.0.1:80\")\ngrpc(listen = \"127.0.0.1:81\")",
             "fronts.star:2:1: grpc(...) is called twice",
         ),
-        ("grpc(listen = \"127.0.0.1:80\", tls_key = \"k\")", "tls_cert and tls_key go together"),
-        ("grpc(listen = \"127.0.0.1:80\", tls_client_ca = \"c\")", "tls_client_ca needs"),
+        (
+            "grpc(listen = \"127.0.0.1:80\", tls_key = \"k\")",
+            "tls_cert and tls_key go together",
+        ),
+        (
+            "grpc(listen = \"127.0.0.1:80\", tls_client_ca = \"c\")",
+            "tls_client_ca needs",
+        ),
         ("platform(relay = False)", "no proxy could be reached"),
         ("load(\"other.star\", \"x\")", "fronts.star:1:"),
         ("tls(cert = 4)", "fronts.star:1:1"),
--- a/crates/rushcourse-settings/src/figures.rs
+++ b/crates/rushcourse-settings/src/figures.rs
@@ -26,6 +26,10 @@
 
 /// Whether a mean time of good answers may be.
 pub fn is_mean(mean: Ms, settings: &Settings) -> bool {
-    let deadline = settings.classes.iter().map(|c| c.deadline).fold(0.0, f64::max);
+    let deadline = settings
+        .classes
+        .iter()
+        .map(|c| c.deadline)
+        .fold(0.0, f64::max);
     mean >= 0.0 && mean <= DEADLINES_MOST * deadline
 }
--- a/crates/rushcourse-settings/src/lib.rs
+++ b/crates/rushcourse-settings/src/lib.rs
@@ -128,24 +128,28 @@
 /// The core's settings: names and units only.
 pub fn settings(o: Options) -> core::Settings {
     let info = o.family_info;
-    let classes = o.categories.into_iter().enumerate().map(|(k, c)| core::Class {
-        aim: c.aim_ms,
-        deadline: c.deadline_ms,
-        worth: c.worth,
-        effect: match c.effect.as_str() {
-            "free" => Effect::Free,
-            "guarded" => Effect::Guarded,
-            _ => Effect::SingleShot,
-        },
-        key_scope: match c.key_scope.as_str() {
-            "all" => KeyScope::All,
-            "zone" => KeyScope::Zone,
-            _ => KeyScope::Cell,
-        },
-        key_ttl: c.key_ttl_ms,
-        zone_bound: info.zone_bound.get(k).copied().unwrap_or(false),
-        writes: info.class_writes.get(k).copied().unwrap_or(false),
-    });
+    let classes = o
+        .categories
+        .into_iter()
+        .enumerate()
+        .map(|(k, c)| core::Class {
+            aim: c.aim_ms,
+            deadline: c.deadline_ms,
+            worth: c.worth,
+            effect: match c.effect.as_str() {
+                "free" => Effect::Free,
+                "guarded" => Effect::Guarded,
+                _ => Effect::SingleShot,
+            },
+            key_scope: match c.key_scope.as_str() {
+                "all" => KeyScope::All,
+                "zone" => KeyScope::Zone,
+                _ => KeyScope::Cell,
+            },
+            key_ttl: c.key_ttl_ms,
+            zone_bound: info.zone_bound.get(k).copied().unwrap_or(false),
+            writes: info.class_writes.get(k).copied().unwrap_or(false),
+        });
     core::Settings {
         classes: classes.collect(),
         zones: o.zones.len(),
@@ -211,7 +215,11 @@
         Names {
             zones: o.zones.clone(),
             classes: o.categories.iter().map(|c| c.name.clone()).collect(),
-            quantum: if o.quantum_ms.is_finite() { o.quantum_ms.clamp(0.0, 100.0) } else { 0.0 },
+            quantum: if o.quantum_ms.is_finite() {
+                o.quantum_ms.clamp(0.0, 100.0)
+            } else {
+                0.0
+            },
         }
     }
 }
@@ -223,11 +231,18 @@
         return Some("settings.categories names no class of requests".into());
     }
     if o.categories.len() > 32 {
-        return Some(format!("settings.categories names {} classes, 32 at most", o.categories.len()));
+        return Some(format!(
+            "settings.categories names {} classes, 32 at most",
+            o.categories.len()
+        ));
     }
-    let word = |s: &String| s.is_empty() || s.contains(|c: char| c.is_whitespace() || ",;+*".contains(c));
+    let word =
+        |s: &String| s.is_empty() || s.contains(|c: char| c.is_whitespace() || ",;+*".contains(c));
     if let Some(k) = o.categories.iter().position(|c| word(&c.name)) {
-        return Some(format!("settings.categories[{k}].name is no word: {:?}", o.categories[k].name));
+        return Some(format!(
+            "settings.categories[{k}].name is no word: {:?}",
+            o.categories[k].name
+        ));
     }
     if let Some(k) = o.zones.iter().position(word) {
         return Some(format!("settings.zones[{k}] is no word: {:?}", o.zones[k]));
--- a/crates/rushcourse-settings/tests/options.rs
+++ b/crates/rushcourse-settings/tests/options.rs
@@ -27,14 +27,33 @@
     let names = Names::of(&read(options()));
     assert_eq!(
         (names.zones, names.classes),
-        (vec!["east".into(), "west".into()], vec!["look".into(), "pay".into()])
+        (
+            vec!["east".into(), "west".into()],
+            vec!["look".into(), "pay".into()]
+        )
     );
     assert_eq!(names.quantum, 4.0);
     let s = settings(read(options()));
-    assert_eq!((s.zones, s.my_zone, s.me, s.directors, s.proxies), (2, Some(0), 1, 2, 12));
-    assert_eq!((s.backlog, s.push_rate, s.update_cap, s.counted_over), (9400.0, 4700.0, 12, 10_000.0));
-    assert_eq!((s.classes[0].effect, s.classes[1].effect), (Effect::Free, Effect::SingleShot));
-    assert_eq!((s.classes[1].zone_bound, s.classes[1].writes, s.classes[0].zone_bound), (true, true, false));
+    assert_eq!(
+        (s.zones, s.my_zone, s.me, s.directors, s.proxies),
+        (2, Some(0), 1, 2, 12)
+    );
+    assert_eq!(
+        (s.backlog, s.push_rate, s.update_cap, s.counted_over),
+        (9400.0, 4700.0, 12, 10_000.0)
+    );
+    assert_eq!(
+        (s.classes[0].effect, s.classes[1].effect),
+        (Effect::Free, Effect::SingleShot)
+    );
+    assert_eq!(
+        (
+            s.classes[1].zone_bound,
+            s.classes[1].writes,
+            s.classes[0].zone_bound
+        ),
+        (true, true, false)
+    );
     assert_eq!(
         (s.level_kind, s.base_again, s.load_source),
         (LevelKind::Ratio, Again::AfterProof, LoadSource::Sums)
@@ -55,7 +74,10 @@
     for (path, value, named) in bent {
         let mut bad = options();
         *bad.pointer_mut(path).expect("a field") = value;
-        assert!(senseless(&read(bad)).is_some_and(|text| text.contains(named)), "{path}");
+        assert!(
+            senseless(&read(bad)).is_some_and(|text| text.contains(named)),
+            "{path}"
+        );
     }
 }
 
--- a/crates/rushcourse-storage/examples/recovery.rs
+++ b/crates/rushcourse-storage/examples/recovery.rs
@@ -2,7 +2,9 @@
 //! this machine: a figure to look at, no test.
 
 use rushcourse_consensus::{Claim, Op};
-use rushcourse_messages::{Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet};
+use rushcourse_messages::{
+    Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet,
+};
 use rushcourse_storage::Store;
 use std::time::Instant;
 
@@ -11,16 +13,39 @@
 
 /// A vote for a configuration.
 fn configuration() -> Op {
-    let ballot = Ballot { round: 1, node: 1, life: 2 };
-    let accepted = Some(Accepted { ballot, value: vec![b'x'; TEXT].into() });
-    let record = AcceptorRecord { promised: ballot, accepted, counts: true };
-    Op::Record { slot: Slot::Version(1), record }
+    let ballot = Ballot {
+        round: 1,
+        node: 1,
+        life: 2,
+    };
+    let accepted = Some(Accepted {
+        ballot,
+        value: vec![b'x'; TEXT].into(),
+    });
+    let record = AcceptorRecord {
+        promised: ballot,
+        accepted,
+        counts: true,
+    };
+    Op::Record {
+        slot: Slot::Version(1),
+        record,
+    }
 }
 
 fn main() {
     let folder = std::env::temp_dir().join(format!("rushcourse-recovery-{}", std::process::id()));
-    println!("{:>8} {:>8} {:>12} {:>10} {:>12}", "claims", "hosts", "bytes", "open ms", "first write");
-    for (claims, hosts) in [(0u64, 0u32), (1_000, 30), (11_000, 30), (65_000, 255), (200_000, 1_000)] {
+    println!(
+        "{:>8} {:>8} {:>12} {:>10} {:>12}",
+        "claims", "hosts", "bytes", "open ms", "first write"
+    );
+    for (claims, hosts) in [
+        (0u64, 0u32),
+        (1_000, 30),
+        (11_000, 30),
+        (65_000, 255),
+        (200_000, 1_000),
+    ] {
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).expect("a folder");
         let file = folder.join("controller.redb");
@@ -36,7 +61,10 @@
             cold_ms: 0,
             age_ms: 0,
         };
-        let set = VotingSet { number: 1, members: vec![1, 2, 3, 4, 5] };
+        let set = VotingSet {
+            number: 1,
+            members: vec![1, 2, 3, 4, 5],
+        };
         let first = [Op::Set(set), Op::Remember, configuration()]
             .into_iter()
             .chain((0..hosts).map(|k| Op::Host(host(k))));
@@ -45,7 +73,17 @@
         for part in 0..claims.div_ceil(200) {
             let claim = |k: u64| {
                 let key = u128::from(k.wrapping_mul(0x9e37_79b9_7f4a_7c15)) << 64 | u128::from(k);
-                Op::Claim { key, claim: Claim { id: ClaimId { node: 1, life: 2, number: k }, at: 1_000 + k } }
+                Op::Claim {
+                    key,
+                    claim: Claim {
+                        id: ClaimId {
+                            node: 1,
+                            life: 2,
+                            number: k,
+                        },
+                        at: 1_000 + k,
+                    },
+                }
             };
             let of = part * 200..(part * 200 + 200).min(claims);
             store.write(&[(2, of.map(claim).collect())]).expect("room");
@@ -54,13 +92,23 @@
         let begun = Instant::now();
         let (mut store, stored) = Store::open(&file).expect("the same file");
         let opened = begun.elapsed();
-        assert_eq!((stored.claims.len() as u64, stored.hosts.len() as u32), (claims, hosts));
+        assert_eq!(
+            (stored.claims.len() as u64, stored.hosts.len() as u32),
+            (claims, hosts)
+        );
         assert_eq!(stored.records.len(), 1);
         let begun = Instant::now();
         store.write(&[(3, vec![Op::Remember])]).expect("room");
-        let (wrote, bytes) = (begun.elapsed(), std::fs::metadata(&file).map_or(0, |m| m.len()));
+        let (wrote, bytes) = (
+            begun.elapsed(),
+            std::fs::metadata(&file).map_or(0, |m| m.len()),
+        );
         let ms = |d: std::time::Duration| d.as_secs_f64() * 1000.0;
-        println!("{claims:>8} {hosts:>8} {bytes:>12} {:>10.1} {:>12.2}", ms(opened), ms(wrote));
+        println!(
+            "{claims:>8} {hosts:>8} {bytes:>12} {:>10.1} {:>12.2}",
+            ms(opened),
+            ms(wrote)
+        );
     }
     let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/rushcourse-storage/src/damage.rs
+++ b/crates/rushcourse-storage/src/damage.rs
@@ -29,7 +29,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Damaged::Unreadable => write!(f, "the state file can't be read"),
-            Damaged::Format(n) => write!(f, "the state file has form {n}, this program knows {FORMAT}"),
+            Damaged::Format(n) => write!(
+                f,
+                "the state file has form {n}, this program knows {FORMAT}"
+            ),
             Damaged::Refused => write!(f, "the disk refused a write"),
         }
     }
--- a/crates/rushcourse-storage/src/health.rs
+++ b/crates/rushcourse-storage/src/health.rs
@@ -56,7 +56,12 @@
         self.writing.store(0, Relaxed);
         self.last_us.store(took, Relaxed);
         self.most_us.fetch_max(took, Relaxed);
-        if done.is_ok() { &self.syncs } else { &self.refused }.fetch_add(1, Relaxed);
+        if done.is_ok() {
+            &self.syncs
+        } else {
+            &self.refused
+        }
+        .fetch_add(1, Relaxed);
         done
     }
 
--- a/crates/rushcourse-storage/src/lib.rs
+++ b/crates/rushcourse-storage/src/lib.rs
@@ -29,7 +29,12 @@
 }
 
 /// Works through batches until their sender is gone. `tell` is called from this thread.
-pub fn run(mut store: Store, batches: &Receiver<(u64, Vec<Op>)>, health: &Health, tell: impl Fn(Vec<Done>)) {
+pub fn run(
+    mut store: Store,
+    batches: &Receiver<(u64, Vec<Op>)>,
+    health: &Health,
+    tell: impl Fn(Vec<Done>),
+) {
     loop {
         let first = match batches.recv_timeout(Duration::from_secs(3600)) {
             Ok(batch) => batch,
@@ -41,7 +46,11 @@
         let done: Vec<Done> = match health.time(|| store.write(&all)) {
             Ok(()) => all.iter().map(|b| Done::Synced(b.0)).collect(),
             Err(e) => {
-                log::error!("event=disk_refused batches={} error={:?}", all.len(), e.to_string());
+                log::error!(
+                    "event=disk_refused batches={} error={:?}",
+                    all.len(),
+                    e.to_string()
+                );
                 all.iter().map(|b| Done::Refused(b.0)).collect()
             }
         };
--- a/crates/rushcourse-storage/src/reading.rs
+++ b/crates/rushcourse-storage/src/reading.rs
@@ -2,8 +2,8 @@
 
 use crate::claims::ClaimPlaces;
 use crate::tables::{
-    CLAIMS, HOSTS, META, META_FORMAT, META_REMEMBERS, META_SET, RecordTable, SET_RECORDS, VERSION_RECORDS,
-    decode,
+    CLAIMS, HOSTS, META, META_FORMAT, META_REMEMBERS, META_SET, RecordTable, SET_RECORDS,
+    VERSION_RECORDS, decode,
 };
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable, TableError};
 use rushcourse_consensus::{Claim, Stored};
@@ -84,7 +84,9 @@
 fn read_hosts(reading: &ReadTransaction, stored: &mut Stored) -> Result<(), redb::Error> {
     for entry in reading.open_table(HOSTS)?.iter()? {
         // A record that can't be read is a host that calls again soon.
-        stored.hosts.extend(postcard::from_bytes(entry?.1.value()).ok());
+        stored
+            .hosts
+            .extend(postcard::from_bytes(entry?.1.value()).ok());
     }
     Ok(())
 }
--- a/crates/rushcourse-storage/src/store.rs
+++ b/crates/rushcourse-storage/src/store.rs
@@ -47,8 +47,16 @@
     fn open_by(opener: Opener) -> Result<(Store, Stored), Report<Damaged>> {
         let database = opener().map_err(Damaged::unreadable)?;
         prepare(&database)?;
-        let Contents { stored, places } = reading::contents(&database).map_err(Damaged::unreadable)?;
-        Ok((Store { opener, database: Some(database), places }, stored))
+        let Contents { stored, places } =
+            reading::contents(&database).map_err(Damaged::unreadable)?;
+        Ok((
+            Store {
+                opener,
+                database: Some(database),
+                places,
+            },
+            stored,
+        ))
     }
 
     /// Writes all operations of all batches together and syncs once.
@@ -74,7 +82,9 @@
             Some(other) => return Err(Report::new(Damaged::Format(other))),
             None => return Err(Damaged::unreadable("it was there and is empty now")),
         }
-        self.places = reading::contents(&database).map_err(Damaged::unreadable)?.places;
+        self.places = reading::contents(&database)
+            .map_err(Damaged::unreadable)?
+            .places;
         Ok(database)
     }
 }
--- a/crates/rushcourse-storage/src/tables.rs
+++ b/crates/rushcourse-storage/src/tables.rs
@@ -49,7 +49,10 @@
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8], what: &str) -> Result<T, redb::Error> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
-        Ok((_, rest)) => Err(redb::Error::Corrupted(format!("{what}: {} bytes left over", rest.len()))),
+        Ok((_, rest)) => Err(redb::Error::Corrupted(format!(
+            "{what}: {} bytes left over",
+            rest.len()
+        ))),
         Err(e) => Err(redb::Error::Corrupted(format!("{what}: {e}"))),
     }
 }
--- a/crates/rushcourse-storage/src/upgrade.rs
+++ b/crates/rushcourse-storage/src/upgrade.rs
@@ -39,7 +39,10 @@
 }
 
 /// Writes the present form in place of form 1.
-pub(crate) fn upgrade(database: &Database, newest: Option<Configuration>) -> Result<(), redb::Error> {
+pub(crate) fn upgrade(
+    database: &Database,
+    newest: Option<Configuration>,
+) -> Result<(), redb::Error> {
     let version = newest.as_ref().map_or(0, |c| c.0);
     let writing = database.begin_write()?;
     writing.open_table(SET_RECORDS)?;
@@ -57,6 +60,17 @@
 /// A vote for a text that was written without a ballot.
 fn vote_for(text: Arc<[u8]>) -> AcceptorRecord {
     let life = hash64(&text, DIGEST_SEED);
-    let ballot = Ballot { round: 0, node: 0, life };
-    AcceptorRecord { promised: ballot, accepted: Some(Accepted { ballot, value: text }), counts: true }
+    let ballot = Ballot {
+        round: 0,
+        node: 0,
+        life,
+    };
+    AcceptorRecord {
+        promised: ballot,
+        accepted: Some(Accepted {
+            ballot,
+            value: text,
+        }),
+        counts: true,
+    }
 }
--- a/crates/rushcourse-storage/src/writing.rs
+++ b/crates/rushcourse-storage/src/writing.rs
@@ -39,7 +39,9 @@
 ) -> Result<(), redb::Error> {
     let (table, number) = record_place(slot);
     let bytes = encode(record)?;
-    writing.open_table(table)?.insert(number, bytes.as_slice())?;
+    writing
+        .open_table(table)?
+        .insert(number, bytes.as_slice())?;
     Ok(())
 }
 
@@ -71,7 +73,10 @@
         Op::Remember => put_meta(writing, META_REMEMBERS, REMEMBERS),
         Op::Forget => remove_meta(writing, META_REMEMBERS),
         Op::Record { slot, record } => put_record(writing, *slot, record),
-        Op::Prune { versions_below, sets_through } => prune(writing, *versions_below, *sets_through),
+        Op::Prune {
+            versions_below,
+            sets_through,
+        } => prune(writing, *versions_below, *sets_through),
         Op::Claim { key, claim } => put_claim(claims, *key, claim, places),
         Op::Release { key } => remove_claim(claims, *key, places),
         Op::Host(news) => put_host(writing, news),
@@ -88,12 +93,20 @@
     Ok(())
 }
 
-fn prune(writing: &WriteTransaction, versions_below: u64, sets_through: u64) -> Result<(), redb::Error> {
+fn prune(
+    writing: &WriteTransaction,
+    versions_below: u64,
+    sets_through: u64,
+) -> Result<(), redb::Error> {
     let is_kept = |slot: Slot| !is_pruned(slot, versions_below, sets_through);
-    writing.open_table(SET_RECORDS)?.retain_in(..=sets_through, |number, _| is_kept(Slot::Set(number)))?;
+    writing
+        .open_table(SET_RECORDS)?
+        .retain_in(..=sets_through, |number, _| is_kept(Slot::Set(number)))?;
     writing
         .open_table(VERSION_RECORDS)?
-        .retain_in(..versions_below, |version, _| is_kept(Slot::Version(version)))?;
+        .retain_in(..versions_below, |version, _| {
+            is_kept(Slot::Version(version))
+        })?;
     Ok(())
 }
 
@@ -112,7 +125,11 @@
     Ok(())
 }
 
-fn remove_claim(claims: &mut ClaimTable, key: u128, places: &mut ClaimPlaces) -> Result<(), redb::Error> {
+fn remove_claim(
+    claims: &mut ClaimTable,
+    key: u128,
+    places: &mut ClaimPlaces,
+) -> Result<(), redb::Error> {
     if let Some(place) = places.remove(key) {
         claims.remove(place)?;
     }
--- a/crates/rushcourse-storage/tests/crashes.rs
+++ b/crates/rushcourse-storage/tests/crashes.rs
@@ -5,29 +5,67 @@
 
 use power::Disk;
 use rushcourse_consensus::{Claim, Op, Stored};
-use rushcourse_messages::{Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet};
+use rushcourse_messages::{
+    Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet,
+};
 use rushcourse_storage::Store;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// A vote under a ballot of this round, for a value of this many bytes; without one only a promise.
 fn record(slot: Slot, round: u64, bytes: usize) -> Op {
-    let ballot = Ballot { round, node: 1, life: 2 };
-    let accepted = (bytes > 0).then(|| Accepted { ballot, value: vec![round as u8; bytes].into() });
-    Op::Record { slot, record: AcceptorRecord { promised: ballot, counts: accepted.is_some(), accepted } }
+    let ballot = Ballot {
+        round,
+        node: 1,
+        life: 2,
+    };
+    let accepted = (bytes > 0).then(|| Accepted {
+        ballot,
+        value: vec![round as u8; bytes].into(),
+    });
+    Op::Record {
+        slot,
+        record: AcceptorRecord {
+            promised: ballot,
+            counts: accepted.is_some(),
+            accepted,
+        },
+    }
 }
 
 fn host(sequence: u64, state: HostState) -> Op {
     let word = |w: &str| w.into();
     let (id, service, zone, address) = (word("i-1"), word("s"), word("z"), word("10.0.0.1:80"));
-    Op::Host(HostNews { id, service, zone, address, slots: 4, state, sequence, cold_ms: 0, age_ms: 0 })
+    Op::Host(HostNews {
+        id,
+        service,
+        zone,
+        address,
+        slots: 4,
+        state,
+        sequence,
+        cold_ms: 0,
+        age_ms: 0,
+    })
 }
 
 /// One batch of each kind of write, in a row. Each changes what is held, so that batches can be told apart.
 fn script() -> Vec<Vec<Op>> {
-    let set = |number: u64| Op::Set(VotingSet { number, members: vec![1, 2, number as u32 + 2] });
+    let set = |number: u64| {
+        Op::Set(VotingSet {
+            number,
+            members: vec![1, 2, number as u32 + 2],
+        })
+    };
     let claim = |k: u64| Op::Claim {
         key: u128::from(k),
-        claim: Claim { id: ClaimId { node: 1, life: 2, number: k }, at: k },
+        claim: Claim {
+            id: ClaimId {
+                node: 1,
+                life: 2,
+                number: k,
+            },
+            at: k,
+        },
     };
     let (version, next_set) = (Slot::Version, Slot::Set(2));
     vec![
@@ -35,13 +73,30 @@
         vec![record(version(1), 1, 0)],
         vec![record(version(1), 1, 3_000)],
         (0..40).map(claim).collect(),
-        vec![record(version(1), 2, 3_000), record(version(2), 1, 3_000), claim(40)],
+        vec![
+            record(version(1), 2, 3_000),
+            record(version(2), 1, 3_000),
+            claim(40),
+        ],
         (0..30).map(|k| Op::Release { key: k }).collect(),
         vec![record(next_set, 1, 40), host(1, HostState::Ready)],
         vec![set(2), Op::Forget],
         (41..60).map(claim).collect(),
-        vec![record(version(7), 3, 3_000), Op::Prune { versions_below: 7, sets_through: 0 }],
-        vec![Op::Prune { versions_below: 0, sets_through: 2 }, Op::Remember, host(2, HostState::Gone)],
+        vec![
+            record(version(7), 3, 3_000),
+            Op::Prune {
+                versions_below: 7,
+                sets_through: 0,
+            },
+        ],
+        vec![
+            Op::Prune {
+                versions_below: 0,
+                sets_through: 2,
+            },
+            Op::Remember,
+            host(2, HostState::Gone),
+        ],
         vec![record(version(8), 4, 20_000), record(Slot::Set(3), 4, 0)],
     ]
 }
@@ -49,7 +104,10 @@
 /// What a disk holds after the first `count` batches.
 fn held(count: usize) -> Stored {
     let mut stored = Stored::default();
-    script().into_iter().take(count).for_each(|ops| stored.apply(ops));
+    script()
+        .into_iter()
+        .take(count)
+        .for_each(|ops| stored.apply(ops));
     stored.claims.sort_by_key(|c| c.0);
     stored
 }
@@ -96,18 +154,27 @@
             let after = disk.after_power(lot * 7_919 + at as u64);
             let Ok((_, stored)) = Store::open_over(move || after.clone()) else {
                 // Only a file that never came to be may be unreadable: it is told, and nothing was promised.
-                assert_eq!(told, None, "operation {at}, lot {lot}: what was told can't be read any more");
+                assert_eq!(
+                    told, None,
+                    "operation {at}, lot {lot}: what was told can't be read any more"
+                );
                 continue;
             };
             opened += 1;
             let told = told.unwrap_or(0);
             let next = same(stored.clone(), told + 1);
-            assert!(next || same(stored, told), "operation {at}, lot {lot}: {told} batches were told");
+            assert!(
+                next || same(stored, told),
+                "operation {at}, lot {lot}: {told} batches were told"
+            );
             between += usize::from(next);
         }
     }
     assert!(opened > operations, "{opened} files were read again");
-    assert!(between > 0, "some losses fall between the sync and its telling");
+    assert!(
+        between > 0,
+        "some losses fall between the sync and its telling"
+    );
 }
 
 #[test]
@@ -130,7 +197,10 @@
         }
         drop(store);
         let (_, stored) = Store::open_over(move || disk.clone()).expect("readable");
-        assert!(same(stored, script().len()), "operation {at}: after {refused} refusals");
+        assert!(
+            same(stored, script().len()),
+            "operation {at}: after {refused} refusals"
+        );
     }
 }
 
@@ -141,10 +211,19 @@
     let (disk, empty) = (Disk::default(), Disk::default());
     let (over, then) = (disk.clone(), empty.clone());
     let openings = AtomicUsize::new(0);
-    let make =
-        move || if openings.fetch_add(1, Ordering::Relaxed) == 0 { over.clone() } else { then.clone() };
+    let make = move || {
+        if openings.fetch_add(1, Ordering::Relaxed) == 0 {
+            over.clone()
+        } else {
+            then.clone()
+        }
+    };
     let (mut store, _) = Store::open_over(make).expect("an empty disk");
-    let batches: Vec<(u64, Vec<Op>)> = script().into_iter().enumerate().map(|b| (b.0 as u64, b.1)).collect();
+    let batches: Vec<(u64, Vec<Op>)> = script()
+        .into_iter()
+        .enumerate()
+        .map(|b| (b.0 as u64, b.1))
+        .collect();
     store.write(&batches[..1]).expect("room");
     disk.at(|p| p.refuses = Some((p.done, usize::MAX)));
     for _ in 0..3 {
@@ -166,7 +245,14 @@
         let key = |n: u64| u128::from(n) << 64 | u128::from(n.wrapping_mul(0x9E37_79B9_7F4A_7C15));
         let claim = |n: u64| Op::Claim {
             key: key(n),
-            claim: Claim { id: ClaimId { node: 1, life: 2, number: n }, at: second * 1_000 },
+            claim: Claim {
+                id: ClaimId {
+                    node: 1,
+                    life: 2,
+                    number: n,
+                },
+                at: second * 1_000,
+            },
         };
         let release = |n: u64| Op::Release { key: key(n) };
         let mut ops: Vec<Op> = (second * 200..second * 200 + 200).map(claim).collect();
@@ -175,13 +261,19 @@
         }
         if second.is_multiple_of(5) {
             ops.push(record(Slot::Version(second + 1), second + 1, 8_000));
-            ops.push(Op::Prune { versions_below: second + 1, sets_through: 0 });
+            ops.push(Op::Prune {
+                versions_below: second + 1,
+                sets_through: 0,
+            });
         }
         store.write(&[(second, ops)]).expect("room");
         if second == 120 || second == 599 {
             sizes.push(disk.at(|p| p.seen.len()));
         }
     }
-    assert!(sizes[1] <= sizes[0] + sizes[0] / 10, "{sizes:?} bytes after two and ten minutes");
+    assert!(
+        sizes[1] <= sizes[0] + sizes[0] / 10,
+        "{sizes:?} bytes after two and ten minutes"
+    );
     assert!(sizes[1] < 16 << 20, "{sizes:?}");
 }
--- a/crates/rushcourse-storage/tests/disk.rs
+++ b/crates/rushcourse-storage/tests/disk.rs
@@ -3,7 +3,9 @@
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use rushcourse_consensus::{Claim, Op};
-use rushcourse_messages::{Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet};
+use rushcourse_messages::{
+    Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet,
+};
 use rushcourse_storage::{Damaged, Done, Health, Store};
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -43,7 +45,12 @@
         if self.1.armed.load(Ordering::SeqCst)
             && let Some(gate) = self.1.gate.lock().expect("one thread").take()
         {
-            self.1.entered.lock().expect("one thread").send(()).expect("the test listens");
+            self.1
+                .entered
+                .lock()
+                .expect("one thread")
+                .send(())
+                .expect("the test listens");
             gate.recv_timeout(MOST).expect("the test goes on");
         }
         self.0.sync_data()
@@ -55,45 +62,107 @@
 }
 
 fn place(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("rushcourse-storage-{}-{name}", std::process::id()));
+    let folder =
+        std::env::temp_dir().join(format!("rushcourse-storage-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     std::fs::create_dir_all(&folder).expect("a folder");
     folder.join("controller.redb")
 }
 
 fn claim(number: u64) -> Claim {
-    Claim { id: ClaimId { node: 1, life: 2, number }, at: 1_000 + number }
+    Claim {
+        id: ClaimId {
+            node: 1,
+            life: 2,
+            number,
+        },
+        at: 1_000 + number,
+    }
 }
 
 fn record(round: u64, text: &str) -> AcceptorRecord {
-    let ballot = Ballot { round, node: 1, life: 2 };
-    let accepted = Accepted { ballot, value: text.as_bytes().into() };
-    AcceptorRecord { promised: ballot, accepted: Some(accepted), counts: true }
+    let ballot = Ballot {
+        round,
+        node: 1,
+        life: 2,
+    };
+    let accepted = Accepted {
+        ballot,
+        value: text.as_bytes().into(),
+    };
+    AcceptorRecord {
+        promised: ballot,
+        accepted: Some(accepted),
+        counts: true,
+    }
 }
 
 fn host(state: HostState) -> HostNews {
     let word = |w: &str| Arc::<str>::from(w);
     let (id, service, zone, address) = (word("i-1"), word("s"), word("z"), word("10.0.0.1:80"));
-    HostNews { id, service, zone, address, slots: 4, state, sequence: 1, cold_ms: 0, age_ms: 0 }
+    HostNews {
+        id,
+        service,
+        zone,
+        address,
+        slots: 4,
+        state,
+        sequence: 1,
+        cold_ms: 0,
+        age_ms: 0,
+    }
 }
 
 #[test]
 fn what_was_written_is_there_again_and_what_was_released_is_not() {
     let file = place("again");
-    let set = VotingSet { number: 1, members: vec![1, 2, 3] };
+    let set = VotingSet {
+        number: 1,
+        members: vec![1, 2, 3],
+    };
     {
         let (mut store, stored) = Store::open(&file).expect("a new file");
-        assert_eq!((stored.set.number, stored.remembers, stored.claims.len()), (0, false, 0));
-        let ops = vec![Op::Set(set.clone()), Op::Remember, Op::Host(host(HostState::Ready))];
+        assert_eq!(
+            (stored.set.number, stored.remembers, stored.claims.len()),
+            (0, false, 0)
+        );
+        let ops = vec![
+            Op::Set(set.clone()),
+            Op::Remember,
+            Op::Host(host(HostState::Ready)),
+        ];
         store.write(&[(1, ops)]).expect("room");
-        let slots = [Slot::Version(3), Slot::Set(2), Slot::Version(5), Slot::Version(4)];
-        let records = slots.map(|slot| Op::Record { slot, record: record(1, "earlier") });
+        let slots = [
+            Slot::Version(3),
+            Slot::Set(2),
+            Slot::Version(5),
+            Slot::Version(4),
+        ];
+        let records = slots.map(|slot| Op::Record {
+            slot,
+            record: record(1, "earlier"),
+        });
         store.write(&[(2, records.to_vec())]).expect("room");
         let slot = Slot::Version(5);
-        store.write(&[(2, vec![Op::Record { slot, record: record(2, "later") }])]).expect("room");
-        let claims: Vec<Op> = (0..100).map(|k| Op::Claim { key: k, claim: claim(k as u64) }).collect();
+        store
+            .write(&[(
+                2,
+                vec![Op::Record {
+                    slot,
+                    record: record(2, "later"),
+                }],
+            )])
+            .expect("room");
+        let claims: Vec<Op> = (0..100)
+            .map(|k| Op::Claim {
+                key: k,
+                claim: claim(k as u64),
+            })
+            .collect();
         store.write(&[(3, claims)]).expect("room");
-        store.write(&[(4, (0..90).map(|key| Op::Release { key }).collect())]).expect("room");
+        store
+            .write(&[(4, (0..90).map(|key| Op::Release { key }).collect())])
+            .expect("room");
     }
     let (mut store, stored) = Store::open(&file).expect("the same file");
     assert_eq!((stored.set, stored.remembers), (set, true));
@@ -103,13 +172,21 @@
         (Slot::Version(4), record(1, "earlier")),
         (Slot::Version(5), record(2, "later")),
     ];
-    assert_eq!(stored.records, expected, "in the order of slots, the last one of each");
+    assert_eq!(
+        stored.records, expected,
+        "in the order of slots, the last one of each"
+    );
     let mut keys: Vec<u128> = stored.claims.iter().map(|c| c.0).collect();
     keys.sort_unstable();
     assert_eq!(keys, (90..100).collect::<Vec<u128>>());
     assert_eq!(stored.hosts, vec![host(HostState::Ready)]);
     // Released by a later life of the program, which never saw it written.
-    store.write(&[(5, vec![Op::Release { key: 95 }, Op::Host(host(HostState::Gone))])]).expect("room");
+    store
+        .write(&[(
+            5,
+            vec![Op::Release { key: 95 }, Op::Host(host(HostState::Gone))],
+        )])
+        .expect("room");
     drop(store);
     let (_, stored) = Store::open(&file).expect("the same file");
     assert_eq!((stored.claims.len(), stored.hosts.len()), (9, 0));
@@ -118,35 +195,85 @@
 #[test]
 fn what_was_pruned_or_forgotten_is_gone_and_all_else_is_there() {
     let file = place("pruned");
-    let slots = [Slot::Set, Slot::Version].into_iter().flat_map(|kind| (0..10).map(kind));
-    let records: Vec<Op> = slots.map(|slot| Op::Record { slot, record: record(1, "text") }).collect();
-    let set = VotingSet { number: 1, members: vec![1, 2, 3] };
+    let slots = [Slot::Set, Slot::Version]
+        .into_iter()
+        .flat_map(|kind| (0..10).map(kind));
+    let records: Vec<Op> = slots
+        .map(|slot| Op::Record {
+            slot,
+            record: record(1, "text"),
+        })
+        .collect();
+    let set = VotingSet {
+        number: 1,
+        members: vec![1, 2, 3],
+    };
     {
         let (mut store, _) = Store::open(&file).expect("a new file");
-        store.write(&[(1, vec![Op::Set(set.clone()), Op::Remember]), (2, records)]).expect("room");
+        store
+            .write(&[(1, vec![Op::Set(set.clone()), Op::Remember]), (2, records)])
+            .expect("room");
         // Bounds that leave all of one kind: none is below version 0.
-        store.write(&[(3, vec![Op::Prune { versions_below: 0, sets_through: 3 }])]).expect("room");
+        store
+            .write(&[(
+                3,
+                vec![Op::Prune {
+                    versions_below: 0,
+                    sets_through: 3,
+                }],
+            )])
+            .expect("room");
     }
     let (mut store, stored) = Store::open(&file).expect("the same file");
-    let mut expected: Vec<Slot> = (4..10).map(Slot::Set).chain((0..10).map(Slot::Version)).collect();
-    assert_eq!(stored.records.iter().map(|r| r.0).collect::<Vec<Slot>>(), expected);
+    let mut expected: Vec<Slot> = (4..10)
+        .map(Slot::Set)
+        .chain((0..10).map(Slot::Version))
+        .collect();
+    assert_eq!(
+        stored.records.iter().map(|r| r.0).collect::<Vec<Slot>>(),
+        expected
+    );
     assert!(stored.remembers);
     let slot = Slot::Version(2);
     let ops = vec![
-        Op::Prune { versions_below: 7, sets_through: 0 },
+        Op::Prune {
+            versions_below: 7,
+            sets_through: 0,
+        },
         // What is written after it in the same batch stays.
-        Op::Record { slot, record: record(3, "again") },
+        Op::Record {
+            slot,
+            record: record(3, "again"),
+        },
         Op::Forget,
     ];
     store.write(&[(4, ops)]).expect("room");
     drop(store);
     let (mut store, stored) = Store::open(&file).expect("the same file");
     expected.retain(|s| *s == slot || !matches!(s, Slot::Version(0..7)));
-    assert_eq!(stored.records.iter().map(|r| r.0).collect::<Vec<Slot>>(), expected);
-    let again = stored.records.iter().find(|r| r.0 == slot).map(|r| r.1.clone());
+    assert_eq!(
+        stored.records.iter().map(|r| r.0).collect::<Vec<Slot>>(),
+        expected
+    );
+    let again = stored
+        .records
+        .iter()
+        .find(|r| r.0 == slot)
+        .map(|r| r.1.clone());
     assert_eq!(again, Some(record(3, "again")));
-    assert_eq!((stored.set, stored.remembers), (set, false), "it forgot, and counts in its set still");
-    let ops = vec![Op::Forget, Op::Prune { versions_below: u64::MAX, sets_through: u64::MAX }, Op::Remember];
+    assert_eq!(
+        (stored.set, stored.remembers),
+        (set, false),
+        "it forgot, and counts in its set still"
+    );
+    let ops = vec![
+        Op::Forget,
+        Op::Prune {
+            versions_below: u64::MAX,
+            sets_through: u64::MAX,
+        },
+        Op::Remember,
+    ];
     store.write(&[(5, ops)]).expect("room");
     drop(store);
     let (_, stored) = Store::open(&file).expect("the same file");
@@ -156,10 +283,19 @@
 #[test]
 fn a_file_that_is_no_state_file_is_told_and_left_as_it_is() {
     let file = place("other");
-    std::fs::write(&file, b"something else that somebody keeps here, longer than a header").expect("written");
+    std::fs::write(
+        &file,
+        b"something else that somebody keeps here, longer than a header",
+    )
+    .expect("written");
     let before = std::fs::read(&file).expect("there");
-    let Err(report) = Store::open(&file) else { panic!("it was taken") };
-    assert!(matches!(report.current_context(), Damaged::Unreadable), "{report:?}");
+    let Err(report) = Store::open(&file) else {
+        panic!("it was taken")
+    };
+    assert!(
+        matches!(report.current_context(), Damaged::Unreadable),
+        "{report:?}"
+    );
     assert_eq!(std::fs::read(&file).expect("there"), before);
 }
 
@@ -175,26 +311,42 @@
         entered: Mutex::new(entered),
     });
     let disk = stall.clone();
-    let (store, _) =
-        Store::open_over(move || StallingDisk(InMemoryBackend::new(), disk.clone())).expect("a disk");
+    let (store, _) = Store::open_over(move || StallingDisk(InMemoryBackend::new(), disk.clone()))
+        .expect("a disk");
     let (send, batches) = std::sync::mpsc::channel();
     let (tell, told) = std::sync::mpsc::channel();
     let health = Arc::new(Health::default());
     let beside = health.clone();
     stall.armed.store(true, Ordering::SeqCst);
     let storage = std::thread::spawn(move || {
-        rushcourse_storage::run(store, &batches, &beside, |done| tell.send(done).expect("it listens"));
+        rushcourse_storage::run(store, &batches, &beside, |done| {
+            tell.send(done).expect("it listens")
+        });
     });
-    let op = |key: u128| vec![Op::Claim { key, claim: claim(key as u64) }];
+    let op = |key: u128| {
+        vec![Op::Claim {
+            key,
+            claim: claim(key as u64),
+        }]
+    };
     send.send((1, op(1))).expect("it works");
     stalls.recv_timeout(MOST).expect("the sync has begun");
     (2..50).for_each(|batch| send.send((batch, op(u128::from(batch)))).expect("it works"));
     assert!(health.doing().writing_ms.is_some(), "a write is under way");
-    assert!(told.try_recv().is_err(), "nothing is held that is not synced");
+    assert!(
+        told.try_recv().is_err(),
+        "nothing is held that is not synced"
+    );
     go_on.send(()).expect("it waits");
-    assert_eq!(told.recv_timeout(MOST).expect("the first"), [Done::Synced(1)]);
+    assert_eq!(
+        told.recv_timeout(MOST).expect("the first"),
+        [Done::Synced(1)]
+    );
     let rest: Vec<Done> = (2..50).map(Done::Synced).collect();
-    assert_eq!(told.recv_timeout(MOST).expect("all others in one sync"), rest);
+    assert_eq!(
+        told.recv_timeout(MOST).expect("all others in one sync"),
+        rest
+    );
     drop(send);
     storage.join().expect("it ends with its sender");
     let doing = health.doing();
--- a/crates/rushcourse-storage/tests/fixture.rs
+++ b/crates/rushcourse-storage/tests/fixture.rs
@@ -3,7 +3,9 @@
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use rushcourse_consensus::{Claim, Op, Stored};
-use rushcourse_messages::{Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet};
+use rushcourse_messages::{
+    Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet,
+};
 use rushcourse_storage::Store;
 use std::path::{Path, PathBuf};
 
@@ -14,8 +16,18 @@
 const HOSTS: TableDefinition<&str, &[u8]> = TableDefinition::new("hosts");
 
 fn claim(number: u64) -> (u128, Claim) {
-    let id = ClaimId { node: 0x0a01_0022, life: u64::MAX - 5, number };
-    (u128::from(number) << 90 | 7, Claim { id, at: 1_764_000_000_000 + number })
+    let id = ClaimId {
+        node: 0x0a01_0022,
+        life: u64::MAX - 5,
+        number,
+    };
+    (
+        u128::from(number) << 90 | 7,
+        Claim {
+            id,
+            at: 1_764_000_000_000 + number,
+        },
+    )
 }
 
 fn host(id: &str, state: HostState) -> HostNews {
@@ -34,16 +46,44 @@
 
 /// The two batches that the file was made of: the second one removes and replaces what the first one wrote.
 fn batches() -> Vec<(u64, Vec<Op>)> {
-    let ballot = Ballot { round: 300, node: 0x0a01_0024, life: u64::MAX - 6 };
-    let lower = Ballot { round: 2, node: 0x0a03_0025, life: 9 };
-    let accepted = Accepted { ballot: lower, value: b"{\"version\":9}"[..].into() };
-    let vote = AcceptorRecord { promised: ballot, accepted: Some(accepted), counts: true };
-    let promise = AcceptorRecord { promised: ballot, accepted: None, counts: false };
+    let ballot = Ballot {
+        round: 300,
+        node: 0x0a01_0024,
+        life: u64::MAX - 6,
+    };
+    let lower = Ballot {
+        round: 2,
+        node: 0x0a03_0025,
+        life: 9,
+    };
+    let accepted = Accepted {
+        ballot: lower,
+        value: b"{\"version\":9}"[..].into(),
+    };
+    let vote = AcceptorRecord {
+        promised: ballot,
+        accepted: Some(accepted),
+        counts: true,
+    };
+    let promise = AcceptorRecord {
+        promised: ballot,
+        accepted: None,
+        counts: false,
+    };
     let put = |(key, claim): (u128, Claim)| Op::Claim { key, claim };
     let first = vec![
-        Op::Set(VotingSet { number: 11, members: vec![1, 2, 0x0a00_0001] }),
-        Op::Record { slot: Slot::Version(7), record: vote.clone() },
-        Op::Record { slot: Slot::Set(11), record: promise.clone() },
+        Op::Set(VotingSet {
+            number: 11,
+            members: vec![1, 2, 0x0a00_0001],
+        }),
+        Op::Record {
+            slot: Slot::Version(7),
+            record: vote.clone(),
+        },
+        Op::Record {
+            slot: Slot::Set(11),
+            record: promise.clone(),
+        },
         put(claim(1)),
         put(claim(2)),
         put(claim(3)),
@@ -52,11 +92,23 @@
         Op::Host(host("i-3", HostState::Ready)),
     ];
     let second = vec![
-        Op::Set(VotingSet { number: 12, members: vec![1, 2, 0x0a00_0002] }),
+        Op::Set(VotingSet {
+            number: 12,
+            members: vec![1, 2, 0x0a00_0002],
+        }),
         Op::Remember,
-        Op::Record { slot: Slot::Version(9), record: vote },
-        Op::Record { slot: Slot::Set(13), record: promise },
-        Op::Prune { versions_below: 9, sets_through: 12 },
+        Op::Record {
+            slot: Slot::Version(9),
+            record: vote,
+        },
+        Op::Record {
+            slot: Slot::Set(13),
+            record: promise,
+        },
+        Op::Prune {
+            versions_below: 9,
+            sets_through: 12,
+        },
         Op::Release { key: claim(2).0 },
         put((claim(1).0, claim(4).1)),
         Op::Host(host("i-2", HostState::Draining)),
@@ -90,27 +142,43 @@
 fn tables(file: &Path) -> Tables {
     let database = Database::open(file).expect("a file");
     let reading = database.begin_read().expect("readable");
-    let mut names: Vec<String> =
-        reading.list_tables().expect("readable").map(|table| table.name().to_string()).collect();
+    let mut names: Vec<String> = reading
+        .list_tables()
+        .expect("readable")
+        .map(|table| table.name().to_string())
+        .collect();
     names.sort();
     let by_word = |table: TableDefinition<&str, &[u8]>| -> Vec<(String, Vec<u8>)> {
         let table = reading.open_table(table).expect("there");
-        let rows = table.iter().expect("readable").map(|row| row.expect("readable"));
-        rows.map(|(key, value)| (key.value().to_string(), value.value().to_vec())).collect()
+        let rows = table
+            .iter()
+            .expect("readable")
+            .map(|row| row.expect("readable"));
+        rows.map(|(key, value)| (key.value().to_string(), value.value().to_vec()))
+            .collect()
     };
     let by_number = |table: TableDefinition<u64, &[u8]>| -> Vec<(u64, Vec<u8>)> {
         let table = reading.open_table(table).expect("there");
-        let rows = table.iter().expect("readable").map(|row| row.expect("readable"));
-        rows.map(|(key, value)| (key.value(), value.value().to_vec())).collect()
+        let rows = table
+            .iter()
+            .expect("readable")
+            .map(|row| row.expect("readable"));
+        rows.map(|(key, value)| (key.value(), value.value().to_vec()))
+            .collect()
     };
     let claims = reading.open_table(CLAIMS).expect("there");
-    let claims = claims.iter().expect("readable").map(|row| row.expect("readable"));
+    let claims = claims
+        .iter()
+        .expect("readable")
+        .map(|row| row.expect("readable"));
     Tables {
         names,
         meta: by_word(META),
         set_records: by_number(SET_RECORDS),
         version_records: by_number(VERSION_RECORDS),
-        claims: claims.map(|(place, claim)| (place.value(), claim.value())).collect(),
+        claims: claims
+            .map(|(place, claim)| (place.value(), claim.value()))
+            .collect(),
         hosts: by_word(HOSTS),
     }
 }
@@ -125,7 +193,9 @@
     assert_eq!(stored, wanted);
     // It is written on, and read again with what was added.
     let (key, added) = claim(5);
-    store.write(&[(3, vec![Op::Claim { key, claim: added }])]).expect("room");
+    store
+        .write(&[(3, vec![Op::Claim { key, claim: added }])])
+        .expect("room");
     drop(store);
     let (_, again) = Store::open(&file).expect("a file of the present form");
     wanted.claims.push((key, added));
--- a/crates/rushcourse-storage/tests/format.rs
+++ b/crates/rushcourse-storage/tests/format.rs
@@ -19,17 +19,36 @@
 /// Promised: round 1, node 2, life 3. Nothing accepted.
 const PROMISE: &[u8] = &[1, 2, 3, 0, 0];
 /// The host "i-1" of service "s", zone "z", address "a:80", with 4 slots, draining, sequence 300, cold 2 ms, age 1 ms.
-const HOST: &[u8] =
-    &[3, b'i', b'-', b'1', 1, b's', 1, b'z', 4, b'a', b':', b'8', b'0', 4, 1, 0xac, 0x02, 2, 1];
+const HOST: &[u8] = &[
+    3, b'i', b'-', b'1', 1, b's', 1, b'z', 4, b'a', b':', b'8', b'0', 4, 1, 0xac, 0x02, 2, 1,
+];
 
 fn ops() -> Vec<Op> {
     let vote = AcceptorRecord {
-        promised: Ballot { round: 300, node: 7, life: 8 },
-        accepted: Some(Accepted { ballot: Ballot { round: 2, node: 7, life: 9 }, value: b"abc"[..].into() }),
+        promised: Ballot {
+            round: 300,
+            node: 7,
+            life: 8,
+        },
+        accepted: Some(Accepted {
+            ballot: Ballot {
+                round: 2,
+                node: 7,
+                life: 9,
+            },
+            value: b"abc"[..].into(),
+        }),
         counts: true,
     };
-    let promise =
-        AcceptorRecord { promised: Ballot { round: 1, node: 2, life: 3 }, accepted: None, counts: false };
+    let promise = AcceptorRecord {
+        promised: Ballot {
+            round: 1,
+            node: 2,
+            life: 3,
+        },
+        accepted: None,
+        counts: false,
+    };
     let host = HostNews {
         id: "i-1".into(),
         service: "s".into(),
@@ -42,10 +61,19 @@
         age_ms: 1,
     };
     vec![
-        Op::Set(VotingSet { number: 300, members: vec![1, 2, 0x0a00_0001] }),
+        Op::Set(VotingSet {
+            number: 300,
+            members: vec![1, 2, 0x0a00_0001],
+        }),
         Op::Remember,
-        Op::Record { slot: Slot::Version(9), record: vote },
-        Op::Record { slot: Slot::Set(301), record: promise },
+        Op::Record {
+            slot: Slot::Version(9),
+            record: vote,
+        },
+        Op::Record {
+            slot: Slot::Set(301),
+            record: promise,
+        },
         Op::Host(host),
     ]
 }
@@ -69,10 +97,16 @@
     make(&file);
     let database = Database::open(&file).expect("a file");
     let reading = database.begin_read().expect("readable");
-    let mut tables: Vec<String> =
-        reading.list_tables().expect("readable").map(|t| t.name().to_string()).collect();
+    let mut tables: Vec<String> = reading
+        .list_tables()
+        .expect("readable")
+        .map(|t| t.name().to_string())
+        .collect();
     tables.sort();
-    assert_eq!(tables, ["claims", "hosts", "meta", "set_records", "version_records"]);
+    assert_eq!(
+        tables,
+        ["claims", "hosts", "meta", "set_records", "version_records"]
+    );
     let meta = reading.open_table(META).expect("meta");
     let value = |key: &str| meta.get(key).expect("readable").map(|v| v.value().to_vec());
     assert_eq!(value("format"), Some(vec![0, 0, 0, 0, 0, 0, 0, 2]));
@@ -80,29 +114,52 @@
     assert_eq!(value("remembers"), Some(vec![1]));
     let rows = |table: TableDefinition<u64, &[u8]>| -> Vec<(u64, Vec<u8>)> {
         let table = reading.open_table(table).expect("there");
-        let rows = table.iter().expect("readable").map(|row| row.expect("readable"));
-        rows.map(|row| (row.0.value(), row.1.value().to_vec())).collect()
+        let rows = table
+            .iter()
+            .expect("readable")
+            .map(|row| row.expect("readable"));
+        rows.map(|row| (row.0.value(), row.1.value().to_vec()))
+            .collect()
     };
     assert_eq!(rows(SET_RECORDS), [(301, PROMISE.to_vec())]);
     assert_eq!(rows(VERSION_RECORDS), [(9, VOTE.to_vec())]);
     let hosts = reading.open_table(HOSTS).expect("hosts");
-    assert_eq!(hosts.get("i-1").expect("readable").map(|v| v.value().to_vec()), Some(HOST.to_vec()));
+    assert_eq!(
+        hosts
+            .get("i-1")
+            .expect("readable")
+            .map(|v| v.value().to_vec()),
+        Some(HOST.to_vec())
+    );
 }
 
 /// Without a promise or a vote that it gave, a replica could vote again: it doesn't start.
 #[test]
 fn a_record_or_a_set_that_cannot_be_read_is_told() {
-    let damages: [&[u8]; 4] = [&VOTE[..VOTE.len() - 1], &[], &[0xff; 20], &[1, 2, 3, 0, 0, 0]];
+    let damages: [&[u8]; 4] = [
+        &VOTE[..VOTE.len() - 1],
+        &[],
+        &[0xff; 20],
+        &[1, 2, 3, 0, 0, 0],
+    ];
     for bytes in damages {
         for table in [SET_RECORDS, VERSION_RECORDS] {
             let folder = tempfile::tempdir().expect("a folder");
             let file = folder.path().join("controller.redb");
             make(&file);
             change(&file, |w| {
-                w.open_table(table).expect("there").insert(9, bytes).expect("room");
+                w.open_table(table)
+                    .expect("there")
+                    .insert(9, bytes)
+                    .expect("room");
             });
-            let Err(report) = Store::open(&file) else { panic!("{bytes:?} was taken") };
-            assert!(matches!(report.current_context(), Damaged::Unreadable), "{report:?}");
+            let Err(report) = Store::open(&file) else {
+                panic!("{bytes:?} was taken")
+            };
+            assert!(
+                matches!(report.current_context(), Damaged::Unreadable),
+                "{report:?}"
+            );
         }
     }
     for bytes in [&SET[..SET.len() - 1], &[1, 1, 1, 0], &[]] {
@@ -110,9 +167,17 @@
         let file = folder.path().join("controller.redb");
         make(&file);
         change(&file, |w| {
-            w.open_table(META).expect("there").insert("set", bytes).expect("room");
+            w.open_table(META)
+                .expect("there")
+                .insert("set", bytes)
+                .expect("room");
         });
-        let Err(report) = Store::open(&file) else { panic!("{bytes:?} was taken") };
-        assert!(matches!(report.current_context(), Damaged::Unreadable), "{report:?}");
+        let Err(report) = Store::open(&file) else {
+            panic!("{bytes:?} was taken")
+        };
+        assert!(
+            matches!(report.current_context(), Damaged::Unreadable),
+            "{report:?}"
+        );
     }
 }
--- a/crates/rushcourse-storage/tests/power/mod.rs
+++ b/crates/rushcourse-storage/tests/power/mod.rs
@@ -25,7 +25,11 @@
 impl Disk {
     /// A disk that holds these bytes and has done nothing.
     pub fn holding(bytes: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(Platter { seen: bytes.clone(), synced: bytes, ..Platter::default() })))
+        Disk(Arc::new(Mutex::new(Platter {
+            seen: bytes.clone(),
+            synced: bytes,
+            ..Platter::default()
+        })))
     }
 
     pub fn at<T>(&self, what: impl FnOnce(&mut Platter) -> T) -> T {
@@ -35,7 +39,9 @@
     fn change(&self, what: impl FnOnce(&mut Platter)) -> Result<(), Error> {
         self.at(|p| {
             p.done += 1;
-            if p.refuses.is_some_and(|(from, times)| p.done > from && p.done <= from.saturating_add(times)) {
+            if p.refuses
+                .is_some_and(|(from, times)| p.done > from && p.done <= from.saturating_add(times))
+            {
                 return Err(Error::new(ErrorKind::StorageFull, "the disk refuses"));
             }
             what(p);
@@ -48,15 +54,17 @@
         self.at(|p| {
             let mut left = p.synced.clone();
             for (offset, bytes, length) in &p.since {
-                lot = lot.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
+                lot = lot
+                    .wrapping_mul(6_364_136_223_846_793_005)
+                    .wrapping_add(1_442_695_040_888_963_407);
                 if let Some(length) = length {
                     // A length that was cut back takes synced bytes only where it got through.
                     let kept = if lot >> 62 == 0 { left.len() } else { 0 };
                     left.resize((*length).max(kept), 0);
                     continue;
                 }
-                let part =
-                    [0, bytes.len(), (lot >> 40) as usize % (bytes.len() + 1)][(lot >> 33) as usize % 3];
+                let part = [0, bytes.len(), (lot >> 40) as usize % (bytes.len() + 1)]
+                    [(lot >> 33) as usize % 3];
                 left.resize(left.len().max(offset + part), 0);
                 left[*offset..offset + part].copy_from_slice(&bytes[..part]);
             }
--- a/crates/rushcourse-storage/tests/properties.rs
+++ b/crates/rushcourse-storage/tests/properties.rs
@@ -3,7 +3,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rushcourse_consensus::{Claim, Op, Stored};
-use rushcourse_messages::{Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet};
+use rushcourse_messages::{
+    Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet,
+};
 use rushcourse_storage::Store;
 use std::sync::Arc;
 
@@ -14,31 +16,58 @@
 /// Few slots, so that records are replaced and pruned; some at the ends of what a number can be.
 fn slot() -> impl Strategy<Value = Slot> {
     let number = || prop_oneof![8 => 0u64..20, 1 => Just(u64::MAX), 1 => any::<u64>()];
-    prop_oneof![number().prop_map(Slot::Set), number().prop_map(Slot::Version)]
+    prop_oneof![
+        number().prop_map(Slot::Set),
+        number().prop_map(Slot::Version)
+    ]
 }
 
 fn record() -> impl Strategy<Value = AcceptorRecord> {
     let value = prop::collection::vec(any::<u8>(), 0..600).prop_map(Arc::<[u8]>::from);
     let accepted = (ballot(), value).prop_map(|(ballot, value)| Accepted { ballot, value });
-    (ballot(), prop::option::of(accepted), any::<bool>())
-        .prop_map(|(promised, accepted, counts)| AcceptorRecord { promised, accepted, counts })
+    (ballot(), prop::option::of(accepted), any::<bool>()).prop_map(
+        |(promised, accepted, counts)| AcceptorRecord {
+            promised,
+            accepted,
+            counts,
+        },
+    )
 }
 
 fn op() -> impl Strategy<Value = Op> {
     let claim = (0u128..12, any::<u32>(), any::<u64>(), 0u64..5, any::<u64>()).prop_map(
         |(key, node, life, number, at)| Op::Claim {
             key,
-            claim: Claim { id: ClaimId { node, life, number }, at },
+            claim: Claim {
+                id: ClaimId { node, life, number },
+                at,
+            },
         },
     );
-    let prune = (0u64..20, 0u64..8)
-        .prop_map(|(versions_below, sets_through)| Op::Prune { versions_below, sets_through });
-    let state = prop_oneof![Just(HostState::Ready), Just(HostState::Draining), Just(HostState::Gone)];
+    let prune = (0u64..20, 0u64..8).prop_map(|(versions_below, sets_through)| Op::Prune {
+        versions_below,
+        sets_through,
+    });
+    let state = prop_oneof![
+        Just(HostState::Ready),
+        Just(HostState::Draining),
+        Just(HostState::Gone)
+    ];
     let host = (0u8..6, state, any::<u64>()).prop_map(|(id, state, sequence)| {
         let word = |w: &str| Arc::<str>::from(w);
         let (service, zone, address) = (word("s"), word("z"), word("10.0.0.1:80"));
         let id = format!("i-{id}").into();
-        Op::Host(HostNews { id, service, zone, address, slots: 4, state, sequence, cold_ms: 0, age_ms: 0 })
+        Op::Host(HostNews {
+            id,
+            service,
+            zone,
+            address,
+            slots: 4,
+            state,
+            sequence,
+            cold_ms: 0,
+            age_ms: 0,
+        })
     });
     let set = (1u64..4, prop::collection::vec(any::<u32>(), 0..5))
         .prop_map(|(number, members)| Op::Set(VotingSet { number, members }));
--- a/crates/rushcourse-storage/tests/upgrade.rs
+++ b/crates/rushcourse-storage/tests/upgrade.rs
@@ -7,7 +7,9 @@
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use rushcourse_config::hash::hash64;
 use rushcourse_consensus::{Claim, Op, Stored};
-use rushcourse_messages::{Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet};
+use rushcourse_messages::{
+    Accepted, AcceptorRecord, Ballot, ClaimId, HostNews, HostState, Slot, VotingSet,
+};
 use rushcourse_storage::{Damaged, Store};
 use std::path::Path;
 
@@ -20,8 +22,9 @@
 /// The set 300 of 1, 2 and 10.0.0.1, byte by byte: nothing that encodes today has a part in it.
 const SET: &[u8] = &[0xac, 0x02, 3, 1, 2, 0x81, 0x80, 0x80, 0x50];
 /// The host "i-1" of service "s", zone "z", address "a:80", with 4 slots, ready, sequence 300, cold for 2 ms, age 1 ms.
-const HOST: &[u8] =
-    &[3, b'i', b'-', b'1', 1, b's', 1, b'z', 4, b'a', b':', b'8', b'0', 4, 0, 0xac, 0x02, 2, 1];
+const HOST: &[u8] = &[
+    3, b'i', b'-', b'1', 1, b's', 1, b'z', 4, b'a', b':', b'8', b'0', 4, 0, 0xac, 0x02, 2, 1,
+];
 
 const OLDER: &[u8] = b"an older configuration";
 const NEWEST: &[u8] = b"{\"version\": 5}";
@@ -36,14 +39,19 @@
     configurations: &'static [(u64, &'static [u8])],
 }
 
-const WHOLE: Earlier = Earlier { format: 1, set: SET, configurations: &[(4, OLDER), (5, NEWEST)] };
+const WHOLE: Earlier = Earlier {
+    format: 1,
+    set: SET,
+    configurations: &[(4, OLDER), (5, NEWEST)],
+};
 
 impl Earlier {
     fn write(&self, database: &Database) {
         let writing = database.begin_write().expect("a transaction");
         {
             let mut meta = writing.open_table(META).expect("meta");
-            meta.insert("format", self.format.to_be_bytes().as_slice()).expect("room");
+            meta.insert("format", self.format.to_be_bytes().as_slice())
+                .expect("room");
             meta.insert("set", self.set).expect("room");
             meta.insert("remembers", [1].as_slice()).expect("room");
             let mut configurations = writing.open_table(CONFIGURATIONS).expect("configurations");
@@ -52,9 +60,18 @@
             }
             let mut claims = writing.open_table(CLAIMS).expect("claims");
             for place in [3, 4, 9] {
-                claims.insert(place, (u128::from(place) << 100, 7, 8, place, 1_000 + place)).expect("room");
+                claims
+                    .insert(
+                        place,
+                        (u128::from(place) << 100, 7, 8, place, 1_000 + place),
+                    )
+                    .expect("room");
             }
-            writing.open_table(HOSTS).expect("hosts").insert("i-1", HOST).expect("room");
+            writing
+                .open_table(HOSTS)
+                .expect("hosts")
+                .insert("i-1", HOST)
+                .expect("room");
         }
         writing.commit().expect("room");
     }
@@ -65,16 +82,37 @@
 }
 
 fn vote(text: &[u8], life: u64) -> AcceptorRecord {
-    let ballot = Ballot { round: 0, node: 0, life };
-    let accepted = Some(Accepted { ballot, value: text.into() });
-    AcceptorRecord { promised: ballot, accepted, counts: true }
+    let ballot = Ballot {
+        round: 0,
+        node: 0,
+        life,
+    };
+    let accepted = Some(Accepted {
+        ballot,
+        value: text.into(),
+    });
+    AcceptorRecord {
+        promised: ballot,
+        accepted,
+        counts: true,
+    }
 }
 
 /// What `WHOLE` holds, in today's terms.
 fn expected() -> Stored {
     let claim = |number: u64| {
-        let id = ClaimId { node: 7, life: 8, number };
-        (u128::from(number) << 100, Claim { id, at: 1_000 + number })
+        let id = ClaimId {
+            node: 7,
+            life: 8,
+            number,
+        };
+        (
+            u128::from(number) << 100,
+            Claim {
+                id,
+                at: 1_000 + number,
+            },
+        )
     };
     let host = HostNews {
         id: "i-1".into(),
@@ -88,7 +126,10 @@
         age_ms: 1,
     };
     Stored {
-        set: VotingSet { number: 300, members: vec![1, 2, 0x0a00_0001] },
+        set: VotingSet {
+            number: 300,
+            members: vec![1, 2, 0x0a00_0001],
+        },
         remembers: true,
         records: vec![(Slot::Version(5), vote(NEWEST, NEWEST_DIGEST))],
         claims: [3, 4, 9].map(claim).to_vec(),
@@ -103,7 +144,10 @@
     let bytes = meta.get("format").expect("readable").expect("a form");
     let form = u64::from_be_bytes(bytes.value().try_into().expect("eight bytes"));
     let tables = reading.list_tables().expect("readable");
-    (form, tables.into_iter().any(|t| t.name() == "configurations"))
+    (
+        form,
+        tables.into_iter().any(|t| t.name() == "configurations"),
+    )
 }
 
 fn form_of_file(file: &Path) -> (u64, bool) {
@@ -123,9 +167,22 @@
     // It is as any other file from then on: claims stand where they stood, in their order.
     let (mut store, stored) = Store::open(&file).expect("a file of the present form");
     assert_eq!(stored, expected());
-    let claim = Claim { id: ClaimId { node: 1, life: 2, number: 3 }, at: 4 };
-    let ops =
-        vec![Op::Release { key: 4 << 100 }, Op::Claim { key: 1, claim }, Op::Claim { key: 9 << 100, claim }];
+    let claim = Claim {
+        id: ClaimId {
+            node: 1,
+            life: 2,
+            number: 3,
+        },
+        at: 4,
+    };
+    let ops = vec![
+        Op::Release { key: 4 << 100 },
+        Op::Claim { key: 1, claim },
+        Op::Claim {
+            key: 9 << 100,
+            claim,
+        },
+    ];
     store.write(&[(1, ops.clone())]).expect("room");
     drop(store);
     let mut wanted = expected();
@@ -138,9 +195,19 @@
 fn a_file_of_form_1_without_a_configuration_is_upgraded_to_no_record() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("controller.redb");
-    Earlier { configurations: &[], ..WHOLE }.make(&file);
+    Earlier {
+        configurations: &[],
+        ..WHOLE
+    }
+    .make(&file);
     let (store, stored) = Store::open(&file).expect("a file of form 1");
-    assert_eq!(stored, Stored { records: vec![], ..expected() });
+    assert_eq!(
+        stored,
+        Stored {
+            records: vec![],
+            ..expected()
+        }
+    );
     drop(store);
     assert_eq!(form_of_file(&file), (2, false));
 }
@@ -153,13 +220,20 @@
         let database = Database::create(&file).expect("a new file");
         WHOLE.write(&database);
         let writing = database.begin_write().expect("a transaction");
-        writing.open_table(CONFIGURATIONS).expect("there").insert(5, text).expect("room");
+        writing
+            .open_table(CONFIGURATIONS)
+            .expect("there")
+            .insert(5, text)
+            .expect("room");
         writing.commit().expect("room");
         drop(database);
         Store::open(&file).expect("a file of form 1").1.records
     };
     let (one, same, other) = (record(b"one"), record(b"one"), record(b"other"));
-    assert_eq!(one, vec![(Slot::Version(5), vote(b"one", hash64(b"one", 13)))]);
+    assert_eq!(
+        one,
+        vec![(Slot::Version(5), vote(b"one", hash64(b"one", 13)))]
+    );
     assert_eq!(one, same);
     assert_ne!(one[0].1.promised, other[0].1.promised);
 }
@@ -167,7 +241,9 @@
 /// A form 1 file on a disk in memory; closed in order, or left as its program was killed.
 fn earlier_disk(closed: bool) -> Vec<u8> {
     let disk = Disk::default();
-    let database = Database::builder().create_with_backend(disk.clone()).expect("an empty disk");
+    let database = Database::builder()
+        .create_with_backend(disk.clone())
+        .expect("an empty disk");
     WHOLE.write(&database);
     if closed {
         drop(database)
@@ -180,7 +256,9 @@
 /// Opens the disk, and ends there with nothing tidied up; whether opening was told as done.
 fn open_and_end(disk: &Disk) -> bool {
     let over = disk.clone();
-    let Ok((store, stored)) = Store::open_over(move || over.clone()) else { return false };
+    let Ok((store, stored)) = Store::open_over(move || over.clone()) else {
+        return false;
+    };
     assert_eq!(stored, expected());
     std::mem::forget(store);
     true
@@ -189,7 +267,11 @@
 /// The form that a disk has, seen on a copy of it.
 fn form_of_disk(disk: &Disk) -> (u64, bool) {
     let copy = Disk::holding(disk.at(|p| p.seen.clone()));
-    form(&Database::builder().create_with_backend(copy).expect("a file"))
+    form(
+        &Database::builder()
+            .create_with_backend(copy)
+            .expect("a file"),
+    )
 }
 
 fn power_lost_at_every_operation_of_the_upgrade(closed: bool) {
@@ -206,18 +288,30 @@
             let told = open_and_end(&disk);
             let after = disk.after_power(lot * 7_919 + at as u64);
             let form = form_of_disk(&after);
-            assert!(form == (1, true) || form == (2, false), "operation {at}, lot {lot}: {form:?}");
-            assert!(!told || form == (2, false), "operation {at}, lot {lot}: told as done");
+            assert!(
+                form == (1, true) || form == (2, false),
+                "operation {at}, lot {lot}: {form:?}"
+            );
+            assert!(
+                !told || form == (2, false),
+                "operation {at}, lot {lot}: told as done"
+            );
             if form == (1, true) {
                 old += 1
             } else {
                 new += 1
             }
-            assert!(open_and_end(&after), "operation {at}, lot {lot}: it can't be read any more");
+            assert!(
+                open_and_end(&after),
+                "operation {at}, lot {lot}: it can't be read any more"
+            );
             assert_eq!(form_of_disk(&after), (2, false));
         }
     }
-    assert!(old > 0 && new > 0, "{old} losses before the upgrade counts, {new} after");
+    assert!(
+        old > 0 && new > 0,
+        "{old} losses before the upgrade counts, {new} after"
+    );
 }
 
 #[test]
@@ -241,7 +335,10 @@
         disk.at(|p| p.refuses = Some((at, 3)));
         refused += usize::from(!open_and_end(&disk));
         disk.at(|p| p.refuses = None);
-        assert!(open_and_end(&disk), "operation {at}: it can't be read any more");
+        assert!(
+            open_and_end(&disk),
+            "operation {at}: it can't be read any more"
+        );
         assert_eq!(form_of_disk(&disk), (2, false));
     }
     assert!(refused > 0, "none was refused");
@@ -251,22 +348,31 @@
 fn dump(file: &Path) -> String {
     let database = Database::open(file).expect("a file");
     let reading = database.begin_read().expect("readable");
-    let mut tables: Vec<String> =
-        reading.list_tables().expect("readable").map(|t| t.name().to_string()).collect();
+    let mut tables: Vec<String> = reading
+        .list_tables()
+        .expect("readable")
+        .map(|t| t.name().to_string())
+        .collect();
     tables.sort();
     let meta: Vec<(String, Vec<u8>)> = reading
         .open_table(META)
         .expect("meta")
         .iter()
         .expect("readable")
-        .map(|e| e.map(|(k, v)| (k.value().to_string(), v.value().to_vec())).expect("readable"))
+        .map(|e| {
+            e.map(|(k, v)| (k.value().to_string(), v.value().to_vec()))
+                .expect("readable")
+        })
         .collect();
     let configurations: Vec<(u64, Vec<u8>)> = reading
         .open_table(CONFIGURATIONS)
         .expect("configurations")
         .iter()
         .expect("readable")
-        .map(|e| e.map(|(k, v)| (k.value(), v.value().to_vec())).expect("readable"))
+        .map(|e| {
+            e.map(|(k, v)| (k.value(), v.value().to_vec()))
+                .expect("readable")
+        })
         .collect();
     format!("{tables:?} {meta:?} {configurations:?}")
 }
@@ -277,10 +383,20 @@
     for (format, set) in [(0, SET), (3, SET), (3, &[0xff_u8; 3][..]), (u64::MAX, SET)] {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("controller.redb");
-        Earlier { format, set, ..WHOLE }.make(&file);
+        Earlier {
+            format,
+            set,
+            ..WHOLE
+        }
+        .make(&file);
         let before = dump(&file);
-        let Err(report) = Store::open(&file) else { panic!("form {format} was taken") };
-        assert!(matches!(report.current_context(), Damaged::Format(f) if *f == format), "{report:?}");
+        let Err(report) = Store::open(&file) else {
+            panic!("form {format} was taken")
+        };
+        assert!(
+            matches!(report.current_context(), Damaged::Format(f) if *f == format),
+            "{report:?}"
+        );
         assert_eq!(dump(&file), before);
     }
 }
@@ -293,8 +409,13 @@
         let file = folder.path().join("controller.redb");
         Earlier { set, ..WHOLE }.make(&file);
         let before = dump(&file);
-        let Err(report) = Store::open(&file) else { panic!("{set:?} was taken") };
-        assert!(matches!(report.current_context(), Damaged::Unreadable), "{report:?}");
+        let Err(report) = Store::open(&file) else {
+            panic!("{set:?} was taken")
+        };
+        assert!(
+            matches!(report.current_context(), Damaged::Unreadable),
+            "{report:?}"
+        );
         assert_eq!(dump(&file), before);
     }
 }
@@ -309,7 +430,12 @@
     writing.delete_table(CONFIGURATIONS).expect("there");
     writing.commit().expect("room");
     drop(database);
-    let Err(report) = Store::open(&file) else { panic!("it was taken") };
-    assert!(matches!(report.current_context(), Damaged::Unreadable), "{report:?}");
+    let Err(report) = Store::open(&file) else {
+        panic!("it was taken")
+    };
+    assert!(
+        matches!(report.current_context(), Damaged::Unreadable),
+        "{report:?}"
+    );
     assert_eq!(form_of_file(&file), (1, false));
 }
--- a/crates/rushcourse-wirehost/src/main.rs
+++ b/crates/rushcourse-wirehost/src/main.rs
@@ -36,7 +36,10 @@
                 part.events.clear();
             }
             "Teardown" => {
-                *part = Part { stopped: true, ..Part::default() };
+                *part = Part {
+                    stopped: true,
+                    ..Part::default()
+                };
             }
             kind => part.events.extend(wire::event(kind, value).map_err(fail)?),
         }
@@ -49,7 +52,10 @@
         directors.remove(&id);
     }
     if let Some(start) = part.start {
-        directors.insert(id, Director::new(rushcourse_settings::settings(start.options), start.nonce64));
+        directors.insert(
+            id,
+            Director::new(rushcourse_settings::settings(start.options), start.nonce64),
+        );
     }
     match directors.get_mut(&id) {
         Some(director) => director.handle(now, part.events),
@@ -59,7 +65,9 @@
 
 fn panic_text(panic: &(dyn std::any::Any + Send)) -> String {
     let known = panic.downcast_ref::<&str>().map(|s| s.to_string());
-    known.or_else(|| panic.downcast_ref::<String>().cloned()).unwrap_or_else(|| "panic".into())
+    known
+        .or_else(|| panic.downcast_ref::<String>().cloned())
+        .unwrap_or_else(|| "panic".into())
 }
 
 fn run() -> Result<(), String> {
@@ -68,19 +76,31 @@
     for (number, text) in std::io::stdin().lock().lines().enumerate() {
         let text = text.map_err(|e| format!("batch {number}: {e}"))?;
         let (batch, parts) = read(&text, number as u64 + 1)?;
-        let mut reply = wire::Reply { n: batch.n, out: Vec::new() };
+        let mut reply = wire::Reply {
+            n: batch.n,
+            out: Vec::new(),
+        };
         for (id, part) in parts {
-            let decided = catch_unwind(AssertUnwindSafe(|| decide(&mut directors, id, part, batch.clock)));
+            let decided = catch_unwind(AssertUnwindSafe(|| {
+                decide(&mut directors, id, part, batch.clock)
+            }));
             match decided {
-                Ok(actions) => reply.out.extend(actions.into_iter().filter_map(|a| wire::order(id, a))),
+                Ok(actions) => reply
+                    .out
+                    .extend(actions.into_iter().filter_map(|a| wire::order(id, a))),
                 Err(panic) => {
                     let reason_text = panic_text(panic.as_ref());
-                    reply.out.push(Order::Die { director: id, reason_text });
+                    reply.out.push(Order::Die {
+                        director: id,
+                        reason_text,
+                    });
                 }
             }
         }
         let line = serde_json::to_string(&reply).map_err(|e| e.to_string())?;
-        writeln!(out, "{line}").and_then(|()| out.flush()).map_err(|e| e.to_string())?;
+        writeln!(out, "{line}")
+            .and_then(|()| out.flush())
+            .map_err(|e| e.to_string())?;
     }
     Ok(())
 }
