--- a/crates/rushcourse-wirehost/src/wire.rs
+++ b/crates/rushcourse-wirehost/src/wire.rs
@@ -152,12 +152,19 @@
 
 fn load(v: &serde_json::Value) -> core::Load {
     let field = |name: &str| v.get(name).and_then(serde_json::Value::as_f64);
-    core::Load { busy: field("cpu_share"), waiting: field("pending"), inflight: field("busy_reqs") }
+    core::Load {
+        busy: field("cpu_share"),
+        waiting: field("pending"),
+        inflight: field("busy_reqs"),
+    }
 }
 
 fn unhex(text: &str) -> Vec<u8> {
     let digits: Vec<u32> = text.chars().filter_map(|c| c.to_digit(16)).collect();
-    digits.chunks_exact(2).map(|d| (d[0] * 16 + d[1]) as u8).collect()
+    digits
+        .chunks_exact(2)
+        .map(|d| (d[0] * 16 + d[1]) as u8)
+        .collect()
 }
 
 type Parsed<T> = Result<T, serde_json::Error>;
@@ -186,7 +193,10 @@
                 weight: r.w,
                 up_since: r.up_since_ms,
             });
-            core::Event::List { kind, entries: entries.collect() }
+            core::Event::List {
+                kind,
+                entries: entries.collect(),
+            }
         }
         "Observed" => {
             let o: Observed = parse(v)?;
@@ -210,9 +220,10 @@
                 span: t.span_ms,
             }
         }
-        "LostStream" => {
-            core::Event::Left { proxy: parse::<LostStream>(v)?.agent, channel: core::Channel::Shared }
-        }
+        "LostStream" => core::Event::Left {
+            proxy: parse::<LostStream>(v)?.agent,
+            channel: core::Channel::Shared,
+        },
         "TookEffect" => {
             let t: TookEffect = parse(v)?;
             core::Event::Applied {
@@ -222,10 +233,15 @@
                 channel: core::Channel::Shared,
             }
         }
-        "Fired" => core::Event::Timer { token: parse::<Fired>(v)?.ctx },
+        "Fired" => core::Event::Timer {
+            token: parse::<Fired>(v)?.ctx,
+        },
         "FromPeer" => {
             let p: FromPeer = parse(v)?;
-            core::Event::Told { from: p.neighbour, bytes: unhex(&p.payload) }
+            core::Event::Told {
+                from: p.neighbour,
+                bytes: unhex(&p.payload),
+            }
         }
         "PingResult" => {
             let p: PingResult = parse(v)?;
@@ -321,28 +337,77 @@
 /// The order of an action; none for those of a channel that the wire does not have.
 pub fn order(director: u64, action: core::Action) -> Option<Order> {
     Some(match action {
-        core::Action::Line { table, host, weight } => {
-            Order::Line { director, host: host.to_string(), sheet: table, w: weight }
-        }
-        core::Action::Clear { table } => Order::Empty { director, sheet: table },
-        core::Action::Bind { proxy, table, classes } => {
-            Order::Pin { director, sheet: table, only: classes, agent: proxy }
-        }
-        core::Action::Withdraw { channel: core::Channel::Own, .. } => return None,
-        core::Action::Withdraw { host, out, .. } => {
-            Order::Bench { director, host: host.to_string(), on: out }
-        }
-        core::Action::Level { table, classes, quota, again } => {
-            Order::Level { director, sheet: table, quota, only: classes, again: again as u8 }
-        }
-        core::Action::Mark { number } => Order::Seal { director, number, on: false },
-        core::Action::Timer { token, at } => Order::Schedule { director, ctx: token, alarm_time_ms: at },
-        core::Action::Probe { host } => Order::HealthCheck { director, host: host.to_string() },
+        core::Action::Line {
+            table,
+            host,
+            weight,
+        } => Order::Line {
+            director,
+            host: host.to_string(),
+            sheet: table,
+            w: weight,
+        },
+        core::Action::Clear { table } => Order::Empty {
+            director,
+            sheet: table,
+        },
+        core::Action::Bind {
+            proxy,
+            table,
+            classes,
+        } => Order::Pin {
+            director,
+            sheet: table,
+            only: classes,
+            agent: proxy,
+        },
+        core::Action::Withdraw {
+            channel: core::Channel::Own,
+            ..
+        } => return None,
+        core::Action::Withdraw { host, out, .. } => Order::Bench {
+            director,
+            host: host.to_string(),
+            on: out,
+        },
+        core::Action::Level {
+            table,
+            classes,
+            quota,
+            again,
+        } => Order::Level {
+            director,
+            sheet: table,
+            quota,
+            only: classes,
+            again: again as u8,
+        },
+        core::Action::Mark { number } => Order::Seal {
+            director,
+            number,
+            on: false,
+        },
+        core::Action::Timer { token, at } => Order::Schedule {
+            director,
+            ctx: token,
+            alarm_time_ms: at,
+        },
+        core::Action::Probe { host } => Order::HealthCheck {
+            director,
+            host: host.to_string(),
+        },
         core::Action::Tell { bytes } => {
             let payload = bytes.iter().map(|b| format!("{b:02x}")).collect();
-            Order::Share { director, target: -1, payload }
+            Order::Share {
+                director,
+                target: -1,
+                payload,
+            }
         }
         core::Action::Subscribe => Order::Tail { director, on: true },
-        core::Action::Log { text } => Order::NoteDown { director, reason_text: text },
+        core::Action::Log { text } => Order::NoteDown {
+            director,
+            reason_text: text,
+        },
     })
 }
--- a/crates/rushcourse-wirehost/tests/fronts.rs
+++ b/crates/rushcourse-wirehost/tests/fronts.rs
@@ -42,21 +42,45 @@
     Listed(&'static str, usize, &'static str, f64),
 }
 
-const HOSTS: [(&str, usize); 6] = [("a1", 0), ("a2", 0), ("a3", 0), ("b1", 1), ("b2", 1), ("b3", 1)];
+const HOSTS: [(&str, usize); 6] = [
+    ("a1", 0),
+    ("a2", 0),
+    ("a3", 0),
+    ("b1", 1),
+    ("b2", 1),
+    ("b3", 1),
+];
 const ZONES: [&str; 2] = ["east", "west"];
 const CLASSES: [&str; 2] = ["look", "pay"];
 
 /// What happens, ms after the start.
 fn script() -> Vec<(f64, Happens)> {
     use Happens::*;
-    let mut all = vec![(320.0, Joined(0, 0, 6.0)), (320.0, Joined(1, 1, 5.0)), (900.0, Joined(2, 0, 4.0))];
-    all.extend([(700.0, Applied(0)), (702.0, Applied(1)), (1300.0, Applied(0)), (1300.0, Applied(2))]);
+    let mut all = vec![
+        (320.0, Joined(0, 0, 6.0)),
+        (320.0, Joined(1, 1, 5.0)),
+        (900.0, Joined(2, 0, 4.0)),
+    ];
+    all.extend([
+        (700.0, Applied(0)),
+        (702.0, Applied(1)),
+        (1300.0, Applied(0)),
+        (1300.0, Applied(2)),
+    ]);
     for second in 1..25 {
         let at = f64::from(second) * 1000.0;
         for (k, (host, zone)) in HOSTS.iter().enumerate() {
             // A host that fails for a while, and a jam later on.
-            let bad = if (6..9).contains(&second) && k == 1 { 11.0 } else { 0.0 };
-            let mean = if (15..19).contains(&second) { 2600.0 } else { 180.0 + 10.0 * k as f64 };
+            let bad = if (6..9).contains(&second) && k == 1 {
+                11.0
+            } else {
+                0.0
+            };
+            let mean = if (15..19).contains(&second) {
+                2600.0
+            } else {
+                180.0 + 10.0 * k as f64
+            };
             all.push((at + k as f64, Heard(*zone, host, 12.0, bad, mean)));
         }
         for proxy in 0..3 {
@@ -92,11 +116,21 @@
 impl Wire {
     fn start() -> Wire {
         let mut command = Command::new(env!("CARGO_BIN_EXE_rushcourse-wirehost"));
-        let mut child =
-            command.stdin(Stdio::piped()).stdout(Stdio::piped()).spawn().expect("the adapter starts");
+        let mut child = command
+            .stdin(Stdio::piped())
+            .stdout(Stdio::piped())
+            .spawn()
+            .expect("the adapter starts");
         let to = child.stdin.take().expect("its input");
         let from = BufReader::new(child.stdout.take().expect("its output"));
-        Wire { child, to, from, batch: 0, mark: 0, timers: Vec::new() }
+        Wire {
+            child,
+            to,
+            from,
+            batch: 0,
+            mark: 0,
+            timers: Vec::new(),
+        }
     }
 
     fn event(&self, e: &Happens, now: f64) -> Value {
@@ -114,8 +148,10 @@
             }
             Happens::Usage(p, class, n, bad) => json!({"m": "Traffic", "director": 0, "agent": p,
                 "priority": class, "tries-n": n, "unanswered": bad, "span-ms": 1000.0}),
-            Happens::Listed(host, zone, phase, age) => json!({"m": "Announce", "director": 0, "kind": "incr",
-                "rows": [row(host, *zone, phase, *age, now)]}),
+            Happens::Listed(host, zone, phase, age) => {
+                json!({"m": "Announce", "director": 0, "kind": "incr",
+                "rows": [row(host, *zone, phase, *age, now)]})
+            }
         }
     }
 
@@ -152,7 +188,8 @@
                 format!("mark,{},0", self.mark)
             }
             "Schedule" => {
-                self.timers.push((number("alarm-time-ms"), a["ctx"].as_str()?.to_string()));
+                self.timers
+                    .push((number("alarm-time-ms"), a["ctx"].as_str()?.to_string()));
                 return None;
             }
             "NoteDown" => return None,
@@ -195,8 +232,16 @@
                         }
                         inputs.extend([Input::Up { link, turn }, Input::Wake]);
                     }
-                    Effect::Send { link: Link::News, turn, .. } => {
-                        inputs.push_back(Input::Line { link: Link::News, turn, text: "OK".into() });
+                    Effect::Send {
+                        link: Link::News,
+                        turn,
+                        ..
+                    } => {
+                        inputs.push_back(Input::Line {
+                            link: Link::News,
+                            turn,
+                            text: "OK".into(),
+                        });
                     }
                     Effect::Send { link, turn, text } => {
                         let orders: Vec<String> = text
@@ -205,7 +250,9 @@
                             .split(';')
                             .map(String::from)
                             .collect();
-                        let marks = orders.iter().filter_map(|o| o.strip_prefix("mark,")?.split(',').next());
+                        let marks = orders
+                            .iter()
+                            .filter_map(|o| o.strip_prefix("mark,")?.split(',').next());
                         self.mark = marks
                             .fold(None, |_, m| Some(m))
                             .map_or(self.mark, |m| m.parse().expect("a number"));
@@ -235,27 +282,56 @@
             Happens::Heard(zone, host, n, bad, avg) => {
                 let json = json!({"@type": "heard", "az": ZONES[*zone], "host": host, "n": n, "bad": bad,
                     "avg": avg, "window": 1000.0});
-                return self.give(now, Input::Frame { conn: 1, bytes: Bytes::from(json.to_string()) });
+                return self.give(
+                    now,
+                    Input::Frame {
+                        conn: 1,
+                        bytes: Bytes::from(json.to_string()),
+                    },
+                );
             }
             Happens::Usage(p, class, n, bad) => {
                 let json = json!({"@type": "usage", "sidecar": p, "kind": CLASSES[*class], "n": n, "bad": bad,
                     "window": 1000.0});
-                return self.give(now, Input::Frame { conn: 1, bytes: Bytes::from(json.to_string()) });
+                return self.give(
+                    now,
+                    Input::Frame {
+                        conn: 1,
+                        bytes: Bytes::from(json.to_string()),
+                    },
+                );
             }
             Happens::Listed(host, zone, phase, age) => {
                 self.revision += 1;
                 let members = [member(host, *zone, phase, *age, now)];
-                let body = json!({"revision": self.revision, "complete": false, "members": members});
+                let body =
+                    json!({"revision": self.revision, "complete": false, "members": members});
                 let ask = self.ask;
-                return self.give(now, Input::Listed { ask, body: Bytes::from(body.to_string()) });
+                return self.give(
+                    now,
+                    Input::Listed {
+                        ask,
+                        body: Bytes::from(body.to_string()),
+                    },
+                );
             }
         };
-        self.give(now, Input::Line { link: Link::News, turn: self.turn, text });
+        self.give(
+            now,
+            Input::Line {
+                link: Link::News,
+                turn: self.turn,
+                text,
+            },
+        );
     }
 }
 
 fn whole(revision: u64) -> String {
-    let members: Vec<Value> = HOSTS.iter().map(|(h, z)| member(h, *z, "Ready", 0.0, 0.0)).collect();
+    let members: Vec<Value> = HOSTS
+        .iter()
+        .map(|(h, z)| member(h, *z, "Ready", 0.0, 0.0))
+        .collect();
     json!({"revision": revision, "complete": true, "members": members}).to_string()
 }
 
@@ -264,7 +340,10 @@
     let opts: Options = serde_json::from_value(options()).expect("options");
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let setup = Setup {
-        places: Places { relay: at, discovery: at },
+        places: Places {
+            relay: at,
+            discovery: at,
+        },
         bounds: Bounds::of(192.0, 1024),
         relay: true,
         streams: None,
@@ -288,11 +367,26 @@
     let (mut script, mut queue, mut due) = (VecDeque::from(script()), Vec::new(), None::<f64>);
     let mut wired: BTreeMap<u64, Vec<String>> = BTreeMap::new();
     real.give(START, Input::Start);
-    real.give(START, Input::Opened { conn: 1, peer: "collector".into() });
+    real.give(
+        START,
+        Input::Opened {
+            conn: 1,
+            peer: "collector".into(),
+        },
+    );
     let joins = Bytes::from_static(br#"{"@type":"collector","az":"east"}"#);
-    real.give(START, Input::Frame { conn: 1, bytes: joins });
+    real.give(
+        START,
+        Input::Frame {
+            conn: 1,
+            bytes: joins,
+        },
+    );
     // The adapter's first batch comes when the session's first quantum is over.
-    let rows: Vec<Value> = HOSTS.iter().map(|(h, z)| row(h, *z, "Ready", 0.0, 0.0)).collect();
+    let rows: Vec<Value> = HOSTS
+        .iter()
+        .map(|(h, z)| row(h, *z, "Ready", 0.0, 0.0))
+        .collect();
     queue.push(json!({"m": "Provision", "director": 0, "nonce64": 7, "options": options()}));
     for kind in ["warm_copy", "total"] {
         queue.push(json!({"m": "Announce", "director": 0, "number": 1, "kind": kind, "rows": rows.clone()}));
@@ -306,9 +400,16 @@
         }
         if now - real.asked >= 3900.0 {
             // The wait of the watch is over: nothing is newer.
-            let body = json!({"revision": real.revision, "complete": false, "members": []}).to_string();
+            let body =
+                json!({"revision": real.revision, "complete": false, "members": []}).to_string();
             let ask = real.ask;
-            real.give(now, Input::Listed { ask, body: Bytes::from(body) });
+            real.give(
+                now,
+                Input::Listed {
+                    ask,
+                    body: Bytes::from(body),
+                },
+            );
         }
         if real.wake <= now {
             real.give(now, Input::Wake);
@@ -329,8 +430,16 @@
     }
     drop(wire.to);
     wire.child.wait().expect("the adapter ends");
-    assert!(wired.len() > 20, "the script has the director order something: {} times", wired.len());
-    let all: Vec<&str> = wired.values().flatten().filter_map(|o| o.split(',').next()).collect();
+    assert!(
+        wired.len() > 20,
+        "the script has the director order something: {} times",
+        wired.len()
+    );
+    let all: Vec<&str> = wired
+        .values()
+        .flatten()
+        .filter_map(|o| o.split(',').next())
+        .collect();
     for kind in ["share", "bind", "withdraw", "admit", "mark", "restore"] {
         assert!(all.contains(&kind), "the script covers {kind}");
     }
@@ -342,7 +451,10 @@
     };
     let plain = |order: &String| order.split(',').map(figure).collect::<Vec<_>>().join(",");
     let replies = |calls: &BTreeMap<u64, Vec<String>>| -> Vec<Vec<String>> {
-        calls.values().map(|orders| orders.iter().map(plain).collect()).collect()
+        calls
+            .values()
+            .map(|orders| orders.iter().map(plain).collect())
+            .collect()
     };
     for (k, (a, b)) in replies(&wired).iter().zip(replies(&real.calls)).enumerate() {
         assert_eq!(*a, b, "reply {k}");
--- a/crates/rushcourse-wirehost/tests/process.rs
+++ b/crates/rushcourse-wirehost/tests/process.rs
@@ -13,7 +13,11 @@
         .expect("the adapter starts");
     let text = lines.join("\n") + "\n";
     // It may stop reading early: what it could not take is no matter here.
-    let _ = child.stdin.take().expect("a pipe").write_all(text.as_bytes());
+    let _ = child
+        .stdin
+        .take()
+        .expect("a pipe")
+        .write_all(text.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
@@ -27,7 +31,8 @@
         "family-info": {"backlog": 4000.0, "push-rate": 2000.0, "per-message": 3.0, "report-every-ms": 1000.0,
                         "level-kind": "ratio", "zone-bound": [false], "transit-max-ms": 500.0},
         "rules": {"cold-ms": 15000.0, "start-capacity": 0.2}, "zones": ["x", "y"], "novel": {"k": [1]}});
-    let row = |h: &str, zone: u64| json!({"host": h, "locality": zone, "readiness": "Ready", "w": 1});
+    let row =
+        |h: &str, zone: u64| json!({"host": h, "locality": zone, "readiness": "Ready", "w": 1});
     vec![
         json!({"m": "Provision", "director": director, "nonce64": 5, "options": options}),
         json!({"m": "Announce", "director": director, "number": 1, "kind": "warm_copy",
@@ -40,7 +45,10 @@
 }
 
 fn replies(out: &Output) -> Vec<Value> {
-    String::from_utf8_lossy(&out.stdout).lines().map(|l| serde_json::from_str(l).expect("JSON")).collect()
+    String::from_utf8_lossy(&out.stdout)
+        .lines()
+        .map(|l| serde_json::from_str(l).expect("JSON"))
+        .collect()
 }
 
 #[test]
@@ -55,11 +63,19 @@
     let replies = replies(&out);
     assert_eq!(replies[0], json!({"n": 1, "out": []}));
     let kinds = |n: usize| -> Vec<&str> {
-        replies[n]["out"].as_array().unwrap().iter().map(|a| a["m"].as_str().unwrap()).collect()
+        replies[n]["out"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .map(|a| a["m"].as_str().unwrap())
+            .collect()
     };
     assert_eq!(kinds(1), ["Schedule"], "it opens a round after its start");
     let all = kinds(2);
-    assert!(all.contains(&"Pin") && all.contains(&"Seal") && all.contains(&"Schedule"), "{all:?}");
+    assert!(
+        all.contains(&"Pin") && all.contains(&"Seal") && all.contains(&"Schedule"),
+        "{all:?}"
+    );
 }
 
 #[test]
@@ -68,7 +84,10 @@
     assert!(!out.status.success());
     assert_eq!(replies(&out).len(), 1, "nothing more on standard output");
     let text = String::from_utf8_lossy(&out.stderr).to_string();
-    assert!(text.lines().count() == 1 && text.contains("batch 2"), "{text}");
+    assert!(
+        text.lines().count() == 1 && text.contains("batch 2"),
+        "{text}"
+    );
 }
 
 #[test]
@@ -77,7 +96,10 @@
     for (line, field) in [
         (batch(7, 5.0, vec![event]), "agent"),
         (json!({"n": 7, "input": []}).to_string(), "clock-ms"),
-        (batch(7, 5.0, vec![json!({"m": "Fired", "ctx": "round"})]), "director"),
+        (
+            batch(7, 5.0, vec![json!({"m": "Fired", "ctx": "round"})]),
+            "director",
+        ),
     ] {
         let out = run(&[line]);
         assert!(!out.status.success() && out.stdout.is_empty());
@@ -96,7 +118,11 @@
         json!({"m": "LostStream", "director": 3, "agent": 9}),
         json!({"m": "LostStream", "director": 99, "agent": 9}),
     ];
-    let out = run(&[batch(1, 10.0, start(3)), batch(2, 300.0, vec![]), batch(3, 310.0, odd)]);
+    let out = run(&[
+        batch(1, 10.0, start(3)),
+        batch(2, 300.0, vec![]),
+        batch(3, 310.0, odd),
+    ]);
     assert!(out.status.success());
     assert_eq!(replies(&out)[2]["out"], json!([]));
 }
@@ -115,7 +141,11 @@
 #[test]
 fn instances_act_alike_in_one_process_and_in_three() {
     let day = |ids: &[u64]| -> Vec<String> {
-        let mut lines = vec![batch(1, 10.0, ids.iter().flat_map(|id| start(*id)).collect())];
+        let mut lines = vec![batch(
+            1,
+            10.0,
+            ids.iter().flat_map(|id| start(*id)).collect(),
+        )];
         for n in 2..60u64 {
             let clock = 10.0 + n as f64 * 100.0;
             let mut events = Vec::new();
@@ -124,8 +154,10 @@
                     events.push(joined(*id, n % 5));
                 }
                 let failed = if (n + id) % 3 == 0 { 4 } else { 0 };
-                events.push(json!({"m": "Observed", "director": id, "host": "host_a", "tries-n": 4,
-                                   "unanswered": failed, "spent-ms": 300.0}));
+                events.push(
+                    json!({"m": "Observed", "director": id, "host": "host_a", "tries-n": 4,
+                                   "unanswered": failed, "spent-ms": 300.0}),
+                );
                 events.push(json!({"m": "Fired", "director": id, "ctx": "round"}));
             }
             lines.push(batch(n, clock, events));
@@ -133,7 +165,9 @@
         lines
     };
     let of = |out: &Output, id: u64| -> Vec<Value> {
-        let all = replies(out).into_iter().flat_map(|r| r["out"].as_array().unwrap().clone());
+        let all = replies(out)
+            .into_iter()
+            .flat_map(|r| r["out"].as_array().unwrap().clone());
         all.filter(|a| a["director"] == id).collect()
     };
     let together = run(&day(&[1, 2, 3]));
--- a/crates/rushcourse-xds/src/ads.rs
+++ b/crates/rushcourse-xds/src/ads.rs
@@ -28,7 +28,9 @@
 }
 
 fn join(a: Option<Marks>, b: Option<Marks>) -> Option<Marks> {
-    let (Some(a), Some(b)) = (a, b) else { return a.or(b) };
+    let (Some(a), Some(b)) = (a, b) else {
+        return a.or(b);
+    };
     let first = if after(a.0, b.0) { b.0 } else { a.0 };
     Some((first, if after(a.1, b.1) { a.1 } else { b.1 }))
 }
@@ -132,7 +134,9 @@
     /// Classes that it asked for and that exist.
     fn wanted(&self, cache: &ResourceCache) -> Vec<ClassId> {
         let names = cache.class_names();
-        (0..names.len()).filter(|c| self.all || self.names.contains(&names[*c])).collect()
+        (0..names.len())
+            .filter(|c| self.all || self.names.contains(&names[*c]))
+            .collect()
     }
 
     // ---- requests ----
@@ -198,8 +202,13 @@
     /// An answer to the response of a nonce. Only that very nonce is answered; in a state-of-the-world stream later
     /// responses hold all that earlier ones did, so an answer speaks for those before it too.
     fn answered(&mut self, now: Ms, nonce: &str, error: Option<&str>, came: &mut Came) {
-        let at = nonce.parse::<u64>().ok().and_then(|n| self.out.iter().position(|s| s.nonce == n));
-        let Some(at) = at else { return came.counts.push("nonces_unknown") };
+        let at = nonce
+            .parse::<u64>()
+            .ok()
+            .and_then(|n| self.out.iter().position(|s| s.nonce == n));
+        let Some(at) = at else {
+            return came.counts.push("nonces_unknown");
+        };
         match error {
             Some(error) => {
                 came.counts.push("tables_refused");
@@ -216,8 +225,11 @@
     }
 
     fn refuse(&mut self, now: Ms, at: usize) {
-        let gone: Vec<Sent> =
-            if self.whole { self.out.drain(..=at).collect() } else { vec![self.take_out(at)] };
+        let gone: Vec<Sent> = if self.whole {
+            self.out.drain(..=at).collect()
+        } else {
+            vec![self.take_out(at)]
+        };
         let mut marks = gone.iter().fold(None, |m, s| join(m, s.marks));
         let last = gone.into_iter().last().expect("the one refused");
         for (class, version) in last.holds {
@@ -234,7 +246,11 @@
                 // before this was sent again.
                 let since = self.out.iter_mut().skip(at);
                 marks = since.fold(marks, |marks, s| join(marks, s.marks.take()));
-                self.due_since = if self.due.is_none() { now } else { self.due_since };
+                self.due_since = if self.due.is_none() {
+                    now
+                } else {
+                    self.due_since
+                };
                 self.due = join(marks, self.due);
             }
         }
@@ -258,8 +274,14 @@
         } else {
             self.out[at].answered = true;
             let holds: Vec<ClassId> = self.out[at].holds.keys().copied().collect();
-            holds.iter().for_each(|class| drop(self.refused.remove(class)));
-            self.refusals = if self.refused.is_empty() { 0 } else { self.refusals };
+            holds
+                .iter()
+                .for_each(|class| drop(self.refused.remove(class)));
+            self.refusals = if self.refused.is_empty() {
+                0
+            } else {
+                self.refusals
+            };
             while self.out.front().is_some_and(|s| s.answered) {
                 let sent = self.take_out(0);
                 (marks, took) = (join(marks, sent.marks), now - sent.at);
@@ -272,7 +294,11 @@
 
     /// A reply of the module with this mark has reached the proxy.
     pub fn reply(&mut self, now: Ms, mark: u16) {
-        self.due_since = if self.due.is_none() { now } else { self.due_since };
+        self.due_since = if self.due.is_none() {
+            now
+        } else {
+            self.due_since
+        };
         self.due = join(self.due, Some((mark, mark)));
     }
 
@@ -297,8 +323,10 @@
         now: Ms,
     ) -> (Vec<(ClassId, Resource)>, bool) {
         let wanted = self.wanted(cache);
-        let all: Vec<(ClassId, Resource)> =
-            wanted.iter().filter_map(|c| cache.table(proxy, *c).map(|r| (*c, r))).collect();
+        let all: Vec<(ClassId, Resource)> = wanted
+            .iter()
+            .filter_map(|c| cache.table(proxy, *c).map(|r| (*c, r)))
+            .collect();
         if !all.is_empty() {
             self.believe_claims(&all, cache);
         }
@@ -307,7 +335,11 @@
             None => self.sent.get(class) != Some(&r.version),
         };
         let any = all.iter().any(changed);
-        let out = if self.whole { all } else { all.into_iter().filter(changed).collect() };
+        let out = if self.whole {
+            all
+        } else {
+            all.into_iter().filter(changed).collect()
+        };
         (out, any)
     }
 
@@ -316,11 +348,16 @@
         if let Some(claim) = self.claims_whole.take()
             && claim == resources::whole(self.epoch, all.iter().map(|(_, r)| r.version.clone()))
         {
-            self.sent.extend(all.iter().map(|(c, r)| (*c, r.version.clone())));
+            self.sent
+                .extend(all.iter().map(|(c, r)| (*c, r.version.clone())));
             self.owed = false;
         }
         for (class, r) in all {
-            if self.claims.remove(&cache.class_names()[*class]).is_some_and(|claim| claim == r.version) {
+            if self
+                .claims
+                .remove(&cache.class_names()[*class])
+                .is_some_and(|claim| claim == r.version)
+            {
                 self.sent.insert(*class, r.version.clone());
             }
         }
@@ -341,8 +378,14 @@
 
     /// From when on the module must hear that the proxy is behind: a response has not left, or was refused.
     fn behind_from(&self) -> Ms {
-        let refused = if self.refused.is_empty() { f64::INFINITY } else { 0.0 };
-        self.taking.map_or(f64::INFINITY, |since| since + LEAVES_WITHIN).min(refused)
+        let refused = if self.refused.is_empty() {
+            f64::INFINITY
+        } else {
+            0.0
+        };
+        self.taking
+            .map_or(f64::INFINITY, |since| since + LEAVES_WITHIN)
+            .min(refused)
     }
 
     fn send(&mut self, now: Ms, proxy: ProxyId, cache: &mut ResourceCache, came: &mut Came) {
@@ -365,22 +408,39 @@
             return;
         }
         self.serial += 1;
-        let repeat = tables.iter().any(|(c, r)| self.refused.get(c) == Some(&r.version));
+        let repeat = tables
+            .iter()
+            .any(|(c, r)| self.refused.get(c) == Some(&r.version));
         let late = now - self.due_since >= LEAVES_WITHIN && self.due.is_some();
         if repeat || late {
             came.behind = self.first_unproved().map(|mark| (mark, true));
             self.behind_at = now + BEHIND_EVERY;
         }
-        let holds: BTreeMap<ClassId, String> = tables.iter().map(|(c, r)| (*c, r.version.clone())).collect();
+        let holds: BTreeMap<ClassId, String> = tables
+            .iter()
+            .map(|(c, r)| (*c, r.version.clone()))
+            .collect();
         self.sent.extend(holds.clone());
         if repeat {
             came.counts.push("tables_repeated");
         }
         // It waits for an answer now, and is no longer known to be refused.
-        holds.keys().for_each(|class| drop(self.refused.remove(class)));
+        holds
+            .keys()
+            .for_each(|class| drop(self.refused.remove(class)));
         // While another class is refused, nothing is proved by this one.
-        let marks = if self.refused.is_empty() { self.due.take() } else { None };
-        self.out.push_back(Sent { nonce: self.serial, at: now, marks, holds, answered: false });
+        let marks = if self.refused.is_empty() {
+            self.due.take()
+        } else {
+            None
+        };
+        self.out.push_back(Sent {
+            nonce: self.serial,
+            at: now,
+            marks,
+            holds,
+            answered: false,
+        });
         if self.out.len() > UNANSWERED_MOST {
             came.counts.push("answers_given_up");
             let old = self.take_out(0);
@@ -393,10 +453,19 @@
         let version = resources::whole(self.epoch, tables.iter().map(|(_, r)| r.version.clone()));
         let resources = tables.into_iter().map(|(_, r)| r).collect();
         came.response = Some(if self.whole {
-            Response::Whole { version, nonce, resources }
+            Response::Whole {
+                version,
+                nonce,
+                resources,
+            }
         } else {
             let removed = std::mem::take(&mut self.removed).into_iter().collect();
-            Response::Delta { version, nonce, resources, removed }
+            Response::Delta {
+                version,
+                nonce,
+                resources,
+                removed,
+            }
         });
     }
 
@@ -408,7 +477,13 @@
         }
         // What is held back for want of room goes out once there is some.
         let room = self.grants.room(now);
-        let again = if self.refused.is_empty() { f64::INFINITY } else { self.again_at.max(room) };
-        behind.min(again).min(if room > now { room } else { f64::INFINITY })
+        let again = if self.refused.is_empty() {
+            f64::INFINITY
+        } else {
+            self.again_at.max(room)
+        };
+        behind
+            .min(again)
+            .min(if room > now { room } else { f64::INFINITY })
     }
 }
--- a/crates/rushcourse-xds/src/boundary.rs
+++ b/crates/rushcourse-xds/src/boundary.rs
@@ -184,9 +184,18 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
     /// `DiscoveryResponse`: all that was asked for.
-    Whole { version: String, nonce: String, resources: Vec<Resource> },
+    Whole {
+        version: String,
+        nonce: String,
+        resources: Vec<Resource>,
+    },
     /// `DeltaDiscoveryResponse`: what has changed.
-    Delta { version: String, nonce: String, resources: Vec<Resource>, removed: Vec<String> },
+    Delta {
+        version: String,
+        nonce: String,
+        resources: Vec<Resource>,
+        removed: Vec<String>,
+    },
     /// `LoadStatsResponse`: report on all clusters, by host, at this interval.
     Load { interval: Ms },
 }
--- a/crates/rushcourse-xds/src/grants.rs
+++ b/crates/rushcourse-xds/src/grants.rs
@@ -15,7 +15,11 @@
 impl Grants {
     /// At most `most` in any `over` ms; 0 is no limit.
     pub fn new(most: usize, over: Ms) -> Grants {
-        Grants { most, over, given: VecDeque::new() }
+        Grants {
+            most,
+            over,
+            given: VecDeque::new(),
+        }
     }
 
     /// Records a message that leaves now.
@@ -26,7 +30,12 @@
 
     /// When there is room for one more: now, or later.
     pub fn room(&self, now: Ms) -> Ms {
-        let counted: Vec<Ms> = self.given.iter().copied().filter(|at| now - at <= self.over).collect();
+        let counted: Vec<Ms> = self
+            .given
+            .iter()
+            .copied()
+            .filter(|at| now - at <= self.over)
+            .collect();
         match counted.len().checked_sub(self.most) {
             Some(over) if self.most > 0 => counted[over] + self.over,
             _ => now,
--- a/crates/rushcourse-xds/src/lib.rs
+++ b/crates/rushcourse-xds/src/lib.rs
@@ -19,8 +19,8 @@
 mod weights;
 
 pub use boundary::{
-    Ask, Assignment, ClusterLoad, Code, DeltaAsk, Effect, Endpoint, HostLoad, Input, LoadStats, Locality,
-    Node, NodeReport, Resource, Response, Said, Service, Stream, TABLE_TYPE,
+    Ask, Assignment, ClusterLoad, Code, DeltaAsk, Effect, Endpoint, HostLoad, Input, LoadStats,
+    Locality, Node, NodeReport, Resource, Response, Said, Service, Stream, TABLE_TYPE,
 };
 pub use counts::COUNTS;
 pub use outbox::{Grade, Note, Outbox};
--- a/crates/rushcourse-xds/src/loads.rs
+++ b/crates/rushcourse-xds/src/loads.rs
@@ -29,7 +29,11 @@
 
 impl Loads {
     pub fn new(now: Ms, every: Ms) -> Loads {
-        Loads { every, last: now, held: None }
+        Loads {
+            every,
+            last: now,
+            held: None,
+        }
     }
 
     /// Takes a report. Answers the events that hold at once, and counts.
@@ -65,7 +69,10 @@
 
     /// When there is something to do next.
     pub fn due(&self) -> Ms {
-        self.held.as_ref().map_or(f64::INFINITY, |(since, _)| since + BURST).min(self.silent_at())
+        self.held
+            .as_ref()
+            .map_or(f64::INFINITY, |(since, _)| since + BURST)
+            .min(self.silent_at())
     }
 }
 
@@ -84,8 +91,14 @@
         let Some(class) = cache.class(&c.cluster) else {
             return spoilt("loads_unknown", "no class of that name");
         };
-        let Some(span) = c.interval.filter(|i| *i > 0.0 && *i <= figures::WINDOW_MOST) else {
-            return spoilt("loads_interval", "load_report_interval is missing or out of range");
+        let Some(span) = c
+            .interval
+            .filter(|i| *i > 0.0 && *i <= figures::WINDOW_MOST)
+        else {
+            return spoilt(
+                "loads_interval",
+                "load_report_interval is missing or out of range",
+            );
         };
         if span > PERIODS_MOST * settings.report_every.max(1.0) {
             return spoilt("loads_old", "it covers more than what is judged by");
@@ -94,7 +107,13 @@
         if let Some(why) = figures::spoilt(let_in, failed, span) {
             return spoilt("loads_figures", why);
         }
-        events.push(Event::Usage { proxy, class, tries: let_in, failed, span });
+        events.push(Event::Usage {
+            proxy,
+            class,
+            tries: let_in,
+            failed,
+            span,
+        });
         for h in &c.hosts {
             let Some(host) = cache.host_at(&h.address) else {
                 unlisted += 1;
@@ -105,18 +124,40 @@
                 return spoilt("loads_figures", &format!("{}: {why}", h.address));
             }
             if failed > tries {
-                return spoilt("loads_figures", &format!("{}: more errors than requests", h.address));
+                return spoilt(
+                    "loads_figures",
+                    &format!("{}: more errors than requests", h.address),
+                );
             }
             let mean = match h.metrics.get(LATENCY) {
                 Some((n, sum)) if *n > 0 => sum / *n as f64,
                 _ if failed >= tries => 0.0,
-                _ => return spoilt("loads_latency", &format!("{}: no metric {LATENCY}", h.address)),
+                _ => {
+                    return spoilt(
+                        "loads_latency",
+                        &format!("{}: no metric {LATENCY}", h.address),
+                    );
+                }
             };
             if !figures::is_mean(mean, settings) {
-                return spoilt("loads_latency", &format!("{}: {LATENCY} is out of range", h.address));
+                return spoilt(
+                    "loads_latency",
+                    &format!("{}: {LATENCY} is out of range", h.address),
+                );
             }
-            let load = Load { inflight: Some(h.in_progress as f64), ..load_of(host) };
-            events.push(Event::Heard { zone, host: host.clone(), tries, failed, mean, span, load });
+            let load = Load {
+                inflight: Some(h.in_progress as f64),
+                ..load_of(host)
+            };
+            events.push(Event::Heard {
+                zone,
+                host: host.clone(),
+                tries,
+                failed,
+                mean,
+                span,
+                load,
+            });
         }
     }
     Ok((events, unlisted))
--- a/crates/rushcourse-xds/src/members.rs
+++ b/crates/rushcourse-xds/src/members.rs
@@ -52,7 +52,12 @@
 
 impl Members {
     pub fn new(identities: Identities, zones: Vec<String>, proxies: usize) -> Members {
-        Members { identities, zones, proxies, ..Members::default() }
+        Members {
+            identities,
+            zones,
+            proxies,
+            ..Members::default()
+        }
     }
 
     /// From now on nodes are named so.
@@ -84,13 +89,19 @@
             return refuse(Code::PermissionDenied, "streams_unknown", why);
         };
         if self.proxies > 0 && proxy as usize >= self.proxies {
-            let why = format!("node.id {id:?} is beyond the {} relays that the settings name", self.proxies);
+            let why = format!(
+                "node.id {id:?} is beyond the {} relays that the settings name",
+                self.proxies
+            );
             return refuse(Code::ResourceExhausted, "streams_beyond", why);
         }
         match self.zones.iter().position(|z| *z == node.zone) {
             Some(zone) => Ok(Who { proxy, zone }),
             None => {
-                let why = format!("node.locality.zone {:?} of {id:?} is no zone of the settings", node.zone);
+                let why = format!(
+                    "node.locality.zone {:?} of {id:?} is no zone of the settings",
+                    node.zone
+                );
                 refuse(Code::InvalidArgument, "streams_zoneless", why)
             }
         }
@@ -107,16 +118,28 @@
         stream: Stream,
         connection: u64,
     ) -> Result<Option<Stream>, Refusal> {
-        let member = Member { stream, connection, heard: now };
+        let member = Member {
+            stream,
+            connection,
+            heard: now,
+        };
         let Some(old) = self.joined.get(&proxy) else {
             self.joined.insert(proxy, member);
             return Ok(None);
         };
         let past = self.replaced.entry(proxy).or_default();
         past.retain(|at| now - at <= REPLACED_OVER);
-        let refuse = |why: String| Err(Refusal { code: Code::AlreadyExists, count: "streams_doubled", why });
+        let refuse = |why: String| {
+            Err(Refusal {
+                code: Code::AlreadyExists,
+                count: "streams_doubled",
+                why,
+            })
+        };
         if old.connection != connection && now - old.heard < ALIVE {
-            return refuse(format!("relay {proxy} is joined by another stream, which is alive"));
+            return refuse(format!(
+                "relay {proxy} is joined by another stream, which is alive"
+            ));
         }
         if past.len() >= REPLACED_MOST {
             return refuse(format!(
@@ -132,7 +155,8 @@
 
     /// Who has not been replaced of late has no past; and no more are remembered than may be.
     fn forget_past(&mut self, now: Ms) {
-        self.replaced.retain(|_, past| past.back().is_some_and(|at| now - at <= REPLACED_OVER));
+        self.replaced
+            .retain(|_, past| past.back().is_some_and(|at| now - at <= REPLACED_OVER));
         while self.replaced.len() > REMEMBERED_MOST {
             self.replaced.pop_first();
         }
@@ -140,7 +164,10 @@
 
     /// Its relay has said something, on whichever stream.
     pub fn heard(&mut self, now: Ms, proxy: ProxyId) {
-        self.joined.get_mut(&proxy).into_iter().for_each(|m| m.heard = now);
+        self.joined
+            .get_mut(&proxy)
+            .into_iter()
+            .for_each(|m| m.heard = now);
     }
 
     /// The stream has ended. Whether it was the proxy's.
@@ -160,18 +187,35 @@
 
     fn members() -> Members {
         let names = [("edge".to_string(), 5)].into();
-        Members::new(Identities { prefix: "relay-".into(), names }, vec!["east".into(), "west".into()], 8)
+        Members::new(
+            Identities {
+                prefix: "relay-".into(),
+                names,
+            },
+            vec!["east".into(), "west".into()],
+            8,
+        )
     }
 
     fn node(id: &str, zone: &str) -> Node {
-        Node { id: id.into(), zone: zone.into(), rate: None }
+        Node {
+            id: id.into(),
+            zone: zone.into(),
+            rate: None,
+        }
     }
 
     #[test]
     fn a_node_is_who_it_says_or_gets_the_status_that_tells_why_not() {
         let members = members();
-        assert_eq!(members.who(Some(&node("relay-3", "west"))), Ok(Who { proxy: 3, zone: 1 }));
-        assert_eq!(members.who(Some(&node("edge", "east"))), Ok(Who { proxy: 5, zone: 0 }));
+        assert_eq!(
+            members.who(Some(&node("relay-3", "west"))),
+            Ok(Who { proxy: 3, zone: 1 })
+        );
+        assert_eq!(
+            members.who(Some(&node("edge", "east"))),
+            Ok(Who { proxy: 5, zone: 0 })
+        );
         let code = |n: Option<&Node>| members.who(n).expect_err("refused").code;
         assert_eq!(code(None), Code::InvalidArgument);
         for (id, zone, want) in [
@@ -191,11 +235,21 @@
     fn a_relay_that_comes_back_takes_its_place_and_a_double_does_not() {
         let mut members = members();
         assert_eq!(members.claim(0.0, 3, 1, 10), Ok(None));
-        assert_eq!(members.claim(100.0, 3, 2, 10), Ok(Some(1)), "the same connection: the same process");
+        assert_eq!(
+            members.claim(100.0, 3, 2, 10),
+            Ok(Some(1)),
+            "the same connection: the same process"
+        );
         members.heard(5000.0, 3);
-        let refused = members.claim(6000.0, 3, 3, 11).expect_err("the other one is alive");
+        let refused = members
+            .claim(6000.0, 3, 3, 11)
+            .expect_err("the other one is alive");
         assert_eq!(refused.code, Code::AlreadyExists);
-        assert_eq!(members.claim(9000.0, 3, 4, 11), Ok(Some(2)), "it was lost unnoticed");
+        assert_eq!(
+            members.claim(9000.0, 3, 4, 11),
+            Ok(Some(2)),
+            "it was lost unnoticed"
+        );
         assert!(!members.ended(9100.0, 3, 2), "the old one's end is no news");
         assert!(members.ended(9200.0, 3, 4));
         assert_eq!(members.count(), 0);
--- a/crates/rushcourse-xds/src/nodes.rs
+++ b/crates/rushcourse-xds/src/nodes.rs
@@ -59,7 +59,14 @@
 
 impl Nodes {
     pub fn new(every: Ms, most: usize, seed: u64) -> Nodes {
-        Nodes { every: every.max(100.0), most, seed, turn: 0, hosts: BTreeMap::new(), beyond: 0 }
+        Nodes {
+            every: every.max(100.0),
+            most,
+            seed,
+            turn: 0,
+            hosts: BTreeMap::new(),
+            beyond: 0,
+        }
     }
 
     /// From the next list on, so many hosts are asked at most.
@@ -72,7 +79,10 @@
     }
 
     pub fn live(&self) -> usize {
-        self.hosts.values().filter(|h| matches!(h.state, State::Live { .. })).count()
+        self.hosts
+            .values()
+            .filter(|h| matches!(h.state, State::Live { .. }))
+            .count()
     }
 
     pub fn beyond(&self) -> usize {
@@ -91,10 +101,21 @@
     pub fn listed(&mut self, now: Ms, hosts: Vec<Askable>, out: &mut Outbox) {
         self.beyond = hosts.len().saturating_sub(self.most);
         // Those that are asked already go on; new ones fill what is left.
-        let (old, new): (Vec<_>, Vec<_>) = hosts.into_iter().partition(|a| self.hosts.contains_key(&a.host));
-        let asked: ByHost<Askable> =
-            old.into_iter().chain(new).take(self.most).map(|a| (a.host.clone(), a)).collect();
-        let gone: Vec<HostId> = self.hosts.keys().filter(|h| !asked.contains_key(*h)).cloned().collect();
+        let (old, new): (Vec<_>, Vec<_>) = hosts
+            .into_iter()
+            .partition(|a| self.hosts.contains_key(&a.host));
+        let asked: ByHost<Askable> = old
+            .into_iter()
+            .chain(new)
+            .take(self.most)
+            .map(|a| (a.host.clone(), a))
+            .collect();
+        let gone: Vec<HostId> = self
+            .hosts
+            .keys()
+            .filter(|h| !asked.contains_key(*h))
+            .cloned()
+            .collect();
         for host in gone {
             if let Some(h) = self.hosts.remove(&host) {
                 hang(&host, &h, out);
@@ -113,13 +134,22 @@
             }
             let retry = Retry::new(PAUSE, PAUSE_MOST, self.seed, &host);
             let (state, said) = (State::Down { until: now }, None);
-            let fresh = Host { address: a.address, up_since: a.up_since, state, turn: 0, retry, said };
+            let fresh = Host {
+                address: a.address,
+                up_since: a.up_since,
+                state,
+                turn: 0,
+                retry,
+                said,
+            };
             self.hosts.insert(host, fresh);
         }
     }
 
     fn of(&mut self, host: &HostId, turn: u64) -> Option<&mut Host> {
-        self.hosts.get_mut(host).filter(|h| h.turn == turn && !matches!(h.state, State::Down { .. }))
+        self.hosts
+            .get_mut(host)
+            .filter(|h| h.turn == turn && !matches!(h.state, State::Down { .. }))
     }
 
     pub fn up(&mut self, now: Ms, host: &HostId, turn: u64) {
@@ -130,7 +160,14 @@
     }
 
     /// A report. It is believed whole or not at all.
-    pub fn said(&mut self, now: Ms, host: &HostId, turn: u64, report: &NodeReport, out: &mut Outbox) {
+    pub fn said(
+        &mut self,
+        now: Ms,
+        host: &HostId,
+        turn: u64,
+        report: &NodeReport,
+        out: &mut Outbox,
+    ) {
         let silent = now + SILENT * self.every;
         let Some(h) = self.of(host, turn) else { return };
         h.state = State::Live { silent };
@@ -138,13 +175,25 @@
         let queue = report.queue.unwrap_or(0.0);
         if !(0.0..=UTIL_MOST).contains(&report.util) || !(0.0..=QUEUE_MOST).contains(&queue) {
             out.add("node_reports_spoilt", 1);
-            let text = format!("{host}: util {}, queue {queue} are out of range", report.util);
+            let text = format!(
+                "{host}: util {}, queue {queue} are out of range",
+                report.util
+            );
             return out.note(Grade::Info, "host report skipped", text);
         }
         out.add("node_reports_taken", 1);
-        let load = Load { busy: Some(report.util), waiting: report.queue, inflight: None };
+        let load = Load {
+            busy: Some(report.util),
+            waiting: report.queue,
+            inflight: None,
+        };
         h.said = Some((now, load.clone()));
-        out.event(Event::Probed { host: host.clone(), took: 0.0, answered: true, load });
+        out.event(Event::Probed {
+            host: host.clone(),
+            took: 0.0,
+            answered: true,
+            load,
+        });
     }
 
     pub fn down(&mut self, now: Ms, host: &HostId, turn: u64, why: &str, out: &mut Outbox) {
@@ -173,13 +222,24 @@
                 && now >= until
             {
                 self.turn += 1;
-                (h.turn, h.state) = (self.turn, State::Dialling { by: now + DIAL_WITHIN });
+                (h.turn, h.state) = (
+                    self.turn,
+                    State::Dialling {
+                        by: now + DIAL_WITHIN,
+                    },
+                );
                 out.add("node_dials", 1);
                 let (host, address) = (host.clone(), h.address.clone());
-                out.ask(Effect::Dial { host, turn: h.turn, address, every: self.every });
+                out.ask(Effect::Dial {
+                    host,
+                    turn: h.turn,
+                    address,
+                    every: self.every,
+                });
             }
-            let (State::Down { until: at } | State::Dialling { by: at } | State::Live { silent: at }) =
-                h.state;
+            let (State::Down { until: at }
+            | State::Dialling { by: at }
+            | State::Live { silent: at }) = h.state;
             next = next.min(at);
         }
         next
@@ -188,12 +248,17 @@
 
 fn hang(host: &HostId, h: &Host, out: &mut Outbox) {
     if !matches!(h.state, State::Down { .. }) {
-        out.ask(Effect::Hang { host: host.clone(), turn: h.turn });
+        out.ask(Effect::Hang {
+            host: host.clone(),
+            turn: h.turn,
+        });
     }
 }
 
 fn lost(now: Ms, host: &HostId, h: &mut Host, why: &str, out: &mut Outbox) {
-    h.state = State::Down { until: now + h.retry.pause() };
+    h.state = State::Down {
+        until: now + h.retry.pause(),
+    };
     out.add("node_losses", 1);
     out.note(Grade::Info, "host reports lost", format!("{host}: {why}"));
 }
@@ -203,19 +268,28 @@
     use super::*;
 
     fn askable(host: &str, up_since: Ms) -> Askable {
-        Askable { host: host.into(), address: format!("{host}:1"), up_since }
+        Askable {
+            host: host.into(),
+            address: format!("{host}:1"),
+            up_since,
+        }
     }
 
     fn dials(out: &mut Outbox) -> Vec<(String, u64)> {
-        let dialled = std::mem::take(&mut out.effects).into_iter().filter_map(|e| match e {
-            Effect::Dial { host, turn, .. } => Some((host.to_string(), turn)),
-            _ => None,
-        });
+        let dialled = std::mem::take(&mut out.effects)
+            .into_iter()
+            .filter_map(|e| match e {
+                Effect::Dial { host, turn, .. } => Some((host.to_string(), turn)),
+                _ => None,
+            });
         dialled.collect()
     }
 
     fn report(util: f64) -> NodeReport {
-        NodeReport { util, queue: Some(2.0) }
+        NodeReport {
+            util,
+            queue: Some(2.0),
+        }
     }
 
     #[test]
@@ -231,7 +305,10 @@
         let next = nodes.advance(3600.0, &mut out);
         assert_eq!(next, 5000.0);
         nodes.advance(5000.0, &mut out);
-        assert!(out.effects.contains(&Effect::Hang { host: "a".into(), turn: 1 }));
+        assert!(out.effects.contains(&Effect::Hang {
+            host: "a".into(),
+            turn: 1
+        }));
         let again = nodes.advance(5000.0, &mut out);
         assert!(again > 5000.0 && again <= 5200.0, "after a pause: {again}");
         nodes.advance(again, &mut out);
@@ -249,7 +326,11 @@
         nodes.listed(200.0, vec![askable("a", 150.0)], &mut out);
         assert_eq!(nodes.load(201.0, &host), Load::default());
         nodes.said(210.0, &host, 1, &report(0.5), &mut out);
-        assert_eq!(nodes.load(211.0, &host), Load::default(), "it lay in the old stream");
+        assert_eq!(
+            nodes.load(211.0, &host),
+            Load::default(),
+            "it lay in the old stream"
+        );
         nodes.advance(220.0, &mut out);
         nodes.said(230.0, &host, 2, &report(0.1), &mut out);
         assert_eq!(nodes.load(231.0, &host).busy, Some(0.1));
@@ -260,11 +341,32 @@
         let (mut nodes, mut out, host) = (Nodes::new(1000.0, 8, 1), Outbox::default(), "a".into());
         nodes.listed(0.0, vec![askable("a", 0.0)], &mut out);
         nodes.advance(0.0, &mut out);
-        for (util, queue) in [(f64::NAN, 1.0), (-0.1, 1.0), (1e9, 1.0), (0.5, f64::INFINITY), (0.5, -1.0)] {
-            nodes.said(1.0, &host, 1, &NodeReport { util, queue: Some(queue) }, &mut out);
+        for (util, queue) in [
+            (f64::NAN, 1.0),
+            (-0.1, 1.0),
+            (1e9, 1.0),
+            (0.5, f64::INFINITY),
+            (0.5, -1.0),
+        ] {
+            nodes.said(
+                1.0,
+                &host,
+                1,
+                &NodeReport {
+                    util,
+                    queue: Some(queue),
+                },
+                &mut out,
+            );
         }
         assert_eq!(nodes.load(2.0, &host), Load::default());
-        assert_eq!(out.counts.iter().filter(|c| c.0 == "node_reports_spoilt").count(), 5);
+        assert_eq!(
+            out.counts
+                .iter()
+                .filter(|c| c.0 == "node_reports_spoilt")
+                .count(),
+            5
+        );
         assert!(out.events.is_empty());
     }
 
@@ -272,7 +374,11 @@
     fn no_more_hosts_are_asked_than_may_be_and_the_first_stay() {
         let (mut nodes, mut out) = (Nodes::new(1000.0, 2, 1), Outbox::default());
         nodes.listed(0.0, vec![askable("b", 0.0), askable("c", 0.0)], &mut out);
-        nodes.listed(0.0, vec![askable("a", 0.0), askable("b", 0.0), askable("c", 0.0)], &mut out);
+        nodes.listed(
+            0.0,
+            vec![askable("a", 0.0), askable("b", 0.0), askable("c", 0.0)],
+            &mut out,
+        );
         nodes.advance(0.0, &mut out);
         assert_eq!(dials(&mut out), [("b".into(), 1), ("c".into(), 2)]);
         assert_eq!((nodes.count(), nodes.beyond()), (2, 1));
--- a/crates/rushcourse-xds/src/resources.rs
+++ b/crates/rushcourse-xds/src/resources.rs
@@ -95,15 +95,26 @@
 
     /// Tables that name a host have changed with it.
     fn touch_host(&mut self, host: &HostId) {
-        let named = self.tables.iter().filter(|(_, t)| t.lines.contains_key(host)).map(|(id, _)| *id);
-        named.collect::<Vec<_>>().into_iter().for_each(|table| self.touch(table));
+        let named = self
+            .tables
+            .iter()
+            .filter(|(_, t)| t.lines.contains_key(host))
+            .map(|(id, _)| *id);
+        named
+            .collect::<Vec<_>>()
+            .into_iter()
+            .for_each(|table| self.touch(table));
     }
 
     /// Carries an order out. Those of the shared channel are not kept.
     pub fn apply(&mut self, action: &Action) {
         let own = |table: &TableId| Channel::of(*table) == Channel::Own;
         match action {
-            Action::Line { table, host, weight } if own(table) => {
+            Action::Line {
+                table,
+                host,
+                weight,
+            } if own(table) => {
                 let lines = &mut self.tables.entry(*table).or_default().lines;
                 lines.insert(host.clone(), *weight);
                 lines.retain(|_, weight| *weight > 0.0);
@@ -113,14 +124,24 @@
                 self.tables.remove(table);
                 self.touch(*table);
             }
-            Action::Bind { proxy, table, classes } if own(table) => {
+            Action::Bind {
+                proxy,
+                table,
+                classes,
+            } if own(table) => {
                 let bound = self.bound.entry(*proxy).or_default();
-                for class in (0..self.classes.len()).filter(|c| *classes == 0 || classes >> c & 1 == 1) {
+                for class in
+                    (0..self.classes.len()).filter(|c| *classes == 0 || classes >> c & 1 == 1)
+                {
                     bound.insert(class, *table);
                 }
                 self.moved.insert(*proxy);
             }
-            Action::Withdraw { host, out, channel: Channel::Own } => {
+            Action::Withdraw {
+                host,
+                out,
+                channel: Channel::Own,
+            } => {
                 if *out {
                     self.draining.insert(host.clone())
                 } else {
@@ -128,9 +149,16 @@
                 };
                 self.touch_host(host);
             }
-            Action::Level { table, classes, quota, again } if own(table) => {
+            Action::Level {
+                table,
+                classes,
+                quota,
+                again,
+            } if own(table) => {
                 let levels = &mut self.tables.entry(*table).or_default().levels;
-                for class in (0..self.classes.len()).filter(|c| *classes == 0 || classes >> c & 1 == 1) {
+                for class in
+                    (0..self.classes.len()).filter(|c| *classes == 0 || classes >> c & 1 == 1)
+                {
                     levels.insert(class, (*quota, *again));
                 }
                 self.touch(*table);
@@ -141,10 +169,19 @@
 
     /// The proxies whose tables orders have touched since this was last asked.
     pub fn reached(&mut self) -> BTreeSet<ProxyId> {
-        let (touched, mut reached) = (std::mem::take(&mut self.touched), std::mem::take(&mut self.moved));
+        let (touched, mut reached) = (
+            std::mem::take(&mut self.touched),
+            std::mem::take(&mut self.moved),
+        );
         if !touched.is_empty() {
-            let on = |tables: &BTreeMap<ClassId, TableId>| tables.values().any(|t| touched.contains(t));
-            reached.extend(self.bound.iter().filter(|(_, tables)| on(tables)).map(|(proxy, _)| *proxy));
+            let on =
+                |tables: &BTreeMap<ClassId, TableId>| tables.values().any(|t| touched.contains(t));
+            reached.extend(
+                self.bound
+                    .iter()
+                    .filter(|(_, tables)| on(tables))
+                    .map(|(proxy, _)| *proxy),
+            );
         }
         reached
     }
@@ -158,9 +195,15 @@
     /// The hosts as the list has them now. One that it dropped keeps its place while a table names it.
     pub fn listed(&mut self, hosts: impl Iterator<Item = (HostId, Place)>) {
         let hosts: BTreeMap<HostId, Place> = hosts.collect();
-        let named: BTreeSet<HostId> = self.tables.values().flat_map(|t| t.lines.keys()).cloned().collect();
+        let named: BTreeSet<HostId> = self
+            .tables
+            .values()
+            .flat_map(|t| t.lines.keys())
+            .cloned()
+            .collect();
         let before = self.places.len();
-        self.places.retain(|host, _| hosts.contains_key(host) || named.contains(host));
+        self.places
+            .retain(|host, _| hosts.contains_key(host) || named.contains(host));
         let mut changed = before != self.places.len();
         for (host, place) in hosts {
             if self.places.get(&host) != Some(&place) {
@@ -171,7 +214,9 @@
         }
         if changed {
             let places = self.places.iter().filter(|(_, p)| !p.address.is_empty());
-            self.by_address = places.map(|(host, p)| (p.address.clone(), host.clone())).collect();
+            self.by_address = places
+                .map(|(host, p)| (p.address.clone(), host.clone()))
+                .collect();
         }
     }
 
@@ -191,27 +236,41 @@
         let t = self.tables.get(&table).unwrap_or(&empty);
         let (level, again) = t.levels.get(&class).copied().unwrap_or(self.usual);
         let placed = |host: &HostId| self.places.get(host).filter(|p| !p.address.is_empty());
-        let lines: Vec<(&HostId, f64, &Place)> =
-            t.lines.iter().filter_map(|(host, w)| placed(host).map(|p| (host, *w, p))).collect();
+        let lines: Vec<(&HostId, f64, &Place)> = t
+            .lines
+            .iter()
+            .filter_map(|(host, w)| placed(host).map(|p| (host, *w, p)))
+            .collect();
         self.lost += (t.lines.len() - lines.len()) as u64;
         let weights = scaled(&lines.iter().map(|l| l.1).collect::<Vec<_>>());
         let mut zones: BTreeMap<ZoneId, Vec<Endpoint>> = BTreeMap::new();
         for ((host, _, place), weight) in lines.into_iter().zip(weights) {
             let (host, address) = (host.clone(), place.address.clone());
             let draining = self.draining.contains(&host);
-            zones.entry(place.zone).or_default().push(Endpoint { host, address, weight, draining });
+            zones.entry(place.zone).or_default().push(Endpoint {
+                host,
+                address,
+                weight,
+                draining,
+            });
         }
         let name = |zone: ZoneId| self.zones.get(zone).cloned().unwrap_or_default();
         let assignment = Assignment {
             cluster: self.classes[class].clone(),
             localities: zones
                 .into_iter()
-                .map(|(zone, endpoints)| Locality { zone: name(zone), endpoints })
+                .map(|(zone, endpoints)| Locality {
+                    zone: name(zone),
+                    endpoints,
+                })
                 .collect(),
             drop_ppm: if self.follows { drop_ppm(level) } else { 0 },
             again,
         };
-        Resource { version: version(self.epoch, &assignment), table: Arc::new(assignment) }
+        Resource {
+            version: version(self.epoch, &assignment),
+            table: Arc::new(assignment),
+        }
     }
 }
 
--- a/crates/rushcourse-xds/src/retry.rs
+++ b/crates/rushcourse-xds/src/retry.rs
@@ -15,13 +15,19 @@
 impl Retry {
     /// `word` tells those apart that share a seed.
     pub fn new(first: Ms, most: Ms, seed: u64, word: &str) -> Retry {
-        Retry { first, most, tries: 0, seed: xxh3_64_with_seed(word.as_bytes(), seed) }
+        Retry {
+            first,
+            most,
+            tries: 0,
+            seed: xxh3_64_with_seed(word.as_bytes(), seed),
+        }
     }
 
     /// The pause after one more try that came to nothing: between half of it and all.
     pub fn pause(&mut self) -> Ms {
         let full = (self.first * 2f64.powi(self.tries.min(30) as i32)).min(self.most);
-        let chance = xxh3_64_with_seed(&self.tries.to_le_bytes(), self.seed) as f64 / u64::MAX as f64;
+        let chance =
+            xxh3_64_with_seed(&self.tries.to_le_bytes(), self.seed) as f64 / u64::MAX as f64;
         self.tries += 1;
         full * (0.5 + 0.5 * chance)
     }
--- a/crates/rushcourse-xds/src/rules.rs
+++ b/crates/rushcourse-xds/src/rules.rs
@@ -14,7 +14,10 @@
 
 impl Default for Identities {
     fn default() -> Identities {
-        Identities { prefix: "relay-".into(), names: BTreeMap::new() }
+        Identities {
+            prefix: "relay-".into(),
+            names: BTreeMap::new(),
+        }
     }
 }
 
--- a/crates/rushcourse-xds/src/streams/arrivals.rs
+++ b/crates/rushcourse-xds/src/streams/arrivals.rs
@@ -16,12 +16,19 @@
     /// Takes what was read; what comes of it waits in the outbox.
     pub fn step(&mut self, now: Ms, input: Input) {
         match input {
-            Input::Opened { stream, connection, service, peer } => {
-                self.opened(now, stream, connection, service, peer)
-            }
+            Input::Opened {
+                stream,
+                connection,
+                service,
+                peer,
+            } => self.opened(now, stream, connection, service, peer),
             Input::Said { stream, said } => self.said(now, stream, said),
             Input::Taken { stream } => {
-                if let Some(Open { is: Use::Tables(_, ads), .. }) = self.open.get_mut(&stream) {
+                if let Some(Open {
+                    is: Use::Tables(_, ads),
+                    ..
+                }) = self.open.get_mut(&stream)
+                {
                     ads.taken();
                     self.touched.insert(stream);
                 }
@@ -29,14 +36,17 @@
             Input::Closed { stream, why } => {
                 if let Some(open) = self.remove(now, stream).filter(|_| !why.is_empty()) {
                     self.out.add("streams_broken", 1);
-                    self.out.note(Grade::Info, "stream ended", format!("{}: {why}", open.peer));
+                    self.out
+                        .note(Grade::Info, "stream ended", format!("{}: {why}", open.peer));
                 }
             }
             Input::HostUp { host, turn } => self.nodes.up(now, &host, turn),
             Input::HostSaid { host, turn, report } => {
                 self.nodes.said(now, &host, turn, &report, &mut self.out)
             }
-            Input::HostDown { host, turn, why } => self.nodes.down(now, &host, turn, &why, &mut self.out),
+            Input::HostDown { host, turn, why } => {
+                self.nodes.down(now, &host, turn, &why, &mut self.out)
+            }
         }
     }
 
@@ -45,12 +55,31 @@
     fn opened(&mut self, now: Ms, stream: Stream, connection: u64, service: Service, peer: String) {
         self.out.add("streams_opened", 1);
         let is = Use::Stranger;
-        self.open.insert(stream, Open { service, connection, peer, since: now, is, next: u64::MAX });
+        self.open.insert(
+            stream,
+            Open {
+                service,
+                connection,
+                peer,
+                since: now,
+                is,
+                next: u64::MAX,
+            },
+        );
         self.schedule(stream, now + self.rules.join_within);
         if self.closing {
-            return self.end(now, stream, Code::Unavailable, "this director is about to end");
+            return self.end(
+                now,
+                stream,
+                Code::Unavailable,
+                "this director is about to end",
+            );
         }
-        let strangers = || self.open.iter().filter(|(_, o)| matches!(o.is, Use::Stranger));
+        let strangers = || {
+            self.open
+                .iter()
+                .filter(|(_, o)| matches!(o.is, Use::Stranger))
+        };
         if strangers().count() > self.rules.limits.strangers {
             let first = strangers().next().map(|(stream, _)| *stream);
             self.out.add("streams_crowded", 1);
@@ -73,7 +102,12 @@
             self.members.ended(now, proxy, stream);
             self.cache.forget(proxy);
             self.out.add("streams_superseded", 1);
-            self.end(now, stream, Code::Aborted, "this relay has joined another way");
+            self.end(
+                now,
+                stream,
+                Code::Aborted,
+                "this relay has joined another way",
+            );
         }
     }
 
@@ -81,13 +115,20 @@
     pub fn close(&mut self, now: Ms) {
         self.closing = true;
         for stream in self.open.keys().copied().collect::<Vec<_>>() {
-            self.end(now, stream, Code::Unavailable, "this director is about to end");
+            self.end(
+                now,
+                stream,
+                Code::Unavailable,
+                "this director is about to end",
+            );
         }
     }
 
     /// A stream says something: who it is first, then what its service is for.
     fn said(&mut self, now: Ms, stream: Stream, said: Said) {
-        let Some(open) = self.open.get_mut(&stream) else { return };
+        let Some(open) = self.open.get_mut(&stream) else {
+            return;
+        };
         if matches!(open.is, Use::Stranger) {
             let node = match &said {
                 Said::Whole(ask) => ask.node.as_ref(),
@@ -111,24 +152,36 @@
             }
         }
         self.touched.insert(stream);
-        let Some(open) = self.open.get_mut(&stream) else { return };
+        let Some(open) = self.open.get_mut(&stream) else {
+            return;
+        };
         match (&mut open.is, said) {
             (Use::Tables(who, ads), Said::Whole(ask)) if open.service == Service::Whole => {
                 let who = *who;
-                let came = if ask.type_url == TABLE_TYPE { Some(ads.asked(now, &ask)) } else { None };
+                let came = if ask.type_url == TABLE_TYPE {
+                    Some(ads.asked(now, &ask))
+                } else {
+                    None
+                };
                 self.came(now, stream, who, came);
             }
             (Use::Tables(who, ads), Said::Delta(ask)) if open.service == Service::Delta => {
                 let who = *who;
                 let ours = ask.type_url == TABLE_TYPE;
-                let came = if ours { Some(ads.delta_asked(now, &ask, &self.cache)) } else { None };
+                let came = if ours {
+                    Some(ads.delta_asked(now, &ask, &self.cache))
+                } else {
+                    None
+                };
                 self.came(now, stream, who, came);
             }
             (Use::Loads(who, _), Said::Load(stats)) => {
                 let who = *who;
                 self.loads(now, stream, who, &stats);
             }
-            _ => self.out.must(false, "a stream bears messages of its service"),
+            _ => self
+                .out
+                .must(false, "a stream bears messages of its service"),
         }
     }
 
@@ -143,19 +196,36 @@
             }
             Ok(Some(old)) => {
                 self.out.add("streams_replaced", 1);
-                self.end(now, old, Code::Aborted, "its relay has opened a newer stream");
+                self.end(
+                    now,
+                    old,
+                    Code::Aborted,
+                    "its relay has opened a newer stream",
+                );
             }
             Ok(None) => {}
         }
         // Bound anew by the module, whatever it held: nothing is sent before that.
         self.cache.forget(proxy);
-        let rate = rate.filter(|r| r.is_finite() && *r > 0.0 && *r <= RATE_MOST).unwrap_or(USUAL_RATE);
-        self.out.event(Event::Joined { proxy, zone, rate, fresh, channel: Channel::Own });
+        let rate = rate
+            .filter(|r| r.is_finite() && *r > 0.0 && *r <= RATE_MOST)
+            .unwrap_or(USUAL_RATE);
+        self.out.event(Event::Joined {
+            proxy,
+            zone,
+            rate,
+            fresh,
+            channel: Channel::Own,
+        });
         let (cap, over) = (self.settings.update_cap, self.settings.counted_over);
         if let Some(open) = self.open.get_mut(&stream) {
             let ads = Ads::new(open.service == Service::Whole, self.rules.epoch, cap, over);
             open.is = Use::Tables(who, Box::new(ads));
-            self.out.note(Grade::Info, "relay", format!("{} is relay {proxy}", open.peer));
+            self.out.note(
+                Grade::Info,
+                "relay",
+                format!("{} is relay {proxy}", open.peer),
+            );
         }
         true
     }
--- a/crates/rushcourse-xds/src/streams/reports.rs
+++ b/crates/rushcourse-xds/src/streams/reports.rs
@@ -13,12 +13,25 @@
         let every = report_interval(&self.settings);
         // A relay reports on one stream: an earlier one is of before.
         let is_old = |o: &Open| matches!(&o.is, Use::Loads(w, _) if w.proxy == who.proxy);
-        let old = self.open.iter().find(|(_, o)| is_old(o)).map(|(stream, _)| *stream);
-        old.into_iter()
-            .for_each(|old| self.end(now, old, Code::Aborted, "its relay reports on a newer stream"));
+        let old = self
+            .open
+            .iter()
+            .find(|(_, o)| is_old(o))
+            .map(|(stream, _)| *stream);
+        old.into_iter().for_each(|old| {
+            self.end(
+                now,
+                old,
+                Code::Aborted,
+                "its relay reports on a newer stream",
+            )
+        });
         if let Some(open) = self.open.get_mut(&stream) {
             open.is = Use::Loads(who, Loads::new(now, every));
-            self.out.ask(Effect::Respond { stream, response: Response::Load { interval: every } });
+            self.out.ask(Effect::Respond {
+                stream,
+                response: Response::Load { interval: every },
+            });
         }
     }
 
@@ -30,12 +43,23 @@
             return;
         }
         let load_of = |host: &HostId| self.nodes.load(now, host);
-        match loads::read(stats, who.proxy, who.zone, &self.settings, &self.cache, load_of) {
+        match loads::read(
+            stats,
+            who.proxy,
+            who.zone,
+            &self.settings,
+            &self.cache,
+            load_of,
+        ) {
             Ok((events, unlisted)) => {
                 if unlisted > 0 {
                     self.out.add("loads_unlisted", unlisted);
                 }
-                if let Some(Open { is: Use::Loads(_, loads), .. }) = self.open.get_mut(&stream) {
+                if let Some(Open {
+                    is: Use::Loads(_, loads),
+                    ..
+                }) = self.open.get_mut(&stream)
+                {
                     let (events, count) = loads.take(now, events);
                     count.into_iter().for_each(|name| self.out.add(name, 1));
                     self.out.events.extend(events);
@@ -43,7 +67,11 @@
             }
             Err((count, why)) => {
                 self.out.add(count, 1);
-                self.out.note(Grade::Info, "load report skipped", format!("relay {}: {why}", who.proxy));
+                self.out.note(
+                    Grade::Info,
+                    "load report skipped",
+                    format!("relay {}: {why}", who.proxy),
+                );
             }
         }
     }
--- a/crates/rushcourse-xds/src/streams/state.rs
+++ b/crates/rushcourse-xds/src/streams/state.rs
@@ -54,7 +54,11 @@
 
 /// A time as whole µs; what is never due is the largest number.
 pub(super) fn micros(at: Ms) -> u64 {
-    if at.is_finite() { (at.max(0.0) * 1000.0).ceil() as u64 } else { u64::MAX }
+    if at.is_finite() {
+        (at.max(0.0) * 1000.0).ceil() as u64
+    } else {
+        u64::MAX
+    }
 }
 
 /// ms between two load reports of a relay or host.
@@ -68,8 +72,20 @@
         let every = report_interval(settings);
         Streams {
             cache: ResourceCache::new(settings, names, rules.epoch),
-            members: Members::new(rules.identities.clone(), names.zones.clone(), settings.proxies),
-            nodes: Nodes::new(every, if rules.ask_hosts { rules.limits.nodes } else { 0 }, rules.epoch),
+            members: Members::new(
+                rules.identities.clone(),
+                names.zones.clone(),
+                settings.proxies,
+            ),
+            nodes: Nodes::new(
+                every,
+                if rules.ask_hosts {
+                    rules.limits.nodes
+                } else {
+                    0
+                },
+                rules.epoch,
+            ),
             settings: settings.clone(),
             rules,
             open: BTreeMap::new(),
@@ -83,8 +99,15 @@
     /// These rules hold from now on. The epoch stays: it is this life's. Who is joined stays, whatever its name.
     pub fn rules_are(&mut self, rules: Rules) {
         self.members.identities_are(rules.identities.clone());
-        self.nodes.most_is(if rules.ask_hosts { rules.limits.nodes } else { 0 });
-        self.rules = Rules { epoch: self.rules.epoch, ..rules };
+        self.nodes.most_is(if rules.ask_hosts {
+            rules.limits.nodes
+        } else {
+            0
+        });
+        self.rules = Rules {
+            epoch: self.rules.epoch,
+            ..rules
+        };
     }
 
     /// Hands over all that came of the steps so far.
@@ -99,8 +122,13 @@
 
     /// Current sizes: name, help, value.
     pub fn gauges(&self) -> Vec<(&'static str, &'static str, f64)> {
-        let of = |service: Service| self.open.values().filter(|o| o.service == service).count() as f64;
-        let strangers = self.open.values().filter(|o| matches!(o.is, Use::Stranger)).count();
+        let of =
+            |service: Service| self.open.values().filter(|o| o.service == service).count() as f64;
+        let strangers = self
+            .open
+            .values()
+            .filter(|o| matches!(o.is, Use::Stranger))
+            .count();
         let ads = || {
             self.open.values().filter_map(|o| match &o.is {
                 Use::Tables(_, ads) => Some(&**ads),
@@ -110,28 +138,74 @@
         let unanswered: usize = ads().map(Ads::unanswered).sum();
         let stalled = ads().filter(|a| a.taking().is_some()).count();
         vec![
-            ("streams_whole", "Streams of relays for tables, state of the world.", of(Service::Whole)),
-            ("streams_delta", "Streams of relays for tables, incremental.", of(Service::Delta)),
-            ("streams_load", "Streams of relays for load reports.", of(Service::Load)),
-            ("streams_strange", "Streams that have not said who they are.", strangers as f64),
-            ("streams_joined", "Proxies that are joined by a stream.", self.members.count() as f64),
-            ("streams_unanswered", "Responses with tables that no answer has come to.", unanswered as f64),
-            ("streams_stalled", "Streams whose transport has not taken the last response.", stalled as f64),
-            ("streams_entries", "What is remembered of tables for streams.", self.cache.kept() as f64),
+            (
+                "streams_whole",
+                "Streams of relays for tables, state of the world.",
+                of(Service::Whole),
+            ),
+            (
+                "streams_delta",
+                "Streams of relays for tables, incremental.",
+                of(Service::Delta),
+            ),
+            (
+                "streams_load",
+                "Streams of relays for load reports.",
+                of(Service::Load),
+            ),
+            (
+                "streams_strange",
+                "Streams that have not said who they are.",
+                strangers as f64,
+            ),
+            (
+                "streams_joined",
+                "Proxies that are joined by a stream.",
+                self.members.count() as f64,
+            ),
+            (
+                "streams_unanswered",
+                "Responses with tables that no answer has come to.",
+                unanswered as f64,
+            ),
+            (
+                "streams_stalled",
+                "Streams whose transport has not taken the last response.",
+                stalled as f64,
+            ),
+            (
+                "streams_entries",
+                "What is remembered of tables for streams.",
+                self.cache.kept() as f64,
+            ),
             (
                 "streams_lines_lost",
                 "Lines left out of tables as their host had no address.",
                 self.cache.lost() as f64,
             ),
-            ("nodes_asked", "Hosts that are asked for their load.", self.nodes.count() as f64),
-            ("nodes_live", "Hosts whose report stream stands.", self.nodes.live() as f64),
-            ("nodes_beyond", "Hosts that are not asked as there are too many.", self.nodes.beyond() as f64),
+            (
+                "nodes_asked",
+                "Hosts that are asked for their load.",
+                self.nodes.count() as f64,
+            ),
+            (
+                "nodes_live",
+                "Hosts whose report stream stands.",
+                self.nodes.live() as f64,
+            ),
+            (
+                "nodes_beyond",
+                "Hosts that are not asked as there are too many.",
+                self.nodes.beyond() as f64,
+            ),
         ]
     }
 
     /// Looks at a stream at this time next.
     pub(super) fn schedule(&mut self, stream: Stream, at: Ms) {
-        let Some(open) = self.open.get_mut(&stream) else { return };
+        let Some(open) = self.open.get_mut(&stream) else {
+            return;
+        };
         let next = micros(at);
         if open.next != next {
             self.due.remove(&(open.next, stream));
@@ -151,7 +225,10 @@
             && self.members.ended(now, who.proxy, stream)
         {
             self.cache.forget(who.proxy);
-            self.out.event(Event::Left { proxy: who.proxy, channel: Channel::Own });
+            self.out.event(Event::Left {
+                proxy: who.proxy,
+                channel: Channel::Own,
+            });
         }
         Some(open)
     }
@@ -160,8 +237,16 @@
     pub(super) fn end(&mut self, now: Ms, stream: Stream, code: Code, why: &str) {
         if let Some(open) = self.remove(now, stream) {
             self.out.add("streams_ended", 1);
-            self.out.note(Grade::Warning, "stream closed", format!("{}: {why}", open.peer));
-            self.out.ask(Effect::End { stream, code, why: why.into() });
+            self.out.note(
+                Grade::Warning,
+                "stream closed",
+                format!("{}: {why}", open.peer),
+            );
+            self.out.ask(Effect::End {
+                stream,
+                code,
+                why: why.into(),
+            });
         }
     }
 
--- a/crates/rushcourse-xds/src/streams/tables.rs
+++ b/crates/rushcourse-xds/src/streams/tables.rs
@@ -21,19 +21,31 @@
         let many = matches!(self.open.get(&stream), Some(Open { is: Use::Tables(_, ads), .. }) if ads.too_many_names());
         if many {
             self.out.add("streams_refused", 1);
-            self.end(now, stream, Code::ResourceExhausted, "it asks for more names than there may be");
+            self.end(
+                now,
+                stream,
+                Code::ResourceExhausted,
+                "it asks for more names than there may be",
+            );
         }
     }
 
     /// Counts, notes, events and the response of one look at a stream.
     pub(super) fn carry(&mut self, stream: Stream, proxy: ProxyId, came: Came) {
-        came.counts.into_iter().for_each(|name| self.out.add(name, 1));
+        came.counts
+            .into_iter()
+            .for_each(|name| self.out.add(name, 1));
         if let Some(error) = came.refused {
             let text = format!("relay {proxy} does not take its tables: {error}");
             self.out.note(Grade::Warning, "tables refused", text);
         }
         if let Some((mark, took)) = came.proved {
-            self.out.event(Event::Applied { mark, proxy, took, channel: Channel::Own });
+            self.out.event(Event::Applied {
+                mark,
+                proxy,
+                took,
+                channel: Channel::Own,
+            });
         }
         if let Some((mark, again)) = came.behind {
             self.out.event(Event::Behind { proxy, mark, again });
@@ -52,9 +64,14 @@
             _ => None,
         });
         for proxy in self.cache.reached() {
-            let Some(stream) = self.members.stream(proxy) else { continue };
+            let Some(stream) = self.members.stream(proxy) else {
+                continue;
+            };
             self.touched.insert(stream);
-            if let Some(Open { is: Use::Tables(_, ads), .. }) = self.open.get_mut(&stream)
+            if let Some(Open {
+                is: Use::Tables(_, ads),
+                ..
+            }) = self.open.get_mut(&stream)
                 && let Some(mark) = mark
             {
                 ads.reply(now, mark);
@@ -63,22 +80,34 @@
     }
 
     /// The hosts as the list has them now, with what the list says of each.
-    pub fn listed<'a>(&mut self, now: Ms, hosts: impl Iterator<Item = (&'a Entry, &'a String)> + Clone) {
+    pub fn listed<'a>(
+        &mut self,
+        now: Ms,
+        hosts: impl Iterator<Item = (&'a Entry, &'a String)> + Clone,
+    ) {
         let place = |(e, address): (&Entry, &String)| {
-            (e.host.clone(), Place { zone: e.zone, address: address.clone() })
+            (
+                e.host.clone(),
+                Place {
+                    zone: e.zone,
+                    address: address.clone(),
+                },
+            )
         };
         self.cache.listed(hosts.clone().map(place));
         for proxy in self.cache.reached() {
             self.touched.extend(self.members.stream(proxy));
         }
         if self.rules.ask_hosts || self.nodes.count() > 0 {
-            let ready = hosts.filter(|(e, address)| e.readiness == Readiness::Ready && !address.is_empty());
+            let ready =
+                hosts.filter(|(e, address)| e.readiness == Readiness::Ready && !address.is_empty());
             let askable = |(e, address): (&Entry, &String)| Askable {
                 host: e.host.clone(),
                 address: address.clone(),
                 up_since: e.up_since,
             };
-            self.nodes.listed(now, ready.map(askable).collect(), &mut self.out);
+            self.nodes
+                .listed(now, ready.map(askable).collect(), &mut self.out);
         }
     }
 }
--- a/crates/rushcourse-xds/src/weights.rs
+++ b/crates/rushcourse-xds/src/weights.rs
@@ -14,15 +14,29 @@
     let usable = |w: &f64| if w.is_finite() && *w > 0.0 { *w } else { 0.0 };
     let sum: f64 = weights.iter().map(usable).sum();
     let scale = SCALE.min(SUM_MOST / sum.max(f64::MIN_POSITIVE));
-    let whole = |w: f64| if w > 0.0 { (w * scale).round().clamp(1.0, SUM_MOST) as u32 } else { 0 };
+    let whole = |w: f64| {
+        if w > 0.0 {
+            (w * scale).round().clamp(1.0, SUM_MOST) as u32
+        } else {
+            0
+        }
+    };
     weights.iter().map(|w| whole(usable(w))).collect()
 }
 
 /// What a level turns away, in millionths: a level of 1 lets all in, and one above 0 lets something in.
 pub fn drop_ppm(level: f64) -> u32 {
-    let level = if level.is_finite() { level.clamp(0.0, 1.0) } else { 1.0 };
+    let level = if level.is_finite() {
+        level.clamp(0.0, 1.0)
+    } else {
+        1.0
+    };
     let dropped = ((1.0 - level) * MILLION).round() as u32;
-    if level > 0.0 { dropped.min(MILLION as u32 - 1) } else { dropped }
+    if level > 0.0 {
+        dropped.min(MILLION as u32 - 1)
+    } else {
+        dropped
+    }
 }
 
 #[cfg(test)]
@@ -33,15 +47,26 @@
     #[test]
     fn weights_keep_their_proportions_and_none_is_lost() {
         assert_eq!(scaled(&[1.0, 0.5, 0.01, 0.0]), [10_000, 5_000, 100, 0]);
-        assert_eq!(scaled(&[1.0, 1e-9]), [10_000, 1], "a small one does not round away");
+        assert_eq!(
+            scaled(&[1.0, 1e-9]),
+            [10_000, 1],
+            "a small one does not round away"
+        );
         assert_eq!(scaled(&[f64::NAN, -1.0, f64::INFINITY]), [0, 0, 0]);
         assert_eq!(scaled(&[]), []);
     }
 
     #[test]
     fn levels_turn_away_what_they_say() {
-        assert_eq!((drop_ppm(1.0), drop_ppm(0.9), drop_ppm(0.01)), (0, 100_000, 990_000));
-        assert_eq!(drop_ppm(1e-12), 999_999, "a door that is not shut lets something in");
+        assert_eq!(
+            (drop_ppm(1.0), drop_ppm(0.9), drop_ppm(0.01)),
+            (0, 100_000, 990_000)
+        );
+        assert_eq!(
+            drop_ppm(1e-12),
+            999_999,
+            "a door that is not shut lets something in"
+        );
         assert_eq!((drop_ppm(0.0), drop_ppm(f64::NAN)), (1_000_000, 0));
     }
 
--- a/crates/rushcourse-xds/tests/common/mod.rs
+++ b/crates/rushcourse-xds/tests/common/mod.rs
@@ -6,7 +6,11 @@
 use rushcourse_xds::*;
 
 pub const TABLE: TableId = OWN_TABLES + 1;
-pub const LIMITS: Limits = Limits { streams: 64, strangers: 8, nodes: 16 };
+pub const LIMITS: Limits = Limits {
+    streams: 64,
+    strangers: 8,
+    nodes: 16,
+};
 
 pub fn settings() -> Settings {
     let class = |effect, zone_bound| Class {
@@ -34,7 +38,11 @@
 
 pub fn names() -> Names {
     let words = |all: [&str; 2]| all.map(String::from).to_vec();
-    Names { zones: words(["east", "west"]), classes: words(["look", "pay"]), quantum: 4.0 }
+    Names {
+        zones: words(["east", "west"]),
+        classes: words(["look", "pay"]),
+        quantum: 4.0,
+    }
 }
 
 pub fn rules(epoch: u64) -> Rules {
@@ -88,15 +96,18 @@
             weight: 1.0,
             up_since: 0.0,
         };
-        let entries: Vec<(Entry, String)> =
-            hosts.iter().map(|h| (entry(h), format!("127.0.0.9:{}", h.len() + 70))).collect();
+        let entries: Vec<(Entry, String)> = hosts
+            .iter()
+            .map(|h| (entry(h), format!("127.0.0.9:{}", h.len() + 70)))
+            .collect();
         // Each has a port of its own.
         let entries: Vec<(Entry, String)> = entries
             .into_iter()
             .enumerate()
             .map(|(k, (e, _))| (e, format!("127.0.0.9:{}", 7000 + k)))
             .collect();
-        self.streams.listed(self.now, entries.iter().map(|(e, a)| (e, a)));
+        self.streams
+            .listed(self.now, entries.iter().map(|(e, a)| (e, a)));
         self.settle();
     }
 
@@ -139,46 +150,91 @@
                         taken.push(stream);
                         self.responses.push((stream, response));
                     }
-                    rushcourse_xds::Effect::End { stream, code, .. } => self.ended.push((stream, code)),
+                    rushcourse_xds::Effect::End { stream, code, .. } => {
+                        self.ended.push((stream, code))
+                    }
                     _ => {}
                 }
             }
             if taken.is_empty() || !self.takes {
                 return;
             }
-            taken.into_iter().for_each(|stream| self.streams.step(self.now, Input::Taken { stream }));
+            taken
+                .into_iter()
+                .for_each(|stream| self.streams.step(self.now, Input::Taken { stream }));
         }
     }
 
     pub fn open(&mut self, stream: Stream, connection: u64, service: Service) {
-        self.give(Input::Opened { stream, connection, service, peer: "127.0.0.1:9".into() });
+        self.give(Input::Opened {
+            stream,
+            connection,
+            service,
+            peer: "127.0.0.1:9".into(),
+        });
     }
 
     pub fn whole(&mut self, stream: Stream, ask: Ask) {
-        let ask = Ask { type_url: TABLE_TYPE.into(), ..ask };
-        self.give(Input::Said { stream, said: Said::Whole(ask) });
+        let ask = Ask {
+            type_url: TABLE_TYPE.into(),
+            ..ask
+        };
+        self.give(Input::Said {
+            stream,
+            said: Said::Whole(ask),
+        });
     }
 
     pub fn delta(&mut self, stream: Stream, ask: DeltaAsk) {
-        let ask = DeltaAsk { type_url: TABLE_TYPE.into(), ..ask };
-        self.give(Input::Said { stream, said: Said::Delta(ask) });
+        let ask = DeltaAsk {
+            type_url: TABLE_TYPE.into(),
+            ..ask
+        };
+        self.give(Input::Said {
+            stream,
+            said: Said::Delta(ask),
+        });
     }
 
     /// A relay joins and asks for both classes.
     pub fn join(&mut self, stream: Stream, proxy: ProxyId, service: Service) {
         self.open(stream, stream, service);
         self.first(stream, proxy, service);
-        assert!(matches!(self.events[..], [Event::Joined { .. }]), "{:?}", self.events);
+        assert!(
+            matches!(self.events[..], [Event::Joined { .. }]),
+            "{:?}",
+            self.events
+        );
     }
 
     pub fn first(&mut self, stream: Stream, proxy: ProxyId, service: Service) {
         let (node, names) = (Some(node(proxy)), vec!["look".to_string(), "pay".into()]);
         match service {
-            Service::Whole => self.whole(stream, Ask { node, names, ..Ask::default() }),
-            Service::Delta => self.delta(stream, DeltaAsk { node, subscribe: names, ..DeltaAsk::default() }),
+            Service::Whole => self.whole(
+                stream,
+                Ask {
+                    node,
+                    names,
+                    ..Ask::default()
+                },
+            ),
+            Service::Delta => self.delta(
+                stream,
+                DeltaAsk {
+                    node,
+                    subscribe: names,
+                    ..DeltaAsk::default()
+                },
+            ),
             Service::Load => {
-                let stats = LoadStats { node, clusters: vec![] };
-                self.give(Input::Said { stream, said: Said::Load(stats) });
+                let stats = LoadStats {
+                    node,
+                    clusters: vec![],
+                };
+                self.give(Input::Said {
+                    stream,
+                    said: Said::Load(stats),
+                });
             }
         }
     }
@@ -194,7 +250,11 @@
     /// Binds proxies to a filled table.
     pub fn bind(&mut self, mark: u16, proxies: &[ProxyId]) {
         let mut orders = vec![line("a1", 1.0), line("b1", 0.25)];
-        orders.extend(proxies.iter().map(|proxy| Action::Bind { proxy: *proxy, table: TABLE, classes: 0 }));
+        orders.extend(proxies.iter().map(|proxy| Action::Bind {
+            proxy: *proxy,
+            table: TABLE,
+            classes: 0,
+        }));
         self.reply(mark, orders);
     }
 
@@ -202,15 +262,35 @@
         let (nonce, error) = (nonce.to_string(), error.map(String::from));
         let names = vec!["look".to_string(), "pay".into()];
         match service {
-            Service::Delta => self.delta(stream, DeltaAsk { nonce, error, ..DeltaAsk::default() }),
-            _ => self.whole(stream, Ask { nonce, error, names, ..Ask::default() }),
+            Service::Delta => self.delta(
+                stream,
+                DeltaAsk {
+                    nonce,
+                    error,
+                    ..DeltaAsk::default()
+                },
+            ),
+            _ => self.whole(
+                stream,
+                Ask {
+                    nonce,
+                    error,
+                    names,
+                    ..Ask::default()
+                },
+            ),
         }
     }
 
     /// Marks that are proved, by proxy.
     pub fn proved(&self) -> Vec<(ProxyId, u16)> {
         let of = |e: &Event| match e {
-            Event::Applied { proxy, mark, channel: Channel::Own, .. } => Some((*proxy, *mark)),
+            Event::Applied {
+                proxy,
+                mark,
+                channel: Channel::Own,
+                ..
+            } => Some((*proxy, *mark)),
             _ => None,
         };
         self.events.iter().filter_map(of).collect()
@@ -226,11 +306,19 @@
 }
 
 pub fn node(proxy: ProxyId) -> Node {
-    Node { id: format!("relay-{proxy}"), zone: "east".into(), rate: Some(5.0) }
+    Node {
+        id: format!("relay-{proxy}"),
+        zone: "east".into(),
+        rate: Some(5.0),
+    }
 }
 
 pub fn line(host: &str, weight: f64) -> Action {
-    Action::Line { table: TABLE, host: host.into(), weight }
+    Action::Line {
+        table: TABLE,
+        host: host.into(),
+        weight,
+    }
 }
 
 pub fn nonce(response: &Response) -> String {
@@ -242,14 +330,22 @@
 
 pub fn tables(response: &Response) -> Vec<&Resource> {
     match response {
-        Response::Whole { resources, .. } | Response::Delta { resources, .. } => resources.iter().collect(),
+        Response::Whole { resources, .. } | Response::Delta { resources, .. } => {
+            resources.iter().collect()
+        }
         Response::Load { .. } => Vec::new(),
     }
 }
 
 /// Host, weight, whether it drains, of a response's table for a class.
 pub fn lines(response: &Response, class: &str) -> Vec<(String, u32, bool)> {
-    let of = tables(response).into_iter().filter(|r| r.table.cluster == class);
-    let endpoints = of.flat_map(|r| r.table.localities.iter()).flat_map(|l| l.endpoints.iter());
-    endpoints.map(|e| (e.host.to_string(), e.weight, e.draining)).collect()
+    let of = tables(response)
+        .into_iter()
+        .filter(|r| r.table.cluster == class);
+    let endpoints = of
+        .flat_map(|r| r.table.localities.iter())
+        .flat_map(|l| l.endpoints.iter());
+    endpoints
+        .map(|e| (e.host.to_string(), e.weight, e.draining))
+        .collect()
 }
--- a/crates/rushcourse-xds/tests/loads.rs
+++ b/crates/rushcourse-xds/tests/loads.rs
@@ -7,14 +7,32 @@
 use rushcourse_xds::{ClusterLoad, Code, HostLoad, Input, LoadStats, Response, Said, Service};
 
 fn host(port: u16, issued: u64, errors: u64, mean: f64) -> HostLoad {
-    let metrics = [("latency_ms".to_string(), (issued - errors, mean * (issued - errors) as f64))].into();
-    HostLoad { address: format!("127.0.0.9:{port}"), issued, errors, in_progress: 2, metrics }
+    let metrics = [(
+        "latency_ms".to_string(),
+        (issued - errors, mean * (issued - errors) as f64),
+    )]
+    .into();
+    HostLoad {
+        address: format!("127.0.0.9:{port}"),
+        issued,
+        errors,
+        in_progress: 2,
+        metrics,
+    }
 }
 
 fn stats(hosts: Vec<HostLoad>) -> LoadStats {
-    let cluster =
-        ClusterLoad { cluster: "look".into(), interval: Some(1000.0), successes: 18, errors: 2, hosts };
-    LoadStats { node: None, clusters: vec![cluster] }
+    let cluster = ClusterLoad {
+        cluster: "look".into(),
+        interval: Some(1000.0),
+        successes: 18,
+        errors: 2,
+        hosts,
+    };
+    LoadStats {
+        node: None,
+        clusters: vec![cluster],
+    }
 }
 
 fn reporting() -> Stand {
@@ -26,23 +44,46 @@
 }
 
 fn say(stand: &mut Stand, stats: LoadStats) {
-    stand.give(Input::Said { stream: 1, said: Said::Load(stats) });
+    stand.give(Input::Said {
+        stream: 1,
+        said: Said::Load(stats),
+    });
 }
 
 #[test]
 fn a_report_tells_what_came_to_the_relay_and_what_it_met_at_each_host() {
     let mut stand = reporting();
     stand.now += 1000.0;
-    say(&mut stand, stats(vec![host(7000, 12, 2, 80.0), host(9999, 5, 0, 10.0)]));
+    say(
+        &mut stand,
+        stats(vec![host(7000, 12, 2, 80.0), host(9999, 5, 0, 10.0)]),
+    );
     let [
-        Event::Usage { proxy: 3, class: 0, tries: 20.0, failed: 2.0, .. },
-        Event::Heard { zone: 0, host, tries: 12.0, failed: 2.0, mean: 80.0, load, .. },
+        Event::Usage {
+            proxy: 3,
+            class: 0,
+            tries: 20.0,
+            failed: 2.0,
+            ..
+        },
+        Event::Heard {
+            zone: 0,
+            host,
+            tries: 12.0,
+            failed: 2.0,
+            mean: 80.0,
+            load,
+            ..
+        },
     ] = &stand.events[..]
     else {
         panic!("{:?}", stand.events)
     };
     assert_eq!((&**host, load.inflight), ("a1", Some(2.0)));
-    assert!(stand.counts.contains(&"loads_unlisted"), "nobody listens at the other address");
+    assert!(
+        stand.counts.contains(&"loads_unlisted"),
+        "nobody listens at the other address"
+    );
 }
 
 #[test]
@@ -57,10 +98,14 @@
     let cases: [(&str, Spoil); 8] = [
         ("loads_unknown", &|s| s.clusters[0].cluster = "nope".into()),
         ("loads_interval", &|s| s.clusters[0].interval = None),
-        ("loads_interval", &|s| s.clusters[0].interval = Some(f64::NAN)),
+        ("loads_interval", &|s| {
+            s.clusters[0].interval = Some(f64::NAN)
+        }),
         ("loads_old", &|s| s.clusters[0].interval = Some(30_000.0)),
         ("loads_figures", &|s| s.clusters[0].hosts[1].errors = 11),
-        ("loads_figures", &|s| s.clusters[0].hosts[1].issued = u64::MAX),
+        ("loads_figures", &|s| {
+            s.clusters[0].hosts[1].issued = u64::MAX
+        }),
         ("loads_latency", &|s| s.clusters[0].hosts[1].metrics.clear()),
         ("loads_latency", &|s| {
             s.clusters[0].hosts[1].metrics = [("latency_ms".into(), (1, f64::NAN))].into()
@@ -90,7 +135,15 @@
     }
     say(&mut stand, stats(vec![host(7000, 10, 0, 60.0)]));
     stand.pass(250.0);
-    let [Event::Usage { .. }, Event::Heard { failed: 0.0, mean: 60.0, .. }] = &stand.events[..] else {
+    let [
+        Event::Usage { .. },
+        Event::Heard {
+            failed: 0.0,
+            mean: 60.0,
+            ..
+        },
+    ] = &stand.events[..]
+    else {
         panic!("the last one counts, once: {:?}", stand.events)
     };
     stand.now += 750.0;
@@ -110,5 +163,8 @@
     stand.first(2, 3, Service::Load);
     assert_eq!(stand.ended, [(1, Code::Aborted)]);
     say(&mut stand, stats(vec![host(7000, 10, 0, 50.0)]));
-    assert!(stand.events.is_empty(), "what still comes on the old one counts for nothing");
+    assert!(
+        stand.events.is_empty(),
+        "what still comes on the old one counts for nothing"
+    );
 }
--- a/crates/rushcourse-xds/tests/tables.rs
+++ b/crates/rushcourse-xds/tests/tables.rs
@@ -32,8 +32,13 @@
         stand.join(1, 3, service);
         assert!(stand.responses.is_empty(), "nothing before it is bound");
         stand.bind(41, &[3]);
-        let [(1, response)] = &stand.responses[..] else { panic!("one response: {:?}", stand.responses) };
-        let want = [("a1".to_string(), 10_000, false), ("b1".into(), 2_500, false)];
+        let [(1, response)] = &stand.responses[..] else {
+            panic!("one response: {:?}", stand.responses)
+        };
+        let want = [
+            ("a1".to_string(), 10_000, false),
+            ("b1".into(), 2_500, false),
+        ];
         assert_eq!(lines(response, "look"), want);
         assert_eq!(lines(response, "pay"), want);
         assert!(stand.proved().is_empty(), "nothing is proved by sending");
@@ -42,7 +47,10 @@
         assert_eq!(stand.proved(), [(3, 41)]);
         assert!(stand.responses.is_empty(), "an answer is not answered");
         stand.answer(1, service, &nonce, None);
-        assert!(stand.proved().is_empty() && stand.counts.contains(&"nonces_unknown"), "it is proved once");
+        assert!(
+            stand.proved().is_empty() && stand.counts.contains(&"nonces_unknown"),
+            "it is proved once"
+        );
     }
 }
 
@@ -50,11 +58,24 @@
 fn a_drain_is_shown_as_such_and_goes_out_while_an_answer_is_waited_for() {
     for service in BOTH {
         let mut stand = bound(service);
-        let out = Action::Withdraw { host: "a1".into(), out: true, channel: Channel::Own };
+        let out = Action::Withdraw {
+            host: "a1".into(),
+            out: true,
+            channel: Channel::Own,
+        };
         stand.reply(2, vec![out]);
-        let [(1, response)] = &stand.responses[..] else { panic!("one response") };
+        let [(1, response)] = &stand.responses[..] else {
+            panic!("one response")
+        };
         assert_eq!(lines(response, "look")[0], ("a1".to_string(), 10_000, true));
-        stand.reply(3, vec![Action::Withdraw { host: "a1".into(), out: true, channel: Channel::Shared }]);
+        stand.reply(
+            3,
+            vec![Action::Withdraw {
+                host: "a1".into(),
+                out: true,
+                channel: Channel::Shared,
+            }],
+        );
         assert!(stand.responses.is_empty(), "the relay's affair");
     }
 }
@@ -63,10 +84,29 @@
 fn levels_and_the_way_of_trying_again_are_told() {
     let mut stand = bound(Service::Delta);
     let again = Again::AfterProof;
-    stand.reply(2, vec![Action::Level { table: TABLE, classes: 0b10, quota: 0.9, again }]);
-    let [(1, response)] = &stand.responses[..] else { panic!("one response") };
-    let [pay] = tables(response)[..] else { panic!("only what changed: {response:?}") };
-    assert_eq!((pay.table.cluster.as_str(), pay.table.drop_ppm, pay.table.again), ("pay", 100_000, again));
+    stand.reply(
+        2,
+        vec![Action::Level {
+            table: TABLE,
+            classes: 0b10,
+            quota: 0.9,
+            again,
+        }],
+    );
+    let [(1, response)] = &stand.responses[..] else {
+        panic!("one response")
+    };
+    let [pay] = tables(response)[..] else {
+        panic!("only what changed: {response:?}")
+    };
+    assert_eq!(
+        (
+            pay.table.cluster.as_str(),
+            pay.table.drop_ppm,
+            pay.table.again
+        ),
+        ("pay", 100_000, again)
+    );
 }
 
 #[test]
@@ -88,7 +128,11 @@
         stand.answer(1, service, &second, None);
         assert_eq!(stand.proved(), want, "{service:?}");
         stand.answer(1, service, &first, None);
-        let rest = if service == Service::Delta { vec![(3, 2)] } else { vec![] };
+        let rest = if service == Service::Delta {
+            vec![(3, 2)]
+        } else {
+            vec![]
+        };
         assert_eq!(stand.proved(), rest, "{service:?}");
     }
 }
@@ -105,11 +149,21 @@
         assert_eq!(stand.behind(), [(3, 5, false)]);
         stand.pass(4500.0);
         assert!(stand.responses.is_empty(), "not at once");
-        assert!(stand.behind().len() >= 4, "the module hears it each second: {:?}", stand.behind());
+        assert!(
+            stand.behind().len() >= 4,
+            "the module hears it each second: {:?}",
+            stand.behind()
+        );
         stand.pass(600.0);
-        let [(1, again)] = &stand.responses[..] else { panic!("{service:?}: it goes out again") };
+        let [(1, again)] = &stand.responses[..] else {
+            panic!("{service:?}: it goes out again")
+        };
         let again = nonce(again);
-        assert!(stand.behind().contains(&(3, 5, true)), "one more message: {:?}", stand.behind());
+        assert!(
+            stand.behind().contains(&(3, 5, true)),
+            "one more message: {:?}",
+            stand.behind()
+        );
         stand.answer(1, service, &again, None);
         assert_eq!(stand.proved(), [(3, 5)]);
         stand.pass(30_000.0);
@@ -121,20 +175,35 @@
 fn what_is_sent_after_a_refusal_does_not_prove_what_was_refused() {
     let mut stand = bound(Service::Delta);
     let first = nonce(&stand.responses[0].1);
-    let level = |quota| Action::Level { table: TABLE, classes: 0b10, quota, again: Again::Never };
+    let level = |quota| Action::Level {
+        table: TABLE,
+        classes: 0b10,
+        quota,
+        again: Again::Never,
+    };
     stand.reply(2, vec![level(0.5)]);
     let second = nonce(&stand.responses[0].1);
     stand.answer(1, Service::Delta, &first, Some("no"));
     // The refused response held both classes; "pay" has gone out anew since, "look" has not.
     stand.answer(1, Service::Delta, &second, None);
-    assert!(stand.proved().is_empty(), "look is still refused: {:?}", stand.proved());
+    assert!(
+        stand.proved().is_empty(),
+        "look is still refused: {:?}",
+        stand.proved()
+    );
     stand.reply(3, vec![level(0.4)]);
     let third = nonce(&stand.responses[0].1);
     stand.answer(1, Service::Delta, &third, None);
     assert!(stand.proved().is_empty());
     stand.pass(6000.0);
     let (_, again) = stand.responses.last().expect("look goes out again");
-    assert_eq!(tables(again).iter().map(|r| r.table.cluster.as_str()).collect::<Vec<_>>(), ["look"]);
+    assert_eq!(
+        tables(again)
+            .iter()
+            .map(|r| r.table.cluster.as_str())
+            .collect::<Vec<_>>(),
+        ["look"]
+    );
     let again = nonce(again);
     stand.answer(1, Service::Delta, &again, None);
     assert_eq!(stand.proved(), [(3, 3)]);
@@ -150,16 +219,28 @@
         assert_eq!(stand.responses.len(), 1);
         for mark in 2..20 {
             stand.reply(mark, vec![line("a1", f64::from(mark))]);
-            assert!(stand.responses.is_empty(), "it is not read, so no more is handed over");
+            assert!(
+                stand.responses.is_empty(),
+                "it is not read, so no more is handed over"
+            );
         }
         stand.pass(2000.0);
         let behind = stand.behind();
-        assert!(behind.len() >= 2 && behind.iter().all(|b| *b == (3, 1, false)), "{behind:?}");
+        assert!(
+            behind.len() >= 2 && behind.iter().all(|b| *b == (3, 1, false)),
+            "{behind:?}"
+        );
         stand.takes = true;
         stand.give(Input::Taken { stream: 1 });
-        let [(1, newest)] = &stand.responses[..] else { panic!("one for all that came meanwhile") };
+        let [(1, newest)] = &stand.responses[..] else {
+            panic!("one for all that came meanwhile")
+        };
         assert_eq!(lines(newest, "look")[0], ("a1".to_string(), 190_000, false));
-        assert!(stand.behind().contains(&(3, 1, true)), "a message leaves now: {:?}", stand.behind());
+        assert!(
+            stand.behind().contains(&(3, 1, true)),
+            "a message leaves now: {:?}",
+            stand.behind()
+        );
         let (first, newest) = ("1", nonce(newest));
         stand.answer(1, service, first, None);
         stand.answer(1, service, &newest, None);
@@ -178,7 +259,13 @@
     stand.pass(200.0);
     assert_eq!(stand.ended, [(1, Code::Unavailable)]);
     assert!(
-        matches!(stand.events[..], [Event::Left { proxy: 3, channel: Channel::Own }]),
+        matches!(
+            stand.events[..],
+            [Event::Left {
+                proxy: 3,
+                channel: Channel::Own
+            }]
+        ),
         "{:?}",
         stand.events
     );
@@ -192,25 +279,49 @@
         stand.reply(mark, vec![line("a1", f64::from(mark))]);
         assert_eq!(stand.responses.len(), 1, "it reads, so it is told");
     }
-    let unanswered =
-        stand.streams.gauges().into_iter().find(|g| g.0 == "streams_unanswered").expect("a gauge").2;
+    let unanswered = stand
+        .streams
+        .gauges()
+        .into_iter()
+        .find(|g| g.0 == "streams_unanswered")
+        .expect("a gauge")
+        .2;
     assert!(unanswered <= 32.0, "{unanswered}");
     let last = nonce(&stand.responses[0].1);
     stand.answer(1, Service::Whole, &last, None);
-    assert_eq!(stand.proved(), [(3, 199)], "its answer comes late, and is one");
+    assert_eq!(
+        stand.proved(),
+        [(3, 199)],
+        "its answer comes late, and is one"
+    );
 }
 
 #[test]
 fn an_old_nonce_changes_no_names() {
     let mut stand = bound(Service::Whole);
     stand.reply(2, vec![line("a2", 1.0)]);
-    let ask = Ask { nonce: "1".into(), names: vec!["look".into()], ..Ask::default() };
+    let ask = Ask {
+        nonce: "1".into(),
+        names: vec!["look".into()],
+        ..Ask::default()
+    };
     stand.whole(1, ask);
     assert!(stand.counts.contains(&"nonces_stale"));
     stand.reply(3, vec![line("a2", 2.0)]);
-    assert_eq!(tables(&stand.responses[0].1).len(), 2, "both classes are still asked for");
+    assert_eq!(
+        tables(&stand.responses[0].1).len(),
+        2,
+        "both classes are still asked for"
+    );
     let newest = nonce(&stand.responses[0].1);
-    stand.whole(1, Ask { nonce: newest, names: vec!["look".into()], ..Ask::default() });
+    stand.whole(
+        1,
+        Ask {
+            nonce: newest,
+            names: vec!["look".into()],
+            ..Ask::default()
+        },
+    );
     stand.reply(4, vec![line("a2", 3.0)]);
     assert_eq!(tables(&stand.responses[0].1).len(), 1);
 }
@@ -227,33 +338,62 @@
             ..DeltaAsk::default()
         },
     );
-    let Some((_, Response::Delta { removed, .. })) = stand.responses.first() else { panic!("an answer") };
-    assert_eq!(removed, &["nope"], "a name that does not exist is told as removed");
+    let Some((_, Response::Delta { removed, .. })) = stand.responses.first() else {
+        panic!("an answer")
+    };
+    assert_eq!(
+        removed,
+        &["nope"],
+        "a name that does not exist is told as removed"
+    );
     stand.bind(1, &[3]);
     assert_eq!(tables(&stand.responses[0].1).len(), 1);
-    stand.delta(1, DeltaAsk { subscribe: vec!["pay".into()], ..DeltaAsk::default() });
+    stand.delta(
+        1,
+        DeltaAsk {
+            subscribe: vec!["pay".into()],
+            ..DeltaAsk::default()
+        },
+    );
     assert_eq!(tables(&stand.responses[0].1)[0].table.cluster, "pay");
     let mut sent = 0;
     for _ in 0..200 {
         stand.now += 10.0;
-        stand.delta(1, DeltaAsk { subscribe: vec!["pay".into()], ..DeltaAsk::default() });
+        stand.delta(
+            1,
+            DeltaAsk {
+                subscribe: vec!["pay".into()],
+                ..DeltaAsk::default()
+            },
+        );
         sent += stand.responses.len();
     }
-    assert!(sent <= 6, "{sent} of 200: asking again does not get round the cap");
+    assert!(
+        sent <= 6,
+        "{sent} of 200: asking again does not get round the cap"
+    );
     stand.reply(2, vec![line("a2", 1.0)]);
-    assert_eq!(stand.responses.len(), 1, "what the module orders still goes out");
+    assert_eq!(
+        stand.responses.len(),
+        1,
+        "what the module orders still goes out"
+    );
 }
 
 #[test]
-fn who_reconnects_with_what_it_holds_is_sent_nothing_and_who_brings_versions_of_another_life_is_sent_all() {
+fn who_reconnects_with_what_it_holds_is_sent_nothing_and_who_brings_versions_of_another_life_is_sent_all()
+ {
     for service in BOTH {
         for (epoch, want) in [(7, 0), (8, 1)] {
             let mut before = Stand::new();
             before.join(1, 3, service);
             before.bind(1, &[3]);
             let response = before.responses[0].1.clone();
-            let held = tables(&response).into_iter().map(|r| (r.table.cluster.clone(), r.version.clone()));
-            let (Response::Whole { version, .. } | Response::Delta { version, .. }) = &response else {
+            let held = tables(&response)
+                .into_iter()
+                .map(|r| (r.table.cluster.clone(), r.version.clone()));
+            let (Response::Whole { version, .. } | Response::Delta { version, .. }) = &response
+            else {
                 panic!()
             };
             // The director dies and comes back as another (8), or the stream broke (7).
@@ -261,17 +401,35 @@
             stand.open(2, 2, service);
             let (node, names) = (Some(node(3)), vec!["look".to_string(), "pay".into()]);
             match service {
-                Service::Whole => {
-                    stand.whole(2, Ask { node, names, version: version.clone(), ..Ask::default() })
-                }
+                Service::Whole => stand.whole(
+                    2,
+                    Ask {
+                        node,
+                        names,
+                        version: version.clone(),
+                        ..Ask::default()
+                    },
+                ),
                 _ => {
                     let initial = held.collect();
-                    stand.delta(2, DeltaAsk { node, subscribe: names, initial, ..DeltaAsk::default() });
+                    stand.delta(
+                        2,
+                        DeltaAsk {
+                            node,
+                            subscribe: names,
+                            initial,
+                            ..DeltaAsk::default()
+                        },
+                    );
                 }
             }
             stand.bind(9, &[3]);
             assert_eq!(stand.responses.len(), want, "{service:?} {epoch}");
-            assert_eq!(stand.proved().len(), 1 - want, "what it holds needs no answer");
+            assert_eq!(
+                stand.proved().len(),
+                1 - want,
+                "what it holds needs no answer"
+            );
         }
     }
 }
@@ -292,7 +450,13 @@
     for stream in 10..40 {
         stand.open(stream, stream, Service::Whole);
     }
-    let strange = stand.streams.gauges().into_iter().find(|g| g.0 == "streams_strange").expect("a gauge").2;
+    let strange = stand
+        .streams
+        .gauges()
+        .into_iter()
+        .find(|g| g.0 == "streams_strange")
+        .expect("a gauge")
+        .2;
     assert_eq!(strange, LIMITS.strangers as f64);
     stand.bind(1, &[3]);
     assert_eq!(stand.responses.len(), 1, "who has joined is served");
@@ -310,7 +474,10 @@
         "it did not leave: {:?}",
         stand.events
     );
-    stand.give(Input::Closed { stream: 1, why: "reset".into() });
+    stand.give(Input::Closed {
+        stream: 1,
+        why: "reset".into(),
+    });
     assert!(stand.events.is_empty(), "the old one's end is no news");
     stand.bind(2, &[3]);
     assert_eq!(stand.responses[0].0, 2);
@@ -355,11 +522,22 @@
     for round in 0..50u64 {
         for proxy in 0..6u32 {
             let stream = round * 10 + u64::from(proxy) + 1;
-            stand.join(stream, proxy, if proxy % 2 == 0 { Service::Whole } else { Service::Delta });
+            stand.join(
+                stream,
+                proxy,
+                if proxy % 2 == 0 {
+                    Service::Whole
+                } else {
+                    Service::Delta
+                },
+            );
         }
         stand.bind(round as u16, &[0, 1, 2, 3, 4, 5]);
         for proxy in 0..6 {
-            stand.give(Input::Closed { stream: round * 10 + proxy + 1, why: String::new() });
+            stand.give(Input::Closed {
+                stream: round * 10 + proxy + 1,
+                why: String::new(),
+            });
         }
         stand.reply(60_000, vec![Action::Clear { table: TABLE }]);
         stand.pass(100.0);
--- a/examples/grpc-standin/src/around.rs
+++ b/examples/grpc-standin/src/around.rs
@@ -18,13 +18,16 @@
 
 impl Drop for Around {
     fn drop(&mut self) {
-        self.files.iter().for_each(|path| _ = std::fs::remove_file(path));
+        self.files
+            .iter()
+            .for_each(|path| _ = std::fs::remove_file(path));
     }
 }
 
 fn address(config: &Value, path: &str) -> Result<SocketAddr, String> {
     let text = config.pointer(path).and_then(Value::as_str).unwrap_or("");
-    text.parse().map_err(|_| format!("the configuration's {path} is no address: {text:?}"))
+    text.parse()
+        .map_err(|_| format!("the configuration's {path} is no address: {text:?}"))
 }
 
 impl Around {
@@ -36,17 +39,35 @@
         more: &str,
     ) -> Result<Around, String> {
         let io = |what: &'static str| move |e: std::io::Error| format!("{what}: {e}");
-        let relay = Relay::start(address(config, "/store/address")?).await.map_err(io("relay"))?;
-        let discovery = Discovery::start(address(config, "/discovery")?).await.map_err(io("discovery"))?;
+        let relay = Relay::start(address(config, "/store/address")?)
+            .await
+            .map_err(io("relay"))?;
+        let discovery = Discovery::start(address(config, "/discovery")?)
+            .await
+            .map_err(io("discovery"))?;
         let folder = std::env::temp_dir();
         let file = |name: &str| folder.join(format!("toy-grpc-{}-{name}", std::process::id()));
         let files = vec![file("config.json"), file("fronts.star")];
         std::fs::write(&files[0], config.to_string()).map_err(io("configuration"))?;
-        std::fs::write(&files[1], format!("grpc(listen = \"{grpc}\"{more})\n")).map_err(io("fronts"))?;
+        std::fs::write(&files[1], format!("grpc(listen = \"{grpc}\"{more})\n"))
+            .map_err(io("fronts"))?;
         let mut command = Command::new(program);
-        command.arg("serve").arg("--fronts").arg(&files[1]).env("RELAY_CONFIG", &files[0]).kill_on_drop(true);
-        let director = command.spawn().map_err(|e| format!("{}: {e}", program.display()))?;
-        Ok(Around { relay, discovery, grpc, director: Some(director), files })
+        command
+            .arg("serve")
+            .arg("--fronts")
+            .arg(&files[1])
+            .env("RELAY_CONFIG", &files[0])
+            .kill_on_drop(true);
+        let director = command
+            .spawn()
+            .map_err(|e| format!("{}: {e}", program.display()))?;
+        Ok(Around {
+            relay,
+            discovery,
+            grpc,
+            director: Some(director),
+            files,
+        })
     }
 
     /// Seconds of processor time and KiB of memory that the director has taken.
--- a/examples/grpc-standin/src/host.rs
+++ b/examples/grpc-standin/src/host.rs
@@ -51,11 +51,19 @@
     pub async fn start(address: SocketAddr) -> std::io::Result<Host> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
-        let shared =
-            Shared { util: AtomicU64::new(0), streams: AtomicUsize::new(0), speaks: watch::channel(true).0 };
-        let host = Host { address, shared: Arc::new(shared) };
+        let shared = Shared {
+            util: AtomicU64::new(0),
+            streams: AtomicUsize::new(0),
+            speaks: watch::channel(true).0,
+        };
+        let host = Host {
+            address,
+            shared: Arc::new(shared),
+        };
         host.set(0.5);
-        let served = tonic::transport::Server::builder().add_service(Orca { shared: host.shared.clone() });
+        let served = tonic::transport::Server::builder().add_service(Orca {
+            shared: host.shared.clone(),
+        });
         tokio::spawn(served.serve_with_incoming(TcpListenerStream::new(listener)));
         Ok(host)
     }
@@ -101,7 +109,9 @@
                         return;
                     }
                     let report = OrcaLoadReport {
-                        application_utilization: f64::from_bits(shared.util.load(Ordering::Relaxed)),
+                        application_utilization: f64::from_bits(
+                            shared.util.load(Ordering::Relaxed),
+                        ),
                         named_metrics: [("queue".to_string(), 2.0)].into(),
                         ..OrcaLoadReport::default()
                     };
@@ -125,7 +135,10 @@
     type Error = Infallible;
     type Future = BoxFuture<'static, Result<Self::Response, Infallible>>;
 
-    fn poll_ready(&mut self, _: &mut std::task::Context<'_>) -> std::task::Poll<Result<(), Infallible>> {
+    fn poll_ready(
+        &mut self,
+        _: &mut std::task::Context<'_>,
+    ) -> std::task::Poll<Result<(), Infallible>> {
         std::task::Poll::Ready(Ok(()))
     }
 
--- a/examples/grpc-standin/src/lib.rs
+++ b/examples/grpc-standin/src/lib.rs
@@ -10,5 +10,6 @@
 
 /// A word for an error, with its cause where it has one.
 pub fn told(e: &dyn std::error::Error) -> String {
-    e.source().map_or_else(|| e.to_string(), |source| format!("{e}: {source}"))
+    e.source()
+        .map_or_else(|| e.to_string(), |source| format!("{e}: {source}"))
 }
--- a/examples/grpc-standin/src/main.rs
+++ b/examples/grpc-standin/src/main.rs
@@ -89,7 +89,11 @@
 
 async fn join(join: Join) -> Result<(), String> {
     let classes: Vec<&str> = join.classes.split(',').collect();
-    let relay = Relay::start(join.director, Start::new(&join.id, &join.zone, &classes, join.delta)).await?;
+    let relay = Relay::start(
+        join.director,
+        Start::new(&join.id, &join.zone, &classes, join.delta),
+    )
+    .await?;
     let mut seen = 0;
     for _ in 0..join.seconds * 20 {
         if relay.responses() != seen {
@@ -110,17 +114,25 @@
 async fn run(toy: Toy) -> Result<(), String> {
     match toy.command {
         Command::Story(s) => {
-            story::play(read(&s.config)?, &s.director, |line| println!("toy-grpc: {line}")).await
+            story::play(read(&s.config)?, &s.director, |line| {
+                println!("toy-grpc: {line}")
+            })
+            .await
         }
         Command::Join(j) => join(j).await,
         Command::Measure(m) => {
-            let ways = [(Way::Platform, "platform"), (Way::Whole, "whole"), (Way::Delta, "delta")];
+            let ways = [
+                (Way::Platform, "platform"),
+                (Way::Whole, "whole"),
+                (Way::Delta, "delta"),
+            ];
             let asked = |name: &str| m.way.as_deref().is_none_or(|w| w == name);
             println!(
                 "| way | relays | stalled | joined, ms | drain to applied, ms: median / p99 / longest | bytes a change | messages | MiB | cores |"
             );
             for (way, _) in ways.into_iter().filter(|(_, name)| asked(name)) {
-                let figures = measure::run(&read(&m.config)?, &m.director, way, m.relays, m.stalled).await?;
+                let figures =
+                    measure::run(&read(&m.config)?, &m.director, way, m.relays, m.stalled).await?;
                 println!("{}", measure::row(way, m.stalled, &figures));
             }
             Ok(())
--- a/examples/grpc-standin/src/measure.rs
+++ b/examples/grpc-standin/src/measure.rs
@@ -41,8 +41,14 @@
     let mut config = base.clone();
     for (path, value) in [
         ("/settings/family-info/proxy-count", json!(relays + 8)),
-        ("/settings/family-info/backlog", json!(9000.0 * (1.0 + relays as f64 / 100.0))),
-        ("/settings/family-info/push-rate", json!(4500.0 * (1.0 + relays as f64 / 100.0))),
+        (
+            "/settings/family-info/backlog",
+            json!(9000.0 * (1.0 + relays as f64 / 100.0)),
+        ),
+        (
+            "/settings/family-info/push-rate",
+            json!(4500.0 * (1.0 + relays as f64 / 100.0)),
+        ),
         ("/limits/memory_mb", json!(4096)),
         ("/limits/sockets", json!(20_000)),
     ] {
@@ -76,7 +82,13 @@
     let grpc = "127.0.0.1:7900".parse().map_err(|e| format!("{e}"))?;
     let around = Around::start(&config, grpc, program, ", take_within_ms = 600000").await?;
     let host = |k: usize, phase: &str| {
-        around.discovery.put(&format!("h-{k}"), "east", phase, &format!("127.0.0.1:{}", 9000 + k), 0.0)
+        around.discovery.put(
+            &format!("h-{k}"),
+            "east",
+            phase,
+            &format!("127.0.0.1:{}", 9000 + k),
+            0.0,
+        )
     };
     (0..HOSTS).for_each(|k| host(k, "Ready"));
     until("the director watches", || around.relay.watchers() > 0).await?;
@@ -84,18 +96,37 @@
     let mut joined = Vec::new();
     if way == Way::Platform {
         (0..relays).for_each(|k| around.relay.join(k as u32, "east", 5.0));
-        until("bound", || (0..relays).all(|k| around.relay.lines(k as u32).len() == HOSTS)).await?;
+        until("bound", || {
+            (0..relays).all(|k| around.relay.lines(k as u32).len() == HOSTS)
+        })
+        .await?;
     } else {
         for k in 0..relays + stalled {
-            let mut start = Start::new(&format!("relay-{k}"), "east", &["look", "pay"], way == Way::Delta);
-            start.manner = if k < stalled { Manner::ReadsNothing } else { Manner::Acknowledges };
+            let mut start = Start::new(
+                &format!("relay-{k}"),
+                "east",
+                &["look", "pay"],
+                way == Way::Delta,
+            );
+            start.manner = if k < stalled {
+                Manner::ReadsNothing
+            } else {
+                Manner::Acknowledges
+            };
             joined.push(Relay::start(grpc, start).await?);
         }
-        let good = || joined[stalled..].iter().all(|r| r.lines("look").len() == HOSTS);
+        let good = || {
+            joined[stalled..]
+                .iter()
+                .all(|r| r.lines("look").len() == HOSTS)
+        };
         until("bound", good).await?;
     }
-    let mut figures =
-        Figures { relays, joined: begun.elapsed().as_secs_f64() * 1000.0, ..Figures::default() };
+    let mut figures = Figures {
+        relays,
+        joined: begun.elapsed().as_secs_f64() * 1000.0,
+        ..Figures::default()
+    };
     tokio::time::sleep(Duration::from_secs(12)).await;
     let good = &joined[stalled.min(joined.len())..];
     let sums = || {
@@ -144,7 +175,11 @@
 
 pub fn row(way: Way, stalled: usize, f: &Figures) -> String {
     let bytes = f.bytes.map_or("-".to_string(), |b| format!("{b:.0}"));
-    let messages = if f.bytes.is_some() { format!("{:.1}", f.messages) } else { "-".into() };
+    let messages = if f.bytes.is_some() {
+        format!("{:.1}", f.messages)
+    } else {
+        "-".into()
+    };
     format!(
         "| {way:?} | {} | {stalled} | {:.0} | {:.1} / {:.1} / {:.1} | {bytes} | {messages} | {:.1} | {:.3} |",
         f.relays,
--- a/examples/grpc-standin/src/raw.rs
+++ b/examples/grpc-standin/src/raw.rs
@@ -17,7 +17,9 @@
     /// Opens a call of a method; `pad` is so many bytes of metadata.
     pub async fn open(to: SocketAddr, path: &str, pad: usize) -> Result<Call, String> {
         let stream = TcpStream::connect(to).await.map_err(|e| e.to_string())?;
-        let (mut client, connection) = h2::client::handshake(stream).await.map_err(|e| e.to_string())?;
+        let (mut client, connection) = h2::client::handshake(stream)
+            .await
+            .map_err(|e| e.to_string())?;
         tokio::spawn(connection);
         let mut request = http::Request::post(format!("http://{to}{path}"))
             .header("content-type", "application/grpc")
@@ -26,7 +28,9 @@
             request = request.header(format!("x-pad-{k}"), "x".repeat(1024));
         }
         let request = request.body(()).map_err(|e| e.to_string())?;
-        let (response, send) = client.send_request(request, false).map_err(|e| e.to_string())?;
+        let (response, send) = client
+            .send_request(request, false)
+            .map_err(|e| e.to_string())?;
         Ok(Call { send, response })
     }
 
@@ -36,18 +40,25 @@
         out.put_u8(0);
         out.put_u32(bytes.len() as u32);
         out.put_slice(&bytes[..part.min(bytes.len())]);
-        self.send.send_data(out.freeze(), false).map_err(|e| e.to_string())
+        self.send
+            .send_data(out.freeze(), false)
+            .map_err(|e| e.to_string())
     }
 
     /// Nothing more is said.
     pub fn finish(&mut self) -> Result<(), String> {
-        self.send.send_data(Bytes::new(), true).map_err(|e| e.to_string())
+        self.send
+            .send_data(Bytes::new(), true)
+            .map_err(|e| e.to_string())
     }
 
     /// The status that the call ends with: of the trailers, or `reset` where it has none.
     pub async fn ended(self) -> String {
         let status = |headers: &http::HeaderMap| {
-            headers.get("grpc-status").and_then(|v| v.to_str().ok()).map(String::from)
+            headers
+                .get("grpc-status")
+                .and_then(|v| v.to_str().ok())
+                .map(String::from)
         };
         let response = match self.response.await {
             Ok(response) => response,
@@ -70,7 +81,9 @@
 
 /// Connects, says these bytes, and reads until the other side ends. Answers what came.
 pub async fn say(to: SocketAddr, bytes: &[u8]) -> Vec<u8> {
-    let Ok(mut stream) = TcpStream::connect(to).await else { return Vec::new() };
+    let Ok(mut stream) = TcpStream::connect(to).await else {
+        return Vec::new();
+    };
     _ = stream.write_all(bytes).await;
     let mut answer = Vec::new();
     _ = stream.read_to_end(&mut answer).await;
@@ -90,8 +103,11 @@
         let own = open.clone();
         tokio::spawn(async move {
             while let Ok((near, _)) = listener.accept().await {
-                let Ok(far) = TcpStream::connect(to).await else { continue };
-                let ((near_in, near_out), (far_in, far_out)) = (near.into_split(), far.into_split());
+                let Ok(far) = TcpStream::connect(to).await else {
+                    continue;
+                };
+                let ((near_in, near_out), (far_in, far_out)) =
+                    (near.into_split(), far.into_split());
                 tokio::spawn(carry(near_in, far_out, own.subscribe()));
                 tokio::spawn(carry(far_in, near_out, own.subscribe()));
             }
--- a/examples/grpc-standin/src/relay.rs
+++ b/examples/grpc-standin/src/relay.rs
@@ -113,17 +113,27 @@
     }
 
     fn node(&self) -> Node {
-        let rate = Value { kind: Some(Kind::NumberValue(self.rate)) };
+        let rate = Value {
+            kind: Some(Kind::NumberValue(self.rate)),
+        };
         Node {
             id: self.id.clone(),
-            locality: Some(Locality { zone: self.zone.clone(), ..Locality::default() }),
-            metadata: Some(Struct { fields: [("rate".to_string(), rate)].into() }),
+            locality: Some(Locality {
+                zone: self.zone.clone(),
+                ..Locality::default()
+            }),
+            metadata: Some(Struct {
+                fields: [("rate".to_string(), rate)].into(),
+            }),
             ..Node::default()
         }
     }
 }
 
-fn word(metadata: Option<&envoy_types::pb::envoy::config::core::v3::Metadata>, field: &str) -> String {
+fn word(
+    metadata: Option<&envoy_types::pb::envoy::config::core::v3::Metadata>,
+    field: &str,
+) -> String {
     let value = metadata.and_then(|m| m.filter_metadata.get("rushcourse")?.fields.get(field));
     match value.and_then(|v| v.kind.as_ref()) {
         Some(Kind::StringValue(text)) => text.clone(),
@@ -134,7 +144,9 @@
 fn text(address: Option<&Address>) -> String {
     match address.and_then(|a| a.address.as_ref()) {
         Some(address::Address::SocketAddress(socket)) => match socket.port_specifier {
-            Some(socket_address::PortSpecifier::PortValue(port)) => format!("{}:{port}", socket.address),
+            Some(socket_address::PortSpecifier::PortValue(port)) => {
+                format!("{}:{port}", socket.address)
+            }
             _ => socket.address.clone(),
         },
         _ => String::new(),
@@ -145,9 +157,15 @@
     let mut table = Table::default();
     for locality in &a.endpoints {
         table.again = word(locality.metadata.as_ref(), "again");
-        let zone = locality.locality.as_ref().map(|l| l.zone.clone()).unwrap_or_default();
+        let zone = locality
+            .locality
+            .as_ref()
+            .map(|l| l.zone.clone())
+            .unwrap_or_default();
         for e in &locality.lb_endpoints {
-            let Some(lb_endpoint::HostIdentifier::Endpoint(inner)) = &e.host_identifier else { continue };
+            let Some(lb_endpoint::HostIdentifier::Endpoint(inner)) = &e.host_identifier else {
+                continue;
+            };
             let line = Line {
                 address: text(inner.address.as_ref()),
                 zone: zone.clone(),
@@ -159,7 +177,10 @@
         }
     }
     let drops = a.policy.iter().flat_map(|p| &p.drop_overloads);
-    table.drop_ppm = drops.filter_map(|d| d.drop_percentage.as_ref()).map(|p| p.numerator).sum();
+    table.drop_ppm = drops
+        .filter_map(|d| d.drop_percentage.as_ref())
+        .map(|p| p.numerator)
+        .sum();
     table
 }
 
@@ -187,19 +208,32 @@
 /// A channel to a director, or to a host.
 pub async fn channel(to: SocketAddr) -> Result<Channel, String> {
     let endpoint = Endpoint::from_shared(format!("http://{to}")).map_err(|e| told(&e))?;
-    endpoint.connect_timeout(Duration::from_secs(5)).connect().await.map_err(|e| told(&e))
+    endpoint
+        .connect_timeout(Duration::from_secs(5))
+        .connect()
+        .await
+        .map_err(|e| told(&e))
 }
 
 /// A channel that greets, and trusts those whom this certificate (PEM) has signed; it shows who it is, where given.
-pub async fn greeted(to: SocketAddr, ca: &str, own: Option<(&str, &str)>) -> Result<Channel, String> {
-    let mut tls =
-        ClientTlsConfig::new().ca_certificate(Certificate::from_pem(ca)).domain_name("director.test");
+pub async fn greeted(
+    to: SocketAddr,
+    ca: &str,
+    own: Option<(&str, &str)>,
+) -> Result<Channel, String> {
+    let mut tls = ClientTlsConfig::new()
+        .ca_certificate(Certificate::from_pem(ca))
+        .domain_name("director.test");
     if let Some((cert, key)) = own {
         tls = tls.identity(Identity::from_pem(cert, key));
     }
     let endpoint = Endpoint::from_shared(format!("https://{to}")).map_err(|e| told(&e))?;
     let endpoint = endpoint.tls_config(tls).map_err(|e| told(&e))?;
-    endpoint.connect_timeout(Duration::from_secs(5)).connect().await.map_err(|e| told(&e))
+    endpoint
+        .connect_timeout(Duration::from_secs(5))
+        .connect()
+        .await
+        .map_err(|e| told(&e))
 }
 
 impl Relay {
@@ -218,20 +252,31 @@
             } else {
                 follow(channel, start, &own).await
             };
-            let status = done.err().unwrap_or_else(|| tonic::Status::ok("the stream has ended"));
+            let status = done
+                .err()
+                .unwrap_or_else(|| tonic::Status::ok("the stream has ended"));
             lock(&own).ended = Some(status);
         });
         Relay { state, task }
     }
 
     pub fn table(&self, class: &str) -> Table {
-        lock(&self.state).tables.get(class).cloned().unwrap_or_default()
+        lock(&self.state)
+            .tables
+            .get(class)
+            .cloned()
+            .unwrap_or_default()
     }
 
     /// Weights of the hosts that it may pick for a class.
     pub fn lines(&self, class: &str) -> BTreeMap<String, u32> {
         let table = self.table(class);
-        table.lines.into_iter().filter(|(_, l)| !l.draining).map(|(host, l)| (host, l.weight)).collect()
+        table
+            .lines
+            .into_iter()
+            .filter(|(_, l)| !l.draining)
+            .map(|(host, l)| (host, l.weight))
+            .collect()
     }
 
     pub fn responses(&self) -> usize {
@@ -277,7 +322,10 @@
     };
     _ = say.send(first).await;
     let mut client = AggregatedDiscoveryServiceClient::new(channel);
-    let mut responses = client.stream_aggregated_resources(ReceiverStream::new(requests)).await?.into_inner();
+    let mut responses = client
+        .stream_aggregated_resources(ReceiverStream::new(requests))
+        .await?
+        .into_inner();
     if start.manner == Manner::ReadsNothing {
         return std::future::pending().await;
     }
@@ -303,7 +351,11 @@
     Ok(())
 }
 
-async fn follow_delta(channel: Channel, start: Start, state: &Mutex<State>) -> Result<(), tonic::Status> {
+async fn follow_delta(
+    channel: Channel,
+    start: Start,
+    state: &Mutex<State>,
+) -> Result<(), tonic::Status> {
     let (say, requests) = mpsc::channel(16);
     let first = DeltaDiscoveryRequest {
         node: Some(start.node()),
@@ -314,7 +366,10 @@
     };
     _ = say.send(first).await;
     let mut client = AggregatedDiscoveryServiceClient::new(channel);
-    let mut responses = client.delta_aggregated_resources(ReceiverStream::new(requests)).await?.into_inner();
+    let mut responses = client
+        .delta_aggregated_resources(ReceiverStream::new(requests))
+        .await?
+        .into_inner();
     if start.manner == Manner::ReadsNothing {
         return std::future::pending().await;
     }
@@ -370,14 +425,21 @@
         let channel = channel(to).await?;
         let (say, requests) = mpsc::channel(16);
         let node = Start::new(id, zone, &[], false).node();
-        _ = say.send(LoadStatsRequest { node: Some(node), cluster_stats: Vec::new() }).await;
+        _ = say
+            .send(LoadStatsRequest {
+                node: Some(node),
+                cluster_stats: Vec::new(),
+            })
+            .await;
         let (ended, every): (Arc<Mutex<_>>, Arc<Mutex<_>>) = Default::default();
         let (its, told) = (ended.clone(), every.clone());
         let task = tokio::spawn(async move {
             let mut client = LoadReportingServiceClient::new(channel);
             let done: Result<(), tonic::Status> = async {
-                let mut responses =
-                    client.stream_load_stats(ReceiverStream::new(requests)).await?.into_inner();
+                let mut responses = client
+                    .stream_load_stats(ReceiverStream::new(requests))
+                    .await?
+                    .into_inner();
                 while let Some(response) = responses.message().await? {
                     let ms = |d: Span| d.seconds as f64 * 1000.0 + f64::from(d.nanos) / 1e6;
                     *told.lock().unwrap_or_else(|e| e.into_inner()) =
@@ -386,10 +448,17 @@
                 Ok(())
             }
             .await;
-            let status = done.err().unwrap_or_else(|| tonic::Status::ok("the stream has ended"));
+            let status = done
+                .err()
+                .unwrap_or_else(|| tonic::Status::ok("the stream has ended"));
             *its.lock().unwrap_or_else(|e| e.into_inner()) = Some(status);
         });
-        Ok(Reports { say, ended, every, task })
+        Ok(Reports {
+            say,
+            ended,
+            every,
+            task,
+        })
     }
 
     /// A report of a class over a second.
@@ -415,10 +484,19 @@
         let stats = ClusterStats {
             cluster_name: class.into(),
             upstream_locality_stats: vec![locality],
-            load_report_interval: Some(Span { seconds: 1, nanos: 0 }),
+            load_report_interval: Some(Span {
+                seconds: 1,
+                nanos: 0,
+            }),
             ..ClusterStats::default()
         };
-        _ = self.say.send(LoadStatsRequest { node: None, cluster_stats: vec![stats] }).await;
+        _ = self
+            .say
+            .send(LoadStatsRequest {
+                node: None,
+                cluster_stats: vec![stats],
+            })
+            .await;
     }
 
     pub fn ended(&self) -> Option<tonic::Status> {
@@ -430,8 +508,12 @@
     let (host, port) = text.rsplit_once(':').unwrap_or((text, "0"));
     let socket = SocketAddress {
         address: host.into(),
-        port_specifier: Some(socket_address::PortSpecifier::PortValue(port.parse().unwrap_or(0))),
+        port_specifier: Some(socket_address::PortSpecifier::PortValue(
+            port.parse().unwrap_or(0),
+        )),
         ..SocketAddress::default()
     };
-    Address { address: Some(address::Address::SocketAddress(socket)) }
+    Address {
+        address: Some(address::Address::SocketAddress(socket)),
+    }
 }
--- a/examples/grpc-standin/src/story.rs
+++ b/examples/grpc-standin/src/story.rs
@@ -17,8 +17,12 @@
     let host = Host::start("127.0.0.1:7801".parse().map_err(|e| format!("{e}"))?)
         .await
         .map_err(|e| e.to_string())?;
-    around.discovery.put("h-1", "east", "Ready", &host.address.to_string(), 0.0);
-    around.discovery.put("h-2", "east", "Ready", "127.0.0.1:7802", 0.0);
+    around
+        .discovery
+        .put("h-1", "east", "Ready", &host.address.to_string(), 0.0);
+    around
+        .discovery
+        .put("h-2", "east", "Ready", "127.0.0.1:7802", 0.0);
     tell(&format!(
         "relay, discovery and a host that reports its load stand in; a director serves gRPC at {grpc}"
     ));
@@ -33,15 +37,34 @@
         Err("the director does not answer".to_string())
     };
     let (whole, delta) = (join(3, false).await?, join(4, true).await?);
-    until("tables", || whole.lines("look").len() == 2 && delta.lines("look").len() == 2).await?;
-    tell(&format!("relay 3 (state of the world) is bound: {:?}", whole.lines("look")));
-    tell(&format!("relay 4 (incremental) is bound: {:?}", delta.lines("look")));
+    until("tables", || {
+        whole.lines("look").len() == 2 && delta.lines("look").len() == 2
+    })
+    .await?;
+    tell(&format!(
+        "relay 3 (state of the world) is bound: {:?}",
+        whole.lines("look")
+    ));
+    tell(&format!(
+        "relay 4 (incremental) is bound: {:?}",
+        delta.lines("look")
+    ));
     until("load reports", || host.streams() > 0).await?;
     tell("the director asks h-1 for its load");
     let told = Instant::now();
-    around.discovery.put("h-2", "east", "Terminating", "127.0.0.1:7802", 0.0);
+    around
+        .discovery
+        .put("h-2", "east", "Terminating", "127.0.0.1:7802", 0.0);
     tell("discovery says that h-2 is terminating");
-    until("the drain", || [&whole, &delta].iter().all(|r| r.lines("look").keys().eq(["h-1"]))).await?;
-    tell(&format!("neither relay sends it anything new, {} ms later", told.elapsed().as_millis()));
+    until("the drain", || {
+        [&whole, &delta]
+            .iter()
+            .all(|r| r.lines("look").keys().eq(["h-1"]))
+    })
+    .await?;
+    tell(&format!(
+        "neither relay sends it anything new, {} ms later",
+        told.elapsed().as_millis()
+    ));
     Ok(())
 }
--- a/examples/standin/src/collector.rs
+++ b/examples/standin/src/collector.rs
@@ -19,8 +19,12 @@
 impl Collector {
     /// Connects and says for which zone it collects.
     pub async fn start(director: SocketAddr, zone: &str) -> io::Result<Collector> {
-        let mut collector = Collector { stream: TcpStream::connect(director).await? };
-        collector.say(&format!(r#"{{"@type":"collector","az":"{zone}"}}"#)).await?;
+        let mut collector = Collector {
+            stream: TcpStream::connect(director).await?,
+        };
+        collector
+            .say(&format!(r#"{{"@type":"collector","az":"{zone}"}}"#))
+            .await?;
         Ok(collector)
     }
 
--- a/examples/standin/src/discovery.rs
+++ b/examples/standin/src/discovery.rs
@@ -39,7 +39,9 @@
             mood: Arc::new(watch::channel(Mood::Well).0),
             asked: Arc::default(),
         };
-        let router = Router::new().route("/v1/endpoints", get(answer)).with_state(discovery.clone());
+        let router = Router::new()
+            .route("/v1/endpoints", get(answer))
+            .with_state(discovery.clone());
         tokio::spawn(async move { axum::serve(listener, router).await });
         Ok(discovery)
     }
@@ -58,7 +60,10 @@
         let member = json!({"id": id, "host_port": address, "locality": zone, "flavor": "toy", "cell": 0,
             "phase": phase, "size": 1.0, "up_since_ms": up_since_ms});
         let revision = *self.revision.borrow() + 1;
-        self.members.lock().unwrap_or_else(|e| e.into_inner()).insert(id.into(), (revision, member));
+        self.members
+            .lock()
+            .unwrap_or_else(|e| e.into_inner())
+            .insert(id.into(), (revision, member));
         self.revision.send_replace(revision);
     }
 
@@ -82,7 +87,9 @@
     let query = query.unwrap_or_default();
     let number = |key: &str| {
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
-        pairs.filter(|(k, _)| *k == key).find_map(|(_, v)| v.parse::<u64>().ok())
+        pairs
+            .filter(|(k, _)| *k == key)
+            .find_map(|(_, v)| v.parse::<u64>().ok())
     };
     let after = number("after");
     if let Some(after) = after {
@@ -97,5 +104,9 @@
             _ = tokio::time::sleep(wait) => {}
         }
     }
-    if *d.mood.borrow() == Mood::Nonsense { "{\"revision\":".into() } else { d.list(after).to_string() }
+    if *d.mood.borrow() == Mood::Nonsense {
+        "{\"revision\":".into()
+    } else {
+        d.list(after).to_string()
+    }
 }
--- a/examples/standin/src/hosts.rs
+++ b/examples/standin/src/hosts.rs
@@ -11,8 +11,9 @@
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     let load = || async { "TEXT inflight=7, queue=2, util=0.61" };
-    let router =
-        Router::new().route("/health", get(|| async { StatusCode::OK })).route("/status/load", get(load));
+    let router = Router::new()
+        .route("/health", get(|| async { StatusCode::OK }))
+        .route("/status/load", get(load));
     tokio::spawn(async move { axum::serve(listener, router).await });
     Ok(address)
 }
--- a/examples/standin/src/main.rs
+++ b/examples/standin/src/main.rs
@@ -17,12 +17,20 @@
 
 async fn run(toy: Toy) -> Result<(), String> {
     let text = std::fs::read(&toy.config).map_err(|e| format!("{}: {e}", toy.config.display()))?;
-    let config = serde_json::from_slice(&text).map_err(|e| format!("{}: {e}", toy.config.display()))?;
+    let config =
+        serde_json::from_slice(&text).map_err(|e| format!("{}: {e}", toy.config.display()))?;
     let _director = match &toy.director {
         Some(program) => {
             let mut command = tokio::process::Command::new(program);
-            command.arg("serve").env("RELAY_CONFIG", &toy.config).kill_on_drop(true);
-            Some(command.spawn().map_err(|e| format!("{}: {e}", program.display()))?)
+            command
+                .arg("serve")
+                .env("RELAY_CONFIG", &toy.config)
+                .kill_on_drop(true);
+            Some(
+                command
+                    .spawn()
+                    .map_err(|e| format!("{}: {e}", program.display()))?,
+            )
         }
         None => None,
     };
--- a/examples/standin/src/relay.rs
+++ b/examples/standin/src/relay.rs
@@ -82,7 +82,11 @@
     pub async fn also_at(&self, address: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind(address).await?;
         let open = Arc::new(watch::channel(true).0);
-        let relay = Relay { address: listener.local_addr()?, open, ..self.clone() };
+        let relay = Relay {
+            address: listener.local_addr()?,
+            open,
+            ..self.clone()
+        };
         relay.serve(listener);
         Ok(relay)
     }
@@ -118,7 +122,11 @@
     }
 
     pub fn join(&self, proxy: u32, zone: &str, rate: f64) {
-        let joined = Joined { zone: zone.into(), rate, fresh: true };
+        let joined = Joined {
+            zone: zone.into(),
+            rate,
+            fresh: true,
+        };
         let line = joined_line(proxy, &joined);
         self.state().joined.insert(proxy, joined);
         _ = self.news.send(News::Line(line));
@@ -170,8 +178,12 @@
     pub fn most_messages(&self, within: Duration) -> usize {
         let state = self.state();
         let most = |times: &Vec<Instant>| {
-            let from =
-                |k: usize| times[k..].iter().take_while(|t| t.duration_since(times[k]) <= within).count();
+            let from = |k: usize| {
+                times[k..]
+                    .iter()
+                    .take_while(|t| t.duration_since(times[k]) <= within)
+                    .count()
+            };
             (0..times.len()).map(from).max().unwrap_or(0)
         };
         state.messages.values().map(most).max().unwrap_or(0)
@@ -193,15 +205,26 @@
     /// The lines that a proxy may pick from: of all its tables, what is not withdrawn.
     pub fn lines(&self, proxy: u32) -> BTreeMap<String, f64> {
         let state = self.state();
-        let tables = state.bound.iter().filter(|((p, _), _)| *p == proxy).map(|(_, t)| *t);
+        let tables = state
+            .bound
+            .iter()
+            .filter(|((p, _), _)| *p == proxy)
+            .map(|(_, t)| *t);
         let lines = tables.filter_map(|t| state.tables.get(&t)).flatten();
-        lines.filter(|(h, _)| !state.withdrawn.contains(*h)).map(|(h, w)| (h.clone(), *w)).collect()
+        lines
+            .filter(|(h, _)| !state.withdrawn.contains(*h))
+            .map(|(h, w)| (h.clone(), *w))
+            .collect()
     }
 
     /// Whether the tables of a proxy still name a host, withdrawn or not.
     pub fn names(&self, proxy: u32, host: &str) -> bool {
         let state = self.state();
-        let mut tables = state.bound.iter().filter(|((p, _), _)| *p == proxy).map(|(_, t)| *t);
+        let mut tables = state
+            .bound
+            .iter()
+            .filter(|((p, _), _)| *p == proxy)
+            .map(|(_, t)| *t);
         tables.any(|t| state.tables.get(&t).is_some_and(|t| t.contains_key(host)))
     }
 
@@ -229,12 +252,19 @@
             let mut state = self.state();
             state.watchers += 1;
             state.watched += 1;
-            state.joined.iter().map(|(p, j)| joined_line(*p, j) + "\r\n").collect()
+            state
+                .joined
+                .iter()
+                .map(|(p, j)| joined_line(*p, j) + "\r\n")
+                .collect()
         };
         let _counted = Counted(self.clone());
         let mut life = tokio::time::interval(Duration::from_secs(1));
         life.reset();
-        let mut open = write.write_all(format!("OK\r\n{standing}").as_bytes()).await.is_ok();
+        let mut open = write
+            .write_all(format!("OK\r\n{standing}").as_bytes())
+            .await
+            .is_ok();
         while open {
             let line = tokio::select! {
                 news = news.recv() => match news {
@@ -244,7 +274,10 @@
                 _ = life.tick() => "*".to_string(),
             };
             if !self.state().silent {
-                open = write.write_all(format!("{line}\r\n").as_bytes()).await.is_ok();
+                open = write
+                    .write_all(format!("{line}\r\n").as_bytes())
+                    .await
+                    .is_ok();
             }
         }
     }
@@ -274,7 +307,10 @@
                 }
             }
         };
-        write.write_all(format!("{text}\r\n").as_bytes()).await.is_ok()
+        write
+            .write_all(format!("{text}\r\n").as_bytes())
+            .await
+            .is_ok()
     }
 
     /// Takes orders until the first bad one; says how many. Proxies that a mark reaches answer a little later.
@@ -290,8 +326,17 @@
             taken += 1;
         }
         // All that a call has for a proxy is one message.
-        for proxy in reached.iter().filter(|p| state.joined.contains_key(p)).copied().collect::<Vec<_>>() {
-            state.messages.entry(proxy).or_default().push(Instant::now());
+        for proxy in reached
+            .iter()
+            .filter(|p| state.joined.contains_key(p))
+            .copied()
+            .collect::<Vec<_>>()
+        {
+            state
+                .messages
+                .entry(proxy)
+                .or_default()
+                .push(Instant::now());
         }
         if let Some(mark) = mark {
             let own = self.clone();
@@ -301,7 +346,9 @@
                     let mut state = own.state();
                     if let Some(joined) = state.joined.get_mut(&proxy) {
                         joined.fresh = false;
-                        _ = own.news.send(News::Line(format!("* applied {proxy} {mark} 40.0")));
+                        _ = own
+                            .news
+                            .send(News::Line(format!("* applied {proxy} {mark} 40.0")));
                     }
                 }
             });
@@ -320,7 +367,12 @@
 }
 
 fn joined_line(proxy: u32, j: &Joined) -> String {
-    format!("* joined {proxy} {} {} {}", j.zone, j.rate, u8::from(j.fresh))
+    format!(
+        "* joined {proxy} {} {} {}",
+        j.zone,
+        j.rate,
+        u8::from(j.fresh)
+    )
 }
 
 /// Takes one order; `None` if it can't be read or used.
@@ -331,12 +383,19 @@
     mark: &mut Option<u16>,
 ) -> Option<()> {
     let users = |state: &State, table: u32| -> Vec<u32> {
-        state.bound.iter().filter(|(_, t)| **t == table).map(|((p, _), _)| *p).collect()
+        state
+            .bound
+            .iter()
+            .filter(|(_, t)| **t == table)
+            .map(|((p, _), _)| *p)
+            .collect()
     };
     match words {
         ["share", table, host, weight] => {
-            let (table, weight): (u32, f64) =
-                (table.parse().ok()?, weight.parse().ok().filter(|w| *w >= 0.0)?);
+            let (table, weight): (u32, f64) = (
+                table.parse().ok()?,
+                weight.parse().ok().filter(|w| *w >= 0.0)?,
+            );
             let lines = state.tables.entry(table).or_default();
             if weight > 0.0 {
                 lines.insert(host.to_string(), weight);
@@ -363,14 +422,24 @@
                 state.withdrawn.remove(*host);
             }
             // It is a line for each proxy whose tables name the host.
-            let tables = state.tables.iter().filter(|(_, lines)| lines.contains_key(*host)).map(|(t, _)| *t);
+            let tables = state
+                .tables
+                .iter()
+                .filter(|(_, lines)| lines.contains_key(*host))
+                .map(|(t, _)| *t);
             let tables: Vec<u32> = tables.collect();
-            tables.into_iter().for_each(|t| reached.extend(users(state, t)));
+            tables
+                .into_iter()
+                .for_each(|t| reached.extend(users(state, t)));
         }
         ["admit", table, _classes, quota, again] => {
             quota.parse::<f64>().ok().filter(|q| *q >= 0.0)?;
             again.parse::<u8>().ok().filter(|a| *a <= 3)?;
-            table.parse::<u32>().ok().into_iter().for_each(|t| reached.extend(users(state, t)));
+            table
+                .parse::<u32>()
+                .ok()
+                .into_iter()
+                .for_each(|t| reached.extend(users(state, t)));
         }
         ["mark", number, all] => {
             *mark = Some(number.parse().ok()?);
