--- a/Makefile
+++ b/Makefile
@@ -30,13 +30,13 @@
 
 # The same scripts over both protocols: tables compared, rules checked. Ends non-zero on any difference.
 prove-grpc:
-	cargo build --release --locked -p rushcourse-lab
-	target/release/rushcourse-lab prove-grpc --scripts 240
+	cargo build --release --locked -p rushcourse-simulation
+	target/release/rushcourse-simulation prove-grpc --scripts 240
 
 # What a round, a report and a joining cost at 60 to 2,400 proxies. Ends non-zero if a joining looks at the whole fleet.
 prove-size:
-	cargo build --release --locked -p rushcourse-lab
-	target/release/rushcourse-lab prove-size
+	cargo build --release --locked -p rushcourse-simulation
+	target/release/rushcourse-simulation prove-size
 
 # A director with a toy relay and a toy host over gRPC around it.
 example-grpc: build
--- a/crates/rushcourse-protocol/src/frames.rs
+++ b/crates/director/director-protocol/src/frames.rs
@@ -3,7 +3,7 @@
 
 use crate::load;
 use bytes::{BufMut, Bytes, BytesMut};
-use rushcourse_core::interface::Load;
+use rushcourse_policy::interface::Load;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
--- a/crates/rushcourse-protocol/src/load.rs
+++ b/crates/director/director-protocol/src/load.rs
@@ -1,7 +1,7 @@
 //! A host's load report: an object in what collectors forward, a line of text from the host itself. Names
 //! that are not known are skipped; a known one with a value that can't be spoils the report.
 
-use rushcourse_core::interface::Load;
+use rushcourse_policy::interface::Load;
 use serde_json::Value;
 use serde_json::value::RawValue;
 
--- a/crates/rushcourse-protocol/src/relay.rs
+++ b/crates/director/director-protocol/src/relay.rs
@@ -1,6 +1,6 @@
 //! The relay's lines of text: calls with orders, their answers, and news of proxies.
 
-use rushcourse_core::interface::{Action, Channel, ClassId};
+use rushcourse_policy::interface::{Action, Channel, ClassId};
 use std::fmt::Write;
 
 /// A call carries at most so many bytes of orders.
--- a/crates/rushcourse-protocol/tests/codecs.rs
+++ b/crates/director/director-protocol/tests/codecs.rs
@@ -1,9 +1,9 @@
 //! The protocol's messages, each in its documented form.
 
-use rushcourse_core::interface::{Action, Again, Channel, Load};
-use rushcourse_protocol::frames::{self, Message};
-use rushcourse_protocol::relay::{self, Answer, News};
-use rushcourse_protocol::{discovery, load};
+use rushcourse_director_protocol::frames::{self, Message};
+use rushcourse_director_protocol::relay::{self, Answer, News};
+use rushcourse_director_protocol::{discovery, load};
+use rushcourse_policy::interface::{Action, Again, Channel, Load};
 
 fn classes() -> Vec<String> {
     ["lookup", "basket", "pay"].map(String::from).to_vec()
--- a/crates/rushcourse-protocol/tests/properties.rs
+++ b/crates/director/director-protocol/tests/properties.rs
@@ -4,9 +4,9 @@
 use bytes::BytesMut;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rushcourse_protocol::frames::{self, Message};
-use rushcourse_protocol::relay::{self, News};
-use rushcourse_protocol::{discovery, load};
+use rushcourse_director_protocol::frames::{self, Message};
+use rushcourse_director_protocol::relay::{self, News};
+use rushcourse_director_protocol::{discovery, load};
 use tokio_util::codec::{Decoder, LinesCodec};
 
 fn bytes(rng: &mut ChaCha8Rng, most: usize) -> Vec<u8> {
--- a/crates/rushcourse-settings/src/figures.rs
+++ b/crates/director/director-settings/src/figures.rs
@@ -1,6 +1,6 @@
 //! Ranges that figures of reports must lie in, whichever way they come. What lies outside spoils its report.
 
-use rushcourse_core::interface::{Ms, Settings};
+use rushcourse_policy::interface::{Ms, Settings};
 
 /// ms that a report covers at most: it goes back to the last one of its host or proxy, which may be long ago.
 pub const WINDOW_MOST: Ms = 600_000.0;
--- a/crates/rushcourse-settings/src/lib.rs
+++ b/crates/director/director-settings/src/lib.rs
@@ -3,7 +3,7 @@
 
 pub mod figures;
 
-use rushcourse_core::interface::{self as core, Again, Effect, KeyScope, LevelKind, LoadSource};
+use rushcourse_policy::interface::{self as core, Again, Effect, KeyScope, LevelKind, LoadSource};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
--- a/crates/rushcourse-settings/tests/options.rs
+++ b/crates/director/director-settings/tests/options.rs
@@ -1,7 +1,7 @@
 //! The settings object as the operators write it.
 
-use rushcourse_core::interface::{Again, Effect, LevelKind, LoadSource};
-use rushcourse_settings::{Names, Options, senseless, settings};
+use rushcourse_director_settings::{Names, Options, senseless, settings};
+use rushcourse_policy::interface::{Again, Effect, LevelKind, LoadSource};
 use serde_json::{Value, json};
 
 fn options() -> Value {
--- a/crates/rushcourse-reducer/src/backoff.rs
+++ b/crates/director/director-state/src/backoff.rs
@@ -1,6 +1,6 @@
 //! Pauses between tries that come to nothing: each twice the one before, up to a longest.
 
-use rushcourse_core::interface::Ms;
+use rushcourse_policy::interface::Ms;
 
 pub struct Backoff {
     first: Ms,
--- a/crates/rushcourse-reducer/src/boundary.rs
+++ b/crates/director/director-state/src/boundary.rs
@@ -1,7 +1,7 @@
 //! What crosses the session's boundary: what was read comes in as an input, what is to be done goes out as an effect.
 
 use bytes::Bytes;
-use rushcourse_core::interface::{HostId, Ms};
+use rushcourse_policy::interface::{HostId, Ms};
 use std::net::SocketAddr;
 
 /// A connection that somebody opened to the director.
--- a/crates/rushcourse-reducer/src/calls.rs
+++ b/crates/director/director-state/src/calls.rs
@@ -4,8 +4,8 @@
 use crate::boundary::{Link, Weight};
 use crate::relay_connection::{BUSY_WAIT, RelayConnection};
 use crate::step_context::StepContext;
-use rushcourse_core::interface::{Event, Ms};
-use rushcourse_protocol::relay::{self, Answer};
+use rushcourse_director_protocol::relay::{self, Answer};
+use rushcourse_policy::interface::{Event, Ms};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
--- a/crates/rushcourse-reducer/src/listing.rs
+++ b/crates/director/director-state/src/listing.rs
@@ -3,8 +3,8 @@
 use crate::backoff::Backoff;
 use crate::boundary::{Effect, Weight};
 use crate::step_context::StepContext;
-use rushcourse_core::interface::{Entry, Event, HostId, ListKind, Ms, Readiness};
-use rushcourse_protocol::discovery::{self, Listing, Member};
+use rushcourse_director_protocol::discovery::{self, Listing, Member};
+use rushcourse_policy::interface::{Entry, Event, HostId, ListKind, Ms, Readiness};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/rushcourse-reducer/src/news.rs
+++ b/crates/director/director-state/src/news.rs
@@ -3,8 +3,8 @@
 use crate::boundary::{Link, Weight};
 use crate::relay_connection::{BUSY_WAIT, RelayConnection};
 use crate::step_context::StepContext;
-use rushcourse_core::interface::{Channel, Event, Ms, ProxyId, ZoneId};
-use rushcourse_protocol::relay::{self, Answer, News};
+use rushcourse_director_protocol::relay::{self, Answer, News};
+use rushcourse_policy::interface::{Channel, Event, Ms, ProxyId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
--- a/crates/rushcourse-reducer/src/peers.rs
+++ b/crates/director/director-state/src/peers.rs
@@ -6,8 +6,8 @@
 use crate::reports::Known;
 use crate::step_context::StepContext;
 use bytes::Bytes;
-use rushcourse_core::interface::Ms;
-use rushcourse_protocol::frames::{self, Message};
+use rushcourse_director_protocol::frames::{self, Message};
+use rushcourse_policy::interface::Ms;
 use std::collections::BTreeMap;
 
 /// ms in which a connection must have joined: a stranger is owed a word or a close within 3 s.
--- a/crates/rushcourse-reducer/src/probes.rs
+++ b/crates/director/director-state/src/probes.rs
@@ -2,8 +2,8 @@
 
 use crate::boundary::{Effect, Weight};
 use crate::step_context::StepContext;
-use rushcourse_core::interface::{Event, HostId, LoadSource, Ms, Settings};
-use rushcourse_protocol::load;
+use rushcourse_director_protocol::load;
+use rushcourse_policy::interface::{Event, HostId, LoadSource, Ms, Settings};
 use std::collections::{BTreeSet, VecDeque};
 
 const IN_FLIGHT_MOST: usize = 8;
--- a/crates/rushcourse-reducer/src/relay_connection.rs
+++ b/crates/director/director-state/src/relay_connection.rs
@@ -4,7 +4,7 @@
 use crate::backoff::Backoff;
 use crate::boundary::{Effect, Link};
 use crate::step_context::StepContext;
-use rushcourse_core::interface::Ms;
+use rushcourse_policy::interface::Ms;
 use std::net::SocketAddr;
 
 /// ms for a connection to come up.
--- a/crates/rushcourse-reducer/src/reload.rs
+++ b/crates/director/director-state/src/reload.rs
@@ -3,7 +3,7 @@
 
 use crate::boundary::{Effect, Places, Reread, Weight};
 use crate::step_context::StepContext;
-use rushcourse_core::interface::Ms;
+use rushcourse_policy::interface::Ms;
 use rushcourse_xds::Rules;
 
 /// ms until a file that could not be used is looked at again, and how often: it may be half written.
--- a/crates/rushcourse-reducer/src/reports.rs
+++ b/crates/director/director-state/src/reports.rs
@@ -1,8 +1,8 @@
 //! The one place that looks at reports: a report reaches the module whole or not at all, as it came.
 
-use rushcourse_core::interface::{Event, HostId, Settings};
-use rushcourse_protocol::frames::{Heard, Usage};
-use rushcourse_settings::{Names, figures};
+use rushcourse_director_protocol::frames::{Heard, Usage};
+use rushcourse_director_settings::{Names, figures};
+use rushcourse_policy::interface::{Event, HostId, Settings};
 
 /// What reports may speak of.
 pub struct Known<'a> {
--- a/crates/rushcourse-reducer/src/session.rs
+++ b/crates/director/director-state/src/session.rs
@@ -14,10 +14,10 @@
 use crate::step_context::{self, StepContext};
 use crate::streams;
 use bytes::Bytes;
-use rushcourse_core::Director;
-use rushcourse_core::interface::{Action, Event, Ms, Settings, View};
-use rushcourse_protocol::{discovery, relay};
-use rushcourse_settings::Names;
+use rushcourse_director_protocol::{discovery, relay};
+use rushcourse_director_settings::Names;
+use rushcourse_policy::Director;
+use rushcourse_policy::interface::{Action, Event, Ms, Settings, View};
 use rushcourse_xds::{Rules, Streams};
 use std::collections::BTreeMap;
 
--- a/crates/rushcourse-reducer/src/step_context.rs
+++ b/crates/director/director-state/src/step_context.rs
@@ -2,7 +2,7 @@
 
 use crate::boundary::{Effect, Weight};
 use crate::counters::Counters;
-use rushcourse_core::interface::{Channel, Event, Ms, ProxyId};
+use rushcourse_policy::interface::{Channel, Event, Ms, ProxyId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Events that may wait for a tick; beyond, reports are dropped.
--- a/crates/rushcourse-reducer/src/streams.rs
+++ b/crates/director/director-state/src/streams.rs
@@ -2,7 +2,7 @@
 
 use crate::boundary::{Effect, Weight};
 use crate::step_context::StepContext;
-use rushcourse_core::interface::{Channel, Event, ProxyId};
+use rushcourse_policy::interface::{Channel, Event, ProxyId};
 use rushcourse_xds::{Grade, Streams};
 
 /// Hands over what streams left behind; answers the proxies that have left theirs.
--- a/crates/rushcourse-reducer/tests/calls.rs
+++ b/crates/director/director-state/tests/calls.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use rushcourse_reducer::{Input, Link};
+use rushcourse_director_state::{Input, Link};
 
 fn say(text: &str) -> Do {
     Do::Say(text.into())
--- a/crates/rushcourse-reducer/tests/common/mod.rs
+++ b/crates/director/director-state/tests/common/mod.rs
@@ -2,9 +2,9 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use rushcourse_protocol::relay;
-use rushcourse_reducer::{Bounds, Effect, Input, Link, Places, Reread, Session, Setup};
-use rushcourse_settings::{Names, Options};
+use rushcourse_director_protocol::relay;
+use rushcourse_director_settings::{Names, Options};
+use rushcourse_director_state::{Bounds, Effect, Input, Link, Places, Reread, Session, Setup};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
@@ -135,7 +135,7 @@
         let known: Bytes = list(5, true, &fleet()).into();
         let setup = Setup {
             names,
-            settings: rushcourse_settings::settings(options),
+            settings: rushcourse_director_settings::settings(options),
             seed: 7,
             places: places(0),
             bounds: Bounds::of(32.0, 256),
--- a/crates/rushcourse-reducer/tests/listing.rs
+++ b/crates/director/director-state/tests/listing.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use rushcourse_reducer::Input;
+use rushcourse_director_state::Input;
 
 fn withdrawn(stand: &Stand, host: &str) -> bool {
     stand.orders(0).contains(&format!("withdraw,{host}"))
--- a/crates/rushcourse-reducer/tests/long.rs
+++ b/crates/director/director-state/tests/long.rs
@@ -5,7 +5,7 @@
 use common::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rushcourse_reducer::{Input, Link};
+use rushcourse_director_state::{Input, Link};
 
 const SIZES: [&str; 8] = [
     "calls_waiting",
--- a/crates/rushcourse-reducer/tests/news.rs
+++ b/crates/director/director-state/tests/news.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use rushcourse_reducer::Link;
+use rushcourse_director_state::Link;
 
 fn binds(stand: &Stand, from: usize, proxy: u32) -> usize {
     let start = format!("bind,{proxy},");
--- a/crates/rushcourse-reducer/tests/peers.rs
+++ b/crates/director/director-state/tests/peers.rs
@@ -3,8 +3,8 @@
 mod common;
 use bytes::Bytes;
 use common::*;
-use rushcourse_protocol::frames;
-use rushcourse_reducer::{Bounds, Input};
+use rushcourse_director_protocol::frames;
+use rushcourse_director_state::{Bounds, Input};
 
 fn open(stand: &mut Stand, conn: u64) {
     stand.give(Input::Opened {
--- a/crates/rushcourse-reducer/tests/properties.rs
+++ b/crates/director/director-state/tests/properties.rs
@@ -6,7 +6,7 @@
 use common::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rushcourse_reducer::{Bounds, Input, Link};
+use rushcourse_director_state::{Bounds, Input, Link};
 use std::collections::BTreeSet;
 
 fn fault(rng: &mut ChaCha8Rng) -> Do {
--- a/crates/rushcourse-reducer/tests/reload.rs
+++ b/crates/director/director-state/tests/reload.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use rushcourse_reducer::{Input, Link};
+use rushcourse_director_state::{Input, Link};
 
 /// Two proxies that have applied their tables, and a relay that says so of who stands.
 fn usual() -> Stand {
--- a/crates/rushcourse-reducer/tests/streams.rs
+++ b/crates/director/director-state/tests/streams.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use rushcourse_reducer::{Input, Link};
+use rushcourse_director_state::{Input, Link};
 use rushcourse_xds::{Ask, Code, Effect, Node, Response, Said, Service, TABLE_TYPE};
 
 /// A proxy of each zone at the relay, with streams served beside.
--- a/crates/rushcourse-daemon/src/config.rs
+++ b/crates/director/director/src/config.rs
@@ -3,9 +3,9 @@
 use crate::failure::Failure;
 use crate::fronts::{self, Opened};
 use bytes::Bytes;
+use rushcourse_director_settings::{Names, Options};
+use rushcourse_director_state::{Places, Reread, Setup};
 use rushcourse_grpc::Serving;
-use rushcourse_reducer::{Places, Reread, Setup};
-use rushcourse_settings::{Names, Options};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -126,7 +126,7 @@
     ) -> Result<Config, String> {
         let settings: Options =
             serde_json::from_str(file.settings.get()).map_err(|e| format!("settings: {e}"))?;
-        if let Some(text) = rushcourse_settings::senseless(&settings) {
+        if let Some(text) = rushcourse_director_settings::senseless(&settings) {
             return Err(text);
         }
         let address = |key: &str, value: &str| {
@@ -145,7 +145,8 @@
             .as_ref()
             .map_or(EMPTY_LIST, |raw| raw.get())
             .as_bytes();
-        rushcourse_protocol::discovery::decode(known).map_err(|e| format!("known: {e}"))?;
+        rushcourse_director_protocol::discovery::decode(known)
+            .map_err(|e| format!("known: {e}"))?;
         let listen = address("listen", &file.listen)?;
         Ok(Config {
             kept: Kept {
@@ -162,7 +163,7 @@
             name: file.name,
             setup: Setup {
                 names: Names::of(&settings),
-                settings: rushcourse_settings::settings(settings),
+                settings: rushcourse_director_settings::settings(settings),
                 seed,
                 bounds: opened.bounds,
                 relay: opened.relay,
--- a/crates/rushcourse-daemon/src/events.rs
+++ b/crates/director/director/src/events.rs
@@ -1,7 +1,7 @@
 //! Messages between the network tasks and the loop.
 
 use bytes::Bytes;
-use rushcourse_reducer::{Conn, Input};
+use rushcourse_director_state::{Conn, Input};
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::task::AbortHandle;
 
--- a/crates/rushcourse-daemon/src/fronts.rs
+++ b/crates/director/director/src/fronts.rs
@@ -1,8 +1,8 @@
 //! The operators' file of fronts, and what follows from it and the process's limits.
 
+use rushcourse_director_state::{Bounds, StreamBounds};
 use rushcourse_grpc::{Serving, Tls};
-use rushcourse_reducer::{Bounds, StreamBounds};
-use rushcourse_script::{Fronts, Grpc};
+use rushcourse_starlark::{Fronts, Grpc};
 use rushcourse_xds::{Identities, Limits, Rules};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -34,8 +34,8 @@
 
     fn read(&self) -> Result<Fronts, String> {
         match &self.named {
-            Some(path) => rushcourse_script::read(path),
-            None if Path::new(USUAL).exists() => rushcourse_script::read(Path::new(USUAL)),
+            Some(path) => rushcourse_starlark::read(path),
+            None if Path::new(USUAL).exists() => rushcourse_starlark::read(Path::new(USUAL)),
             None => Ok(Fronts::default()),
         }
     }
--- a/crates/rushcourse-daemon/src/net/discovery.rs
+++ b/crates/director/director/src/net/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::http::{self, Http};
 use crate::events::{LoopEvent, LoopSender};
-use rushcourse_reducer::Input;
+use rushcourse_director_state::Input;
 use std::net::SocketAddr;
 use std::time::Duration;
 
--- a/crates/rushcourse-daemon/src/net/listener.rs
+++ b/crates/director/director/src/net/listener.rs
@@ -3,8 +3,8 @@
 use super::admin;
 use crate::events::{LoopEvent, LoopSender, Out};
 use bytes::Bytes;
-use rushcourse_protocol::frames;
-use rushcourse_reducer::{Bounds, Conn, Input};
+use rushcourse_director_protocol::frames;
+use rushcourse_director_state::{Bounds, Conn, Input};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/rushcourse-daemon/src/net/probe.rs
+++ b/crates/director/director/src/net/probe.rs
@@ -3,8 +3,8 @@
 use super::http::{self, Http};
 use crate::events::{LoopEvent, LoopSender};
 use bytes::Bytes;
-use rushcourse_core::interface::HostId;
-use rushcourse_reducer::Input;
+use rushcourse_director_state::Input;
+use rushcourse_policy::interface::HostId;
 use std::time::{Duration, Instant};
 
 /// No load report is larger.
--- a/crates/rushcourse-daemon/src/net/relay.rs
+++ b/crates/director/director/src/net/relay.rs
@@ -2,8 +2,8 @@
 
 use crate::events::{LoopEvent, LoopSender};
 use futures_util::StreamExt;
-use rushcourse_protocol::relay::LINE_MOST;
-use rushcourse_reducer::{Input, Link};
+use rushcourse_director_protocol::relay::LINE_MOST;
+use rushcourse_director_state::{Input, Link};
 use std::net::SocketAddr;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
--- a/crates/rushcourse-daemon/tests/common/mod.rs
+++ b/crates/director/director/tests/common/mod.rs
@@ -38,7 +38,7 @@
 
 /// The example's configuration.
 pub fn example() -> Value {
-    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/config.json");
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../examples/config.json");
     serde_json::from_slice(&std::fs::read(path).expect("the example")).expect("JSON")
 }
 
--- a/crates/rushcourse-daemon/tests/layers.rs
+++ b/crates/director/director/tests/layers.rs
@@ -5,7 +5,7 @@
 
 /// From the bottom up.
 const LAYERS: [&str; 24] = [
-    "rushcourse-core",
+    "rushcourse-policy",
     "rushcourse-messages",
     "rushcourse-config",
     "rushcourse-admission",
@@ -14,23 +14,50 @@
     "rushcourse-routing",
     "rushcourse-modelcheck",
     "rushcourse-netcost",
-    "rushcourse-keys",
+    "rushcourse-tls",
     "rushcourse-storage",
-    "rushcourse-net",
+    "rushcourse-transport",
     "rushcourse-controller",
     "rushcourse-gateway",
     "rushcourse-cli",
-    "rushcourse-settings",
-    "rushcourse-protocol",
+    "rushcourse-director-settings",
+    "rushcourse-director-protocol",
     "rushcourse-xds",
-    "rushcourse-reducer",
-    "rushcourse-wirehost",
-    "rushcourse-lab",
+    "rushcourse-director-state",
+    "rushcourse-bench-adapter",
+    "rushcourse-simulation",
     "rushcourse-grpc",
-    "rushcourse-script",
-    "rushcourse-daemon",
+    "rushcourse-starlark",
+    "rushcourse-director",
 ];
 
+/// The folders of all packages: `crates/<family>/<package>`.
+fn packages() -> Vec<PathBuf> {
+    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let folders = |of: &Path| -> Vec<PathBuf> {
+        let entries = std::fs::read_dir(of).expect("a folder");
+        entries
+            .map(|entry| entry.expect("an entry").path())
+            .collect()
+    };
+    let found: Vec<PathBuf> = folders(&crates)
+        .iter()
+        .flat_map(|family| folders(family))
+        .collect();
+    assert_eq!(
+        found.len(),
+        LAYERS.len(),
+        "each package has its place among the layers"
+    );
+    found
+}
+
+fn package_name(manifest: &Path) -> String {
+    let text = std::fs::read_to_string(manifest).expect("a manifest");
+    let name = text.lines().find_map(|line| line.strip_prefix("name = "));
+    name.expect("a name").trim_matches('"').to_string()
+}
+
 fn imports(manifest: &Path) -> Vec<String> {
     let text = std::fs::read_to_string(manifest).expect("a manifest");
     let after = text.split("\n[dependencies]\n").nth(1).unwrap_or("");
@@ -46,15 +73,9 @@
 
 #[test]
 fn no_package_imports_upward() {
-    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut found = 0;
-    for entry in std::fs::read_dir(&crates).expect("the packages") {
-        let path = entry.expect("a package").path();
-        let name = path
-            .file_name()
-            .expect("a name")
-            .to_string_lossy()
-            .into_owned();
+    for path in packages() {
+        let name = package_name(&path.join("Cargo.toml"));
         let place = |n: &str| LAYERS.iter().position(|l| *l == n);
         let mine = place(&name).unwrap_or_else(|| panic!("{name} has no place among the layers"));
         for import in imports(&path.join("Cargo.toml")) {
@@ -62,7 +83,10 @@
                 place(&import).unwrap_or_else(|| panic!("{import} has no place among the layers"));
             assert!(its < mine, "{name} imports {import}");
             // The two fronts do not know each other.
-            assert!(import != "rushcourse-wirehost", "{name} imports {import}");
+            assert!(
+                import != "rushcourse-bench-adapter",
+                "{name} imports {import}"
+            );
             found += 1;
         }
     }
@@ -71,7 +95,8 @@
 
 #[test]
 fn the_stand_ins_import_no_package_of_the_project() {
-    let manifest = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/standin/Cargo.toml");
+    let manifest =
+        Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../examples/standin/Cargo.toml");
     assert_eq!(imports(&manifest), Vec::<String>::new());
 }
 
@@ -182,10 +207,9 @@
 
 #[test]
 fn no_file_of_a_package_imports_another_in_a_circle() {
-    let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let mut found = 0;
-    for entry in std::fs::read_dir(&crates).expect("the packages") {
-        let src = entry.expect("a package").path().join("src");
+    for package in packages() {
+        let src = package.join("src");
         let files = sources(&src);
         let known: BTreeSet<Vec<String>> = files.iter().map(|f| module(&src, f)).collect();
         let graph: BTreeMap<_, _> = files
--- a/crates/rushcourse-daemon/tests/sockets.rs
+++ b/crates/director/director/tests/sockets.rs
@@ -574,7 +574,7 @@
 /// What the on-call page names is there to be looked at.
 #[tokio::test]
 async fn the_metrics_that_the_on_call_page_names_are_there() {
-    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/on-call.md");
+    let path = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../../docs/on-call.md");
     let text = std::fs::read_to_string(path).expect("the page");
     let words = text.split('`').skip(1).step_by(2);
     let ends = ["_total", "_seconds", "_waiting", "_open"];
--- a/crates/rushcourse-grpc/src/convert.rs
+++ b/crates/director/grpc/src/convert.rs
@@ -10,7 +10,7 @@
 use prost::Message;
 use prost_types::value::Kind;
 use prost_types::{Any, Duration, Struct, Value};
-use rushcourse_core::interface::Again;
+use rushcourse_policy::interface::Again;
 use rushcourse_xds::{
     Ask, Assignment, ClusterLoad, DeltaAsk, Endpoint, HostLoad, LoadStats, Locality, Node,
     NodeReport, Resource, TABLE_TYPE,
--- a/crates/rushcourse-grpc/src/front.rs
+++ b/crates/director/grpc/src/front.rs
@@ -7,7 +7,7 @@
 use crate::proto::envoy::service::load_stats::v3::load_reporting_service_server::LoadReportingServiceServer;
 use crate::services::Services;
 use crate::tls::{Io, Keys, Tls};
-use rushcourse_core::interface::HostId;
+use rushcourse_policy::interface::HostId;
 use rushcourse_xds::{Effect, Input, Stream};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/rushcourse-grpc/src/host.rs
+++ b/crates/director/grpc/src/host.rs
@@ -4,7 +4,7 @@
 use crate::events::{EventSender, FrontEvent};
 use crate::proto::xds::service::orca::v3 as orca;
 use orca::open_rca_service_client::OpenRcaServiceClient;
-use rushcourse_core::interface::{HostId, Ms};
+use rushcourse_policy::interface::{HostId, Ms};
 use rushcourse_xds::Input;
 use std::time::Duration;
 use tokio::task::AbortHandle;
--- a/crates/rushcourse-grpc/src/tls.rs
+++ b/crates/director/grpc/src/tls.rs
@@ -1,7 +1,7 @@
 //! TLS at the gRPC address, with keys that change in service: new connections get the newest, those that stand go on.
 
 use crate::connections::{Bounded, Info};
-pub use rushcourse_keys::Files as Tls;
+pub use rushcourse_tls::Files as Tls;
 use std::io;
 use std::pin::Pin;
 use std::sync::{Arc, RwLock};
--- a/crates/rushcourse-script/tests/fronts.rs
+++ b/crates/director/starlark/tests/fronts.rs
@@ -1,6 +1,6 @@
 //! Files of fronts: what they may say, and how they are refused.
 
-use rushcourse_script::{Fronts, read_text};
+use rushcourse_starlark::{Fronts, read_text};
 
 fn refused(text: &str) -> String {
     read_text("fronts.star", text).expect_err("refused")
--- a/crates/rushcourse-xds/src/ads.rs
+++ b/crates/director/xds/src/ads.rs
@@ -5,7 +5,7 @@
 use crate::boundary::{Ask, DeltaAsk, Resource, Response};
 use crate::grants::Grants;
 use crate::resources::{self, ResourceCache};
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Responses whose answers are waited for; of older ones nothing is believed any more.
--- a/crates/rushcourse-xds/src/boundary.rs
+++ b/crates/director/xds/src/boundary.rs
@@ -1,6 +1,6 @@
 //! What crosses the boundary: what was read from streams comes in, what is to be sent, ended or dialled goes out.
 
-use rushcourse_core::interface::{Again, HostId, Ms};
+use rushcourse_policy::interface::{Again, HostId, Ms};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/rushcourse-xds/src/grants.rs
+++ b/crates/director/xds/src/grants.rs
@@ -1,7 +1,7 @@
 //! How many messages of a proxy's own making it is answered: asking again and again must not get round the cap
 //! that its director keeps for it.
 
-use rushcourse_core::interface::Ms;
+use rushcourse_policy::interface::Ms;
 use std::collections::VecDeque;
 
 /// Messages within a span.
--- a/crates/rushcourse-xds/src/loads.rs
+++ b/crates/director/xds/src/loads.rs
@@ -2,8 +2,8 @@
 
 use crate::boundary::LoadStats;
 use crate::resources::ResourceCache;
-use rushcourse_core::interface::*;
-use rushcourse_settings::figures;
+use rushcourse_director_settings::figures;
+use rushcourse_policy::interface::*;
 
 /// Report periods that a report may cover: what it tells of before is too old to judge anybody by.
 const PERIODS_MOST: f64 = 2.5;
--- a/crates/rushcourse-xds/src/members.rs
+++ b/crates/director/xds/src/members.rs
@@ -2,7 +2,7 @@
 
 use crate::boundary::{Code, Node, Stream};
 use crate::rules::Identities;
-use rushcourse_core::interface::{Ms, ProxyId, ZoneId};
+use rushcourse_policy::interface::{Ms, ProxyId, ZoneId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// ms since a stream last said something, or reported, within which its relay is taken to be alive: it is then no
--- a/crates/rushcourse-xds/src/nodes.rs
+++ b/crates/director/xds/src/nodes.rs
@@ -4,7 +4,7 @@
 use crate::boundary::{Effect, NodeReport};
 use crate::outbox::{Grade, Outbox};
 use crate::retry::Retry;
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 use std::collections::BTreeMap;
 
 /// First and longest pause between tries to reach a host, in ms.
--- a/crates/rushcourse-xds/src/outbox.rs
+++ b/crates/director/xds/src/outbox.rs
@@ -1,7 +1,7 @@
 //! What a step leaves behind: events for the module, effects, notes for the log, counts.
 
 use crate::boundary::Effect;
-use rushcourse_core::interface::Event;
+use rushcourse_policy::interface::Event;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Grade {
--- a/crates/rushcourse-xds/src/resources.rs
+++ b/crates/director/xds/src/resources.rs
@@ -3,8 +3,8 @@
 
 use crate::boundary::{Assignment, Endpoint, Locality, Resource};
 use crate::weights::{drop_ppm, scaled};
-use rushcourse_core::interface::*;
-use rushcourse_settings::Names;
+use rushcourse_director_settings::Names;
+use rushcourse_policy::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use xxhash_rust::xxh3::Xxh3;
--- a/crates/rushcourse-xds/src/retry.rs
+++ b/crates/director/xds/src/retry.rs
@@ -1,7 +1,7 @@
 //! Pauses between tries: each about twice the one before, up to a longest, and spread by chance, so that many who
 //! lost the same peer don't come back at one moment.
 
-use rushcourse_core::interface::Ms;
+use rushcourse_policy::interface::Ms;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 #[derive(Clone, Debug)]
--- a/crates/rushcourse-xds/src/rules.rs
+++ b/crates/director/xds/src/rules.rs
@@ -1,6 +1,6 @@
 //! What operators set for the streams, and the bounds that follow from a process's limits.
 
-use rushcourse_core::interface::{Ms, ProxyId};
+use rushcourse_policy::interface::{Ms, ProxyId};
 use std::collections::BTreeMap;
 
 /// How a node's identity names a proxy.
--- a/crates/rushcourse-xds/src/streams/arrivals.rs
+++ b/crates/director/xds/src/streams/arrivals.rs
@@ -5,7 +5,7 @@
 use crate::boundary::{Code, Input, Said, Service, Stream, TABLE_TYPE};
 use crate::members::Who;
 use crate::outbox::Grade;
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 
 /// Requests a second that a relay is taken to bring where its node says nothing.
 const USUAL_RATE: f64 = 1.0;
--- a/crates/rushcourse-xds/src/streams/deadlines.rs
+++ b/crates/director/xds/src/streams/deadlines.rs
@@ -2,7 +2,7 @@
 
 use super::state::{Streams, Use, micros};
 use crate::boundary::{Code, Stream};
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 
 impl Streams {
     /// Does all that is due; answers when there is something to do next.
--- a/crates/rushcourse-xds/src/streams/reports.rs
+++ b/crates/director/xds/src/streams/reports.rs
@@ -5,7 +5,7 @@
 use crate::loads::{self, Loads};
 use crate::members::Who;
 use crate::outbox::Grade;
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 
 impl Streams {
     /// The stream is a proxy's report stream from now on.
--- a/crates/rushcourse-xds/src/streams/state.rs
+++ b/crates/director/xds/src/streams/state.rs
@@ -8,8 +8,8 @@
 use crate::outbox::{Grade, Outbox};
 use crate::resources::ResourceCache;
 use crate::rules::Rules;
-use rushcourse_core::interface::*;
-use rushcourse_settings::Names;
+use rushcourse_director_settings::Names;
+use rushcourse_policy::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The shortest pause between load reports that is asked for, in ms.
--- a/crates/rushcourse-xds/src/streams/tables.rs
+++ b/crates/director/xds/src/streams/tables.rs
@@ -7,7 +7,7 @@
 use crate::nodes::Askable;
 use crate::outbox::Grade;
 use crate::resources::Place;
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 
 impl Streams {
     /// Carries out what came of a stream's message or of time.
--- a/crates/rushcourse-xds/tests/common/mod.rs
+++ b/crates/director/xds/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Streams on a fake clock, with orders given by hand.
 #![allow(dead_code)]
 
-use rushcourse_core::interface::*;
-use rushcourse_settings::Names;
+use rushcourse_director_settings::Names;
+use rushcourse_policy::interface::*;
 use rushcourse_xds::*;
 
 pub const TABLE: TableId = OWN_TABLES + 1;
@@ -23,7 +23,7 @@
         zone_bound,
         writes: false,
     };
-    use rushcourse_core::interface::Effect as May;
+    use rushcourse_policy::interface::Effect as May;
     Settings {
         classes: vec![class(May::Free, false), class(May::SingleShot, false)],
         zones: 2,
--- a/crates/rushcourse-xds/tests/loads.rs
+++ b/crates/director/xds/tests/loads.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 use rushcourse_xds::{ClusterLoad, Code, HostLoad, Input, LoadStats, Response, Said, Service};
 
 fn host(port: u16, issued: u64, errors: u64, mean: f64) -> HostLoad {
--- a/crates/rushcourse-xds/tests/tables.rs
+++ b/crates/director/xds/tests/tables.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 use rushcourse_xds::{Ask, Code, DeltaAsk, Input, Response, Service};
 
 const BOTH: [Service; 2] = [Service::Whole, Service::Delta];
--- a/crates/rushcourse-cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -4,12 +4,12 @@
 //! them and says what goes to whom.
 
 use crate::subscribers::Subscriber;
-use rushcourse_core::Director;
-use rushcourse_core::interface::{
+use rushcourse_messages::{HostState, NodeId};
+use rushcourse_policy::Director;
+use rushcourse_policy::interface::{
     Action, Again, Channel, Class, Effect, Entry, Event, KeyScope, LevelKind, ListKind, Ms,
     Readiness, Settings, TableId,
 };
-use rushcourse_messages::{HostState, NodeId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/rushcourse-consensus/tests/world/mod.rs
+++ b/crates/gateway/consensus/tests/world/mod.rs
@@ -153,7 +153,7 @@
                 }
                 Effect::Answer { ticket, outcome } => match outcome {
                     Outcome::Acknowledged { another } => {
-                        drop(self.acked.insert(n, (ticket, another)))
+                        self.acked.insert(n, (ticket, another));
                     }
                     Outcome::Whole { version, text: t } => {
                         assert!(
--- a/crates/rushcourse-controller/src/calls.rs
+++ b/crates/gateway/controller/src/calls.rs
@@ -10,7 +10,7 @@
 use hyper_util::service::TowerToHyperService;
 use rushcourse_config::Configuration;
 use rushcourse_config::hash::hash128;
-use rushcourse_net::accept;
+use rushcourse_transport::accept;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
--- a/crates/rushcourse-controller/src/links.rs
+++ b/crates/gateway/controller/src/links.rs
@@ -1,7 +1,7 @@
 //! Sessions by who is on the other side, and who is to be dialled.
 
 use rushcourse_messages::{Hello, Life, Message, NodeId, Role};
-use rushcourse_net::{Dialler, Office, Session};
+use rushcourse_transport::{Dialler, Office, Session};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Core directors that are known of at most: far over what a deployment has (ours).
--- a/crates/rushcourse-controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -10,8 +10,8 @@
 use rushcourse_config::Boot;
 use rushcourse_consensus::{self as register, Op, Outcome, Register, Setup};
 use rushcourse_messages::{FORM, Hello, HostState, Message, NodeId, Role};
-use rushcourse_net::{Dialler, Office, SessionEvent, StartError, Times, listen, logs};
 use rushcourse_storage::{Done, Health, Store};
+use rushcourse_transport::{Dialler, Office, SessionEvent, StartError, Times, listen, logs};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -274,7 +274,7 @@
     }
 
     fn reread(&mut self, path: &Path) {
-        match rushcourse_net::start(path) {
+        match rushcourse_transport::start(path) {
             Ok(boot) => {
                 self.links.know(boot.seeds.iter().map(node));
                 log::info!(
--- a/crates/rushcourse-controller/src/state_file.rs
+++ b/crates/gateway/controller/src/state_file.rs
@@ -3,7 +3,7 @@
 use error_stack::{Report, ResultExt};
 use rushcourse_consensus::Stored;
 use rushcourse_messages::{AcceptorRecord, Slot};
-use rushcourse_net::StartError;
+use rushcourse_transport::StartError;
 use std::path::{Path, PathBuf};
 
 /// Name of the state file, and the name that versions before 0.2 gave it.
--- a/crates/rushcourse-gateway/src/board.rs
+++ b/crates/gateway/gateway/src/board.rs
@@ -4,11 +4,11 @@
 use crate::pools::Pools;
 use rushcourse_config::{Boot, Configuration};
 use rushcourse_messages::{ClaimId, Message, NodeId, Progress, Role, VotingSet};
-use rushcourse_net::{SessionEvent, Tally, Times};
 use rushcourse_routing::{
     Budget, Claims, Decision, Homing, Operations, Tables, Verdicts, VersionFetch, VoteRequest,
     Withdrawal,
 };
+use rushcourse_transport::{SessionEvent, Tally, Times};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/rushcourse-gateway/src/links.rs
+++ b/crates/gateway/gateway/src/links.rs
@@ -1,7 +1,7 @@
 //! Sessions of a frontend director: to all core directors, and to other frontend ones while repeats are asked for.
 
 use rushcourse_messages::{Hello, Message, NodeId, Role};
-use rushcourse_net::{Dialler, Session};
+use rushcourse_transport::{Dialler, Session};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Core directors that are known of at most (ours).
--- a/crates/rushcourse-gateway/src/main.rs
+++ b/crates/gateway/gateway/src/main.rs
@@ -17,7 +17,7 @@
 
 fn main() {
     let line = Line::parse_args_default_or_exit();
-    rushcourse_net::boot::launch(
+    rushcourse_transport::boot::launch(
         line.settings.as_deref(),
         line.check,
         rushcourse_gateway::serve,
--- a/crates/rushcourse-gateway/src/server.rs
+++ b/crates/gateway/gateway/src/server.rs
@@ -13,7 +13,7 @@
 use hyper_util::rt::TokioIo;
 use rushcourse_config::Boot;
 use rushcourse_messages::{FORM, Hello, Role};
-use rushcourse_net::{Dialler, Office, StartError, Times, accept, listen, logs};
+use rushcourse_transport::{Dialler, Office, StartError, Times, accept, listen, logs};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -137,7 +137,7 @@
                 ready.store(false, Ordering::Relaxed);
                 ended_at.get_or_insert(board.times.now());
             }
-            _ = hup.recv() => match rushcourse_net::start(&path) {
+            _ = hup.recv() => match rushcourse_transport::start(&path) {
                 Ok(boot) => {
                     let seeds = boot.seeds.iter().map(|s| u32::from(*s.ip()));
                     board.state.borrow_mut().links.know(seeds);
--- a/crates/rushcourse-gateway/tests/clients.rs
+++ b/crates/gateway/gateway/tests/clients.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use rushcourse_messages::{ClaimId, FORM, Hello, Message, NodeId, Progress, Role, Verdict};
-use rushcourse_net::{Dialler, Office, SessionEvent};
+use rushcourse_transport::{Dialler, Office, SessionEvent};
 use std::time::Duration;
 use tokio::sync::mpsc::unbounded_channel;
 use world::{Come, INTERNAL, Plan, Signal, Step, World, answer, play, rest, until};
--- a/crates/rushcourse-gateway/tests/world/core.rs
+++ b/crates/gateway/gateway/tests/world/core.rs
@@ -3,7 +3,7 @@
 
 use super::SERVICE;
 use rushcourse_messages::{ClaimId, FORM, Hello, Line, Message, NodeId, Role, Verdict, VotingSet};
-use rushcourse_net::{Office, Session, SessionEvent, listen};
+use rushcourse_transport::{Office, Session, SessionEvent, listen};
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
--- a/crates/rushcourse-storage/tests/fixture.rs
+++ b/crates/gateway/storage/tests/fixture.rs
@@ -12,7 +12,9 @@
 const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 const SET_RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("set_records");
 const VERSION_RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("version_records");
-const CLAIMS: TableDefinition<u64, (u128, u32, u64, u64, u64)> = TableDefinition::new("claims");
+/// Key, node, incarnation and number of a claim, and its time of day.
+type ClaimRow = (u128, u32, u64, u64, u64);
+const CLAIMS: TableDefinition<u64, ClaimRow> = TableDefinition::new("claims");
 const HOSTS: TableDefinition<&str, &[u8]> = TableDefinition::new("hosts");
 
 fn claim(number: u64) -> (u128, Claim) {
@@ -135,7 +137,7 @@
     meta: Vec<(String, Vec<u8>)>,
     set_records: Vec<(u64, Vec<u8>)>,
     version_records: Vec<(u64, Vec<u8>)>,
-    claims: Vec<(u64, (u128, u32, u64, u64, u64))>,
+    claims: Vec<(u64, ClaimRow)>,
     hosts: Vec<(String, Vec<u8>)>,
 }
 
--- a/crates/rushcourse-net/src/logs.rs
+++ b/crates/gateway/transport/src/logs.rs
@@ -20,7 +20,7 @@
         .level(level.min(LevelFilter::Warn))
         .level_for("rushcourse_controller", level)
         .level_for("rushcourse_gateway", level)
-        .level_for("rushcourse_net", level)
+        .level_for("rushcourse_transport", level)
         .level_for("rushcourse_storage", level)
         .level_for("controller", level)
         .level_for("gateway", level)
--- a/crates/rushcourse-net/src/office.rs
+++ b/crates/gateway/transport/src/office.rs
@@ -3,8 +3,8 @@
 use crate::outbox::SessionEvent;
 use crate::tally::Tally;
 use rushcourse_config::{CORE_NAME, EARLIER_CORE_NAME, PeerKeys};
-use rushcourse_keys::Files;
 use rushcourse_messages::{Foreign, Hello, Shown};
+use rushcourse_tls::Files;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -133,10 +133,10 @@
             .peer_certificates()
             .and_then(|c| c.first());
         let certified = shown.map_or((false, false), |c| {
-            let (machine, controller) = rushcourse_keys::names(c, address, CORE_NAME);
+            let (machine, controller) = rushcourse_tls::names(c, address, CORE_NAME);
             (
                 machine,
-                controller || rushcourse_keys::names(c, address, EARLIER_CORE_NAME).1,
+                controller || rushcourse_tls::names(c, address, EARLIER_CORE_NAME).1,
             )
         });
         Ok((
--- a/crates/rushcourse-net/tests/sessions.rs
+++ b/crates/gateway/transport/tests/sessions.rs
@@ -3,7 +3,7 @@
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use rushcourse_config::PeerKeys;
 use rushcourse_messages::{FORM, Hello, Message, NodeId, Role, encode};
-use rushcourse_net::{Dialler, Office, Session, SessionEvent, listen};
+use rushcourse_transport::{Dialler, Office, Session, SessionEvent, listen};
 use std::net::Ipv4Addr;
 use std::path::Path;
 use std::time::Duration;
--- a/crates/rushcourse-core/tests/channels.rs
+++ b/crates/shared/policy/tests/channels.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use rushcourse_core::Director;
-use rushcourse_core::interface::*;
+use rushcourse_policy::Director;
+use rushcourse_policy::interface::*;
 
 /// A director with proxies on both channels, on a clock.
 struct Both {
--- a/crates/rushcourse-core/tests/common/mod.rs
+++ b/crates/shared/policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A small stand on which scripted events meet a director; it records orders, it simulates nothing.
 #![allow(dead_code)]
 
-use rushcourse_core::Director;
-use rushcourse_core::interface::*;
+use rushcourse_policy::Director;
+use rushcourse_policy::interface::*;
 use std::collections::BTreeMap;
 
 pub fn class(effect: Effect, worth: f64, zone_bound: bool) -> Class {
--- a/crates/rushcourse-core/tests/delayed.rs
+++ b/crates/shared/policy/tests/delayed.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 
 /// Whether a line of a proxy's table is removed.
 fn removes(stand: &Stand, proxy: ProxyId, name: &str, actions: &[Action]) -> bool {
--- a/crates/rushcourse-core/tests/health.rs
+++ b/crates/shared/policy/tests/health.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 
 /// What came to the proxies of both zones, half to each.
 fn usage(tries: f64) -> Vec<Event> {
--- a/crates/rushcourse-core/tests/mechanism.rs
+++ b/crates/shared/policy/tests/mechanism.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 
 fn removals(actions: &[Action]) -> Vec<String> {
     let gone = |a: &Action| match a {
@@ -190,7 +190,7 @@
 #[test]
 fn a_restarted_director_starts_over_from_its_old_list() {
     let mut stand = usual();
-    stand.director = rushcourse_core::Director::new(settings(), 8);
+    stand.director = rushcourse_policy::Director::new(settings(), 8);
     (stand.tables, stand.bound) = Default::default();
     stand.give(vec![list(ListKind::Held, &[host("a1", 0), host("old", 0)])]);
     assert!(!stand.give(vec![join(1, 0)]).iter().any(|a| matches!(a, Action::Bind { .. })), "it opens later");
@@ -224,7 +224,7 @@
     for spoil in [|s: &mut Settings| s.classes.clear(), |s: &mut Settings| s.push_rate = 0.0] {
         let mut s = settings();
         spoil(&mut s);
-        let mut director = rushcourse_core::Director::new(s, 7);
+        let mut director = rushcourse_policy::Director::new(s, 7);
         let first = director.handle(1000.0, vec![list(ListKind::Held, &[host("a1", 0)])]);
         assert!(matches!(&first[..], [Action::Log { .. }]));
         assert!(director.handle(1000.0, vec![join(1, 0)]).is_empty());
--- a/crates/rushcourse-core/tests/policy_size.rs
+++ b/crates/shared/policy/tests/policy_size.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn policy_files_keep_to_their_limits() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../..");
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).expect("the deploy file");
     let policy = deploy.lines().find(|l| l.starts_with("policy")).expect("a policy line");
     let files: Vec<&str> = policy.split('"').skip(1).step_by(2).collect();
--- a/crates/rushcourse-core/tests/properties.rs
+++ b/crates/shared/policy/tests/properties.rs
@@ -4,8 +4,8 @@
 use common::*;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rushcourse_core::Director;
-use rushcourse_core::interface::*;
+use rushcourse_policy::Director;
+use rushcourse_policy::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// What a fair observer knows: the list, who joined, what each table and proxy was sent, what still waits.
--- a/crates/rushcourse-core/tests/size.rs
+++ b/crates/shared/policy/tests/size.rs
@@ -2,7 +2,7 @@
 
 mod common;
 use common::*;
-use rushcourse_core::interface::*;
+use rushcourse_policy::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// `count` hosts in the first two zones, by turns.
--- a/crates/rushcourse-wirehost/src/main.rs
+++ b/crates/tools/bench-adapter/src/main.rs
@@ -2,8 +2,8 @@
 
 mod wire;
 
-use rushcourse_core::Director;
-use rushcourse_core::interface::{Action, Event};
+use rushcourse_policy::Director;
+use rushcourse_policy::interface::{Action, Event};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufWriter, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -54,7 +54,10 @@
     if let Some(start) = part.start {
         directors.insert(
             id,
-            Director::new(rushcourse_settings::settings(start.options), start.nonce64),
+            Director::new(
+                rushcourse_director_settings::settings(start.options),
+                start.nonce64,
+            ),
         );
     }
     match directors.get_mut(&id) {
@@ -109,7 +112,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(text) => {
-            eprintln!("rushcourse-wirehost: {text}");
+            eprintln!("rushcourse-bench-adapter: {text}");
             ExitCode::FAILURE
         }
     }
--- a/crates/rushcourse-wirehost/src/wire.rs
+++ b/crates/tools/bench-adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's messages and their translation to the core's types. Names and units only.
 
-use rushcourse_core::interface as core;
-use rushcourse_settings::Options;
+use rushcourse_director_settings::Options;
+use rushcourse_policy::interface as core;
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize)]
--- a/crates/rushcourse-wirehost/tests/fronts.rs
+++ b/crates/tools/bench-adapter/tests/fronts.rs
@@ -2,8 +2,8 @@
 //! through the protocol's codecs with the session of the real director, and the orders are compared.
 
 use bytes::Bytes;
-use rushcourse_reducer::{Bounds, Effect, Input, Link, Places, Session, Setup};
-use rushcourse_settings::{Names, Options};
+use rushcourse_director_settings::{Names, Options};
+use rushcourse_director_state::{Bounds, Effect, Input, Link, Places, Session, Setup};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, BufReader, Write};
@@ -115,7 +115,7 @@
 
 impl Wire {
     fn start() -> Wire {
-        let mut command = Command::new(env!("CARGO_BIN_EXE_rushcourse-wirehost"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_rushcourse-bench-adapter"));
         let mut child = command
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
@@ -348,7 +348,7 @@
         relay: true,
         streams: None,
         names: Names::of(&opts),
-        settings: rushcourse_settings::settings(opts),
+        settings: rushcourse_director_settings::settings(opts),
         seed: 7,
         known: Bytes::from(whole(1)),
     };
--- a/crates/rushcourse-wirehost/tests/process.rs
+++ b/crates/tools/bench-adapter/tests/process.rs
@@ -5,7 +5,7 @@
 use std::process::{Command, Output, Stdio};
 
 fn run(lines: &[String]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_rushcourse-wirehost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_rushcourse-bench-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/rushcourse-lab/src/cost.rs
+++ b/crates/tools/simulation/src/cost.rs
@@ -1,7 +1,7 @@
 //! What a round, a report and a joining cost a director, by proxies and hosts: looks counted, and time taken.
 
-use rushcourse_core::Director;
-use rushcourse_core::interface::*;
+use rushcourse_policy::Director;
+use rushcourse_policy::interface::*;
 use std::time::{Duration, Instant};
 
 /// Rounds that are measured, 250 ms each on the fake clock.
--- a/crates/rushcourse-lab/src/main.rs
+++ b/crates/tools/simulation/src/main.rs
@@ -1,8 +1,8 @@
-//! `rushcourse-lab`: proofs on a fake clock.
+//! `rushcourse-simulation`: proofs on a fake clock.
 
 use argh::FromArgs;
-use rushcourse_lab::cost;
-use rushcourse_lab::prove::{Proof, prove};
+use rushcourse_simulation::cost;
+use rushcourse_simulation::prove::{Proof, prove};
 use std::process::ExitCode;
 
 /// Proofs of the director on a fake clock. Exit codes: 0 it holds, 1 it does not.
--- a/crates/rushcourse-lab/src/world/deliveries.rs
+++ b/crates/tools/simulation/src/world/deliveries.rs
@@ -6,7 +6,7 @@
 use super::times::TRANSIT;
 use crate::proxy::{Relay, Way};
 use crate::script::At;
-use rushcourse_reducer::{Input, Link};
+use rushcourse_director_state::{Input, Link};
 use rushcourse_xds as xds;
 use serde_json::json;
 use std::rc::Rc;
--- a/crates/rushcourse-lab/src/world/effects.rs
+++ b/crates/tools/simulation/src/world/effects.rs
@@ -5,7 +5,7 @@
 use super::state::{Pending, World};
 use super::times::{START, TRANSIT};
 use crate::script::{At, CLASSES};
-use rushcourse_reducer::{Effect, Input, Link};
+use rushcourse_director_state::{Effect, Input, Link};
 use rushcourse_xds as xds;
 use serde_json::json;
 use std::collections::VecDeque;
@@ -179,7 +179,7 @@
             match self.flaw {
                 Some(Flaw::EmptiesTables) => table.localities.clear(),
                 Some(Flaw::RepeatsAll) => {
-                    table.again = rushcourse_core::interface::Again::TwiceAfterAny
+                    table.again = rushcourse_policy::interface::Again::TwiceAfterAny
                 }
                 _ => {}
             }
--- a/crates/rushcourse-lab/src/world/events.rs
+++ b/crates/tools/simulation/src/world/events.rs
@@ -5,7 +5,7 @@
 use super::times::{REOPEN_DELAY, START};
 use crate::proxy::Way;
 use crate::script::{Happens, Phase};
-use rushcourse_reducer::Input;
+use rushcourse_director_state::Input;
 use rushcourse_xds as xds;
 use serde_json::json;
 
--- a/crates/rushcourse-lab/src/world/play.rs
+++ b/crates/tools/simulation/src/world/play.rs
@@ -6,7 +6,7 @@
 use super::times::START;
 use crate::check::Checker;
 use crate::script::{ANEW, At, LASTS};
-use rushcourse_reducer::{Conn, Input};
+use rushcourse_director_state::{Conn, Input};
 use serde_json::json;
 
 /// ms between two looks of the checker.
--- a/crates/rushcourse-lab/src/world/reports.rs
+++ b/crates/tools/simulation/src/world/reports.rs
@@ -6,7 +6,7 @@
 use crate::proxy::Way;
 use crate::script::{At, CLASSES, Met, Reported};
 use bytes::Bytes;
-use rushcourse_reducer::Input;
+use rushcourse_director_state::Input;
 use rushcourse_xds as xds;
 use serde_json::json;
 use std::collections::BTreeMap;
--- a/crates/rushcourse-lab/src/world/setup.rs
+++ b/crates/tools/simulation/src/world/setup.rs
@@ -4,8 +4,8 @@
 use crate::check::Limits;
 use crate::proxy::Relay;
 use crate::script::{Phase, Proxy, Script};
-use rushcourse_reducer::{Bounds, Places, Session, Setup};
-use rushcourse_settings::{Names, Options};
+use rushcourse_director_settings::{Names, Options};
+use rushcourse_director_state::{Bounds, Places, Session, Setup};
 use rushcourse_xds as xds;
 use serde_json::{Value, json};
 
@@ -54,7 +54,7 @@
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let names = Names::of(&options);
     Session::new(Setup {
-        settings: rushcourse_settings::settings(options),
+        settings: rushcourse_director_settings::settings(options),
         names,
         seed: script.seed,
         places: Places {
--- a/crates/rushcourse-lab/src/world/state.rs
+++ b/crates/tools/simulation/src/world/state.rs
@@ -5,7 +5,7 @@
 use crate::check::Checker;
 use crate::proxy::{Relay, Streamed, Table, Way};
 use crate::script::{At, CLASSES, Phase, Reported, Script};
-use rushcourse_reducer::Session;
+use rushcourse_director_state::Session;
 use rushcourse_xds as xds;
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/crates/rushcourse-lab/src/world/streams.rs
+++ b/crates/tools/simulation/src/world/streams.rs
@@ -3,7 +3,7 @@
 use super::state::World;
 use crate::proxy::Way;
 use crate::script::CLASSES;
-use rushcourse_reducer::Input;
+use rushcourse_director_state::Input;
 use rushcourse_xds as xds;
 use std::collections::BTreeMap;
 
--- a/crates/rushcourse-lab/tests/suite.rs
+++ b/crates/tools/simulation/tests/suite.rs
@@ -1,8 +1,8 @@
 //! The suite in CI: the same scripts over both protocols, and a checker that finds what is broken on purpose.
 
-use rushcourse_lab::prove::prove;
-use rushcourse_lab::script::Script;
-use rushcourse_lab::world::{Flaw, Mode, World};
+use rushcourse_simulation::prove::prove;
+use rushcourse_simulation::script::Script;
+use rushcourse_simulation::world::{Flaw, Mode, World};
 use std::collections::BTreeSet;
 
 #[test]
