--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --locked
 
 run: build
 	RELAY_CONFIG=$(CONFIG) exec target/release/rushcourse serve
