--- a/crates/director/director/tests/layers.rs
+++ b/crates/director/director/tests/layers.rs
@@ -4,8 +4,9 @@
 use std::path::{Path, PathBuf};
 
 /// From the bottom up.
-const LAYERS: [&str; 24] = [
+const LAYERS: [&str; 25] = [
     "rushcourse-policy",
+    "rushcourse-types",
     "rushcourse-messages",
     "rushcourse-config",
     "rushcourse-admission",
--- a/crates/gateway/admission/src/order.rs
+++ b/crates/gateway/admission/src/order.rs
@@ -5,8 +5,8 @@
 //! higher level lets in all that a lower one does, and a client that is turned away at one director is turned away at the
 //! next at the same level, whichever try it is.
 
-use rushcourse_config::hash::hash64;
 use rushcourse_config::{Configuration, Route, RouteKind};
+use rushcourse_types::hash::hash64;
 use std::collections::BTreeMap;
 
 /// Seed of the hash of a request, apart from those of other uses.
--- a/crates/gateway/cli/src/show.rs
+++ b/crates/gateway/cli/src/show.rs
@@ -426,9 +426,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
+    use rushcourse_types::Epoch;
 
     fn pages() -> Vec<(String, Result<String, String>)> {
-        let page = |name: &str, set: u64, home: bool| {
+        let page = |name: &str, set: Epoch, home: bool| {
             format!(
                 r#"{{"name":"{name}","set":{{"number":{set},"members":["10.0.0.1","10.0.0.2","10.0.0.3"]}},
                 "remembers":true,"votes":true,"held":7,"in_force":7,"claims":2,"peers":["10.0.0.2"],
@@ -439,8 +440,8 @@
             )
         };
         vec![
-            ("10.0.0.1:80".into(), Ok(page("core-1", 1, false))),
-            ("10.0.0.2:80".into(), Ok(page("core-2", 2, true))),
+            ("10.0.0.1:80".into(), Ok(page("core-1", Epoch(1), false))),
+            ("10.0.0.2:80".into(), Ok(page("core-2", Epoch(2), true))),
             ("10.0.0.3:80".into(), Err("10.0.0.3:80: no answer".into())),
         ]
     }
--- a/crates/gateway/cluster/src/cluster.rs
+++ b/crates/gateway/cluster/src/cluster.rs
@@ -4,7 +4,9 @@
 use crate::distribution::{Distribution, Order};
 use crate::members::Members;
 use crate::subscribers::Subscribers;
-use rushcourse_messages::{HostNews, HostState, Line, Message, NodeId};
+use rushcourse_messages::Heartbeat;
+use rushcourse_messages::{EndpointWeight, HostRecord, HostState, Message, NodeId};
+use rushcourse_types::{CallSequence, Millis, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -29,22 +31,22 @@
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A host's call: a registration or a beat, with age 0.
-    Call(HostNews),
+    Call(HostRecord),
     SignOff(Arc<str>),
     PeerUp(NodeId),
     PeerDown(NodeId),
     PeerSaid(NodeId, Message),
     /// A frontend director's session with this core director.
     FrontUp {
-        session: u64,
+        session: SessionId,
         node: NodeId,
         zone: Arc<str>,
     },
     FrontDown {
-        session: u64,
+        session: SessionId,
     },
     FrontSaid {
-        session: u64,
+        session: SessionId,
         message: Message,
     },
     /// Whether a majority of the voting set is in session with this director.
@@ -52,7 +54,7 @@
     /// This process stood still for a while: what hosts said meanwhile still waits to be handled.
     Stalled,
     /// Hosts that this director's disk held at its start.
-    Held(Vec<HostNews>),
+    Held(Vec<HostRecord>),
     Tick,
 }
 
@@ -61,12 +63,12 @@
     ToPeer(NodeId, Message),
     ToPeers(Message),
     ToFront {
-        session: u64,
+        session: SessionId,
         message: Message,
     },
     ToFronts(Message),
     /// What a host is, for the next start of this director.
-    Keep(HostNews),
+    Keep(HostRecord),
     Say(String),
 }
 
@@ -77,13 +79,13 @@
     members: Members,
     distribution: Distribution,
     zones: BTreeMap<NodeId, Arc<str>>,
-    homes: BTreeMap<NodeId, u64>,
+    homes: BTreeMap<NodeId, SessionId>,
     peers: BTreeSet<NodeId>,
     company: bool,
     /// ms: from when on silence counts, as peers tell what they heard when sessions with them stand again.
     judges_from: u64,
     primed: bool,
-    beats: BTreeMap<Arc<str>, u64>,
+    beats: BTreeMap<Arc<str>, CallSequence>,
     beats_at: u64,
     digest_at: u64,
     said: Option<(bool, u32)>,
@@ -130,13 +132,17 @@
             }
             Input::PeerUp(peer) => {
                 self.peers.insert(peer);
-                self.out
-                    .push(Effect::ToPeer(peer, Message::Hosts(self.hosts.all(now))));
-                self.out
-                    .push(Effect::ToPeer(peer, Message::Sessions(self.members.here())));
-                let message = Message::Standing {
-                    primed: self.primed,
-                    fronts: 0,
+                self.out.push(Effect::ToPeer(
+                    peer,
+                    Message::HostUpdates(self.hosts.all(now)),
+                ));
+                self.out.push(Effect::ToPeer(
+                    peer,
+                    Message::GatewaySessions(self.members.here()),
+                ));
+                let message = Message::ControllerStatus {
+                    is_synchronized: self.primed,
+                    gateways: 0,
                 };
                 self.out.push(Effect::ToPeer(peer, message));
             }
@@ -153,8 +159,9 @@
                 self.members.joined(session, node);
                 self.zones.insert(node, zone);
                 self.said = None;
-                self.out
-                    .push(Effect::ToPeers(Message::Sessions(self.members.here())));
+                self.out.push(Effect::ToPeers(Message::GatewaySessions(
+                    self.members.here(),
+                )));
             }
             Input::FrontDown { session } => self.front_down(now, session),
             Input::FrontSaid { session, message } => self.front_said(now, session, message),
@@ -167,7 +174,7 @@
         std::mem::take(&mut self.out)
     }
 
-    fn call(&mut self, now: u64, news: HostNews) {
+    fn call(&mut self, now: u64, news: HostRecord) {
         let (id, sequence, known) = (
             news.id.clone(),
             news.sequence,
@@ -190,29 +197,30 @@
 
     /// What this director heard from a host itself goes to all other core directors; that one leaves goes to all
     /// frontend directors too, whoever binds them.
-    fn spread(&mut self, news: HostNews) {
+    fn spread(&mut self, news: HostRecord) {
         if news.state != HostState::Ready {
             self.out.push(Effect::Say(format!(
                 "event=host_leaving id={} state={:?}",
                 news.id, news.state
             )));
             self.out
-                .push(Effect::ToFronts(Message::Out(vec![news.clone()])));
+                .push(Effect::ToFronts(Message::HostStates(vec![news.clone()])));
         }
-        self.out.push(Effect::ToPeers(Message::Hosts(vec![news])));
+        self.out
+            .push(Effect::ToPeers(Message::HostUpdates(vec![news])));
     }
 
     /// They count as heard now: who does not call within the usual time is gone.
-    fn held(&mut self, now: u64, news: Vec<HostNews>) {
+    fn held(&mut self, now: u64, news: Vec<HostRecord>) {
         self.primed = !news.is_empty();
         let ids: Vec<Arc<str>> = news.iter().map(|n| n.id.clone()).collect();
         for n in news {
             // What was cold then may be warm now; it says so in its next call.
             self.hosts.heard(
                 now,
-                HostNews {
-                    age_ms: 0,
-                    cold_ms: 0,
+                HostRecord {
+                    age: Millis(0),
+                    warm_up: Millis(0),
                     ..n
                 },
             );
@@ -228,7 +236,7 @@
         for id in ids {
             if let Some(s) = self.hosts.get(id) {
                 let state = s.state();
-                self.out.push(Effect::Keep(HostNews {
+                self.out.push(Effect::Keep(HostRecord {
                     state,
                     ..self.hosts.tell(now, s)
                 }));
@@ -241,7 +249,7 @@
 
     fn peer_said(&mut self, now: u64, peer: NodeId, message: Message) {
         match message {
-            Message::Hosts(news) => {
+            Message::HostUpdates(news) => {
                 let ids: Vec<Arc<str>> = news.iter().map(|n| n.id.clone()).collect();
                 let changed: Vec<bool> =
                     news.into_iter().map(|n| self.hosts.heard(now, n)).collect();
@@ -253,34 +261,38 @@
                     .collect();
                 self.changed(now, &ids);
             }
-            Message::Beats(beats) => {
+            Message::Heartbeats(beats) => {
                 let mut woke = Vec::new();
-                for (id, sequence) in beats {
+                for Heartbeat { host: id, sequence } in beats {
                     if self.hosts.beat(now, &id, sequence) == Some(true) {
                         woke.push(id);
                     }
                 }
                 self.changed(now, &woke);
             }
-            Message::HostDigest(digest) => {
+            Message::HostDigests(digest) => {
                 let ranges = self.hosts.differing(&digest);
                 if !ranges.is_empty() {
                     self.out
-                        .push(Effect::ToPeer(peer, Message::HostRanges(ranges)));
+                        .push(Effect::ToPeer(peer, Message::HostRangeRequest(ranges)));
                 }
             }
-            Message::HostRanges(ranges) => {
+            Message::HostRangeRequest(ranges) => {
                 let news = self.hosts.in_ranges(now, &ranges);
-                self.out.push(Effect::ToPeer(peer, Message::Hosts(news)));
+                self.out
+                    .push(Effect::ToPeer(peer, Message::HostUpdates(news)));
             }
-            Message::Sessions(nodes) => self.members.told(peer, nodes),
+            Message::GatewaySessions(nodes) => self.members.told(peer, nodes),
             // It told all hosts that it knows before this.
-            Message::Standing { primed: true, .. } => self.primed = true,
+            Message::ControllerStatus {
+                is_synchronized: true,
+                ..
+            } => self.primed = true,
             _ => {}
         }
     }
 
-    fn front_down(&mut self, now: u64, session: u64) {
+    fn front_down(&mut self, now: u64, session: SessionId) {
         let Some(node) = self.members.left(session) else {
             return;
         };
@@ -292,17 +304,18 @@
         if self.members.session(node).is_none() {
             self.zones.remove(&node);
         }
-        self.out
-            .push(Effect::ToPeers(Message::Sessions(self.members.here())));
+        self.out.push(Effect::ToPeers(Message::GatewaySessions(
+            self.members.here(),
+        )));
     }
 
-    fn front_said(&mut self, now: u64, session: u64, message: Message) {
+    fn front_said(&mut self, now: u64, session: SessionId, message: Message) {
         let Some(node) = self.members.node(session) else {
             return;
         };
         let at_home = self.homes.get(&node) == Some(&session);
         match message {
-            Message::Home(true) if self.primed => {
+            Message::PrimarySelected(true) if self.primed => {
                 self.homes.insert(node, session);
                 let zone = self
                     .zones
@@ -313,20 +326,23 @@
                 orders.extend(self.distribution.joined(now, node, &zone));
                 self.carry(now, orders);
             }
-            Message::Home(_) if at_home => {
+            Message::PrimarySelected(_) if at_home => {
                 self.homes.remove(&node);
                 let orders = self.distribution.left(now, node);
                 self.carry(now, orders);
             }
-            Message::Applied { service, mark } if at_home => {
+            Message::TableApplied {
+                service,
+                revision: mark,
+            } if at_home => {
                 let orders = self.distribution.applied(now, node, &service, mark);
                 self.carry(now, orders);
             }
-            Message::Usage {
+            Message::LoadReport {
                 service,
-                tries,
-                failed,
-                span_ms,
+                attempts: tries,
+                failures: failed,
+                interval_ms: span_ms,
             } if at_home => {
                 let (tries, failed) = (f64::from(tries), f64::from(failed));
                 let orders =
@@ -345,21 +361,25 @@
                 "event=primed hosts={}",
                 self.hosts.iter().count()
             )));
-            self.out.push(Effect::ToPeers(Message::Standing {
-                primed: true,
-                fronts: 0,
+            self.out.push(Effect::ToPeers(Message::ControllerStatus {
+                is_synchronized: true,
+                gateways: 0,
             }));
         }
         if now >= self.beats_at + BEATS_EVERY && !self.beats.is_empty() {
             self.beats_at = now;
             let beats = std::mem::take(&mut self.beats);
-            self.out
-                .push(Effect::ToPeers(Message::Beats(beats.into_iter().collect())));
+            self.out.push(Effect::ToPeers(Message::Heartbeats(
+                beats
+                    .into_iter()
+                    .map(|(host, sequence)| Heartbeat { host, sequence })
+                    .collect(),
+            )));
         }
         if now >= self.digest_at + DIGEST_EVERY {
             self.digest_at = now;
             self.out
-                .push(Effect::ToPeers(Message::HostDigest(self.hosts.digest())));
+                .push(Effect::ToPeers(Message::HostDigests(self.hosts.digest())));
         }
         let may_judge = self.company && self.primed && now >= self.judges_from;
         let fell = self.hosts.tick(now, may_judge);
@@ -384,17 +404,17 @@
         let now = (self.primed && self.company, self.members.all().len() as u32);
         if self.said != Some(now) {
             self.said = Some(now);
-            self.out.push(Effect::ToFronts(Message::Standing {
-                primed: now.0,
-                fronts: now.1,
+            self.out.push(Effect::ToFronts(Message::ControllerStatus {
+                is_synchronized: now.0,
+                gateways: now.1,
             }));
         }
     }
 
-    fn line(&self, now: u64, host: &Arc<str>, weight: f64) -> Option<Line> {
+    fn line(&self, now: u64, host: &Arc<str>, weight: f64) -> Option<EndpointWeight> {
         let s = self.hosts.get(host)?;
-        Some(Line {
-            host: HostNews {
+        Some(EndpointWeight {
+            host: HostRecord {
                 state: s.state(),
                 ..self.hosts.tell(now, s)
             },
@@ -407,7 +427,7 @@
             let Some(session) = self.homes.get(&order.to).copied() else {
                 continue;
             };
-            let out: Vec<HostNews> = order
+            let out: Vec<HostRecord> = order
                 .out
                 .iter()
                 .filter_map(|(id, shut)| self.shut(now, id, *shut))
@@ -415,39 +435,39 @@
             if !out.is_empty() {
                 self.out.push(Effect::ToFront {
                     session,
-                    message: Message::Out(out),
+                    message: Message::HostStates(out),
                 });
             }
             let (service, mark) = (order.service.clone(), order.mark);
             // A host that is forgotten has no news: a frontend director drops a line by its weight alone.
-            let lines: Vec<Line> = order
+            let lines: Vec<EndpointWeight> = order
                 .lines
                 .iter()
                 .filter_map(|l| self.line(now, &l.0, l.1))
                 .collect();
             let message = match order.whole {
-                true => Message::Table {
+                true => Message::TableReplacement {
                     service,
-                    mark,
-                    lines,
+                    revision: mark,
+                    endpoints: lines,
                 },
-                false => Message::Lines {
+                false => Message::TableUpdate {
                     service,
-                    mark,
-                    lines,
+                    revision: mark,
+                    endpoints: lines,
                 },
             };
             self.out.push(Effect::ToFront { session, message });
         }
     }
 
-    fn shut(&self, now: u64, id: &Arc<str>, shut: bool) -> Option<HostNews> {
+    fn shut(&self, now: u64, id: &Arc<str>, shut: bool) -> Option<HostRecord> {
         let s = self.hosts.get(id)?;
         let state = match (shut, s.state()) {
             (true, HostState::Ready) => HostState::Draining,
             (_, state) => state,
         };
-        Some(HostNews {
+        Some(HostRecord {
             state,
             ..self.hosts.tell(now, s)
         })
@@ -458,7 +478,7 @@
     }
 
     /// Whether a frontend director takes its tables from here, by this session.
-    pub fn is_home(&self, session: u64) -> bool {
+    pub fn is_home(&self, session: SessionId) -> bool {
         self.homes.values().any(|s| *s == session)
     }
 
--- a/crates/gateway/cluster/src/contact.rs
+++ b/crates/gateway/cluster/src/contact.rs
@@ -7,6 +7,7 @@
 //! after it.
 
 use rushcourse_messages::{NodeId, VotingSet};
+use rushcourse_types::{Epoch, RequestToken};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// ms between two turns of a director's loop from which on it counts as frozen. The loop turns every 50 ms; sessions
@@ -77,14 +78,14 @@
 #[derive(Clone, Debug, Default)]
 pub struct Rounds {
     asked: u64,
-    open: BTreeMap<u64, Round>,
+    open: BTreeMap<RequestToken, Round>,
 }
 
 impl Rounds {
     /// Begins a round. Its token goes out to all peers, behind what they are to have handled.
-    pub fn ask(&mut self, now: u64) -> u64 {
+    pub fn ask(&mut self, now: u64) -> RequestToken {
         self.asked += 1;
-        let token = ROUND_BIT | self.asked;
+        let token = RequestToken(ROUND_BIT | self.asked);
         self.open.insert(
             token,
             Round {
@@ -96,28 +97,28 @@
     }
 
     /// A peer's answer. True if it is to a round, also one that is over.
-    pub fn told(&mut self, peer: NodeId, token: u64) -> bool {
+    pub fn told(&mut self, peer: NodeId, token: RequestToken) -> bool {
         if let Some(round) = self.open.get_mut(&token) {
             round.told.insert(peer);
         }
-        token & ROUND_BIT != 0
+        token.0 & ROUND_BIT != 0
     }
 
     /// Rounds that are over: whether a majority of the set has answered, this director (`me`) counted where it is a
     /// member.
-    pub fn over(&mut self, now: u64, me: NodeId, set: &VotingSet) -> Vec<(u64, bool)> {
+    pub fn over(&mut self, now: u64, me: NodeId, set: &VotingSet) -> Vec<(RequestToken, bool)> {
         let answered = |r: &Round| {
             set.members
                 .iter()
                 .filter(|m| **m == me || r.told.contains(m))
                 .count()
         };
-        let majority = |r: &Round| set.number > 0 && answered(r) >= set.majority();
-        let ended = |(token, round): (&u64, &Round)| {
+        let majority = |r: &Round| set.epoch > Epoch(0) && answered(r) >= set.majority();
+        let ended = |(token, round): (&RequestToken, &Round)| {
             let reached = majority(round);
             (reached || now >= round.until).then_some((*token, reached))
         };
-        let over: Vec<(u64, bool)> = self.open.iter().filter_map(ended).collect();
+        let over: Vec<(RequestToken, bool)> = self.open.iter().filter_map(ended).collect();
         for (token, _) in &over {
             self.open.remove(token);
         }
--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -175,7 +175,7 @@
         }
         self.each(now, |_| {
             vec![Event::Left {
-                proxy,
+                proxy: proxy.0,
                 channel: Channel::Own,
             }]
         })
@@ -195,7 +195,7 @@
             &service,
             vec![Event::Applied {
                 mark,
-                proxy,
+                proxy: proxy.0,
                 took: 0.0,
                 channel: Channel::Own,
             }],
@@ -222,7 +222,7 @@
             now,
             &service,
             vec![Event::Usage {
-                proxy,
+                proxy: proxy.0,
                 class: 0,
                 tries,
                 failed,
@@ -296,7 +296,7 @@
 
 fn joined(proxy: NodeId, zone: usize) -> Event {
     Event::Joined {
-        proxy,
+        proxy: proxy.0,
         zone,
         rate: 1.0,
         fresh: true,
@@ -343,8 +343,8 @@
                     }
                 }
                 Action::Bind { proxy, table, .. } => {
-                    self.bound.insert(proxy, table);
-                    parcels.entry(proxy).or_default().whole = true;
+                    self.bound.insert(NodeId(proxy), table);
+                    parcels.entry(NodeId(proxy)).or_default().whole = true;
                 }
                 Action::Withdraw {
                     host,
--- a/crates/gateway/cluster/src/members.rs
+++ b/crates/gateway/cluster/src/members.rs
@@ -2,34 +2,35 @@
 //! their sessions; what one of them told counts while the session with it stands.
 
 use rushcourse_messages::NodeId;
+use rushcourse_types::SessionId;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Default)]
 pub struct Members {
-    mine: BTreeMap<u64, NodeId>,
+    mine: BTreeMap<SessionId, NodeId>,
     told: BTreeMap<NodeId, BTreeSet<NodeId>>,
 }
 
 impl Members {
     /// A session of a frontend director with this core director.
-    pub fn joined(&mut self, session: u64, node: NodeId) {
+    pub fn joined(&mut self, session: SessionId, node: NodeId) {
         self.mine.insert(session, node);
     }
 
-    pub fn left(&mut self, session: u64) -> Option<NodeId> {
+    pub fn left(&mut self, session: SessionId) -> Option<NodeId> {
         self.mine.remove(&session)
     }
 
-    pub fn node(&self, session: u64) -> Option<NodeId> {
+    pub fn node(&self, session: SessionId) -> Option<NodeId> {
         self.mine.get(&session).copied()
     }
 
     /// The newest session of a frontend director here.
-    pub fn session(&self, node: NodeId) -> Option<u64> {
+    pub fn session(&self, node: NodeId) -> Option<SessionId> {
         self.mine.iter().rev().find(|m| *m.1 == node).map(|m| *m.0)
     }
 
-    pub fn sessions(&self) -> impl Iterator<Item = u64> {
+    pub fn sessions(&self) -> impl Iterator<Item = SessionId> {
         self.mine.keys().copied()
     }
 
--- a/crates/gateway/cluster/src/subscribers.rs
+++ b/crates/gateway/cluster/src/subscribers.rs
@@ -1,8 +1,9 @@
 //! The hosts. Each start of a host is a life with an id of its own. Calls may arrive late and at different directors:
 //! the higher sequence holds, and a life that signed off never comes back.
 
-use rushcourse_config::hash::hash64;
-use rushcourse_messages::{HostNews, HostState};
+use rushcourse_messages::{HostRecord, HostState};
+use rushcourse_types::hash::hash64;
+use rushcourse_types::{CallSequence, Millis};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -17,7 +18,7 @@
 /// One life of a host.
 #[derive(Clone, Debug)]
 pub struct Subscriber {
-    pub news: HostNews,
+    pub news: HostRecord,
     /// ms, this director's clock: last heard, by whichever director.
     pub heard: u64,
     /// ms, this director's clock: when it was first known; 0 for one that was already warm then.
@@ -62,10 +63,14 @@
     }
 
     /// A call of a host, or news of one. True if tables may change by it.
-    pub fn heard(&mut self, now: u64, news: HostNews) -> bool {
-        let heard = now.saturating_sub(news.age_ms);
+    pub fn heard(&mut self, now: u64, news: HostRecord) -> bool {
+        let heard = now.saturating_sub(news.age.0);
         let Some(known) = self.hosts.get_mut(&news.id) else {
-            let up_since = if news.cold_ms > 0 { now.max(1) } else { 0 };
+            let up_since = if news.warm_up > Millis(0) {
+                now.max(1)
+            } else {
+                0
+            };
             let ended = if news.state == HostState::Gone {
                 now
             } else {
@@ -108,7 +113,7 @@
     }
 
     /// A host only beat, at another director. True if it had been silent; none if it is not known.
-    pub fn beat(&mut self, now: u64, id: &str, sequence: u64) -> Option<bool> {
+    pub fn beat(&mut self, now: u64, id: &str, sequence: CallSequence) -> Option<bool> {
         let known = self.hosts.get_mut(id)?;
         if known.news.state == HostState::Gone || sequence < known.news.sequence {
             return Some(false);
@@ -118,7 +123,7 @@
     }
 
     /// A host signed off. The news, if that is new.
-    pub fn signed_off(&mut self, now: u64, id: &str) -> Option<HostNews> {
+    pub fn signed_off(&mut self, now: u64, id: &str) -> Option<HostRecord> {
         let known = self.hosts.get_mut(id)?;
         if known.news.state == HostState::Gone {
             return None;
@@ -146,14 +151,14 @@
     }
 
     /// News as they go to another director.
-    pub fn tell(&self, now: u64, s: &Subscriber) -> HostNews {
-        HostNews {
-            age_ms: now.saturating_sub(s.heard),
+    pub fn tell(&self, now: u64, s: &Subscriber) -> HostRecord {
+        HostRecord {
+            age: Millis(now.saturating_sub(s.heard)),
             ..s.news.clone()
         }
     }
 
-    pub fn all(&self, now: u64) -> Vec<HostNews> {
+    pub fn all(&self, now: u64) -> Vec<HostRecord> {
         self.hosts.values().map(|s| self.tell(now, s)).collect()
     }
 
@@ -184,7 +189,7 @@
             .collect()
     }
 
-    pub fn in_ranges(&self, now: u64, ranges: &[u16]) -> Vec<HostNews> {
+    pub fn in_ranges(&self, now: u64, ranges: &[u16]) -> Vec<HostRecord> {
         let of = |s: &&Subscriber| ranges.contains(&(Self::range(&s.news.id) as u16));
         self.hosts
             .values()
--- a/crates/gateway/cluster/tests/contact.rs
+++ b/crates/gateway/cluster/tests/contact.rs
@@ -2,6 +2,7 @@
 
 use rushcourse_cluster::{Contact, Rounds, STALL};
 use rushcourse_messages::VotingSet;
+use rushcourse_types::{Epoch, NodeId, RequestToken};
 
 fn turning(contact: &mut Contact, from: u64, until: u64) {
     for now in (from..until).step_by(50) {
@@ -64,8 +65,8 @@
 /// Four core directors, of which the first is asked here.
 fn four() -> VotingSet {
     VotingSet {
-        number: 1,
-        members: vec![1, 2, 3, 4],
+        epoch: Epoch(1),
+        members: vec![NodeId(1), NodeId(2), NodeId(3), NodeId(4)],
     }
 }
 
@@ -73,12 +74,15 @@
 fn a_drain_is_confirmed_once_a_majority_has_handled_what_was_sent_before() {
     let mut rounds = Rounds::default();
     let token = rounds.ask(1_000);
-    assert!(rounds.told(2, token));
-    assert!(rounds.told(2, token), "the same one twice is one");
-    assert!(rounds.over(1_010, 1, &four()).is_empty(), "two of four");
-    assert!(rounds.told(3, token));
-    assert_eq!(rounds.over(1_020, 1, &four()), [(token, true)]);
-    assert!(rounds.over(1_030, 1, &four()).is_empty(), "once");
+    assert!(rounds.told(NodeId(2), token));
+    assert!(rounds.told(NodeId(2), token), "the same one twice is one");
+    assert!(
+        rounds.over(1_010, NodeId(1), &four()).is_empty(),
+        "two of four"
+    );
+    assert!(rounds.told(NodeId(3), token));
+    assert_eq!(rounds.over(1_020, NodeId(1), &four()), [(token, true)]);
+    assert!(rounds.over(1_030, NodeId(1), &four()).is_empty(), "once");
 }
 
 #[test]
@@ -86,13 +90,16 @@
     let mut rounds = Rounds::default();
     let (early, late) = (rounds.ask(1_000), rounds.ask(1_100));
     for peer in [2, 3, 4] {
-        rounds.told(peer, early);
+        rounds.told(NodeId(peer), early);
     }
-    assert_eq!(rounds.over(1_110, 1, &four()), [(early, true)]);
-    assert!(rounds.told(2, early), "late, and still no answer to a read");
-    assert!(!rounds.told(2, 7), "a read's token");
+    assert_eq!(rounds.over(1_110, NodeId(1), &four()), [(early, true)]);
+    assert!(
+        rounds.told(NodeId(2), early),
+        "late, and still no answer to a read"
+    );
+    assert!(!rounds.told(NodeId(2), RequestToken(7)), "a read's token");
     assert_eq!(
-        rounds.over(1_900, 1, &four()),
+        rounds.over(1_900, NodeId(1), &four()),
         [(late, false)],
         "cut off meanwhile"
     );
@@ -102,19 +109,21 @@
 fn one_that_is_no_member_needs_a_majority_of_the_others() {
     let mut rounds = Rounds::default();
     let token = rounds.ask(1_000);
-    rounds.told(2, token);
-    rounds.told(3, token);
-    rounds.told(9, token);
-    assert!(rounds.over(1_010, 5, &four()).is_empty());
-    rounds.told(4, token);
-    assert_eq!(rounds.over(1_020, 5, &four()), [(token, true)]);
+    rounds.told(NodeId(2), token);
+    rounds.told(NodeId(3), token);
+    rounds.told(NodeId(9), token);
+    assert!(rounds.over(1_010, NodeId(5), &four()).is_empty());
+    rounds.told(NodeId(4), token);
+    assert_eq!(rounds.over(1_020, NodeId(5), &four()), [(token, true)]);
     let none = rounds.ask(2_000);
     assert!(
-        rounds.over(2_010, 1, &VotingSet::default()).is_empty(),
+        rounds
+            .over(2_010, NodeId(1), &VotingSet::default())
+            .is_empty(),
         "no set yet, no majority"
     );
     assert_eq!(
-        rounds.over(2_700, 1, &VotingSet::default()),
+        rounds.over(2_700, NodeId(1), &VotingSet::default()),
         [(none, false)]
     );
 }
--- a/crates/gateway/cluster/tests/talk.rs
+++ b/crates/gateway/cluster/tests/talk.rs
@@ -1,13 +1,14 @@
 //! What core directors make of hosts, of each other, and of frontend directors.
 
 use rushcourse_cluster::{Cluster, Effect, Input, Place, Subscribers};
-use rushcourse_messages::{HostNews, HostState, Message, NodeId};
+use rushcourse_messages::{HostRecord, HostState, Message, NodeId};
+use rushcourse_types::{CallSequence, Millis, SessionId};
 use std::sync::Arc;
 
-fn news(id: &str, sequence: u64, state: HostState) -> HostNews {
+fn news(id: &str, sequence: CallSequence, state: HostState) -> HostRecord {
     let word = |w: &str| Arc::<str>::from(w);
     let (id, service, zone, address) = (word(id), word("s"), word("z1"), word("10.0.0.1:80"));
-    HostNews {
+    HostRecord {
         id,
         service,
         zone,
@@ -15,8 +16,8 @@
         slots: 4,
         state,
         sequence,
-        cold_ms: 0,
-        age_ms: 0,
+        warm_up: Millis(0),
+        age: Millis(0),
     }
 }
 
@@ -33,7 +34,7 @@
 /// What goes to a frontend director's session.
 fn to(effects: &[Effect], at: u64) -> Vec<Message> {
     let of = |e: &Effect| match e {
-        Effect::ToFront { session, message } if *session == at => Some(message.clone()),
+        Effect::ToFront { session, message } if *session == SessionId(at) => Some(message.clone()),
         _ => None,
     };
     effects.iter().filter_map(of).collect()
@@ -51,22 +52,25 @@
     let mut p = director();
     p.step(1_000, Input::Company(true));
     for id in ["i-1", "i-2", "i-3"] {
-        p.step(1_000, Input::Call(news(id, 1, HostState::Ready)));
+        p.step(
+            1_000,
+            Input::Call(news(id, CallSequence(1), HostState::Ready)),
+        );
     }
     pass(&mut p, 1_000, 4_000);
     p.step(
         4_000,
         Input::FrontUp {
-            session: 7,
-            node: 70,
+            session: SessionId(7),
+            node: NodeId(70),
             zone: "z1".into(),
         },
     );
     let mut all = p.step(
         4_000,
         Input::FrontSaid {
-            session: 7,
-            message: Message::Home(true),
+            session: SessionId(7),
+            message: Message::PrimarySelected(true),
         },
     );
     all.extend(pass(&mut p, 4_050, 4_500));
@@ -77,29 +81,37 @@
 fn a_frontend_director_gets_a_table_at_once_and_a_drain_before_all_else() {
     let (mut p, all) = served();
     let table = to(&all, 7).into_iter().find_map(|m| match m {
-        Message::Table { lines, mark, .. } => Some((lines.len(), mark)),
+        Message::TableReplacement {
+            endpoints: lines,
+            revision: mark,
+            ..
+        } => Some((lines.len(), mark)),
         _ => None,
     });
     let (lines, mark) = table.expect("a table");
     assert_eq!(lines, 3);
-    let applied = Message::Applied {
+    let applied = Message::TableApplied {
         service: "s".into(),
-        mark,
+        revision: mark,
     };
     p.step(
         4_500,
         Input::FrontSaid {
-            session: 7,
+            session: SessionId(7),
             message: applied,
         },
     );
-    let effects = p.step(4_600, Input::Call(news("i-1", 2, HostState::Draining)));
-    let out = |e: &Effect| matches!(e, Effect::ToFronts(Message::Out(n)) if &*n[0].id == "i-1");
+    let effects = p.step(
+        4_600,
+        Input::Call(news("i-1", CallSequence(2), HostState::Draining)),
+    );
+    let out =
+        |e: &Effect| matches!(e, Effect::ToFronts(Message::HostStates(n)) if &*n[0].id == "i-1");
     assert!(
         effects.iter().any(out),
         "every frontend director, whoever binds it"
     );
-    let shut = |m: &Message| matches!(m, Message::Out(n) if &*n[0].id == "i-1");
+    let shut = |m: &Message| matches!(m, Message::HostStates(n) if &*n[0].id == "i-1");
     assert!(
         to(&effects, 7).iter().any(shut),
         "and by the module's order in the same reply"
@@ -107,7 +119,7 @@
     assert!(
         effects
             .iter()
-            .any(|e| matches!(e, Effect::ToPeers(Message::Hosts(_))))
+            .any(|e| matches!(e, Effect::ToPeers(Message::HostUpdates(_))))
     );
 }
 
@@ -118,13 +130,19 @@
         p.step(4_500, Input::Company(company));
         for now in (4_500u64..12_000).step_by(1_500) {
             for id in ["i-2", "i-3"] {
-                p.step(now, Input::Call(news(id, now, HostState::Ready)));
+                p.step(
+                    now,
+                    Input::Call(news(id, CallSequence(now), HostState::Ready)),
+                );
             }
             pass(&mut p, now, now + 1_500);
         }
         let state = p.hosts().get("i-1").expect("known").state();
         assert_eq!(state == HostState::Gone, gone, "with a majority: {company}");
-        p.step(13_000, Input::Call(news("i-1", 9, HostState::Ready)));
+        p.step(
+            13_000,
+            Input::Call(news("i-1", CallSequence(9), HostState::Ready)),
+        );
         assert_eq!(
             p.hosts().get("i-1").expect("known").state(),
             HostState::Ready,
@@ -146,11 +164,14 @@
         "it did not hear where they beat meanwhile"
     );
     let mut lived = vec![
-        news("i-1", 20, HostState::Ready),
-        news("i-2", 20, HostState::Ready),
+        news("i-1", CallSequence(20), HostState::Ready),
+        news("i-2", CallSequence(20), HostState::Ready),
     ];
-    lived[1].age_ms = 900;
-    p.step(24_600, Input::PeerSaid(2, Message::Hosts(lived)));
+    lived[1].age = Millis(900);
+    p.step(
+        24_600,
+        Input::PeerSaid(NodeId(2), Message::HostUpdates(lived)),
+    );
     pass(&mut p, 24_600, 26_000);
     let state = |id: &str| p.hosts().get(id).expect("known").state();
     assert_eq!(
@@ -166,11 +187,14 @@
     let mut effects = p.step(11_000, Input::Stalled);
     effects.extend(p.step(11_000, Input::Tick));
     let judged = |e: &Effect| matches!(e, Effect::Say(s) if s.contains("host_silent"));
-    let standing = |e: &Effect| matches!(e, Effect::ToFronts(Message::Standing { .. }));
+    let standing = |e: &Effect| matches!(e, Effect::ToFronts(Message::ControllerStatus { .. }));
     assert!(!effects.iter().any(judged), "its own silence is not theirs");
     assert!(!effects.iter().any(standing), "a short freeze moves nobody");
     for id in ["i-1", "i-2"] {
-        p.step(11_010, Input::Call(news(id, 5, HostState::Ready)));
+        p.step(
+            11_010,
+            Input::Call(news(id, CallSequence(5), HostState::Ready)),
+        );
     }
     pass(&mut p, 11_050, 12_200);
     let state = |id: &str| p.hosts().get(id).expect("known").state();
@@ -183,9 +207,9 @@
 #[test]
 fn late_calls_change_nothing_and_an_ended_life_stays_ended() {
     let mut hosts = Subscribers::new(1_500);
-    assert!(hosts.heard(0, news("i-1", 5, HostState::Draining)));
+    assert!(hosts.heard(0, news("i-1", CallSequence(5), HostState::Draining)));
     assert!(
-        !hosts.heard(10, news("i-1", 4, HostState::Ready)),
+        !hosts.heard(10, news("i-1", CallSequence(4), HostState::Ready)),
         "sent before, came after"
     );
     assert_eq!(
@@ -193,7 +217,7 @@
         HostState::Draining
     );
     assert!(hosts.signed_off(20, "i-1").is_some() && hosts.signed_off(21, "i-1").is_none());
-    assert!(!hosts.heard(30, news("i-1", 6, HostState::Ready)));
+    assert!(!hosts.heard(30, news("i-1", CallSequence(6), HostState::Ready)));
     hosts.tick(100_000, true);
     assert!(hosts.get("i-1").is_none(), "and is forgotten");
 }
@@ -202,12 +226,18 @@
 fn copies_that_differ_are_found_by_range_and_mended() {
     let (mut a, mut b) = (director(), director());
     for k in 0..40 {
-        a.step(0, Input::Call(news(&format!("i-{k}"), 1, HostState::Ready)));
-        b.step(0, Input::Call(news(&format!("i-{k}"), 1, HostState::Ready)));
+        a.step(
+            0,
+            Input::Call(news(&format!("i-{k}"), CallSequence(1), HostState::Ready)),
+        );
+        b.step(
+            0,
+            Input::Call(news(&format!("i-{k}"), CallSequence(1), HostState::Ready)),
+        );
     }
     a.step(10, Input::SignOff("i-7".into()));
-    let (mut here, mut there): (NodeId, NodeId) = (1, 2);
-    let mut mail = vec![Message::HostDigest(a.hosts().digest())];
+    let (mut here, mut there): (NodeId, NodeId) = (NodeId(1), NodeId(2));
+    let mut mail = vec![Message::HostDigests(a.hosts().digest())];
     // The digest, the ranges asked for, the hosts of them.
     for turn in 0..3 {
         let p = if turn % 2 == 0 { &mut b } else { &mut a };
@@ -224,7 +254,7 @@
             }
         };
         mail = effects.into_iter().filter_map(back).collect();
-        if let Some(Message::Hosts(sent)) = mail.first() {
+        if let Some(Message::HostUpdates(sent)) = mail.first() {
             assert!(sent.len() < 10, "a range, not all: {}", sent.len());
         }
         std::mem::swap(&mut here, &mut there);
@@ -242,31 +272,34 @@
     p.step(
         1_000,
         Input::Held(vec![
-            news("i-1", 5, HostState::Ready),
-            news("i-2", 5, HostState::Draining),
+            news("i-1", CallSequence(5), HostState::Ready),
+            news("i-2", CallSequence(5), HostState::Draining),
         ]),
     );
     assert!(p.primed());
     p.step(
         1_000,
         Input::FrontUp {
-            session: 7,
-            node: 70,
+            session: SessionId(7),
+            node: NodeId(70),
             zone: "z1".into(),
         },
     );
     let mut all = p.step(
         1_000,
         Input::FrontSaid {
-            session: 7,
-            message: Message::Home(true),
+            session: SessionId(7),
+            message: Message::PrimarySelected(true),
         },
     );
     all.extend(pass(&mut p, 1_050, 1_400));
     let lines = |m: &Message| match m {
-        Message::Table { lines, .. } | Message::Lines { lines, .. } => {
-            lines.iter().filter(|l| l.weight > 0.0).count()
+        Message::TableReplacement {
+            endpoints: lines, ..
         }
+        | Message::TableUpdate {
+            endpoints: lines, ..
+        } => lines.iter().filter(|l| l.weight > 0.0).count(),
         _ => 0,
     };
     assert_eq!(
--- a/crates/gateway/config/src/configuration.rs
+++ b/crates/gateway/config/src/configuration.rs
@@ -4,9 +4,10 @@
 //! routes at the same place). Fields that are not known are left alone, so that a later release may add some.
 
 use crate::cells::{Row, columns, needed, number, object, rows, whole};
-use crate::hash::hash64;
 use crate::invalid::Invalid;
 use indexmap::IndexMap;
+use rushcourse_types::ConfigurationVersion;
+use rushcourse_types::hash::hash64;
 use std::collections::BTreeMap;
 
 /// s; a route may hold a request no longer (PROTOCOL.md: over ten minutes is invalid).
@@ -68,7 +69,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    pub version: u64,
+    pub version: ConfigurationVersion,
     pub routes: Vec<Route>,
     pub services: IndexMap<String, Service>,
     pub limits: Limits,
@@ -104,7 +105,7 @@
             list.sort_by_key(|k| std::cmp::Reverse(routes[*k].prefix.len()));
         }
         Ok(Configuration {
-            version,
+            version: ConfigurationVersion(version),
             routes,
             services,
             limits,
--- a/crates/gateway/config/src/lib.rs
+++ b/crates/gateway/config/src/lib.rs
@@ -2,7 +2,6 @@
 
 pub mod cells;
 pub mod configuration;
-pub mod hash;
 pub mod invalid;
 pub mod settings;
 
--- a/crates/gateway/config/tests/configurations.rs
+++ b/crates/gateway/config/tests/configurations.rs
@@ -1,6 +1,7 @@
 //! Configurations and settings files: what is refused, and by which place.
 
 use rushcourse_config::{Boot, Configuration, RouteKind};
+use rushcourse_types::ConfigurationVersion;
 
 const GOOD: &str = r#"{"version":7,"routes":{"columns":["name","host","path_prefix","route_kind","timeout_s","target_latency_s","weighted_split","maximum_attempts","service","later"],
 "rows":[["r1","a.example","/x/","read_only",1.5,0.25,[{"service":"s1","weight":90},{"service":"s2","weight":10}],2,null,null],
@@ -13,7 +14,7 @@
     let read = Configuration::read(GOOD.as_bytes()).expect("a good one");
     assert_eq!(
         (read.version, read.routes.len(), read.services.len()),
-        (7, 2, 2)
+        (ConfigurationVersion(7), 2, 2)
     );
     let name = |host: &str, path: &str| read.route(host, path).map(|r| r.name.clone());
     assert_eq!(name("a.example", "/x/1").as_deref(), Some("r1"));
--- a/crates/gateway/consensus/src/acceptor.rs
+++ b/crates/gateway/consensus/src/acceptor.rs
@@ -4,8 +4,9 @@
 use crate::context::{Context, Waits};
 use crate::effects::{Op, is_pruned};
 use rushcourse_messages::{
-    Accepted, AcceptorRecord, Ballot, Cast, Message, NodeId, Slot, SlotRecord,
+    AcceptorRecord, Ballot, DurableVote, Message, NodeId, Proposal, Slot, SlotRecord,
 };
+use rushcourse_types::{ConfigurationVersion, Epoch};
 use std::collections::BTreeMap;
 
 /// Slots that may be open at once (ours): an operator has up to eight orders under way; beyond, nothing new is promised
@@ -43,7 +44,7 @@
             let cast = record
                 .accepted
                 .as_ref()
-                .filter(|_| record.counts)
+                .filter(|_| record.is_vote)
                 .map(|a| a.ballot);
             (
                 slot,
@@ -59,7 +60,7 @@
         }
     }
 
-    pub fn accepted(&self, slot: Slot) -> Option<&Accepted> {
+    pub fn accepted(&self, slot: Slot) -> Option<&Proposal> {
         self.entries
             .get(&slot)
             .and_then(|e| e.record.accepted.as_ref())
@@ -77,21 +78,24 @@
         self.entries.get(&slot).and_then(|e| e.cast)
     }
 
-    /// Accepted proposals of versions above this one, highest first.
-    pub fn versions_above(&self, version: u64) -> impl Iterator<Item = (u64, &Accepted)> {
+    /// Proposal proposals of versions above this one, highest first.
+    pub fn versions_above(
+        &self,
+        version: ConfigurationVersion,
+    ) -> impl Iterator<Item = (ConfigurationVersion, &Proposal)> {
         let above = self
             .entries
-            .range(Slot::Version(version.saturating_add(1))..)
+            .range(Slot::Configuration(version.next())..)
             .rev();
         above.filter_map(|(slot, entry)| match slot {
-            Slot::Version(v) => Some((*v, entry.record.accepted.as_ref()?)),
-            Slot::Set(_) => None,
+            Slot::Configuration(v) => Some((*v, entry.record.accepted.as_ref()?)),
+            Slot::VotingSet(_) => None,
         })
     }
 
-    pub fn casts(&self) -> Vec<Cast> {
+    pub fn casts(&self) -> Vec<DurableVote> {
         let cast = |(slot, e): (&Slot, &Entry)| {
-            Some(Cast {
+            Some(DurableVote {
                 slot: *slot,
                 ballot: e.cast?,
             })
@@ -112,7 +116,7 @@
         &mut self,
         context: &mut Context,
         from: NodeId,
-        set: u64,
+        set: Epoch,
         slot: Slot,
         ballot: Ballot,
     ) {
@@ -125,8 +129,8 @@
             if ballot < promised {
                 context.send(
                     from,
-                    Message::Refuse {
-                        set,
+                    Message::Reject {
+                        epoch: set,
                         slot,
                         promised,
                     },
@@ -153,7 +157,7 @@
     pub fn promise_synced(
         &mut self,
         context: &mut Context,
-        set: u64,
+        set: Epoch,
         to: NodeId,
         slot: Slot,
         ballot: Ballot,
@@ -169,7 +173,7 @@
         context.send(
             to,
             Message::Promise {
-                set,
+                epoch: set,
                 slot,
                 ballot,
                 accepted,
@@ -182,9 +186,9 @@
         &mut self,
         context: &mut Context,
         from: NodeId,
-        set: u64,
+        set: Epoch,
         slot: Slot,
-        proposal: Accepted,
+        proposal: Proposal,
         capacity: Capacity,
     ) {
         if !self.entries.contains_key(&slot) && self.entries.len() >= OPEN_MOST {
@@ -194,15 +198,15 @@
         let ballot = proposal.ballot;
         let here = record.accepted.as_ref().map(|a| a.ballot);
         let votes = capacity == Capacity::Voter && ballot >= record.promised;
-        if here == Some(ballot) && (record.counts || !votes) {
+        if here == Some(ballot) && (record.is_vote || !votes) {
             return;
         }
         if capacity == Capacity::Voter && !votes {
             let promised = record.promised;
             return context.send(
                 from,
-                Message::Refuse {
-                    set,
+                Message::Reject {
+                    epoch: set,
                     slot,
                     promised,
                 },
@@ -215,7 +219,7 @@
             record.promised = ballot;
         }
         record.accepted = Some(proposal);
-        record.counts = votes;
+        record.is_vote = votes;
         let op = Op::Record {
             slot,
             record: record.clone(),
@@ -233,7 +237,7 @@
             .accepted
             .as_ref()
             .is_some_and(|a| a.ballot == ballot);
-        let counts = now && entry.record.counts;
+        let counts = now && entry.record.is_vote;
         if counts {
             entry.cast = Some(ballot);
         }
@@ -281,7 +285,7 @@
             let ballot = |r: &AcceptorRecord| r.accepted.as_ref().map(|a| a.ballot);
             if ballot(theirs) > ballot(record) {
                 record.accepted = theirs.accepted.clone();
-                record.counts = false;
+                record.is_vote = false;
             }
             ops.push(Op::Record {
                 slot: *slot,
@@ -296,7 +300,7 @@
         let mut ops = Vec::new();
         for (slot, entry) in &mut self.entries {
             let record = &mut entry.record;
-            record.counts |= record
+            record.is_vote |= record
                 .accepted
                 .as_ref()
                 .is_some_and(|a| a.ballot >= record.promised);
@@ -310,7 +314,7 @@
 
     /// The disk holds what `begin_to_count` gave.
     pub fn counts_synced(&mut self) {
-        for entry in self.entries.values_mut().filter(|e| e.record.counts) {
+        for entry in self.entries.values_mut().filter(|e| e.record.is_vote) {
             entry.cast = entry.record.accepted.as_ref().map(|a| a.ballot);
         }
     }
@@ -318,13 +322,18 @@
     /// This replica no longer votes; what it accepted stays as copies.
     pub fn stop_counting(&mut self) {
         for entry in self.entries.values_mut() {
-            entry.record.counts = false;
+            entry.record.is_vote = false;
             entry.cast = None;
         }
     }
 
     /// Forgets slots that are settled.
-    pub fn prune(&mut self, context: &mut Context, versions_below: u64, sets_through: u64) {
+    pub fn prune(
+        &mut self,
+        context: &mut Context,
+        versions_below: ConfigurationVersion,
+        sets_through: Epoch,
+    ) {
         let before = self.entries.len();
         self.entries
             .retain(|slot, _| !is_pruned(*slot, versions_below, sets_through));
--- a/crates/gateway/consensus/src/context.rs
+++ b/crates/gateway/consensus/src/context.rs
@@ -2,6 +2,7 @@
 
 use crate::effects::{Effect, Op};
 use rushcourse_messages::{Ballot, ClaimId, Message, NodeId, Slot, VotingSet};
+use rushcourse_types::KeyDigest;
 use std::collections::{BTreeMap, VecDeque};
 
 /// What waits for a batch to be synced.
@@ -20,12 +21,12 @@
         ballot: Ballot,
     },
     Claim {
-        key: u128,
+        key: KeyDigest,
         claim: ClaimId,
     },
     /// Claims that a voter taught; `complete`: the number of the set whose voters have taught enough by it.
     Taught {
-        keys: Vec<u128>,
+        keys: Vec<KeyDigest>,
         complete: Option<u64>,
     },
     Nothing,
--- a/crates/gateway/consensus/src/effects.rs
+++ b/crates/gateway/consensus/src/effects.rs
@@ -1,8 +1,9 @@
 //! What a step gives back, and what a disk holds.
 
 use rushcourse_messages::{
-    AcceptorRecord, ClaimId, HostNews, HostState, Message, NodeId, Slot, Verdict, VotingSet,
+    AcceptorRecord, ClaimId, ClaimVerdict, HostRecord, HostState, Message, NodeId, Slot, VotingSet,
 };
+use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest, SessionId, Ticket};
 use std::sync::Arc;
 
 /// A claim as it is kept.
@@ -29,18 +30,18 @@
     },
     /// Records of versions below `versions_below`, and of sets up to `sets_through`, are no longer needed.
     Prune {
-        versions_below: u64,
-        sets_through: u64,
+        versions_below: ConfigurationVersion,
+        sets_through: Epoch,
     },
     Claim {
-        key: u128,
+        key: KeyDigest,
         claim: Claim,
     },
     Release {
-        key: u128,
+        key: KeyDigest,
     },
     /// A life of a host, as last heard of; one that is gone is dropped. Nothing waits for these.
-    Host(HostNews),
+    Host(HostRecord),
 }
 
 /// What a disk held at the start.
@@ -50,8 +51,8 @@
     pub remembers: bool,
     /// Acceptor's records in the order of their slots.
     pub records: Vec<(Slot, AcceptorRecord)>,
-    pub claims: Vec<(u128, Claim)>,
-    pub hosts: Vec<HostNews>,
+    pub claims: Vec<(KeyDigest, Claim)>,
+    pub hosts: Vec<HostRecord>,
 }
 
 impl Stored {
@@ -90,10 +91,10 @@
 }
 
 /// Whether `Op::Prune` with these bounds removes the record of a slot.
-pub fn is_pruned(slot: Slot, versions_below: u64, sets_through: u64) -> bool {
+pub fn is_pruned(slot: Slot, versions_below: ConfigurationVersion, sets_through: Epoch) -> bool {
     match slot {
-        Slot::Version(version) => version < versions_below,
-        Slot::Set(number) => number <= sets_through,
+        Slot::Configuration(version) => version < versions_below,
+        Slot::VotingSet(number) => number <= sets_through,
     }
 }
 
@@ -102,11 +103,9 @@
 pub enum Outcome {
     /// A majority holds this version or a higher one. `another`: under this very number another text is in force, and
     /// the call changed nothing.
-    Acknowledged {
-        another: bool,
-    },
+    Acknowledged { another: bool },
     Whole {
-        version: u64,
+        version: ConfigurationVersion,
         text: Arc<[u8]>,
     },
     /// None was ever acknowledged.
@@ -126,19 +125,19 @@
         message: Message,
     },
     Vote {
-        session: u64,
-        set: u64,
-        key: u128,
+        session: SessionId,
+        set: Epoch,
+        key: KeyDigest,
         claim: ClaimId,
-        verdict: Verdict,
+        verdict: ClaimVerdict,
     },
     Answer {
-        ticket: u64,
+        ticket: Ticket,
         outcome: Outcome,
     },
     /// In force from now on.
     InForce {
-        version: u64,
+        version: ConfigurationVersion,
         text: Arc<[u8]>,
     },
     /// The voting set changed.
--- a/crates/gateway/consensus/src/keys.rs
+++ b/crates/gateway/consensus/src/keys.rs
@@ -8,8 +8,9 @@
 
 use crate::context::{Context, Waits};
 use crate::effects::{Claim, Effect, Op};
-use rushcourse_config::hash::hash64;
-use rushcourse_messages::{ClaimId, HeldClaim, Verdict};
+use rushcourse_messages::{ClaimId, ClaimRecord, ClaimVerdict};
+use rushcourse_types::hash::hash64;
+use rushcourse_types::{Epoch, KeyDigest, Millis, SessionId};
 use std::collections::{BTreeMap, VecDeque};
 
 /// ms for which a claim is kept beyond the window: a request is sent a while after its key was claimed (ours).
@@ -28,8 +29,8 @@
 /// Who asked for a vote, and under which set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Asker {
-    pub session: u64,
-    pub set: u64,
+    pub session: SessionId,
+    pub set: Epoch,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -46,16 +47,16 @@
 #[derive(Clone, Debug)]
 pub struct Keys {
     keep_ms: u64,
-    claims: BTreeMap<u128, Entry>,
+    claims: BTreeMap<KeyDigest, Entry>,
     /// When each is over, in that order; what is over leaves from the front.
-    order: VecDeque<(u64, u128)>,
+    order: VecDeque<(u64, KeyDigest)>,
     /// The last keys in the order in which they came; the first of them has place `recent_from`.
-    recent: VecDeque<u128>,
+    recent: VecDeque<KeyDigest>,
     recent_from: u64,
 }
 
 impl Keys {
-    pub(crate) fn new(window_ms: u64, mut stored: Vec<(u128, Claim)>) -> Keys {
+    pub(crate) fn new(window_ms: u64, mut stored: Vec<(KeyDigest, Claim)>) -> Keys {
         stored.sort_by_key(|s| s.1.at);
         let order = stored.iter().map(|(key, _)| (0, *key)).collect();
         let entry = |(key, claim)| {
@@ -80,7 +81,7 @@
         }
     }
 
-    /// The first step of this life: what the disk held counts as new.
+    /// The first step of this incarnation: what the disk held counts as new.
     pub(crate) fn start(&mut self, now: u64) {
         let until = now + self.keep_ms;
         self.claims
@@ -90,7 +91,7 @@
     }
 
     /// Who holds a key here, since when by this machine's time of day, and whether its disk has it.
-    pub fn held(&self, key: u128) -> Option<(Claim, bool)> {
+    pub fn held(&self, key: KeyDigest) -> Option<(Claim, bool)> {
         self.claims.get(&key).map(|e| (e.claim, e.durable))
     }
 
@@ -102,7 +103,7 @@
         self.claims.is_empty()
     }
 
-    fn insert(&mut self, key: u128, entry: Entry) {
+    fn insert(&mut self, key: KeyDigest, entry: Entry) {
         self.claims.insert(key, entry);
         self.recent.push_back(key);
         if self.recent.len() > RECENT_MOST {
@@ -117,21 +118,27 @@
         context: &mut Context,
         votes: bool,
         asker: Asker,
-        key: u128,
+        key: KeyDigest,
         id: ClaimId,
     ) {
         if !votes {
-            return vote(context, asker, key, id, Verdict::Cannot);
+            return vote(context, asker, key, id, ClaimVerdict::Abstained);
         }
         let full = self.claims.len() >= CLAIMS_MOST;
         match self.claims.get_mut(&key) {
             Some(entry) if entry.claim.id != id => {
-                vote(context, asker, key, id, Verdict::Held(entry.claim.id));
+                vote(
+                    context,
+                    asker,
+                    key,
+                    id,
+                    ClaimVerdict::HeldBy(entry.claim.id),
+                );
             }
-            Some(entry) if entry.durable => vote(context, asker, key, id, Verdict::Granted),
+            Some(entry) if entry.durable => vote(context, asker, key, id, ClaimVerdict::Granted),
             // The same claim again while it is being written: it is answered when that is done.
             Some(entry) => entry.asker = Some(asker),
-            None if full => vote(context, asker, key, id, Verdict::Cannot),
+            None if full => vote(context, asker, key, id, ClaimVerdict::Abstained),
             None => {
                 let claim = Claim {
                     id,
@@ -161,7 +168,7 @@
         &mut self,
         context: &mut Context,
         in_set: Option<u64>,
-        key: u128,
+        key: KeyDigest,
         id: ClaimId,
     ) {
         let Some(entry) = self.claims.get_mut(&key).filter(|e| e.claim.id == id) else {
@@ -169,17 +176,17 @@
         };
         entry.durable = true;
         if let Some(asker) = entry.asker.take() {
-            let verdict = if in_set == Some(asker.set) {
-                Verdict::Granted
+            let verdict = if in_set == Some(asker.set.0) {
+                ClaimVerdict::Granted
             } else {
-                Verdict::Cannot
+                ClaimVerdict::Abstained
             };
             vote(context, asker, key, id, verdict);
         }
     }
 
     /// The disk did not take it: no vote was given, and none will be for this claim.
-    pub(crate) fn refused(&mut self, context: &mut Context, key: u128, id: ClaimId) {
+    pub(crate) fn refused(&mut self, context: &mut Context, key: KeyDigest, id: ClaimId) {
         let Some(entry) = self
             .claims
             .get(&key)
@@ -188,14 +195,14 @@
             return;
         };
         if let Some(asker) = entry.asker {
-            vote(context, asker, key, id, Verdict::Cannot);
+            vote(context, asker, key, id, ClaimVerdict::Abstained);
         }
         self.claims.remove(&key);
     }
 
     /// The claimant sent nothing under it. The record on disk may go later: a claim that comes back after a loss of
     /// power blocks its key for a window, and breaks nothing.
-    pub(crate) fn withdraw(&mut self, context: &mut Context, key: u128, id: ClaimId) {
+    pub(crate) fn withdraw(&mut self, context: &mut Context, key: KeyDigest, id: ClaimId) {
         if self.claims.get(&key).is_some_and(|e| e.claim.id == id) {
             self.claims.remove(&key);
             context.write(vec![Op::Release { key }], Waits::Nothing);
@@ -208,11 +215,11 @@
     }
 
     /// All claims, or those that came from a place on, where that is still known.
-    pub(crate) fn lesson(&self, now: u64, from: Option<u64>) -> Vec<HeldClaim> {
-        let tell = |key: &u128, entry: &Entry| HeldClaim {
+    pub(crate) fn lesson(&self, now: u64, from: Option<u64>) -> Vec<ClaimRecord> {
+        let tell = |key: &KeyDigest, entry: &Entry| ClaimRecord {
             key: *key,
             claim: entry.claim.id,
-            age_ms: self.keep_ms.saturating_sub(entry.until.saturating_sub(now)),
+            age: Millis(self.keep_ms.saturating_sub(entry.until.saturating_sub(now))),
         };
         match from.filter(|p| (self.recent_from..=self.place()).contains(p)) {
             Some(place) => {
@@ -230,7 +237,7 @@
     }
 
     /// Takes what another voter holds; what is here already stays. The keys are durable once `taught_synced` says so.
-    pub(crate) fn taught(&mut self, context: &Context, claims: &[HeldClaim]) -> Vec<Op> {
+    pub(crate) fn taught(&mut self, context: &Context, claims: &[ClaimRecord]) -> Vec<Op> {
         let mut ops = Vec::new();
         for told in claims {
             if self.claims.contains_key(&told.key) {
@@ -238,9 +245,9 @@
             }
             let claim = Claim {
                 id: told.claim,
-                at: context.wall.saturating_sub(told.age_ms),
+                at: context.wall.saturating_sub(told.age.0),
             };
-            let until = context.now + self.keep_ms.saturating_sub(told.age_ms);
+            let until = context.now + self.keep_ms.saturating_sub(told.age.0);
             self.insert(
                 told.key,
                 Entry {
@@ -260,7 +267,7 @@
         ops
     }
 
-    pub(crate) fn taught_synced(&mut self, keys: &[u128]) {
+    pub(crate) fn taught_synced(&mut self, keys: &[KeyDigest]) {
         for key in keys {
             if let Some(entry) = self.claims.get_mut(key) {
                 entry.durable = true;
@@ -269,7 +276,7 @@
     }
 
     /// The disk did not take what was taught: it is asked for again.
-    pub(crate) fn taught_refused(&mut self, keys: &[u128]) {
+    pub(crate) fn taught_refused(&mut self, keys: &[KeyDigest]) {
         for key in keys {
             if self.claims.get(key).is_some_and(|e| !e.durable) {
                 self.claims.remove(key);
@@ -296,7 +303,13 @@
     }
 }
 
-fn vote(context: &mut Context, asker: Asker, key: u128, claim: ClaimId, verdict: Verdict) {
+fn vote(
+    context: &mut Context,
+    asker: Asker,
+    key: KeyDigest,
+    claim: ClaimId,
+    verdict: ClaimVerdict,
+) {
     let Asker { session, set } = asker;
     context.out.push(Effect::Vote {
         session,
@@ -308,11 +321,11 @@
 }
 
 /// Digest of a claim, for the check of a lesson.
-pub(crate) fn digest(claim: &HeldClaim) -> u64 {
+pub(crate) fn digest(claim: &ClaimRecord) -> u64 {
     let mut bytes = Vec::with_capacity(36);
-    bytes.extend(claim.key.to_be_bytes());
-    bytes.extend(claim.claim.node.to_be_bytes());
-    bytes.extend(claim.claim.life.to_be_bytes());
+    bytes.extend(claim.key.0.to_be_bytes());
+    bytes.extend(claim.claim.node.0.to_be_bytes());
+    bytes.extend(claim.claim.incarnation.0.to_be_bytes());
     bytes.extend(claim.claim.number.to_be_bytes());
     hash64(&bytes, CLAIM_DIGEST)
 }
--- a/crates/gateway/consensus/src/lessons.rs
+++ b/crates/gateway/consensus/src/lessons.rs
@@ -7,8 +7,10 @@
 use crate::keys::{Keys, digest};
 use crate::membership::Membership;
 use rushcourse_messages::{
-    HeldClaim, Lesson, LessonCursor, LessonEnd, Life, Message, NodeId, Slot, SlotRecord,
+    ClaimRecord, Incarnation, Message, NodeId, Slot, SlotRecord, SnapshotChunk, SnapshotCursor,
+    SnapshotTrailer,
 };
+use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest};
 use std::collections::BTreeMap;
 
 /// Claims in one part (ours): some 180 KB, which a voter encodes in about a millisecond.
@@ -23,16 +25,16 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Lessons {
-    life: Life,
+    incarnation: Incarnation,
     /// How far each voter's claims were read.
-    cursors: BTreeMap<NodeId, LessonCursor>,
+    cursors: BTreeMap<NodeId, SnapshotCursor>,
     receiving: BTreeMap<NodeId, Receiving>,
 }
 
 impl Lessons {
-    pub fn new(life: Life) -> Lessons {
+    pub fn new(incarnation: Incarnation) -> Lessons {
         Lessons {
-            life,
+            incarnation,
             cursors: BTreeMap::new(),
             receiving: BTreeMap::new(),
         }
@@ -50,11 +52,11 @@
     }
 
     /// Asks voters for what they hold, or for what came since they told it.
-    pub fn ask(&mut self, context: &mut Context, set: u64, voters: Vec<NodeId>) {
+    pub fn ask(&mut self, context: &mut Context, set: Epoch, voters: Vec<NodeId>) {
         for voter in voters {
             self.receiving.remove(&voter);
             let after = self.cursors.get(&voter).copied();
-            context.send(voter, Message::AskLesson { set, after });
+            context.send(voter, Message::SnapshotRequest { epoch: set, after });
         }
     }
 
@@ -63,35 +65,37 @@
         &self,
         context: &mut Context,
         to: NodeId,
-        set: u64,
-        after: Option<LessonCursor>,
+        set: Epoch,
+        after: Option<SnapshotCursor>,
         (keys, acceptor): (&Keys, &Acceptor),
     ) {
-        let from = after.filter(|c| c.life == self.life).map(|c| c.place);
+        let from = after
+            .filter(|c| c.incarnation == self.incarnation)
+            .map(|c| c.position);
         let claims = keys.lesson(context.now, from);
-        let end = LessonEnd {
-            cursor: LessonCursor {
-                life: self.life,
-                place: keys.place(),
+        let end = SnapshotTrailer {
+            cursor: SnapshotCursor {
+                incarnation: self.incarnation,
+                position: keys.place(),
             },
-            claims: claims.len() as u64,
-            digest: claims.iter().fold(0, |sum, claim| sum ^ digest(claim)),
+            claim_count: claims.len() as u64,
+            claims_digest: claims.iter().fold(0, |sum, claim| sum ^ digest(claim)),
             records: acceptor.records(),
         };
         for part in claims.chunks(PART_MOST) {
-            let lesson = Lesson {
-                set,
+            let lesson = SnapshotChunk {
+                epoch: set,
                 claims: part.to_vec(),
-                end: None,
+                trailer: None,
             };
-            context.send(to, Message::Lesson(lesson));
+            context.send(to, Message::SnapshotChunk(lesson));
         }
         context.send(
             to,
-            Message::Lesson(Lesson {
-                set,
+            Message::SnapshotChunk(SnapshotChunk {
+                epoch: set,
                 claims: Vec::new(),
-                end: Some(end),
+                trailer: Some(end),
             }),
         );
     }
@@ -101,13 +105,13 @@
         &mut self,
         context: &mut Context,
         from: NodeId,
-        lesson: Lesson,
+        lesson: SnapshotChunk,
         membership: &mut Membership,
         (keys, acceptor): (&mut Keys, &mut Acceptor),
-        in_force: u64,
+        in_force: ConfigurationVersion,
     ) {
-        let set = membership.set().number;
-        if lesson.set != set || !membership.is_learning(context.now) {
+        let set = membership.set().epoch;
+        if lesson.epoch != set || !membership.is_learning(context.now) {
             return;
         }
         let receiving = self.receiving.entry(from).or_default();
@@ -117,24 +121,24 @@
             .iter()
             .fold(0, |sum, claim| sum ^ digest(claim));
         let mut ops = keys.taught(context, &lesson.claims);
-        let taught: Vec<u128> = lesson
+        let taught: Vec<KeyDigest> = lesson
             .claims
             .iter()
-            .map(|claim: &HeldClaim| claim.key)
+            .map(|claim: &ClaimRecord| claim.key)
             .collect();
-        let complete = lesson.end.and_then(|end| {
+        let complete = lesson.trailer.and_then(|end| {
             let whole = self.receiving.remove(&from)?;
-            if whole.claims != end.claims || whole.digest != end.digest {
+            if whole.claims != end.claim_count || whole.digest != end.claims_digest {
                 context.say(format!(
                     "event=lesson_damaged claims={} of={}",
-                    whole.claims, end.claims
+                    whole.claims, end.claim_count
                 ));
                 return None;
             }
             self.cursors.insert(from, end.cursor);
             let open = |r: &SlotRecord| match r.slot {
-                Slot::Set(number) => number > set,
-                Slot::Version(version) => version >= in_force,
+                Slot::VotingSet(number) => number > set,
+                Slot::Configuration(version) => version >= in_force,
             };
             let records: Vec<SlotRecord> = end.records.into_iter().filter(open).collect();
             ops.extend(acceptor.merge(&records));
--- a/crates/gateway/consensus/src/membership.rs
+++ b/crates/gateway/consensus/src/membership.rs
@@ -25,6 +25,7 @@
 use crate::context::{Context, Waits};
 use crate::effects::{Effect, Op};
 use rushcourse_messages::{Message, NodeId, VotingSet};
+use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -57,7 +58,7 @@
     pub me: NodeId,
     pub zone: Arc<str>,
     /// Drawn at random at each start.
-    pub life: u64,
+    pub incarnation: Incarnation,
     pub seeds: Vec<NodeId>,
     /// The whole system starts for the first time, with empty disks.
     pub first_start: bool,
@@ -102,7 +103,7 @@
     leaving: BTreeSet<NodeId>,
     leaves: bool,
     /// Spares that have been taught, and by the voters of which set.
-    spares_learned: BTreeMap<NodeId, u64>,
+    spares_learned: BTreeMap<NodeId, Epoch>,
     invited_at: u64,
 }
 
@@ -143,12 +144,12 @@
 
     /// Whether this replica casts votes in its set.
     pub fn votes(&self) -> bool {
-        self.remembers && self.set.number > 0 && self.is_member()
+        self.remembers && self.set.epoch > Epoch(0) && self.is_member()
     }
 
     /// The number of the set that this replica votes in.
     pub fn votes_in(&self) -> Option<u64> {
-        self.votes().then_some(self.set.number)
+        self.votes().then_some(self.set.epoch.0)
     }
 
     pub fn peers(&self) -> Vec<NodeId> {
@@ -170,7 +171,7 @@
     }
 
     pub fn in_company(&self) -> bool {
-        self.set.number > 0 && self.reached_members().len() >= self.set.majority()
+        self.set.epoch > Epoch(0) && self.reached_members().len() >= self.set.majority()
     }
 
     /// This replica's place among the members that are in session; spares come last.
@@ -187,11 +188,11 @@
         self.absent_since.remove(&peer);
         self.leaving.remove(&peer);
         self.last_up = context.now;
-        if self.set.number > 0 {
-            context.send(peer, Message::Set(self.set.clone()));
+        if self.set.epoch > Epoch(0) {
+            context.send(peer, Message::VotingSet(self.set.clone()));
         }
         if self.leaves {
-            context.send(peer, Message::Leaving);
+            context.send(peer, Message::ShuttingDown);
         }
     }
 
@@ -215,7 +216,7 @@
     pub fn leave(&mut self, context: &mut Context) {
         self.leaves = true;
         for peer in self.peers() {
-            context.send(peer, Message::Leaving);
+            context.send(peer, Message::ShuttingDown);
         }
     }
 
@@ -228,7 +229,7 @@
 
     /// A set that another replica has adopted, or that is chosen.
     pub fn told(&mut self, context: &mut Context, set: VotingSet) {
-        if set.number > self.set.number && set.number > self.writing {
+        if set.epoch > self.set.epoch && set.epoch > Epoch(self.writing) {
             self.write(context, set);
         }
     }
@@ -236,21 +237,21 @@
     /// Whether this replica goes on remembering as a member of `next`. At the first start there is nothing that it could
     /// have forgotten: no claim was ever granted.
     fn will_remember(&self, next: &VotingSet) -> bool {
-        let first = self.setup.first_start && self.set.number == 0 && next.number == 1;
-        let follows = self.set.number > 0 && next.number == self.set.number + 1;
+        let first = self.setup.first_start && self.set.epoch == Epoch(0) && next.epoch == Epoch(1);
+        let follows = self.set.epoch > Epoch(0) && next.epoch == self.set.epoch.next();
         next.contains(self.setup.me) && (first || follows && self.is_member() && self.remembers)
     }
 
     fn write(&mut self, context: &mut Context, set: VotingSet) {
-        self.writing = set.number;
+        self.writing = set.epoch.0;
         let remembers = if self.will_remember(&set) {
             Op::Remember
         } else {
             Op::Forget
         };
         let prune = Op::Prune {
-            versions_below: 0,
-            sets_through: set.number,
+            versions_below: ConfigurationVersion(0),
+            sets_through: set.epoch,
         };
         context.write(
             vec![Op::Set(set.clone()), remembers, prune],
@@ -259,12 +260,12 @@
     }
 
     pub fn set_refused(&mut self) {
-        self.writing = self.set.number;
+        self.writing = self.set.epoch.0;
     }
 
     /// The disk holds the set. True if this replica counts in it from now on.
     pub fn adopted(&mut self, context: &mut Context, set: VotingSet) -> bool {
-        if set.number <= self.set.number {
+        if set.epoch <= self.set.epoch {
             return false;
         }
         self.remembers = self.will_remember(&set);
@@ -277,7 +278,7 @@
         // Frontend directors hear of it before any vote is refused for its sake.
         context.out.push(Effect::Set(self.set.clone()));
         for peer in self.peers() {
-            context.send(peer, Message::Set(self.set.clone()));
+            context.send(peer, Message::VotingSet(self.set.clone()));
         }
         let members: Vec<String> = self
             .set
@@ -287,7 +288,7 @@
             .collect();
         context.say(format!(
             "event=voting_set number={} members={} remembers={}",
-            self.set.number,
+            self.set.epoch,
             members.join(","),
             self.remembers
         ));
@@ -319,7 +320,10 @@
             members.push(member);
         }
         members.sort_unstable();
-        VotingSet { number: 1, members }
+        VotingSet {
+            epoch: Epoch(1),
+            members,
+        }
     }
 
     // Changes.
@@ -401,7 +405,7 @@
         members.sort_unstable();
         Some(Change {
             next: VotingSet {
-                number: self.set.number + 1,
+                epoch: self.set.epoch.next(),
                 members,
             },
             with,
@@ -410,7 +414,7 @@
     }
 
     pub fn has_learned(&self, spare: NodeId) -> bool {
-        self.spares_learned.get(&spare) == Some(&self.set.number)
+        self.spares_learned.get(&spare) == Some(&self.set.epoch)
     }
 
     /// Asks a spare to be taught, now and then.
@@ -419,26 +423,26 @@
             self.invited_at = context.now;
             context.send(
                 spare,
-                Message::Learn {
-                    set: self.set.number,
+                Message::LearnerInvitation {
+                    epoch: self.set.epoch,
                 },
             );
         }
     }
 
-    pub fn spare_learned(&mut self, spare: NodeId, set: u64) {
+    pub fn spare_learned(&mut self, spare: NodeId, set: Epoch) {
         self.spares_learned.insert(spare, set);
     }
 
     // Being taught.
 
     /// This spare is asked to be taught.
-    pub fn invited(&mut self, context: &mut Context, from: NodeId, set: u64) {
-        if set != self.set.number || self.is_member() {
+    pub fn invited(&mut self, context: &mut Context, from: NodeId, set: Epoch) {
+        if set != self.set.epoch || self.is_member() {
             return;
         }
-        if self.learned == set {
-            context.send(from, Message::Learned { set });
+        if self.learned == set.0 {
+            context.send(from, Message::LearnerReady { epoch: set });
         } else {
             self.learning_until = context.now + LEARN_WAIT;
         }
@@ -449,8 +453,8 @@
         let age = now.saturating_sub(self.started.unwrap_or(now));
         let lost = self.is_member() && !self.remembers && age >= FORGOT_WAIT;
         let spare =
-            !self.is_member() && now < self.learning_until && self.learned != self.set.number;
-        !self.teaching && self.set.number > 0 && (lost || spare)
+            !self.is_member() && now < self.learning_until && self.learned != self.set.epoch.0;
+        !self.teaching && self.set.epoch > Epoch(0) && (lost || spare)
     }
 
     /// The voters to ask for lessons now.
@@ -470,9 +474,9 @@
     /// One more voter has taught this replica. The set's number once they are enough.
     pub fn lesson(&mut self, from: NodeId) -> Option<u64> {
         self.taught_by.insert(from);
-        let enough = self.taught_by.len() >= self.set.teachers();
+        let enough = self.taught_by.len() >= self.set.snapshot_quorum();
         self.teaching = enough;
-        enough.then_some(self.set.number)
+        enough.then_some(self.set.epoch.0)
     }
 
     pub fn lesson_refused(&mut self) {
@@ -481,8 +485,8 @@
     }
 
     /// The disk holds all that was taught by voters of this set.
-    pub fn lessons_synced(&mut self, context: &mut Context, set: u64) {
-        if set != self.set.number || !self.teaching {
+    pub fn lessons_synced(&mut self, context: &mut Context, set: Epoch) {
+        if set != self.set.epoch || !self.teaching {
             return;
         }
         self.teaching = false;
@@ -493,9 +497,9 @@
                 self.taught_by.len()
             ));
         } else {
-            self.learned = set;
+            self.learned = set.0;
             for peer in self.peers() {
-                context.send(peer, Message::Learned { set });
+                context.send(peer, Message::LearnerReady { epoch: set });
             }
         }
         self.taught_by.clear();
@@ -504,7 +508,8 @@
     pub fn tick(&mut self, context: &mut Context) {
         let started = *self.started.get_or_insert(context.now);
         let age = context.now - started;
-        if self.set.number == 0 && self.writing == 0 && self.proposes_first(context.now, age) {
+        if self.set.epoch == Epoch(0) && self.writing == 0 && self.proposes_first(context.now, age)
+        {
             let set = self.first_set();
             self.write(context, set);
         }
--- a/crates/gateway/consensus/src/proposer.rs
+++ b/crates/gateway/consensus/src/proposer.rs
@@ -3,7 +3,8 @@
 
 use crate::context::Context;
 use crate::membership::Membership;
-use rushcourse_messages::{Accepted, Ballot, Life, Message, NodeId, Slot};
+use rushcourse_messages::{Ballot, Incarnation, Message, NodeId, Proposal, Slot};
+use rushcourse_types::ConfigurationVersion;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -21,13 +22,13 @@
 enum Phase {
     Preparing {
         promises: BTreeSet<NodeId>,
-        best: Option<Accepted>,
+        best: Option<Proposal>,
     },
     Accepting,
 }
 
 #[derive(Clone, Debug)]
-struct Proposal {
+struct OpenProposal {
     ballot: Ballot,
     value: Arc<[u8]>,
     /// The member that a proposed set leaves out.
@@ -49,15 +50,15 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Proposer {
-    life: Life,
+    incarnation: Incarnation,
     round: u64,
-    proposals: BTreeMap<Slot, Proposal>,
+    proposals: BTreeMap<Slot, OpenProposal>,
 }
 
 impl Proposer {
-    pub fn new(life: Life) -> Proposer {
+    pub fn new(incarnation: Incarnation) -> Proposer {
         Proposer {
-            life,
+            incarnation,
             round: 0,
             proposals: BTreeMap::new(),
         }
@@ -73,7 +74,7 @@
             proposal.until = proposal.until.max(intent.until);
             return;
         }
-        let proposal = Proposal {
+        let proposal = OpenProposal {
             ballot: Ballot::default(),
             value: intent.value,
             without: intent.without,
@@ -91,7 +92,7 @@
         let ballot = Ballot {
             round: self.round,
             node: context.me,
-            life: self.life,
+            incarnation: self.incarnation,
         };
         let Some(proposal) = self.proposals.get_mut(&slot) else {
             return;
@@ -103,15 +104,15 @@
         };
         proposal.started = context.now;
         proposal.retry_at = context.now + RETRY + membership.rank() * RETRY_RANK;
-        let (set, without) = (membership.set().number, proposal.without);
+        let (set, without) = (membership.set().epoch, proposal.without);
         for member in membership.reached_members() {
             context.send(
                 member,
                 Message::Prepare {
-                    set,
+                    epoch: set,
                     slot,
                     ballot,
-                    without,
+                    removed: without,
                 },
             );
         }
@@ -125,7 +126,7 @@
         from: NodeId,
         slot: Slot,
         ballot: Ballot,
-        accepted: Option<Accepted>,
+        accepted: Option<Proposal>,
     ) {
         let Some(proposal) = self.proposals.get_mut(&slot).filter(|p| p.ballot == ballot) else {
             return;
@@ -147,16 +148,16 @@
             .take()
             .map_or_else(|| proposal.value.clone(), |a| a.value);
         proposal.phase = Phase::Accepting;
-        let set = membership.set().number;
+        let set = membership.set().epoch;
         for member in membership.reached_members() {
-            let proposal = Accepted {
+            let proposal = Proposal {
                 ballot,
                 value: value.clone(),
             };
             context.send(
                 member,
                 Message::Accept {
-                    set,
+                    epoch: set,
                     slot,
                     proposal,
                 },
@@ -180,14 +181,15 @@
     /// The set changed: what is proposed for versions goes to the new set's voters, under a new ballot.
     pub fn set_changed(&mut self, now: u64) {
         self.proposals
-            .retain(|slot, _| matches!(slot, Slot::Version(_)));
+            .retain(|slot, _| matches!(slot, Slot::Configuration(_)));
         self.proposals.values_mut().for_each(|p| p.retry_at = now);
     }
 
     /// A slot is settled, and so are lower versions.
-    pub fn settled(&mut self, version: u64) {
-        self.proposals
-            .retain(|slot, _| *slot > Slot::Version(version) || matches!(slot, Slot::Set(_)));
+    pub fn settled(&mut self, version: ConfigurationVersion) {
+        self.proposals.retain(|slot, _| {
+            *slot > Slot::Configuration(version) || matches!(slot, Slot::VotingSet(_))
+        });
     }
 
     pub fn tick(&mut self, context: &mut Context, membership: &Membership) {
--- a/crates/gateway/consensus/src/register.rs
+++ b/crates/gateway/consensus/src/register.rs
@@ -10,7 +10,8 @@
 use crate::proposer::{Intent, Proposer};
 use crate::replicas::{HeldState, Replicas};
 use crate::versions::Versions;
-use rushcourse_messages::{Accepted, Ballot, ClaimId, Message, NodeId, Slot, VotingSet};
+use rushcourse_messages::{Ballot, ClaimId, Message, NodeId, Proposal, Slot, VotingSet};
+use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest, SessionId, Ticket, Timestamp};
 use std::sync::Arc;
 
 /// ms for which a change of the set is tried before the need for it is looked at again.
@@ -30,22 +31,22 @@
     Refused(u64),
     /// A checked configuration of an operator.
     Put {
-        ticket: u64,
-        version: u64,
+        ticket: Ticket,
+        version: ConfigurationVersion,
         text: Arc<[u8]>,
     },
     Get {
-        ticket: u64,
+        ticket: Ticket,
     },
     /// A frontend director's claim, by its session.
     Claim {
-        session: u64,
-        set: u64,
-        key: u128,
+        session: SessionId,
+        set: Epoch,
+        key: KeyDigest,
         claim: ClaimId,
     },
     Withdraw {
-        key: u128,
+        key: KeyDigest,
         claim: ClaimId,
     },
     /// The process is to end: a spare may take its place.
@@ -61,7 +62,7 @@
     pub votes: bool,
     /// The highest version that it has accepted.
     pub held: u64,
-    pub in_force: u64,
+    pub in_force: ConfigurationVersion,
     pub claims: usize,
     pub peers: Vec<NodeId>,
 }
@@ -87,10 +88,10 @@
         } = stored;
         Register {
             context: Context::new(setup.me),
-            lessons: Lessons::new(setup.life),
+            lessons: Lessons::new(setup.incarnation),
             keys: Keys::new(setup.key_window_ms, claims),
             agreement: Agreement {
-                proposer: Proposer::new(setup.life),
+                proposer: Proposer::new(setup.incarnation),
                 membership: Membership::new(setup, set, remembers),
                 acceptor: Acceptor::new(records),
                 replicas: Replicas::default(),
@@ -149,7 +150,7 @@
                 key,
                 claim,
             } => {
-                let votes = self.agreement.membership.votes_in() == Some(set);
+                let votes = self.agreement.membership.votes_in() == Some(set.0);
                 self.keys
                     .claim(&mut self.context, votes, Asker { session, set }, key, claim);
             }
@@ -172,7 +173,7 @@
         let voters = self.agreement.membership.ask_for_lessons(self.context.now);
         self.lessons.ask(
             &mut self.context,
-            self.agreement.membership.set().number,
+            self.agreement.membership.set().epoch,
             voters,
         );
         self.agreement
@@ -187,7 +188,7 @@
         let Some(change) = self.agreement.membership.change_due(self.context.now) else {
             return;
         };
-        let slot = Slot::Set(change.next.number);
+        let slot = Slot::VotingSet(change.next.epoch);
         if self.agreement.proposer.is_proposing(slot) {
             return;
         }
@@ -200,7 +201,7 @@
         }
         context.say(format!(
             "event=set_change number={} with={}",
-            change.next.number, change.with
+            change.next.epoch, change.with
         ));
         let value = change.next.to_value();
         let intent = Intent {
@@ -226,12 +227,12 @@
             .filter(|m| Some(**m) != change.without)
             .filter(votes)
             .count();
-        stay >= change.next.majority().max(change.next.teachers())
+        stay >= change.next.majority().max(change.next.snapshot_quorum())
     }
 
     fn adopt_chosen_set(&mut self) {
         let set = self.agreement.membership.set();
-        let slot = Slot::Set(set.number + 1);
+        let slot = Slot::VotingSet(set.epoch.next());
         let Some(accepted) = self.agreement.acceptor.accepted(slot) else {
             return;
         };
@@ -250,20 +251,20 @@
     }
 
     fn heard(&mut self, peer: NodeId, message: Message) {
-        let number = self.agreement.membership.set().number;
+        let number = self.agreement.membership.set().epoch;
         match message {
-            Message::Set(set) => self.agreement.membership.told(&mut self.context, set),
-            Message::Held {
-                stamp,
-                echo,
-                set,
-                votes,
-                in_force,
-                casts,
+            Message::VotingSet(set) => self.agreement.membership.told(&mut self.context, set),
+            Message::ReplicaStatus {
+                sent_at: stamp,
+                echoed: echo,
+                epoch: set,
+                is_voter: votes,
+                committed: in_force,
+                votes: casts,
             } => {
                 let held = HeldState {
-                    stamp,
-                    echo,
+                    stamp: stamp.as_millis(),
+                    echo: echo.as_millis(),
                     set,
                     votes,
                     in_force,
@@ -271,14 +272,14 @@
                 };
                 self.agreement.replicas.heard(peer, held);
                 // It has read nothing from here yet: with this one's stamp what it tells will count.
-                if echo == 0 {
+                if echo == Timestamp::from_millis(0) {
                     self.versions.tell(&mut self.context, peer, &self.agreement);
                 }
             }
-            Message::Prepare { set, .. }
-            | Message::Promise { set, .. }
-            | Message::Accept { set, .. }
-            | Message::Refuse { set, .. }
+            Message::Prepare { epoch: set, .. }
+            | Message::Promise { epoch: set, .. }
+            | Message::Accept { epoch: set, .. }
+            | Message::Reject { epoch: set, .. }
                 if set != number =>
             {
                 self.other_epoch(peer, set);
@@ -286,7 +287,7 @@
             Message::Prepare {
                 slot,
                 ballot,
-                without,
+                removed: without,
                 ..
             } => self.prepare(peer, slot, ballot, without),
             Message::Promise {
@@ -301,7 +302,7 @@
                     .promised(context, membership, peer, slot, ballot, accepted);
             }
             Message::Accept { slot, proposal, .. } => self.accept(peer, slot, proposal),
-            Message::Refuse { slot, promised, .. } => {
+            Message::Reject { slot, promised, .. } => {
                 self.agreement.proposer.refused(
                     self.context.now,
                     &self.agreement.membership,
@@ -309,35 +310,35 @@
                     promised,
                 );
             }
-            Message::AskHeld { token, .. } => {
+            Message::ReadRequest { token, .. } => {
                 let highest = self.versions.highest(&self.agreement.acceptor);
                 let votes = self.agreement.membership.votes();
                 self.context.send(
                     peer,
-                    Message::TellHeld {
+                    Message::ReadResponse {
                         token,
-                        set: number,
-                        votes,
-                        highest,
+                        epoch: number,
+                        is_voter: votes,
+                        highest_accepted: ConfigurationVersion(highest),
                     },
                 );
             }
-            Message::TellHeld {
+            Message::ReadResponse {
                 token,
-                set,
-                votes,
-                highest,
+                epoch: set,
+                is_voter: votes,
+                highest_accepted: highest,
             } if set == number => {
                 self.versions.told_held(peer, token, votes, highest);
             }
-            Message::AskLesson { set, after }
-                if self.agreement.membership.votes_in() == Some(set) =>
+            Message::SnapshotRequest { epoch: set, after }
+                if self.agreement.membership.votes_in() == Some(set.0) =>
             {
                 let held = (&self.keys, &self.agreement.acceptor);
                 self.lessons
                     .teach(&mut self.context, peer, set, after, held);
             }
-            Message::Lesson(lesson) => {
+            Message::SnapshotChunk(lesson) => {
                 let (keys, acceptor) = (&mut self.keys, &mut self.agreement.acceptor);
                 let (membership, in_force) =
                     (&mut self.agreement.membership, self.versions.version());
@@ -347,16 +348,18 @@
                     lesson,
                     membership,
                     (keys, acceptor),
-                    in_force,
+                    ConfigurationVersion(in_force),
                 );
             }
-            Message::Learn { set } => {
+            Message::LearnerInvitation { epoch: set } => {
                 self.agreement
                     .membership
                     .invited(&mut self.context, peer, set)
             }
-            Message::Learned { set } => self.agreement.membership.spare_learned(peer, set),
-            Message::Leaving => self.agreement.membership.peer_leaves(peer),
+            Message::LearnerReady { epoch: set } => {
+                self.agreement.membership.spare_learned(peer, set)
+            }
+            Message::ShuttingDown => self.agreement.membership.peer_leaves(peer),
             _ => {}
         }
     }
@@ -364,7 +367,7 @@
     fn prepare(&mut self, peer: NodeId, slot: Slot, ballot: Ballot, without: Option<NodeId>) {
         let membership = &self.agreement.membership;
         let (set, agrees) = (
-            membership.set().number,
+            membership.set().epoch,
             membership.votes() && membership.may_leave_out(without),
         );
         if agrees && self.is_open(peer, slot) {
@@ -375,18 +378,22 @@
     }
 
     /// A message of another set's epoch counts for nothing; who is behind is told of the newer set.
-    fn other_epoch(&mut self, peer: NodeId, set: u64) {
-        if set < self.agreement.membership.set().number {
-            self.context
-                .send(peer, Message::Set(self.agreement.membership.set().clone()));
+    fn other_epoch(&mut self, peer: NodeId, set: Epoch) {
+        if set < self.agreement.membership.set().epoch {
+            self.context.send(
+                peer,
+                Message::VotingSet(self.agreement.membership.set().clone()),
+            );
         }
     }
 
     /// Whether a slot is still open here; who proposes for a settled one is told so.
     fn is_open(&mut self, peer: NodeId, slot: Slot) -> bool {
         let open = match slot {
-            Slot::Version(version) => version >= self.versions.version(),
-            Slot::Set(number) => number == self.agreement.membership.set().number + 1,
+            Slot::Configuration(version) => {
+                version >= ConfigurationVersion(self.versions.version())
+            }
+            Slot::VotingSet(number) => number == self.agreement.membership.set().epoch.next(),
         };
         if !open {
             self.versions.tell(&mut self.context, peer, &self.agreement);
@@ -394,17 +401,19 @@
         open
     }
 
-    fn accept(&mut self, peer: NodeId, slot: Slot, proposal: Accepted) {
+    fn accept(&mut self, peer: NodeId, slot: Slot, proposal: Proposal) {
         let set = self.agreement.membership.set();
         let votes = self.agreement.membership.votes();
         let useful = match slot {
-            Slot::Version(version) => version >= self.versions.version(),
-            Slot::Set(number) => votes && number == set.number + 1,
+            Slot::Configuration(version) => {
+                version >= ConfigurationVersion(self.versions.version())
+            }
+            Slot::VotingSet(number) => votes && number == set.epoch.next(),
         };
         if !useful {
             return;
         }
-        let number = set.number;
+        let number = set.epoch;
         let chosen =
             self.agreement
                 .replicas
@@ -423,7 +432,7 @@
 
     fn synced(&mut self, batch: u64) {
         let context = &mut self.context;
-        let number = self.agreement.membership.set().number;
+        let number = self.agreement.membership.set().epoch;
         match context.done(batch) {
             Some(Waits::Set(set)) => self.adopted(set),
             Some(Waits::Promise { to, slot, ballot }) if self.agreement.membership.votes() => {
@@ -452,21 +461,23 @@
         if !self.agreement.membership.remembers() {
             self.agreement.acceptor.stop_counting();
         }
-        self.agreement
-            .acceptor
-            .prune(&mut self.context, 0, self.agreement.membership.set().number);
+        self.agreement.acceptor.prune(
+            &mut self.context,
+            ConfigurationVersion(0),
+            self.agreement.membership.set().epoch,
+        );
         self.agreement.proposer.set_changed(self.context.now);
         self.versions
             .set_changed(&mut self.context, &mut self.agreement);
     }
 
     /// What a voter taught is on this disk.
-    fn taught(&mut self, keys: &[u128], complete: Option<u64>) {
+    fn taught(&mut self, keys: &[KeyDigest], complete: Option<u64>) {
         self.keys.taught_synced(keys);
         let Some(set) = complete else { return };
         self.agreement
             .membership
-            .lessons_synced(&mut self.context, set);
+            .lessons_synced(&mut self.context, Epoch(set));
         if self.agreement.membership.votes() {
             self.agreement.acceptor.counts_synced();
             self.versions.announce(&mut self.context, &self.agreement);
@@ -491,7 +502,7 @@
         }
     }
 
-    pub fn in_force(&self) -> Option<(u64, Arc<[u8]>)> {
+    pub fn in_force(&self) -> Option<(ConfigurationVersion, Arc<[u8]>)> {
         self.versions.in_force(&self.agreement.acceptor)
     }
 
@@ -510,7 +521,7 @@
     }
 
     /// The claim of a key that this replica holds, and whether its disk has it.
-    pub fn held(&self, key: u128) -> Option<(Claim, bool)> {
+    pub fn held(&self, key: KeyDigest) -> Option<(Claim, bool)> {
         self.keys.held(key)
     }
 
@@ -520,7 +531,7 @@
             remembers: self.agreement.membership.remembers(),
             votes: self.agreement.membership.votes(),
             held: self.versions.highest(&self.agreement.acceptor),
-            in_force: self.versions.version(),
+            in_force: ConfigurationVersion(self.versions.version()),
             claims: self.keys.len(),
             peers: self.agreement.membership.peers(),
         }
--- a/crates/gateway/consensus/src/replicas.rs
+++ b/crates/gateway/consensus/src/replicas.rs
@@ -1,6 +1,7 @@
 //! What other replicas told that their disks hold, and which proposals are chosen by it.
 
-use rushcourse_messages::{Ballot, Cast, Message, NodeId, Slot, VotingSet};
+use rushcourse_messages::{Ballot, DurableVote, Message, NodeId, Slot, VotingSet};
+use rushcourse_types::{ConfigurationVersion, Epoch, Timestamp};
 use std::collections::BTreeMap;
 
 /// ms for which what a replica told counts, from the stamp of this replica that it gave back: however long a message lay on
@@ -15,9 +16,9 @@
     at: u64,
     /// The peer's clock when it told this.
     stamp: u64,
-    set: u64,
+    set: Epoch,
     votes: bool,
-    pub in_force: u64,
+    pub in_force: ConfigurationVersion,
     casts: BTreeMap<Slot, Ballot>,
 }
 
@@ -27,15 +28,15 @@
     }
 }
 
-/// The content of `Message::Held`.
+/// The content of `Message::ReplicaStatus`.
 #[derive(Clone, Debug)]
 pub(crate) struct HeldState {
     pub stamp: u64,
     pub echo: u64,
-    pub set: u64,
+    pub set: Epoch,
     pub votes: bool,
-    pub in_force: u64,
-    pub casts: Vec<Cast>,
+    pub in_force: ConfigurationVersion,
+    pub casts: Vec<DurableVote>,
 }
 
 impl From<HeldState> for Message {
@@ -48,13 +49,13 @@
             in_force,
             casts,
         } = held;
-        Message::Held {
-            stamp,
-            echo,
-            set,
-            votes,
-            in_force,
-            casts,
+        Message::ReplicaStatus {
+            sent_at: Timestamp::from_millis(stamp),
+            echoed: Timestamp::from_millis(echo),
+            epoch: set,
+            is_voter: votes,
+            committed: in_force,
+            votes: casts,
         }
     }
 }
@@ -97,7 +98,7 @@
     pub fn is_voter(&self, now: u64, set: &VotingSet, node: NodeId) -> bool {
         self.told
             .get(&node)
-            .is_some_and(|told| told.is_fresh(now) && told.votes && told.set == set.number)
+            .is_some_and(|told| told.is_fresh(now) && told.votes && told.set == set.epoch)
     }
 
     /// Its session broke: it may come back with less.
@@ -117,7 +118,8 @@
 
     /// Whether a majority of the set has voted for a proposal; `own`: this replica is one of them.
     pub fn chosen(&self, now: u64, set: &VotingSet, slot: Slot, ballot: Ballot, own: bool) -> bool {
-        set.number > 0 && self.votes(now, set, slot, ballot) + usize::from(own) >= set.majority()
+        set.epoch > Epoch(0)
+            && self.votes(now, set, slot, ballot) + usize::from(own) >= set.majority()
     }
 
     pub fn has_cast(&self, node: NodeId, slot: Slot, ballot: Ballot) -> bool {
--- a/crates/gateway/consensus/src/versions.rs
+++ b/crates/gateway/consensus/src/versions.rs
@@ -11,7 +11,8 @@
 use crate::effects::{Effect, Outcome};
 use crate::proposer::Intent;
 use crate::replicas::{HeldState, Told};
-use rushcourse_messages::{Accepted, Ballot, Message, NodeId, Slot};
+use rushcourse_messages::{Ballot, Message, NodeId, Proposal, Slot};
+use rushcourse_types::{ConfigurationVersion, Epoch, RequestToken, Ticket};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -34,7 +35,7 @@
 /// An operator's order that waits for its outcome.
 #[derive(Clone, Debug)]
 struct Put {
-    version: u64,
+    version: ConfigurationVersion,
     text: Arc<[u8]>,
     until: u64,
 }
@@ -42,16 +43,16 @@
 /// An operator's read that waits for a majority.
 #[derive(Clone, Debug)]
 struct Reading {
-    token: u64,
+    token: RequestToken,
     until: u64,
     told: BTreeSet<NodeId>,
-    highest: u64,
+    highest: ConfigurationVersion,
 }
 
 /// A version that is accepted here and not in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Open {
-    version: u64,
+    version: ConfigurationVersion,
     ballot: Ballot,
     since: u64,
 }
@@ -59,17 +60,17 @@
 /// A version that a peer was found to lack.
 #[derive(Clone, Copy, Debug)]
 struct Behind {
-    version: u64,
+    version: ConfigurationVersion,
     since: u64,
     pushed_at: Option<u64>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Versions {
-    in_force: u64,
+    in_force: ConfigurationVersion,
     puts: BTreeMap<u64, Put>,
     gets: BTreeMap<u64, Reading>,
-    next_token: u64,
+    next_token: RequestToken,
     told_at: u64,
     open: Option<Open>,
     behind: BTreeMap<NodeId, Behind>,
@@ -77,12 +78,13 @@
 
 impl Versions {
     pub fn version(&self) -> u64 {
-        self.in_force
+        self.in_force.0
     }
 
-    pub fn in_force(&self, acceptor: &Acceptor) -> Option<(u64, Arc<[u8]>)> {
-        let accepted = acceptor.accepted(Slot::Version(self.in_force))?;
-        (self.in_force > 0).then(|| (self.in_force, accepted.value.clone()))
+    pub fn in_force(&self, acceptor: &Acceptor) -> Option<(ConfigurationVersion, Arc<[u8]>)> {
+        let accepted = acceptor.accepted(Slot::Configuration(self.in_force))?;
+        (self.in_force > ConfigurationVersion::NONE)
+            .then(|| (self.in_force, accepted.value.clone()))
     }
 
     /// The highest version that is accepted here or in force.
@@ -90,7 +92,7 @@
         acceptor
             .versions_above(self.in_force)
             .next()
-            .map_or(self.in_force, |v| v.0)
+            .map_or(self.in_force.0, |v| v.0.0)
     }
 
     pub fn down(&mut self, peer: NodeId) {
@@ -102,7 +104,7 @@
         let held = HeldState {
             stamp: context.now.max(1),
             echo: agreement.replicas.stamp(to),
-            set: agreement.membership.set().number,
+            set: agreement.membership.set().epoch,
             votes: agreement.membership.votes(),
             in_force: self.in_force,
             casts: agreement.acceptor.casts(),
@@ -121,13 +123,14 @@
     pub fn put(
         &mut self,
         context: &mut Context,
-        ticket: u64,
-        version: u64,
+        ticket: Ticket,
+        version: ConfigurationVersion,
         text: Arc<[u8]>,
         agreement: &mut Agreement,
     ) {
         let membership = &agreement.membership;
-        if version > self.in_force && membership.set().number > 0 && !membership.in_company() {
+        if version > self.in_force && membership.set().epoch > Epoch(0) && !membership.in_company()
+        {
             return context.out.push(Effect::Answer {
                 ticket,
                 outcome: Outcome::Unclear,
@@ -139,15 +142,15 @@
             until: context.now + CALL_WAIT,
         };
         self.propose(context, &put, agreement);
-        self.puts.insert(ticket, put);
+        self.puts.insert(ticket.0, put);
     }
 
     /// Proposes an order's text, unless there is no set yet: then it waits for that.
     fn propose(&self, context: &mut Context, put: &Put, agreement: &mut Agreement) {
-        if put.version <= self.in_force || agreement.membership.set().number == 0 {
+        if put.version <= self.in_force || agreement.membership.set().epoch == Epoch(0) {
             return;
         }
-        let slot = Slot::Version(put.version);
+        let slot = Slot::Configuration(put.version);
         let intent = Intent {
             slot,
             value: put.text.clone(),
@@ -159,7 +162,7 @@
             .begin(context, &agreement.membership, intent);
     }
 
-    pub fn get(&mut self, context: &mut Context, ticket: u64, agreement: &Agreement) {
+    pub fn get(&mut self, context: &mut Context, ticket: Ticket, agreement: &Agreement) {
         let membership = &agreement.membership;
         if !membership.in_company() {
             return context.out.push(Effect::Answer {
@@ -167,32 +170,38 @@
                 outcome: Outcome::Unclear,
             });
         }
-        self.next_token += 1;
+        self.next_token = self.next_token.next();
         let token = self.next_token;
         let told = BTreeSet::from_iter(membership.votes().then_some(context.me));
         let highest = self.highest(&agreement.acceptor);
         self.gets.insert(
-            ticket,
+            ticket.0,
             Reading {
                 token,
                 until: context.now + CALL_WAIT,
                 told,
-                highest,
+                highest: ConfigurationVersion(highest),
             },
         );
-        let set = membership.set().number;
+        let set = membership.set().epoch;
         let me = context.me;
         for member in membership
             .reached_members()
             .into_iter()
             .filter(|m| *m != me)
         {
-            context.send(member, Message::AskHeld { token, set });
+            context.send(member, Message::ReadRequest { token, epoch: set });
         }
     }
 
     /// A voter's answer to a read.
-    pub fn told_held(&mut self, peer: NodeId, token: u64, votes: bool, highest: u64) {
+    pub fn told_held(
+        &mut self,
+        peer: NodeId,
+        token: RequestToken,
+        votes: bool,
+        highest: ConfigurationVersion,
+    ) {
         let Some(reading) = self.gets.values_mut().find(|r| r.token == token) else {
             return;
         };
@@ -211,8 +220,8 @@
 
     fn look_for_chosen(&mut self, context: &mut Context, agreement: &mut Agreement) {
         let (membership, replicas) = (&agreement.membership, &agreement.replicas);
-        let chosen = |(version, accepted): &(u64, &Accepted)| {
-            let slot = Slot::Version(*version);
+        let chosen = |(version, accepted): &(ConfigurationVersion, &Proposal)| {
+            let slot = Slot::Configuration(*version);
             let own = membership.votes() && agreement.acceptor.cast(slot) == Some(accepted.ballot);
             replicas.chosen(context.now, membership.set(), slot, accepted.ballot, own)
         };
@@ -228,10 +237,10 @@
         self.in_force = version;
         self.open = None;
         agreement.proposer.settled(version);
-        agreement.acceptor.prune(context, version, 0);
+        agreement.acceptor.prune(context, version, Epoch(0));
         context.say(format!(
             "event=in_force version={version} set={}",
-            membership.set().number
+            membership.set().epoch
         ));
         context.out.push(Effect::InForce { version, text });
         self.announce(context, agreement);
@@ -240,7 +249,7 @@
     fn answer_puts(&mut self, context: &mut Context, agreement: &Agreement) {
         let text = agreement
             .acceptor
-            .accepted(Slot::Version(self.in_force))
+            .accepted(Slot::Configuration(self.in_force))
             .map(|a| a.value.clone());
         let (in_force, now) = (self.in_force, context.now);
         let outcome = |put: &Put| {
@@ -257,7 +266,10 @@
             .collect();
         for (ticket, outcome) in ended {
             self.puts.remove(&ticket);
-            context.out.push(Effect::Answer { ticket, outcome });
+            context.out.push(Effect::Answer {
+                ticket: Ticket(ticket),
+                outcome,
+            });
         }
     }
 
@@ -269,7 +281,7 @@
                 .iter()
                 .filter(|m| reading.told.contains(m))
                 .count();
-            if set.number > 0 && told >= set.majority() && self.in_force >= reading.highest {
+            if set.epoch > Epoch(0) && told >= set.majority() && self.in_force >= reading.highest {
                 let whole = self.in_force(&agreement.acceptor);
                 let whole = whole.map(|(version, text)| Outcome::Whole { version, text });
                 return Some(whole.unwrap_or(Outcome::Nothing));
@@ -283,7 +295,10 @@
             .collect();
         for (ticket, outcome) in ended {
             self.gets.remove(&ticket);
-            context.out.push(Effect::Answer { ticket, outcome });
+            context.out.push(Effect::Answer {
+                ticket: Ticket(ticket),
+                outcome,
+            });
         }
     }
 
@@ -294,7 +309,7 @@
         }
         let readings = std::mem::take(&mut self.gets);
         for ticket in readings.into_keys() {
-            self.get(context, ticket, agreement);
+            self.get(context, Ticket(ticket), agreement);
         }
         self.announce(context, agreement);
     }
@@ -327,7 +342,7 @@
         let due = open.since + SETTLE_AFTER + agreement.membership.rank() * SETTLE_RANK;
         if context.now >= due && agreement.membership.votes() && agreement.membership.in_company() {
             let until = context.now + SETTLE_WAIT;
-            let slot = Slot::Version(version);
+            let slot = Slot::Configuration(version);
             let intent = Intent {
                 slot,
                 value: accepted.value,
@@ -343,11 +358,11 @@
     /// Brings what is in force to replicas that lack it: the first of those that have it at once, the others if that
     /// does not help.
     fn push_behind(&mut self, context: &mut Context, agreement: &Agreement) {
-        let slot = Slot::Version(self.in_force);
+        let slot = Slot::Configuration(self.in_force);
         let Some(accepted) = agreement
             .acceptor
             .accepted(slot)
-            .filter(|_| self.in_force > 0)
+            .filter(|_| self.in_force > ConfigurationVersion::NONE)
             .cloned()
         else {
             return;
@@ -385,11 +400,11 @@
                 .is_none_or(|at| context.now >= at + PUSH_EVERY);
             if mine && due {
                 state.pushed_at = Some(context.now);
-                let set = agreement.membership.set().number;
+                let set = agreement.membership.set().epoch;
                 context.send(
                     node,
                     Message::Accept {
-                        set,
+                        epoch: set,
                         slot,
                         proposal: accepted.clone(),
                     },
--- a/crates/gateway/consensus/tests/world/mod.rs
+++ b/crates/gateway/consensus/tests/world/mod.rs
@@ -10,7 +10,10 @@
 //!   verdict), `won:k:1`, `lost:k:1` (a majority granted it, or not)
 
 use rushcourse_consensus::{Effect, Input, Op, Outcome, Register, Setup, Stored};
-use rushcourse_messages::{ClaimId, Message, NodeId, Verdict};
+use rushcourse_messages::{ClaimVerdict, Message};
+use rushcourse_types::{
+    ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, SessionId, Ticket,
+};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -34,50 +37,50 @@
     disk: Disk,
     cut: bool,
     first: bool,
-    life: u64,
+    incarnation: Incarnation,
     /// ms by which its time of day is off.
     clock: i64,
 }
 
 /// A director in one of its lives: what was said to an earlier one is lost.
-type Party = (NodeId, u64);
+type Party = (NodeId, Incarnation);
 
 pub struct World {
     now: u64,
     nodes: BTreeMap<NodeId, Node>,
     seeds: Vec<NodeId>,
-    /// When, from (life), to (life), what.
+    /// When, from (incarnation), to (incarnation), what.
     mail: VecDeque<(u64, Party, Party, Message)>,
     /// The ticket that was acknowledged last, and whether another text is in force under its number.
-    acked: BTreeMap<NodeId, (u64, bool)>,
+    acked: BTreeMap<NodeId, (Ticket, bool)>,
     /// The order that was left without a clear answer last.
-    open: BTreeMap<NodeId, u64>,
+    open: BTreeMap<NodeId, Ticket>,
     /// The text in force under each number: there is one.
-    served: BTreeMap<u64, Arc<[u8]>>,
-    read: BTreeMap<NodeId, Option<u64>>,
+    served: BTreeMap<ConfigurationVersion, Arc<[u8]>>,
+    read: BTreeMap<NodeId, Option<ConfigurationVersion>>,
     /// The last verdict of each voter, and the set that it was given under.
-    verdicts: BTreeMap<(String, u64), BTreeMap<NodeId, (u64, Verdict)>>,
+    verdicts: BTreeMap<(String, u64), BTreeMap<NodeId, (Epoch, ClaimVerdict)>>,
     /// Which claimant won a key: never two.
     winners: BTreeMap<String, u64>,
 }
 
-fn key(word: &str) -> u128 {
-    word.bytes().fold(0, |k, b| k << 8 | u128::from(b))
+fn key(word: &str) -> KeyDigest {
+    KeyDigest(word.bytes().fold(0, |k, b| k << 8 | u128::from(b)))
 }
 
 fn id(claimant: u64) -> ClaimId {
     ClaimId {
-        node: 1000 + claimant as u32,
-        life: claimant,
+        node: NodeId(1000 + claimant as u32),
+        incarnation: Incarnation(claimant),
         number: claimant,
     }
 }
 
-fn text(version: u64) -> Arc<[u8]> {
+fn text(version: ConfigurationVersion) -> Arc<[u8]> {
     Arc::from(version.to_string().as_bytes())
 }
 
-fn twin(version: u64) -> Arc<[u8]> {
+fn twin(version: ConfigurationVersion) -> Arc<[u8]> {
     Arc::from(format!("{version}, by another operator").as_bytes())
 }
 
@@ -90,13 +93,13 @@
             disk: Disk::Flows,
             cut: false,
             first: true,
-            life: 0,
+            incarnation: Incarnation(0),
             clock: 0,
         };
         World {
             now: 0,
-            nodes: (1..=count).map(|n| (n, node())).collect(),
-            seeds: (1..=count.min(3)).collect(),
+            nodes: (1..=count).map(|n| (NodeId(n), node())).collect(),
+            seeds: (1..=count.min(3)).map(NodeId).collect(),
             mail: VecDeque::new(),
             acked: BTreeMap::new(),
             open: BTreeMap::new(),
@@ -132,7 +135,7 @@
                         .push_back((due, batch, ops));
                 }
                 Effect::Send { to, message } => {
-                    let lives = (self.nodes[&n].life, self.nodes[&to].life);
+                    let lives = (self.nodes[&n].incarnation, self.nodes[&to].incarnation);
                     self.mail
                         .push_back((now + DELAY, (n, lives.0), (to, lives.1), message));
                 }
@@ -143,13 +146,13 @@
                     verdict,
                     ..
                 } => {
-                    let word: Vec<u8> = k.to_be_bytes().into_iter().filter(|b| *b > 0).collect();
+                    let word: Vec<u8> = k.0.to_be_bytes().into_iter().filter(|b| *b > 0).collect();
                     let word = String::from_utf8(word).expect("a word");
                     self.verdicts
-                        .entry((word.clone(), claim.life))
+                        .entry((word.clone(), claim.incarnation.0))
                         .or_default()
                         .insert(n, (set, verdict));
-                    self.note_winner(&word, claim.life);
+                    self.note_winner(&word, claim.incarnation.0);
                 }
                 Effect::Answer { ticket, outcome } => match outcome {
                     Outcome::Acknowledged { another } => {
@@ -167,7 +170,7 @@
                         );
                         self.read.insert(n, Some(version));
                     }
-                    Outcome::Unclear if ticket < READS => drop(self.open.insert(n, ticket)),
+                    Outcome::Unclear if ticket < Ticket(READS) => drop(self.open.insert(n, ticket)),
                     Outcome::Nothing | Outcome::Unclear => drop(self.read.insert(n, None)),
                 },
                 Effect::InForce { version, text } => {
@@ -190,7 +193,7 @@
             let change = |peer: NodeId| match up {
                 true => Input::Up {
                     peer,
-                    zone: format!("zone-{}", peer % 4).into(),
+                    zone: format!("zone-{}", peer.0 % 4).into(),
                 },
                 false => Input::Down(peer),
             };
@@ -203,12 +206,12 @@
         let seeds = self.seeds.clone();
         let node = self.nodes.get_mut(&n).expect("known");
         let first = std::mem::take(&mut node.first);
-        node.life += 1;
+        node.incarnation.0 += 1;
         node.disk = Disk::Flows;
         let setup = Setup {
             me: n,
-            zone: format!("zone-{}", n % 4).into(),
-            life: u64::from(n) * 1_000 + node.life,
+            zone: format!("zone-{}", n.0 % 4).into(),
+            incarnation: Incarnation(u64::from(n.0) * 1_000 + node.incarnation.0),
             seeds,
             first_start: first,
             tolerated: 1,
@@ -250,14 +253,15 @@
                     }
                 }
                 done.into_iter().for_each(|input| self.step(n, input));
-                if (self.now + u64::from(n)).is_multiple_of(TICK) {
+                if (self.now + u64::from(n.0)).is_multiple_of(TICK) {
                     self.step(n, Input::Tick);
                 }
             }
             while self.mail.front().is_some_and(|m| m.0 <= self.now) {
-                let (_, (from, life), (to, its), message) = self.mail.pop_front().expect("looked");
-                let lives = (self.nodes[&from].life, self.nodes[&to].life);
-                if self.reach(from, to) && lives == (life, its) {
+                let (_, (from, incarnation), (to, its), message) =
+                    self.mail.pop_front().expect("looked");
+                let lives = (self.nodes[&from].incarnation, self.nodes[&to].incarnation);
+                if self.reach(from, to) && lives == (incarnation, its) {
                     self.step(to, Input::Heard(from, message));
                 }
             }
@@ -275,7 +279,8 @@
             .filter_map(|node| node.register.as_ref());
         let won = |register: &Register| {
             let set = register.set();
-            let granted = |m: &&NodeId| verdicts.get(m) == Some(&(set.number, Verdict::Granted));
+            let granted =
+                |m: &&NodeId| verdicts.get(m) == Some(&(set.epoch, ClaimVerdict::Granted));
             set.members.iter().filter(granted).count() >= set.majority()
         };
         registers.into_iter().any(won)
@@ -314,14 +319,14 @@
             }
             "leave" => self.step(n, Input::Leave),
             "set" => assert_eq!(
-                ready(self).map(|r| r.set.number),
-                Some(number()),
+                ready(self).map(|r| r.set.epoch),
+                Some(Epoch(number())),
                 "{at} {word}"
             ),
             "voters" => {
                 let members: Vec<NodeId> = rest
                     .split(',')
-                    .map(|m| m.parse().expect("a member"))
+                    .map(|m| NodeId(m.parse().expect("a member")))
                     .collect();
                 assert_eq!(
                     ready(self).map(|r| r.set.members),
@@ -353,16 +358,16 @@
                 self.step(
                     n,
                     Input::Get {
-                        ticket: READS + self.now,
+                        ticket: Ticket(READS + self.now),
                     },
                 );
             }
             "claim" => {
-                let set = ready(self).map_or(0, |r| r.set.number);
+                let set = ready(self).map_or(Epoch::NONE, |r| r.set.epoch);
                 self.step(
                     n,
                     Input::Claim {
-                        session: who,
+                        session: SessionId(who),
                         set,
                         key: key(k),
                         claim: id(who),
@@ -378,23 +383,31 @@
             ),
             "force" => assert_eq!(
                 ready(self).map(|r| r.in_force),
-                Some(number()),
+                Some(ConfigurationVersion(number())),
                 "{at} {word}"
             ),
             "acked" => assert_eq!(
                 self.acked.get(&n).map(|a| a.0),
-                Some(number()),
+                Some(Ticket(number())),
+                "{at} {word}"
+            ),
+            "open" => assert_eq!(self.open.get(&n), Some(&Ticket(number())), "{at} {word}"),
+            "other" => assert_eq!(
+                self.acked.get(&n),
+                Some(&(Ticket(number()), true)),
+                "{at} {word}"
+            ),
+            "read" => assert_eq!(
+                self.read.get(&n),
+                Some(&Some(ConfigurationVersion(number()))),
                 "{at} {word}"
             ),
-            "open" => assert_eq!(self.open.get(&n), Some(&number()), "{at} {word}"),
-            "other" => assert_eq!(self.acked.get(&n), Some(&(number(), true)), "{at} {word}"),
-            "read" => assert_eq!(self.read.get(&n), Some(&Some(number())), "{at} {word}"),
             "unclear" => assert_eq!(self.read.get(&n), Some(&None), "{at} {word}"),
             "votes" => assert!(ready(self).is_some_and(|r| r.votes), "{at} {word}"),
             "mute" => assert!(ready(self).is_some_and(|r| !r.votes), "{at} {word}"),
-            "yes" => assert_eq!(verdict(self), Some(Verdict::Granted), "{at} {word}"),
+            "yes" => assert_eq!(verdict(self), Some(ClaimVerdict::Granted), "{at} {word}"),
             "no" => assert!(
-                !matches!(verdict(self), None | Some(Verdict::Granted)),
+                !matches!(verdict(self), None | Some(ClaimVerdict::Granted)),
                 "{at} {word} {:?}",
                 verdict(self)
             ),
@@ -406,7 +419,7 @@
                 let number = other
                     .or(put.strip_prefix("put"))
                     .expect("a word of the timeline");
-                let version: u64 = number.parse().expect("a version");
+                let version = ConfigurationVersion(number.parse().expect("a version"));
                 let text = if other.is_some() {
                     twin(version)
                 } else {
@@ -415,7 +428,7 @@
                 self.step(
                     n,
                     Input::Put {
-                        ticket: version,
+                        ticket: Ticket(version.0),
                         version,
                         text,
                     },
@@ -438,7 +451,7 @@
         for (k, cell) in row[1..].iter().enumerate().filter(|c| *c.1 != ".") {
             for word in cell.split('+') {
                 world.word(
-                    k as u32 + 1,
+                    NodeId(k as u32 + 1),
                     word,
                     &format!("{} ms, director {}:", row[0], k + 1),
                 );
--- a/crates/gateway/controller/src/calls.rs
+++ b/crates/gateway/controller/src/calls.rs
@@ -9,8 +9,8 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
 use rushcourse_config::Configuration;
-use rushcourse_config::hash::hash128;
 use rushcourse_transport::accept;
+use rushcourse_types::hash::key_digest;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -211,7 +211,7 @@
         Name::GetConfiguration => Command::Get { reply },
         Name::Status => Command::Status { reply },
         Name::Key => Command::Key {
-            key: hash128(id.as_bytes()),
+            key: key_digest(id.as_bytes()),
             reply,
         },
     };
--- a/crates/gateway/controller/src/links.rs
+++ b/crates/gateway/controller/src/links.rs
@@ -1,6 +1,6 @@
 //! Sessions by who is on the other side, and who is to be dialled.
 
-use rushcourse_messages::{Hello, Life, Message, NodeId, Role};
+use rushcourse_messages::{Handshake, Incarnation, Message, NodeId, Role};
 use rushcourse_transport::{Dialler, Office, Session};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,7 +12,7 @@
     known: BTreeSet<NodeId>,
     sessions: BTreeMap<u64, Session>,
     /// Core directors: life and sessions, newest last.
-    peers: BTreeMap<NodeId, (Life, Vec<u64>)>,
+    peers: BTreeMap<NodeId, (Incarnation, Vec<u64>)>,
 }
 
 /// What a session's coming or going means.
@@ -80,8 +80,8 @@
         }
         self.know([peer.node]);
         let mut changes = Vec::new();
-        if let Some((life, of)) = self.peers.get_mut(&peer.node) {
-            if *life == peer.life {
+        if let Some((incarnation, of)) = self.peers.get_mut(&peer.node) {
+            if *incarnation == peer.incarnation {
                 of.push(id);
                 return changes;
             }
@@ -93,7 +93,7 @@
             }
             changes.push(Change::PeerDown(peer.node));
         }
-        self.peers.insert(peer.node, (peer.life, vec![id]));
+        self.peers.insert(peer.node, (peer.incarnation, vec![id]));
         changes.push(Change::PeerUp(peer.node));
         changes
     }
@@ -155,7 +155,7 @@
         self.fronts().for_each(|session| self.to(session, message));
     }
 
-    pub fn view(&self) -> Vec<(u64, Hello)> {
+    pub fn view(&self) -> Vec<(u64, Handshake)> {
         self.sessions
             .values()
             .map(|s| (s.id, s.peer.clone()))
--- a/crates/gateway/controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -9,9 +9,10 @@
 use rushcourse_cluster::{self as cluster, Cluster, Contact, Place, Rounds};
 use rushcourse_config::Boot;
 use rushcourse_consensus::{self as register, Op, Outcome, Register, Setup};
-use rushcourse_messages::{FORM, Hello, HostState, Message, NodeId, Role};
+use rushcourse_messages::{Handshake, HostState, Message, NodeId, PROTOCOL_VERSION, Role};
 use rushcourse_storage::{Done, Health, Store};
 use rushcourse_transport::{Dialler, Office, SessionEvent, StartError, Times, listen, logs};
+use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, RequestToken, SessionId, Ticket};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -61,7 +62,7 @@
 }
 
 pub(crate) fn node(at: &SocketAddrV4) -> NodeId {
-    u32::from(*at.ip())
+    NodeId(u32::from(*at.ip()))
 }
 
 /// What waits for an answer of a majority.
@@ -89,14 +90,14 @@
     register: Register,
     party: Cluster,
     links: Links,
-    tickets: BTreeMap<u64, oneshot::Sender<Reply>>,
-    next_ticket: u64,
+    tickets: BTreeMap<Ticket, oneshot::Sender<Reply>>,
+    next_ticket: Ticket,
     contact: Contact,
     /// Sessions of frontend directors that were not told yet which configuration is in force.
     untold: BTreeSet<u64>,
     rounds: Rounds,
     /// What waits for the end of a round.
-    asking: BTreeMap<u64, Asking>,
+    asking: BTreeMap<RequestToken, Asking>,
     /// What the cluster was told of its contact.
     company: bool,
     /// ms for which a process that is told to end waits for a spare to take its place.
@@ -118,7 +119,7 @@
         let (store, stored) = Store::open(&file).change_context(StartError::Disk)?;
         log::info!(
             "event=start set={} remembers={} configuration={} claims={}",
-            stored.set.number,
+            stored.set.epoch,
             stored.remembers,
             newest_version(&stored),
             stored.claims.len()
@@ -139,18 +140,18 @@
         spawned.change_context(StartError::Disk)?;
         let seeds: Vec<NodeId> = boot.seeds.iter().map(node).collect();
         let setup = Setup {
-            me,
+            me: NodeId(me),
             zone: boot.zone.as_str().into(),
-            life: times.lot(),
+            incarnation: Incarnation(times.lot()),
             seeds: seeds.clone(),
-            first_start: boot.first_start && stored.set.number == 0,
+            first_start: boot.first_start && stored.set.epoch == Epoch(0),
             tolerated: boot.tolerated,
             catch_up_ms: (boot.bounds.catch_up_s * 1000.0) as u64,
             key_window_ms: (boot.bounds.key_window_s * 1000.0) as u64,
         };
         let mut stored = stored;
         let hosts = std::mem::take(&mut stored.hosts);
-        let life = setup.life;
+        let incarnation = setup.incarnation;
         let register = Register::new(setup, stored);
         let party = Cluster::new(Place {
             zone: boot.zone.as_str().into(),
@@ -158,11 +159,11 @@
             beat_ms: (boot.beat_s * 1000.0) as u64,
             drain_ms: boot.bounds.drain_s * 1000.0,
         });
-        let hello = Hello {
-            form: FORM,
+        let hello = Handshake {
+            protocol_version: PROTOCOL_VERSION,
             role: Role::Controller,
-            node: me,
-            life,
+            node: NodeId(me),
+            incarnation,
             name: boot.node_name.clone(),
             zone: boot.zone.clone(),
         };
@@ -187,7 +188,7 @@
             party,
             links,
             tickets,
-            next_ticket: 0,
+            next_ticket: Ticket(0),
             contact: Contact::default(),
             untold: BTreeSet::new(),
             rounds: Rounds::default(),
@@ -322,7 +323,7 @@
     /// may not hear of. Before the first voting set there is nothing to be out of contact with.
     fn may_acknowledge(&mut self) -> bool {
         self.judge_contact();
-        self.contact.is_recent() || self.first_start && self.register.set().number == 0
+        self.contact.is_recent() || self.first_start && self.register.set().epoch == Epoch(0)
     }
 
     /// The configuration in force, to frontend directors that came while it may have been an old one.
@@ -332,7 +333,8 @@
             return;
         };
         for session in untold {
-            self.links.to(session, &Message::NewVersion { version });
+            self.links
+                .to(session, &Message::CommittedVersion { version });
         }
     }
 
@@ -340,14 +342,15 @@
     fn ask_round(&mut self, asking: Asking) {
         let token = self.rounds.ask(self.times.now());
         self.asking.insert(token, asking);
-        let set = self.register.set().number;
-        self.links.to_peers(&Message::AskHeld { token, set });
+        let set = self.register.set().epoch;
+        self.links
+            .to_peers(&Message::ReadRequest { token, epoch: set });
     }
 
     /// Ends an operator's call early where no majority answers. One that waits for the first voting set has its whole time.
-    fn bound_order(&mut self, ticket: u64) {
-        if self.register.set().number > 0 {
-            self.ask_round(Asking::Order(ticket));
+    fn bound_order(&mut self, ticket: Ticket) {
+        if self.register.set().epoch > Epoch(0) {
+            self.ask_round(Asking::Order(ticket.0));
         }
     }
 
@@ -369,7 +372,9 @@
                         Reply::NoContact
                     });
                 }
-                Some(Asking::Order(ticket)) if !reached => self.answer(ticket, Outcome::Unclear),
+                Some(Asking::Order(ticket)) if !reached => {
+                    self.answer(Ticket(ticket), Outcome::Unclear)
+                }
                 Some(Asking::Proof { .. } | Asking::Order(_)) | None => {}
             }
         }
@@ -395,9 +400,9 @@
                     verdict,
                 } => {
                     self.links.to(
-                        session,
-                        &Message::Vote {
-                            set,
+                        session.0,
+                        &Message::ClaimResponse {
+                            epoch: set,
                             key,
                             claim,
                             verdict,
@@ -409,7 +414,7 @@
                     self.untold.clear();
                     self.tell_version(version, text);
                 }
-                register::Effect::Set(set) => self.links.to_fronts(&Message::Set(set)),
+                register::Effect::Set(set) => self.links.to_fronts(&Message::VotingSet(set)),
                 register::Effect::Say(text) => log::info!("{text}"),
             }
         }
@@ -421,7 +426,7 @@
             match effect {
                 cluster::Effect::ToPeer(node, message) => self.links.to_peer(node, &message),
                 cluster::Effect::ToPeers(message) => self.links.to_peers(&message),
-                cluster::Effect::ToFront { session, message } => self.links.to(session, &message),
+                cluster::Effect::ToFront { session, message } => self.links.to(session.0, &message),
                 cluster::Effect::ToFronts(message) => self.links.to_fronts(&message),
                 cluster::Effect::Keep(news) => {
                     // Batch 0: nobody waits for it.
@@ -433,11 +438,11 @@
     }
 
     /// Brings a version in force to the gateways that take their tables from here, and names it to the others.
-    fn tell_version(&self, version: u64, text: Arc<[u8]>) {
-        let in_force = Message::InForce { version, text };
-        let named = Message::NewVersion { version };
+    fn tell_version(&self, version: ConfigurationVersion, text: Arc<[u8]>) {
+        let in_force = Message::Configuration { version, text };
+        let named = Message::CommittedVersion { version };
         for session in self.links.fronts() {
-            let message = if self.party.is_home(session) {
+            let message = if self.party.is_home(SessionId(session)) {
                 &in_force
             } else {
                 &named
@@ -447,17 +452,18 @@
     }
 
     /// A gateway asks for the text in force.
-    fn asked_for_version(&self, session: u64, above: u64) {
+    fn asked_for_version(&self, session: SessionId, above: ConfigurationVersion) {
         if let Some((version, text)) = self
             .register
             .in_force()
             .filter(|(version, _)| *version > above)
         {
-            self.links.to(session, &Message::InForce { version, text });
+            self.links
+                .to(session.0, &Message::Configuration { version, text });
         }
     }
 
-    fn answer(&mut self, ticket: u64, outcome: Outcome) {
+    fn answer(&mut self, ticket: Ticket, outcome: Outcome) {
         let Some(reply) = self.tickets.remove(&ticket) else {
             return;
         };
@@ -475,7 +481,7 @@
     fn answer_host(&mut self, leaves: bool, reply: oneshot::Sender<Reply>) {
         if !self.may_acknowledge() {
             let _ = reply.send(Reply::NoContact);
-        } else if leaves && self.register.set().number > 0 {
+        } else if leaves && self.register.set().epoch > Epoch(0) {
             self.ask_round(Asking::Heard(reply));
         } else {
             let _ = reply.send(Reply::Done);
@@ -483,9 +489,9 @@
     }
 
     fn ticket(&mut self, reply: oneshot::Sender<Reply>) -> u64 {
-        self.next_ticket += 1;
+        self.next_ticket = self.next_ticket.next();
         self.tickets.insert(self.next_ticket, reply);
-        self.next_ticket
+        self.next_ticket.0
     }
 
     fn command(&mut self, command: Command) {
@@ -509,16 +515,18 @@
             } => {
                 let ticket = self.ticket(reply);
                 self.register(register::Input::Put {
-                    ticket,
+                    ticket: Ticket(ticket),
                     version,
                     text,
                 });
-                self.bound_order(ticket);
+                self.bound_order(Ticket(ticket));
             }
             Command::Get { reply } => {
                 let ticket = self.ticket(reply);
-                self.register(register::Input::Get { ticket });
-                self.bound_order(ticket);
+                self.register(register::Input::Get {
+                    ticket: Ticket(ticket),
+                });
+                self.bound_order(Ticket(ticket));
             }
             Command::Status { reply } => {
                 let disk = (
@@ -559,10 +567,10 @@
                 for change in self.links.up(session) {
                     self.change(change);
                 }
-                self.links.to(id, &Message::Cores(self.links.known()));
+                self.links.to(id, &Message::Controllers(self.links.known()));
                 // All hear of a core director that nobody knew.
                 if peer.role == Role::Controller {
-                    let cores = Message::Cores(self.links.known());
+                    let cores = Message::Controllers(self.links.known());
                     self.links.to_peers(&cores);
                     self.links.to_fronts(&cores);
                 }
@@ -596,18 +604,20 @@
                 };
                 let (node, zone) = (session.peer.node, session.peer.zone.as_str().into());
                 self.links
-                    .to(id, &Message::Set(self.register.set().clone()));
+                    .to(id, &Message::VotingSet(self.register.set().clone()));
                 self.untold.insert(id);
                 self.judge_contact();
                 self.party(cluster::Input::FrontUp {
-                    session: id,
+                    session: SessionId(id),
                     node,
                     zone,
                 });
             }
             Change::FrontDown(session) => {
                 self.untold.remove(&session);
-                self.party(cluster::Input::FrontDown { session });
+                self.party(cluster::Input::FrontDown {
+                    session: SessionId(session),
+                });
             }
         }
     }
@@ -618,37 +628,48 @@
         };
         let (node, role) = (session.peer.node, session.peer.role);
         match (role, message) {
-            (Role::Controller, Message::Cores(nodes)) => {
+            (Role::Controller, Message::Controllers(nodes)) => {
                 self.links.know(nodes);
             }
-            (Role::Controller, Message::TellHeld { token, .. })
+            (Role::Controller, Message::ReadResponse { token, .. })
                 if self.rounds.told(node, token) =>
             {
                 self.end_rounds();
             }
             (Role::Controller, message) => match message {
-                Message::Sessions(_)
-                | Message::Hosts(_)
-                | Message::Beats(_)
-                | Message::HostDigest(_)
-                | Message::HostRanges(_)
-                | Message::Standing { .. } => self.party(cluster::Input::PeerSaid(node, message)),
+                Message::GatewaySessions(_)
+                | Message::HostUpdates(_)
+                | Message::Heartbeats(_)
+                | Message::HostDigests(_)
+                | Message::HostRangeRequest(_)
+                | Message::ControllerStatus { .. } => {
+                    self.party(cluster::Input::PeerSaid(node, message))
+                }
                 agreed => self.register(register::Input::Heard(node, agreed)),
             },
-            (Role::Gateway, Message::Claim { set, key, claim }) => {
+            (
+                Role::Gateway,
+                Message::ClaimRequest {
+                    epoch: set,
+                    key,
+                    claim,
+                },
+            ) => {
                 self.register(register::Input::Claim {
-                    session: id,
+                    session: SessionId(id),
                     set,
                     key,
                     claim,
                 });
             }
-            (Role::Gateway, Message::AskVersion { above }) => self.asked_for_version(id, above),
-            (Role::Gateway, Message::Withdraw { key, claim }) => {
+            (Role::Gateway, Message::ConfigurationRequest { newer_than: above }) => {
+                self.asked_for_version(SessionId(id), above)
+            }
+            (Role::Gateway, Message::ClaimWithdrawal { key, claim }) => {
                 self.register(register::Input::Withdraw { key, claim });
             }
             (Role::Gateway, message) => self.party(cluster::Input::FrontSaid {
-                session: id,
+                session: SessionId(id),
                 message,
             }),
         }
--- a/crates/gateway/controller/src/pages.rs
+++ b/crates/gateway/controller/src/pages.rs
@@ -4,6 +4,7 @@
 use rushcourse_cluster::Cluster;
 use rushcourse_consensus::{Claim, Register};
 use rushcourse_storage::Doing;
+use rushcourse_types::{NodeId, SessionId};
 use std::fmt::Write;
 use std::net::Ipv4Addr;
 
@@ -26,7 +27,7 @@
     format!(
         "{{\"held\":true,\"on_disk\":{durable},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
         quoted(&Ipv4Addr::from(claim.id.node).to_string()),
-        quoted(&claim.id.life.to_string()),
+        quoted(&claim.id.incarnation.to_string()),
         claim.id.number,
         wall.saturating_sub(claim.at) as f64 / 1000.0
     )
@@ -42,7 +43,7 @@
     disk: (Doing, u64),
 ) -> String {
     let r = register.ready();
-    let node = |n: u32| quoted(&Ipv4Addr::from(n).to_string());
+    let node = |n: NodeId| quoted(&n.to_string());
     let mut page = String::new();
     let _ = write!(
         page,
@@ -50,7 +51,7 @@
          \"held\":{},\"in_force\":{},\"claims\":{},\"peers\":{}",
         quoted(name),
         party.primed(),
-        r.set.number,
+        r.set.epoch,
         list(r.set.members, node),
         r.remembers,
         r.votes,
@@ -77,7 +78,7 @@
             node(hello.node),
             quoted(&hello.zone),
             quoted(&role),
-            party.is_home(id),
+            party.is_home(SessionId(id)),
         )
     });
     let hosts = list(party.hosts().iter(), |s| {
--- a/crates/gateway/controller/src/reading.rs
+++ b/crates/gateway/controller/src/reading.rs
@@ -3,7 +3,8 @@
 use facet_value::Value;
 use rushcourse_config::Invalid;
 use rushcourse_config::cells::{needed, number, object, whole};
-use rushcourse_messages::{HostNews, HostState};
+use rushcourse_messages::{HostRecord, HostState};
+use rushcourse_types::{CallSequence, Millis};
 use std::sync::Arc;
 
 /// Letters of a host's id, service, zone or address at most (ours).
@@ -28,7 +29,7 @@
 ///
 /// # Errors
 /// The first field that is missing or wrong, by its place.
-pub fn host(id: &str, body: &[u8]) -> Result<HostNews, Invalid> {
+pub fn host(id: &str, body: &[u8]) -> Result<HostRecord, Invalid> {
     if id.is_empty() || id.len() > WORD_MOST {
         return Err(Invalid::at("path", "names no host"));
     }
@@ -64,7 +65,7 @@
         Some(value) => whole(value, "information.available_slots")?.clamp(1, 1_000_000) as u32,
         None => 1,
     };
-    Ok(HostNews {
+    Ok(HostRecord {
         id: id.into(),
         service: word(
             needed(information, "service", "information")?,
@@ -77,11 +78,11 @@
         address,
         slots,
         state,
-        sequence: whole(
+        sequence: CallSequence(whole(
             needed(status, "call_sequence", "status")?,
             "status.call_sequence",
-        )?,
-        cold_ms: (cold * 1000.0) as u64,
-        age_ms: 0,
+        )?),
+        warm_up: Millis((cold * 1000.0) as u64),
+        age: Millis(0),
     })
 }
--- a/crates/gateway/controller/src/state_file.rs
+++ b/crates/gateway/controller/src/state_file.rs
@@ -4,6 +4,7 @@
 use rushcourse_consensus::Stored;
 use rushcourse_messages::{AcceptorRecord, Slot};
 use rushcourse_transport::StartError;
+use rushcourse_types::ConfigurationVersion;
 use std::path::{Path, PathBuf};
 
 /// Name of the state file, and the name that versions before 0.2 gave it.
@@ -24,8 +25,14 @@
 /// The newest version that a disk holds; 0: none.
 pub fn newest_version(stored: &Stored) -> u64 {
     let version = |(slot, _): &(Slot, AcceptorRecord)| match slot {
-        Slot::Version(version) => Some(*version),
-        Slot::Set(_) => None,
+        Slot::Configuration(version) => Some(*version),
+        Slot::VotingSet(_) => None,
     };
-    stored.records.iter().filter_map(version).max().unwrap_or(0)
+    stored
+        .records
+        .iter()
+        .filter_map(version)
+        .max()
+        .unwrap_or(ConfigurationVersion(0))
+        .0
 }
--- a/crates/gateway/controller/src/work.rs
+++ b/crates/gateway/controller/src/work.rs
@@ -1,14 +1,15 @@
 //! What the owner works through, in the order in which it comes.
 
-use rushcourse_messages::HostNews;
+use rushcourse_messages::HostRecord;
 use rushcourse_storage::Done;
+use rushcourse_types::{ConfigurationVersion, KeyDigest};
 use std::sync::Arc;
 use tokio::sync::oneshot;
 
 /// A call of a host or an operator, checked, with the way to its answer.
 pub enum Command {
     Register {
-        news: HostNews,
+        news: HostRecord,
         reply: oneshot::Sender<Reply>,
     },
     SignOff {
@@ -16,7 +17,7 @@
         reply: oneshot::Sender<Reply>,
     },
     Put {
-        version: u64,
+        version: ConfigurationVersion,
         text: Arc<[u8]>,
         reply: oneshot::Sender<Reply>,
     },
@@ -28,7 +29,7 @@
     },
     /// Who holds an operation key here.
     Key {
-        key: u128,
+        key: KeyDigest,
         reply: oneshot::Sender<Reply>,
     },
 }
--- a/crates/gateway/gateway/src/board.rs
+++ b/crates/gateway/gateway/src/board.rs
@@ -3,12 +3,13 @@
 use crate::links::Links;
 use crate::pools::Pools;
 use rushcourse_config::{Boot, Configuration};
-use rushcourse_messages::{ClaimId, Message, NodeId, Progress, Role, VotingSet};
+use rushcourse_messages::{ClaimId, Message, NodeId, OperationState, Role, VotingSet};
 use rushcourse_routing::{
     Budget, Claims, Decision, Homing, Operations, Tables, Verdicts, VersionFetch, VoteRequest,
     Withdrawal,
 };
 use rushcourse_transport::{SessionEvent, Tally, Times};
+use rushcourse_types::{ConfigurationVersion, Incarnation, KeyDigest, RequestToken};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -41,15 +42,15 @@
     pub pools: Pools,
     pub configuration: Option<Arc<Configuration>>,
     versions: VersionFetch,
-    pub claimed: BTreeMap<u128, oneshot::Sender<Verdicts>>,
-    pub asked: BTreeMap<u64, oneshot::Sender<Progress>>,
-    next_token: u64,
+    pub claimed: BTreeMap<KeyDigest, oneshot::Sender<Verdicts>>,
+    pub asked: BTreeMap<RequestToken, oneshot::Sender<OperationState>>,
+    next_token: RequestToken,
     usage_at: u64,
     pub tally: Tally,
 }
 
 impl Board {
-    pub fn new(boot: &Boot, times: Times, life: u64, links: Links) -> Board {
+    pub fn new(boot: &Boot, times: Times, incarnation: Incarnation, links: Links) -> Board {
         let me = u32::from(boot.ip);
         let b = &boot.bounds;
         let window = (b.key_window_s * 1000.0) as u64;
@@ -61,16 +62,16 @@
                 b.retry_budget_slack,
                 (b.budget_window_s * 1000.0) as u64,
             ),
-            claims: Claims::new(me, life),
+            claims: Claims::new(NodeId(me), incarnation),
             operations: Operations::new(window, memory),
-            homing: Homing::new(me, &boot.zone),
+            homing: Homing::new(NodeId(me), &boot.zone),
             links,
             pools: Pools::default(),
             configuration: None,
             versions: VersionFetch::default(),
             claimed: BTreeMap::new(),
             asked: BTreeMap::new(),
-            next_token: 0,
+            next_token: RequestToken(0),
             usage_at: 0,
             tally: Tally::new("own_answers"),
         };
@@ -79,7 +80,7 @@
             state: RefCell::new(state),
             ending: Cell::new(false),
             busy: Cell::new(0),
-            lot: Cell::new(life | 1),
+            lot: Cell::new(incarnation.0 | 1),
         }
     }
 
@@ -156,11 +157,11 @@
                 for (service, tries, failed) in usage {
                     state.links.to(
                         home,
-                        &Message::Usage {
+                        &Message::LoadReport {
                             service,
-                            tries,
-                            failed,
-                            span_ms: span,
+                            attempts: tries,
+                            failures: failed,
+                            interval_ms: span,
                         },
                     );
                 }
@@ -193,21 +194,25 @@
     fn core_said(&mut self, now: u64, node: NodeId, message: Message) {
         let home = self.homing.home() == Some(node);
         match message {
-            Message::Cores(nodes) => self.links.know(nodes),
-            Message::Set(set) => self.voting_set(now, node, set),
-            Message::Standing { primed, fronts } => {
+            Message::Controllers(nodes) => self.links.know(nodes),
+            Message::VotingSet(set) => self.voting_set(now, node, set),
+            Message::ControllerStatus {
+                is_synchronized: primed,
+                gateways: fronts,
+            } => {
                 self.homing.primed(node, primed);
                 self.budget.members(fronts);
                 self.pools.members(fronts);
                 self.choose_home();
             }
-            Message::InForce { version, text } => self.in_force(version, &text),
-            Message::NewVersion { version } => {
-                self.versions.named(now, node, version, self.version());
+            Message::Configuration { version, text } => self.in_force(version, &text),
+            Message::CommittedVersion { version } => {
+                self.versions
+                    .named(now, node, version, ConfigurationVersion(self.version()));
                 self.ask_for_version(now);
             }
-            Message::Vote {
-                set,
+            Message::ClaimResponse {
+                epoch: set,
                 key,
                 claim,
                 verdict,
@@ -220,26 +225,38 @@
                     }]);
                 }
             }
-            Message::Out(news) => {
+            Message::HostStates(news) => {
                 for id in self.tables.out(&news) {
                     self.pools.shut(&id);
                 }
             }
-            Message::Table {
+            Message::TableReplacement {
                 service,
-                mark,
-                lines,
+                revision: mark,
+                endpoints: lines,
             } if home => {
                 self.tables.table(&service, lines);
-                self.links.to(node, &Message::Applied { service, mark });
+                self.links.to(
+                    node,
+                    &Message::TableApplied {
+                        service,
+                        revision: mark,
+                    },
+                );
             }
-            Message::Lines {
+            Message::TableUpdate {
                 service,
-                mark,
-                lines,
+                revision: mark,
+                endpoints: lines,
             } if home => {
                 self.tables.lines(&service, lines);
-                self.links.to(node, &Message::Applied { service, mark });
+                self.links.to(
+                    node,
+                    &Message::TableApplied {
+                        service,
+                        revision: mark,
+                    },
+                );
             }
             _ => {}
         }
@@ -247,18 +264,26 @@
 
     /// The version that this gateway goes by; 0: none yet.
     fn version(&self) -> u64 {
-        self.configuration.as_ref().map_or(0, |c| c.version)
+        self.configuration.as_ref().map_or(0, |c| c.version.0)
     }
 
     fn ask_for_version(&mut self, now: u64) {
         let (above, homing) = (self.version(), &self.homing);
-        if let Some(holder) = self.versions.ask(now, above, |n| homing.reached(n)) {
-            self.links.to(holder, &Message::AskVersion { above });
+        if let Some(holder) = self
+            .versions
+            .ask(now, ConfigurationVersion(above), |n| homing.reached(n))
+        {
+            self.links.to(
+                holder,
+                &Message::ConfigurationRequest {
+                    newer_than: ConfigurationVersion(above),
+                },
+            );
         }
     }
 
-    /// A version that a majority holds. It never goes back within this life.
-    fn in_force(&mut self, version: u64, text: &[u8]) {
+    /// A version that a majority holds. It never goes back within this incarnation.
+    fn in_force(&mut self, version: ConfigurationVersion, text: &[u8]) {
         if self
             .configuration
             .as_ref()
@@ -286,11 +311,11 @@
     fn choose_home(&mut self) {
         let (new, old) = self.homing.choose();
         if let Some(old) = old {
-            self.links.to(old, &Message::Home(false));
+            self.links.to(old, &Message::PrimarySelected(false));
         }
         if let Some(new) = new {
             log::info!("event=home node={}", std::net::Ipv4Addr::from(new));
-            self.links.to(new, &Message::Home(true));
+            self.links.to(new, &Message::PrimarySelected(true));
         }
     }
 
@@ -307,8 +332,8 @@
     }
 
     pub fn send_claim(&self, vote_request: &VoteRequest) {
-        let message = Message::Claim {
-            set: vote_request.set,
+        let message = Message::ClaimRequest {
+            epoch: vote_request.set,
             key: vote_request.key,
             claim: vote_request.claim,
         };
@@ -319,7 +344,7 @@
     }
 
     fn send_withdrawal(&self, withdrawal: &Withdrawal) {
-        let message = Message::Withdraw {
+        let message = Message::ClaimWithdrawal {
             key: withdrawal.key,
             claim: withdrawal.claim,
         };
@@ -339,14 +364,23 @@
 
     fn front_said(&mut self, now: u64, id: u64, message: Message) {
         match message {
-            Message::AskKey { token, key, claim } => {
+            Message::OperationQuery { token, key, claim } => {
                 let progress = self.operations.progress(key, claim);
-                if progress == Progress::Nothing {
+                if progress == OperationState::NotFound {
                     self.withdraw_again(now, key, claim);
                 }
-                self.links.reply(id, &Message::TellKey { token, progress });
+                self.links.reply(
+                    id,
+                    &Message::OperationReply {
+                        token,
+                        state: progress,
+                    },
+                );
             }
-            Message::TellKey { token, progress } => {
+            Message::OperationReply {
+                token,
+                state: progress,
+            } => {
                 if let Some(waiter) = self.asked.remove(&token) {
                     let _ = waiter.send(progress);
                 }
@@ -359,20 +393,23 @@
     pub fn ask(
         &mut self,
         now: u64,
-        key: u128,
+        key: KeyDigest,
         claim: ClaimId,
-    ) -> (u64, oneshot::Receiver<Progress>) {
-        self.next_token += 1;
+    ) -> (RequestToken, oneshot::Receiver<OperationState>) {
+        self.next_token = self.next_token.next();
         let (token, (tell, told)) = (self.next_token, oneshot::channel());
         self.asked.insert(token, tell);
-        self.links
-            .ask(now, claim.node, Message::AskKey { token, key, claim });
+        self.links.ask(
+            now,
+            claim.node,
+            Message::OperationQuery { token, key, claim },
+        );
         (token, told)
     }
 
     /// Voters were found to hold a claim of which nothing is known here: it was withdrawn, or its window is over, and
-    /// they have not heard so. True if it is one of this life; of an earlier one it isn't known what was sent.
-    pub fn withdraw_again(&mut self, now: u64, key: u128, claim: ClaimId) -> bool {
+    /// they have not heard so. True if it is one of this incarnation; of an earlier one it isn't known what was sent.
+    pub fn withdraw_again(&mut self, now: u64, key: KeyDigest, claim: ClaimId) -> bool {
         let made = self.claims.made(claim);
         if made {
             self.withdraw(now, key, claim);
@@ -381,7 +418,7 @@
     }
 
     /// Tells all voters that may hold a claim that nothing was sent under it.
-    pub fn withdraw(&mut self, now: u64, key: u128, claim: ClaimId) {
+    pub fn withdraw(&mut self, now: u64, key: KeyDigest, claim: ClaimId) {
         self.operations.withdraw(key, claim);
         let withdrawal = self.claims.withdraw(now, key, claim);
         self.send_withdrawal(&withdrawal);
--- a/crates/gateway/gateway/src/keyed.rs
+++ b/crates/gateway/gateway/src/keyed.rs
@@ -8,9 +8,10 @@
 use http_body_util::{BodyExt, Full};
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
-use rushcourse_config::hash::hash128;
-use rushcourse_messages::{ClaimId, Kept, Progress};
+use rushcourse_messages::{ClaimId, OperationState, StoredResponse};
 use rushcourse_routing::{State, Verdicts, VoteRequest};
+use rushcourse_types::KeyDigest;
+use rushcourse_types::hash::key_digest;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::sync::oneshot;
@@ -23,7 +24,12 @@
 /// Bytes of an answer that is kept for repeats; a longer one is passed on and its repeats get 409 (ours).
 const KEPT_MOST: usize = 1 << 20;
 
-pub async fn carry_call(board: &Shared, call: Call, key: u128, claim: ClaimId) -> Response<Answer> {
+pub async fn carry_call(
+    board: &Shared,
+    call: Call,
+    key: KeyDigest,
+    claim: ClaimId,
+) -> Response<Answer> {
     // The run goes on without its client: whoever asks again gets its answer.
     let (tell, told) = oneshot::channel();
     let running = board.clone();
@@ -36,7 +42,7 @@
     told.await.unwrap_or_else(|_| refuse(board, Own::Broke))
 }
 
-async fn run(board: &Shared, call: &Call, key: u128, claim: ClaimId) -> Response<Answer> {
+async fn run(board: &Shared, call: &Call, key: KeyDigest, claim: ClaimId) -> Response<Answer> {
     match carry(board, call).await {
         Carried::Answered(response) => {
             let (head, body) = response.into_parts();
@@ -53,7 +59,7 @@
                 .await
                 .map(|b| b.to_bytes())
                 .unwrap_or_default();
-            let kept = Kept {
+            let kept = StoredResponse {
                 status: head.status.as_u16(),
                 headers: head
                     .headers
@@ -86,7 +92,7 @@
 }
 
 /// A kept answer as the answer of a repeat.
-fn repeat(call: &Call, kept: &Kept) -> Response<Answer> {
+fn repeat(call: &Call, kept: &StoredResponse) -> Response<Answer> {
     let mut response = Response::new(Answer::Whole(Full::new(Bytes::copy_from_slice(&kept.body))));
     *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in &kept.headers {
@@ -103,7 +109,7 @@
 
 /// Takes a request with a key through: its first try runs, repeats get what became of it.
 pub async fn take(board: &Shared, call: Call) -> Response<Answer> {
-    let Some(key) = call.key.as_deref().map(hash128) else {
+    let Some(key) = call.key.as_deref().map(key_digest) else {
         return refuse(board, Own::Bad("no operation key"));
     };
     let known = board.state.borrow().operations.state(key).cloned();
@@ -121,7 +127,7 @@
             let (tell, told) = oneshot::channel();
             state.claimed.insert(key, tell);
             state.operations.begin(now, key, claim);
-            let set = state.claims.voting_set().number;
+            let set = state.claims.voting_set().epoch;
             state.send_claim(&VoteRequest {
                 set,
                 key,
@@ -161,7 +167,7 @@
 async fn lost(
     board: &Shared,
     call: &Call,
-    key: u128,
+    key: KeyDigest,
     claim: ClaimId,
     holder: ClaimId,
 ) -> Response<Answer> {
@@ -187,8 +193,8 @@
     let progress = timeout(ASK_WAIT, told).await;
     board.state.borrow_mut().asked.remove(&token);
     match progress {
-        Ok(Ok(Progress::Answered(kept))) => repeat(call, &kept),
-        Ok(Ok(Progress::Nothing)) => refuse(board, Own::Refused(CLAIMS_MET)),
+        Ok(Ok(OperationState::Completed(kept))) => repeat(call, &kept),
+        Ok(Ok(OperationState::NotFound)) => refuse(board, Own::Refused(CLAIMS_MET)),
         _ => refuse(board, Own::AtWork),
     }
 }
--- a/crates/gateway/gateway/src/links.rs
+++ b/crates/gateway/gateway/src/links.rs
@@ -1,6 +1,6 @@
 //! Sessions of a frontend director: to all core directors, and to other frontend ones while repeats are asked for.
 
-use rushcourse_messages::{Hello, Message, NodeId, Role};
+use rushcourse_messages::{Handshake, Message, NodeId, Role};
 use rushcourse_transport::{Dialler, Session};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -87,7 +87,7 @@
         Some((node, session.peer.role))
     }
 
-    pub fn peer(&self, id: u64) -> Option<&Hello> {
+    pub fn peer(&self, id: u64) -> Option<&Handshake> {
         self.sessions.get(&id).map(|s| &s.peer)
     }
 
--- a/crates/gateway/gateway/src/server.rs
+++ b/crates/gateway/gateway/src/server.rs
@@ -4,6 +4,7 @@
 use crate::board::{Board, Shared};
 use crate::front;
 use crate::links::Links;
+use rushcourse_types::{Incarnation, NodeId};
 
 use axum::http::StatusCode;
 use bytes::Bytes;
@@ -12,7 +13,7 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use rushcourse_config::Boot;
-use rushcourse_messages::{FORM, Hello, Role};
+use rushcourse_messages::{Handshake, PROTOCOL_VERSION, Role};
 use rushcourse_transport::{Dialler, Office, StartError, Times, accept, listen, logs};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -70,12 +71,12 @@
     )
     .await?;
     let times = Times::start();
-    let life = times.lot();
-    let hello = Hello {
-        form: FORM,
+    let incarnation = Incarnation(times.lot());
+    let hello = Handshake {
+        protocol_version: PROTOCOL_VERSION,
         role: Role::Gateway,
-        node: u32::from(boot.ip),
-        life,
+        node: NodeId(u32::from(boot.ip)),
+        incarnation,
         name: boot.node_name.clone(),
         zone: boot.zone.clone(),
     };
@@ -85,11 +86,11 @@
         .set_keys(boot.keys.as_ref())
         .map_err(|e| Report::new(StartError::Keys).attach(e))?;
     let mut links = Links::new(Dialler::new(office.clone(), boot.internal_ports.0));
-    links.know(boot.seeds.iter().map(|s| u32::from(*s.ip())));
-    let board: Shared = Rc::new(Board::new(&boot, times, life, links));
+    links.know(boot.seeds.iter().map(|s| NodeId::from(*s.ip())));
+    let board: Shared = Rc::new(Board::new(&boot, times, incarnation, links));
     let descriptors = boot.descriptors.saturating_sub(264).max(32);
     let ready = Arc::new(AtomicBool::new(false));
-    log::info!("event=start life={life}");
+    log::info!("event=start incarnation={incarnation}");
     tokio::task::spawn_local(listen(internal, descriptors / 8, office.clone()));
     tokio::task::spawn_local(tell_ready(readiness, ready.clone()));
     let clients = Rc::new(Clients::default());
@@ -139,7 +140,7 @@
             }
             _ = hup.recv() => match rushcourse_transport::start(&path) {
                 Ok(boot) => {
-                    let seeds = boot.seeds.iter().map(|s| u32::from(*s.ip()));
+                    let seeds = boot.seeds.iter().map(|s| NodeId::from(*s.ip()));
                     board.state.borrow_mut().links.know(seeds);
                     log::info!("event=settings_read seeds={} keys={}", boot.seeds.len(), boot.keys.is_some());
                     if let Err(e) = office.set_keys(boot.keys.as_ref()) {
--- a/crates/gateway/gateway/tests/clients.rs
+++ b/crates/gateway/gateway/tests/clients.rs
@@ -2,8 +2,11 @@
 
 mod world;
 
-use rushcourse_messages::{ClaimId, FORM, Hello, Message, NodeId, Progress, Role, Verdict};
+use rushcourse_messages::{
+    ClaimId, ClaimVerdict, Handshake, Message, NodeId, OperationState, PROTOCOL_VERSION, Role,
+};
 use rushcourse_transport::{Dialler, Office, SessionEvent};
+use rushcourse_types::{Epoch, Incarnation, KeyDigest, RequestToken};
 use std::time::Duration;
 use tokio::sync::mpsc::unbounded_channel;
 use world::{Come, INTERNAL, Plan, Signal, Step, World, answer, play, rest, until};
@@ -243,21 +246,24 @@
         w.cores.grant(false);
         let world = w.clone();
         let asked = tokio::task::spawn_local(async move { operation(&world, "k1", "a1").await });
-        until("all are asked", || (0..5).all(|c| w.cores.claims(c) == [1])).await;
-        w.cores.vote(0, Verdict::Granted);
-        w.cores.vote(4, Verdict::Granted);
+        until("all are asked", || {
+            (0..5).all(|c| w.cores.claims(c) == [Epoch(1)])
+        })
+        .await;
+        w.cores.vote(0, ClaimVerdict::Granted);
+        w.cores.vote(4, ClaimVerdict::Granted);
         w.cores.tell_set(1, 2, &[0, 1, 2, 3]);
-        w.cores.vote(1, Verdict::Cannot);
+        w.cores.vote(1, ClaimVerdict::Abstained);
         until("the new set is asked", || {
-            (0..4).all(|c| w.cores.claims(c) == [1, 2])
+            (0..4).all(|c| w.cores.claims(c) == [Epoch(1), Epoch(2)])
         })
         .await;
-        assert_eq!(w.cores.claims(4), [1]);
+        assert_eq!(w.cores.claims(4), [Epoch(1)]);
         // Two of the former set and two of the new one are no majority; three of the new one are.
-        w.cores.vote(1, Verdict::Granted);
-        w.cores.vote(2, Verdict::Granted);
+        w.cores.vote(1, ClaimVerdict::Granted);
+        w.cores.vote(2, ClaimVerdict::Granted);
         assert_eq!(w.hosts.seen().len(), 0);
-        w.cores.vote(0, Verdict::Granted);
+        w.cores.vote(0, ClaimVerdict::Granted);
         let come = asked.await.expect("an answer");
         assert!(come.answers("a1"), "{come:?}");
         assert_eq!((w.hosts.arrivals("a1"), w.cores.withdrawals(4)), (1, 0));
@@ -270,7 +276,10 @@
         w.cores.grant(false);
         let world = w.clone();
         let asked = tokio::task::spawn_local(async move { operation(&world, "k1", "a1").await });
-        until("all are asked", || (0..3).all(|c| w.cores.claims(c) == [1])).await;
+        until("all are asked", || {
+            (0..3).all(|c| w.cores.claims(c) == [Epoch(1)])
+        })
+        .await;
         w.cores.tell_set(0, 2, &[0, 1]);
         assert_eq!(asked.await.expect("an answer").status, 503, "nobody votes");
         until("all are told", || {
@@ -279,7 +288,7 @@
         .await;
         assert_eq!(w.hosts.seen().len(), 0);
         // The key is free again, and three later votes of the first claim are nobody's.
-        (0..3).for_each(|c| w.cores.vote(c, Verdict::Granted));
+        (0..3).for_each(|c| w.cores.vote(c, ClaimVerdict::Granted));
         w.cores.grant(true);
         assert!(operation(&w, "k1", "a2").await.answers("a2"));
     });
@@ -291,9 +300,12 @@
         w.cores.grant(false);
         let world = w.clone();
         let asked = tokio::task::spawn_local(async move { operation(&world, "k1", "a1").await });
-        until("all are asked", || (0..3).all(|c| w.cores.claims(c) == [1])).await;
+        until("all are asked", || {
+            (0..3).all(|c| w.cores.claims(c) == [Epoch(1)])
+        })
+        .await;
         w.freeze().await;
-        (0..3).for_each(|c| w.cores.vote(c, Verdict::Granted));
+        (0..3).for_each(|c| w.cores.vote(c, ClaimVerdict::Granted));
         rest(Duration::from_millis(500)).await;
         w.thaw();
         assert_eq!(asked.await.expect("an answer").status, 503);
@@ -306,7 +318,7 @@
 }
 
 /// Gives up an operation's claim, and returns it: nobody votes.
-async fn given_up(world: &World, key: &str, id: &str) -> (u128, ClaimId) {
+async fn given_up(world: &World, key: &str, id: &str) -> (KeyDigest, ClaimId) {
     world.cores.grant(false);
     assert_eq!(operation(world, key, id).await.status, 503, "nobody votes");
     let (key, claim) = world.cores.claim(0);
@@ -341,7 +353,7 @@
     play(THREE_CORES, async |w| {
         let (_, claim) = given_up(&w, "k1", "a1").await;
         let earlier = ClaimId {
-            life: claim.life ^ 1,
+            incarnation: Incarnation(claim.incarnation.0 ^ 1),
             ..claim
         };
         w.cores.hold(earlier);
@@ -363,11 +375,11 @@
         let (key, claim) = given_up(&w, "k1", "a1").await;
         let (tell, mut events) = unbounded_channel();
         let node = NodeId::from(w.free);
-        let hello = Hello {
-            form: FORM,
+        let hello = Handshake {
+            protocol_version: PROTOCOL_VERSION,
             role: Role::Gateway,
             node,
-            life: 1,
+            incarnation: Incarnation(1),
             name: "front-2".into(),
             zone: "z".into(),
         };
@@ -375,8 +387,8 @@
         let Some(SessionEvent::Up(session)) = events.recv().await else {
             panic!("no session")
         };
-        session.out.send(&Message::AskKey {
-            token: 7,
+        session.out.send(&Message::OperationQuery {
+            token: RequestToken(7),
             key,
             claim,
         });
@@ -385,9 +397,9 @@
         };
         assert_eq!(
             told,
-            Message::TellKey {
-                token: 7,
-                progress: Progress::Nothing
+            Message::OperationReply {
+                token: RequestToken(7),
+                state: OperationState::NotFound
             }
         );
         until("all are told again", || {
--- a/crates/gateway/gateway/tests/world/core.rs
+++ b/crates/gateway/gateway/tests/world/core.rs
@@ -2,8 +2,12 @@
 //! says.
 
 use super::SERVICE;
-use rushcourse_messages::{ClaimId, FORM, Hello, Line, Message, NodeId, Role, Verdict, VotingSet};
+use rushcourse_messages::{
+    ClaimId, ClaimVerdict, EndpointWeight, Handshake, Message, NodeId, PROTOCOL_VERSION, Role,
+    VotingSet,
+};
 use rushcourse_transport::{Office, Session, SessionEvent, listen};
+use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, KeyDigest};
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -16,9 +20,9 @@
 struct Shared {
     nodes: Vec<NodeId>,
     configuration: Rc<[u8]>,
-    lines: Vec<Line>,
+    lines: Vec<EndpointWeight>,
     /// What is voted on claims as they come; None: they wait for the test.
-    votes: Cell<Option<Verdict>>,
+    votes: Cell<Option<ClaimVerdict>>,
     sessions: RefCell<Vec<(usize, Session)>>,
     heard: RefCell<Vec<(usize, Message)>>,
 }
@@ -32,7 +36,7 @@
 )]
 fn voting_set(number: u64, members: Vec<NodeId>) -> VotingSet {
     VotingSet {
-        number,
+        epoch: Epoch(number),
         members,
         ..Default::default()
     }
@@ -43,13 +47,13 @@
         at: &[Ipv4Addr],
         port: u16,
         configuration: String,
-        lines: Vec<Line>,
+        lines: Vec<EndpointWeight>,
     ) -> Cores {
         let shared = Rc::new(Shared {
             nodes: at.iter().map(|a| NodeId::from(*a)).collect(),
             configuration: configuration.into_bytes().into(),
             lines,
-            votes: Cell::new(Some(Verdict::Granted)),
+            votes: Cell::new(Some(ClaimVerdict::Granted)),
             sessions: RefCell::default(),
             heard: RefCell::default(),
         });
@@ -57,11 +61,11 @@
             let (tell, events) = unbounded_channel();
             let node = NodeId::from(*address);
             let name = format!("core-{number}");
-            let hello = Hello {
-                form: FORM,
+            let hello = Handshake {
+                protocol_version: PROTOCOL_VERSION,
                 role: Role::Controller,
                 node,
-                life: 1,
+                incarnation: Incarnation(1),
                 name,
                 zone: "z".into(),
             };
@@ -80,12 +84,12 @@
 
     /// Claims are granted as they come, or wait for the test.
     pub fn grant(&self, grants: bool) {
-        self.0.votes.set(grants.then_some(Verdict::Granted));
+        self.0.votes.set(grants.then_some(ClaimVerdict::Granted));
     }
 
     /// Another claim holds whatever is claimed.
     pub fn hold(&self, by: ClaimId) {
-        self.0.votes.set(Some(Verdict::Held(by)));
+        self.0.votes.set(Some(ClaimVerdict::HeldBy(by)));
     }
 
     /// Everything that the gateway said to a core director, but for pings.
@@ -112,21 +116,25 @@
 
     pub fn tell_set(&self, core: usize, number: u64, members: &[usize]) {
         let members = members.iter().map(|m| self.0.nodes[*m]).collect();
-        self.say(core, &Message::Set(voting_set(number, members)));
+        self.say(core, &Message::VotingSet(voting_set(number, members)));
     }
 
     /// A core director's vote on the newest claim that it heard.
-    pub fn vote(&self, core: usize, verdict: Verdict) {
+    pub fn vote(&self, core: usize, verdict: ClaimVerdict) {
         let heard = self.heard(core);
         let claims = heard.iter().rev().find_map(|m| match m {
-            Message::Claim { set, key, claim } => Some((*set, *key, *claim)),
+            Message::ClaimRequest {
+                epoch: set,
+                key,
+                claim,
+            } => Some((*set, *key, *claim)),
             _ => None,
         });
         let (set, key, claim) = claims.expect("a claim");
         self.say(
             core,
-            &Message::Vote {
-                set,
+            &Message::ClaimResponse {
+                epoch: set,
                 key,
                 claim,
                 verdict,
@@ -135,10 +143,10 @@
     }
 
     /// The newest claim that a core director heard.
-    pub fn claim(&self, core: usize) -> (u128, ClaimId) {
+    pub fn claim(&self, core: usize) -> (KeyDigest, ClaimId) {
         let heard = self.heard(core);
         let claim = |m: &Message| {
-            if let Message::Claim { key, claim, .. } = m {
+            if let Message::ClaimRequest { key, claim, .. } = m {
                 Some((*key, *claim))
             } else {
                 None
@@ -149,14 +157,15 @@
 
     /// Whether a core director was told that nothing was sent under a claim, and how often.
     pub fn withdrawn(&self, core: usize, claim: ClaimId) -> usize {
-        let told = |m: &&Message| matches!(m, Message::Withdraw { claim: c, .. } if *c == claim);
+        let told =
+            |m: &&Message| matches!(m, Message::ClaimWithdrawal { claim: c, .. } if *c == claim);
         self.heard(core).iter().filter(told).count()
     }
 
     /// The numbers of the sets under which claims came to a core director.
-    pub fn claims(&self, core: usize) -> Vec<u64> {
+    pub fn claims(&self, core: usize) -> Vec<Epoch> {
         let set = |m: &Message| {
-            if let Message::Claim { set, .. } = m {
+            if let Message::ClaimRequest { epoch: set, .. } = m {
                 Some(*set)
             } else {
                 None
@@ -168,7 +177,7 @@
     pub fn withdrawals(&self, core: usize) -> usize {
         self.heard(core)
             .iter()
-            .filter(|m| matches!(m, Message::Withdraw { .. }))
+            .filter(|m| matches!(m, Message::ClaimWithdrawal { .. }))
             .count()
     }
 }
@@ -203,31 +212,35 @@
 
 fn greeting(shared: &Shared) -> [Message; 4] {
     [
-        Message::Cores(shared.nodes.clone()),
-        Message::Set(voting_set(1, shared.nodes.clone())),
-        Message::InForce {
-            version: 1,
+        Message::Controllers(shared.nodes.clone()),
+        Message::VotingSet(voting_set(1, shared.nodes.clone())),
+        Message::Configuration {
+            version: ConfigurationVersion(1),
             text: shared.configuration.as_ref().into(),
         },
-        Message::Standing {
-            primed: true,
-            fronts: 1,
+        Message::ControllerStatus {
+            is_synchronized: true,
+            gateways: 1,
         },
     ]
 }
 
 fn replies(shared: &Shared, message: &Message) -> Vec<Message> {
     match message {
-        Message::Home(true) => {
-            vec![Message::Table {
+        Message::PrimarySelected(true) => {
+            vec![Message::TableReplacement {
                 service: SERVICE.into(),
-                mark: 1,
-                lines: shared.lines.clone(),
+                revision: 1,
+                endpoints: shared.lines.clone(),
             }]
         }
-        Message::Claim { set, key, claim } => {
-            let vote = |verdict| Message::Vote {
-                set: *set,
+        Message::ClaimRequest {
+            epoch: set,
+            key,
+            claim,
+        } => {
+            let vote = |verdict| Message::ClaimResponse {
+                epoch: *set,
                 key: *key,
                 claim: *claim,
                 verdict,
--- a/crates/gateway/gateway/tests/world/mod.rs
+++ b/crates/gateway/gateway/tests/world/mod.rs
@@ -15,7 +15,8 @@
 pub use core::Cores;
 pub use host::{Hosts, Manner, Seen, Step, answer};
 
-use rushcourse_messages::{HostNews, HostState, Line};
+use rushcourse_messages::{EndpointWeight, HostRecord, HostState};
+use rushcourse_types::{CallSequence, Millis};
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
@@ -238,19 +239,19 @@
     }
 }
 
-fn line(number: usize, address: &str) -> Line {
-    let host = HostNews {
+fn line(number: usize, address: &str) -> EndpointWeight {
+    let host = HostRecord {
         id: format!("h{number}").into(),
         service: SERVICE.into(),
         zone: "z".into(),
         address: Arc::from(address),
         slots: 4,
         state: HostState::Ready,
-        sequence: 1,
-        cold_ms: 0,
-        age_ms: 0,
+        sequence: CallSequence(1),
+        warm_up: Millis(0),
+        age: Millis(0),
     };
-    Line { host, weight: 4.0 }
+    EndpointWeight { host, weight: 4.0 }
 }
 
 /// A time that the test lets pass: what is tested is that something is (no longer) good after it.
--- a/crates/gateway/messages/src/ballots.rs
+++ b/crates/gateway/messages/src/ballots.rs
@@ -1,35 +1,40 @@
-//! What controllers agree on by ballots (single-decree Paxos, one instance a slot), and how a replica that has lost or
-//! never had its state is brought up to date. Nothing here decides; the steps stand in `rushcourse-consensus`.
+//! What controllers agree on by ballots: single-decree Paxos, one instance a slot. The steps stand in
+//! `rushcourse-consensus`.
 
-use crate::identity::{HeldClaim, Life, NodeId};
+use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One attempt to have a value chosen. Ordered by round first. No two proposals share a ballot: a life of a node never
-/// uses a round twice, and lives are drawn at random at each start. Round 0
-/// is of texts that a state file of form 1 held: there `life` is the text's digest.
+/// A proposal number. Ordered by round first. No two proposals share a ballot: an incarnation of a node never uses a
+/// round twice, and incarnations are drawn at random at each start. Round 0 is of texts that a state file of format 1
+/// held; there `incarnation` is the text's digest.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Ballot {
+    /// Higher rounds win over lower ones.
     pub round: u64,
+    /// The proposer.
     pub node: NodeId,
-    pub life: Life,
+    /// The proposer's incarnation.
+    pub incarnation: Incarnation,
 }
 
 /// What a value is chosen for: one value is ever chosen for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Slot {
-    /// The voting set of this number, chosen by a majority of the set before it.
-    Set(u64),
+    /// The voting set of this epoch, chosen by a majority of the set before it.
+    VotingSet(Epoch),
     /// The configuration of this version.
-    Version(u64),
+    Configuration(ConfigurationVersion),
 }
 
-/// A value with the ballot under which it was accepted.
+/// A value, and the ballot under which it is proposed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct Proposal {
+    /// The proposal number.
     pub ballot: Ballot,
+    /// A configuration's text, or a voting set (`VotingSet::to_value`).
     pub value: Arc<[u8]>,
 }
 
@@ -38,48 +43,27 @@
 pub struct AcceptorRecord {
     /// No proposal under a lower ballot is accepted.
     pub promised: Ballot,
-    pub accepted: Option<Accepted>,
+    /// The proposal under the highest ballot that came here.
+    pub accepted: Option<Proposal>,
     /// Whether `accepted` is a vote of this acceptor. A copy that was taken in without a vote is reported to proposers,
-    /// but doesn't count towards a majority.
-    pub counts: bool,
+    /// but does not count towards a majority.
+    pub is_vote: bool,
 }
 
-/// A vote of an acceptor that its disk holds.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Cast {
-    pub slot: Slot,
-    pub ballot: Ballot,
-}
-
-/// How far a learner has read the claims of one life of a voter: later ones follow in the next lesson.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct LessonCursor {
-    pub life: Life,
-    pub place: u64,
-}
-
-/// A record of an acceptor and its slot.
+/// An acceptor's record and its slot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SlotRecord {
+    /// What the record is for.
     pub slot: Slot,
+    /// What the acceptor holds for it.
     pub record: AcceptorRecord,
 }
 
-/// The last part of a lesson: what the claims of all parts must add up to, and the acceptor's records.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct LessonEnd {
-    pub cursor: LessonCursor,
-    /// Claims in all parts.
-    pub claims: u64,
-    /// Exclusive or of the digests of these claims.
-    pub digest: u64,
-    pub records: Vec<SlotRecord>,
-}
-
-/// A part of what a voter holds. All parts of a lesson are made in one step, so that they show one state.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Lesson {
-    pub set: u64,
-    pub claims: Vec<HeldClaim>,
-    pub end: Option<LessonEnd>,
+/// An acceptor's vote that its disk holds.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct DurableVote {
+    /// What was voted on.
+    pub slot: Slot,
+    /// The ballot of the accepted proposal.
+    pub ballot: Ballot,
 }
--- a/crates/gateway/messages/src/frames.rs
+++ b/crates/gateway/messages/src/frames.rs
@@ -1,72 +1,74 @@
-//! A frame: four bytes of length (big-endian), then one message in postcard's form.
+//! Messages as bytes: four bytes of length (big-endian), then the message in postcard's form.
 
-use crate::messages::Message;
+use crate::message::Message;
 use std::fmt;
 
-/// Bytes of a message at most: the claims of a whole window that one voter teaches another, with room (ours).
-pub const FRAME_MOST: usize = 16 << 20;
+/// Bytes of a message at most: with room for a snapshot chunk and for a configuration's text (ours).
+pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// Why bytes are no message. The session they came by is closed: what follows can't be trusted either.
+/// Why bytes are no message. The session that they came by is closed: what follows can't be trusted either.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Damage {
+pub enum FrameError {
+    /// A message of so many bytes.
     TooLong(usize),
+    /// postcard's reason.
     Unreadable(String),
+    /// A message, and so many bytes behind it.
+    TrailingBytes(usize),
 }
 
-impl fmt::Display for Damage {
+impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Damage::TooLong(n) => write!(f, "frame of {n} bytes"),
-            Damage::Unreadable(why) => write!(f, "unreadable frame: {why}"),
+            FrameError::TooLong(bytes) => write!(f, "frame of {bytes} bytes"),
+            FrameError::Unreadable(reason) => write!(f, "unreadable frame: {reason}"),
+            FrameError::TrailingBytes(bytes) => {
+                write!(f, "unreadable frame: {bytes} bytes left over")
+            }
         }
     }
 }
 
-/// Adds a message's frame to what is to be written.
+impl std::error::Error for FrameError {}
+
+/// Appends a message's frame to `buffer`.
 ///
 /// # Errors
-/// A message over `FRAME_MOST` bytes; nothing is added then.
-pub fn encode(message: &Message, to: &mut Vec<u8>) -> Result<(), Damage> {
-    let start = to.len();
-    to.extend([0; 4]);
-    let done = postcard::to_extend(message, std::mem::take(to));
-    *to = match done {
-        Ok(bytes) => bytes,
-        Err(e) => return Err(Damage::Unreadable(e.to_string())),
-    };
-    let length = to.len() - start - 4;
-    if length > FRAME_MOST {
-        to.truncate(start);
-        return Err(Damage::TooLong(length));
+/// A message over [`MAX_FRAME_BYTES`]; nothing is appended then.
+pub fn encode(message: &Message, buffer: &mut Vec<u8>) -> Result<(), FrameError> {
+    let start = buffer.len();
+    buffer.extend([0; 4]);
+    let written = postcard::to_extend(message, std::mem::take(buffer));
+    *buffer = written.map_err(|error| FrameError::Unreadable(error.to_string()))?;
+    let length = buffer.len() - start - 4;
+    if length > MAX_FRAME_BYTES {
+        buffer.truncate(start);
+        return Err(FrameError::TooLong(length));
     }
-    to[start..start + 4].copy_from_slice(&(length as u32).to_be_bytes());
+    buffer[start..start + 4].copy_from_slice(&(length as u32).to_be_bytes());
     Ok(())
 }
 
-/// Bytes of the message whose four bytes of length these are.
+/// Bytes of the message that follows these four bytes of length.
 ///
 /// # Errors
-/// More than `FRAME_MOST`.
-pub fn length(head: [u8; 4]) -> Result<usize, Damage> {
-    let length = u32::from_be_bytes(head) as usize;
-    if length > FRAME_MOST {
-        Err(Damage::TooLong(length))
-    } else {
-        Ok(length)
+/// More than [`MAX_FRAME_BYTES`].
+pub fn frame_length(header: [u8; 4]) -> Result<usize, FrameError> {
+    let length = u32::from_be_bytes(header) as usize;
+    if length > MAX_FRAME_BYTES {
+        return Err(FrameError::TooLong(length));
     }
+    Ok(length)
 }
 
-/// Reads a message whole.
+/// Reads a whole message, without the bytes of its length.
 ///
 /// # Errors
 /// Bytes that are no message, or bytes left over.
-pub fn decode(bytes: &[u8]) -> Result<Message, Damage> {
+pub fn decode(bytes: &[u8]) -> Result<Message, FrameError> {
     match postcard::take_from_bytes(bytes) {
         Ok((message, [])) => Ok(message),
-        Ok((_, rest)) => Err(Damage::Unreadable(format!(
-            "{} bytes left over",
-            rest.len()
-        ))),
-        Err(e) => Err(Damage::Unreadable(e.to_string())),
+        Ok((_, rest)) => Err(FrameError::TrailingBytes(rest.len())),
+        Err(error) => Err(FrameError::Unreadable(error.to_string())),
     }
 }
