--- a/crates/gateway/cluster/src/lib.rs
+++ b/crates/gateway/cluster/src/lib.rs
@@ -4,17 +4,19 @@
 //! * `subscribers.rs`: the hosts, by their lives; what came late is known by its sequence.
 //! * `members.rs`: which frontend directors have a session with which core director.
 //! * `distribution.rs`: the present module, one for each service, and the tables as it orders them.
-//! * `contact.rs`: whether a majority was heard of lately.
+//! * [`quorum_contact`]: whether a majority was in contact lately; [`contact_probes`] are the questions that prove it.
 //! * `cluster.rs`: the step.
 
 mod cluster;
-mod contact;
+pub mod contact_probes;
 mod distribution;
 mod members;
+pub mod quorum_contact;
 mod subscribers;
 
 pub use cluster::{Cluster, Effect, Input, Place};
-pub use contact::{Contact, Rounds, STALL};
+pub use contact_probes::{ContactProbes, ProbeResult};
 pub use distribution::{Distribution, Order, TableView};
 pub use members::Members;
+pub use quorum_contact::{QuorumContact, STALL_THRESHOLD};
 pub use subscribers::{RANGES, Subscriber, Subscribers};
--- /dev/null
+++ b/crates/gateway/cluster/tests/contact_probes.rs
@@ -0,0 +1,126 @@
+//! Probes that a majority has to answer. Node 1 of four controllers sends them unless a test says otherwise.
+
+use rushcourse_cluster::{ContactProbes, ProbeResult};
+use rushcourse_messages::VotingSet;
+use rushcourse_types::{Epoch, NodeId, RequestToken, Timestamp};
+
+const LOCAL_NODE: NodeId = NodeId(1);
+
+fn at(millis: u64) -> Timestamp {
+    Timestamp::from_millis(millis)
+}
+
+fn four_controllers() -> VotingSet {
+    VotingSet {
+        epoch: Epoch(1),
+        members: [1, 2, 3, 4].map(NodeId).to_vec(),
+    }
+}
+
+fn confirmed(token: RequestToken) -> ProbeResult {
+    ProbeResult {
+        token,
+        is_confirmed: true,
+    }
+}
+
+fn timed_out(token: RequestToken) -> ProbeResult {
+    ProbeResult {
+        token,
+        is_confirmed: false,
+    }
+}
+
+#[test]
+fn a_drain_is_confirmed_once_a_majority_has_handled_what_was_sent_before() {
+    let mut probes = ContactProbes::default();
+    let token = probes.start(at(1_000));
+
+    assert!(probes.record_response(NodeId(2), token));
+    assert!(
+        probes.record_response(NodeId(2), token),
+        "the same one twice is one"
+    );
+    assert!(
+        probes
+            .finish(at(1_010), LOCAL_NODE, &four_controllers())
+            .is_empty(),
+        "two of four"
+    );
+
+    assert!(probes.record_response(NodeId(3), token));
+    assert_eq!(
+        probes.finish(at(1_020), LOCAL_NODE, &four_controllers()),
+        [confirmed(token)]
+    );
+    assert!(
+        probes
+            .finish(at(1_030), LOCAL_NODE, &four_controllers())
+            .is_empty(),
+        "once"
+    );
+}
+
+#[test]
+fn an_answer_to_an_earlier_probe_proves_nothing_of_a_later_one() {
+    let mut probes = ContactProbes::default();
+    let (early, late) = (probes.start(at(1_000)), probes.start(at(1_100)));
+
+    for peer in [2, 3, 4] {
+        probes.record_response(NodeId(peer), early);
+    }
+    assert_eq!(
+        probes.finish(at(1_110), LOCAL_NODE, &four_controllers()),
+        [confirmed(early)]
+    );
+
+    assert!(
+        probes.record_response(NodeId(2), early),
+        "late, and still no answer to a read"
+    );
+    assert!(
+        !probes.record_response(NodeId(2), RequestToken(7)),
+        "a read's token"
+    );
+    assert_eq!(
+        probes.finish(at(1_900), LOCAL_NODE, &four_controllers()),
+        [timed_out(late)],
+        "partitioned meanwhile"
+    );
+}
+
+#[test]
+fn a_controller_that_is_no_member_needs_a_majority_of_the_others() {
+    let standby = NodeId(5);
+    let mut probes = ContactProbes::default();
+    let token = probes.start(at(1_000));
+
+    probes.record_response(NodeId(2), token);
+    probes.record_response(NodeId(3), token);
+    probes.record_response(NodeId(9), token);
+    assert!(
+        probes
+            .finish(at(1_010), standby, &four_controllers())
+            .is_empty()
+    );
+    probes.record_response(NodeId(4), token);
+    assert_eq!(
+        probes.finish(at(1_020), standby, &four_controllers()),
+        [confirmed(token)]
+    );
+}
+
+#[test]
+fn without_a_voting_set_there_is_no_majority() {
+    let mut probes = ContactProbes::default();
+    let token = probes.start(at(2_000));
+    assert!(
+        probes
+            .finish(at(2_010), LOCAL_NODE, &VotingSet::default())
+            .is_empty()
+    );
+    assert_eq!(
+        probes.finish(at(2_700), LOCAL_NODE, &VotingSet::default()),
+        [timed_out(token)]
+    );
+}
--- a/crates/gateway/controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -6,13 +6,15 @@
 use crate::state_file::{newest_version, state_file};
 use crate::work::{Command, Reply, Work};
 use error_stack::{Report, ResultExt};
-use rushcourse_cluster::{self as cluster, Cluster, Contact, Place, Rounds};
+use rushcourse_cluster::{self as cluster, Cluster, ContactProbes, Place, QuorumContact};
 use rushcourse_config::Boot;
 use rushcourse_consensus::{self as register, Op, Outcome, Register, Setup};
 use rushcourse_messages::{Handshake, HostState, Message, NodeId, PROTOCOL_VERSION, Role};
 use rushcourse_storage::{Done, Health, Store};
 use rushcourse_transport::{Dialler, Office, SessionEvent, StartError, Times, listen, logs};
-use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, RequestToken, SessionId, Ticket};
+use rushcourse_types::{
+    ConfigurationVersion, Epoch, Incarnation, RequestToken, SessionId, Ticket, Timestamp,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -68,7 +70,7 @@
 /// What waits for an answer of a majority.
 enum Asking {
     /// Whether what is held here is current, after a stall.
-    Proof { asked_at: u64 },
+    Proof { asked_at: Timestamp },
     /// The answer to a host that leaves.
     Heard(oneshot::Sender<Reply>),
     /// An operator's call, by its ticket: it need not wait for a majority that is not there.
@@ -92,10 +94,10 @@
     links: Links,
     tickets: BTreeMap<Ticket, oneshot::Sender<Reply>>,
     next_ticket: Ticket,
-    contact: Contact,
+    contact: QuorumContact,
     /// Sessions of frontend directors that were not told yet which configuration is in force.
     untold: BTreeSet<u64>,
-    rounds: Rounds,
+    probes: ContactProbes,
     /// What waits for the end of a round.
     asking: BTreeMap<RequestToken, Asking>,
     /// What the cluster was told of its contact.
@@ -189,9 +191,9 @@
             links,
             tickets,
             next_ticket: Ticket(0),
-            contact: Contact::default(),
+            contact: QuorumContact::default(),
             untold: BTreeSet::new(),
-            rounds: Rounds::default(),
+            probes: ContactProbes::default(),
             asking: BTreeMap::new(),
             company: false,
             leave_wait: (boot.bounds.grace_period_s * 1000.0 * LEAVE_SHARE) as u64,
@@ -232,7 +234,10 @@
                 _ = self.work.1.recv_many(&mut work, TURN_MOST) => {}
                 _ = tick.tick() => due = true,
             }
-            if self.contact.turn(self.times.now()) {
+            if self
+                .contact
+                .record_turn(Timestamp::from_millis(self.times.now()))
+            {
                 log::info!("event=stalled");
                 self.party(cluster::Input::Stalled);
                 self.ask_proof();
@@ -304,17 +309,17 @@
     /// Looks whether this director is with a majority, and tells the cluster when that changes.
     fn judge_contact(&mut self) {
         let company = self.register.in_company();
-        self.contact.majority(company);
+        self.contact.record_quorum_sessions(company);
         if company != self.company {
             self.company = company;
             log::info!("event=company with_majority={company}");
             self.party(cluster::Input::Company(company));
-            if company && self.contact.needs_proof() {
+            if company && self.contact.needs_confirmation() {
                 // The question of the stall may have gone to sessions that were dead.
                 self.ask_proof();
             }
         }
-        if self.contact.is_recent() {
+        if self.contact.is_current() {
             self.tell_in_force();
         }
     }
@@ -323,7 +328,7 @@
     /// may not hear of. Before the first voting set there is nothing to be out of contact with.
     fn may_acknowledge(&mut self) -> bool {
         self.judge_contact();
-        self.contact.is_recent() || self.first_start && self.register.set().epoch == Epoch(0)
+        self.contact.is_current() || self.first_start && self.register.set().epoch == Epoch(0)
     }
 
     /// The configuration in force, to frontend directors that came while it may have been an old one.
@@ -340,7 +345,7 @@
 
     /// Asks all core directors, behind what was sent to them before.
     fn ask_round(&mut self, asking: Asking) {
-        let token = self.rounds.ask(self.times.now());
+        let token = self.probes.start(Timestamp::from_millis(self.times.now()));
         self.asking.insert(token, asking);
         let set = self.register.set().epoch;
         self.links
@@ -355,16 +360,18 @@
     }
 
     fn ask_proof(&mut self) {
-        let asked_at = self.times.now();
+        let asked_at = Timestamp::from_millis(self.times.now());
         self.ask_round(Asking::Proof { asked_at });
     }
 
     fn end_rounds(&mut self) {
         let me = self.links.office().me().node;
-        for (token, reached) in self.rounds.over(self.times.now(), me, self.register.set()) {
-            match self.asking.remove(&token) {
-                Some(Asking::Proof { asked_at }) if reached => self.contact.proven(asked_at),
-                Some(Asking::Proof { .. }) if self.contact.needs_proof() => self.ask_proof(),
+        let now = Timestamp::from_millis(self.times.now());
+        for probe in self.probes.finish(now, me, self.register.set()) {
+            let reached = probe.is_confirmed;
+            match self.asking.remove(&probe.token) {
+                Some(Asking::Proof { asked_at }) if reached => self.contact.confirm(asked_at),
+                Some(Asking::Proof { .. }) if self.contact.needs_confirmation() => self.ask_proof(),
                 Some(Asking::Heard(reply)) => {
                     let _ = reply.send(if reached {
                         Reply::Done
@@ -632,7 +639,7 @@
                 self.links.know(nodes);
             }
             (Role::Controller, Message::ReadResponse { token, .. })
-                if self.rounds.told(node, token) =>
+                if self.probes.record_response(node, token) =>
             {
                 self.end_rounds();
             }
