--- a/crates/gateway/cluster/src/cluster.rs
+++ b/crates/gateway/cluster/src/cluster.rs
@@ -2,20 +2,21 @@
 //! what goes to them.
 
 use crate::distribution::{Distribution, Order};
+use crate::host_registry::{HostRegistry, heartbeat_span};
 use crate::members::Members;
-use crate::subscribers::Subscribers;
 use rushcourse_messages::Heartbeat;
 use rushcourse_messages::{EndpointWeight, HostRecord, HostState, Message, NodeId};
-use rushcourse_types::{CallSequence, Millis, SessionId};
+use rushcourse_types::{CallSequence, Millis, SessionId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
+use std::time::Duration;
 
-/// ms between two tellings of beats, and of digests, to the other core directors.
-const BEATS_EVERY: u64 = 400;
-const DIGEST_EVERY: u64 = 1_000;
-/// ms from the return to a majority, or from the end of a stall, until silence counts: the others' hosts come right after
+/// Between two batches of heartbeats, and of digests, to the other controllers.
+const HEARTBEAT_BATCH_INTERVAL: Duration = Duration::from_millis(400);
+const DIGEST_INTERVAL: Duration = Duration::from_secs(1);
+/// From the return to a majority, or from the end of a stall, until silence counts: the others' hosts come right after
 /// their sessions (ours).
-const JUDGE_AFTER: u64 = 1_000;
+const SILENCE_GRACE_PERIOD: Duration = Duration::from_secs(1);
 /// Beats after which a director that started alone knows the hosts that there are.
 const PRIMED_AFTER: f64 = 1.6;
 
@@ -24,7 +25,8 @@
 pub struct Place {
     pub zone: Arc<str>,
     pub zones: Vec<Arc<str>>,
-    pub beat_ms: u64,
+    /// How often a host calls.
+    pub heartbeat_interval: Duration,
     pub drain_ms: f64,
 }
 
@@ -73,9 +75,9 @@
 }
 
 pub struct Cluster {
-    started: Option<u64>,
+    started: Option<Timestamp>,
     place: Place,
-    hosts: Subscribers,
+    hosts: HostRegistry,
     members: Members,
     distribution: Distribution,
     zones: BTreeMap<NodeId, Arc<str>>,
@@ -83,11 +85,11 @@
     peers: BTreeSet<NodeId>,
     company: bool,
     /// ms: from when on silence counts, as peers tell what they heard when sessions with them stand again.
-    judges_from: u64,
+    judges_from: Timestamp,
     primed: bool,
     beats: BTreeMap<Arc<str>, CallSequence>,
-    beats_at: u64,
-    digest_at: u64,
+    beats_at: Timestamp,
+    digest_at: Timestamp,
     said: Option<(bool, u32)>,
     out: Vec<Effect>,
 }
@@ -101,7 +103,7 @@
             .unwrap_or(0);
         Cluster {
             started: None,
-            hosts: Subscribers::new(place.beat_ms),
+            hosts: HostRegistry::new(place.heartbeat_interval),
             members: Members::default(),
             distribution: Distribution::new(place.zones.clone(), my_zone, place.drain_ms),
             place,
@@ -109,23 +111,23 @@
             homes: BTreeMap::new(),
             peers: BTreeSet::new(),
             company: false,
-            judges_from: 0,
+            judges_from: Timestamp::ZERO,
             primed: false,
             beats: BTreeMap::new(),
-            beats_at: 0,
-            digest_at: 0,
+            beats_at: Timestamp::ZERO,
+            digest_at: Timestamp::ZERO,
             said: None,
             out: Vec::new(),
         }
     }
 
     /// One input at a steady clock, ms.
-    pub fn step(&mut self, now: u64, input: Input) -> Vec<Effect> {
+    pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Effect> {
         let started = *self.started.get_or_insert(now);
         match input {
             Input::Call(news) => self.call(now, news),
             Input::SignOff(id) => {
-                if let Some(news) = self.hosts.signed_off(now, &id) {
+                if let Some(news) = self.hosts.deregister(now, &id) {
                     self.spread(news);
                     self.changed(now, &[id]);
                 }
@@ -134,7 +136,7 @@
                 self.peers.insert(peer);
                 self.out.push(Effect::ToPeer(
                     peer,
-                    Message::HostUpdates(self.hosts.all(now)),
+                    Message::HostUpdates(self.hosts.records(now)),
                 ));
                 self.out.push(Effect::ToPeer(
                     peer,
@@ -166,7 +168,7 @@
             Input::FrontDown { session } => self.front_down(now, session),
             Input::FrontSaid { session, message } => self.front_said(now, session, message),
             Input::Company(company) => self.company(now, company),
-            Input::Stalled => self.judges_from = now + JUDGE_AFTER,
+            Input::Stalled => self.judges_from = now + SILENCE_GRACE_PERIOD,
             Input::Held(news) => self.held(now, news),
             Input::Tick => self.tick(now, started),
         }
@@ -174,15 +176,15 @@
         std::mem::take(&mut self.out)
     }
 
-    fn call(&mut self, now: u64, news: HostRecord) {
+    fn call(&mut self, now: Timestamp, news: HostRecord) {
         let (id, sequence, known) = (
             news.id.clone(),
             news.sequence,
             self.hosts.get(&news.id).is_some(),
         );
-        if self.hosts.heard(now, news) {
+        if self.hosts.apply_record(now, news) {
             if let Some(s) = self.hosts.get(&id) {
-                let news = self.hosts.tell(now, s);
+                let news = s.record_at(now);
                 self.spread(news);
             }
             if !known {
@@ -211,12 +213,12 @@
     }
 
     /// They count as heard now: who does not call within the usual time is gone.
-    fn held(&mut self, now: u64, news: Vec<HostRecord>) {
+    fn held(&mut self, now: Timestamp, news: Vec<HostRecord>) {
         self.primed = !news.is_empty();
         let ids: Vec<Arc<str>> = news.iter().map(|n| n.id.clone()).collect();
         for n in news {
             // What was cold then may be warm now; it says so in its next call.
-            self.hosts.heard(
+            self.hosts.apply_record(
                 now,
                 HostRecord {
                     age: Millis(0),
@@ -232,13 +234,13 @@
         self.carry(now, orders);
     }
 
-    fn changed(&mut self, now: u64, ids: &[Arc<str>]) {
+    fn changed(&mut self, now: Timestamp, ids: &[Arc<str>]) {
         for id in ids {
             if let Some(s) = self.hosts.get(id) {
                 let state = s.state();
                 self.out.push(Effect::Keep(HostRecord {
                     state,
-                    ..self.hosts.tell(now, s)
+                    ..s.record_at(now)
                 }));
             }
         }
@@ -247,12 +249,14 @@
         self.carry(now, orders);
     }
 
-    fn peer_said(&mut self, now: u64, peer: NodeId, message: Message) {
+    fn peer_said(&mut self, now: Timestamp, peer: NodeId, message: Message) {
         match message {
             Message::HostUpdates(news) => {
                 let ids: Vec<Arc<str>> = news.iter().map(|n| n.id.clone()).collect();
-                let changed: Vec<bool> =
-                    news.into_iter().map(|n| self.hosts.heard(now, n)).collect();
+                let changed: Vec<bool> = news
+                    .into_iter()
+                    .map(|n| self.hosts.apply_record(now, n))
+                    .collect();
                 let ids: Vec<Arc<str>> = ids
                     .into_iter()
                     .zip(changed)
@@ -264,21 +268,21 @@
             Message::Heartbeats(beats) => {
                 let mut woke = Vec::new();
                 for Heartbeat { host: id, sequence } in beats {
-                    if self.hosts.beat(now, &id, sequence) == Some(true) {
+                    if self.hosts.apply_heartbeat(now, &id, sequence) {
                         woke.push(id);
                     }
                 }
                 self.changed(now, &woke);
             }
             Message::HostDigests(digest) => {
-                let ranges = self.hosts.differing(&digest);
+                let ranges = self.hosts.differing_ranges(&digest);
                 if !ranges.is_empty() {
                     self.out
                         .push(Effect::ToPeer(peer, Message::HostRangeRequest(ranges)));
                 }
             }
             Message::HostRangeRequest(ranges) => {
-                let news = self.hosts.in_ranges(now, &ranges);
+                let news = self.hosts.records_in_ranges(now, &ranges);
                 self.out
                     .push(Effect::ToPeer(peer, Message::HostUpdates(news)));
             }
@@ -292,7 +296,7 @@
         }
     }
 
-    fn front_down(&mut self, now: u64, session: SessionId) {
+    fn front_down(&mut self, now: Timestamp, session: SessionId) {
         let Some(node) = self.members.left(session) else {
             return;
         };
@@ -309,7 +313,7 @@
         )));
     }
 
-    fn front_said(&mut self, now: u64, session: SessionId, message: Message) {
+    fn front_said(&mut self, now: Timestamp, session: SessionId, message: Message) {
         let Some(node) = self.members.node(session) else {
             return;
         };
@@ -354,8 +358,10 @@
         }
     }
 
-    fn tick(&mut self, now: u64, started: u64) {
-        if !self.primed && now >= started + (self.place.beat_ms as f64 * PRIMED_AFTER) as u64 {
+    fn tick(&mut self, now: Timestamp, started: Timestamp) {
+        if !self.primed
+            && now >= started + heartbeat_span(self.place.heartbeat_interval, PRIMED_AFTER)
+        {
             self.primed = true;
             self.out.push(Effect::Say(format!(
                 "event=primed hosts={}",
@@ -366,7 +372,7 @@
                 gateways: 0,
             }));
         }
-        if now >= self.beats_at + BEATS_EVERY && !self.beats.is_empty() {
+        if now >= self.beats_at + HEARTBEAT_BATCH_INTERVAL && !self.beats.is_empty() {
             self.beats_at = now;
             let beats = std::mem::take(&mut self.beats);
             self.out.push(Effect::ToPeers(Message::Heartbeats(
@@ -376,13 +382,18 @@
                     .collect(),
             )));
         }
-        if now >= self.digest_at + DIGEST_EVERY {
+        if now >= self.digest_at + DIGEST_INTERVAL {
             self.digest_at = now;
             self.out
-                .push(Effect::ToPeers(Message::HostDigests(self.hosts.digest())));
+                .push(Effect::ToPeers(Message::HostDigests(self.hosts.digests())));
         }
         let may_judge = self.company && self.primed && now >= self.judges_from;
-        let fell = self.hosts.tick(now, may_judge);
+        self.hosts.remove_expired(now);
+        let fell = if may_judge {
+            self.hosts.mark_silent(now)
+        } else {
+            Vec::new()
+        };
         for id in &fell {
             self.out
                 .push(Effect::Say(format!("event=host_silent id={id}")));
@@ -392,9 +403,9 @@
         self.carry(now, orders);
     }
 
-    fn company(&mut self, now: u64, company: bool) {
+    fn company(&mut self, now: Timestamp, company: bool) {
         if company && !self.company {
-            self.judges_from = now + JUDGE_AFTER;
+            self.judges_from = now + SILENCE_GRACE_PERIOD;
         }
         self.company = company;
     }
@@ -411,18 +422,18 @@
         }
     }
 
-    fn line(&self, now: u64, host: &Arc<str>, weight: f64) -> Option<EndpointWeight> {
+    fn line(&self, now: Timestamp, host: &Arc<str>, weight: f64) -> Option<EndpointWeight> {
         let s = self.hosts.get(host)?;
         Some(EndpointWeight {
             host: HostRecord {
                 state: s.state(),
-                ..self.hosts.tell(now, s)
+                ..s.record_at(now)
             },
             weight: weight as f32,
         })
     }
 
-    fn carry(&mut self, now: u64, orders: Vec<Order>) {
+    fn carry(&mut self, now: Timestamp, orders: Vec<Order>) {
         for order in orders {
             let Some(session) = self.homes.get(&order.to).copied() else {
                 continue;
@@ -461,7 +472,7 @@
         }
     }
 
-    fn shut(&self, now: u64, id: &Arc<str>, shut: bool) -> Option<HostRecord> {
+    fn shut(&self, now: Timestamp, id: &Arc<str>, shut: bool) -> Option<HostRecord> {
         let s = self.hosts.get(id)?;
         let state = match (shut, s.state()) {
             (true, HostState::Ready) => HostState::Draining,
@@ -469,7 +480,7 @@
         };
         Some(HostRecord {
             state,
-            ..self.hosts.tell(now, s)
+            ..s.record_at(now)
         })
     }
 
@@ -482,7 +493,7 @@
         self.homes.values().any(|s| *s == session)
     }
 
-    pub fn hosts(&self) -> &Subscribers {
+    pub fn hosts(&self) -> &HostRegistry {
         &self.hosts
     }
 
--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -3,13 +3,14 @@
 //! tables from here are its proxies, each with a channel of its own. This file keeps the tables as the module orders
 //! them and says what goes to whom.
 
-use crate::subscribers::Subscriber;
+use crate::host_registry::HostEntry;
 use rushcourse_messages::{HostState, NodeId};
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{
     Action, Again, Channel, Class, Effect, Entry, Event, KeyScope, LevelKind, ListKind, Ms,
     Readiness, Settings, TableId,
 };
+use rushcourse_types::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -104,31 +105,31 @@
         self.zones.iter().position(|z| &**z == name).unwrap_or(0)
     }
 
-    fn entry(&self, s: &Subscriber) -> Entry {
+    fn entry(&self, s: &HostEntry) -> Entry {
         let readiness = match s.state() {
             HostState::Ready => Readiness::Ready,
             HostState::Draining => Readiness::Draining,
             HostState::Gone => Readiness::Gone,
         };
         Entry {
-            host: s.news.id.clone(),
-            zone: self.zone(&s.news.zone),
+            host: s.record().id.clone(),
+            zone: self.zone(&s.record().zone),
             cell: 0,
             readiness,
-            weight: f64::from(s.news.slots.max(1)),
-            up_since: s.up_since as Ms,
+            weight: f64::from(s.record().slots.max(1)),
+            up_since: s.warming_since().map_or(0.0, policy_time),
         }
     }
 
     /// Hosts that are new or have changed.
     pub fn hosts<'a>(
         &mut self,
-        now: u64,
-        changed: impl Iterator<Item = &'a Subscriber>,
+        now: Timestamp,
+        changed: impl Iterator<Item = &'a HostEntry>,
     ) -> Vec<Order> {
         let mut by: BTreeMap<Arc<str>, Vec<Entry>> = BTreeMap::new();
         for s in changed {
-            by.entry(s.news.service.clone())
+            by.entry(s.record().service.clone())
                 .or_default()
                 .push(self.entry(s));
         }
@@ -160,13 +161,13 @@
     }
 
     /// A frontend director takes its tables from here.
-    pub fn joined(&mut self, now: u64, proxy: NodeId, zone: &str) -> Vec<Order> {
+    pub fn joined(&mut self, now: Timestamp, proxy: NodeId, zone: &str) -> Vec<Order> {
         let zone = self.zone(zone);
         self.proxies.insert(proxy, zone);
         self.each(now, |_| vec![joined(proxy, zone)])
     }
 
-    pub fn left(&mut self, now: u64, proxy: NodeId) -> Vec<Order> {
+    pub fn left(&mut self, now: Timestamp, proxy: NodeId) -> Vec<Order> {
         if self.proxies.remove(&proxy).is_none() {
             return Vec::new();
         }
@@ -182,7 +183,13 @@
     }
 
     /// A frontend director holds what a mark asked for.
-    pub fn applied(&mut self, now: u64, proxy: NodeId, service: &str, mark: u16) -> Vec<Order> {
+    pub fn applied(
+        &mut self,
+        now: Timestamp,
+        proxy: NodeId,
+        service: &str,
+        mark: u16,
+    ) -> Vec<Order> {
         let Some((service, _)) = self.boards.get_key_value(service) else {
             return Vec::new();
         };
@@ -204,7 +211,7 @@
 
     pub fn usage(
         &mut self,
-        now: u64,
+        now: Timestamp,
         proxy: NodeId,
         service: &str,
         tries: f64,
@@ -240,9 +247,12 @@
         all.reduce(f64::min).map(|t| t as u64)
     }
 
-    pub fn tick(&mut self, now: u64) -> Vec<Order> {
+    pub fn tick(&mut self, now: Timestamp) -> Vec<Order> {
         self.each(now, |board| {
-            let (due, later) = board.timers.drain(..).partition(|t| t.0 <= now as Ms);
+            let (due, later) = board
+                .timers
+                .drain(..)
+                .partition(|t| t.0 <= policy_time(now));
             board.timers = later;
             let due: Vec<(Ms, String)> = due;
             due.into_iter()
@@ -251,7 +261,7 @@
         })
     }
 
-    fn each(&mut self, now: u64, events: impl Fn(&mut Board) -> Vec<Event>) -> Vec<Order> {
+    fn each(&mut self, now: Timestamp, events: impl Fn(&mut Board) -> Vec<Event>) -> Vec<Order> {
         let services: Vec<Arc<str>> = self.boards.keys().cloned().collect();
         let mut orders = Vec::new();
         for service in services {
@@ -267,11 +277,11 @@
         orders
     }
 
-    fn give(&mut self, now: u64, service: &Arc<str>, events: Vec<Event>) -> Vec<Order> {
+    fn give(&mut self, now: Timestamp, service: &Arc<str>, events: Vec<Event>) -> Vec<Order> {
         let Some(board) = self.boards.get_mut(service) else {
             return Vec::new();
         };
-        let actions = board.director.handle(now as Ms, events);
+        let actions = board.director.handle(policy_time(now), events);
         board.carry_out(service, actions)
     }
 
@@ -294,6 +304,11 @@
     }
 }
 
+/// A moment as the policy counts it.
+fn policy_time(moment: Timestamp) -> Ms {
+    moment.as_millis() as Ms
+}
+
 fn joined(proxy: NodeId, zone: usize) -> Event {
     Event::Joined {
         proxy: proxy.0,
--- a/crates/gateway/cluster/tests/talk.rs
+++ b/crates/gateway/cluster/tests/talk.rs
@@ -1,9 +1,10 @@
 //! What core directors make of hosts, of each other, and of frontend directors.
 
-use rushcourse_cluster::{Cluster, Effect, Input, Place, Subscribers};
+use rushcourse_cluster::{Cluster, Effect, HostRegistry, Input, Place};
 use rushcourse_messages::{HostRecord, HostState, Message, NodeId};
-use rushcourse_types::{CallSequence, Millis, SessionId};
+use rushcourse_types::{CallSequence, Millis, SessionId, Timestamp};
 use std::sync::Arc;
+use std::time::Duration;
 
 fn news(id: &str, sequence: CallSequence, state: HostState) -> HostRecord {
     let word = |w: &str| Arc::<str>::from(w);
@@ -26,15 +27,19 @@
     Cluster::new(Place {
         zone: "z1".into(),
         zones,
-        beat_ms: 1_500,
+        heartbeat_interval: Duration::from_millis(1_500),
         drain_ms: 2_500.0,
     })
 }
 
+fn at(millis: u64) -> Timestamp {
+    Timestamp::from_millis(millis)
+}
+
 /// What goes to a frontend director's session.
-fn to(effects: &[Effect], at: u64) -> Vec<Message> {
+fn to(effects: &[Effect], id: u64) -> Vec<Message> {
     let of = |e: &Effect| match e {
-        Effect::ToFront { session, message } if *session == SessionId(at) => Some(message.clone()),
+        Effect::ToFront { session, message } if *session == SessionId(id) => Some(message.clone()),
         _ => None,
     };
     effects.iter().filter_map(of).collect()
@@ -43,23 +48,23 @@
 fn pass(p: &mut Cluster, from: u64, until: u64) -> Vec<Effect> {
     (from..until)
         .step_by(50)
-        .flat_map(|now| p.step(now, Input::Tick))
+        .flat_map(|now| p.step(at(now), Input::Tick))
         .collect()
 }
 
 /// A director that knows three hosts, with a frontend director that takes its tables from it.
 fn served() -> (Cluster, Vec<Effect>) {
     let mut p = director();
-    p.step(1_000, Input::Company(true));
+    p.step(at(1_000), Input::Company(true));
     for id in ["i-1", "i-2", "i-3"] {
         p.step(
-            1_000,
+            at(1_000),
             Input::Call(news(id, CallSequence(1), HostState::Ready)),
         );
     }
     pass(&mut p, 1_000, 4_000);
     p.step(
-        4_000,
+        at(4_000),
         Input::FrontUp {
             session: SessionId(7),
             node: NodeId(70),
@@ -67,7 +72,7 @@
         },
     );
     let mut all = p.step(
-        4_000,
+        at(4_000),
         Input::FrontSaid {
             session: SessionId(7),
             message: Message::PrimarySelected(true),
@@ -95,14 +100,14 @@
         revision: mark,
     };
     p.step(
-        4_500,
+        at(4_500),
         Input::FrontSaid {
             session: SessionId(7),
             message: applied,
         },
     );
     let effects = p.step(
-        4_600,
+        at(4_600),
         Input::Call(news("i-1", CallSequence(2), HostState::Draining)),
     );
     let out =
@@ -127,11 +132,11 @@
 fn silence_ends_a_host_only_where_a_majority_is_heard() {
     for (company, gone) in [(true, true), (false, false)] {
         let (mut p, _) = served();
-        p.step(4_500, Input::Company(company));
+        p.step(at(4_500), Input::Company(company));
         for now in (4_500u64..12_000).step_by(1_500) {
             for id in ["i-2", "i-3"] {
                 p.step(
-                    now,
+                    at(now),
                     Input::Call(news(id, CallSequence(now), HostState::Ready)),
                 );
             }
@@ -140,7 +145,7 @@
         let state = p.hosts().get("i-1").expect("known").state();
         assert_eq!(state == HostState::Gone, gone, "with a majority: {company}");
         p.step(
-            13_000,
+            at(13_000),
             Input::Call(news("i-1", CallSequence(9), HostState::Ready)),
         );
         assert_eq!(
@@ -154,9 +159,9 @@
 #[test]
 fn a_director_that_is_back_from_a_cut_hears_the_others_before_it_judges() {
     let (mut p, _) = served();
-    p.step(4_500, Input::Company(false));
+    p.step(at(4_500), Input::Company(false));
     pass(&mut p, 4_500, 24_500);
-    p.step(24_500, Input::Company(true));
+    p.step(at(24_500), Input::Company(true));
     let effects = pass(&mut p, 24_500, 24_600);
     let judged = |e: &Effect| matches!(e, Effect::Say(s) if s.contains("host_silent"));
     assert!(
@@ -169,7 +174,7 @@
     ];
     lived[1].age = Millis(900);
     p.step(
-        24_600,
+        at(24_600),
         Input::PeerSaid(NodeId(2), Message::HostUpdates(lived)),
     );
     pass(&mut p, 24_600, 26_000);
@@ -184,15 +189,15 @@
 #[test]
 fn a_director_that_was_frozen_hears_what_waits_before_it_judges_and_keeps_its_frontends() {
     let (mut p, _) = served();
-    let mut effects = p.step(11_000, Input::Stalled);
-    effects.extend(p.step(11_000, Input::Tick));
+    let mut effects = p.step(at(11_000), Input::Stalled);
+    effects.extend(p.step(at(11_000), Input::Tick));
     let judged = |e: &Effect| matches!(e, Effect::Say(s) if s.contains("host_silent"));
     let standing = |e: &Effect| matches!(e, Effect::ToFronts(Message::ControllerStatus { .. }));
     assert!(!effects.iter().any(judged), "its own silence is not theirs");
     assert!(!effects.iter().any(standing), "a short freeze moves nobody");
     for id in ["i-1", "i-2"] {
         p.step(
-            11_010,
+            at(11_010),
             Input::Call(news(id, CallSequence(5), HostState::Ready)),
         );
     }
@@ -206,19 +211,19 @@
 
 #[test]
 fn late_calls_change_nothing_and_an_ended_life_stays_ended() {
-    let mut hosts = Subscribers::new(1_500);
-    assert!(hosts.heard(0, news("i-1", CallSequence(5), HostState::Draining)));
+    let mut hosts = HostRegistry::new(Duration::from_millis(1_500));
+    assert!(hosts.apply_record(at(0), news("i-1", CallSequence(5), HostState::Draining)));
     assert!(
-        !hosts.heard(10, news("i-1", CallSequence(4), HostState::Ready)),
+        !hosts.apply_record(at(10), news("i-1", CallSequence(4), HostState::Ready)),
         "sent before, came after"
     );
     assert_eq!(
         hosts.get("i-1").expect("known").state(),
         HostState::Draining
     );
-    assert!(hosts.signed_off(20, "i-1").is_some() && hosts.signed_off(21, "i-1").is_none());
-    assert!(!hosts.heard(30, news("i-1", CallSequence(6), HostState::Ready)));
-    hosts.tick(100_000, true);
+    assert!(hosts.deregister(at(20), "i-1").is_some() && hosts.deregister(at(21), "i-1").is_none());
+    assert!(!hosts.apply_record(at(30), news("i-1", CallSequence(6), HostState::Ready)));
+    hosts.remove_expired(at(100_000));
     assert!(hosts.get("i-1").is_none(), "and is forgotten");
 }
 
@@ -227,24 +232,24 @@
     let (mut a, mut b) = (director(), director());
     for k in 0..40 {
         a.step(
-            0,
+            at(0),
             Input::Call(news(&format!("i-{k}"), CallSequence(1), HostState::Ready)),
         );
         b.step(
-            0,
+            at(0),
             Input::Call(news(&format!("i-{k}"), CallSequence(1), HostState::Ready)),
         );
     }
-    a.step(10, Input::SignOff("i-7".into()));
+    a.step(at(10), Input::SignOff("i-7".into()));
     let (mut here, mut there): (NodeId, NodeId) = (NodeId(1), NodeId(2));
-    let mut mail = vec![Message::HostDigests(a.hosts().digest())];
+    let mut mail = vec![Message::HostDigests(a.hosts().digests())];
     // The digest, the ranges asked for, the hosts of them.
     for turn in 0..3 {
         let p = if turn % 2 == 0 { &mut b } else { &mut a };
         let came = std::mem::take(&mut mail);
         let effects: Vec<Effect> = came
             .into_iter()
-            .flat_map(|m| p.step(20, Input::PeerSaid(here, m)))
+            .flat_map(|m| p.step(at(20), Input::PeerSaid(here, m)))
             .collect();
         let back = |e: Effect| {
             if let Effect::ToPeer(_, m) = e {
@@ -263,14 +268,14 @@
         b.hosts().get("i-7").expect("known").state(),
         HostState::Gone
     );
-    assert!(b.hosts().differing(&a.hosts().digest()).is_empty());
+    assert!(b.hosts().differing_ranges(&a.hosts().digests()).is_empty());
 }
 
 #[test]
 fn hosts_that_the_disk_held_are_tables_at_once_after_a_start() {
     let mut p = director();
     p.step(
-        1_000,
+        at(1_000),
         Input::Held(vec![
             news("i-1", CallSequence(5), HostState::Ready),
             news("i-2", CallSequence(5), HostState::Draining),
@@ -278,7 +283,7 @@
     );
     assert!(p.primed());
     p.step(
-        1_000,
+        at(1_000),
         Input::FrontUp {
             session: SessionId(7),
             node: NodeId(70),
@@ -286,7 +291,7 @@
         },
     );
     let mut all = p.step(
-        1_000,
+        at(1_000),
         Input::FrontSaid {
             session: SessionId(7),
             message: Message::PrimarySelected(true),
--- a/crates/gateway/controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -158,7 +158,7 @@
         let party = Cluster::new(Place {
             zone: boot.zone.as_str().into(),
             zones: boot.zones.iter().map(|z| z.as_str().into()).collect(),
-            beat_ms: (boot.beat_s * 1000.0) as u64,
+            heartbeat_interval: Duration::from_millis((boot.beat_s * 1000.0) as u64),
             drain_ms: boot.bounds.drain_s * 1000.0,
         });
         let hello = Handshake {
@@ -428,7 +428,8 @@
     }
 
     fn party(&mut self, input: cluster::Input) {
-        let effects = self.party.step(self.times.now(), input);
+        let now = Timestamp::from_millis(self.times.now());
+        let effects = self.party.step(now, input);
         for effect in effects {
             match effect {
                 cluster::Effect::ToPeer(node, message) => self.links.to_peer(node, &message),
@@ -542,7 +543,7 @@
                 );
                 let page = pages::status(
                     &self.name,
-                    self.times.now(),
+                    Timestamp::from_millis(self.times.now()),
                     &self.register,
                     &self.party,
                     &self.links,
--- a/crates/gateway/controller/src/pages.rs
+++ b/crates/gateway/controller/src/pages.rs
@@ -4,7 +4,7 @@
 use rushcourse_cluster::Cluster;
 use rushcourse_consensus::{Claim, Register};
 use rushcourse_storage::Doing;
-use rushcourse_types::{NodeId, SessionId};
+use rushcourse_types::{NodeId, SessionId, Timestamp};
 use std::fmt::Write;
 use std::net::Ipv4Addr;
 
@@ -36,7 +36,7 @@
 /// `disk`: what the disk has done, and the bytes of its file.
 pub fn status(
     name: &str,
-    now: u64,
+    now: Timestamp,
     register: &Register,
     party: &Cluster,
     links: &Links,
@@ -85,13 +85,13 @@
         let state = format!("{:?}", s.state()).to_lowercase();
         format!(
             "{{\"id\":{},\"service\":{},\"address\":{},\"zone\":{},\"state\":{},\"silent\":{},\"age_s\":{:.1}}}",
-            quoted(&s.news.id),
-            quoted(&s.news.service),
-            quoted(&s.news.address),
-            quoted(&s.news.zone),
+            quoted(&s.record().id),
+            quoted(&s.record().service),
+            quoted(&s.record().address),
+            quoted(&s.record().zone),
             quoted(&state),
-            s.silent,
-            now.saturating_sub(s.heard) as f64 / 1000.0
+            s.is_silent(),
+            now.since(s.last_heard_at()).as_millis() as f64 / 1000.0
         )
     });
     let tables = list(party.distribution().view(), |t| {
--- a/crates/tools/netcost/src/hollow/controller.rs
+++ b/crates/tools/netcost/src/hollow/controller.rs
@@ -6,8 +6,9 @@
 use rushcourse_cluster::{Cluster, Effect, Input, Place};
 use rushcourse_messages::Heartbeat;
 use rushcourse_messages::{HostRecord, HostState, Message, NodeId, decode, encode};
-use rushcourse_types::{CallSequence, Millis, SessionId};
+use rushcourse_types::{CallSequence, Millis, SessionId, Timestamp};
 use std::sync::Arc;
+use std::time::Duration;
 
 /// ms between two ticks of a controller; between two tellings of beats; between two tellings of usage.
 const TICK: u64 = 50;
@@ -93,7 +94,7 @@
         let place = Place {
             zone: zone(0, &size),
             zones: (0..size.zones).map(|k| zone(k, &size)).collect(),
-            beat_ms: BEAT,
+            heartbeat_interval: Duration::from_millis(BEAT),
             drain_ms: 2_500.0,
         };
         Fleet {
@@ -126,7 +127,7 @@
     fn step(&mut self, input: Input) {
         self.counts.steps += 1;
         let peers = self.size.controllers as u64 - 1;
-        for effect in self.real.step(self.now, input) {
+        for effect in self.real.step(Timestamp::from_millis(self.now), input) {
             match effect {
                 Effect::ToPeer(_, message) => self.counts.to_peers += self.written(&message, 1),
                 Effect::ToPeers(message) => self.counts.to_peers += self.written(&message, peers),
--- a/crates/tools/netcost/src/world.rs
+++ b/crates/tools/netcost/src/world.rs
@@ -3,9 +3,10 @@
 use rushcourse_cluster::{Cluster, Effect, Input, Place};
 use rushcourse_messages::{HostRecord, HostState, Message, NodeId, encode};
 use rushcourse_routing::Homing;
-use rushcourse_types::{CallSequence, Millis, SessionId};
+use rushcourse_types::{CallSequence, Millis, SessionId, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
+use std::time::Duration;
 
 /// ms between two ticks of a core director, and between two tellings of what came to a frontend one.
 const TICK: u64 = 50;
@@ -73,7 +74,7 @@
         let place = |k: usize| Place {
             zone: zone(k, &size),
             zones: zones.clone(),
-            beat_ms: size.beat_ms,
+            heartbeat_interval: Duration::from_millis(size.beat_ms),
             drain_ms: 2_500.0,
         };
         let host = |k: usize| HostRecord {
@@ -124,7 +125,7 @@
 
     fn core(&mut self, k: usize, input: Input) {
         self.counts.steps += 1;
-        let effects = self.cores[k].step(self.now, input);
+        let effects = self.cores[k].step(Timestamp::from_millis(self.now), input);
         for effect in effects {
             let fronts = |world: &World| -> Vec<usize> {
                 (0..world.fronts.len())
