--- /dev/null
+++ b/crates/gateway/cluster/src/cluster/host_requests.rs
@@ -0,0 +1,88 @@
+//! What hosts say themselves, and what follows from hosts that are new or have changed.
+
+use crate::cluster::Cluster;
+use crate::events::Effect;
+use rushcourse_messages::{HostRecord, HostState, Message};
+use rushcourse_types::{Millis, Timestamp};
+use std::sync::Arc;
+
+impl Cluster {
+    /// A host called this controller.
+    pub(super) fn handle_host_request(&mut self, now: Timestamp, record: HostRecord) {
+        let id = record.id.clone();
+        let sequence = record.sequence;
+        let is_new = self.hosts.get(&id).is_none();
+        if !self.hosts.apply_record(now, record) {
+            self.heartbeats.add(id, sequence);
+            return;
+        }
+        if let Some(host) = self.hosts.get(&id) {
+            let record = host.record_at(now);
+            self.broadcast_host(record);
+        }
+        if is_new {
+            self.log(format!("event=host_registered id={id}"));
+        }
+        self.publish_hosts(now, &[id]);
+    }
+
+    /// A host called this controller to deregister.
+    pub(super) fn handle_deregistration(&mut self, now: Timestamp, id: Arc<str>) {
+        if let Some(record) = self.hosts.deregister(now, &id) {
+            self.broadcast_host(record);
+            self.publish_hosts(now, &[id]);
+        }
+    }
+
+    /// Takes over the hosts that the disk held at the start. They count as heard now: one that does not call within the
+    /// usual time is gone.
+    pub(super) fn restore_hosts(&mut self, now: Timestamp, records: Vec<HostRecord>) {
+        self.initial_sync.set_done(!records.is_empty());
+        let ids: Vec<Arc<str>> = records.iter().map(|record| record.id.clone()).collect();
+        for record in records {
+            // A host that was in its warm-up then may be warm now; it says so in its next call.
+            let record = HostRecord {
+                age: Millis(0),
+                warm_up: Millis(0),
+                ..record
+            };
+            self.hosts.apply_record(now, record);
+        }
+        self.log(format!("event=hosts_restored hosts={}", ids.len()));
+        self.distribute_hosts(now, &ids);
+    }
+
+    /// What this controller heard from a host itself goes to all other controllers. That a host leaves goes to all
+    /// gateways too, whichever controller they take their tables from.
+    fn broadcast_host(&mut self, record: HostRecord) {
+        if record.state != HostState::Ready {
+            self.log(format!(
+                "event=host_leaving id={} state={:?}",
+                record.id, record.state
+            ));
+            self.broadcast_to_gateways(Message::HostStates(vec![record.clone()]));
+        }
+        self.broadcast_to_peers(Message::HostUpdates(vec![record]));
+    }
+
+    /// Hosts that are new or have changed go to the disk and into the tables.
+    pub(super) fn publish_hosts(&mut self, now: Timestamp, ids: &[Arc<str>]) {
+        for id in ids {
+            if let Some(host) = self.hosts.get(id) {
+                let record = HostRecord {
+                    state: host.state(),
+                    ..host.record_at(now)
+                };
+                self.effects.push(Effect::PersistHost(record));
+            }
+        }
+        self.distribute_hosts(now, ids);
+    }
+
+    /// Hosts that are new or have changed go into the tables.
+    fn distribute_hosts(&mut self, now: Timestamp, ids: &[Arc<str>]) {
+        let hosts = ids.iter().filter_map(|id| self.hosts.get(id));
+        let updates = self.distribution.update_hosts(now, hosts);
+        self.send_updates(now, updates);
+    }
+}
--- /dev/null
+++ b/crates/gateway/cluster/src/cluster/maintenance.rs
@@ -0,0 +1,56 @@
+//! What time alone brings: the end of the initial synchronization, batches of heartbeats, digests, hosts that fell
+//! silent, and the timers of the policies.
+
+use crate::cluster::Cluster;
+use rushcourse_messages::Message;
+use rushcourse_types::Timestamp;
+use std::time::Duration;
+
+/// The time between two comparisons of all hosts with the other controllers.
+const DIGEST_INTERVAL: Duration = Duration::from_secs(1);
+
+impl Cluster {
+    pub(super) fn tick(&mut self, now: Timestamp) {
+        self.finish_initial_sync(now);
+        if let Some(heartbeats) = self.heartbeats.take_due(now) {
+            self.broadcast_to_peers(heartbeats);
+        }
+        self.broadcast_digests(now);
+        self.detect_silent_hosts(now);
+        let updates = self.distribution.run_due_timers(now);
+        self.send_updates(now, updates);
+    }
+
+    fn finish_initial_sync(&mut self, now: Timestamp) {
+        if !self.initial_sync.end_wait(now) {
+            return;
+        }
+        let host_count = self.hosts.iter().count();
+        self.log(format!("event=synchronized hosts={host_count}"));
+        self.broadcast_to_peers(Message::ControllerStatus {
+            is_synchronized: true,
+            gateways: 0,
+        });
+    }
+
+    fn broadcast_digests(&mut self, now: Timestamp) {
+        if now >= self.digests_sent_at + DIGEST_INTERVAL {
+            self.digests_sent_at = now;
+            self.broadcast_to_peers(Message::HostDigests(self.hosts.digests()));
+        }
+    }
+
+    fn detect_silent_hosts(&mut self, now: Timestamp) {
+        self.hosts.remove_expired(now);
+        let is_detecting = self.is_synchronized() && self.failure_detection.is_active(now);
+        let newly_silent = if is_detecting {
+            self.hosts.mark_silent(now)
+        } else {
+            Vec::new()
+        };
+        for id in &newly_silent {
+            self.log(format!("event=host_silent id={id}"));
+        }
+        self.publish_hosts(now, &newly_silent);
+    }
+}
--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -1,317 +1,259 @@
-//! The design on the ordinary path. For each service one `Director` of the present module holds the model of certain
-//! and uncertain lines, the check, the buffer, the fallback and the companion; frontend directors that take their
-//! tables from here are its proxies, each with a channel of its own. This file keeps the tables as the module orders
-//! them and says what goes to whom.
+//! Which gateway gets which hosts: one policy for each service ([`crate::service_tables`]). Gateways that take their
+//! tables from this controller take part in all of them.
 
 use crate::host_registry::HostEntry;
+use crate::service_tables::{GatewayUpdate, ServiceTables, TableView, policy_time};
 use rushcourse_messages::{HostState, NodeId};
-use rushcourse_policy::Director;
 use rushcourse_policy::interface::{
-    Action, Again, Channel, Class, Effect, Entry, Event, KeyScope, LevelKind, ListKind, Ms,
-    Readiness, Settings, TableId,
+    Again, Channel, Class, Effect, Entry, Event, KeyScope, LevelKind, ListKind, Ms, Readiness,
+    Settings,
 };
 use rushcourse_types::Timestamp;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::sync::Arc;
+use std::time::Duration;
 
-/// What goes to a frontend director for a service. `whole`: these are all lines of the table it is bound to.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Order {
-    pub to: NodeId,
-    pub service: Arc<str>,
-    pub mark: u16,
-    pub whole: bool,
-    /// Host and weight; 0 removes it.
-    pub lines: Vec<(Arc<str>, f64)>,
-    /// Hosts that are shut out, or let back in.
-    pub out: Vec<(Arc<str>, bool)>,
-}
-
-/// A table as it stands.
-#[derive(Clone, Debug, PartialEq)]
-pub struct TableView {
-    pub service: Arc<str>,
-    pub table: TableId,
-    /// Frontend directors bound to it.
-    pub fronts: usize,
-    /// Host and weight.
-    pub lines: Vec<(Arc<str>, f64)>,
-}
-
-struct Board {
-    director: Director,
-    tables: BTreeMap<TableId, BTreeMap<Arc<str>, f64>>,
-    bound: BTreeMap<NodeId, TableId>,
-    withdrawn: BTreeSet<Arc<str>>,
-    timers: Vec<(Ms, String)>,
-    mark: u16,
+/// What the policy of a service is told of a gateway's requests.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct Load {
+    /// Attempts at the service's hosts.
+    pub(crate) attempts: u32,
+    /// Those of them that failed.
+    pub(crate) failures: u32,
+    /// The span that was counted.
+    pub(crate) interval: Duration,
 }
 
+/// The tables of all services, and the gateways that take them from here.
 pub struct Distribution {
     zones: Vec<Arc<str>>,
-    my_zone: usize,
-    drain_ms: f64,
-    boards: BTreeMap<Arc<str>, Board>,
-    proxies: BTreeMap<NodeId, usize>,
+    local_zone: usize,
+    drain_timeout: Duration,
+    services: BTreeMap<Arc<str>, ServiceTables>,
+    /// Each with the place of its zone among `zones`.
+    gateways: BTreeMap<NodeId, usize>,
 }
 
 impl Distribution {
-    pub fn new(zones: Vec<Arc<str>>, my_zone: usize, drain_ms: f64) -> Distribution {
+    pub(crate) fn new(
+        zones: Vec<Arc<str>>,
+        local_zone: &str,
+        drain_timeout: Duration,
+    ) -> Distribution {
         Distribution {
+            local_zone: position(&zones, local_zone),
             zones,
-            my_zone,
-            drain_ms,
-            boards: BTreeMap::new(),
-            proxies: BTreeMap::new(),
-        }
-    }
-
-    fn settings(&self) -> Settings {
-        let class = Class {
-            aim: 500.0,
-            deadline: 2000.0,
-            worth: 1.0,
-            effect: Effect::Free,
-            key_scope: KeyScope::All,
-            key_ttl: 0.0,
-            zone_bound: false,
-            writes: false,
-        };
-        Settings {
-            classes: vec![class],
-            zones: self.zones.len(),
-            my_zone: Some(self.my_zone),
-            directors: 1,
-            // The channel is a session: lines of some thousand a second, an answer within a few milliseconds.
-            backlog: 4000.0,
-            push_rate: 4000.0,
-            per_message: 1.0,
-            counted_over: 10_000.0,
-            late: 20.0,
-            transit_max: 500.0,
-            unserved_max: 1000.0,
-            report_every: 1000.0,
-            level_kind: LevelKind::Off,
-            base_again: Again::Never,
-            drain_grace: self.drain_ms,
-            // The ramp is the design's: a tenth, rising over 10 s. Hosts say how long they stay cold, not how much.
-            start_capacity: 1.0,
-            listed_weights: true,
-            ..Settings::default()
+            drain_timeout,
+            services: BTreeMap::new(),
+            gateways: BTreeMap::new(),
         }
     }
 
-    pub fn zone(&self, name: &str) -> usize {
-        self.zones.iter().position(|z| &**z == name).unwrap_or(0)
-    }
-
-    fn entry(&self, s: &HostEntry) -> Entry {
-        let readiness = match s.state() {
-            HostState::Ready => Readiness::Ready,
-            HostState::Draining => Readiness::Draining,
-            HostState::Gone => Readiness::Gone,
-        };
-        Entry {
-            host: s.record().id.clone(),
-            zone: self.zone(&s.record().zone),
-            cell: 0,
-            readiness,
-            weight: f64::from(s.record().slots.max(1)),
-            up_since: s.warming_since().map_or(0.0, policy_time),
-        }
+    /// All tables, for pages that people look at.
+    pub fn tables(&self) -> Vec<TableView> {
+        self.services
+            .values()
+            .flat_map(ServiceTables::views)
+            .collect()
     }
 
-    /// Hosts that are new or have changed.
-    pub fn hosts<'a>(
+    /// Applies hosts that are new or have changed.
+    pub(crate) fn update_hosts<'a>(
         &mut self,
         now: Timestamp,
         changed: impl Iterator<Item = &'a HostEntry>,
-    ) -> Vec<Order> {
-        let mut by: BTreeMap<Arc<str>, Vec<Entry>> = BTreeMap::new();
-        for s in changed {
-            by.entry(s.record().service.clone())
-                .or_default()
-                .push(self.entry(s));
+    ) -> Vec<GatewayUpdate> {
+        let mut entries: BTreeMap<Arc<str>, Vec<Entry>> = BTreeMap::new();
+        for host in changed {
+            let service = host.record().service.clone();
+            entries.entry(service).or_default().push(self.entry(host));
         }
-        let mut orders = Vec::new();
-        for (service, entries) in by {
+        let mut updates = Vec::new();
+        for (service, entries) in entries {
             let mut events = vec![Event::List {
                 kind: ListKind::Delta,
                 entries,
             }];
-            if !self.boards.contains_key(&service) {
+            if !self.services.contains_key(&service) {
+                self.add_service(service.clone());
                 events.extend(
-                    self.proxies
+                    self.gateways
                         .iter()
-                        .map(|(proxy, zone)| joined(*proxy, *zone)),
+                        .map(|(node, zone)| joined(*node, *zone)),
                 );
-                let board = Board {
-                    director: Director::new(self.settings(), 0),
-                    tables: BTreeMap::new(),
-                    bound: BTreeMap::new(),
-                    withdrawn: BTreeSet::new(),
-                    timers: Vec::new(),
-                    mark: 0,
-                };
-                self.boards.insert(service.clone(), board);
             }
-            orders.extend(self.give(now, &service, events));
+            if let Some(tables) = self.services.get_mut(&service) {
+                updates.extend(tables.handle(now, events));
+            }
         }
-        orders
+        updates
     }
 
-    /// A frontend director takes its tables from here.
-    pub fn joined(&mut self, now: Timestamp, proxy: NodeId, zone: &str) -> Vec<Order> {
-        let zone = self.zone(zone);
-        self.proxies.insert(proxy, zone);
-        self.each(now, |_| vec![joined(proxy, zone)])
+    /// Adds a gateway that takes its tables from here from now on.
+    pub(crate) fn add_gateway(
+        &mut self,
+        now: Timestamp,
+        gateway: NodeId,
+        zone: &str,
+    ) -> Vec<GatewayUpdate> {
+        let zone = position(&self.zones, zone);
+        self.gateways.insert(gateway, zone);
+        self.handle_everywhere(now, |_| vec![joined(gateway, zone)])
     }
 
-    pub fn left(&mut self, now: Timestamp, proxy: NodeId) -> Vec<Order> {
-        if self.proxies.remove(&proxy).is_none() {
+    /// Removes a gateway that takes its tables from here no more.
+    pub(crate) fn remove_gateway(&mut self, now: Timestamp, gateway: NodeId) -> Vec<GatewayUpdate> {
+        if self.gateways.remove(&gateway).is_none() {
             return Vec::new();
         }
-        for board in self.boards.values_mut() {
-            board.bound.remove(&proxy);
+        for tables in self.services.values_mut() {
+            tables.unbind(gateway);
         }
-        self.each(now, |_| {
-            vec![Event::Left {
-                proxy: proxy.0,
-                channel: Channel::Own,
-            }]
-        })
+        self.handle_everywhere(now, |_| vec![left(gateway)])
     }
 
-    /// A frontend director holds what a mark asked for.
-    pub fn applied(
+    /// A gateway holds the update of a revision, and all before it.
+    pub(crate) fn acknowledge(
         &mut self,
         now: Timestamp,
-        proxy: NodeId,
+        gateway: NodeId,
         service: &str,
-        mark: u16,
-    ) -> Vec<Order> {
-        let Some((service, _)) = self.boards.get_key_value(service) else {
-            return Vec::new();
+        revision: u16,
+    ) -> Vec<GatewayUpdate> {
+        let event = Event::Applied {
+            mark: revision,
+            proxy: gateway.0,
+            took: 0.0,
+            channel: Channel::Own,
         };
-        if !self.proxies.contains_key(&proxy) {
-            return Vec::new();
-        }
-        let service = service.clone();
-        self.give(
-            now,
-            &service,
-            vec![Event::Applied {
-                mark,
-                proxy: proxy.0,
-                took: 0.0,
-                channel: Channel::Own,
-            }],
-        )
+        self.handle_of_gateway(now, gateway, service, event)
     }
 
-    pub fn usage(
+    /// A gateway reports the requests that came to it for a service.
+    pub(crate) fn report_load(
         &mut self,
         now: Timestamp,
-        proxy: NodeId,
+        gateway: NodeId,
         service: &str,
-        tries: f64,
-        failed: f64,
-        span: Ms,
-    ) -> Vec<Order> {
-        let Some((service, _)) = self.boards.get_key_value(service) else {
-            return Vec::new();
+        load: Load,
+    ) -> Vec<GatewayUpdate> {
+        let event = Event::Usage {
+            proxy: gateway.0,
+            class: 0,
+            tries: f64::from(load.attempts),
+            failed: f64::from(load.failures),
+            span: policy_span(load.interval),
         };
-        if !self.proxies.contains_key(&proxy) {
-            return Vec::new();
-        }
-        let service = service.clone();
-        self.give(
-            now,
-            &service,
-            vec![Event::Usage {
-                proxy: proxy.0,
-                class: 0,
-                tries,
-                failed,
-                span,
-            }],
-        )
+        self.handle_of_gateway(now, gateway, service, event)
     }
 
-    /// When the module wants to be called next: ms, or none.
-    pub fn due(&self) -> Option<u64> {
-        let all = self
-            .boards
-            .values()
-            .flat_map(|b| b.timers.iter().map(|t| t.0));
-        all.reduce(f64::min).map(|t| t as u64)
+    /// Calls the policies whose timers are due.
+    pub(crate) fn run_due_timers(&mut self, now: Timestamp) -> Vec<GatewayUpdate> {
+        self.handle_everywhere(now, |tables| tables.take_due_timers(now))
     }
 
-    pub fn tick(&mut self, now: Timestamp) -> Vec<Order> {
-        self.each(now, |board| {
-            let (due, later) = board
-                .timers
-                .drain(..)
-                .partition(|t| t.0 <= policy_time(now));
-            board.timers = later;
-            let due: Vec<(Ms, String)> = due;
-            due.into_iter()
-                .map(|(_, token)| Event::Timer { token })
-                .collect()
-        })
-    }
-
-    fn each(&mut self, now: Timestamp, events: impl Fn(&mut Board) -> Vec<Event>) -> Vec<Order> {
-        let services: Vec<Arc<str>> = self.boards.keys().cloned().collect();
-        let mut orders = Vec::new();
-        for service in services {
-            let events = self
-                .boards
-                .get_mut(&service)
-                .map(&events)
-                .unwrap_or_default();
+    /// Hands events to the policy of each service for which there are any.
+    fn handle_everywhere(
+        &mut self,
+        now: Timestamp,
+        events: impl Fn(&mut ServiceTables) -> Vec<Event>,
+    ) -> Vec<GatewayUpdate> {
+        let mut updates = Vec::new();
+        for tables in self.services.values_mut() {
+            let events = events(tables);
             if !events.is_empty() {
-                orders.extend(self.give(now, &service, events));
+                updates.extend(tables.handle(now, events));
             }
         }
-        orders
+        updates
     }
 
-    fn give(&mut self, now: Timestamp, service: &Arc<str>, events: Vec<Event>) -> Vec<Order> {
-        let Some(board) = self.boards.get_mut(service) else {
+    /// Hands an event of a gateway to a service's policy, if both are known here.
+    fn handle_of_gateway(
+        &mut self,
+        now: Timestamp,
+        gateway: NodeId,
+        service: &str,
+        event: Event,
+    ) -> Vec<GatewayUpdate> {
+        if !self.gateways.contains_key(&gateway) {
             return Vec::new();
+        }
+        let tables = self.services.get_mut(service);
+        tables.map_or_else(Vec::new, |tables| tables.handle(now, vec![event]))
+    }
+
+    fn add_service(&mut self, service: Arc<str>) {
+        let tables = ServiceTables::new(service.clone(), self.settings());
+        self.services.insert(service, tables);
+    }
+
+    fn entry(&self, host: &HostEntry) -> Entry {
+        let record = host.record();
+        let readiness = match host.state() {
+            HostState::Ready => Readiness::Ready,
+            HostState::Draining => Readiness::Draining,
+            HostState::Gone => Readiness::Gone,
         };
-        let actions = board.director.handle(policy_time(now), events);
-        board.carry_out(service, actions)
+        Entry {
+            host: record.id.clone(),
+            zone: position(&self.zones, &record.zone),
+            cell: 0,
+            readiness,
+            weight: f64::from(record.slots.max(1)),
+            up_since: host.warming_since().map_or(0.0, policy_time),
+        }
     }
 
-    /// Tables, for the pages.
-    pub fn view(&self) -> Vec<TableView> {
-        let mut found = Vec::new();
-        for (service, board) in &self.boards {
-            for (id, lines) in &board.tables {
-                let on = board.bound.values().filter(|t| *t == id).count();
-                let lines = lines.iter().map(|l| (l.0.clone(), *l.1)).collect();
-                found.push(TableView {
-                    service: service.clone(),
-                    table: *id,
-                    fronts: on,
-                    lines,
-                });
-            }
+    fn settings(&self) -> Settings {
+        let class = Class {
+            aim: 500.0,
+            deadline: 2000.0,
+            worth: 1.0,
+            effect: Effect::Free,
+            key_scope: KeyScope::All,
+            key_ttl: 0.0,
+            zone_bound: false,
+            writes: false,
+        };
+        Settings {
+            classes: vec![class],
+            zones: self.zones.len(),
+            my_zone: Some(self.local_zone),
+            directors: 1,
+            // The channel is a session: lines of some thousand a second, an answer within a few milliseconds.
+            backlog: 4000.0,
+            push_rate: 4000.0,
+            per_message: 1.0,
+            counted_over: 10_000.0,
+            late: 20.0,
+            transit_max: 500.0,
+            unserved_max: 1000.0,
+            report_every: 1000.0,
+            level_kind: LevelKind::Off,
+            base_again: Again::Never,
+            drain_grace: policy_span(self.drain_timeout),
+            // Slow start is the policy's: a tenth, rising over 10 s. Hosts say how long they warm up, not how much.
+            start_capacity: 1.0,
+            listed_weights: true,
+            ..Settings::default()
         }
-        found
     }
 }
 
-/// A moment as the policy counts it.
-fn policy_time(moment: Timestamp) -> Ms {
-    moment.as_millis() as Ms
+/// The place of a zone among all zones. One that is not known counts as the first.
+fn position(zones: &[Arc<str>], zone: &str) -> usize {
+    zones.iter().position(|known| &**known == zone).unwrap_or(0)
+}
+
+/// A span as the policy counts it. Whole milliseconds come out exactly.
+fn policy_span(span: Duration) -> Ms {
+    span.as_nanos() as Ms / 1e6
 }
 
-fn joined(proxy: NodeId, zone: usize) -> Event {
+fn joined(gateway: NodeId, zone: usize) -> Event {
     Event::Joined {
-        proxy: proxy.0,
+        proxy: gateway.0,
         zone,
         rate: 1.0,
         fresh: true,
@@ -319,97 +261,9 @@
     }
 }
 
-/// What a proxy gets by one reply of the module.
-#[derive(Default)]
-struct Parcel {
-    whole: bool,
-    lines: BTreeMap<Arc<str>, f64>,
-}
-
-impl Board {
-    fn carry_out(&mut self, service: &Arc<str>, actions: Vec<Action>) -> Vec<Order> {
-        let mut parcels: BTreeMap<NodeId, Parcel> = BTreeMap::new();
-        let mut out: Vec<(Arc<str>, bool)> = Vec::new();
-        for action in actions {
-            match action {
-                Action::Line {
-                    table,
-                    host,
-                    weight,
-                } => {
-                    let lines = self.tables.entry(table).or_default();
-                    if weight > 0.0 {
-                        lines.insert(host.clone(), weight)
-                    } else {
-                        lines.remove(&host)
-                    };
-                    for (proxy, _) in self.bound.iter().filter(|b| *b.1 == table) {
-                        parcels
-                            .entry(*proxy)
-                            .or_default()
-                            .lines
-                            .insert(host.clone(), weight);
-                    }
-                }
-                Action::Clear { table } => {
-                    self.tables.remove(&table);
-                    for (proxy, _) in self.bound.iter().filter(|b| *b.1 == table) {
-                        parcels.entry(*proxy).or_default().whole = true;
-                    }
-                }
-                Action::Bind { proxy, table, .. } => {
-                    self.bound.insert(NodeId(proxy), table);
-                    parcels.entry(NodeId(proxy)).or_default().whole = true;
-                }
-                Action::Withdraw {
-                    host,
-                    out: shut,
-                    channel: Channel::Own,
-                } => {
-                    if shut {
-                        self.withdrawn.insert(host.clone())
-                    } else {
-                        self.withdrawn.remove(&host)
-                    };
-                    out.push((host, shut));
-                }
-                Action::Mark { number } => self.mark = number,
-                Action::Timer { token, at } => self.timers.push((at, token)),
-                _ => {}
-            }
-        }
-        let reached: BTreeSet<NodeId> = if out.is_empty() {
-            parcels.keys().copied().collect()
-        } else {
-            self.bound
-                .keys()
-                .copied()
-                .chain(parcels.keys().copied())
-                .collect()
-        };
-        let mut orders = Vec::new();
-        for to in reached {
-            let parcel = parcels.remove(&to).unwrap_or_default();
-            let table = self.bound.get(&to).and_then(|t| self.tables.get(t));
-            let lines = match (parcel.whole, table) {
-                (true, Some(table)) => table.iter().map(|l| (l.0.clone(), *l.1)).collect(),
-                (true, None) => Vec::new(),
-                (false, _) => parcel.lines.into_iter().collect(),
-            };
-            let out = if parcel.whole {
-                self.withdrawn.iter().map(|h| (h.clone(), true)).collect()
-            } else {
-                out.clone()
-            };
-            orders.push(Order {
-                to,
-                service: service.clone(),
-                mark: self.mark,
-                whole: parcel.whole,
-                lines,
-                out,
-            });
-        }
-        orders
+fn left(gateway: NodeId) -> Event {
+    Event::Left {
+        proxy: gateway.0,
+        channel: Channel::Own,
     }
 }
--- /dev/null
+++ b/crates/gateway/cluster/src/initial_sync.rs
@@ -0,0 +1,50 @@
+//! Whether a controller knows the hosts that there are. Until then no gateway may take its tables from it.
+
+use crate::host_registry::heartbeat_span;
+use rushcourse_types::Timestamp;
+use std::time::Duration;
+
+/// Heartbeat intervals after which a controller that started alone knows the hosts that there are.
+const LONE_START_HEARTBEATS: f64 = 1.6;
+
+/// The initial synchronization of a controller that has started: it is done when another controller that has done its
+/// own has sent all hosts, when the disk held some, or when all hosts had time to call.
+#[derive(Clone, Debug)]
+pub(crate) struct InitialSync {
+    lone_start_delay: Duration,
+    started_at: Option<Timestamp>,
+    is_done: bool,
+}
+
+impl InitialSync {
+    pub(crate) fn new(heartbeat_interval: Duration) -> InitialSync {
+        InitialSync {
+            lone_start_delay: heartbeat_span(heartbeat_interval, LONE_START_HEARTBEATS),
+            started_at: None,
+            is_done: false,
+        }
+    }
+
+    /// Counts the time from the first step on.
+    pub(crate) fn start(&mut self, now: Timestamp) {
+        self.started_at.get_or_insert(now);
+    }
+
+    pub(crate) fn is_done(&self) -> bool {
+        self.is_done
+    }
+
+    pub(crate) fn set_done(&mut self, is_done: bool) {
+        self.is_done = is_done;
+    }
+
+    /// Ends the wait for the hosts' own calls. True if it ended now.
+    pub(crate) fn end_wait(&mut self, now: Timestamp) -> bool {
+        let had_time = self
+            .started_at
+            .is_some_and(|started_at| now >= started_at + self.lone_start_delay);
+        let ends_now = had_time && !self.is_done;
+        self.is_done |= ends_now;
+        ends_now
+    }
+}
--- /dev/null
+++ b/crates/gateway/cluster/src/service_tables.rs
@@ -0,0 +1,272 @@
+//! The endpoint tables of one service. The policy of the director (`rushcourse-policy`) decides which hosts stand in
+//! which table with which weight; gateways are its proxies, each with a channel of its own. This file keeps the tables
+//! as the policy ordered them, and turns its actions into what each gateway has to hear.
+
+use rushcourse_messages::NodeId;
+use rushcourse_policy::Director;
+use rushcourse_policy::interface::{Action, Channel, Event, Ms, Settings, TableId};
+use rushcourse_types::Timestamp;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+
+/// A line of an endpoint table.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TableEndpoint {
+    /// The host's id.
+    pub host: Arc<str>,
+    /// Its share among the table's hosts; 0 removes it.
+    pub weight: f64,
+}
+
+/// A table as it stands.
+#[derive(Clone, Debug, PartialEq)]
+pub struct TableView {
+    /// The service that the table is of.
+    pub service: Arc<str>,
+    /// The table's number, as the policy counts them for each service.
+    pub table: TableId,
+    /// How many gateways are bound to it.
+    pub gateways: usize,
+    /// Its lines, in the order of their hosts.
+    pub endpoints: Vec<TableEndpoint>,
+}
+
+/// A host that no gateway may send to, whatever its table says, or that may be sent to again.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct Withdrawal {
+    pub(crate) host: Arc<str>,
+    pub(crate) is_withdrawn: bool,
+}
+
+/// What a gateway has to hear of the table that it is bound to.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct GatewayUpdate {
+    pub(crate) gateway: NodeId,
+    pub(crate) service: Arc<str>,
+    /// The gateway gives it back once it holds the update.
+    pub(crate) revision: u16,
+    /// Whether `endpoints` are all lines of the table, and replace what the gateway holds.
+    pub(crate) is_replacement: bool,
+    pub(crate) endpoints: Vec<TableEndpoint>,
+    pub(crate) withdrawals: Vec<Withdrawal>,
+}
+
+/// A moment as the policy counts it.
+pub(crate) fn policy_time(moment: Timestamp) -> Ms {
+    moment.as_millis() as Ms
+}
+
+/// A call that the policy asked for at a later moment.
+#[derive(Clone, Debug)]
+struct PolicyTimer {
+    due_at: Ms,
+    token: String,
+}
+
+/// What one gateway has to hear by one reply of the policy.
+#[derive(Default)]
+struct UpdateBatch {
+    is_replacement: bool,
+    changes: BTreeMap<Arc<str>, f64>,
+}
+
+/// What all gateways have to hear by one reply of the policy.
+#[derive(Default)]
+struct PendingUpdates {
+    batches: BTreeMap<NodeId, UpdateBatch>,
+    withdrawals: Vec<Withdrawal>,
+}
+
+impl PendingUpdates {
+    fn batch(&mut self, gateway: NodeId) -> &mut UpdateBatch {
+        self.batches.entry(gateway).or_default()
+    }
+}
+
+/// All tables of one service, and the gateways that are bound to them.
+pub(crate) struct ServiceTables {
+    service: Arc<str>,
+    policy: Director,
+    tables: BTreeMap<TableId, BTreeMap<Arc<str>, f64>>,
+    bindings: BTreeMap<NodeId, TableId>,
+    withdrawn: BTreeSet<Arc<str>>,
+    timers: Vec<PolicyTimer>,
+    revision: u16,
+}
+
+impl ServiceTables {
+    pub(crate) fn new(service: Arc<str>, settings: Settings) -> ServiceTables {
+        ServiceTables {
+            service,
+            policy: Director::new(settings, 0),
+            tables: BTreeMap::new(),
+            bindings: BTreeMap::new(),
+            withdrawn: BTreeSet::new(),
+            timers: Vec::new(),
+            revision: 0,
+        }
+    }
+
+    /// Hands events to the policy; what gateways have to hear by its reply.
+    pub(crate) fn handle(&mut self, now: Timestamp, events: Vec<Event>) -> Vec<GatewayUpdate> {
+        let actions = self.policy.handle(policy_time(now), events);
+        let mut pending = PendingUpdates::default();
+        for action in actions {
+            self.apply(action, &mut pending);
+        }
+        self.gateway_updates(pending)
+    }
+
+    /// Removes the timers that are due and returns their events.
+    pub(crate) fn take_due_timers(&mut self, now: Timestamp) -> Vec<Event> {
+        let now = policy_time(now);
+        let is_due = |timer: &PolicyTimer| timer.due_at <= now;
+        let (due, later): (Vec<_>, Vec<_>) = self.timers.drain(..).partition(is_due);
+        self.timers = later;
+        due.into_iter()
+            .map(|timer| Event::Timer { token: timer.token })
+            .collect()
+    }
+
+    /// Forgets to which table a gateway was bound.
+    pub(crate) fn unbind(&mut self, gateway: NodeId) {
+        self.bindings.remove(&gateway);
+    }
+
+    /// The tables, for pages that people look at.
+    pub(crate) fn views(&self) -> impl Iterator<Item = TableView> {
+        self.tables.iter().map(|(id, weights)| TableView {
+            service: self.service.clone(),
+            table: *id,
+            gateways: self.bindings.values().filter(|table| *table == id).count(),
+            endpoints: endpoints(weights),
+        })
+    }
+
+    fn apply(&mut self, action: Action, pending: &mut PendingUpdates) {
+        match action {
+            Action::Line {
+                table,
+                host,
+                weight,
+            } => self.set_weight(table, &host, weight, pending),
+            Action::Clear { table } => self.clear(table, pending),
+            Action::Bind { proxy, table, .. } => {
+                self.bindings.insert(NodeId(proxy), table);
+                pending.batch(NodeId(proxy)).is_replacement = true;
+            }
+            Action::Withdraw {
+                host,
+                out: is_withdrawn,
+                channel: Channel::Own,
+            } => self.set_withdrawn(host, is_withdrawn, pending),
+            Action::Mark { number } => self.revision = number,
+            Action::Timer { token, at } => self.timers.push(PolicyTimer { due_at: at, token }),
+            _ => {}
+        }
+    }
+
+    fn set_weight(
+        &mut self,
+        table: TableId,
+        host: &Arc<str>,
+        weight: f64,
+        pending: &mut PendingUpdates,
+    ) {
+        let weights = self.tables.entry(table).or_default();
+        if weight > 0.0 {
+            weights.insert(host.clone(), weight);
+        } else {
+            weights.remove(host);
+        }
+        for gateway in self.bound_to(table) {
+            let changes = &mut pending.batch(gateway).changes;
+            changes.insert(host.clone(), weight);
+        }
+    }
+
+    fn clear(&mut self, table: TableId, pending: &mut PendingUpdates) {
+        self.tables.remove(&table);
+        for gateway in self.bound_to(table) {
+            pending.batch(gateway).is_replacement = true;
+        }
+    }
+
+    fn set_withdrawn(&mut self, host: Arc<str>, is_withdrawn: bool, pending: &mut PendingUpdates) {
+        if is_withdrawn {
+            self.withdrawn.insert(host.clone());
+        } else {
+            self.withdrawn.remove(&host);
+        }
+        pending.withdrawals.push(Withdrawal { host, is_withdrawn });
+    }
+
+    fn bound_to(&self, table: TableId) -> impl Iterator<Item = NodeId> {
+        let bound = self.bindings.iter().filter(move |bound| *bound.1 == table);
+        bound.map(|(gateway, _)| *gateway)
+    }
+
+    /// In the order of gateways. A withdrawal goes to all that are bound to any table.
+    fn gateway_updates(&self, mut pending: PendingUpdates) -> Vec<GatewayUpdate> {
+        let mut receivers: BTreeSet<NodeId> = pending.batches.keys().copied().collect();
+        if !pending.withdrawals.is_empty() {
+            receivers.extend(self.bindings.keys());
+        }
+        receivers
+            .into_iter()
+            .map(|gateway| {
+                let batch = pending.batches.remove(&gateway).unwrap_or_default();
+                self.gateway_update(gateway, batch, &pending.withdrawals)
+            })
+            .collect()
+    }
+
+    /// A gateway whose table is replaced gets all that is withdrawn, as it may be new here.
+    fn gateway_update(
+        &self,
+        gateway: NodeId,
+        batch: UpdateBatch,
+        withdrawals: &[Withdrawal],
+    ) -> GatewayUpdate {
+        let (endpoints, withdrawals) = if batch.is_replacement {
+            (self.endpoints_for(gateway), self.all_withdrawals())
+        } else {
+            (endpoints(&batch.changes), withdrawals.to_vec())
+        };
+        GatewayUpdate {
+            gateway,
+            service: self.service.clone(),
+            revision: self.revision,
+            is_replacement: batch.is_replacement,
+            endpoints,
+            withdrawals,
+        }
+    }
+
+    /// All lines of the table that a gateway is bound to.
+    fn endpoints_for(&self, gateway: NodeId) -> Vec<TableEndpoint> {
+        let table = self.bindings.get(&gateway);
+        let weights = table.and_then(|table| self.tables.get(table));
+        weights.map(endpoints).unwrap_or_default()
+    }
+
+    fn all_withdrawals(&self) -> Vec<Withdrawal> {
+        let withdrawn = self.withdrawn.iter().cloned();
+        withdrawn
+            .map(|host| Withdrawal {
+                host,
+                is_withdrawn: true,
+            })
+            .collect()
+    }
+}
+
+fn endpoints(weights: &BTreeMap<Arc<str>, f64>) -> Vec<TableEndpoint> {
+    weights
+        .iter()
+        .map(|(host, weight)| TableEndpoint {
+            host: host.clone(),
+            weight: *weight,
+        })
+        .collect()
+}
--- a/crates/gateway/cluster/tests/talk.rs
+++ b/crates/gateway/cluster/tests/talk.rs
@@ -1,6 +1,6 @@
 //! What core directors make of hosts, of each other, and of frontend directors.
 
-use rushcourse_cluster::{Cluster, Effect, HostRegistry, Input, Place};
+use rushcourse_cluster::{Cluster, Effect, HostRegistry, Input, Topology};
 use rushcourse_messages::{HostRecord, HostState, Message, NodeId};
 use rushcourse_types::{CallSequence, Millis, SessionId, Timestamp};
 use std::sync::Arc;
@@ -24,11 +24,11 @@
 
 fn director() -> Cluster {
     let zones = vec!["z1".into(), "z2".into()];
-    Cluster::new(Place {
+    Cluster::new(Topology {
         zone: "z1".into(),
         zones,
         heartbeat_interval: Duration::from_millis(1_500),
-        drain_ms: 2_500.0,
+        drain_timeout: Duration::from_millis(2_500),
     })
 }
 
@@ -39,7 +39,9 @@
 /// What goes to a frontend director's session.
 fn to(effects: &[Effect], id: u64) -> Vec<Message> {
     let of = |e: &Effect| match e {
-        Effect::ToFront { session, message } if *session == SessionId(id) => Some(message.clone()),
+        Effect::SendToGateway { session, message } if *session == SessionId(id) => {
+            Some(message.clone())
+        }
         _ => None,
     };
     effects.iter().filter_map(of).collect()
@@ -55,17 +57,17 @@
 /// A director that knows three hosts, with a frontend director that takes its tables from it.
 fn served() -> (Cluster, Vec<Effect>) {
     let mut p = director();
-    p.step(at(1_000), Input::Company(true));
+    p.step(at(1_000), Input::QuorumContactChanged(true));
     for id in ["i-1", "i-2", "i-3"] {
         p.step(
             at(1_000),
-            Input::Call(news(id, CallSequence(1), HostState::Ready)),
+            Input::HostRequest(news(id, CallSequence(1), HostState::Ready)),
         );
     }
     pass(&mut p, 1_000, 4_000);
     p.step(
         at(4_000),
-        Input::FrontUp {
+        Input::GatewaySessionOpened {
             session: SessionId(7),
             node: NodeId(70),
             zone: "z1".into(),
@@ -73,7 +75,7 @@
     );
     let mut all = p.step(
         at(4_000),
-        Input::FrontSaid {
+        Input::GatewayMessage {
             session: SessionId(7),
             message: Message::PrimarySelected(true),
         },
@@ -101,17 +103,16 @@
     };
     p.step(
         at(4_500),
-        Input::FrontSaid {
+        Input::GatewayMessage {
             session: SessionId(7),
             message: applied,
         },
     );
     let effects = p.step(
         at(4_600),
-        Input::Call(news("i-1", CallSequence(2), HostState::Draining)),
+        Input::HostRequest(news("i-1", CallSequence(2), HostState::Draining)),
     );
-    let out =
-        |e: &Effect| matches!(e, Effect::ToFronts(Message::HostStates(n)) if &*n[0].id == "i-1");
+    let out = |e: &Effect| matches!(e, Effect::BroadcastToGateways(Message::HostStates(n)) if &*n[0].id == "i-1");
     assert!(
         effects.iter().any(out),
         "every frontend director, whoever binds it"
@@ -124,7 +125,7 @@
     assert!(
         effects
             .iter()
-            .any(|e| matches!(e, Effect::ToPeers(Message::HostUpdates(_))))
+            .any(|e| matches!(e, Effect::BroadcastToPeers(Message::HostUpdates(_))))
     );
 }
 
@@ -132,12 +133,12 @@
 fn silence_ends_a_host_only_where_a_majority_is_heard() {
     for (company, gone) in [(true, true), (false, false)] {
         let (mut p, _) = served();
-        p.step(at(4_500), Input::Company(company));
+        p.step(at(4_500), Input::QuorumContactChanged(company));
         for now in (4_500u64..12_000).step_by(1_500) {
             for id in ["i-2", "i-3"] {
                 p.step(
                     at(now),
-                    Input::Call(news(id, CallSequence(now), HostState::Ready)),
+                    Input::HostRequest(news(id, CallSequence(now), HostState::Ready)),
                 );
             }
             pass(&mut p, now, now + 1_500);
@@ -146,7 +147,7 @@
         assert_eq!(state == HostState::Gone, gone, "with a majority: {company}");
         p.step(
             at(13_000),
-            Input::Call(news("i-1", CallSequence(9), HostState::Ready)),
+            Input::HostRequest(news("i-1", CallSequence(9), HostState::Ready)),
         );
         assert_eq!(
             p.hosts().get("i-1").expect("known").state(),
@@ -159,11 +160,11 @@
 #[test]
 fn a_director_that_is_back_from_a_cut_hears_the_others_before_it_judges() {
     let (mut p, _) = served();
-    p.step(at(4_500), Input::Company(false));
+    p.step(at(4_500), Input::QuorumContactChanged(false));
     pass(&mut p, 4_500, 24_500);
-    p.step(at(24_500), Input::Company(true));
+    p.step(at(24_500), Input::QuorumContactChanged(true));
     let effects = pass(&mut p, 24_500, 24_600);
-    let judged = |e: &Effect| matches!(e, Effect::Say(s) if s.contains("host_silent"));
+    let judged = |e: &Effect| matches!(e, Effect::Log(s) if s.contains("host_silent"));
     assert!(
         !effects.iter().any(judged),
         "it did not hear where they beat meanwhile"
@@ -175,7 +176,10 @@
     lived[1].age = Millis(900);
     p.step(
         at(24_600),
-        Input::PeerSaid(NodeId(2), Message::HostUpdates(lived)),
+        Input::PeerMessage {
+            peer: NodeId(2),
+            message: Message::HostUpdates(lived),
+        },
     );
     pass(&mut p, 24_600, 26_000);
     let state = |id: &str| p.hosts().get(id).expect("known").state();
@@ -191,14 +195,19 @@
     let (mut p, _) = served();
     let mut effects = p.step(at(11_000), Input::Stalled);
     effects.extend(p.step(at(11_000), Input::Tick));
-    let judged = |e: &Effect| matches!(e, Effect::Say(s) if s.contains("host_silent"));
-    let standing = |e: &Effect| matches!(e, Effect::ToFronts(Message::ControllerStatus { .. }));
+    let judged = |e: &Effect| matches!(e, Effect::Log(s) if s.contains("host_silent"));
+    let standing = |e: &Effect| {
+        matches!(
+            e,
+            Effect::BroadcastToGateways(Message::ControllerStatus { .. })
+        )
+    };
     assert!(!effects.iter().any(judged), "its own silence is not theirs");
     assert!(!effects.iter().any(standing), "a short freeze moves nobody");
     for id in ["i-1", "i-2"] {
         p.step(
             at(11_010),
-            Input::Call(news(id, CallSequence(5), HostState::Ready)),
+            Input::HostRequest(news(id, CallSequence(5), HostState::Ready)),
         );
     }
     pass(&mut p, 11_050, 12_200);
@@ -233,14 +242,14 @@
     for k in 0..40 {
         a.step(
             at(0),
-            Input::Call(news(&format!("i-{k}"), CallSequence(1), HostState::Ready)),
+            Input::HostRequest(news(&format!("i-{k}"), CallSequence(1), HostState::Ready)),
         );
         b.step(
             at(0),
-            Input::Call(news(&format!("i-{k}"), CallSequence(1), HostState::Ready)),
+            Input::HostRequest(news(&format!("i-{k}"), CallSequence(1), HostState::Ready)),
         );
     }
-    a.step(at(10), Input::SignOff("i-7".into()));
+    a.step(at(10), Input::Deregister("i-7".into()));
     let (mut here, mut there): (NodeId, NodeId) = (NodeId(1), NodeId(2));
     let mut mail = vec![Message::HostDigests(a.hosts().digests())];
     // The digest, the ranges asked for, the hosts of them.
@@ -249,10 +258,18 @@
         let came = std::mem::take(&mut mail);
         let effects: Vec<Effect> = came
             .into_iter()
-            .flat_map(|m| p.step(at(20), Input::PeerSaid(here, m)))
+            .flat_map(|m| {
+                p.step(
+                    at(20),
+                    Input::PeerMessage {
+                        peer: here,
+                        message: m,
+                    },
+                )
+            })
             .collect();
         let back = |e: Effect| {
-            if let Effect::ToPeer(_, m) = e {
+            if let Effect::SendToPeer { message: m, .. } = e {
                 Some(m)
             } else {
                 None
@@ -276,15 +293,15 @@
     let mut p = director();
     p.step(
         at(1_000),
-        Input::Held(vec![
+        Input::HostsRestored(vec![
             news("i-1", CallSequence(5), HostState::Ready),
             news("i-2", CallSequence(5), HostState::Draining),
         ]),
     );
-    assert!(p.primed());
+    assert!(p.is_synchronized());
     p.step(
         at(1_000),
-        Input::FrontUp {
+        Input::GatewaySessionOpened {
             session: SessionId(7),
             node: NodeId(70),
             zone: "z1".into(),
@@ -292,7 +309,7 @@
     );
     let mut all = p.step(
         at(1_000),
-        Input::FrontSaid {
+        Input::GatewayMessage {
             session: SessionId(7),
             message: Message::PrimarySelected(true),
         },
--- a/crates/gateway/controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -6,7 +6,7 @@
 use crate::state_file::{newest_version, state_file};
 use crate::work::{Command, Reply, Work};
 use error_stack::{Report, ResultExt};
-use rushcourse_cluster::{self as cluster, Cluster, ContactProbes, Place, QuorumContact};
+use rushcourse_cluster::{self as cluster, Cluster, ContactProbes, QuorumContact, Topology};
 use rushcourse_config::Boot;
 use rushcourse_consensus::{self as register, Op, Outcome, Register, Setup};
 use rushcourse_messages::{Handshake, HostState, Message, NodeId, PROTOCOL_VERSION, Role};
@@ -155,11 +155,12 @@
         let hosts = std::mem::take(&mut stored.hosts);
         let incarnation = setup.incarnation;
         let register = Register::new(setup, stored);
-        let party = Cluster::new(Place {
+        let party = Cluster::new(Topology {
             zone: boot.zone.as_str().into(),
             zones: boot.zones.iter().map(|z| z.as_str().into()).collect(),
             heartbeat_interval: Duration::from_millis((boot.beat_s * 1000.0) as u64),
-            drain_ms: boot.bounds.drain_s * 1000.0,
+            drain_timeout: Duration::try_from_secs_f64(boot.bounds.drain_s)
+                .unwrap_or(Duration::MAX),
         });
         let hello = Handshake {
             protocol_version: PROTOCOL_VERSION,
@@ -201,7 +202,7 @@
             first_start: boot.first_start,
         };
         if !hosts.is_empty() {
-            owner.party(cluster::Input::Held(hosts));
+            owner.party(cluster::Input::HostsRestored(hosts));
         }
         Ok(owner)
     }
@@ -313,7 +314,7 @@
         if company != self.company {
             self.company = company;
             log::info!("event=company with_majority={company}");
-            self.party(cluster::Input::Company(company));
+            self.party(cluster::Input::QuorumContactChanged(company));
             if company && self.contact.needs_confirmation() {
                 // The question of the stall may have gone to sessions that were dead.
                 self.ask_proof();
@@ -432,15 +433,17 @@
         let effects = self.party.step(now, input);
         for effect in effects {
             match effect {
-                cluster::Effect::ToPeer(node, message) => self.links.to_peer(node, &message),
-                cluster::Effect::ToPeers(message) => self.links.to_peers(&message),
-                cluster::Effect::ToFront { session, message } => self.links.to(session.0, &message),
-                cluster::Effect::ToFronts(message) => self.links.to_fronts(&message),
-                cluster::Effect::Keep(news) => {
+                cluster::Effect::SendToPeer { peer, message } => self.links.to_peer(peer, &message),
+                cluster::Effect::BroadcastToPeers(message) => self.links.to_peers(&message),
+                cluster::Effect::SendToGateway { session, message } => {
+                    self.links.to(session.0, &message)
+                }
+                cluster::Effect::BroadcastToGateways(message) => self.links.to_fronts(&message),
+                cluster::Effect::PersistHost(record) => {
                     // Batch 0: nobody waits for it.
-                    let _ = self.disk.send((0, vec![Op::Host(news)]));
+                    let _ = self.disk.send((0, vec![Op::Host(record)]));
                 }
-                cluster::Effect::Say(text) => log::info!("{text}"),
+                cluster::Effect::Log(text) => log::info!("{text}"),
             }
         }
     }
@@ -450,7 +453,7 @@
         let in_force = Message::Configuration { version, text };
         let named = Message::CommittedVersion { version };
         for session in self.links.fronts() {
-            let message = if self.party.is_home(SessionId(session)) {
+            let message = if self.party.is_primary_for(SessionId(session)) {
                 &in_force
             } else {
                 &named
@@ -506,11 +509,11 @@
         match command {
             Command::Register { news, reply } => {
                 let leaves = news.state != HostState::Ready;
-                self.party(cluster::Input::Call(news));
+                self.party(cluster::Input::HostRequest(news));
                 self.answer_host(leaves, reply);
             }
             Command::SignOff { id, reply } => {
-                self.party(cluster::Input::SignOff(id));
+                self.party(cluster::Input::Deregister(id));
                 self.answer_host(true, reply);
             }
             Command::Put { reply, .. } | Command::Get { reply } if !self.may_acknowledge() => {
@@ -600,11 +603,11 @@
             Change::PeerUp(node) => {
                 let zone = self.links.zone(node).unwrap_or_default();
                 self.register(register::Input::Up { peer: node, zone });
-                self.party(cluster::Input::PeerUp(node));
+                self.party(cluster::Input::PeerSessionOpened(node));
             }
             Change::PeerDown(node) => {
                 self.register(register::Input::Down(node));
-                self.party(cluster::Input::PeerDown(node));
+                self.party(cluster::Input::PeerSessionClosed(node));
             }
             Change::FrontUp(id) => {
                 let Some(session) = self.links.session(id) else {
@@ -615,7 +618,7 @@
                     .to(id, &Message::VotingSet(self.register.set().clone()));
                 self.untold.insert(id);
                 self.judge_contact();
-                self.party(cluster::Input::FrontUp {
+                self.party(cluster::Input::GatewaySessionOpened {
                     session: SessionId(id),
                     node,
                     zone,
@@ -623,9 +626,7 @@
             }
             Change::FrontDown(session) => {
                 self.untold.remove(&session);
-                self.party(cluster::Input::FrontDown {
-                    session: SessionId(session),
-                });
+                self.party(cluster::Input::GatewaySessionClosed(SessionId(session)));
             }
         }
     }
@@ -650,9 +651,10 @@
                 | Message::Heartbeats(_)
                 | Message::HostDigests(_)
                 | Message::HostRangeRequest(_)
-                | Message::ControllerStatus { .. } => {
-                    self.party(cluster::Input::PeerSaid(node, message))
-                }
+                | Message::ControllerStatus { .. } => self.party(cluster::Input::PeerMessage {
+                    peer: node,
+                    message,
+                }),
                 agreed => self.register(register::Input::Heard(node, agreed)),
             },
             (
@@ -676,7 +678,7 @@
             (Role::Gateway, Message::ClaimWithdrawal { key, claim }) => {
                 self.register(register::Input::Withdraw { key, claim });
             }
-            (Role::Gateway, message) => self.party(cluster::Input::FrontSaid {
+            (Role::Gateway, message) => self.party(cluster::Input::GatewayMessage {
                 session: SessionId(id),
                 message,
             }),
--- a/crates/gateway/controller/src/pages.rs
+++ b/crates/gateway/controller/src/pages.rs
@@ -1,7 +1,7 @@
 //! The state of a core director as a page of JSON.
 
 use crate::links::Links;
-use rushcourse_cluster::Cluster;
+use rushcourse_cluster::{Cluster, TableEndpoint};
 use rushcourse_consensus::{Claim, Register};
 use rushcourse_storage::Doing;
 use rushcourse_types::{NodeId, SessionId, Timestamp};
@@ -50,7 +50,7 @@
         "{{\"name\":{},\"primed\":{},\"set\":{{\"number\":{},\"members\":{}}},\"remembers\":{},\"votes\":{},\
          \"held\":{},\"in_force\":{},\"claims\":{},\"peers\":{}",
         quoted(name),
-        party.primed(),
+        party.is_synchronized(),
         r.set.epoch,
         list(r.set.members, node),
         r.remembers,
@@ -78,7 +78,7 @@
             node(hello.node),
             quoted(&hello.zone),
             quoted(&role),
-            party.is_home(SessionId(id)),
+            party.is_primary_for(SessionId(id)),
         )
     });
     let hosts = list(party.hosts().iter(), |s| {
@@ -94,14 +94,14 @@
             now.since(s.last_heard_at()).as_millis() as f64 / 1000.0
         )
     });
-    let tables = list(party.distribution().view(), |t| {
-        let lines = list(t.lines, |(host, weight)| {
+    let tables = list(party.distribution().tables(), |t| {
+        let lines = list(t.endpoints, |TableEndpoint { host, weight }| {
             format!("[{},{weight:.3}]", quoted(&host))
         });
-        let (service, table, fronts) = (quoted(&t.service), t.table, t.fronts);
+        let (service, table, fronts) = (quoted(&t.service), t.table, t.gateways);
         format!("{{\"service\":{service},\"table\":{table},\"fronts\":{fronts},\"lines\":{lines}}}")
     });
-    let _ = write!(page, ",\"members\":{}", list(party.members().all(), node));
+    let _ = write!(page, ",\"members\":{}", list(party.gateways().all(), node));
     let refused = links.office().refused();
     let refused: Vec<String> = refused
         .iter()
--- a/crates/tools/netcost/src/hollow/controller.rs
+++ b/crates/tools/netcost/src/hollow/controller.rs
@@ -3,7 +3,7 @@
 //! receiver, as the program does; sockets, TLS and the disk are not part of it.
 
 use super::{Size, gauge};
-use rushcourse_cluster::{Cluster, Effect, Input, Place};
+use rushcourse_cluster::{Cluster, Effect, Input, Topology};
 use rushcourse_messages::Heartbeat;
 use rushcourse_messages::{HostRecord, HostState, Message, NodeId, decode, encode};
 use rushcourse_types::{CallSequence, Millis, SessionId, Timestamp};
@@ -91,11 +91,11 @@
 
 impl Fleet {
     fn new(size: Size) -> Fleet {
-        let place = Place {
+        let place = Topology {
             zone: zone(0, &size),
             zones: (0..size.zones).map(|k| zone(k, &size)).collect(),
             heartbeat_interval: Duration::from_millis(BEAT),
-            drain_ms: 2_500.0,
+            drain_timeout: Duration::from_millis(2_500),
         };
         Fleet {
             size,
@@ -129,12 +129,16 @@
         let peers = self.size.controllers as u64 - 1;
         for effect in self.real.step(Timestamp::from_millis(self.now), input) {
             match effect {
-                Effect::ToPeer(_, message) => self.counts.to_peers += self.written(&message, 1),
-                Effect::ToPeers(message) => self.counts.to_peers += self.written(&message, peers),
-                Effect::ToFronts(message) => {
+                Effect::SendToPeer { message, .. } => {
+                    self.counts.to_peers += self.written(&message, 1)
+                }
+                Effect::BroadcastToPeers(message) => {
+                    self.counts.to_peers += self.written(&message, peers)
+                }
+                Effect::BroadcastToGateways(message) => {
                     self.counts.to_gateways += self.written(&message, self.sessions);
                 }
-                Effect::ToFront { session, message } => {
+                Effect::SendToGateway { session, message } => {
                     self.counts.to_gateways += self.written(&message, 1);
                     if let Message::TableReplacement {
                         service,
@@ -150,7 +154,7 @@
                         self.unanswered.push((session.0, service, mark));
                     }
                 }
-                Effect::Keep(_) | Effect::Say(_) => {}
+                Effect::PersistHost(_) | Effect::Log(_) => {}
             }
         }
     }
@@ -162,16 +166,19 @@
         match (from, message) {
             (From::Host, Message::HostUpdates(news)) => {
                 news.into_iter()
-                    .for_each(|news| self.step(Input::Call(news)));
+                    .for_each(|news| self.step(Input::HostRequest(news)));
             }
             (From::Host, _) => unreachable!("hosts only tell of themselves"),
             (From::Peer(node), message) => {
                 self.counts.from_peers += length;
-                self.step(Input::PeerSaid(node, message));
+                self.step(Input::PeerMessage {
+                    peer: node,
+                    message,
+                });
             }
             (From::Gateway(session), message) => {
                 self.counts.from_gateways += length;
-                self.step(Input::FrontSaid {
+                self.step(Input::GatewayMessage {
                     session: SessionId(session),
                     message,
                 });
@@ -205,9 +212,9 @@
 
     /// The controller is with its peers and knows all hosts from one of them.
     fn found(&mut self) {
-        self.step(Input::Company(true));
+        self.step(Input::QuorumContactChanged(true));
         let peers = self.size.controllers - 1;
-        (0..peers).for_each(|k| self.step(Input::PeerUp(peer(k))));
+        (0..peers).for_each(|k| self.step(Input::PeerSessionOpened(peer(k))));
         let hosts = (0..self.size.hosts).map(|k| host(k, &self.size)).collect();
         self.hear(From::Peer(peer(0)), &frame(&Message::HostUpdates(hosts)));
         self.hear(
@@ -224,7 +231,7 @@
         self.sessions += 1;
         let (session, node) = (self.sessions, gateway(SessionId(self.sessions)));
         let zone = zone(session as usize, &self.size);
-        self.step(Input::FrontUp {
+        self.step(Input::GatewaySessionOpened {
             session: SessionId(session),
             node,
             zone,
@@ -361,7 +368,7 @@
         state: HostState::Draining,
         ..host(0, size)
     };
-    fleet.step(Input::Call(leaving));
+    fleet.step(Input::HostRequest(leaving));
     let drained = fleet.counts;
     let rate = |bytes: u64| bytes as f64 / 1_000.0 / seconds;
     println!(
--- a/crates/tools/netcost/src/world.rs
+++ b/crates/tools/netcost/src/world.rs
@@ -1,6 +1,6 @@
 //! Core and frontend directors' real steps on a fake clock, with every message counted as it goes out in a frame.
 
-use rushcourse_cluster::{Cluster, Effect, Input, Place};
+use rushcourse_cluster::{Cluster, Effect, Input, Topology};
 use rushcourse_messages::{HostRecord, HostState, Message, NodeId, encode};
 use rushcourse_routing::Homing;
 use rushcourse_types::{CallSequence, Millis, SessionId, Timestamp};
@@ -71,11 +71,11 @@
     /// All core directors are there and know all hosts; no frontend director is.
     pub fn new(size: Size) -> World {
         let zones: Vec<Arc<str>> = (0..size.zones).map(|k| zone(k, &size)).collect();
-        let place = |k: usize| Place {
+        let place = |k: usize| Topology {
             zone: zone(k, &size),
             zones: zones.clone(),
             heartbeat_interval: Duration::from_millis(size.beat_ms),
-            drain_ms: 2_500.0,
+            drain_timeout: Duration::from_millis(2_500),
         };
         let host = |k: usize| HostRecord {
             id: format!("i-{k:010x}").into(),
@@ -98,9 +98,9 @@
             counts: Counts::default(),
         };
         for a in 0..size.cores {
-            world.core(a, Input::Company(true));
+            world.core(a, Input::QuorumContactChanged(true));
             for b in (0..size.cores).filter(|b| *b != a) {
-                world.core(a, Input::PeerUp(core_node(b)));
+                world.core(a, Input::PeerSessionOpened(core_node(b)));
             }
         }
         world.run(4_000);
@@ -133,25 +133,28 @@
                     .collect()
             };
             match effect {
-                Effect::ToPeer(node, message) => {
+                Effect::SendToPeer {
+                    peer: node,
+                    message,
+                } => {
                     self.ways
                         .push_back((k, To::Core((node.0 - core_node(0).0) as usize), message));
                 }
-                Effect::ToPeers(message) => {
+                Effect::BroadcastToPeers(message) => {
                     for to in (0..self.size.cores).filter(|to| *to != k) {
                         self.ways.push_back((k, To::Core(to), message.clone()));
                     }
                 }
-                Effect::ToFront { session, message } => {
+                Effect::SendToGateway { session, message } => {
                     self.ways
                         .push_back((k, To::Front(session.0 as usize - 1), message));
                 }
-                Effect::ToFronts(message) => {
+                Effect::BroadcastToGateways(message) => {
                     for to in fronts(self) {
                         self.ways.push_back((k, To::Front(to), message.clone()));
                     }
                 }
-                Effect::Keep(_) | Effect::Say(_) => {}
+                Effect::PersistHost(_) | Effect::Log(_) => {}
             }
         }
     }
@@ -165,7 +168,7 @@
             let (session, node, zone) = (f as u64 + 1, front_node(f), zone(f, &self.size));
             self.core(
                 k,
-                Input::FrontUp {
+                Input::GatewaySessionOpened {
                     session: SessionId(session),
                     node,
                     zone,
@@ -180,7 +183,7 @@
         let host = &mut self.hosts[h];
         (host.sequence, host.state) = (host.sequence.next(), state);
         let news = host.clone();
-        self.core(h % self.size.cores, Input::Call(news));
+        self.core(h % self.size.cores, Input::HostRequest(news));
         self.deliver();
     }
 
@@ -193,7 +196,13 @@
             match to {
                 To::Core(k) => {
                     add(&mut self.counts.between_cores);
-                    self.core(k, Input::PeerSaid(core_node(from), message));
+                    self.core(
+                        k,
+                        Input::PeerMessage {
+                            peer: core_node(from),
+                            message,
+                        },
+                    );
                 }
                 To::Front(f) => {
                     add(&mut self.counts.to_fronts);
@@ -251,7 +260,7 @@
         *c = (c.0 + bytes.len() as u64, c.1 + 1);
         self.core(
             to,
-            Input::FrontSaid {
+            Input::GatewayMessage {
                 session: SessionId(f as u64 + 1),
                 message,
             },
@@ -310,11 +319,11 @@
         for table in self
             .cores
             .iter()
-            .flat_map(|c| c.distribution().view())
-            .filter(|t| t.fronts > 0)
+            .flat_map(|c| c.distribution().tables())
+            .filter(|t| t.gateways > 0)
         {
             let most = lines.entry(table.service).or_default();
-            *most = table.lines.len().max(*most);
+            *most = table.endpoints.len().max(*most);
         }
         lines
     }
