--- a/crates/gateway/controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -10,7 +10,7 @@
 use rushcourse_config::Boot;
 use rushcourse_consensus::{self as register, Op, Outcome, Register, Setup};
 use rushcourse_messages::{Handshake, HostState, Message, NodeId, PROTOCOL_VERSION, Role};
-use rushcourse_storage::{Done, Health, Store};
+use rushcourse_storage::{DiskHealth, Store, WriteBatch, WriteOutcome};
 use rushcourse_transport::{Dialler, Office, SessionEvent, StartError, Times, listen, logs};
 use rushcourse_types::{
     ConfigurationVersion, Epoch, Incarnation, RequestToken, SessionId, Ticket, Timestamp,
@@ -85,8 +85,8 @@
         mpsc::UnboundedSender<SessionEvent>,
         mpsc::UnboundedReceiver<SessionEvent>,
     ),
-    disk: std::sync::mpsc::Sender<(u64, Vec<Op>)>,
-    health: Arc<Health>,
+    disk: std::sync::mpsc::Sender<WriteBatch>,
+    health: Arc<DiskHealth>,
     /// The state file.
     file: PathBuf,
     register: Register,
@@ -129,13 +129,13 @@
         let work = mpsc::unbounded_channel();
         let (disk, batches) = std::sync::mpsc::channel();
         let tell: mpsc::UnboundedSender<Work> = work.0.clone();
-        let health = Arc::new(Health::default());
+        let health = Arc::new(DiskHealth::default());
         let beside = health.clone();
         let thread = std::thread::Builder::new()
             .name("storage".into())
             .stack_size(512 << 10);
         let spawned = thread.spawn(move || {
-            rushcourse_storage::run(store, &batches, &beside, |done| {
+            rushcourse_storage::run_writer(store, &batches, &beside, |done| {
                 let _ = tell.send(Work::Disk(done));
             });
         });
@@ -395,7 +395,11 @@
         for effect in effects {
             match effect {
                 register::Effect::Write { batch, ops } => {
-                    if self.disk.send((batch, ops)).is_err() {
+                    let batch = WriteBatch {
+                        number: batch,
+                        operations: ops,
+                    };
+                    if self.disk.send(batch).is_err() {
                         log::error!("event=disk_thread_gone");
                     }
                 }
@@ -441,7 +445,10 @@
                 cluster::Effect::BroadcastToGateways(message) => self.links.to_fronts(&message),
                 cluster::Effect::PersistHost(record) => {
                     // Batch 0: nobody waits for it.
-                    let _ = self.disk.send((0, vec![Op::Host(record)]));
+                    let _ = self.disk.send(WriteBatch {
+                        number: 0,
+                        operations: vec![Op::Host(record)],
+                    });
                 }
                 cluster::Effect::Log(text) => log::info!("{text}"),
             }
@@ -541,7 +548,7 @@
             }
             Command::Status { reply } => {
                 let disk = (
-                    self.health.doing(),
+                    self.health.statistics(),
                     std::fs::metadata(&self.file).map_or(0, |m| m.len()),
                 );
                 let page = pages::status(
@@ -561,11 +568,11 @@
         }
     }
 
-    fn disk(&mut self, done: Vec<Done>) {
+    fn disk(&mut self, done: Vec<WriteOutcome>) {
         for done in done {
             self.register(match done {
-                Done::Synced(batch) => register::Input::Synced(batch),
-                Done::Refused(batch) => register::Input::Refused(batch),
+                WriteOutcome::Synced(batch) => register::Input::Synced(batch),
+                WriteOutcome::Failed(batch) => register::Input::Refused(batch),
             });
         }
     }
--- a/crates/gateway/controller/src/pages.rs
+++ b/crates/gateway/controller/src/pages.rs
@@ -3,10 +3,11 @@
 use crate::links::Links;
 use rushcourse_cluster::{Cluster, TableEndpoint};
 use rushcourse_consensus::{Claim, Register};
-use rushcourse_storage::Doing;
+use rushcourse_storage::DiskStatistics;
 use rushcourse_types::{NodeId, SessionId, Timestamp};
 use std::fmt::Write;
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
 fn quoted(word: &str) -> String {
     facet_json::to_string(&word.to_string()).unwrap_or_else(|_| "\"?\"".into())
@@ -19,6 +20,11 @@
     )
 }
 
+/// Milliseconds with fractions, from whole microseconds.
+fn millis(span: Duration) -> f64 {
+    span.as_micros() as f64 / 1000.0
+}
+
 /// Who holds an operation key, as far as this director has it.
 pub fn key(wall: u64, held: Option<(Claim, bool)>) -> String {
     let Some((claim, durable)) = held else {
@@ -40,7 +46,7 @@
     register: &Register,
     party: &Cluster,
     links: &Links,
-    disk: (Doing, u64),
+    disk: (DiskStatistics, u64),
 ) -> String {
     let r = register.ready();
     let node = |n: NodeId| quoted(&n.to_string());
@@ -60,15 +66,18 @@
         r.claims,
         list(r.peers, node),
     );
-    let (doing, bytes) = disk;
-    let stalled = doing
-        .writing_ms
-        .map_or("null".to_string(), |ms| format!("{ms:.1}"));
+    let (statistics, bytes) = disk;
+    let stalled = statistics
+        .current_write
+        .map_or("null".to_string(), |span| format!("{:.1}", millis(span)));
     let _ = write!(
         page,
         ",\"disk\":{{\"bytes\":{bytes},\"syncs\":{},\"refused\":{},\"last_ms\":{:.1},\"most_ms\":{:.1},\
          \"writing_ms\":{stalled}}}",
-        doing.syncs, doing.refused, doing.last_ms, doing.most_ms,
+        statistics.syncs,
+        statistics.failed_syncs,
+        millis(statistics.last_sync),
+        millis(statistics.longest_sync),
     );
     let sessions = list(links.view(), |(id, hello)| {
         let role = format!("{:?}", hello.role).to_lowercase();
--- a/crates/gateway/controller/src/work.rs
+++ b/crates/gateway/controller/src/work.rs
@@ -1,7 +1,7 @@
 //! What the owner works through, in the order in which it comes.
 
 use rushcourse_messages::HostRecord;
-use rushcourse_storage::Done;
+use rushcourse_storage::WriteOutcome;
 use rushcourse_types::{ConfigurationVersion, KeyDigest};
 use std::sync::Arc;
 use tokio::sync::oneshot;
@@ -52,7 +52,7 @@
 
 pub enum Work {
     Command(Command),
-    Disk(Vec<Done>),
+    Disk(Vec<WriteOutcome>),
     /// The settings file may have changed.
     Reread,
 }
--- a/crates/gateway/storage/examples/recovery.rs
+++ b/crates/gateway/storage/examples/recovery.rs
@@ -5,7 +5,7 @@
 use rushcourse_messages::{
     AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
 };
-use rushcourse_storage::Store;
+use rushcourse_storage::{Store, WriteBatch};
 use rushcourse_types::{
     CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
 };
@@ -14,6 +14,10 @@
 /// Bytes of a configuration's text.
 const TEXT: usize = 8_000;
 
+fn batch(number: u64, operations: Vec<Op>) -> WriteBatch {
+    WriteBatch { number, operations }
+}
+
 /// A vote for a configuration.
 fn configuration() -> Op {
     let ballot = Ballot {
@@ -71,7 +75,7 @@
         let first = [Op::Set(set), Op::Remember, configuration()]
             .into_iter()
             .chain((0..hosts).map(|k| Op::Host(host(k))));
-        store.write(&[(1, first.collect())]).expect("room");
+        store.write(&[batch(1, first.collect())]).expect("room");
         // As they come: some at a sync.
         for part in 0..claims.div_ceil(200) {
             let claim = |k: u64| {
@@ -89,7 +93,9 @@
                 }
             };
             let of = part * 200..(part * 200 + 200).min(claims);
-            store.write(&[(2, of.map(claim).collect())]).expect("room");
+            store
+                .write(&[batch(2, of.map(claim).collect())])
+                .expect("room");
         }
         drop(store);
         let begun = Instant::now();
@@ -101,7 +107,7 @@
         );
         assert_eq!(stored.records.len(), 1);
         let begun = Instant::now();
-        store.write(&[(3, vec![Op::Remember])]).expect("room");
+        store.write(&[batch(3, vec![Op::Remember])]).expect("room");
         let (wrote, bytes) = (
             begun.elapsed(),
             std::fs::metadata(&file).map_or(0, |m| m.len()),
--- /dev/null
+++ b/crates/gateway/storage/src/disk_health.rs
@@ -0,0 +1,82 @@
+//! How the disk is doing, for people to look at: written by the thread that works on it, read by any other.
+
+use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
+use std::time::{Duration, Instant};
+
+/// Measures the writes of one run of the storage thread. All times are in microseconds of a steady clock that began with
+/// it.
+#[derive(Debug)]
+pub struct DiskHealth {
+    started_at: Instant,
+    syncs: AtomicU64,
+    failed_syncs: AtomicU64,
+    last_sync_us: AtomicU64,
+    longest_sync_us: AtomicU64,
+    /// When the write that is under way began, plus one; 0: none is.
+    write_started: AtomicU64,
+}
+
+/// What the storage thread has done so far.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct DiskStatistics {
+    /// Syncs that succeeded.
+    pub syncs: u64,
+    /// Syncs that the disk refused.
+    pub failed_syncs: u64,
+    /// What the last sync took, refused or not.
+    pub last_sync: Duration,
+    /// What the longest sync took.
+    pub longest_sync: Duration,
+    /// How long the write that is under way has taken so far: a disk that stalls.
+    pub current_write: Option<Duration>,
+}
+
+impl Default for DiskHealth {
+    fn default() -> DiskHealth {
+        DiskHealth {
+            started_at: Instant::now(),
+            syncs: AtomicU64::new(0),
+            failed_syncs: AtomicU64::new(0),
+            last_sync_us: AtomicU64::new(0),
+            longest_sync_us: AtomicU64::new(0),
+            write_started: AtomicU64::new(0),
+        }
+    }
+}
+
+impl DiskHealth {
+    fn now_us(&self) -> u64 {
+        self.started_at.elapsed().as_micros() as u64
+    }
+
+    /// Measures one write.
+    pub(crate) fn measure<T, E>(&self, write: impl FnOnce() -> Result<T, E>) -> Result<T, E> {
+        let began = self.now_us();
+        self.write_started.store(began + 1, Relaxed);
+        let result = write();
+        let took = self.now_us() - began;
+        self.write_started.store(0, Relaxed);
+        self.last_sync_us.store(took, Relaxed);
+        self.longest_sync_us.fetch_max(took, Relaxed);
+        let count = if result.is_ok() {
+            &self.syncs
+        } else {
+            &self.failed_syncs
+        };
+        count.fetch_add(1, Relaxed);
+        result
+    }
+
+    /// What was done so far. The values are read one after the other, while writes go on.
+    pub fn statistics(&self) -> DiskStatistics {
+        let write_started = self.write_started.load(Relaxed);
+        let current_us = || (self.now_us() + 1).saturating_sub(write_started);
+        DiskStatistics {
+            syncs: self.syncs.load(Relaxed),
+            failed_syncs: self.failed_syncs.load(Relaxed),
+            last_sync: Duration::from_micros(self.last_sync_us.load(Relaxed)),
+            longest_sync: Duration::from_micros(self.longest_sync_us.load(Relaxed)),
+            current_write: (write_started > 0).then(|| Duration::from_micros(current_us())),
+        }
+    }
+}
--- a/crates/gateway/storage/src/reading.rs
+++ b/crates/gateway/storage/src/reading.rs
@@ -1,6 +1,6 @@
 //! Reads a state file whole.
 
-use crate::claims::ClaimPlaces;
+use crate::claim_positions::ClaimPositions;
 use crate::tables::{
     CLAIMS, HOSTS, META, META_FORMAT, META_REMEMBERS, META_SET, RecordTable, SET_RECORDS,
     VERSION_RECORDS, decode,
@@ -14,7 +14,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Contents {
     pub stored: Stored,
-    pub places: ClaimPlaces,
+    pub positions: ClaimPositions,
 }
 
 /// The form of a file; none if it was never written to.
@@ -83,7 +83,7 @@
 
 fn read_claims(reading: &ReadTransaction, contents: &mut Contents) -> Result<(), redb::Error> {
     for entry in reading.open_table(CLAIMS)?.iter()? {
-        let (place, value) = entry?;
+        let (position, value) = entry?;
         let (key, node, incarnation, number, at) = value.value();
         let id = ClaimId {
             node: NodeId(node),
@@ -94,7 +94,9 @@
             .stored
             .claims
             .push((KeyDigest(key), Claim { id, at }));
-        contents.places.found(KeyDigest(key), place.value());
+        contents
+            .positions
+            .add_stored(KeyDigest(key), position.value());
     }
     Ok(())
 }
--- a/crates/gateway/storage/src/store.rs
+++ b/crates/gateway/storage/src/store.rs
@@ -1,17 +1,18 @@
 //! The open file: it is made, read or upgraded at opening, and opened anew after a refused write.
 
-use crate::claims::ClaimPlaces;
-use crate::damage::Damaged;
+use crate::batch::WriteBatch;
+use crate::claim_positions::ClaimPositions;
+use crate::error::StorageError;
 use crate::reading::{self, Contents};
 use crate::tables::FORMAT;
 use crate::{upgrade, writing};
 use error_stack::Report;
 use redb::{Database, StorageBackend};
-use rushcourse_consensus::{Op, Stored};
+use rushcourse_consensus::Stored;
 use std::path::Path;
 
 /// Bytes of pages that are kept in memory: a window's claims are some megabytes, and are read once (ours).
-const CACHE: usize = 4 << 20;
+const CACHE_BYTES: usize = 4 << 20;
 
 /// Opens the file: at its place, or over another backend, which a test may let fail.
 type Opener = Box<dyn Fn() -> Result<Database, redb::DatabaseError> + Send>;
@@ -21,7 +22,7 @@
     opener: Opener,
     /// None after a refused write, until the file is open again.
     database: Option<Database>,
-    places: ClaimPlaces,
+    positions: ClaimPositions,
 }
 
 impl Store {
@@ -29,7 +30,7 @@
     ///
     /// # Errors
     /// A file that can't be read or has another form: it is left as it is. An upgrade that the disk refused.
-    pub fn open(path: &Path) -> Result<(Store, Stored), Report<Damaged>> {
+    pub fn open(path: &Path) -> Result<(Store, Stored), Report<StorageError>> {
         let path = path.to_path_buf();
         Store::open_by(Box::new(move || builder().create(&path)))
     }
@@ -40,20 +41,20 @@
     /// As `open`.
     pub fn open_over<B: StorageBackend>(
         make: impl Fn() -> B + Send + 'static,
-    ) -> Result<(Store, Stored), Report<Damaged>> {
+    ) -> Result<(Store, Stored), Report<StorageError>> {
         Store::open_by(Box::new(move || builder().create_with_backend(make())))
     }
 
-    fn open_by(opener: Opener) -> Result<(Store, Stored), Report<Damaged>> {
-        let database = opener().map_err(Damaged::unreadable)?;
+    fn open_by(opener: Opener) -> Result<(Store, Stored), Report<StorageError>> {
+        let database = opener().map_err(StorageError::unreadable)?;
         prepare(&database)?;
-        let Contents { stored, places } =
-            reading::contents(&database).map_err(Damaged::unreadable)?;
+        let Contents { stored, positions } =
+            reading::contents(&database).map_err(StorageError::unreadable)?;
         Ok((
             Store {
                 opener,
                 database: Some(database),
-                places,
+                positions,
             },
             stored,
         ))
@@ -63,47 +64,48 @@
     ///
     /// # Errors
     /// The disk refused; nothing of it counts. The file is opened anew for the next write.
-    pub fn write(&mut self, batches: &[(u64, Vec<Op>)]) -> Result<(), Report<Damaged>> {
+    pub fn write(&mut self, batches: &[WriteBatch]) -> Result<(), Report<StorageError>> {
         let database = match self.database.take() {
             Some(database) => database,
             None => self.reopen()?,
         };
         // A transaction that failed leaves the file as it was; the handle may be spoilt, and is dropped.
-        writing::write(&database, batches, &mut self.places).map_err(Damaged::refused)?;
+        writing::write(&database, batches, &mut self.positions)
+            .map_err(StorageError::write_failed)?;
         self.database = Some(database);
         Ok(())
     }
 
     /// Opens the file again: what a failed transaction left behind in memory is read anew.
-    fn reopen(&mut self) -> Result<Database, Report<Damaged>> {
-        let database = (self.opener)().map_err(Damaged::unreadable)?;
-        match reading::format(&database).map_err(Damaged::unreadable)? {
+    fn reopen(&mut self) -> Result<Database, Report<StorageError>> {
+        let database = (self.opener)().map_err(StorageError::unreadable)?;
+        match reading::format(&database).map_err(StorageError::unreadable)? {
             Some(FORMAT) => {}
-            Some(other) => return Err(Report::new(Damaged::Format(other))),
-            None => return Err(Damaged::unreadable("it was there and is empty now")),
+            Some(other) => return Err(Report::new(StorageError::UnknownFormat(other))),
+            None => return Err(StorageError::unreadable("it was there and is empty now")),
         }
-        self.places = reading::contents(&database)
-            .map_err(Damaged::unreadable)?
-            .places;
+        self.positions = reading::contents(&database)
+            .map_err(StorageError::unreadable)?
+            .positions;
         Ok(database)
     }
 }
 
 /// Brings a file to the present form.
-fn prepare(database: &Database) -> Result<(), Report<Damaged>> {
-    match reading::format(database).map_err(Damaged::unreadable)? {
+fn prepare(database: &Database) -> Result<(), Report<StorageError>> {
+    match reading::format(database).map_err(StorageError::unreadable)? {
         Some(FORMAT) => Ok(()),
-        Some(upgrade::EARLIER) => {
-            let newest = upgrade::read_earlier(database).map_err(Damaged::unreadable)?;
-            upgrade::upgrade(database, newest).map_err(Damaged::refused)
+        Some(upgrade::PREVIOUS_FORMAT) => {
+            let newest = upgrade::read_previous(database).map_err(StorageError::unreadable)?;
+            upgrade::upgrade(database, newest).map_err(StorageError::write_failed)
         }
-        Some(other) => Err(Report::new(Damaged::Format(other))),
-        None => writing::begin(database).map_err(Damaged::refused),
+        Some(other) => Err(Report::new(StorageError::UnknownFormat(other))),
+        None => writing::begin(database).map_err(StorageError::write_failed),
     }
 }
 
 fn builder() -> redb::Builder {
     let mut builder = redb::Builder::new();
-    builder.set_cache_size(CACHE);
+    builder.set_cache_size(CACHE_BYTES);
     builder
 }
--- a/crates/gateway/storage/src/upgrade.rs
+++ b/crates/gateway/storage/src/upgrade.rs
@@ -15,7 +15,7 @@
 use std::sync::Arc;
 
 /// The form that is upgraded. It has the tables `meta`, `claims` and `hosts` as now, and `CONFIGURATIONS`.
-pub(crate) const EARLIER: u64 = 1;
+pub(crate) const PREVIOUS_FORMAT: u64 = 1;
 
 /// Texts by their versions; the highest one counts.
 const CONFIGURATIONS: TableDefinition<u64, &[u8]> = TableDefinition::new("configurations");
@@ -27,7 +27,7 @@
 type Configuration = (u64, Arc<[u8]>);
 
 /// What form 1 said by tables of its own. All else is read as well, so that a damaged file is found before it is changed.
-pub(crate) fn read_earlier(database: &Database) -> Result<Option<Configuration>, redb::Error> {
+pub(crate) fn read_previous(database: &Database) -> Result<Option<Configuration>, redb::Error> {
     let reading = database.begin_read()?;
     all_but_records(&reading)?;
     newest_configuration(&reading)
@@ -58,7 +58,9 @@
     writing.delete_table(CONFIGURATIONS)?;
     mark_format(&writing)?;
     writing.commit()?;
-    log::info!("event=state_file_upgraded from={EARLIER} to={FORMAT} configuration={version}");
+    log::info!(
+        "event=state_file_upgraded from={PREVIOUS_FORMAT} to={FORMAT} configuration={version}"
+    );
     Ok(())
 }
 
--- a/crates/gateway/storage/src/writing.rs
+++ b/crates/gateway/storage/src/writing.rs
@@ -1,6 +1,7 @@
 //! Writes to a state file: one transaction and one sync for all operations that are given.
 
-use crate::claims::ClaimPlaces;
+use crate::batch::WriteBatch;
+use crate::claim_positions::ClaimPositions;
 use crate::tables::{
     CLAIMS, ClaimRow, FORMAT, HOSTS, META, META_FORMAT, META_REMEMBERS, META_SET, SET_RECORDS,
     VERSION_RECORDS, encode, record_place,
@@ -46,17 +47,17 @@
     Ok(())
 }
 
-/// Writes the operations of all batches, together or not at all. `places` is spoilt where this fails.
+/// Writes the operations of all batches, together or not at all. `positions` is spoilt where this fails.
 pub(crate) fn write(
     database: &Database,
-    batches: &[(u64, Vec<Op>)],
-    places: &mut ClaimPlaces,
+    batches: &[WriteBatch],
+    positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
     let writing = database.begin_write()?;
     // Most operations are claims: their table is opened once.
     let mut claims = writing.open_table(CLAIMS)?;
-    for op in batches.iter().flat_map(|b| &b.1) {
-        apply(&writing, &mut claims, op, places)?;
+    for op in batches.iter().flat_map(|batch| &batch.operations) {
+        apply(&writing, &mut claims, op, positions)?;
     }
     drop(claims);
     writing.commit()?;
@@ -67,7 +68,7 @@
     writing: &WriteTransaction,
     claims: &mut ClaimTable,
     op: &Op,
-    places: &mut ClaimPlaces,
+    positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
     match op {
         Op::Set(set) => put_meta(writing, META_SET, &encode(set)?),
@@ -78,8 +79,8 @@
             versions_below,
             sets_through,
         } => prune(writing, *versions_below, *sets_through),
-        Op::Claim { key, claim } => put_claim(claims, *key, claim, places),
-        Op::Release { key } => remove_claim(claims, *key, places),
+        Op::Claim { key, claim } => put_claim(claims, *key, claim, positions),
+        Op::Release { key } => remove_claim(claims, *key, positions),
         Op::Host(news) => put_host(writing, news),
     }
 }
@@ -117,16 +118,16 @@
     claims: &mut ClaimTable,
     key: KeyDigest,
     claim: &Claim,
-    places: &mut ClaimPlaces,
+    positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
-    let (place, earlier) = places.add(key);
+    let appended = positions.append(key);
     let id = claim.id;
     claims.insert(
-        place,
+        appended.position,
         (key.0, id.node.0, id.incarnation.0, id.number, claim.at),
     )?;
-    if let Some(earlier) = earlier {
-        claims.remove(earlier)?;
+    if let Some(replaced) = appended.replaced {
+        claims.remove(replaced)?;
     }
     Ok(())
 }
@@ -134,10 +135,10 @@
 fn remove_claim(
     claims: &mut ClaimTable,
     key: KeyDigest,
-    places: &mut ClaimPlaces,
+    positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
-    if let Some(place) = places.remove(key) {
-        claims.remove(place)?;
+    if let Some(position) = positions.remove(key) {
+        claims.remove(position)?;
     }
     Ok(())
 }
--- a/crates/gateway/storage/tests/crashes.rs
+++ b/crates/gateway/storage/tests/crashes.rs
@@ -1,14 +1,16 @@
 //! The crash of each write path at every step: a disk in memory that loses power at its nth operation, with later writes
 //! there, missing or torn; that refuses from its nth operation on for a while; and that is churned for ten minutes.
 
+mod common;
 mod power;
 
+use common::batch;
 use power::Disk;
 use rushcourse_consensus::{Claim, Op, Stored};
 use rushcourse_messages::{
     AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
 };
-use rushcourse_storage::Store;
+use rushcourse_storage::{Store, WriteBatch};
 use rushcourse_types::{
     CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
 };
@@ -138,7 +140,7 @@
     let done = batches
         .into_iter()
         .enumerate()
-        .take_while(|(k, ops)| store.write(&[(*k as u64, ops.clone())]).is_ok());
+        .take_while(|(k, ops)| store.write(&[batch(*k as u64, ops.clone())]).is_ok());
     let count = done.count();
     // The process is gone: nothing is tidied up behind it.
     std::mem::forget(store);
@@ -196,7 +198,7 @@
         let mut refused = 0;
         for (k, ops) in script().into_iter().enumerate() {
             // The register tries again what has to be held; here at once, until it is.
-            while store.write(&[(k as u64, ops.clone())]).is_err() {
+            while store.write(&[batch(k as u64, ops.clone())]).is_err() {
                 refused += 1;
                 assert!(refused < 20, "operation {at}: it never takes a write again");
             }
@@ -225,10 +227,10 @@
         }
     };
     let (mut store, _) = Store::open_over(make).expect("an empty disk");
-    let batches: Vec<(u64, Vec<Op>)> = script()
+    let batches: Vec<WriteBatch> = script()
         .into_iter()
         .enumerate()
-        .map(|b| (b.0 as u64, b.1))
+        .map(|(k, ops)| batch(k as u64, ops))
         .collect();
     store.write(&batches[..1]).expect("room");
     disk.at(|p| p.refuses = Some((p.done, usize::MAX)));
@@ -278,7 +280,7 @@
                 sets_through: Epoch(0),
             });
         }
-        store.write(&[(second, ops)]).expect("room");
+        store.write(&[batch(second, ops)]).expect("room");
         if second == 120 || second == 599 {
             sizes.push(disk.at(|p| p.seen.len()));
         }
--- a/crates/gateway/storage/tests/disk.rs
+++ b/crates/gateway/storage/tests/disk.rs
@@ -1,12 +1,15 @@
 //! The state file: what is synced is there again, a file of another form is left alone.
 
+mod common;
+
+use common::batch;
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
 use rushcourse_consensus::{Claim, Op};
 use rushcourse_messages::{
     AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
 };
-use rushcourse_storage::{Damaged, Done, Health, Store};
+use rushcourse_storage::{DiskHealth, StorageError, Store, WriteOutcome};
 use rushcourse_types::{
     CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
 };
@@ -134,7 +137,7 @@
             Op::Remember,
             Op::Host(host(HostState::Ready)),
         ];
-        store.write(&[(1, ops)]).expect("room");
+        store.write(&[batch(1, ops)]).expect("room");
         let slots = [
             Slot::Configuration(ConfigurationVersion(3)),
             Slot::VotingSet(Epoch(2)),
@@ -145,10 +148,10 @@
             slot,
             record: record(1, "earlier"),
         });
-        store.write(&[(2, records.to_vec())]).expect("room");
+        store.write(&[batch(2, records.to_vec())]).expect("room");
         let slot = Slot::Configuration(ConfigurationVersion(5));
         store
-            .write(&[(
+            .write(&[batch(
                 2,
                 vec![Op::Record {
                     slot,
@@ -162,9 +165,9 @@
                 claim: claim(k as u64),
             })
             .collect();
-        store.write(&[(3, claims)]).expect("room");
+        store.write(&[batch(3, claims)]).expect("room");
         store
-            .write(&[(
+            .write(&[batch(
                 4,
                 (0..90)
                     .map(|key| Op::Release {
@@ -201,7 +204,7 @@
     assert_eq!(stored.hosts, vec![host(HostState::Ready)]);
     // Released by a later life of the program, which never saw it written.
     store
-        .write(&[(
+        .write(&[batch(
             5,
             vec![
                 Op::Release { key: KeyDigest(95) },
@@ -235,11 +238,14 @@
     {
         let (mut store, _) = Store::open(&file).expect("a new file");
         store
-            .write(&[(1, vec![Op::Set(set.clone()), Op::Remember]), (2, records)])
+            .write(&[
+                batch(1, vec![Op::Set(set.clone()), Op::Remember]),
+                batch(2, records),
+            ])
             .expect("room");
         // Bounds that leave all of one kind: none is below version 0.
         store
-            .write(&[(
+            .write(&[batch(
                 3,
                 vec![Op::Prune {
                     versions_below: ConfigurationVersion(0),
@@ -271,7 +277,7 @@
         },
         Op::Forget,
     ];
-    store.write(&[(4, ops)]).expect("room");
+    store.write(&[batch(4, ops)]).expect("room");
     drop(store);
     let (mut store, stored) = Store::open(&file).expect("the same file");
     expected
@@ -299,7 +305,7 @@
         },
         Op::Remember,
     ];
-    store.write(&[(5, ops)]).expect("room");
+    store.write(&[batch(5, ops)]).expect("room");
     drop(store);
     let (_, stored) = Store::open(&file).expect("the same file");
     assert_eq!((stored.records, stored.remembers), (vec![], true));
@@ -318,7 +324,7 @@
         panic!("it was taken")
     };
     assert!(
-        matches!(report.current_context(), Damaged::Unreadable),
+        matches!(report.current_context(), StorageError::Unreadable),
         "{report:?}"
     );
     assert_eq!(std::fs::read(&file).expect("there"), before);
@@ -340,11 +346,11 @@
         .expect("a disk");
     let (send, batches) = std::sync::mpsc::channel();
     let (tell, told) = std::sync::mpsc::channel();
-    let health = Arc::new(Health::default());
+    let health = Arc::new(DiskHealth::default());
     let beside = health.clone();
     stall.armed.store(true, Ordering::SeqCst);
     let storage = std::thread::spawn(move || {
-        rushcourse_storage::run(store, &batches, &beside, |done| {
+        rushcourse_storage::run_writer(store, &batches, &beside, |done| {
             tell.send(done).expect("it listens")
         });
     });
@@ -354,10 +360,16 @@
             claim: claim(key as u64),
         }]
     };
-    send.send((1, op(1))).expect("it works");
+    send.send(batch(1, op(1))).expect("it works");
     stalls.recv_timeout(MOST).expect("the sync has begun");
-    (2..50).for_each(|batch| send.send((batch, op(u128::from(batch)))).expect("it works"));
-    assert!(health.doing().writing_ms.is_some(), "a write is under way");
+    (2..50).for_each(|number| {
+        let waiting = batch(number, op(u128::from(number)));
+        send.send(waiting).expect("it works");
+    });
+    assert!(
+        health.statistics().current_write.is_some(),
+        "a write is under way"
+    );
     assert!(
         told.try_recv().is_err(),
         "nothing is held that is not synced"
@@ -365,16 +377,19 @@
     go_on.send(()).expect("it waits");
     assert_eq!(
         told.recv_timeout(MOST).expect("the first"),
-        [Done::Synced(1)]
+        [WriteOutcome::Synced(1)]
     );
-    let rest: Vec<Done> = (2..50).map(Done::Synced).collect();
+    let rest: Vec<WriteOutcome> = (2..50).map(WriteOutcome::Synced).collect();
     assert_eq!(
         told.recv_timeout(MOST).expect("all others in one sync"),
         rest
     );
     drop(send);
     storage.join().expect("it ends with its sender");
-    let doing = health.doing();
-    assert_eq!((doing.syncs, doing.refused, doing.writing_ms), (2, 0, None));
-    assert!(doing.most_ms >= doing.last_ms);
+    let doing = health.statistics();
+    assert_eq!(
+        (doing.syncs, doing.failed_syncs, doing.current_write),
+        (2, 0, None)
+    );
+    assert!(doing.longest_sync >= doing.last_sync);
 }
--- a/crates/gateway/storage/tests/fixture.rs
+++ b/crates/gateway/storage/tests/fixture.rs
@@ -1,12 +1,15 @@
 //! A state file that the build a09c11f wrote (`fixtures/controller.redb`): voting set, acceptor's records, claims and
 //! hosts. This build reads it as the same state, writes on in it, and makes the same bytes in every table.
 
+mod common;
+
+use common::batch;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use rushcourse_consensus::{Claim, Op, Stored};
 use rushcourse_messages::{
     AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
 };
-use rushcourse_storage::Store;
+use rushcourse_storage::{Store, WriteBatch};
 use rushcourse_types::{
     CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
 };
@@ -50,7 +53,7 @@
 }
 
 /// The two batches that the file was made of: the second one removes and replaces what the first one wrote.
-fn batches() -> Vec<(u64, Vec<Op>)> {
+fn batches() -> Vec<WriteBatch> {
     let ballot = Ballot {
         round: 300,
         node: NodeId(0x0a01_0024),
@@ -124,13 +127,15 @@
         Op::Host(host("i-2", HostState::Draining)),
         Op::Host(host("i-3", HostState::Gone)),
     ];
-    vec![(1, first), (2, second)]
+    vec![batch(1, first), batch(2, second)]
 }
 
 /// What the batches leave behind.
 fn expected() -> Stored {
     let mut stored = Stored::default();
-    batches().into_iter().for_each(|(_, ops)| stored.apply(ops));
+    batches()
+        .into_iter()
+        .for_each(|batch| stored.apply(batch.operations));
     stored
 }
 
@@ -204,7 +209,7 @@
     // It is written on, and read again with what was added.
     let (key, added) = claim(5);
     store
-        .write(&[(
+        .write(&[batch(
             3,
             vec![Op::Claim {
                 key: KeyDigest(key),
--- a/crates/gateway/storage/tests/format.rs
+++ b/crates/gateway/storage/tests/format.rs
@@ -1,12 +1,15 @@
 //! The present form of the file, byte by byte. A type that changes its encoding breaks these tests: the file's form then
 //! gets a new number and an upgrade, or files that are already on disks would be read as something else.
 
+mod common;
+
+use common::batch;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use rushcourse_consensus::Op;
 use rushcourse_messages::{
     AcceptorRecord, Ballot, HostRecord, HostState, Proposal, Slot, VotingSet,
 };
-use rushcourse_storage::{Damaged, Store};
+use rushcourse_storage::{StorageError, Store};
 use rushcourse_types::{CallSequence, ConfigurationVersion, Epoch, Incarnation, Millis, NodeId};
 use std::path::Path;
 
@@ -83,7 +86,7 @@
 
 fn make(file: &Path) {
     let (mut store, _) = Store::open(file).expect("a new file");
-    store.write(&[(1, ops())]).expect("room");
+    store.write(&[batch(1, ops())]).expect("room");
 }
 
 fn change(file: &Path, change: impl FnOnce(&redb::WriteTransaction)) {
@@ -160,7 +163,7 @@
                 panic!("{bytes:?} was taken")
             };
             assert!(
-                matches!(report.current_context(), Damaged::Unreadable),
+                matches!(report.current_context(), StorageError::Unreadable),
                 "{report:?}"
             );
         }
@@ -179,7 +182,7 @@
             panic!("{bytes:?} was taken")
         };
         assert!(
-            matches!(report.current_context(), Damaged::Unreadable),
+            matches!(report.current_context(), StorageError::Unreadable),
             "{report:?}"
         );
     }
--- a/crates/gateway/storage/tests/properties.rs
+++ b/crates/gateway/storage/tests/properties.rs
@@ -1,12 +1,15 @@
 //! What the file holds is what the ops say, in any order, over any number of starts.
 
+mod common;
+
+use common::batch;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use rushcourse_consensus::{Claim, Op, Stored};
 use rushcourse_messages::{
     AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
 };
-use rushcourse_storage::Store;
+use rushcourse_storage::{Store, WriteBatch};
 use rushcourse_types::{
     CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
 };
@@ -119,9 +122,9 @@
         for life in lives {
             let (mut store, found) = Store::open(&file).expect("its own file");
             prop_assert_eq!(format!("{:?}", sorted(found)), format!("{:?}", sorted(wanted.clone())));
-            let batches: Vec<(u64, Vec<Op>)> = life.into_iter().enumerate().map(|(k, ops)| (k as u64, ops)).collect();
+            let batches: Vec<WriteBatch> = life.into_iter().enumerate().map(|(k, ops)| batch(k as u64, ops)).collect();
             store.write(&batches).expect("room");
-            batches.into_iter().for_each(|(_, ops)| wanted.apply(ops));
+            batches.into_iter().for_each(|batch| wanted.apply(batch.operations));
         }
         let (_, found) = Store::open(&file).expect("its own file");
         prop_assert_eq!(format!("{:?}", sorted(found)), format!("{:?}", sorted(wanted)));
--- a/crates/gateway/storage/tests/upgrade.rs
+++ b/crates/gateway/storage/tests/upgrade.rs
@@ -1,15 +1,17 @@
 //! Files of form 1, as earlier builds wrote them, are read and turned into the present form, also through losses of
 //! power; files of forms that are not known are left alone.
 
+mod common;
 mod power;
 
+use common::batch;
 use power::Disk;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
 use rushcourse_consensus::{Claim, Op, Stored};
 use rushcourse_messages::{
     AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
 };
-use rushcourse_storage::{Damaged, Store};
+use rushcourse_storage::{StorageError, Store};
 use rushcourse_types::hash::hash64;
 use rushcourse_types::{
     CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
@@ -194,7 +196,7 @@
             claim,
         },
     ];
-    store.write(&[(1, ops.clone())]).expect("room");
+    store.write(&[batch(1, ops.clone())]).expect("room");
     drop(store);
     let mut wanted = expected();
     wanted.apply(ops);
@@ -408,7 +410,7 @@
             panic!("form {format} was taken")
         };
         assert!(
-            matches!(report.current_context(), Damaged::Format(f) if *f == format),
+            matches!(report.current_context(), StorageError::UnknownFormat(f) if *f == format),
             "{report:?}"
         );
         assert_eq!(dump(&file), before);
@@ -427,7 +429,7 @@
             panic!("{set:?} was taken")
         };
         assert!(
-            matches!(report.current_context(), Damaged::Unreadable),
+            matches!(report.current_context(), StorageError::Unreadable),
             "{report:?}"
         );
         assert_eq!(dump(&file), before);
@@ -448,7 +450,7 @@
         panic!("it was taken")
     };
     assert!(
-        matches!(report.current_context(), Damaged::Unreadable),
+        matches!(report.current_context(), StorageError::Unreadable),
         "{report:?}"
     );
     assert_eq!(form_of_file(&file), (1, false));
