--- a/crates/gateway/admission/src/lib.rs
+++ b/crates/gateway/admission/src/lib.rs
@@ -1,10 +1,9 @@
-//! Load shedding order: who gives way
-//! first when a service can't carry all requests.
+//! Load shedding: which requests are rejected first when a service can't carry all of them.
 //!
-//! * `order.rs`: the order, from the configuration alone, so that all directors that hold one version agree on it.
+//! * [`shedding_order`]: the order, from the configuration alone, so that all gateways that hold one version agree on it.
 //!
-//! Nothing on the path of requests uses it yet: docs/giving-way.md tells what is to come.
+//! Nothing on the path of requests uses it yet: `docs/giving-way.md` tells what is to come.
 
-mod order;
+pub mod shedding_order;
 
-pub use order::{Order, Rank};
+pub use shedding_order::{Rank, RankedRoutes, SheddingOrder};
--- /dev/null
+++ b/crates/gateway/admission/tests/shedding_order.rs
@@ -0,0 +1,171 @@
+//! The order in which requests are shed: one for all gateways, reads first, and what a level admits every higher one
+//! admits too.
+
+use rushcourse_admission::SheddingOrder;
+use rushcourse_config::{Configuration, Route};
+
+/// A row of the table of routes.
+struct RouteRow {
+    name: &'static str,
+    kind: &'static str,
+    /// Seconds, or null.
+    target_latency: &'static str,
+    priority: u32,
+    /// Services with their weights.
+    split: &'static [(&'static str, u32)],
+}
+
+impl RouteRow {
+    fn to_json(&self) -> String {
+        let RouteRow {
+            name,
+            kind,
+            target_latency,
+            priority,
+            split,
+        } = self;
+        let parts: Vec<String> = split
+            .iter()
+            .map(|(service, weight)| format!(r#"{{"service":"{service}","weight":{weight}}}"#))
+            .collect();
+        let split = parts.join(",");
+        format!(
+            r#"["{name}","h.example","/{name}/","{kind}",2,{target_latency},{priority},[{split}]]"#
+        )
+    }
+}
+
+fn configuration(rows: &[RouteRow]) -> Configuration {
+    let rows: Vec<String> = rows.iter().map(RouteRow::to_json).collect();
+    let columns = r#"["name","host","path_prefix","route_kind","timeout_s","target_latency_s","priority","weighted_split"]"#;
+    let text = format!(
+        r#"{{"version":1,
+            "routes":{{"columns":{columns},"rows":[{}]}},
+            "services":{{"columns":["name"],"rows":[["a"],["b"]]}},
+            "limits":{{"header_size_bytes":16384,"body_size_bytes":1000,"header_timeout_s":3,"idle_timeout_s":15}}}}"#,
+        rows.join(",")
+    );
+    Configuration::parse(text.as_bytes()).expect("a valid configuration")
+}
+
+#[rustfmt::skip]
+fn shop() -> Configuration {
+    configuration(&[
+        RouteRow { name: "prices", kind: "read_only", target_latency: "0.4", priority: 2, split: &[("a", 1)] },
+        RouteRow { name: "orders", kind: "idempotent", target_latency: "0.3", priority: 0, split: &[("a", 1)] },
+        RouteRow { name: "stock", kind: "read_only", target_latency: "0.9", priority: 2, split: &[("a", 1)] },
+        RouteRow { name: "holds", kind: "mutating", target_latency: "0.5", priority: 1, split: &[("a", 1), ("b", 1)] },
+        RouteRow { name: "statements", kind: "read_only", target_latency: "null", priority: 0, split: &[("a", 9), ("b", 1)] },
+        RouteRow { name: "moved", kind: "read_only", target_latency: "0.4", priority: 2, split: &[("a", 0), ("b", 1)] },
+    ])
+}
+
+/// The routes that send to service `a`, what is shed last first.
+const ROUTES_OF_A: [&str; 5] = ["orders", "holds", "statements", "prices", "stock"];
+
+fn route<'a>(configuration: &'a Configuration, name: &str) -> &'a Route {
+    let mut routes = configuration.routes.iter();
+    routes.find(|route| route.name == name).expect("a route")
+}
+
+fn ranked_names(order: &SheddingOrder) -> Vec<&[String]> {
+    let ranks = order.ranks().iter();
+    ranks.map(|ranked| ranked.routes.as_slice()).collect()
+}
+
+#[test]
+fn what_binds_is_shed_last_then_the_highest_priority_then_the_shortest_target() {
+    let at_a = SheddingOrder::for_service(&shop(), "a");
+    assert_eq!(ranked_names(&at_a), ROUTES_OF_A.map(|name| [name]));
+    assert_eq!((at_a.level_for_all(), at_a.level_for_binding()), (5.0, 2.0));
+
+    let at_b = SheddingOrder::for_service(&shop(), "b");
+    assert_eq!(
+        ranked_names(&at_b),
+        [["holds"], ["statements"], ["moved"]],
+        "a part of a split without weight sends nothing"
+    );
+}
+
+/// Gateways get routes in any order, and each configuration is whole: the order follows from what it says alone.
+#[test]
+fn the_order_does_not_depend_on_how_the_configuration_is_written() {
+    let forward = shop();
+    let mut reversed = shop();
+    reversed.routes.reverse();
+    let forward_order = SheddingOrder::for_service(&forward, "a");
+    let reversed_order = SheddingOrder::for_service(&reversed, "a");
+    for name in ROUTES_OF_A {
+        for key in 0..50u32 {
+            let request = key.to_be_bytes();
+            assert_eq!(
+                forward_order.position(route(&forward, name), &request),
+                reversed_order.position(route(&reversed, name), &request),
+                "{name} {key}"
+            );
+        }
+    }
+}
+
+#[test]
+fn a_request_that_a_level_admits_is_admitted_by_every_higher_one_and_shares_follow_the_level() {
+    const KEYS: u32 = 4_000;
+    let shop = shop();
+    let order = SheddingOrder::for_service(&shop, "a");
+    for (rank, name) in ROUTES_OF_A.into_iter().enumerate() {
+        let admitted_at = |level: f64| -> Vec<u32> {
+            let admits = |key: &u32| order.admits(level, route(&shop, name), &key.to_be_bytes());
+            (0..KEYS).filter(admits).collect()
+        };
+        let mut admitted_before = Vec::new();
+        for step in 0..=20 {
+            let level = f64::from(step) / 4.0;
+            let admitted = admitted_at(level);
+            assert!(
+                admitted_before
+                    .iter()
+                    .all(|key| admitted.binary_search(key).is_ok()),
+                "{name} at {level}"
+            );
+            let expected_share = (level - rank as f64).clamp(0.0, 1.0);
+            let share = admitted.len() as f64 / f64::from(KEYS);
+            assert!(
+                (share - expected_share).abs() < 0.03,
+                "{name} at {level}: {} of {KEYS} are admitted, {expected_share} should",
+                admitted.len()
+            );
+            admitted_before = admitted;
+        }
+    }
+}
+
+#[test]
+fn the_level_for_what_binds_admits_all_of_it_and_no_read() {
+    let shop = shop();
+    let order = SheddingOrder::for_service(&shop, "a");
+    let admits = |name: &str, key: u32| {
+        let level = order.level_for_binding();
+        order.admits(level, route(&shop, name), &key.to_be_bytes())
+    };
+    assert!((0..100).all(|key| admits("orders", key)));
+    assert!((0..100).all(|key| !admits("prices", key)));
+}
+
+/// A route that another version has added or moved here: rejected by nobody's word but the newer version's.
+#[test]
+fn a_route_that_is_not_of_this_order_is_admitted() {
+    let shop = shop();
+    let order = SheddingOrder::for_service(&shop, "a");
+    assert!(
+        order.position(route(&shop, "moved"), b"k").is_some(),
+        "it shares the rank of prices"
+    );
+    let other = configuration(&[RouteRow {
+        name: "new",
+        kind: "read_only",
+        target_latency: "0.7",
+        priority: 9,
+        split: &[("a", 1)],
+    }]);
+    assert!(order.admits(0.0, route(&other, "new"), b"k"));
+}
--- a/crates/gateway/cli/src/show.rs
+++ b/crates/gateway/cli/src/show.rs
@@ -1,7 +1,7 @@
 //! Pages of core directors as tables.
 
 use facet_value::{VObject, Value};
-use rushcourse_admission::Order;
+use rushcourse_admission::{Rank, RankedRoutes, SheddingOrder};
 use rushcourse_config::Configuration;
 use std::fmt::Write;
 
@@ -340,19 +340,19 @@
         "aim s",
     ])];
     for service in configuration.services.keys() {
-        let order = Order::at(configuration, service);
-        for (k, (rank, routes)) in order.ranks().iter().enumerate().rev() {
+        let order = SheddingOrder::for_service(configuration, service);
+        for (k, RankedRoutes { rank, routes }) in order.ranks().iter().enumerate().rev() {
             let place = match order.ranks().len() - k {
                 1 => "first".to_string(),
                 n if k == 0 => format!("last ({n})"),
                 n => n.to_string(),
             };
-            let aim = if rank.aim_ms == u64::MAX {
+            let aim = if rank.target_latency == Rank::NO_TARGET {
                 "-".into()
             } else {
-                format!("{:.3}", rank.aim_ms as f64 / 1000.0)
+                format!("{:.3}", rank.target_latency.as_secs_f64())
             };
-            let kind = if rank.read_only { "reads" } else { "binds" }.to_string();
+            let kind = if rank.is_read_only { "reads" } else { "binds" }.to_string();
             rows.push(vec![
                 service.clone(),
                 place,
