--- a/crates/director/director-state/src/boundary.rs
+++ b/crates/director/director-state/src/boundary.rs
@@ -156,7 +156,7 @@
 pub struct Reread {
     pub places: Places,
     /// How streams are served from now on, if they are.
-    pub streams: Option<rushcourse_xds::Rules>,
+    pub streams: Option<rushcourse_xds::StreamConfig>,
     /// What differs and can't be changed by a reload, in plain words.
     pub left: Vec<String>,
 }
--- a/crates/director/director-state/src/counters.rs
+++ b/crates/director/director-state/src/counters.rs
@@ -187,7 +187,7 @@
         let known = || {
             COUNTS
                 .iter()
-                .chain(&rushcourse_xds::COUNTS)
+                .chain(&rushcourse_xds::COUNTERS)
                 .any(|c| c.0 == name)
         };
         debug_assert!(known(), "{name} is no count");
@@ -200,7 +200,7 @@
 
     /// Name, help and value of each count; those of streams once there are any.
     pub fn all(&self) -> impl Iterator<Item = (&'static str, &'static str, u64)> + '_ {
-        let streams = rushcourse_xds::COUNTS
+        let streams = rushcourse_xds::COUNTERS
             .iter()
             .filter(|(name, _)| self.get(name) > 0);
         COUNTS
--- a/crates/director/director-state/src/reload.rs
+++ b/crates/director/director-state/src/reload.rs
@@ -4,7 +4,7 @@
 use crate::boundary::{Effect, Places, Reread, Weight};
 use crate::step_context::StepContext;
 use rushcourse_policy::interface::Ms;
-use rushcourse_xds::Rules;
+use rushcourse_xds::StreamConfig;
 
 /// ms until a file that could not be used is looked at again, and how often: it may be half written.
 const AGAIN_AFTER: Ms = 200.0;
@@ -23,7 +23,7 @@
         context: &mut StepContext,
         held: Places,
         read: Result<Reread, String>,
-    ) -> Option<(Places, Option<Rules>)> {
+    ) -> Option<(Places, Option<StreamConfig>)> {
         match read {
             Ok(Reread {
                 places,
--- a/crates/director/director-state/src/session.rs
+++ b/crates/director/director-state/src/session.rs
@@ -18,7 +18,7 @@
 use rushcourse_director_settings::Names;
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{Action, Event, Ms, Settings, View};
-use rushcourse_xds::{Rules, Streams};
+use rushcourse_xds::{StreamConfig, Streams};
 use std::collections::BTreeMap;
 
 /// Timers of the module that may be pending.
@@ -36,7 +36,7 @@
     /// Whether there is a relay: without one, proxies are reached by streams alone.
     pub relay: bool,
     /// How streams of relays and hosts are served, where they are.
-    pub streams: Option<Rules>,
+    pub streams: Option<StreamConfig>,
     /// Discovery's list as last had, in its own form.
     pub known: Bytes,
 }
@@ -201,7 +201,7 @@
             return;
         };
         for proxy in std::mem::take(&mut self.context.superseded) {
-            streams.lost(self.context.now, proxy);
+            streams.supersede(self.context.now, proxy);
         }
         for proxy in streams::hand_over(streams, &mut self.context) {
             self.watch.rejoin(&mut self.context, proxy);
@@ -211,7 +211,7 @@
     /// What the list says has changed: streams learn where hosts are.
     fn tell_places(&mut self) {
         if let Some(streams) = &mut self.streams {
-            streams.listed(self.context.now, self.hosts.all());
+            streams.update_hosts(self.context.now, self.hosts.all());
         }
     }
 
@@ -321,7 +321,7 @@
             Input::Stop => {
                 self.stopped = true;
                 let now = context.now;
-                self.streams.iter_mut().for_each(|s| s.close(now));
+                self.streams.iter_mut().for_each(|s| s.shut_down(now));
                 self.settle_ways();
                 self.context.ask(Effect::Exit);
             }
@@ -341,12 +341,12 @@
     }
 
     /// Streams are served by these rules from now on, or not any more.
-    fn serve_streams(&mut self, rules: Option<Rules>) {
+    fn serve_streams(&mut self, rules: Option<StreamConfig>) {
         let now = self.context.now;
         match (&mut self.streams, rules) {
-            (Some(streams), Some(rules)) => streams.rules_are(rules),
+            (Some(streams), Some(rules)) => streams.set_config(rules),
             (Some(streams), None) => {
-                streams.close(now);
+                streams.shut_down(now);
                 self.settle_ways();
                 self.streams = None;
             }
@@ -445,7 +445,9 @@
         self.context.counters.add("events", events.len() as u64);
         let (mut orders, mut last) = (Vec::new(), None);
         let actions = self.director.handle(now, events);
-        self.streams.iter_mut().for_each(|s| s.reply(now, &actions));
+        self.streams
+            .iter_mut()
+            .for_each(|s| s.apply_actions(now, &actions));
         for action in actions {
             if let Some(order) = relay::order(&action, &self.names.classes) {
                 orders.push(order);
--- a/crates/director/director-state/src/streams.rs
+++ b/crates/director/director-state/src/streams.rs
@@ -3,11 +3,11 @@
 use crate::boundary::{Effect, Weight};
 use crate::step_context::StepContext;
 use rushcourse_policy::interface::{Channel, Event, ProxyId};
-use rushcourse_xds::{Grade, Streams};
+use rushcourse_xds::{Severity, Streams};
 
 /// Hands over what streams left behind; answers the proxies that have left theirs.
 pub fn hand_over(streams: &mut Streams, context: &mut StepContext) -> Vec<ProxyId> {
-    let out = streams.take();
+    let out = streams.take_outbox();
     let mut left = Vec::new();
     for event in out.events {
         if let Event::Left {
@@ -22,17 +22,16 @@
     out.effects
         .into_iter()
         .for_each(|effect| context.ask(Effect::Stream(effect)));
-    out.counts
+    out.increments
         .into_iter()
         .for_each(|(name, n)| context.counters.add(name, n));
-    out.broken
+    out.violations
         .into_iter()
         .for_each(|what| context.must(false, what));
-    for note in out.notes {
-        let weight = match note.grade {
-            Grade::Info => Weight::Info,
-            Grade::Warning => Weight::Warning,
-            Grade::Error => Weight::Error,
+    for note in out.log_entries {
+        let weight = match note.severity {
+            Severity::Info => Weight::Info,
+            Severity::Warning => Weight::Warning,
         };
         context.note(weight, note.kind, || note.text);
     }
--- a/crates/director/director-state/tests/common/mod.rs
+++ b/crates/director/director-state/tests/common/mod.rs
@@ -104,24 +104,24 @@
     pub asked_at: Vec<SocketAddr>,
     pub exit: bool,
     /// How streams are served, as the file says when it is read again.
-    pub rules: Option<rushcourse_xds::Rules>,
+    pub rules: Option<rushcourse_xds::StreamConfig>,
     /// What is to be done with streams.
     pub streamed: Vec<rushcourse_xds::Effect>,
 }
 
 /// How streams are served in these tests.
-pub fn rules() -> rushcourse_xds::Rules {
-    rushcourse_xds::Rules {
-        identities: rushcourse_xds::Identities::default(),
-        epoch: 1,
-        limits: rushcourse_xds::Limits {
-            streams: 16,
-            strangers: 4,
-            nodes: 0,
+pub fn rules() -> rushcourse_xds::StreamConfig {
+    rushcourse_xds::StreamConfig {
+        identities: rushcourse_xds::NodeIdentities::default(),
+        incarnation: 1,
+        limits: rushcourse_xds::StreamLimits {
+            max_streams: 16,
+            max_unidentified: 4,
+            max_report_streams: 0,
         },
-        join_within: 1200.0,
-        take_within: 10_000.0,
-        ask_hosts: false,
+        join_timeout: 1200.0,
+        accept_timeout: 10_000.0,
+        request_host_reports: false,
     }
 }
 
@@ -130,7 +130,7 @@
         Stand::serving(options, None)
     }
 
-    pub fn serving(options: Options, streams: Option<rushcourse_xds::Rules>) -> Stand {
+    pub fn serving(options: Options, streams: Option<rushcourse_xds::StreamConfig>) -> Stand {
         let names = Names::of(&options);
         let known: Bytes = list(5, true, &fleet()).into();
         let setup = Setup {
--- a/crates/director/director-state/tests/streams.rs
+++ b/crates/director/director-state/tests/streams.rs
@@ -4,7 +4,10 @@
 
 use common::*;
 use rushcourse_director_state::{Input, Link};
-use rushcourse_xds::{Ask, Code, Effect, Node, Response, Said, Service, TABLE_TYPE};
+use rushcourse_xds::{
+    CLUSTER_LOAD_ASSIGNMENT_TYPE_URL, ConnectionId, DiscoveryRequest, Effect, Node, Request,
+    Response, StatusCode, StreamId, StreamKind,
+};
 
 /// A proxy of each zone at the relay, with streams served beside.
 fn both() -> Stand {
@@ -30,11 +33,11 @@
 
 /// A relay opens a stream, says who it is, and asks for a class.
 fn opens(stand: &mut Stand, stream: u64, number: u32) {
-    let (service, peer) = (Service::Whole, "127.0.0.1:9".to_string());
-    stand.give(Input::Stream(rushcourse_xds::Input::Opened {
-        stream,
-        connection: stream,
-        service,
+    let (kind, peer) = (StreamKind::StateOfTheWorld, "127.0.0.1:9".to_string());
+    stand.give(Input::Stream(rushcourse_xds::Input::StreamOpened {
+        stream: StreamId(stream),
+        connection: ConnectionId(stream),
+        kind,
         peer,
     }));
     let node = Node {
@@ -42,37 +45,39 @@
         zone: "east".into(),
         rate: Some(5.0),
     };
-    let (names, type_url) = (vec!["look".into()], TABLE_TYPE.into());
-    let ask = Ask {
+    let request = DiscoveryRequest {
         node: Some(node),
-        type_url,
-        names,
-        ..Ask::default()
+        type_url: CLUSTER_LOAD_ASSIGNMENT_TYPE_URL.into(),
+        resource_names: vec!["look".into()],
+        ..DiscoveryRequest::default()
     };
-    stand.give(Input::Stream(rushcourse_xds::Input::Said {
-        stream,
-        said: Said::Whole(ask),
+    stand.give(Input::Stream(rushcourse_xds::Input::RequestReceived {
+        stream: StreamId(stream),
+        request: Request::Discovery(request),
     }));
 }
 
 /// The transport takes what was handed to it.
 fn takes(stand: &mut Stand, stream: u64) {
-    stand.give(Input::Stream(rushcourse_xds::Input::Taken { stream }));
+    stand.give(Input::Stream(rushcourse_xds::Input::ResponseAccepted {
+        stream: StreamId(stream),
+    }));
 }
 
 /// Responses to a stream since the last look: hosts that may be picked, by response.
 fn sent(stand: &mut Stand, to: u64) -> Vec<Vec<String>> {
     let mut all = Vec::new();
     for effect in std::mem::take(&mut stand.streamed) {
-        if let Effect::Respond {
+        if let Effect::SendResponse {
             stream,
-            response: Response::Whole { resources, .. },
+            response: Response::Discovery(response),
         } = effect
-            && stream == to
+            && stream == StreamId(to)
         {
-            let lines = resources
+            let lines = response
+                .resources
                 .iter()
-                .flat_map(|r| &r.table.localities)
+                .flat_map(|r| &r.assignment.localities)
                 .flat_map(|l| &l.endpoints);
             all.push(
                 lines
@@ -134,9 +139,9 @@
     opens(&mut stand, 7, 1);
     stand.pass(300.0);
     let from = stand.calls.len();
-    stand.give(Input::Stream(rushcourse_xds::Input::Closed {
-        stream: 7,
-        why: "reset".into(),
+    stand.give(Input::Stream(rushcourse_xds::Input::StreamClosed {
+        stream: StreamId(7),
+        reason: "reset".into(),
     }));
     stand.pass(300.0);
     assert_eq!(binds(&stand, from, 1), 1, "{:?}", stand.orders(from));
@@ -180,9 +185,9 @@
     let ended = |e: &Effect| {
         matches!(
             e,
-            Effect::End {
-                stream: 7,
-                code: Code::Aborted,
+            Effect::EndStream {
+                stream: StreamId(7),
+                status: StatusCode::Aborted,
                 ..
             }
         )
@@ -207,12 +212,13 @@
     stand.rules = None;
     stand.give(Input::Reload);
     stand.pass(300.0);
-    assert!(
-        stand
-            .streamed
-            .iter()
-            .any(|e| matches!(e, Effect::End { stream: 8, .. }))
-    );
+    assert!(stand.streamed.iter().any(|e| matches!(
+        e,
+        Effect::EndStream {
+            stream: StreamId(8),
+            ..
+        }
+    )));
     let from = stand.calls.len();
     stand.news("* joined 3 east 5.0 1");
     stand.pass(300.0);
@@ -227,9 +233,9 @@
     let ended = |e: &Effect| {
         matches!(
             e,
-            Effect::End {
-                stream: 7,
-                code: Code::Unavailable,
+            Effect::EndStream {
+                stream: StreamId(7),
+                status: StatusCode::Unavailable,
                 ..
             }
         )
--- a/crates/director/director/src/fronts.rs
+++ b/crates/director/director/src/fronts.rs
@@ -3,7 +3,7 @@
 use rushcourse_director_state::{Bounds, StreamBounds};
 use rushcourse_grpc::{Serving, Tls};
 use rushcourse_starlark::{Fronts, Grpc};
-use rushcourse_xds::{Identities, Limits, Rules};
+use rushcourse_xds::{NodeIdentities, StreamConfig, StreamLimits};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
     /// Whether there is the platform's relay.
     pub relay: bool,
     pub bounds: Bounds,
-    pub streams: Option<(Rules, Serving)>,
+    pub streams: Option<(StreamConfig, Serving)>,
 }
 
 impl Place {
@@ -59,21 +59,21 @@
     }
 }
 
-fn rules(grpc: &Grpc, most: StreamBounds, epoch: u64) -> Rules {
-    Rules {
-        identities: Identities {
+fn rules(grpc: &Grpc, most: StreamBounds, epoch: u64) -> StreamConfig {
+    StreamConfig {
+        identities: NodeIdentities {
             prefix: grpc.prefix.clone(),
             names: grpc.names.clone(),
         },
-        epoch,
-        limits: Limits {
-            streams: most.streams,
-            strangers: most.strangers,
-            nodes: most.nodes,
+        incarnation: epoch,
+        limits: StreamLimits {
+            max_streams: most.streams,
+            max_unidentified: most.strangers,
+            max_report_streams: most.nodes,
         },
-        join_within: grpc.join_within,
-        take_within: grpc.take_within,
-        ask_hosts: grpc.ask_hosts,
+        join_timeout: grpc.join_within,
+        accept_timeout: grpc.take_within,
+        request_host_reports: grpc.ask_hosts,
     }
 }
 
--- a/crates/director/grpc/src/convert.rs
+++ b/crates/director/grpc/src/convert.rs
@@ -12,8 +12,9 @@
 use prost_types::{Any, Duration, Struct, Value};
 use rushcourse_policy::interface::Again;
 use rushcourse_xds::{
-    Ask, Assignment, ClusterLoad, DeltaAsk, Endpoint, HostLoad, LoadStats, Locality, Node,
-    NodeReport, Resource, TABLE_TYPE,
+    CLUSTER_LOAD_ASSIGNMENT_TYPE_URL, ClusterLoadAssignment, ClusterStats, DeltaDiscoveryRequest,
+    DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse, Endpoint, EndpointStats,
+    LoadMetric, LoadStatsRequest, LoadStatsResponse, Locality, Node, OrcaLoadReport, Resource,
 };
 use std::collections::BTreeMap;
 
@@ -90,10 +91,10 @@
 }
 
 /// A table as the published message has it.
-pub fn assignment(a: &Assignment) -> endpoint::ClusterLoadAssignment {
+pub fn assignment(a: &ClusterLoadAssignment) -> endpoint::ClusterLoadAssignment {
     let way = WAYS
         .iter()
-        .find(|w| w.0 == a.again)
+        .find(|w| w.0 == a.retry_policy)
         .map_or("never", |w| w.1);
     let localities = a.localities.iter().map(|l| endpoint::LocalityLbEndpoints {
         locality: Some(core::Locality {
@@ -112,20 +113,20 @@
         priority: 0,
     });
     let share = kind::FractionalPercent {
-        numerator: a.drop_ppm,
+        numerator: a.drop_per_million,
         denominator: kind::fractional_percent::DenominatorType::Million as i32,
     };
     let drop = endpoint::cluster_load_assignment::policy::DropOverload {
         category: ADMISSION.into(),
         drop_percentage: Some(share),
     };
-    let drop_overloads = if a.drop_ppm > 0 {
+    let drop_overloads = if a.drop_per_million > 0 {
         vec![drop]
     } else {
         Vec::new()
     };
     endpoint::ClusterLoadAssignment {
-        cluster_name: a.cluster.clone(),
+        cluster_name: a.cluster_name.clone(),
         endpoints: localities.collect(),
         policy: Some(endpoint::cluster_load_assignment::Policy { drop_overloads }),
     }
@@ -150,7 +151,7 @@
 }
 
 /// A table as a relay reads it; nothing where a part that is needed is missing.
-pub fn of_assignment(a: &endpoint::ClusterLoadAssignment) -> Option<Assignment> {
+pub fn of_assignment(a: &endpoint::ClusterLoadAssignment) -> Option<ClusterLoadAssignment> {
     let mut again = Again::Never;
     let mut localities = Vec::new();
     for l in &a.endpoints {
@@ -188,18 +189,18 @@
         .filter_map(|d| d.drop_percentage.as_ref())
         .map(share)
         .sum();
-    Some(Assignment {
-        cluster: a.cluster_name.clone(),
+    Some(ClusterLoadAssignment {
+        cluster_name: a.cluster_name.clone(),
         localities,
-        drop_ppm,
-        again,
+        drop_per_million: drop_ppm,
+        retry_policy: again,
     })
 }
 
 fn any(resource: &Resource) -> Any {
     Any {
-        type_url: TABLE_TYPE.into(),
-        value: assignment(&resource.table).encode_to_vec(),
+        type_url: CLUSTER_LOAD_ASSIGNMENT_TYPE_URL.into(),
+        value: assignment(&resource.assignment).encode_to_vec(),
     }
 }
 
@@ -209,40 +210,29 @@
     })
 }
 
-pub fn whole(
-    name: &str,
-    version: String,
-    nonce: String,
-    resources: &[Resource],
-) -> discovery::DiscoveryResponse {
+pub fn whole(name: &str, response: DiscoveryResponse) -> discovery::DiscoveryResponse {
     discovery::DiscoveryResponse {
-        version_info: version,
-        resources: resources.iter().map(any).collect(),
-        type_url: TABLE_TYPE.into(),
-        nonce,
+        version_info: response.version_info,
+        resources: response.resources.iter().map(any).collect(),
+        type_url: CLUSTER_LOAD_ASSIGNMENT_TYPE_URL.into(),
+        nonce: response.nonce,
         control_plane: control_plane(name),
     }
 }
 
-pub fn delta(
-    name: &str,
-    version: String,
-    nonce: String,
-    resources: &[Resource],
-    removed: Vec<String>,
-) -> discovery::DeltaDiscoveryResponse {
+pub fn delta(name: &str, response: DeltaDiscoveryResponse) -> discovery::DeltaDiscoveryResponse {
     let resource = |r: &Resource| discovery::Resource {
         version: r.version.clone(),
         resource: Some(any(r)),
-        name: r.table.cluster.clone(),
+        name: r.assignment.cluster_name.clone(),
         aliases: Vec::new(),
     };
     discovery::DeltaDiscoveryResponse {
-        system_version_info: version,
-        resources: resources.iter().map(resource).collect(),
-        type_url: TABLE_TYPE.into(),
-        nonce,
-        removed_resources: removed,
+        system_version_info: response.system_version_info,
+        resources: response.resources.iter().map(resource).collect(),
+        type_url: CLUSTER_LOAD_ASSIGNMENT_TYPE_URL.into(),
+        nonce: response.nonce,
+        removed_resources: response.removed_resources,
         control_plane: control_plane(name),
     }
 }
@@ -259,10 +249,10 @@
     sane.then(|| d.seconds as f64 * 1000.0 + f64::from(d.nanos) / 1e6)
 }
 
-pub fn load_response(interval: f64) -> load_stats::LoadStatsResponse {
+pub fn load_response(response: LoadStatsResponse) -> load_stats::LoadStatsResponse {
     load_stats::LoadStatsResponse {
         clusters: Vec::new(),
-        load_reporting_interval: Some(duration(interval)),
+        load_reporting_interval: Some(duration(response.load_reporting_interval)),
         report_endpoint_granularity: true,
         send_all_clusters: true,
     }
@@ -286,77 +276,80 @@
     }
 }
 
-pub fn of_whole(r: discovery::DiscoveryRequest) -> Ask {
-    Ask {
+pub fn of_whole(r: discovery::DiscoveryRequest) -> DiscoveryRequest {
+    DiscoveryRequest {
         node: r.node.as_ref().map(node),
         type_url: r.type_url,
-        names: r.resource_names,
-        version: r.version_info,
-        nonce: r.response_nonce,
-        error: r.error_detail.map(|e| e.message),
+        resource_names: r.resource_names,
+        version_info: r.version_info,
+        response_nonce: r.response_nonce,
+        error_detail: r.error_detail.map(|e| e.message),
     }
 }
 
-pub fn of_delta(r: discovery::DeltaDiscoveryRequest) -> DeltaAsk {
-    DeltaAsk {
+pub fn of_delta(r: discovery::DeltaDiscoveryRequest) -> DeltaDiscoveryRequest {
+    DeltaDiscoveryRequest {
         node: r.node.as_ref().map(node),
         type_url: r.type_url,
-        subscribe: r.resource_names_subscribe,
-        unsubscribe: r.resource_names_unsubscribe,
-        initial: r.initial_resource_versions,
-        nonce: r.response_nonce,
-        error: r.error_detail.map(|e| e.message),
+        resource_names_subscribe: r.resource_names_subscribe,
+        resource_names_unsubscribe: r.resource_names_unsubscribe,
+        initial_resource_versions: r.initial_resource_versions,
+        response_nonce: r.response_nonce,
+        error_detail: r.error_detail.map(|e| e.message),
     }
 }
 
-pub fn of_load(r: load_stats::LoadStatsRequest) -> LoadStats {
+pub fn of_load(r: load_stats::LoadStatsRequest) -> LoadStatsRequest {
     let clusters = r.cluster_stats.into_iter().map(|c| {
         let localities = &c.upstream_locality_stats;
         let hosts = localities.iter().flat_map(|l| &l.upstream_endpoint_stats);
-        ClusterLoad {
-            interval: c.load_report_interval.as_ref().and_then(of_duration),
-            successes: localities
+        ClusterStats {
+            load_report_interval: c.load_report_interval.as_ref().and_then(of_duration),
+            successful_requests: localities
                 .iter()
                 .map(|l| l.total_successful_requests)
                 .fold(0, u64::saturating_add),
-            errors: localities
+            error_requests: localities
                 .iter()
                 .map(|l| l.total_error_requests)
                 .fold(0, u64::saturating_add),
-            hosts: hosts.map(host_load).collect(),
-            cluster: c.cluster_name,
+            endpoints: hosts.map(host_load).collect(),
+            cluster_name: c.cluster_name,
         }
     });
-    LoadStats {
+    LoadStatsRequest {
         node: r.node.as_ref().map(node),
-        clusters: clusters.collect(),
+        cluster_stats: clusters.collect(),
     }
 }
 
-fn host_load(h: &endpoint::UpstreamEndpointStats) -> HostLoad {
+fn host_load(h: &endpoint::UpstreamEndpointStats) -> EndpointStats {
     let metric = |m: &endpoint::EndpointLoadMetricStats| {
         (
             m.metric_name.clone(),
-            (m.num_requests_finished_with_metric, m.total_metric_value),
+            LoadMetric {
+                finished_requests: m.num_requests_finished_with_metric,
+                total_value: m.total_metric_value,
+            },
         )
     };
-    HostLoad {
+    EndpointStats {
         address: of_address(h.address.as_ref()).unwrap_or_default(),
-        issued: h.total_issued_requests,
-        errors: h.total_error_requests,
-        in_progress: h.total_requests_in_progress,
-        metrics: h.load_metric_stats.iter().map(metric).collect(),
+        issued_requests: h.total_issued_requests,
+        error_requests: h.total_error_requests,
+        requests_in_progress: h.total_requests_in_progress,
+        load_metrics: h.load_metric_stats.iter().map(metric).collect(),
     }
 }
 
-pub fn of_report(r: &orca::OrcaLoadReport) -> NodeReport {
+pub fn of_report(r: &orca::OrcaLoadReport) -> OrcaLoadReport {
     let util = if r.application_utilization != 0.0 {
         r.application_utilization
     } else {
         r.cpu_utilization
     };
-    NodeReport {
-        util,
+    OrcaLoadReport {
+        utilization: util,
         queue: r.named_metrics.get("queue").copied(),
     }
 }
@@ -373,8 +366,8 @@
             weight,
             draining,
         };
-        let table = Assignment {
-            cluster: "pay".into(),
+        let table = ClusterLoadAssignment {
+            cluster_name: "pay".into(),
             localities: vec![
                 Locality {
                     zone: "east".into(),
@@ -385,8 +378,8 @@
                     endpoints: vec![endpoint("b", "[::1]:81", u32::MAX / 2, false)],
                 },
             ],
-            drop_ppm: 125_000,
-            again: Again::OnceAfterAny,
+            drop_per_million: 125_000,
+            retry_policy: Again::OnceAfterAny,
         };
         let bytes = assignment(&table).encode_to_vec();
         let read = endpoint::ClusterLoadAssignment::decode(&bytes[..]).expect("a message");
--- a/crates/director/grpc/src/events.rs
+++ b/crates/director/grpc/src/events.rs
@@ -1,6 +1,6 @@
 //! What the tasks of this package tell whoever holds the streams' state.
 
-use rushcourse_xds::{Code, Input, Response, Stream};
+use rushcourse_xds::{Input, Response, StatusCode, StreamId};
 use tokio::sync::mpsc;
 
 /// What goes to a stream.
@@ -8,7 +8,7 @@
 pub enum Out {
     Response(Response),
     /// The stream ends with this status.
-    End(Code, String),
+    End(StatusCode, String),
 }
 
 /// Responses and a status that may wait for a stream's transport: one is given at a time.
@@ -19,7 +19,7 @@
     Input(Input),
     /// A stream was opened: the input that says so, how to write to it, and its connection.
     Opened {
-        stream: Stream,
+        stream: StreamId,
         input: Input,
         out: mpsc::Sender<Out>,
         handle: crate::connections::ConnectionHandle,
--- a/crates/director/grpc/src/front.rs
+++ b/crates/director/grpc/src/front.rs
@@ -8,7 +8,7 @@
 use crate::services::Services;
 use crate::tls::{Io, Keys, Tls};
 use rushcourse_policy::interface::HostId;
-use rushcourse_xds::{Effect, Input, Stream};
+use rushcourse_xds::{DialId, Effect, Input, StreamId};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -65,8 +65,8 @@
     to: EventSender,
     bounded: mpsc::Receiver<FrontEvent>,
     unbounded: mpsc::UnboundedReceiver<FrontEvent>,
-    streams: BTreeMap<Stream, Held>,
-    hosts: BTreeMap<(HostId, u64), AbortHandle>,
+    streams: BTreeMap<StreamId, Held>,
+    hosts: BTreeMap<(HostId, DialId), AbortHandle>,
     last: Arc<AtomicU64>,
     connections: Arc<AtomicU64>,
     limit: Option<ConnectionLimit>,
@@ -187,9 +187,9 @@
             }
             FrontEvent::Input(input) => {
                 match &input {
-                    Input::Closed { stream, .. } => _ = self.streams.remove(stream),
-                    Input::HostDown { host, turn, .. } => {
-                        _ = self.hosts.remove(&(host.clone(), *turn))
+                    Input::StreamClosed { stream, .. } => _ = self.streams.remove(stream),
+                    Input::ReportStreamClosed { host, dial, .. } => {
+                        _ = self.hosts.remove(&(host.clone(), *dial))
                     }
                     _ => {}
                 }
@@ -200,25 +200,29 @@
 
     pub fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Respond { stream, response } => {
+            Effect::SendResponse { stream, response } => {
                 let Some(held) = self.streams.get(&stream) else {
                     return;
                 };
                 held.handle.mark_useful();
                 if held.out.try_send(Out::Response(response)).is_err() {
                     self.streams.remove(&stream);
-                    let why = "it is gone".into();
+                    let reason = "it is gone".into();
                     _ = self
                         .to
                         .unbounded
-                        .send(FrontEvent::Input(Input::Closed { stream, why }));
+                        .send(FrontEvent::Input(Input::StreamClosed { stream, reason }));
                 }
             }
-            Effect::End { stream, code, why } => {
+            Effect::EndStream {
+                stream,
+                status,
+                message,
+            } => {
                 let Some(Held { out, handle }) = self.streams.remove(&stream) else {
                     return;
                 };
-                if out.try_send(Out::End(code, why)).is_err() && !out.is_closed() {
+                if out.try_send(Out::End(status, message)).is_err() && !out.is_closed() {
                     return handle.kill();
                 }
                 tokio::spawn(async move {
@@ -230,18 +234,24 @@
                     }
                 });
             }
-            Effect::Dial {
+            Effect::OpenReportStream {
                 host,
-                turn,
+                dial,
                 address,
-                every,
+                report_interval,
             } => {
-                let task = host::dial(host.clone(), turn, address, every, self.to.clone());
-                self.hosts.insert((host, turn), task);
+                let task = host::open(
+                    host.clone(),
+                    dial,
+                    address,
+                    report_interval,
+                    self.to.clone(),
+                );
+                self.hosts.insert((host, dial), task);
             }
-            Effect::Hang { host, turn } => {
+            Effect::CloseReportStream { host, dial } => {
                 self.hosts
-                    .remove(&(host, turn))
+                    .remove(&(host, dial))
                     .into_iter()
                     .for_each(|task| task.abort());
             }
--- a/crates/director/grpc/src/host.rs
+++ b/crates/director/grpc/src/host.rs
@@ -5,7 +5,7 @@
 use crate::proto::xds::service::orca::v3 as orca;
 use orca::open_rca_service_client::OpenRcaServiceClient;
 use rushcourse_policy::interface::{HostId, Ms};
-use rushcourse_xds::Input;
+use rushcourse_xds::{DialId, Input};
 use std::time::Duration;
 use tokio::task::AbortHandle;
 use tonic::transport::Endpoint;
@@ -18,15 +18,25 @@
 /// No report is larger.
 const REPORT_MOST: usize = 16 << 10;
 
-pub fn dial(host: HostId, turn: u64, address: String, every: Ms, to: EventSender) -> AbortHandle {
+pub fn open(
+    host: HostId,
+    dial: DialId,
+    address: String,
+    every: Ms,
+    to: EventSender,
+) -> AbortHandle {
     let task = tokio::spawn(async move {
-        let why = match ask(&host, turn, &address, every, &to).await {
+        let why = match ask(&host, dial, &address, every, &to).await {
             Ok(()) => "it ended its reports".into(),
             Err(why) => why,
         };
         _ = to
             .bounded
-            .send(FrontEvent::Input(Input::HostDown { host, turn, why }))
+            .send(FrontEvent::Input(Input::ReportStreamClosed {
+                host,
+                dial,
+                reason: why,
+            }))
             .await;
     });
     task.abort_handle()
@@ -34,7 +44,7 @@
 
 async fn ask(
     host: &HostId,
-    turn: u64,
+    dial: DialId,
     address: &str,
     every: Ms,
     to: &EventSender,
@@ -65,9 +75,9 @@
     let mut reports = reports.into_inner();
     _ = to
         .bounded
-        .send(FrontEvent::Input(Input::HostUp {
+        .send(FrontEvent::Input(Input::ReportStreamOpened {
             host: host.clone(),
-            turn,
+            dial,
         }))
         .await;
     while let Some(report) = reports
@@ -76,9 +86,9 @@
         .map_err(|e| e.message().to_string())?
     {
         let report = convert::of_report(&report);
-        let said = Input::HostSaid {
+        let said = Input::ReportReceived {
             host: host.clone(),
-            turn,
+            dial,
             report,
         };
         if to.bounded.send(FrontEvent::Input(said)).await.is_err() {
--- a/crates/director/grpc/src/services.rs
+++ b/crates/director/grpc/src/services.rs
@@ -8,7 +8,9 @@
 use crate::proto::envoy::service::load_stats::v3 as load_stats;
 use discovery::aggregated_discovery_service_server::AggregatedDiscoveryService;
 use load_stats::load_reporting_service_server::LoadReportingService;
-use rushcourse_xds::{Code, Input, Response, Said, Service, Stream};
+use rushcourse_xds::{
+    ConnectionId, Input, Request as StreamRequest, Response, StatusCode, StreamId, StreamKind,
+};
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
@@ -17,15 +19,15 @@
 use tokio_stream::StreamExt;
 use tonic::{Request, Status, Streaming};
 
-pub fn status(code: Code, why: String) -> Status {
+pub fn status(code: StatusCode, why: String) -> Status {
     match code {
-        Code::InvalidArgument => Status::invalid_argument(why),
-        Code::DeadlineExceeded => Status::deadline_exceeded(why),
-        Code::PermissionDenied => Status::permission_denied(why),
-        Code::AlreadyExists => Status::already_exists(why),
-        Code::ResourceExhausted => Status::resource_exhausted(why),
-        Code::Aborted => Status::aborted(why),
-        Code::Unavailable => Status::unavailable(why),
+        StatusCode::InvalidArgument => Status::invalid_argument(why),
+        StatusCode::DeadlineExceeded => Status::deadline_exceeded(why),
+        StatusCode::PermissionDenied => Status::permission_denied(why),
+        StatusCode::AlreadyExists => Status::already_exists(why),
+        StatusCode::ResourceExhausted => Status::resource_exhausted(why),
+        StatusCode::Aborted => Status::aborted(why),
+        StatusCode::Unavailable => Status::unavailable(why),
     }
 }
 
@@ -40,7 +42,7 @@
 
 /// What goes out on one stream; when it is dropped, the stream has ended.
 pub struct Answers<T> {
-    stream: Stream,
+    stream: StreamId,
     out: mpsc::Receiver<Out>,
     to: EventSender,
     handle: ConnectionHandle,
@@ -68,9 +70,12 @@
                 }
                 // It is asked for only when the transport has room.
                 Poll::Ready(Some(Out::Response(response))) => {
-                    _ = self.to.unbounded.send(FrontEvent::Input(Input::Taken {
-                        stream: self.stream,
-                    }));
+                    _ = self
+                        .to
+                        .unbounded
+                        .send(FrontEvent::Input(Input::ResponseAccepted {
+                            stream: self.stream,
+                        }));
                     match (self.write)(response) {
                         Some(message) => Poll::Ready(Some(Ok(message))),
                         None => continue,
@@ -85,10 +90,13 @@
     fn drop(&mut self) {
         self.reader.abort();
         self.handle.ended();
-        _ = self.to.unbounded.send(FrontEvent::Input(Input::Closed {
-            stream: self.stream,
-            why: String::new(),
-        }));
+        _ = self
+            .to
+            .unbounded
+            .send(FrontEvent::Input(Input::StreamClosed {
+                stream: self.stream,
+                reason: String::new(),
+            }));
     }
 }
 
@@ -96,20 +104,20 @@
     async fn open<M: Send + 'static, T>(
         &self,
         request: Request<Streaming<M>>,
-        service: Service,
-        read: fn(M) -> Said,
+        kind: StreamKind,
+        read: fn(M) -> StreamRequest,
         write: Box<dyn Fn(Response) -> Option<T> + Send>,
     ) -> Result<tonic::Response<Answers<T>>, Status> {
         let info = request.extensions().get::<Info>().cloned();
         let Info { handle, peer } =
             info.ok_or_else(|| Status::internal("a connection of unknown origin"))?;
-        let stream = self.last.fetch_add(1, Ordering::Relaxed);
+        let stream = StreamId(self.last.fetch_add(1, Ordering::Relaxed));
         let (to, (out, answers)) = (self.to.clone(), mpsc::channel(OUT_MOST));
         handle.opened();
-        let input = Input::Opened {
+        let input = Input::StreamOpened {
             stream,
-            connection: handle.connection,
-            service,
+            connection: ConnectionId(handle.connection),
+            kind,
             peer,
         };
         let event = FrontEvent::Opened {
@@ -128,9 +136,9 @@
             let why = loop {
                 match messages.next().await {
                     Some(Ok(message)) => {
-                        let said = FrontEvent::Input(Input::Said {
+                        let said = FrontEvent::Input(Input::RequestReceived {
                             stream,
-                            said: read(message),
+                            request: read(message),
                         });
                         if events.bounded.send(said).await.is_err() {
                             return;
@@ -147,7 +155,10 @@
             // Its peer says nothing more: it is no stream any more.
             _ = events
                 .bounded
-                .send(FrontEvent::Input(Input::Closed { stream, why }))
+                .send(FrontEvent::Input(Input::StreamClosed {
+                    stream,
+                    reason: why,
+                }))
                 .await;
         });
         let reader = reader.abort_handle();
@@ -174,17 +185,13 @@
     ) -> Result<tonic::Response<Self::StreamAggregatedResourcesStream>, Status> {
         let name = self.name.clone();
         let write = move |response| match response {
-            Response::Whole {
-                version,
-                nonce,
-                resources,
-            } => Some(convert::whole(&name, version, nonce, &resources)),
+            Response::Discovery(response) => Some(convert::whole(&name, response)),
             _ => None,
         };
         self.open(
             request,
-            Service::Whole,
-            |m| Said::Whole(convert::of_whole(m)),
+            StreamKind::StateOfTheWorld,
+            |m| StreamRequest::Discovery(convert::of_whole(m)),
             Box::new(write),
         )
         .await
@@ -196,18 +203,13 @@
     ) -> Result<tonic::Response<Self::DeltaAggregatedResourcesStream>, Status> {
         let name = self.name.clone();
         let write = move |response| match response {
-            Response::Delta {
-                version,
-                nonce,
-                resources,
-                removed,
-            } => Some(convert::delta(&name, version, nonce, &resources, removed)),
+            Response::Delta(response) => Some(convert::delta(&name, response)),
             _ => None,
         };
         self.open(
             request,
-            Service::Delta,
-            |m| Said::Delta(convert::of_delta(m)),
+            StreamKind::Delta,
+            |m| StreamRequest::Delta(convert::of_delta(m)),
             Box::new(write),
         )
         .await
@@ -223,13 +225,13 @@
         request: Request<Streaming<load_stats::LoadStatsRequest>>,
     ) -> Result<tonic::Response<Self::StreamLoadStatsStream>, Status> {
         let write = |response| match response {
-            Response::Load { interval } => Some(convert::load_response(interval)),
+            Response::LoadStats(response) => Some(convert::load_response(response)),
             _ => None,
         };
         self.open(
             request,
-            Service::Load,
-            |m| Said::Load(convert::of_load(m)),
+            StreamKind::LoadReporting,
+            |m| StreamRequest::LoadStats(convert::of_load(m)),
             Box::new(write),
         )
         .await
--- a/crates/director/xds/src/ads.rs
+++ b/crates/director/xds/src/ads.rs
@@ -2,8 +2,11 @@
 //! (`DiscoveryRequest`) and incremental (`DeltaDiscoveryRequest`) share the state and differ in what a response holds
 //! and what an answer proves (xDS REST and gRPC protocol, "ACK/NACK and resource type instance version").
 
-use crate::boundary::{Ask, DeltaAsk, Resource, Response};
 use crate::grants::Grants;
+use crate::messages::{
+    DeltaDiscoveryRequest, DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse, Resource,
+    Response,
+};
 use crate::resources::{self, ResourceCache};
 use rushcourse_policy::interface::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -142,21 +145,31 @@
     // ---- requests ----
 
     /// A state-of-the-world request: the first one, an answer, or other names.
-    pub fn asked(&mut self, now: Ms, ask: &Ask) -> Came {
+    pub fn asked(&mut self, now: Ms, ask: &DiscoveryRequest) -> Came {
         let mut came = Came::default();
         let first = self.serial == 0 && !self.owed;
-        if !ask.nonce.is_empty() {
-            self.answered(now, &ask.nonce, ask.error.as_deref(), &mut came);
+        if !ask.response_nonce.is_empty() {
+            self.answered(
+                now,
+                &ask.response_nonce,
+                ask.error_detail.as_deref(),
+                &mut came,
+            );
             // With a nonce that is not the newest, names are of before: the protocol has them ignored.
-            if ask.nonce != self.serial.to_string() {
+            if ask.response_nonce != self.serial.to_string() {
                 came.counts.push("nonces_stale");
                 return came;
             }
-        } else if first && !ask.version.is_empty() {
-            self.claims_whole = Some(ask.version.clone());
+        } else if first && !ask.version_info.is_empty() {
+            self.claims_whole = Some(ask.version_info.clone());
         }
-        let names: BTreeSet<String> = ask.names.iter().filter(|n| *n != "*").cloned().collect();
-        let all = ask.names.iter().any(|n| n == "*");
+        let names: BTreeSet<String> = ask
+            .resource_names
+            .iter()
+            .filter(|n| *n != "*")
+            .cloned()
+            .collect();
+        let all = ask.resource_names.iter().any(|n| n == "*");
         let more = all && !self.all || names.iter().any(|n| !self.names.contains(n));
         // A name that was let go and is asked for again is sent again.
         (self.names, self.all) = (names, all);
@@ -165,15 +178,25 @@
     }
 
     /// An incremental request.
-    pub fn delta_asked(&mut self, now: Ms, ask: &DeltaAsk, cache: &ResourceCache) -> Came {
+    pub fn delta_asked(
+        &mut self,
+        now: Ms,
+        ask: &DeltaDiscoveryRequest,
+        cache: &ResourceCache,
+    ) -> Came {
         let mut came = Came::default();
-        if !ask.nonce.is_empty() {
-            self.answered(now, &ask.nonce, ask.error.as_deref(), &mut came);
+        if !ask.response_nonce.is_empty() {
+            self.answered(
+                now,
+                &ask.response_nonce,
+                ask.error_detail.as_deref(),
+                &mut came,
+            );
         }
         if self.serial == 0 {
-            self.claims.extend(ask.initial.clone());
+            self.claims.extend(ask.initial_resource_versions.clone());
         }
-        for name in &ask.subscribe {
+        for name in &ask.resource_names_subscribe {
             if name == "*" {
                 self.all = true;
                 continue;
@@ -188,7 +211,7 @@
                 }
             }
         }
-        for name in &ask.unsubscribe {
+        for name in &ask.resource_names_unsubscribe {
             self.all &= name != "*";
             self.names.remove(name);
             self.removed.remove(name);
@@ -453,19 +476,19 @@
         let version = resources::whole(self.epoch, tables.iter().map(|(_, r)| r.version.clone()));
         let resources = tables.into_iter().map(|(_, r)| r).collect();
         came.response = Some(if self.whole {
-            Response::Whole {
-                version,
+            Response::Discovery(DiscoveryResponse {
+                version_info: version,
                 nonce,
                 resources,
-            }
+            })
         } else {
             let removed = std::mem::take(&mut self.removed).into_iter().collect();
-            Response::Delta {
-                version,
+            Response::Delta(DeltaDiscoveryResponse {
+                system_version_info: version,
                 nonce,
                 resources,
-                removed,
-            }
+                removed_resources: removed,
+            })
         });
     }
 
--- a/crates/director/xds/src/counts.rs
+++ b/crates/director/xds/src/counters.rs
@@ -1,6 +1,6 @@
-//! What streams count, and what each count tells.
+//! The counters of streams, with the help text that `/metrics` gives each.
 
-pub const COUNTS: [(&str, &str); 37] = [
+pub const COUNTERS: [(&str, &str); 37] = [
     ("streams_opened", "Streams that relays or others opened."),
     (
         "streams_ended",
--- a/crates/director/xds/src/lib.rs
+++ b/crates/director/xds/src/lib.rs
@@ -5,25 +5,29 @@
 //! `Streams::step` takes what was read; events for the module, effects, notes and counts wait in its outbox.
 
 mod ads;
-mod boundary;
-mod counts;
+mod config;
+mod counters;
 mod grants;
+mod interface;
 mod loads;
 mod members;
+mod messages;
 mod nodes;
 mod outbox;
 mod resources;
 mod retry;
-mod rules;
 mod streams;
 mod weights;
 
-pub use boundary::{
-    Ask, Assignment, ClusterLoad, Code, DeltaAsk, Effect, Endpoint, HostLoad, Input, LoadStats,
-    Locality, Node, NodeReport, Resource, Response, Said, Service, Stream, TABLE_TYPE,
+pub use config::{NodeIdentities, StreamConfig, StreamLimits};
+pub use counters::COUNTERS;
+pub use interface::{ConnectionId, DialId, Effect, Input, StatusCode, StreamId, StreamKind};
+pub use messages::{
+    CLUSTER_LOAD_ASSIGNMENT_TYPE_URL, ClusterLoadAssignment, ClusterStats, DeltaDiscoveryRequest,
+    DeltaDiscoveryResponse, DiscoveryRequest, DiscoveryResponse, Endpoint, EndpointStats,
+    LoadMetric, LoadStatsRequest, LoadStatsResponse, Locality, Node, OrcaLoadReport, Request,
+    Resource, Response,
 };
-pub use counts::COUNTS;
-pub use outbox::{Grade, Note, Outbox};
-pub use rules::{Identities, Limits, Rules};
+pub use outbox::{LogEntry, Outbox, Severity};
 pub use streams::Streams;
-pub use weights::{SCALE, drop_ppm, scaled};
+pub use weights::{WEIGHT_SCALE, drop_per_million, scale_weights};
--- a/crates/director/xds/src/loads.rs
+++ b/crates/director/xds/src/loads.rs
@@ -1,6 +1,6 @@
 //! Load reports of one relay (LRS): whole or not at all, and never late ones for fresh.
 
-use crate::boundary::LoadStats;
+use crate::messages::LoadStatsRequest;
 use crate::resources::ResourceCache;
 use rushcourse_director_settings::figures;
 use rushcourse_policy::interface::*;
@@ -78,7 +78,7 @@
 
 /// What a report says, in events: whole or not at all. Hosts that no list names are left out, and counted.
 pub fn read(
-    stats: &LoadStats,
+    stats: &LoadStatsRequest,
     proxy: ProxyId,
     zone: ZoneId,
     settings: &Settings,
@@ -86,13 +86,14 @@
     load_of: impl Fn(&HostId) -> Load,
 ) -> Result<(Vec<Event>, u64), Spoilt> {
     let (mut events, mut unlisted) = (Vec::new(), 0);
-    for c in &stats.clusters {
-        let spoilt = |count, why: &str| Err((count, format!("cluster {:.40}: {why}", c.cluster)));
-        let Some(class) = cache.class(&c.cluster) else {
+    for c in &stats.cluster_stats {
+        let spoilt =
+            |count, why: &str| Err((count, format!("cluster {:.40}: {why}", c.cluster_name)));
+        let Some(class) = cache.class(&c.cluster_name) else {
             return spoilt("loads_unknown", "no class of that name");
         };
         let Some(span) = c
-            .interval
+            .load_report_interval
             .filter(|i| *i > 0.0 && *i <= figures::WINDOW_MOST)
         else {
             return spoilt(
@@ -103,7 +104,10 @@
         if span > PERIODS_MOST * settings.report_every.max(1.0) {
             return spoilt("loads_old", "it covers more than what is judged by");
         }
-        let (let_in, failed) = (c.successes as f64 + c.errors as f64, c.errors as f64);
+        let (let_in, failed) = (
+            c.successful_requests as f64 + c.error_requests as f64,
+            c.error_requests as f64,
+        );
         if let Some(why) = figures::spoilt(let_in, failed, span) {
             return spoilt("loads_figures", why);
         }
@@ -114,12 +118,12 @@
             failed,
             span,
         });
-        for h in &c.hosts {
+        for h in &c.endpoints {
             let Some(host) = cache.host_at(&h.address) else {
                 unlisted += 1;
                 continue;
             };
-            let (tries, failed) = (h.issued as f64, h.errors as f64);
+            let (tries, failed) = (h.issued_requests as f64, h.error_requests as f64);
             if let Some(why) = figures::spoilt(tries, failed, span) {
                 return spoilt("loads_figures", &format!("{}: {why}", h.address));
             }
@@ -129,8 +133,8 @@
                     &format!("{}: more errors than requests", h.address),
                 );
             }
-            let mean = match h.metrics.get(LATENCY) {
-                Some((n, sum)) if *n > 0 => sum / *n as f64,
+            let mean = match h.load_metrics.get(LATENCY) {
+                Some(m) if m.finished_requests > 0 => m.total_value / m.finished_requests as f64,
                 _ if failed >= tries => 0.0,
                 _ => {
                     return spoilt(
@@ -146,7 +150,7 @@
                 );
             }
             let load = Load {
-                inflight: Some(h.in_progress as f64),
+                inflight: Some(h.requests_in_progress as f64),
                 ..load_of(host)
             };
             events.push(Event::Heard {
--- a/crates/director/xds/src/members.rs
+++ b/crates/director/xds/src/members.rs
@@ -1,7 +1,8 @@
 //! Which stream is which proxy's. A proxy is who its node says; where two say the same, one of them is served.
 
-use crate::boundary::{Code, Node, Stream};
-use crate::rules::Identities;
+use crate::config::NodeIdentities;
+use crate::interface::{ConnectionId, StatusCode, StreamId};
+use crate::messages::Node;
 use rushcourse_policy::interface::{Ms, ProxyId, ZoneId};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,7 +19,7 @@
 /// Why a stream is not served.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Refusal {
-    pub code: Code,
+    pub code: StatusCode,
     pub why: String,
     /// The count that rises.
     pub count: &'static str,
@@ -26,15 +27,15 @@
 
 #[derive(Debug)]
 struct Member {
-    stream: Stream,
-    connection: u64,
+    stream: StreamId,
+    connection: ConnectionId,
     /// When its relay last said something on any stream.
     heard: Ms,
 }
 
 #[derive(Debug, Default)]
 pub struct Members {
-    identities: Identities,
+    identities: NodeIdentities,
     zones: Vec<String>,
     /// Proxies that the settings name; 0: any number.
     proxies: usize,
@@ -51,7 +52,7 @@
 }
 
 impl Members {
-    pub fn new(identities: Identities, zones: Vec<String>, proxies: usize) -> Members {
+    pub fn new(identities: NodeIdentities, zones: Vec<String>, proxies: usize) -> Members {
         Members {
             identities,
             zones,
@@ -61,7 +62,7 @@
     }
 
     /// From now on nodes are named so.
-    pub fn identities_are(&mut self, identities: Identities) {
+    pub fn identities_are(&mut self, identities: NodeIdentities) {
         self.identities = identities;
     }
 
@@ -69,7 +70,7 @@
         self.joined.len()
     }
 
-    pub fn stream(&self, proxy: ProxyId) -> Option<Stream> {
+    pub fn stream(&self, proxy: ProxyId) -> Option<StreamId> {
         self.joined.get(&proxy).map(|m| m.stream)
     }
 
@@ -78,7 +79,7 @@
         let refuse = |code, count, why: String| Err(Refusal { code, count, why });
         let Some(node) = node.filter(|n| !n.id.is_empty()) else {
             let why = "the first request names no node: node.id is missing";
-            return refuse(Code::InvalidArgument, "streams_nameless", why.into());
+            return refuse(StatusCode::InvalidArgument, "streams_nameless", why.into());
         };
         let id: String = node.id.chars().take(80).collect();
         let number = node.id.strip_prefix(&self.identities.prefix);
@@ -86,14 +87,14 @@
         let known = self.identities.names.get(&node.id).copied();
         let Some(proxy) = known.or_else(|| number.and_then(|n| n.parse().ok())) else {
             let why = format!("node.id {id:?} names no relay that this director knows");
-            return refuse(Code::PermissionDenied, "streams_unknown", why);
+            return refuse(StatusCode::PermissionDenied, "streams_unknown", why);
         };
         if self.proxies > 0 && proxy as usize >= self.proxies {
             let why = format!(
                 "node.id {id:?} is beyond the {} relays that the settings name",
                 self.proxies
             );
-            return refuse(Code::ResourceExhausted, "streams_beyond", why);
+            return refuse(StatusCode::ResourceExhausted, "streams_beyond", why);
         }
         match self.zones.iter().position(|z| *z == node.zone) {
             Some(zone) => Ok(Who { proxy, zone }),
@@ -102,7 +103,7 @@
                     "node.locality.zone {:?} of {id:?} is no zone of the settings",
                     node.zone
                 );
-                refuse(Code::InvalidArgument, "streams_zoneless", why)
+                refuse(StatusCode::InvalidArgument, "streams_zoneless", why)
             }
         }
     }
@@ -115,9 +116,9 @@
         &mut self,
         now: Ms,
         proxy: ProxyId,
-        stream: Stream,
-        connection: u64,
-    ) -> Result<Option<Stream>, Refusal> {
+        stream: StreamId,
+        connection: ConnectionId,
+    ) -> Result<Option<StreamId>, Refusal> {
         let member = Member {
             stream,
             connection,
@@ -131,7 +132,7 @@
         past.retain(|at| now - at <= REPLACED_OVER);
         let refuse = |why: String| {
             Err(Refusal {
-                code: Code::AlreadyExists,
+                code: StatusCode::AlreadyExists,
                 count: "streams_doubled",
                 why,
             })
@@ -171,7 +172,7 @@
     }
 
     /// The stream has ended. Whether it was the proxy's.
-    pub fn ended(&mut self, now: Ms, proxy: ProxyId, stream: Stream) -> bool {
+    pub fn ended(&mut self, now: Ms, proxy: ProxyId, stream: StreamId) -> bool {
         let was = self.stream(proxy) == Some(stream);
         if was {
             self.joined.remove(&proxy);
@@ -188,7 +189,7 @@
     fn members() -> Members {
         let names = [("edge".to_string(), 5)].into();
         Members::new(
-            Identities {
+            NodeIdentities {
                 prefix: "relay-".into(),
                 names,
             },
@@ -217,15 +218,15 @@
             Ok(Who { proxy: 5, zone: 0 })
         );
         let code = |n: Option<&Node>| members.who(n).expect_err("refused").code;
-        assert_eq!(code(None), Code::InvalidArgument);
+        assert_eq!(code(None), StatusCode::InvalidArgument);
         for (id, zone, want) in [
-            ("", "east", Code::InvalidArgument),
-            ("relay-", "east", Code::PermissionDenied),
-            ("relay-+3", "east", Code::PermissionDenied),
-            ("relay-99999999999", "east", Code::PermissionDenied),
-            ("nobody", "east", Code::PermissionDenied),
-            ("relay-8", "east", Code::ResourceExhausted),
-            ("relay-3", "north", Code::InvalidArgument),
+            ("", "east", StatusCode::InvalidArgument),
+            ("relay-", "east", StatusCode::PermissionDenied),
+            ("relay-+3", "east", StatusCode::PermissionDenied),
+            ("relay-99999999999", "east", StatusCode::PermissionDenied),
+            ("nobody", "east", StatusCode::PermissionDenied),
+            ("relay-8", "east", StatusCode::ResourceExhausted),
+            ("relay-3", "north", StatusCode::InvalidArgument),
         ] {
             assert_eq!(code(Some(&node(id, zone))), want, "{id} {zone}");
         }
@@ -234,34 +235,44 @@
     #[test]
     fn a_relay_that_comes_back_takes_its_place_and_a_double_does_not() {
         let mut members = members();
-        assert_eq!(members.claim(0.0, 3, 1, 10), Ok(None));
         assert_eq!(
-            members.claim(100.0, 3, 2, 10),
-            Ok(Some(1)),
+            members.claim(0.0, 3, StreamId(1), ConnectionId(10)),
+            Ok(None)
+        );
+        assert_eq!(
+            members.claim(100.0, 3, StreamId(2), ConnectionId(10)),
+            Ok(Some(StreamId(1))),
             "the same connection: the same process"
         );
         members.heard(5000.0, 3);
         let refused = members
-            .claim(6000.0, 3, 3, 11)
+            .claim(6000.0, 3, StreamId(3), ConnectionId(11))
             .expect_err("the other one is alive");
-        assert_eq!(refused.code, Code::AlreadyExists);
+        assert_eq!(refused.code, StatusCode::AlreadyExists);
         assert_eq!(
-            members.claim(9000.0, 3, 4, 11),
-            Ok(Some(2)),
+            members.claim(9000.0, 3, StreamId(4), ConnectionId(11)),
+            Ok(Some(StreamId(2))),
             "it was lost unnoticed"
         );
-        assert!(!members.ended(9100.0, 3, 2), "the old one's end is no news");
-        assert!(members.ended(9200.0, 3, 4));
+        assert!(
+            !members.ended(9100.0, 3, StreamId(2)),
+            "the old one's end is no news"
+        );
+        assert!(members.ended(9200.0, 3, StreamId(4)));
         assert_eq!(members.count(), 0);
     }
 
     #[test]
     fn two_of_one_name_do_not_throw_each_other_out_without_end() {
         let mut members = members();
-        _ = members.claim(0.0, 3, 1, 1);
+        _ = members.claim(0.0, 3, StreamId(1), ConnectionId(1));
         let mut taken = 0;
         for k in 1..20u64 {
-            taken += usize::from(members.claim(k as f64 * 3000.0, 3, k + 1, k + 1).is_ok());
+            taken += usize::from(
+                members
+                    .claim(k as f64 * 3000.0, 3, StreamId(k + 1), ConnectionId(k + 1))
+                    .is_ok(),
+            );
         }
         assert!(taken <= 8, "{taken} of 19: three in 30 s");
         assert!(members.replaced.len() <= 1);
--- a/crates/director/xds/src/nodes.rs
+++ b/crates/director/xds/src/nodes.rs
@@ -1,8 +1,9 @@
 //! Report streams to hosts (ORCA out of band, `StreamCoreMetrics`): who is asked, when a lost one is dialled anew, and
 //! how long what a host said of itself counts.
 
-use crate::boundary::{Effect, NodeReport};
-use crate::outbox::{Grade, Outbox};
+use crate::interface::{DialId, Effect};
+use crate::messages::OrcaLoadReport;
+use crate::outbox::{Outbox, Severity};
 use crate::retry::Retry;
 use rushcourse_policy::interface::*;
 use std::collections::BTreeMap;
@@ -32,7 +33,7 @@
     address: String,
     up_since: Ms,
     state: State,
-    turn: u64,
+    turn: DialId,
     retry: Retry,
     /// What it last said, and when.
     said: Option<(Ms, Load)>,
@@ -51,7 +52,7 @@
     every: Ms,
     most: usize,
     seed: u64,
-    turn: u64,
+    turn: DialId,
     hosts: ByHost<Host>,
     /// Hosts that are not asked as there are too many.
     beyond: usize,
@@ -63,7 +64,7 @@
             every: every.max(100.0),
             most,
             seed,
-            turn: 0,
+            turn: DialId(0),
             hosts: BTreeMap::new(),
             beyond: 0,
         }
@@ -128,7 +129,7 @@
                     continue;
                 }
                 if h.up_since != a.up_since {
-                    out.add("node_restarts", 1);
+                    out.count("node_restarts", 1);
                 }
                 hang(&host, h, out);
             }
@@ -138,7 +139,7 @@
                 address: a.address,
                 up_since: a.up_since,
                 state,
-                turn: 0,
+                turn: DialId(0),
                 retry,
                 said,
             };
@@ -146,13 +147,13 @@
         }
     }
 
-    fn of(&mut self, host: &HostId, turn: u64) -> Option<&mut Host> {
+    fn of(&mut self, host: &HostId, turn: DialId) -> Option<&mut Host> {
         self.hosts
             .get_mut(host)
             .filter(|h| h.turn == turn && !matches!(h.state, State::Down { .. }))
     }
 
-    pub fn up(&mut self, now: Ms, host: &HostId, turn: u64) {
+    pub fn up(&mut self, now: Ms, host: &HostId, turn: DialId) {
         let silent = now + SILENT * self.every;
         if let Some(h) = self.of(host, turn) {
             h.state = State::Live { silent };
@@ -164,8 +165,8 @@
         &mut self,
         now: Ms,
         host: &HostId,
-        turn: u64,
-        report: &NodeReport,
+        turn: DialId,
+        report: &OrcaLoadReport,
         out: &mut Outbox,
     ) {
         let silent = now + SILENT * self.every;
@@ -173,17 +174,18 @@
         h.state = State::Live { silent };
         h.retry.reset();
         let queue = report.queue.unwrap_or(0.0);
-        if !(0.0..=UTIL_MOST).contains(&report.util) || !(0.0..=QUEUE_MOST).contains(&queue) {
-            out.add("node_reports_spoilt", 1);
+        if !(0.0..=UTIL_MOST).contains(&report.utilization) || !(0.0..=QUEUE_MOST).contains(&queue)
+        {
+            out.count("node_reports_spoilt", 1);
             let text = format!(
                 "{host}: util {}, queue {queue} are out of range",
-                report.util
+                report.utilization
             );
-            return out.note(Grade::Info, "host report skipped", text);
+            return out.log(Severity::Info, "host report skipped", text);
         }
-        out.add("node_reports_taken", 1);
+        out.count("node_reports_taken", 1);
         let load = Load {
-            busy: Some(report.util),
+            busy: Some(report.utilization),
             waiting: report.queue,
             inflight: None,
         };
@@ -196,7 +198,7 @@
         });
     }
 
-    pub fn down(&mut self, now: Ms, host: &HostId, turn: u64, why: &str, out: &mut Outbox) {
+    pub fn down(&mut self, now: Ms, host: &HostId, turn: DialId, why: &str, out: &mut Outbox) {
         if let Some(h) = self.of(host, turn) {
             lost(now, host, h, why, out);
         }
@@ -213,7 +215,7 @@
                 }
                 State::Live { silent } if now >= silent => {
                     hang(host, h, out);
-                    out.add("node_stalls", 1);
+                    out.count("node_stalls", 1);
                     lost(now, host, h, "no report for too long", out);
                 }
                 _ => {}
@@ -221,20 +223,20 @@
             if let State::Down { until } = h.state
                 && now >= until
             {
-                self.turn += 1;
+                self.turn.0 += 1;
                 (h.turn, h.state) = (
                     self.turn,
                     State::Dialling {
                         by: now + DIAL_WITHIN,
                     },
                 );
-                out.add("node_dials", 1);
+                out.count("node_dials", 1);
                 let (host, address) = (host.clone(), h.address.clone());
-                out.ask(Effect::Dial {
+                out.effect(Effect::OpenReportStream {
                     host,
-                    turn: h.turn,
+                    dial: h.turn,
                     address,
-                    every: self.every,
+                    report_interval: self.every,
                 });
             }
             let (State::Down { until: at }
@@ -248,9 +250,9 @@
 
 fn hang(host: &HostId, h: &Host, out: &mut Outbox) {
     if !matches!(h.state, State::Down { .. }) {
-        out.ask(Effect::Hang {
+        out.effect(Effect::CloseReportStream {
             host: host.clone(),
-            turn: h.turn,
+            dial: h.turn,
         });
     }
 }
@@ -259,8 +261,12 @@
     h.state = State::Down {
         until: now + h.retry.pause(),
     };
-    out.add("node_losses", 1);
-    out.note(Grade::Info, "host reports lost", format!("{host}: {why}"));
+    out.count("node_losses", 1);
+    out.log(
+        Severity::Info,
+        "host reports lost",
+        format!("{host}: {why}"),
+    );
 }
 
 #[cfg(test)]
@@ -279,15 +285,15 @@
         let dialled = std::mem::take(&mut out.effects)
             .into_iter()
             .filter_map(|e| match e {
-                Effect::Dial { host, turn, .. } => Some((host.to_string(), turn)),
+                Effect::OpenReportStream { host, dial, .. } => Some((host.to_string(), dial.0)),
                 _ => None,
             });
         dialled.collect()
     }
 
-    fn report(util: f64) -> NodeReport {
-        NodeReport {
-            util,
+    fn report(util: f64) -> OrcaLoadReport {
+        OrcaLoadReport {
+            utilization: util,
             queue: Some(2.0),
         }
     }
@@ -298,22 +304,22 @@
         nodes.listed(0.0, vec![askable("a", 0.0)], &mut out);
         nodes.advance(0.0, &mut out);
         assert_eq!(dials(&mut out), [("a".into(), 1)]);
-        nodes.up(10.0, &host, 1);
-        nodes.said(1000.0, &host, 1, &report(0.5), &mut out);
+        nodes.up(10.0, &host, DialId(1));
+        nodes.said(1000.0, &host, DialId(1), &report(0.5), &mut out);
         assert_eq!(nodes.load(3000.0, &host).busy, Some(0.5));
         assert_eq!(nodes.load(3600.0, &host).busy, None, "old by now");
         let next = nodes.advance(3600.0, &mut out);
         assert_eq!(next, 5000.0);
         nodes.advance(5000.0, &mut out);
-        assert!(out.effects.contains(&Effect::Hang {
+        assert!(out.effects.contains(&Effect::CloseReportStream {
             host: "a".into(),
-            turn: 1
+            dial: DialId(1)
         }));
         let again = nodes.advance(5000.0, &mut out);
         assert!(again > 5000.0 && again <= 5200.0, "after a pause: {again}");
         nodes.advance(again, &mut out);
         assert_eq!(dials(&mut out), [("a".into(), 2)]);
-        nodes.said(again, &host, 1, &report(0.9), &mut out);
+        nodes.said(again, &host, DialId(1), &report(0.9), &mut out);
         assert_eq!(nodes.load(again, &host).busy, None, "of an earlier stream");
     }
 
@@ -322,17 +328,17 @@
         let (mut nodes, mut out, host) = (Nodes::new(1000.0, 8, 1), Outbox::default(), "a".into());
         nodes.listed(0.0, vec![askable("a", 0.0)], &mut out);
         nodes.advance(0.0, &mut out);
-        nodes.said(100.0, &host, 1, &report(0.5), &mut out);
+        nodes.said(100.0, &host, DialId(1), &report(0.5), &mut out);
         nodes.listed(200.0, vec![askable("a", 150.0)], &mut out);
         assert_eq!(nodes.load(201.0, &host), Load::default());
-        nodes.said(210.0, &host, 1, &report(0.5), &mut out);
+        nodes.said(210.0, &host, DialId(1), &report(0.5), &mut out);
         assert_eq!(
             nodes.load(211.0, &host),
             Load::default(),
             "it lay in the old stream"
         );
         nodes.advance(220.0, &mut out);
-        nodes.said(230.0, &host, 2, &report(0.1), &mut out);
+        nodes.said(230.0, &host, DialId(2), &report(0.1), &mut out);
         assert_eq!(nodes.load(231.0, &host).busy, Some(0.1));
     }
 
@@ -351,9 +357,9 @@
             nodes.said(
                 1.0,
                 &host,
-                1,
-                &NodeReport {
-                    util,
+                DialId(1),
+                &OrcaLoadReport {
+                    utilization: util,
                     queue: Some(queue),
                 },
                 &mut out,
@@ -361,7 +367,7 @@
         }
         assert_eq!(nodes.load(2.0, &host), Load::default());
         assert_eq!(
-            out.counts
+            out.increments
                 .iter()
                 .filter(|c| c.0 == "node_reports_spoilt")
                 .count(),
--- a/crates/director/xds/src/outbox.rs
+++ b/crates/director/xds/src/outbox.rs
@@ -1,54 +1,70 @@
-//! What a step leaves behind: events for the module, effects, notes for the log, counts.
+//! What a step leaves behind: events for the policy, effects, log entries and counters.
 
-use crate::boundary::Effect;
+use crate::interface::Effect;
 use rushcourse_policy::interface::Event;
 
+/// How much a log entry matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Grade {
+pub enum Severity {
+    /// Usual.
     Info,
+    /// Somebody should look at it.
     Warning,
-    Error,
 }
 
-/// A line for the log; those of a kind are limited by whoever writes them.
+/// An entry for the log. Whoever writes it limits the entries of one kind.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Note {
-    pub grade: Grade,
+pub struct LogEntry {
+    /// How much it matters.
+    pub severity: Severity,
+    /// What is limited together; the words that the line begins with.
     pub kind: &'static str,
+    /// The rest of the line.
     pub text: String,
 }
 
+/// What steps have brought about and nobody has taken over yet, in the order in which it happened.
 #[derive(Debug, Default)]
 pub struct Outbox {
+    /// For the policy.
     pub events: Vec<Event>,
+    /// For the sockets.
     pub effects: Vec<Effect>,
-    pub notes: Vec<Note>,
-    /// Names of counts and by how much they rise.
-    pub counts: Vec<(&'static str, u64)>,
-    /// What must hold and did not.
-    pub broken: Vec<&'static str>,
+    /// For the log.
+    pub log_entries: Vec<LogEntry>,
+    /// Names of counters (see `COUNTERS`) and by how much they rise.
+    pub increments: Vec<(&'static str, u64)>,
+    /// Invariants that did not hold.
+    pub violations: Vec<&'static str>,
 }
 
 impl Outbox {
-    pub fn event(&mut self, event: Event) {
+    /// Hands an event to the policy.
+    pub(crate) fn event(&mut self, event: Event) {
         self.events.push(event);
     }
 
-    pub fn ask(&mut self, effect: Effect) {
+    /// Asks for an effect.
+    pub(crate) fn effect(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    pub fn add(&mut self, name: &'static str, n: u64) {
-        self.counts.push((name, n));
+    /// Raises a counter.
+    pub(crate) fn count(&mut self, counter: &'static str, by: u64) {
+        self.increments.push((counter, by));
     }
 
-    pub fn note(&mut self, grade: Grade, kind: &'static str, text: String) {
-        self.notes.push(Note { grade, kind, text });
+    /// Writes an entry to the log.
+    pub(crate) fn log(&mut self, severity: Severity, kind: &'static str, text: String) {
+        self.log_entries.push(LogEntry {
+            severity,
+            kind,
+            text,
+        });
     }
 
-    pub fn must(&mut self, holds: bool, what: &'static str) {
-        if !holds {
-            self.broken.push(what);
-        }
+    /// Reports an invariant that does not hold.
+    pub(crate) fn violated(&mut self, invariant: &'static str) {
+        self.violations.push(invariant);
     }
 }
--- a/crates/director/xds/src/resources.rs
+++ b/crates/director/xds/src/resources.rs
@@ -1,8 +1,8 @@
 //! The tables as they stand for proxies with a channel of their own: a mirror of what the module ordered, and what
 //! of it each proxy is to hold. Orders in, assignments out; nothing is decided here.
 
-use crate::boundary::{Assignment, Endpoint, Locality, Resource};
-use crate::weights::{drop_ppm, scaled};
+use crate::messages::{ClusterLoadAssignment, Endpoint, Locality, Resource};
+use crate::weights::{drop_per_million, scale_weights};
 use rushcourse_director_settings::Names;
 use rushcourse_policy::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -242,7 +242,7 @@
             .filter_map(|(host, w)| placed(host).map(|p| (host, *w, p)))
             .collect();
         self.lost += (t.lines.len() - lines.len()) as u64;
-        let weights = scaled(&lines.iter().map(|l| l.1).collect::<Vec<_>>());
+        let weights = scale_weights(&lines.iter().map(|l| l.1).collect::<Vec<_>>());
         let mut zones: BTreeMap<ZoneId, Vec<Endpoint>> = BTreeMap::new();
         for ((host, _, place), weight) in lines.into_iter().zip(weights) {
             let (host, address) = (host.clone(), place.address.clone());
@@ -255,8 +255,8 @@
             });
         }
         let name = |zone: ZoneId| self.zones.get(zone).cloned().unwrap_or_default();
-        let assignment = Assignment {
-            cluster: self.classes[class].clone(),
+        let assignment = ClusterLoadAssignment {
+            cluster_name: self.classes[class].clone(),
             localities: zones
                 .into_iter()
                 .map(|(zone, endpoints)| Locality {
@@ -264,27 +264,31 @@
                     endpoints,
                 })
                 .collect(),
-            drop_ppm: if self.follows { drop_ppm(level) } else { 0 },
-            again,
+            drop_per_million: if self.follows {
+                drop_per_million(level)
+            } else {
+                0
+            },
+            retry_policy: again,
         };
         Resource {
             version: version(self.epoch, &assignment),
-            table: Arc::new(assignment),
+            assignment: Arc::new(assignment),
         }
     }
 }
 
 /// Versions follow from the content: a proxy that comes back with one holds just that. The epoch keeps those of
 /// other lives of the director apart.
-fn version(epoch: u64, a: &Assignment) -> String {
+fn version(epoch: u64, a: &ClusterLoadAssignment) -> String {
     let mut hash = Xxh3::new();
     let mut word = |bytes: &[u8]| {
         hash.update(&(bytes.len() as u64).to_le_bytes());
         hash.update(bytes);
     };
-    word(a.cluster.as_bytes());
-    word(&a.drop_ppm.to_le_bytes());
-    word(&[a.again as u8]);
+    word(a.cluster_name.as_bytes());
+    word(&a.drop_per_million.to_le_bytes());
+    word(&[a.retry_policy as u8]);
     for locality in &a.localities {
         word(locality.zone.as_bytes());
         for e in &locality.endpoints {
--- a/crates/director/xds/src/streams/arrivals.rs
+++ b/crates/director/xds/src/streams/arrivals.rs
@@ -2,9 +2,10 @@
 
 use super::state::{Open, Streams, Use};
 use crate::ads::Ads;
-use crate::boundary::{Code, Input, Said, Service, Stream, TABLE_TYPE};
+use crate::interface::{ConnectionId, Input, StatusCode, StreamId, StreamKind};
 use crate::members::Who;
-use crate::outbox::Grade;
+use crate::messages::{CLUSTER_LOAD_ASSIGNMENT_TYPE_URL, Request};
+use crate::outbox::Severity;
 use rushcourse_policy::interface::*;
 
 /// Requests a second that a relay is taken to bring where its node says nothing.
@@ -16,14 +17,14 @@
     /// Takes what was read; what comes of it waits in the outbox.
     pub fn step(&mut self, now: Ms, input: Input) {
         match input {
-            Input::Opened {
+            Input::StreamOpened {
                 stream,
                 connection,
-                service,
+                kind,
                 peer,
-            } => self.opened(now, stream, connection, service, peer),
-            Input::Said { stream, said } => self.said(now, stream, said),
-            Input::Taken { stream } => {
+            } => self.opened(now, stream, connection, kind, peer),
+            Input::RequestReceived { stream, request } => self.said(now, stream, request),
+            Input::ResponseAccepted { stream } => {
                 if let Some(Open {
                     is: Use::Tables(_, ads),
                     ..
@@ -33,27 +34,37 @@
                     self.touched.insert(stream);
                 }
             }
-            Input::Closed { stream, why } => {
-                if let Some(open) = self.remove(now, stream).filter(|_| !why.is_empty()) {
-                    self.out.add("streams_broken", 1);
-                    self.out
-                        .note(Grade::Info, "stream ended", format!("{}: {why}", open.peer));
+            Input::StreamClosed { stream, reason } => {
+                if let Some(open) = self.remove(now, stream).filter(|_| !reason.is_empty()) {
+                    self.out.count("streams_broken", 1);
+                    self.out.log(
+                        Severity::Info,
+                        "stream ended",
+                        format!("{}: {reason}", open.peer),
+                    );
                 }
             }
-            Input::HostUp { host, turn } => self.nodes.up(now, &host, turn),
-            Input::HostSaid { host, turn, report } => {
-                self.nodes.said(now, &host, turn, &report, &mut self.out)
+            Input::ReportStreamOpened { host, dial } => self.nodes.up(now, &host, dial),
+            Input::ReportReceived { host, dial, report } => {
+                self.nodes.said(now, &host, dial, &report, &mut self.out)
             }
-            Input::HostDown { host, turn, why } => {
-                self.nodes.down(now, &host, turn, &why, &mut self.out)
+            Input::ReportStreamClosed { host, dial, reason } => {
+                self.nodes.down(now, &host, dial, &reason, &mut self.out)
             }
         }
     }
 
     /// Somebody opened a stream. Where there are too many strangers, who came first of them goes; where there are
     /// too many streams in all, the newcomer does: who is joined is served.
-    fn opened(&mut self, now: Ms, stream: Stream, connection: u64, service: Service, peer: String) {
-        self.out.add("streams_opened", 1);
+    fn opened(
+        &mut self,
+        now: Ms,
+        stream: StreamId,
+        connection: ConnectionId,
+        service: StreamKind,
+        peer: String,
+    ) {
+        self.out.count("streams_opened", 1);
         let is = Use::Stranger;
         self.open.insert(
             stream,
@@ -66,12 +77,12 @@
                 next: u64::MAX,
             },
         );
-        self.schedule(stream, now + self.rules.join_within);
+        self.schedule(stream, now + self.rules.join_timeout);
         if self.closing {
             return self.end(
                 now,
                 stream,
-                Code::Unavailable,
+                StatusCode::Unavailable,
                 "this director is about to end",
             );
         }
@@ -80,70 +91,71 @@
                 .iter()
                 .filter(|(_, o)| matches!(o.is, Use::Stranger))
         };
-        if strangers().count() > self.rules.limits.strangers {
+        if strangers().count() > self.rules.limits.max_unidentified {
             let first = strangers().next().map(|(stream, _)| *stream);
-            self.out.add("streams_crowded", 1);
+            self.out.count("streams_crowded", 1);
             self.end(
                 now,
                 first.unwrap_or(stream),
-                Code::ResourceExhausted,
+                StatusCode::ResourceExhausted,
                 "too many that don't say who they are",
             );
         }
-        if self.open.len() > self.rules.limits.streams {
-            self.out.add("streams_crowded", 1);
-            self.end(now, stream, Code::ResourceExhausted, "too many streams");
+        if self.open.len() > self.rules.limits.max_streams {
+            self.out.count("streams_crowded", 1);
+            self.end(
+                now,
+                stream,
+                StatusCode::ResourceExhausted,
+                "too many streams",
+            );
         }
     }
 
     /// The proxy has joined another way: its stream is not its any more.
-    pub fn lost(&mut self, now: Ms, proxy: ProxyId) {
+    pub fn supersede(&mut self, now: Ms, proxy: ProxyId) {
         if let Some(stream) = self.members.stream(proxy) {
             self.members.ended(now, proxy, stream);
             self.cache.forget(proxy);
-            self.out.add("streams_superseded", 1);
+            self.out.count("streams_superseded", 1);
             self.end(
                 now,
                 stream,
-                Code::Aborted,
+                StatusCode::Aborted,
                 "this relay has joined another way",
             );
         }
     }
 
     /// The director is about to end: all streams go, and none is taken.
-    pub fn close(&mut self, now: Ms) {
+    pub fn shut_down(&mut self, now: Ms) {
         self.closing = true;
         for stream in self.open.keys().copied().collect::<Vec<_>>() {
             self.end(
                 now,
                 stream,
-                Code::Unavailable,
+                StatusCode::Unavailable,
                 "this director is about to end",
             );
         }
     }
 
     /// A stream says something: who it is first, then what its service is for.
-    fn said(&mut self, now: Ms, stream: Stream, said: Said) {
+    fn said(&mut self, now: Ms, stream: StreamId, said: Request) {
         let Some(open) = self.open.get_mut(&stream) else {
             return;
         };
         if matches!(open.is, Use::Stranger) {
-            let node = match &said {
-                Said::Whole(ask) => ask.node.as_ref(),
-                Said::Delta(ask) => ask.node.as_ref(),
-                Said::Load(stats) => stats.node.as_ref(),
-            };
+            let node = said.node();
             let (rate, service) = (node.and_then(|n| n.rate), open.service);
             match self.members.who(node) {
                 Err(refusal) => return self.refuse(now, stream, refusal),
-                Ok(who) if service == Service::Load => self.reports(now, stream, who),
+                Ok(who) if service == StreamKind::LoadReporting => self.reports(now, stream, who),
                 Ok(who) => {
                     let fresh = match &said {
-                        Said::Whole(ask) => ask.version.is_empty(),
-                        Said::Delta(ask) => ask.initial.is_empty(),
-                        Said::Load(_) => true,
+                        Request::Discovery(ask) => ask.version_info.is_empty(),
+                        Request::Delta(ask) => ask.initial_resource_versions.is_empty(),
+                        Request::LoadStats(_) => true,
                     };
                     if !self.join(now, stream, who, rate, fresh) {
                         return;
@@ -156,18 +168,20 @@
             return;
         };
         match (&mut open.is, said) {
-            (Use::Tables(who, ads), Said::Whole(ask)) if open.service == Service::Whole => {
+            (Use::Tables(who, ads), Request::Discovery(ask))
+                if open.service == StreamKind::StateOfTheWorld =>
+            {
                 let who = *who;
-                let came = if ask.type_url == TABLE_TYPE {
+                let came = if ask.type_url == CLUSTER_LOAD_ASSIGNMENT_TYPE_URL {
                     Some(ads.asked(now, &ask))
                 } else {
                     None
                 };
                 self.came(now, stream, who, came);
             }
-            (Use::Tables(who, ads), Said::Delta(ask)) if open.service == Service::Delta => {
+            (Use::Tables(who, ads), Request::Delta(ask)) if open.service == StreamKind::Delta => {
                 let who = *who;
-                let ours = ask.type_url == TABLE_TYPE;
+                let ours = ask.type_url == CLUSTER_LOAD_ASSIGNMENT_TYPE_URL;
                 let came = if ours {
                     Some(ads.delta_asked(now, &ask, &self.cache))
                 } else {
@@ -175,31 +189,39 @@
                 };
                 self.came(now, stream, who, came);
             }
-            (Use::Loads(who, _), Said::Load(stats)) => {
+            (Use::Loads(who, _), Request::LoadStats(stats)) => {
                 let who = *who;
                 self.loads(now, stream, who, &stats);
             }
-            _ => self
-                .out
-                .must(false, "a stream bears messages of its service"),
+            _ => self.out.violated("a stream bears messages of its service"),
         }
     }
 
     /// The stream is a proxy's from now on, if it may be. Answers whether it is.
-    fn join(&mut self, now: Ms, stream: Stream, who: Who, rate: Option<f64>, fresh: bool) -> bool {
+    fn join(
+        &mut self,
+        now: Ms,
+        stream: StreamId,
+        who: Who,
+        rate: Option<f64>,
+        fresh: bool,
+    ) -> bool {
         let (proxy, zone) = (who.proxy, who.zone);
-        let connection = self.open.get(&stream).map_or(0, |o| o.connection);
+        let connection = self
+            .open
+            .get(&stream)
+            .map_or(ConnectionId(0), |o| o.connection);
         match self.members.claim(now, proxy, stream, connection) {
             Err(refusal) => {
                 self.refuse(now, stream, refusal);
                 return false;
             }
             Ok(Some(old)) => {
-                self.out.add("streams_replaced", 1);
+                self.out.count("streams_replaced", 1);
                 self.end(
                     now,
                     old,
-                    Code::Aborted,
+                    StatusCode::Aborted,
                     "its relay has opened a newer stream",
                 );
             }
@@ -219,10 +241,15 @@
         });
         let (cap, over) = (self.settings.update_cap, self.settings.counted_over);
         if let Some(open) = self.open.get_mut(&stream) {
-            let ads = Ads::new(open.service == Service::Whole, self.rules.epoch, cap, over);
+            let ads = Ads::new(
+                open.service == StreamKind::StateOfTheWorld,
+                self.rules.incarnation,
+                cap,
+                over,
+            );
             open.is = Use::Tables(who, Box::new(ads));
-            self.out.note(
-                Grade::Info,
+            self.out.log(
+                Severity::Info,
                 "relay",
                 format!("{} is relay {proxy}", open.peer),
             );
--- a/crates/director/xds/src/streams/deadlines.rs
+++ b/crates/director/xds/src/streams/deadlines.rs
@@ -1,7 +1,7 @@
 //! What is due by time.
 
 use super::state::{Streams, Use, micros};
-use crate::boundary::{Code, Stream};
+use crate::interface::{StatusCode, StreamId};
 use rushcourse_policy::interface::*;
 
 impl Streams {
@@ -32,20 +32,20 @@
     }
 
     /// Does what is due on one stream.
-    fn look(&mut self, now: Ms, stream: Stream) {
+    fn look(&mut self, now: Ms, stream: StreamId) {
         let Some(open) = self.open.get_mut(&stream) else {
             return;
         };
-        let take_within = self.rules.take_within;
+        let take_within = self.rules.accept_timeout;
         match &mut open.is {
             Use::Stranger => {
-                let by = open.since + self.rules.join_within;
+                let by = open.since + self.rules.join_timeout;
                 if now >= by {
-                    self.out.add("streams_silent", 1);
+                    self.out.count("streams_silent", 1);
                     self.end(
                         now,
                         stream,
-                        Code::DeadlineExceeded,
+                        StatusCode::DeadlineExceeded,
                         "it has not said who it is in time",
                     );
                 } else {
@@ -55,11 +55,11 @@
             Use::Tables(who, ads) => {
                 let proxy = who.proxy;
                 if ads.taking().is_some_and(|since| now - since >= take_within) {
-                    self.out.add("streams_untaken", 1);
+                    self.out.count("streams_untaken", 1);
                     return self.end(
                         now,
                         stream,
-                        Code::Unavailable,
+                        StatusCode::Unavailable,
                         "it does not read what it is sent",
                     );
                 }
@@ -73,17 +73,17 @@
             }
             Use::Loads(_, loads) => {
                 if now >= loads.silent_at() {
-                    self.out.add("loads_stalled", 1);
+                    self.out.count("loads_stalled", 1);
                     return self.end(
                         now,
                         stream,
-                        Code::DeadlineExceeded,
+                        StatusCode::DeadlineExceeded,
                         "it has not reported for too long",
                     );
                 }
                 let (events, next) = (loads.released(now), loads.due());
                 if !events.is_empty() {
-                    self.out.add("loads_taken", 1);
+                    self.out.count("loads_taken", 1);
                     self.out.events.extend(events);
                 }
                 self.schedule(stream, next);
--- a/crates/director/xds/src/streams/reports.rs
+++ b/crates/director/xds/src/streams/reports.rs
@@ -1,15 +1,16 @@
 //! Load reports of relays.
 
 use super::state::{Open, Streams, Use, report_interval};
-use crate::boundary::{Code, Effect, LoadStats, Response, Stream};
+use crate::interface::{Effect, StatusCode, StreamId};
 use crate::loads::{self, Loads};
 use crate::members::Who;
-use crate::outbox::Grade;
+use crate::messages::{LoadStatsRequest, LoadStatsResponse, Response};
+use crate::outbox::Severity;
 use rushcourse_policy::interface::*;
 
 impl Streams {
     /// The stream is a proxy's report stream from now on.
-    pub(super) fn reports(&mut self, now: Ms, stream: Stream, who: Who) {
+    pub(super) fn reports(&mut self, now: Ms, stream: StreamId, who: Who) {
         let every = report_interval(&self.settings);
         // A relay reports on one stream: an earlier one is of before.
         let is_old = |o: &Open| matches!(&o.is, Use::Loads(w, _) if w.proxy == who.proxy);
@@ -22,24 +23,26 @@
             self.end(
                 now,
                 old,
-                Code::Aborted,
+                StatusCode::Aborted,
                 "its relay reports on a newer stream",
             )
         });
         if let Some(open) = self.open.get_mut(&stream) {
             open.is = Use::Loads(who, Loads::new(now, every));
-            self.out.ask(Effect::Respond {
+            self.out.effect(Effect::SendResponse {
                 stream,
-                response: Response::Load { interval: every },
+                response: Response::LoadStats(LoadStatsResponse {
+                    load_reporting_interval: every,
+                }),
             });
         }
     }
 
     /// One message with load reports.
-    pub(super) fn loads(&mut self, now: Ms, stream: Stream, who: Who, stats: &LoadStats) {
+    pub(super) fn loads(&mut self, now: Ms, stream: StreamId, who: Who, stats: &LoadStatsRequest) {
         self.members.heard(now, who.proxy);
         // The first message only names the node.
-        if stats.clusters.is_empty() {
+        if stats.cluster_stats.is_empty() {
             return;
         }
         let load_of = |host: &HostId| self.nodes.load(now, host);
@@ -53,7 +56,7 @@
         ) {
             Ok((events, unlisted)) => {
                 if unlisted > 0 {
-                    self.out.add("loads_unlisted", unlisted);
+                    self.out.count("loads_unlisted", unlisted);
                 }
                 if let Some(Open {
                     is: Use::Loads(_, loads),
@@ -61,14 +64,14 @@
                 }) = self.open.get_mut(&stream)
                 {
                     let (events, count) = loads.take(now, events);
-                    count.into_iter().for_each(|name| self.out.add(name, 1));
+                    count.into_iter().for_each(|name| self.out.count(name, 1));
                     self.out.events.extend(events);
                 }
             }
             Err((count, why)) => {
-                self.out.add(count, 1);
-                self.out.note(
-                    Grade::Info,
+                self.out.count(count, 1);
+                self.out.log(
+                    Severity::Info,
                     "load report skipped",
                     format!("relay {}: {why}", who.proxy),
                 );
--- a/crates/director/xds/src/streams/state.rs
+++ b/crates/director/xds/src/streams/state.rs
@@ -1,13 +1,13 @@
 //! The streams that are open, their schedule, and how one ends.
 
 use crate::ads::Ads;
-use crate::boundary::{Code, Effect, Service, Stream};
+use crate::config::StreamConfig;
+use crate::interface::{ConnectionId, Effect, StatusCode, StreamId, StreamKind};
 use crate::loads::Loads;
 use crate::members::{Members, Refusal, Who};
 use crate::nodes::Nodes;
-use crate::outbox::{Grade, Outbox};
+use crate::outbox::{Outbox, Severity};
 use crate::resources::ResourceCache;
-use crate::rules::Rules;
 use rushcourse_director_settings::Names;
 use rushcourse_policy::interface::*;
 use std::collections::{BTreeMap, BTreeSet};
@@ -26,8 +26,8 @@
 /// A stream that is open.
 #[derive(Debug)]
 pub(super) struct Open {
-    pub(super) service: Service,
-    pub(super) connection: u64,
+    pub(super) service: StreamKind,
+    pub(super) connection: ConnectionId,
     pub(super) peer: String,
     pub(super) since: Ms,
     pub(super) is: Use,
@@ -38,15 +38,15 @@
 /// All streams of this director, by their numbers.
 #[derive(Debug)]
 pub struct Streams {
-    pub(super) rules: Rules,
+    pub(super) rules: StreamConfig,
     pub(super) settings: Settings,
     pub(super) cache: ResourceCache,
     pub(super) members: Members,
     pub(super) nodes: Nodes,
-    pub(super) open: BTreeMap<Stream, Open>,
+    pub(super) open: BTreeMap<StreamId, Open>,
     /// Streams that something has touched, and when the others are due, in µs.
-    pub(super) touched: BTreeSet<Stream>,
-    pub(super) due: BTreeSet<(u64, Stream)>,
+    pub(super) touched: BTreeSet<StreamId>,
+    pub(super) due: BTreeSet<(u64, StreamId)>,
     /// No stream is taken any more.
     pub(super) closing: bool,
     pub(super) out: Outbox,
@@ -68,10 +68,10 @@
 
 impl Streams {
     /// No stream yet, under these rules.
-    pub fn new(rules: Rules, settings: &Settings, names: &Names) -> Streams {
+    pub fn new(rules: StreamConfig, settings: &Settings, names: &Names) -> Streams {
         let every = report_interval(settings);
         Streams {
-            cache: ResourceCache::new(settings, names, rules.epoch),
+            cache: ResourceCache::new(settings, names, rules.incarnation),
             members: Members::new(
                 rules.identities.clone(),
                 names.zones.clone(),
@@ -79,12 +79,12 @@
             ),
             nodes: Nodes::new(
                 every,
-                if rules.ask_hosts {
-                    rules.limits.nodes
+                if rules.request_host_reports {
+                    rules.limits.max_report_streams
                 } else {
                     0
                 },
-                rules.epoch,
+                rules.incarnation,
             ),
             settings: settings.clone(),
             rules,
@@ -97,33 +97,29 @@
     }
 
     /// These rules hold from now on. The epoch stays: it is this life's. Who is joined stays, whatever its name.
-    pub fn rules_are(&mut self, rules: Rules) {
+    pub fn set_config(&mut self, rules: StreamConfig) {
         self.members.identities_are(rules.identities.clone());
-        self.nodes.most_is(if rules.ask_hosts {
-            rules.limits.nodes
+        self.nodes.most_is(if rules.request_host_reports {
+            rules.limits.max_report_streams
         } else {
             0
         });
-        self.rules = Rules {
-            epoch: self.rules.epoch,
+        self.rules = StreamConfig {
+            incarnation: self.rules.incarnation,
             ..rules
         };
     }
 
     /// Hands over all that came of the steps so far.
-    pub fn take(&mut self) -> Outbox {
+    pub fn take_outbox(&mut self) -> Outbox {
         std::mem::take(&mut self.out)
     }
 
-    /// Whether a proxy is joined by a stream.
-    pub fn holds(&self, proxy: ProxyId) -> bool {
-        self.members.stream(proxy).is_some()
-    }
-
     /// Current sizes: name, help, value.
     pub fn gauges(&self) -> Vec<(&'static str, &'static str, f64)> {
-        let of =
-            |service: Service| self.open.values().filter(|o| o.service == service).count() as f64;
+        let of = |service: StreamKind| {
+            self.open.values().filter(|o| o.service == service).count() as f64
+        };
         let strangers = self
             .open
             .values()
@@ -141,17 +137,17 @@
             (
                 "streams_whole",
                 "Streams of relays for tables, state of the world.",
-                of(Service::Whole),
+                of(StreamKind::StateOfTheWorld),
             ),
             (
                 "streams_delta",
                 "Streams of relays for tables, incremental.",
-                of(Service::Delta),
+                of(StreamKind::Delta),
             ),
             (
                 "streams_load",
                 "Streams of relays for load reports.",
-                of(Service::Load),
+                of(StreamKind::LoadReporting),
             ),
             (
                 "streams_strange",
@@ -202,7 +198,7 @@
     }
 
     /// Looks at a stream at this time next.
-    pub(super) fn schedule(&mut self, stream: Stream, at: Ms) {
+    pub(super) fn schedule(&mut self, stream: StreamId, at: Ms) {
         let Some(open) = self.open.get_mut(&stream) else {
             return;
         };
@@ -217,7 +213,7 @@
     }
 
     /// Forgets a stream and all that rests on it.
-    pub(super) fn remove(&mut self, now: Ms, stream: Stream) -> Option<Open> {
+    pub(super) fn remove(&mut self, now: Ms, stream: StreamId) -> Option<Open> {
         let open = self.open.remove(&stream)?;
         self.due.remove(&(open.next, stream));
         self.touched.remove(&stream);
@@ -234,26 +230,26 @@
     }
 
     /// Ends a stream with a status.
-    pub(super) fn end(&mut self, now: Ms, stream: Stream, code: Code, why: &str) {
+    pub(super) fn end(&mut self, now: Ms, stream: StreamId, code: StatusCode, why: &str) {
         if let Some(open) = self.remove(now, stream) {
-            self.out.add("streams_ended", 1);
-            self.out.note(
-                Grade::Warning,
+            self.out.count("streams_ended", 1);
+            self.out.log(
+                Severity::Warning,
                 "stream closed",
                 format!("{}: {why}", open.peer),
             );
-            self.out.ask(Effect::End {
+            self.out.effect(Effect::EndStream {
                 stream,
-                code,
-                why: why.into(),
+                status: code,
+                message: why.into(),
             });
         }
     }
 
     /// Ends a stream that may not be served, and counts why.
-    pub(super) fn refuse(&mut self, now: Ms, stream: Stream, refusal: Refusal) {
-        self.out.add("streams_refused", 1);
-        self.out.add(refusal.count, 1);
+    pub(super) fn refuse(&mut self, now: Ms, stream: StreamId, refusal: Refusal) {
+        self.out.count("streams_refused", 1);
+        self.out.count(refusal.count, 1);
         self.end(now, stream, refusal.code, &refusal.why);
     }
 }
--- a/crates/director/xds/src/streams/tables.rs
+++ b/crates/director/xds/src/streams/tables.rs
@@ -2,42 +2,42 @@
 
 use super::state::{Open, Streams, Use};
 use crate::ads::Came;
-use crate::boundary::{Code, Effect, Stream};
+use crate::interface::{Effect, StatusCode, StreamId};
 use crate::members::Who;
 use crate::nodes::Askable;
-use crate::outbox::Grade;
+use crate::outbox::Severity;
 use crate::resources::Place;
 use rushcourse_policy::interface::*;
 
 impl Streams {
     /// Carries out what came of a stream's message or of time.
-    pub(super) fn came(&mut self, now: Ms, stream: Stream, who: Who, came: Option<Came>) {
+    pub(super) fn came(&mut self, now: Ms, stream: StreamId, who: Who, came: Option<Came>) {
         self.members.heard(now, who.proxy);
         match came {
             Some(came) => self.carry(stream, who.proxy, came),
             // Types of resources that are not served here are never answered, as the protocol has it.
-            None => self.out.add("types_unserved", 1),
+            None => self.out.count("types_unserved", 1),
         }
         let many = matches!(self.open.get(&stream), Some(Open { is: Use::Tables(_, ads), .. }) if ads.too_many_names());
         if many {
-            self.out.add("streams_refused", 1);
+            self.out.count("streams_refused", 1);
             self.end(
                 now,
                 stream,
-                Code::ResourceExhausted,
+                StatusCode::ResourceExhausted,
                 "it asks for more names than there may be",
             );
         }
     }
 
     /// Counts, notes, events and the response of one look at a stream.
-    pub(super) fn carry(&mut self, stream: Stream, proxy: ProxyId, came: Came) {
+    pub(super) fn carry(&mut self, stream: StreamId, proxy: ProxyId, came: Came) {
         came.counts
             .into_iter()
-            .for_each(|name| self.out.add(name, 1));
+            .for_each(|name| self.out.count(name, 1));
         if let Some(error) = came.refused {
             let text = format!("relay {proxy} does not take its tables: {error}");
-            self.out.note(Grade::Warning, "tables refused", text);
+            self.out.log(Severity::Warning, "tables refused", text);
         }
         if let Some((mark, took)) = came.proved {
             self.out.event(Event::Applied {
@@ -51,13 +51,13 @@
             self.out.event(Event::Behind { proxy, mark, again });
         }
         if let Some(response) = came.response {
-            self.out.add("tables_sent", 1);
-            self.out.ask(Effect::Respond { stream, response });
+            self.out.count("tables_sent", 1);
+            self.out.effect(Effect::SendResponse { stream, response });
         }
     }
 
     /// What the module ordered, in one reply.
-    pub fn reply(&mut self, now: Ms, actions: &[Action]) {
+    pub fn apply_actions(&mut self, now: Ms, actions: &[Action]) {
         actions.iter().for_each(|action| self.cache.apply(action));
         let mark = actions.iter().rev().find_map(|a| match a {
             Action::Mark { number } => Some(*number),
@@ -80,7 +80,7 @@
     }
 
     /// The hosts as the list has them now, with what the list says of each.
-    pub fn listed<'a>(
+    pub fn update_hosts<'a>(
         &mut self,
         now: Ms,
         hosts: impl Iterator<Item = (&'a Entry, &'a String)> + Clone,
@@ -98,7 +98,7 @@
         for proxy in self.cache.reached() {
             self.touched.extend(self.members.stream(proxy));
         }
-        if self.rules.ask_hosts || self.nodes.count() > 0 {
+        if self.rules.request_host_reports || self.nodes.count() > 0 {
             let ready =
                 hosts.filter(|(e, address)| e.readiness == Readiness::Ready && !address.is_empty());
             let askable = |(e, address): (&Entry, &String)| Askable {
--- a/crates/director/xds/tests/common/mod.rs
+++ b/crates/director/xds/tests/common/mod.rs
@@ -3,13 +3,17 @@
 
 use rushcourse_director_settings::Names;
 use rushcourse_policy::interface::*;
-use rushcourse_xds::*;
+use rushcourse_xds::{
+    CLUSTER_LOAD_ASSIGNMENT_TYPE_URL, ConnectionId, DeltaDiscoveryRequest, DiscoveryRequest, Input,
+    LoadStatsRequest, Node, NodeIdentities, Request, Resource, Response, StatusCode, StreamConfig,
+    StreamId, StreamKind, StreamLimits, Streams,
+};
 
 pub const TABLE: TableId = OWN_TABLES + 1;
-pub const LIMITS: Limits = Limits {
-    streams: 64,
-    strangers: 8,
-    nodes: 16,
+pub const LIMITS: StreamLimits = StreamLimits {
+    max_streams: 64,
+    max_unidentified: 8,
+    max_report_streams: 16,
 };
 
 pub fn settings() -> Settings {
@@ -45,14 +49,14 @@
     }
 }
 
-pub fn rules(epoch: u64) -> Rules {
-    Rules {
-        identities: Identities::default(),
-        epoch,
+pub fn stream_config(incarnation: u64) -> StreamConfig {
+    StreamConfig {
+        identities: NodeIdentities::default(),
+        incarnation,
         limits: LIMITS,
-        join_within: 1200.0,
-        take_within: 10_000.0,
-        ask_hosts: false,
+        join_timeout: 1200.0,
+        accept_timeout: 10_000.0,
+        request_host_reports: false,
     }
 }
 
@@ -61,8 +65,8 @@
     pub now: Ms,
     /// What came of the last step.
     pub events: Vec<Event>,
-    pub responses: Vec<(Stream, Response)>,
-    pub ended: Vec<(Stream, Code)>,
+    pub responses: Vec<(u64, Response)>,
+    pub ended: Vec<(u64, StatusCode)>,
     pub counts: Vec<&'static str>,
     /// The transport takes each response at once.
     pub takes: bool,
@@ -70,12 +74,12 @@
 
 impl Stand {
     pub fn new() -> Stand {
-        Stand::of(rules(7))
+        Stand::of(stream_config(7))
     }
 
-    pub fn of(rules: Rules) -> Stand {
+    pub fn of(config: StreamConfig) -> Stand {
         let mut stand = Stand {
-            streams: Streams::new(rules, &settings(), &names()),
+            streams: Streams::new(config, &settings(), &names()),
             now: 1_000_000.0,
             events: Vec::new(),
             responses: Vec::new(),
@@ -107,7 +111,7 @@
             .map(|(k, (e, _))| (e, format!("127.0.0.9:{}", 7000 + k)))
             .collect();
         self.streams
-            .listed(self.now, entries.iter().map(|(e, a)| (e, a)));
+            .update_hosts(self.now, entries.iter().map(|(e, a)| (e, a)));
         self.settle();
     }
 
@@ -139,19 +143,19 @@
     fn settle(&mut self) {
         loop {
             self.streams.advance(self.now);
-            let out = self.streams.take();
-            assert_eq!(out.broken, Vec::<&str>::new());
+            let out = self.streams.take_outbox();
+            assert_eq!(out.violations, Vec::<&str>::new());
             self.events.extend(out.events);
-            self.counts.extend(out.counts.iter().map(|c| c.0));
+            self.counts.extend(out.increments.iter().map(|c| c.0));
             let mut taken = Vec::new();
             for effect in out.effects {
                 match effect {
-                    rushcourse_xds::Effect::Respond { stream, response } => {
+                    rushcourse_xds::Effect::SendResponse { stream, response } => {
                         taken.push(stream);
-                        self.responses.push((stream, response));
+                        self.responses.push((stream.0, response));
                     }
-                    rushcourse_xds::Effect::End { stream, code, .. } => {
-                        self.ended.push((stream, code))
+                    rushcourse_xds::Effect::EndStream { stream, status, .. } => {
+                        self.ended.push((stream.0, status))
                     }
                     _ => {}
                 }
@@ -159,47 +163,64 @@
             if taken.is_empty() || !self.takes {
                 return;
             }
-            taken
-                .into_iter()
-                .for_each(|stream| self.streams.step(self.now, Input::Taken { stream }));
+            taken.into_iter().for_each(|stream| {
+                self.streams
+                    .step(self.now, Input::ResponseAccepted { stream })
+            });
         }
     }
 
-    pub fn open(&mut self, stream: Stream, connection: u64, service: Service) {
-        self.give(Input::Opened {
-            stream,
-            connection,
-            service,
+    pub fn open(&mut self, stream: u64, connection: u64, kind: StreamKind) {
+        self.give(Input::StreamOpened {
+            stream: StreamId(stream),
+            connection: ConnectionId(connection),
+            kind,
             peer: "127.0.0.1:9".into(),
         });
     }
 
-    pub fn whole(&mut self, stream: Stream, ask: Ask) {
-        let ask = Ask {
-            type_url: TABLE_TYPE.into(),
-            ..ask
+    pub fn discovery(&mut self, stream: u64, request: DiscoveryRequest) {
+        let request = DiscoveryRequest {
+            type_url: CLUSTER_LOAD_ASSIGNMENT_TYPE_URL.into(),
+            ..request
         };
-        self.give(Input::Said {
-            stream,
-            said: Said::Whole(ask),
-        });
+        self.request(stream, Request::Discovery(request));
     }
 
-    pub fn delta(&mut self, stream: Stream, ask: DeltaAsk) {
-        let ask = DeltaAsk {
-            type_url: TABLE_TYPE.into(),
-            ..ask
+    pub fn delta(&mut self, stream: u64, request: DeltaDiscoveryRequest) {
+        let request = DeltaDiscoveryRequest {
+            type_url: CLUSTER_LOAD_ASSIGNMENT_TYPE_URL.into(),
+            ..request
         };
-        self.give(Input::Said {
-            stream,
-            said: Said::Delta(ask),
+        self.request(stream, Request::Delta(request));
+    }
+
+    pub fn request(&mut self, stream: u64, request: Request) {
+        self.give(Input::RequestReceived {
+            stream: StreamId(stream),
+            request,
+        });
+    }
+
+    /// The transport accepts the last response of a stream.
+    pub fn accept(&mut self, stream: u64) {
+        self.give(Input::ResponseAccepted {
+            stream: StreamId(stream),
+        });
+    }
+
+    /// A stream ends.
+    pub fn close(&mut self, stream: u64, reason: &str) {
+        self.give(Input::StreamClosed {
+            stream: StreamId(stream),
+            reason: reason.into(),
         });
     }
 
     /// A relay joins and asks for both classes.
-    pub fn join(&mut self, stream: Stream, proxy: ProxyId, service: Service) {
-        self.open(stream, stream, service);
-        self.first(stream, proxy, service);
+    pub fn join(&mut self, stream: u64, proxy: ProxyId, kind: StreamKind) {
+        self.open(stream, stream, kind);
+        self.first(stream, proxy, kind);
         assert!(
             matches!(self.events[..], [Event::Joined { .. }]),
             "{:?}",
@@ -207,34 +228,31 @@
         );
     }
 
-    pub fn first(&mut self, stream: Stream, proxy: ProxyId, service: Service) {
+    pub fn first(&mut self, stream: u64, proxy: ProxyId, kind: StreamKind) {
         let (node, names) = (Some(node(proxy)), vec!["look".to_string(), "pay".into()]);
-        match service {
-            Service::Whole => self.whole(
+        match kind {
+            StreamKind::StateOfTheWorld => self.discovery(
                 stream,
-                Ask {
+                DiscoveryRequest {
                     node,
-                    names,
-                    ..Ask::default()
+                    resource_names: names,
+                    ..DiscoveryRequest::default()
                 },
             ),
-            Service::Delta => self.delta(
+            StreamKind::Delta => self.delta(
                 stream,
-                DeltaAsk {
+                DeltaDiscoveryRequest {
                     node,
-                    subscribe: names,
-                    ..DeltaAsk::default()
+                    resource_names_subscribe: names,
+                    ..DeltaDiscoveryRequest::default()
                 },
             ),
-            Service::Load => {
-                let stats = LoadStats {
+            StreamKind::LoadReporting => {
+                let stats = LoadStatsRequest {
                     node,
-                    clusters: vec![],
+                    cluster_stats: vec![],
                 };
-                self.give(Input::Said {
-                    stream,
-                    said: Said::Load(stats),
-                });
+                self.request(stream, Request::LoadStats(stats));
             }
         }
     }
@@ -243,7 +261,7 @@
     pub fn reply(&mut self, mark: u16, mut orders: Vec<Action>) {
         (self.events, self.responses, self.ended, self.counts) = Default::default();
         orders.push(Action::Mark { number: mark });
-        self.streams.reply(self.now, &orders);
+        self.streams.apply_actions(self.now, &orders);
         self.settle();
     }
 
@@ -258,25 +276,25 @@
         self.reply(mark, orders);
     }
 
-    pub fn answer(&mut self, stream: Stream, service: Service, nonce: &str, error: Option<&str>) {
+    pub fn answer(&mut self, stream: u64, kind: StreamKind, nonce: &str, error: Option<&str>) {
         let (nonce, error) = (nonce.to_string(), error.map(String::from));
         let names = vec!["look".to_string(), "pay".into()];
-        match service {
-            Service::Delta => self.delta(
+        match kind {
+            StreamKind::Delta => self.delta(
                 stream,
-                DeltaAsk {
-                    nonce,
-                    error,
-                    ..DeltaAsk::default()
+                DeltaDiscoveryRequest {
+                    response_nonce: nonce,
+                    error_detail: error,
+                    ..DeltaDiscoveryRequest::default()
                 },
             ),
-            _ => self.whole(
+            _ => self.discovery(
                 stream,
-                Ask {
-                    nonce,
-                    error,
-                    names,
-                    ..Ask::default()
+                DiscoveryRequest {
+                    response_nonce: nonce,
+                    error_detail: error,
+                    resource_names: names,
+                    ..DiscoveryRequest::default()
                 },
             ),
         }
@@ -322,28 +340,20 @@
 }
 
 pub fn nonce(response: &Response) -> String {
-    match response {
-        Response::Whole { nonce, .. } | Response::Delta { nonce, .. } => nonce.clone(),
-        Response::Load { .. } => String::new(),
-    }
+    response.nonce().map(String::from).unwrap_or_default()
 }
 
 pub fn tables(response: &Response) -> Vec<&Resource> {
-    match response {
-        Response::Whole { resources, .. } | Response::Delta { resources, .. } => {
-            resources.iter().collect()
-        }
-        Response::Load { .. } => Vec::new(),
-    }
+    response.resources().iter().collect()
 }
 
 /// Host, weight, whether it drains, of a response's table for a class.
 pub fn lines(response: &Response, class: &str) -> Vec<(String, u32, bool)> {
     let of = tables(response)
         .into_iter()
-        .filter(|r| r.table.cluster == class);
+        .filter(|r| r.assignment.cluster_name == class);
     let endpoints = of
-        .flat_map(|r| r.table.localities.iter())
+        .flat_map(|r| r.assignment.localities.iter())
         .flat_map(|l| l.endpoints.iter());
     endpoints
         .map(|e| (e.host.to_string(), e.weight, e.draining))
--- a/crates/tools/simulation/src/prove.rs
+++ b/crates/tools/simulation/src/prove.rs
@@ -4,7 +4,7 @@
 use crate::proxy::Table;
 use crate::script::Script;
 use crate::world::{Mode, Outcome, World};
-use rushcourse_xds::SCALE;
+use rushcourse_xds::WEIGHT_SCALE;
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -141,7 +141,7 @@
         let (x_top, y_top) = (top(|l| l.0), top(|l| l.1));
         let apart = z != zone && (x_top - y_top).abs() > 0.3 * x_top.max(y_top);
         let factor = if apart { x_top / y_top } else { 1.0 };
-        let least = 0.05 * SCALE * if apart { x_top / SCALE } else { 1.0 };
+        let least = 0.05 * WEIGHT_SCALE * if apart { x_top / WEIGHT_SCALE } else { 1.0 };
         let close = |(x, y): &(f64, f64)| {
             (x - y * factor).abs() <= 2.0 * least.max(0.1 * x.max(y * factor)) + 1.0
         };
--- a/crates/tools/simulation/src/proxy.rs
+++ b/crates/tools/simulation/src/proxy.rs
@@ -1,6 +1,6 @@
 //! Stand-ins for proxies: what each holds, and when it came to hold it. They follow what they are sent exactly.
 
-use rushcourse_xds::{Assignment, Response, SCALE};
+use rushcourse_xds::{ClusterLoadAssignment, Response, WEIGHT_SCALE};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How a proxy is reached.
@@ -24,38 +24,31 @@
 /// What is kept of a stream's tables.
 #[derive(Clone, Debug, Default)]
 pub struct Streamed {
-    pub tables: BTreeMap<String, Assignment>,
+    pub tables: BTreeMap<String, ClusterLoadAssignment>,
     pub versions: BTreeMap<String, String>,
     pub version: String,
 }
 
 impl Streamed {
     pub fn take(&mut self, response: &Response) {
-        let (resources, version) = match response {
-            Response::Whole {
-                resources, version, ..
-            } => (resources, version),
-            Response::Delta {
-                resources, version, ..
-            } => (resources, version),
-            Response::Load { .. } => return,
+        let Some(version) = response.version() else {
+            return;
         };
-        self.version = version.clone();
-        for r in resources {
-            self.versions
-                .insert(r.table.cluster.clone(), r.version.clone());
-            self.tables
-                .insert(r.table.cluster.clone(), (*r.table).clone());
+        self.version = version.into();
+        for r in response.resources() {
+            let name = &r.assignment.cluster_name;
+            self.versions.insert(name.clone(), r.version.clone());
+            self.tables.insert(name.clone(), (*r.assignment).clone());
         }
     }
 
     /// Goes on with the hosts of before: a proxy that does not follow its tables.
-    pub fn keep(&mut self, before: &BTreeMap<String, Assignment>) {
+    pub fn keep(&mut self, before: &BTreeMap<String, ClusterLoadAssignment>) {
         for (class, old) in before {
             let Some(table) = self.tables.get_mut(class) else {
                 continue;
             };
-            let has = |host: &str, t: &Assignment| {
+            let has = |host: &str, t: &ClusterLoadAssignment| {
                 t.localities
                     .iter()
                     .flat_map(|l| &l.endpoints)
@@ -78,8 +71,8 @@
         let lines = endpoints.map(|e| (e.host.to_string(), e.weight)).collect();
         Some(Table {
             lines,
-            level_ppm: 1_000_000 - a.drop_ppm,
-            again: a.again as u8,
+            level_ppm: 1_000_000 - a.drop_per_million,
+            again: a.retry_policy as u8,
         })
     }
 }
@@ -184,7 +177,7 @@
         let empty = BTreeMap::new();
         let lines = self.tables.get(&table).unwrap_or(&empty);
         let open = lines.iter().filter(|(host, _)| !self.shut.contains(*host));
-        let whole = |w: f64| ((w * SCALE).round() as u32).max(1);
+        let whole = |w: f64| ((w * WEIGHT_SCALE).round() as u32).max(1);
         let (level, again) = self
             .levels
             .get(&(table, class.to_string()))
--- a/crates/tools/simulation/src/world/deliveries.rs
+++ b/crates/tools/simulation/src/world/deliveries.rs
@@ -54,8 +54,11 @@
                 let Some(k) = self.streams.get(&stream).copied() else {
                     return;
                 };
-                let said = self.request(k, nonce, false);
-                self.give(Input::Stream(xds::Input::Said { stream, said }));
+                let request = self.request(k, nonce, false);
+                self.give(Input::Stream(xds::Input::RequestReceived {
+                    stream,
+                    request,
+                }));
             }
             Pending::Reopens(k) => self.reopen(k),
             Pending::Reports(all) => self.collector_reports(&all),
@@ -84,7 +87,7 @@
     }
 
     /// A response reaches its proxy, or waits until it runs again.
-    fn response(&mut self, stream: u64, response: xds::Response) {
+    fn response(&mut self, stream: xds::StreamId, response: xds::Response) {
         let Some(k) = self.streams.get(&stream).copied() else {
             return;
         };
@@ -98,7 +101,7 @@
             proxy.streamed.keep(&before);
         }
         self.table_changed(k);
-        if let xds::Response::Whole { nonce, .. } | xds::Response::Delta { nonce, .. } = response {
+        if let Some(nonce) = response.nonce().map(String::from) {
             self.after(TRANSIT, Pending::Answer { stream, nonce });
         }
     }
--- a/crates/tools/simulation/src/world/effects.rs
+++ b/crates/tools/simulation/src/world/effects.rs
@@ -84,10 +84,10 @@
                 }
             }
             Effect::Wake { at } => self.wake = at,
-            Effect::Stream(xds::Effect::Respond { stream, response }) => {
+            Effect::Stream(xds::Effect::SendResponse { stream, response }) => {
                 self.respond(stream, response, inputs)
             }
-            Effect::Stream(xds::Effect::End { stream, .. }) => {
+            Effect::Stream(xds::Effect::EndStream { stream, .. }) => {
                 // Its relay opens another one a little later.
                 if let Some(k) = self.streams.remove(&stream)
                     && self.proxies[k].joined
@@ -127,11 +127,16 @@
         }
     }
 
-    fn respond(&mut self, stream: u64, mut response: xds::Response, inputs: &mut VecDeque<Input>) {
+    fn respond(
+        &mut self,
+        stream: xds::StreamId,
+        mut response: xds::Response,
+        inputs: &mut VecDeque<Input>,
+    ) {
         let Some(k) = self.streams.get(&stream).copied() else {
             return;
         };
-        if matches!(response, xds::Response::Load { .. }) {
+        if matches!(response, xds::Response::LoadStats(_)) {
             return;
         }
         self.spoil(&mut response);
@@ -151,20 +156,23 @@
                 .waiting
                 .push(Pending::Response { stream, response });
         } else {
-            inputs.extend([Input::Stream(xds::Input::Taken { stream }), Input::Wake]);
+            inputs.extend([
+                Input::Stream(xds::Input::ResponseAccepted { stream }),
+                Input::Wake,
+            ]);
             self.after(TRANSIT, Pending::Response { stream, response });
         }
     }
 
     /// Puts the flaw of this run into a response.
     fn spoil(&self, response: &mut xds::Response) {
-        let (xds::Response::Whole { resources, .. } | xds::Response::Delta { resources, .. }) =
-            response
-        else {
-            return;
+        let resources = match response {
+            xds::Response::Discovery(response) => &mut response.resources,
+            xds::Response::Delta(response) => &mut response.resources,
+            xds::Response::LoadStats(_) => return,
         };
         for r in resources {
-            let mut table = (*r.table).clone();
+            let mut table = (*r.assignment).clone();
             for e in table
                 .localities
                 .iter_mut()
@@ -179,11 +187,11 @@
             match self.flaw {
                 Some(Flaw::EmptiesTables) => table.localities.clear(),
                 Some(Flaw::RepeatsAll) => {
-                    table.again = rushcourse_policy::interface::Again::TwiceAfterAny
+                    table.retry_policy = rushcourse_policy::interface::Again::TwiceAfterAny
                 }
                 _ => {}
             }
-            r.table = table.into();
+            r.assignment = table.into();
         }
     }
 }
--- a/crates/tools/simulation/src/world/events.rs
+++ b/crates/tools/simulation/src/world/events.rs
@@ -51,9 +51,9 @@
         }
         for stream in [self.proxies[k].ads, self.proxies[k].lrs] {
             self.streams.remove(&stream);
-            self.give(Input::Stream(xds::Input::Closed {
+            self.give(Input::Stream(xds::Input::StreamClosed {
                 stream,
-                why: String::new(),
+                reason: String::new(),
             }));
         }
     }
@@ -96,7 +96,7 @@
         }
         if std::mem::take(&mut self.proxies[k].untaken) {
             let stream = self.proxies[k].ads;
-            self.give(Input::Stream(xds::Input::Taken { stream }));
+            self.give(Input::Stream(xds::Input::ResponseAccepted { stream }));
         }
         for pending in std::mem::take(&mut self.proxies[k].waiting) {
             self.after(0.0, pending);
--- a/crates/tools/simulation/src/world/reports.rs
+++ b/crates/tools/simulation/src/world/reports.rs
@@ -74,34 +74,40 @@
     }
 
     fn stream_report(&mut self, k: usize, met: &[Met], usage: &[(u64, u64); 2]) {
-        let host = |m: &Met| xds::HostLoad {
+        let host = |m: &Met| xds::EndpointStats {
             address: setup::address(m.host),
-            issued: m.tries,
-            errors: m.failed,
-            in_progress: 0,
-            metrics: [(
+            issued_requests: m.tries,
+            error_requests: m.failed,
+            requests_in_progress: 0,
+            load_metrics: [(
                 "latency_ms".to_string(),
-                (m.tries - m.failed, m.mean * (m.tries - m.failed) as f64),
+                xds::LoadMetric {
+                    finished_requests: m.tries - m.failed,
+                    total_value: m.mean * (m.tries - m.failed) as f64,
+                },
             )]
             .into(),
         };
-        let cluster = |(c, (n, bad)): (usize, &(u64, u64))| xds::ClusterLoad {
-            cluster: CLASSES[c].into(),
-            interval: Some(WINDOW),
-            successes: n - bad,
-            errors: *bad,
-            hosts: if c == 0 {
+        let cluster = |(c, (n, bad)): (usize, &(u64, u64))| xds::ClusterStats {
+            cluster_name: CLASSES[c].into(),
+            load_report_interval: Some(WINDOW),
+            successful_requests: n - bad,
+            error_requests: *bad,
+            endpoints: if c == 0 {
                 met.iter().map(host).collect()
             } else {
                 Vec::new()
             },
         };
-        let clusters = usage.iter().enumerate().map(cluster).collect();
-        let said = xds::Said::Load(xds::LoadStats {
+        let cluster_stats = usage.iter().enumerate().map(cluster).collect();
+        let request = xds::Request::LoadStats(xds::LoadStatsRequest {
             node: None,
-            clusters,
+            cluster_stats,
         });
         let stream = self.proxies[k].lrs;
-        self.give(Input::Stream(xds::Input::Said { stream, said }));
+        self.give(Input::Stream(xds::Input::RequestReceived {
+            stream,
+            request,
+        }));
     }
 }
--- a/crates/tools/simulation/src/world/setup.rs
+++ b/crates/tools/simulation/src/world/setup.rs
@@ -63,17 +63,17 @@
         },
         bounds: Bounds::of(192.0, 1024),
         relay: true,
-        streams: Some(xds::Rules {
-            identities: xds::Identities::default(),
-            epoch: life,
-            limits: xds::Limits {
-                streams: 64,
-                strangers: 16,
-                nodes: 0,
+        streams: Some(xds::StreamConfig {
+            identities: xds::NodeIdentities::default(),
+            incarnation: life,
+            limits: xds::StreamLimits {
+                max_streams: 64,
+                max_unidentified: 16,
+                max_report_streams: 0,
             },
-            join_within: 1200.0,
-            take_within: 10_000.0,
-            ask_hosts: false,
+            join_timeout: 1200.0,
+            accept_timeout: 10_000.0,
+            request_host_reports: false,
         }),
         known: json!({"revision": 1, "complete": true, "members": members})
             .to_string()
--- a/crates/tools/simulation/src/world/state.rs
+++ b/crates/tools/simulation/src/world/state.rs
@@ -28,11 +28,14 @@
     Applied { proxy: usize, mark: u16 },
     /// A response reaches its proxy.
     Response {
-        stream: u64,
+        stream: xds::StreamId,
         response: xds::Response,
     },
     /// A proxy's answer reaches the director.
-    Answer { stream: u64, nonce: String },
+    Answer {
+        stream: xds::StreamId,
+        nonce: String,
+    },
     /// A proxy opens its streams, or the relay tells that it stands.
     Reopens(usize),
     /// The collector passes reports on.
@@ -46,8 +49,8 @@
     pub(super) stalled: bool,
     pub(super) tables: Option<Rc<Relay>>,
     pub(super) streamed: Streamed,
-    pub(super) ads: u64,
-    pub(super) lrs: u64,
+    pub(super) ads: xds::StreamId,
+    pub(super) lrs: xds::StreamId,
     /// What came while it stalled.
     pub(super) waiting: Vec<Pending>,
     /// A response that the transport has not taken.
@@ -66,7 +69,7 @@
     pub(super) sequence: u64,
     pub(super) proxies: Vec<Proxy>,
     /// By stream: its proxy.
-    pub(super) streams: BTreeMap<u64, usize>,
+    pub(super) streams: BTreeMap<xds::StreamId, usize>,
     pub(super) last_stream: u64,
     pub(super) relay: Relay,
     pub(super) relay_stalls: bool,
--- a/crates/tools/simulation/src/world/streams.rs
+++ b/crates/tools/simulation/src/world/streams.rs
@@ -9,7 +9,7 @@
 
 impl World<'_> {
     /// A request of a proxy's discovery stream.
-    pub(super) fn request(&self, k: usize, nonce: String, first: bool) -> xds::Said {
+    pub(super) fn request(&self, k: usize, nonce: String, first: bool) -> xds::Request {
         let p = &self.script.proxies[k];
         let node = first.then(|| xds::Node {
             id: format!("relay-{}", p.number),
@@ -17,72 +17,74 @@
             rate: Some(p.rate),
         });
         let names: Vec<String> = CLASSES.map(String::from).to_vec();
-        let type_url = xds::TABLE_TYPE.to_string();
+        let type_url = xds::CLUSTER_LOAD_ASSIGNMENT_TYPE_URL.to_string();
         let held = &self.proxies[k].streamed;
         if self.mode.way(k) == Way::Whole {
             let version = held.version.clone();
-            return xds::Said::Whole(xds::Ask {
+            return xds::Request::Discovery(xds::DiscoveryRequest {
                 node,
                 type_url,
-                names,
-                version,
-                nonce,
-                error: None,
+                resource_names: names,
+                version_info: version,
+                response_nonce: nonce,
+                error_detail: None,
             });
         }
-        xds::Said::Delta(xds::DeltaAsk {
+        xds::Request::Delta(xds::DeltaDiscoveryRequest {
             node,
             type_url,
-            subscribe: if first { names } else { Vec::new() },
-            initial: if first {
+            resource_names_subscribe: if first { names } else { Vec::new() },
+            initial_resource_versions: if first {
                 held.versions.clone()
             } else {
                 BTreeMap::new()
             },
-            nonce,
-            ..xds::DeltaAsk::default()
+            response_nonce: nonce,
+            ..xds::DeltaDiscoveryRequest::default()
         })
     }
 
     /// A proxy opens its streams.
     pub(super) fn open(&mut self, k: usize) {
         let way = self.mode.way(k);
-        let service = if way == Way::Whole {
-            xds::Service::Whole
+        let kind = if way == Way::Whole {
+            xds::StreamKind::StateOfTheWorld
         } else {
-            xds::Service::Delta
+            xds::StreamKind::Delta
         };
-        let connection = 1 + k as u64;
+        let connection = xds::ConnectionId(1 + k as u64);
         let old = [self.proxies[k].ads, self.proxies[k].lrs];
         old.iter()
             .for_each(|stream| _ = self.streams.remove(stream));
-        let (ads, lrs) = (self.last_stream + 1, self.last_stream + 2);
+        let (ads, lrs) = (
+            xds::StreamId(self.last_stream + 1),
+            xds::StreamId(self.last_stream + 2),
+        );
         self.last_stream += 2;
         (self.proxies[k].ads, self.proxies[k].lrs) = (ads, lrs);
         self.streams.extend([(ads, k), (lrs, k)]);
-        for (stream, service) in [(ads, service), (lrs, xds::Service::Load)] {
+        for (stream, kind) in [(ads, kind), (lrs, xds::StreamKind::LoadReporting)] {
             let peer = format!("proxy {k}");
-            self.give(Input::Stream(xds::Input::Opened {
+            self.give(Input::Stream(xds::Input::StreamOpened {
                 stream,
                 connection,
-                service,
+                kind,
                 peer,
             }));
         }
         let first = self.request(k, String::new(), true);
-        self.give(Input::Stream(xds::Input::Said {
+        self.give(Input::Stream(xds::Input::RequestReceived {
             stream: ads,
-            said: first,
+            request: first,
         }));
-        let node = match self.request(k, String::new(), true) {
-            xds::Said::Whole(ask) => ask.node,
-            xds::Said::Delta(ask) => ask.node,
-            xds::Said::Load(stats) => stats.node,
-        };
-        let said = xds::Said::Load(xds::LoadStats {
+        let node = self.request(k, String::new(), true).node().cloned();
+        let request = xds::Request::LoadStats(xds::LoadStatsRequest {
             node,
-            clusters: Vec::new(),
+            cluster_stats: Vec::new(),
         });
-        self.give(Input::Stream(xds::Input::Said { stream: lrs, said }));
+        self.give(Input::Stream(xds::Input::RequestReceived {
+            stream: lrs,
+            request,
+        }));
     }
 }
