--- a/crates/gateway/config/src/limits.rs
+++ b/crates/gateway/config/src/limits.rs
@@ -6,7 +6,7 @@
 use facet_value::VObject;
 use std::time::Duration;
 
-/// Limits of a client's connection. Defaults stand in [`read_limits`].
+/// Limits of a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Bytes of a request's head at most.
