--- a/crates/gateway/consensus/src/acceptor.rs
+++ b/crates/gateway/consensus/src/acceptor.rs
@@ -1,8 +1,8 @@
 //! The acceptor: promises and votes of this replica, one record a slot. A promise is answered, and a vote told, only
 //! once the disk holds it.
 
-use crate::context::{Context, Waits};
-use crate::effects::{Op, is_pruned};
+use crate::context::{Context, PendingWrite};
+use crate::durable_state::{PruneBounds, WriteOperation};
 use rushcourse_messages::{
     AcceptorRecord, Ballot, DurableVote, Message, NodeId, Proposal, Slot, SlotRecord,
 };
@@ -39,8 +39,8 @@
 }
 
 impl Acceptor {
-    pub fn new(stored: Vec<(Slot, AcceptorRecord)>) -> Acceptor {
-        let entry = |(slot, record): (Slot, AcceptorRecord)| {
+    pub fn new(stored: Vec<SlotRecord>) -> Acceptor {
+        let entry = |SlotRecord { slot, record }| {
             let cast = record
                 .accepted
                 .as_ref()
@@ -139,14 +139,14 @@
             return;
         }
         record.promised = ballot;
-        let op = Op::Record {
+        let op = WriteOperation::StoreRecord(SlotRecord {
             slot,
             record: record.clone(),
-        };
+        });
         context.write(
             vec![op],
-            Waits::Promise {
-                to: from,
+            PendingWrite::Promise {
+                proposer: from,
                 slot,
                 ballot,
             },
@@ -220,11 +220,11 @@
         }
         record.accepted = Some(proposal);
         record.is_vote = votes;
-        let op = Op::Record {
+        let op = WriteOperation::StoreRecord(SlotRecord {
             slot,
             record: record.clone(),
-        };
-        context.write(vec![op], Waits::Accepted { slot, ballot });
+        });
+        context.write(vec![op], PendingWrite::Accepted { slot, ballot });
     }
 
     /// The disk holds an accepted proposal. Whether a vote became durable by it.
@@ -258,13 +258,13 @@
             let Some(accepted) = &entry.record.accepted else {
                 continue;
             };
-            let op = Op::Record {
+            let op = WriteOperation::StoreRecord(SlotRecord {
                 slot: *slot,
                 record: entry.record.clone(),
-            };
+            });
             context.write(
                 vec![op],
-                Waits::Accepted {
+                PendingWrite::Accepted {
                     slot: *slot,
                     ballot: accepted.ballot,
                 },
@@ -273,7 +273,7 @@
     }
 
     /// Takes in what a voter holds: promises and proposals, the higher of both. None of it is a vote yet.
-    pub fn merge(&mut self, told: &[SlotRecord]) -> Vec<Op> {
+    pub fn merge(&mut self, told: &[SlotRecord]) -> Vec<WriteOperation> {
         let mut ops = Vec::new();
         for SlotRecord {
             slot,
@@ -287,16 +287,16 @@
                 record.accepted = theirs.accepted.clone();
                 record.is_vote = false;
             }
-            ops.push(Op::Record {
+            ops.push(WriteOperation::StoreRecord(SlotRecord {
                 slot: *slot,
                 record: record.clone(),
-            });
+            }));
         }
         ops
     }
 
     /// This replica is to vote from now on: what it accepted counts where no higher ballot was promised.
-    pub fn begin_to_count(&mut self) -> Vec<Op> {
+    pub fn begin_to_count(&mut self) -> Vec<WriteOperation> {
         let mut ops = Vec::new();
         for (slot, entry) in &mut self.entries {
             let record = &mut entry.record;
@@ -304,10 +304,10 @@
                 .accepted
                 .as_ref()
                 .is_some_and(|a| a.ballot >= record.promised);
-            ops.push(Op::Record {
+            ops.push(WriteOperation::StoreRecord(SlotRecord {
                 slot: *slot,
                 record: record.clone(),
-            });
+            }));
         }
         ops
     }
@@ -328,22 +328,13 @@
     }
 
     /// Forgets slots that are settled.
-    pub fn prune(
-        &mut self,
-        context: &mut Context,
-        versions_below: ConfigurationVersion,
-        sets_through: Epoch,
-    ) {
+    pub fn prune(&mut self, context: &mut Context, bounds: PruneBounds) {
         let before = self.entries.len();
-        self.entries
-            .retain(|slot, _| !is_pruned(*slot, versions_below, sets_through));
+        self.entries.retain(|slot, _| !bounds.contains(*slot));
         if self.entries.len() < before {
             context.write(
-                vec![Op::Prune {
-                    versions_below,
-                    sets_through,
-                }],
-                Waits::Nothing,
+                vec![WriteOperation::PruneRecords(bounds)],
+                PendingWrite::Untracked,
             );
         }
     }
--- /dev/null
+++ b/crates/gateway/consensus/src/claims.rs
@@ -0,0 +1,391 @@
+//! Claims of operation keys. A voter grants a key to the first claim and to no other until the window is over, or until
+//! that claimant itself says that nothing was sent. It answers only once its disk holds the claim. A claim that a
+//! majority granted is the only one that can be: two majorities share a voter, also where a voting set follows another
+//! (`membership/mod.rs` states why).
+//!
+//! How long a claim is kept is measured by the steady clock alone. The time of day may step, and no clock tells how long
+//! a machine was off: claims that the disk held count as new at the start.
+
+use crate::context::{Context, PendingWrite};
+use crate::durable_state::{StoredClaim, WriteOperation};
+use crate::effect::{ClaimAnswer, Effect};
+use crate::input::ClaimRequest;
+use rushcourse_messages::{ClaimRecord, ClaimVerdict};
+use rushcourse_types::{ClaimId, Epoch, KeyDigest, Millis, SessionId, Timestamp, WallTime};
+use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
+
+/// How much longer than the window a claim is kept: a request is sent a while after its key was claimed (ours).
+const EXTRA_RETENTION: Duration = Duration::from_millis(10_000);
+/// Claims that a voter holds at most: some 100 bytes each, 20 MB in all (ours). Beyond, it grants no new key until old
+/// claims expire.
+const MAX_CLAIMS: usize = 200_000;
+/// Claims that expire in one tick at most, so that no tick is long (ours).
+const MAX_EXPIRED_PER_TICK: usize = 2_000;
+/// Claims whose order of coming is remembered, for snapshots that go on where the last one ended (ours: some seconds'
+/// worth at 2,000 a second).
+const MAX_RECENT_CLAIMS: usize = 8_192;
+
+/// A claim that holds its key at this replica.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct HeldClaim {
+    /// Who holds the key.
+    pub id: ClaimId,
+    /// Since when, by this machine's time of day. Shown to people; nothing is decided by it.
+    pub claimed_at: WallTime,
+    /// Whether the disk has it.
+    pub is_durable: bool,
+}
+
+/// Who asked for a grant, and under which voting set.
+#[derive(Clone, Copy, Debug)]
+struct Requester {
+    session: SessionId,
+    epoch: Epoch,
+}
+
+#[derive(Clone, Copy, Debug)]
+struct Entry {
+    id: ClaimId,
+    claimed_at: WallTime,
+    expires_at: Timestamp,
+    is_durable: bool,
+    /// Who is answered once the disk holds the claim.
+    requester: Option<Requester>,
+}
+
+/// When the claim of a key expires. Stale where a newer claim of the key expires later.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Expiry {
+    at: Timestamp,
+    key: KeyDigest,
+}
+
+/// The last keys in the order in which their claims came.
+#[derive(Clone, Debug, Default)]
+struct RecentKeys {
+    keys: VecDeque<KeyDigest>,
+    /// The position of the first of them, counted from this replica's start.
+    first_position: u64,
+}
+
+impl RecentKeys {
+    fn push(&mut self, key: KeyDigest) {
+        self.keys.push_back(key);
+        if self.keys.len() > MAX_RECENT_CLAIMS {
+            self.keys.pop_front();
+            self.first_position += 1;
+        }
+    }
+
+    /// The position behind the last key.
+    fn end(&self) -> u64 {
+        self.first_position + self.keys.len() as u64
+    }
+
+    /// The keys from a position on; `None` if that is no longer known.
+    fn since(&self, position: u64) -> Option<impl Iterator<Item = &KeyDigest>> {
+        let is_known = (self.first_position..=self.end()).contains(&position);
+        is_known.then(|| {
+            self.keys
+                .iter()
+                .skip((position - self.first_position) as usize)
+        })
+    }
+}
+
+/// The claims that one voter holds.
+#[derive(Clone, Debug)]
+pub(crate) struct ClaimRegistry {
+    /// How long a claim is kept.
+    retention: Duration,
+    claims: BTreeMap<KeyDigest, Entry>,
+    /// In the order in which they fall due.
+    expiries: VecDeque<Expiry>,
+    recent: RecentKeys,
+}
+
+impl ClaimRegistry {
+    /// The claims of the state file, for keys that bind as long as `key_window`.
+    pub(crate) fn new(key_window: Duration, mut stored: Vec<StoredClaim>) -> ClaimRegistry {
+        stored.sort_by_key(|claim| claim.claimed_at);
+        let expiry = |claim: &StoredClaim| Expiry {
+            at: Timestamp::ZERO,
+            key: claim.key,
+        };
+        let entry = |claim: &StoredClaim| Entry {
+            id: claim.id,
+            claimed_at: claim.claimed_at,
+            expires_at: Timestamp::ZERO,
+            is_durable: true,
+            requester: None,
+        };
+        ClaimRegistry {
+            retention: key_window + EXTRA_RETENTION,
+            claims: stored
+                .iter()
+                .map(|claim| (claim.key, entry(claim)))
+                .collect(),
+            expiries: stored.iter().map(expiry).collect(),
+            recent: RecentKeys::default(),
+        }
+    }
+
+    /// The first step of this incarnation: what the disk held counts as new.
+    pub(crate) fn start(&mut self, now: Timestamp) {
+        let expires_at = now + self.retention;
+        for entry in self.claims.values_mut() {
+            entry.expires_at = expires_at;
+        }
+        for expiry in &mut self.expiries {
+            expiry.at = expires_at;
+        }
+    }
+
+    /// Who holds a key here.
+    pub(crate) fn holder(&self, key: KeyDigest) -> Option<HeldClaim> {
+        let entry = self.claims.get(&key)?;
+        Some(HeldClaim {
+            id: entry.id,
+            claimed_at: entry.claimed_at,
+            is_durable: entry.is_durable,
+        })
+    }
+
+    pub(crate) fn len(&self) -> usize {
+        self.claims.len()
+    }
+
+    fn insert(&mut self, key: KeyDigest, entry: Entry) {
+        self.claims.insert(key, entry);
+        self.recent.push(key);
+        self.expiries.push_back(Expiry {
+            at: entry.expires_at,
+            key,
+        });
+    }
+
+    /// Answers a claim, or takes it in and answers once it is durable. `is_voter`: this replica votes in the set that
+    /// the claim names.
+    pub(crate) fn claim(&mut self, context: &mut Context, is_voter: bool, request: ClaimRequest) {
+        let is_full = self.claims.len() >= MAX_CLAIMS;
+        let entry = self.claims.get_mut(&request.key);
+        let verdict = match entry {
+            _ if !is_voter => ClaimVerdict::Abstained,
+            Some(entry) if entry.id != request.claim => ClaimVerdict::HeldBy(entry.id),
+            Some(entry) if entry.is_durable => ClaimVerdict::Granted,
+            // The same claim again while it is being written: it is answered when that is done.
+            Some(entry) => {
+                entry.requester = Some(Requester::of(&request));
+                return;
+            }
+            None if is_full => ClaimVerdict::Abstained,
+            None => return self.write_claim(context, request),
+        };
+        answer(context, request, verdict);
+    }
+
+    fn write_claim(&mut self, context: &mut Context, request: ClaimRequest) {
+        let entry = Entry {
+            id: request.claim,
+            claimed_at: context.wall,
+            expires_at: context.now + self.retention,
+            is_durable: false,
+            requester: Some(Requester::of(&request)),
+        };
+        self.insert(request.key, entry);
+        let stored = StoredClaim {
+            key: request.key,
+            id: request.claim,
+            claimed_at: context.wall,
+        };
+        context.write(
+            vec![WriteOperation::StoreClaim(stored)],
+            PendingWrite::Claim {
+                key: request.key,
+                claim: request.claim,
+            },
+        );
+    }
+
+    /// The disk holds a claim: its answer goes out. It is a grant if this replica still votes in the set that the claim
+    /// was asked for under; `voting_epoch` is the set that it votes in.
+    pub(crate) fn claim_synced(
+        &mut self,
+        context: &mut Context,
+        voting_epoch: Option<Epoch>,
+        key: KeyDigest,
+        claim: ClaimId,
+    ) {
+        let Some(entry) = self.claims.get_mut(&key).filter(|entry| entry.id == claim) else {
+            return;
+        };
+        entry.is_durable = true;
+        if let Some(requester) = entry.requester.take() {
+            let verdict = if voting_epoch == Some(requester.epoch) {
+                ClaimVerdict::Granted
+            } else {
+                ClaimVerdict::Abstained
+            };
+            answer(context, requester.request(key, claim), verdict);
+        }
+    }
+
+    /// The disk refused a claim: no grant was given, and none will be for it.
+    pub(crate) fn claim_refused(&mut self, context: &mut Context, key: KeyDigest, claim: ClaimId) {
+        let is_refused = |entry: &&Entry| entry.id == claim && !entry.is_durable;
+        let Some(entry) = self.claims.get(&key).filter(is_refused) else {
+            return;
+        };
+        if let Some(requester) = entry.requester {
+            answer(
+                context,
+                requester.request(key, claim),
+                ClaimVerdict::Abstained,
+            );
+        }
+        self.claims.remove(&key);
+    }
+
+    /// The claimant sent nothing under its claim. The record on disk may go later: a claim that comes back after a loss
+    /// of power blocks its key for a window, and breaks nothing.
+    pub(crate) fn withdraw(&mut self, context: &mut Context, key: KeyDigest, claim: ClaimId) {
+        if self.claims.get(&key).is_some_and(|entry| entry.id == claim) {
+            self.claims.remove(&key);
+            context.write(
+                vec![WriteOperation::RemoveClaim(key)],
+                PendingWrite::Untracked,
+            );
+        }
+    }
+
+    /// The position behind the last claim that came: the next snapshot for the same receiver begins there.
+    pub(crate) fn position(&self) -> u64 {
+        self.recent.end()
+    }
+
+    /// All claims, or those that came from a position on, where that is still known.
+    pub(crate) fn snapshot(&self, now: Timestamp, from: Option<u64>) -> Vec<ClaimRecord> {
+        let record = |key: &KeyDigest, entry: &Entry| {
+            let remaining = entry.expires_at.since(now);
+            ClaimRecord {
+                key: *key,
+                claim: entry.id,
+                age: Millis::from(self.retention.saturating_sub(remaining)),
+            }
+        };
+        match from.and_then(|position| self.recent.since(position)) {
+            Some(keys) => keys
+                .filter_map(|key| Some(record(key, self.claims.get(key)?)))
+                .collect(),
+            None => self
+                .claims
+                .iter()
+                .map(|(key, entry)| record(key, entry))
+                .collect(),
+        }
+    }
+
+    /// Takes in what another voter holds, and gives back what is to be written; what is here already stays. The claims
+    /// are durable once [`ClaimRegistry::install_synced`] says so.
+    pub(crate) fn install(
+        &mut self,
+        context: &Context,
+        records: &[ClaimRecord],
+    ) -> Vec<WriteOperation> {
+        let mut operations = Vec::new();
+        for record in records {
+            if self.claims.contains_key(&record.key) {
+                continue;
+            }
+            let age = Duration::from(record.age);
+            let entry = Entry {
+                id: record.claim,
+                claimed_at: context.wall.saturating_sub(age),
+                expires_at: context.now + self.retention.saturating_sub(age),
+                is_durable: false,
+                requester: None,
+            };
+            self.insert(record.key, entry);
+            operations.push(WriteOperation::StoreClaim(StoredClaim {
+                key: record.key,
+                id: entry.id,
+                claimed_at: entry.claimed_at,
+            }));
+        }
+        self.expiries.make_contiguous().sort_unstable();
+        operations
+    }
+
+    /// The disk holds the installed claims of these keys.
+    pub(crate) fn install_synced(&mut self, keys: &[KeyDigest]) {
+        for key in keys {
+            if let Some(entry) = self.claims.get_mut(key) {
+                entry.is_durable = true;
+            }
+        }
+    }
+
+    /// The disk refused the installed claims of these keys: they are asked for again.
+    pub(crate) fn install_refused(&mut self, keys: &[KeyDigest]) {
+        for key in keys {
+            if self.claims.get(key).is_some_and(|entry| !entry.is_durable) {
+                self.claims.remove(key);
+            }
+        }
+    }
+
+    /// Forgets claims that have expired, some of them in each tick.
+    pub(crate) fn tick(&mut self, context: &mut Context) {
+        let mut operations = Vec::new();
+        for _ in 0..MAX_EXPIRED_PER_TICK {
+            let is_due = |expiry: &Expiry| context.now >= expiry.at;
+            let Some(expiry) = self.expiries.front().copied().filter(is_due) else {
+                break;
+            };
+            self.expiries.pop_front();
+            let is_current = |entry: &Entry| entry.expires_at == expiry.at;
+            if self.claims.get(&expiry.key).is_some_and(is_current) {
+                self.claims.remove(&expiry.key);
+                operations.push(WriteOperation::RemoveClaim(expiry.key));
+            }
+        }
+        if !operations.is_empty() {
+            context.write(operations, PendingWrite::Untracked);
+        }
+    }
+}
+
+impl Requester {
+    fn of(request: &ClaimRequest) -> Requester {
+        Requester {
+            session: request.session,
+            epoch: request.epoch,
+        }
+    }
+
+    fn request(self, key: KeyDigest, claim: ClaimId) -> ClaimRequest {
+        ClaimRequest {
+            session: self.session,
+            epoch: self.epoch,
+            key,
+            claim,
+        }
+    }
+}
+
+fn answer(context: &mut Context, request: ClaimRequest, verdict: ClaimVerdict) {
+    let ClaimRequest {
+        session,
+        epoch,
+        key,
+        claim,
+    } = request;
+    context.push(Effect::AnswerClaim(ClaimAnswer {
+        session,
+        epoch,
+        key,
+        claim,
+        verdict,
+    }));
+}
--- a/crates/gateway/consensus/src/versions.rs
+++ b/crates/gateway/consensus/src/configuration.rs
@@ -8,7 +8,9 @@
 use crate::acceptor::Acceptor;
 use crate::agreement::Agreement;
 use crate::context::Context;
-use crate::effects::{Effect, Outcome};
+use crate::durable_state::PruneBounds;
+use crate::effect::{CommittedConfiguration, Effect, Outcome};
+use crate::log_event::LogEvent;
 use crate::proposer::Intent;
 use crate::replicas::{HeldState, Told};
 use rushcourse_messages::{Ballot, Message, NodeId, Proposal, Slot};
@@ -81,10 +83,12 @@
         self.in_force.0
     }
 
-    pub fn in_force(&self, acceptor: &Acceptor) -> Option<(ConfigurationVersion, Arc<[u8]>)> {
+    pub fn in_force(&self, acceptor: &Acceptor) -> Option<CommittedConfiguration> {
         let accepted = acceptor.accepted(Slot::Configuration(self.in_force))?;
-        (self.in_force > ConfigurationVersion::NONE)
-            .then(|| (self.in_force, accepted.value.clone()))
+        (self.in_force > ConfigurationVersion::NONE).then(|| CommittedConfiguration {
+            version: self.in_force,
+            text: accepted.value.clone(),
+        })
     }
 
     /// The highest version that is accepted here or in force.
@@ -102,7 +106,7 @@
     /// Tells one replica what this one holds.
     pub fn tell(&self, context: &mut Context, to: NodeId, agreement: &Agreement) {
         let held = HeldState {
-            stamp: context.now.max(1),
+            stamp: context.now.as_millis().max(1),
             echo: agreement.replicas.stamp(to),
             set: agreement.membership.set().epoch,
             votes: agreement.membership.votes(),
@@ -114,7 +118,7 @@
 
     /// Tells all replicas what this one holds.
     pub fn announce(&mut self, context: &mut Context, agreement: &Agreement) {
-        self.told_at = context.now;
+        self.told_at = context.now.as_millis();
         for peer in agreement.membership.peers() {
             self.tell(context, peer, agreement);
         }
@@ -131,15 +135,15 @@
         let membership = &agreement.membership;
         if version > self.in_force && membership.set().epoch > Epoch(0) && !membership.in_company()
         {
-            return context.out.push(Effect::Answer {
+            return context.push(Effect::Answer {
                 ticket,
-                outcome: Outcome::Unclear,
+                outcome: Outcome::Unknown,
             });
         }
         let put = Put {
             version,
             text,
-            until: context.now + CALL_WAIT,
+            until: context.now.as_millis() + CALL_WAIT,
         };
         self.propose(context, &put, agreement);
         self.puts.insert(ticket.0, put);
@@ -165,26 +169,26 @@
     pub fn get(&mut self, context: &mut Context, ticket: Ticket, agreement: &Agreement) {
         let membership = &agreement.membership;
         if !membership.in_company() {
-            return context.out.push(Effect::Answer {
+            return context.push(Effect::Answer {
                 ticket,
-                outcome: Outcome::Unclear,
+                outcome: Outcome::Unknown,
             });
         }
         self.next_token = self.next_token.next();
         let token = self.next_token;
-        let told = BTreeSet::from_iter(membership.votes().then_some(context.me));
+        let told = BTreeSet::from_iter(membership.votes().then_some(context.node));
         let highest = self.highest(&agreement.acceptor);
         self.gets.insert(
             ticket.0,
             Reading {
                 token,
-                until: context.now + CALL_WAIT,
+                until: context.now.as_millis() + CALL_WAIT,
                 told,
                 highest: ConfigurationVersion(highest),
             },
         );
         let set = membership.set().epoch;
-        let me = context.me;
+        let me = context.node;
         for member in membership
             .reached_members()
             .into_iter()
@@ -223,7 +227,13 @@
         let chosen = |(version, accepted): &(ConfigurationVersion, &Proposal)| {
             let slot = Slot::Configuration(*version);
             let own = membership.votes() && agreement.acceptor.cast(slot) == Some(accepted.ballot);
-            replicas.chosen(context.now, membership.set(), slot, accepted.ballot, own)
+            replicas.chosen(
+                context.now.as_millis(),
+                membership.set(),
+                slot,
+                accepted.ballot,
+                own,
+            )
         };
         let found = agreement
             .acceptor
@@ -237,12 +247,21 @@
         self.in_force = version;
         self.open = None;
         agreement.proposer.settled(version);
-        agreement.acceptor.prune(context, version, Epoch(0));
-        context.say(format!(
-            "event=in_force version={version} set={}",
-            membership.set().epoch
-        ));
-        context.out.push(Effect::InForce { version, text });
+        agreement.acceptor.prune(
+            context,
+            PruneBounds {
+                versions_below: version,
+                epochs_through: Epoch::NONE,
+            },
+        );
+        context.log(LogEvent::ConfigurationCommitted {
+            version,
+            epoch: membership.set().epoch,
+        });
+        context.push(Effect::ConfigurationCommitted(CommittedConfiguration {
+            version,
+            text,
+        }));
         self.announce(context, agreement);
     }
 
@@ -251,13 +270,15 @@
             .acceptor
             .accepted(Slot::Configuration(self.in_force))
             .map(|a| a.value.clone());
-        let (in_force, now) = (self.in_force, context.now);
+        let (in_force, now) = (self.in_force, context.now.as_millis());
         let outcome = |put: &Put| {
             if put.version <= in_force {
                 let another = put.version == in_force && text.as_ref() != Some(&put.text);
-                return Some(Outcome::Acknowledged { another });
+                return Some(Outcome::Acknowledged {
+                    is_other_text: another,
+                });
             }
-            (now >= put.until).then_some(Outcome::Unclear)
+            (now >= put.until).then_some(Outcome::Unknown)
         };
         let ended: Vec<(u64, Outcome)> = self
             .puts
@@ -266,7 +287,7 @@
             .collect();
         for (ticket, outcome) in ended {
             self.puts.remove(&ticket);
-            context.out.push(Effect::Answer {
+            context.push(Effect::Answer {
                 ticket: Ticket(ticket),
                 outcome,
             });
@@ -283,10 +304,10 @@
                 .count();
             if set.epoch > Epoch(0) && told >= set.majority() && self.in_force >= reading.highest {
                 let whole = self.in_force(&agreement.acceptor);
-                let whole = whole.map(|(version, text)| Outcome::Whole { version, text });
-                return Some(whole.unwrap_or(Outcome::Nothing));
+                let whole = whole.map(Outcome::Configuration);
+                return Some(whole.unwrap_or(Outcome::NoConfiguration));
             }
-            (context.now >= reading.until).then_some(Outcome::Unclear)
+            (context.now.as_millis() >= reading.until).then_some(Outcome::Unknown)
         };
         let ended: Vec<(u64, Outcome)> = self
             .gets
@@ -295,7 +316,7 @@
             .collect();
         for (ticket, outcome) in ended {
             self.gets.remove(&ticket);
-            context.out.push(Effect::Answer {
+            context.push(Effect::Answer {
                 ticket: Ticket(ticket),
                 outcome,
             });
@@ -316,7 +337,7 @@
 
     pub fn tick(&mut self, context: &mut Context, agreement: &mut Agreement) {
         agreement.acceptor.write_again(context);
-        if context.now >= self.told_at + TELL_EVERY {
+        if context.now.as_millis() >= self.told_at + TELL_EVERY {
             self.announce(context, agreement);
         }
         self.settle_open(context, agreement);
@@ -335,13 +356,16 @@
             _ => Open {
                 version,
                 ballot: accepted.ballot,
-                since: context.now,
+                since: context.now.as_millis(),
             },
         };
         self.open = Some(open);
         let due = open.since + SETTLE_AFTER + agreement.membership.rank() * SETTLE_RANK;
-        if context.now >= due && agreement.membership.votes() && agreement.membership.in_company() {
-            let until = context.now + SETTLE_WAIT;
+        if context.now.as_millis() >= due
+            && agreement.membership.votes()
+            && agreement.membership.in_company()
+        {
+            let until = context.now.as_millis() + SETTLE_WAIT;
             let slot = Slot::Configuration(version);
             let intent = Intent {
                 slot,
@@ -383,23 +407,23 @@
             .all()
             .filter(|t| t.1.in_force >= self.in_force)
             .map(|t| t.0);
-        let first = others.min().is_none_or(|other| context.me < other);
+        let first = others.min().is_none_or(|other| context.node < other);
         for node in behind {
             let fresh = Behind {
                 version: self.in_force,
-                since: context.now,
+                since: context.now.as_millis(),
                 pushed_at: None,
             };
             let state = self.behind.entry(node).or_insert(fresh);
             if state.version != self.in_force {
                 *state = fresh;
             }
-            let mine = first || context.now >= state.since + PUSH_BY_ANY;
+            let mine = first || context.now.as_millis() >= state.since + PUSH_BY_ANY;
             let due = state
                 .pushed_at
-                .is_none_or(|at| context.now >= at + PUSH_EVERY);
+                .is_none_or(|at| context.now.as_millis() >= at + PUSH_EVERY);
             if mine && due {
-                state.pushed_at = Some(context.now);
+                state.pushed_at = Some(context.now.as_millis());
                 let set = agreement.membership.set().epoch;
                 context.send(
                     node,
--- a/crates/gateway/consensus/src/context.rs
+++ b/crates/gateway/consensus/src/context.rs
@@ -1,88 +1,105 @@
-//! What the parts of a step share: the time, what is to be written and sent, and what waits for the disk.
+//! What the parts of a step share: the time, the effects of the step, and what waits for the disk.
 
-use crate::effects::{Effect, Op};
-use rushcourse_messages::{Ballot, ClaimId, Message, NodeId, Slot, VotingSet};
-use rushcourse_types::KeyDigest;
+use crate::durable_state::{BatchId, WriteBatch, WriteOperation};
+use crate::effect::Effect;
+use crate::log_event::LogEvent;
+use rushcourse_messages::{Ballot, Message, Slot, VotingSet};
+use rushcourse_types::{ClaimId, Epoch, KeyDigest, NodeId, Timestamp, WallTime};
 use std::collections::{BTreeMap, VecDeque};
 
 /// What waits for a batch to be synced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Waits {
-    Set(VotingSet),
+pub(crate) enum PendingWrite {
+    /// A voting set that this replica is to count in.
+    VotingSet(VotingSet),
     /// A promise, and the proposer that it is for.
     Promise {
-        to: NodeId,
+        proposer: NodeId,
         slot: Slot,
         ballot: Ballot,
     },
     /// An accepted proposal.
-    Accepted {
-        slot: Slot,
-        ballot: Ballot,
-    },
-    Claim {
-        key: KeyDigest,
-        claim: ClaimId,
-    },
-    /// Claims that a voter taught; `complete`: the number of the set whose voters have taught enough by it.
-    Taught {
+    Accepted { slot: Slot, ballot: Ballot },
+    /// A claim that a gateway made.
+    Claim { key: KeyDigest, claim: ClaimId },
+    /// A part of a voter's snapshot.
+    Snapshot {
+        /// Keys of the claims in it.
         keys: Vec<KeyDigest>,
-        complete: Option<u64>,
+        /// The epoch of the set whose voters have sent enough snapshots by it.
+        completed_epoch: Option<Epoch>,
     },
-    Nothing,
+    /// Nothing waits for it.
+    Untracked,
 }
 
 /// Everything that the parts read and write in a step.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
-    pub me: NodeId,
-    /// Steady clock, ms.
-    pub now: u64,
-    /// Time of day, ms since 1970; only for pages.
-    pub wall: u64,
-    next_batch: u64,
-    waits: BTreeMap<u64, Waits>,
+    /// This replica.
+    pub node: NodeId,
+    /// When this step is, by the steady clock.
+    pub now: Timestamp,
+    /// When this step is, by the time of day; only for pages.
+    pub wall: WallTime,
+    last_batch: BatchId,
+    pending_writes: BTreeMap<BatchId, PendingWrite>,
     /// Messages of this replica to itself; they are handled before the step ends.
-    pub local: VecDeque<Message>,
-    pub out: Vec<Effect>,
+    loopback: VecDeque<Message>,
+    effects: Vec<Effect>,
 }
 
 impl Context {
-    pub fn new(me: NodeId) -> Context {
+    pub fn new(node: NodeId) -> Context {
         Context {
-            me,
-            now: 0,
-            wall: 0,
-            next_batch: 0,
-            waits: BTreeMap::new(),
-            local: VecDeque::new(),
-            out: Vec::new(),
+            node,
+            now: Timestamp::ZERO,
+            wall: WallTime::default(),
+            last_batch: BatchId::NONE,
+            pending_writes: BTreeMap::new(),
+            loopback: VecDeque::new(),
+            effects: Vec::new(),
         }
     }
 
-    pub fn write(&mut self, ops: Vec<Op>, waits: Waits) {
-        self.next_batch += 1;
-        self.waits.insert(self.next_batch, waits);
-        self.out.push(Effect::Write {
-            batch: self.next_batch,
-            ops,
-        });
+    /// Has a batch written; `pending` comes back by [`Context::end_write`] once the disk has answered.
+    pub fn write(&mut self, operations: Vec<WriteOperation>, pending: PendingWrite) {
+        self.last_batch = self.last_batch.next();
+        self.pending_writes.insert(self.last_batch, pending);
+        self.push(Effect::Write(WriteBatch {
+            id: self.last_batch,
+            operations,
+        }));
     }
 
-    /// What waited for a batch.
-    pub fn done(&mut self, batch: u64) -> Option<Waits> {
-        self.waits.remove(&batch)
+    /// The disk has answered: what waited for the batch.
+    pub fn end_write(&mut self, batch: BatchId) -> Option<PendingWrite> {
+        self.pending_writes.remove(&batch)
     }
 
     pub fn send(&mut self, to: NodeId, message: Message) {
-        if to == self.me {
-            self.local.push_back(message);
+        if to == self.node {
+            self.loopback.push_back(message);
         } else {
-            self.out.push(Effect::Send { to, message });
+            self.push(Effect::Send { to, message });
         }
     }
 
-    pub fn say(&mut self, text: String) {
-        self.out.push(Effect::Say(text));
+    /// The next message of this replica to itself.
+    pub fn next_loopback(&mut self) -> Option<Message> {
+        self.loopback.pop_front()
+    }
+
+    pub fn log(&mut self, event: LogEvent) {
+        self.push(Effect::Log(event));
+    }
+
+    pub fn push(&mut self, effect: Effect) {
+        self.effects.push(effect);
+    }
+
+    /// The effects of the step, which ends.
+    pub fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
     }
 }
--- a/crates/gateway/consensus/src/lib.rs
+++ b/crates/gateway/consensus/src/lib.rs
@@ -1,26 +1,36 @@
-//! What a majority of disks holds. One `Register` a controller; `Register::step(now, wall, input)` is the only place where
-//! it changes, and gives back what is to be written, sent and answered. It reads no clock and does no I/O.
+//! What a majority of disks holds: the voting set, the configuration, claims of operation keys. A pure state machine,
+//! one [`ConsensusNode`] a controller: [`ConsensusNode::step`] is the only place where it changes, and gives back what
+//! is to be written, sent and answered. It reads no clock and does no I/O.
 //!
-//! * `membership.rs`: the voting set that a majority is counted of, who of it remembers, how it changes.
-//! * `acceptor.rs`, `proposer.rs`, `replicas.rs`: ballots: what this replica promised and voted for, what it has chosen,
-//!   and what others told of their votes.
-//! * `versions.rs`: the configuration; the highest chosen version holds.
-//! * `keys.rs`: claims of operation keys; the first claim holds for the whole window.
-//! * `lessons.rs`: how a replica that does not remember is taught.
+//! * `membership.rs`: the voting set that a majority is counted of, who of it has complete state, how it changes.
+//! * `acceptor.rs`, `proposer.rs`, `replicas.rs`: ballots: what this replica promised and voted for, what it has
+//!   proposed, and what others reported of their votes.
+//! * `configuration.rs`: the configuration; the highest committed version holds.
+//! * `claims.rs`: claims of operation keys; the first claim holds for the whole window.
+//! * `snapshot.rs`: how a replica without complete state is brought up to date.
 
 mod acceptor;
 mod agreement;
+mod claims;
+mod configuration;
 mod context;
-mod effects;
-mod keys;
-mod lessons;
+mod durable_state;
+mod effect;
+mod input;
+mod log_event;
 mod membership;
+mod node;
 mod proposer;
-mod register;
 mod replicas;
-mod versions;
+mod setup;
+mod snapshot;
 
-pub use effects::{Claim, Effect, Op, Outcome, Stored, is_pruned};
-pub use keys::Keys;
-pub use membership::Setup;
-pub use register::{Input, Ready, Register};
+pub use claims::HeldClaim;
+pub use durable_state::{
+    BatchId, DurableState, PruneBounds, StoredClaim, WriteBatch, WriteOperation,
+};
+pub use effect::{ClaimAnswer, CommittedConfiguration, Effect, Outcome};
+pub use input::{ClaimRequest, Input};
+pub use log_event::LogEvent;
+pub use node::{ConsensusNode, ReplicaSummary};
+pub use setup::Setup;
--- a/crates/gateway/consensus/src/membership.rs
+++ b/crates/gateway/consensus/src/membership.rs
@@ -22,10 +22,13 @@
 //! So two claims of one key can't both be won, within a set or across sets: the second one needs a majority of members that
 //! remember, `size - f` of them, and shares one with the holders of the first.
 
-use crate::context::{Context, Waits};
-use crate::effects::{Effect, Op};
+use crate::context::{Context, PendingWrite};
+use crate::durable_state::{PruneBounds, WriteOperation};
+use crate::effect::Effect;
+use crate::log_event::LogEvent;
+use crate::setup::Setup;
 use rushcourse_messages::{Message, NodeId, VotingSet};
-use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation};
+use rushcourse_types::{ConfigurationVersion, Epoch};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
@@ -52,24 +55,6 @@
 /// Voters that are wanted at least: fewer can't lose one.
 const VOTERS_LEAST: usize = 3;
 
-/// What a replica is told of itself and its deployment.
-#[derive(Clone, Debug)]
-pub struct Setup {
-    pub me: NodeId,
-    pub zone: Arc<str>,
-    /// Drawn at random at each start.
-    pub incarnation: Incarnation,
-    pub seeds: Vec<NodeId>,
-    /// The whole system starts for the first time, with empty disks.
-    pub first_start: bool,
-    /// Machines that may be lost at once (`fault_tolerance.machines`).
-    pub tolerated: usize,
-    /// ms after which a machine that came back, or is new, must bear the next loss (`catch_up_s`).
-    pub catch_up_ms: u64,
-    /// ms for which an operation key binds (`key_window_s`).
-    pub key_window_ms: u64,
-}
-
 /// A change of the set that is due.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Change {
@@ -139,7 +124,7 @@
     }
 
     pub fn is_member(&self) -> bool {
-        self.set.contains(self.setup.me)
+        self.set.contains(self.setup.node)
     }
 
     /// Whether this replica casts votes in its set.
@@ -157,7 +142,7 @@
     }
 
     fn is_here(&self, node: NodeId) -> bool {
-        node == self.setup.me || self.peers.contains_key(&node)
+        node == self.setup.node || self.peers.contains_key(&node)
     }
 
     /// Members of the set that are in session with this replica, itself counted.
@@ -179,7 +164,7 @@
         let reached = self.reached_members();
         reached
             .iter()
-            .position(|m| *m == self.setup.me)
+            .position(|m| *m == self.setup.node)
             .unwrap_or(reached.len()) as u64
     }
 
@@ -187,7 +172,7 @@
         self.peers.insert(peer, zone);
         self.absent_since.remove(&peer);
         self.leaving.remove(&peer);
-        self.last_up = context.now;
+        self.last_up = context.now.as_millis();
         if self.set.epoch > Epoch(0) {
             context.send(peer, Message::VotingSet(self.set.clone()));
         }
@@ -237,25 +222,30 @@
     /// Whether this replica goes on remembering as a member of `next`. At the first start there is nothing that it could
     /// have forgotten: no claim was ever granted.
     fn will_remember(&self, next: &VotingSet) -> bool {
-        let first = self.setup.first_start && self.set.epoch == Epoch(0) && next.epoch == Epoch(1);
+        let first =
+            self.setup.is_first_start && self.set.epoch == Epoch(0) && next.epoch == Epoch(1);
         let follows = self.set.epoch > Epoch(0) && next.epoch == self.set.epoch.next();
-        next.contains(self.setup.me) && (first || follows && self.is_member() && self.remembers)
+        next.contains(self.setup.node) && (first || follows && self.is_member() && self.remembers)
     }
 
     fn write(&mut self, context: &mut Context, set: VotingSet) {
         self.writing = set.epoch.0;
         let remembers = if self.will_remember(&set) {
-            Op::Remember
+            WriteOperation::MarkStateComplete
         } else {
-            Op::Forget
-        };
-        let prune = Op::Prune {
-            versions_below: ConfigurationVersion(0),
-            sets_through: set.epoch,
+            WriteOperation::MarkStateIncomplete
         };
+        let prune = WriteOperation::PruneRecords(PruneBounds {
+            versions_below: ConfigurationVersion::NONE,
+            epochs_through: set.epoch,
+        });
         context.write(
-            vec![Op::Set(set.clone()), remembers, prune],
-            Waits::Set(set),
+            vec![
+                WriteOperation::StoreVotingSet(set.clone()),
+                remembers,
+                prune,
+            ],
+            PendingWrite::VotingSet(set),
         );
     }
 
@@ -276,28 +266,20 @@
         self.spares_learned.clear();
         self.absent_since.retain(|node, _| self.set.contains(*node));
         // Frontend directors hear of it before any vote is refused for its sake.
-        context.out.push(Effect::Set(self.set.clone()));
+        context.push(Effect::VotingSetAdopted(self.set.clone()));
         for peer in self.peers() {
             context.send(peer, Message::VotingSet(self.set.clone()));
         }
-        let members: Vec<String> = self
-            .set
-            .members
-            .iter()
-            .map(|m| std::net::Ipv4Addr::from(*m).to_string())
-            .collect();
-        context.say(format!(
-            "event=voting_set number={} members={} remembers={}",
-            self.set.epoch,
-            members.join(","),
-            self.remembers
-        ));
+        context.log(LogEvent::VotingSetAdopted {
+            voting_set: self.set.clone(),
+            has_complete_state: self.remembers,
+        });
         true
     }
 
     fn proposes_first(&self, now: u64, age: u64) -> bool {
-        self.setup.first_start
-            && self.setup.seeds.iter().min() == Some(&self.setup.me)
+        self.setup.is_first_start
+            && self.setup.seeds.iter().min() == Some(&self.setup.node)
             && self.setup.seeds.iter().all(|seed| self.is_here(*seed))
             && age >= GATHER
             && now >= self.last_up + GATHER_QUIET
@@ -306,8 +288,8 @@
     /// The first set: all that are here, or as many as are to vote, spread over zones.
     fn first_set(&self) -> VotingSet {
         let mut left: BTreeMap<NodeId, Arc<str>> = self.peers.clone();
-        left.insert(self.setup.me, self.setup.zone.clone());
-        let most = VOTERS_MOST.max(2 * self.setup.tolerated + 1);
+        left.insert(self.setup.node, self.setup.zone.clone());
+        let most = VOTERS_MOST.max(2 * self.setup.tolerated_losses + 1);
         let mut by_zone: BTreeMap<Arc<str>, usize> = BTreeMap::new();
         let mut members = Vec::new();
         while members.len() < most {
@@ -335,7 +317,7 @@
     }
 
     fn absent_bound(&self) -> u64 {
-        (self.setup.catch_up_ms as f64 * ABSENT_SHARE) as u64
+        (self.setup.catch_up.as_millis() as f64 * ABSENT_SHARE) as u64
     }
 
     /// When a member's place is to be taken by this replica's proposal, if it is missed.
@@ -358,7 +340,7 @@
 
     /// Whether this replica, asked for a promise, agrees that a member is left out.
     pub fn may_leave_out(&self, member: Option<NodeId>) -> bool {
-        member.is_none_or(|m| match m == self.setup.me {
+        member.is_none_or(|m| match m == self.setup.node {
             true => self.leaves,
             false => self.leaving.contains(&m) || !self.peers.contains_key(&m),
         })
@@ -376,7 +358,7 @@
     }
 
     fn zone_of(&self, node: NodeId) -> Option<&Arc<str>> {
-        if node == self.setup.me {
+        if node == self.setup.node {
             Some(&self.setup.zone)
         } else {
             self.peers.get(&node)
@@ -390,7 +372,7 @@
         }
         let due = |m: &NodeId| self.due_at(*m).filter(|at| now >= *at).map(|at| (at, *m));
         let without = self.set.members.iter().filter_map(due).min().map(|d| d.1);
-        let wanted = VOTERS_LEAST.max(2 * self.setup.tolerated + 1);
+        let wanted = VOTERS_LEAST.max(2 * self.setup.tolerated_losses + 1);
         if without.is_none() && self.set.members.len() >= wanted {
             return None;
         }
@@ -419,8 +401,8 @@
 
     /// Asks a spare to be taught, now and then.
     pub fn invite(&mut self, context: &mut Context, spare: NodeId) {
-        if context.now >= self.invited_at + ASK_EVERY {
-            self.invited_at = context.now;
+        if context.now.as_millis() >= self.invited_at + ASK_EVERY {
+            self.invited_at = context.now.as_millis();
             context.send(
                 spare,
                 Message::LearnerInvitation {
@@ -444,7 +426,7 @@
         if self.learned == set.0 {
             context.send(from, Message::LearnerReady { epoch: set });
         } else {
-            self.learning_until = context.now + LEARN_WAIT;
+            self.learning_until = context.now.as_millis() + LEARN_WAIT;
         }
     }
 
@@ -492,10 +474,10 @@
         self.teaching = false;
         if self.is_member() {
             self.remembers = true;
-            context.say(format!(
-                "event=remembers set={set} taught_by={}",
-                self.taught_by.len()
-            ));
+            context.log(LogEvent::SnapshotInstalled {
+                epoch: set,
+                senders: self.taught_by.len(),
+            });
         } else {
             self.learned = set.0;
             for peer in self.peers() {
@@ -506,9 +488,11 @@
     }
 
     pub fn tick(&mut self, context: &mut Context) {
-        let started = *self.started.get_or_insert(context.now);
-        let age = context.now - started;
-        if self.set.epoch == Epoch(0) && self.writing == 0 && self.proposes_first(context.now, age)
+        let started = *self.started.get_or_insert(context.now.as_millis());
+        let age = context.now.as_millis() - started;
+        if self.set.epoch == Epoch(0)
+            && self.writing == 0
+            && self.proposes_first(context.now.as_millis(), age)
         {
             let set = self.first_set();
             self.write(context, set);
--- a/crates/gateway/consensus/src/register.rs
+++ b/crates/gateway/consensus/src/node.rs
@@ -2,97 +2,71 @@
 
 use crate::acceptor::{Acceptor, Capacity};
 use crate::agreement::Agreement;
-use crate::context::{Context, Waits};
-use crate::effects::{Claim, Effect, Stored};
-use crate::keys::{Asker, Keys};
-use crate::lessons::Lessons;
-use crate::membership::{Change, Membership, Setup};
+use crate::claims::{ClaimRegistry, HeldClaim};
+use crate::configuration::Versions;
+use crate::context::{Context, PendingWrite};
+use crate::durable_state::{BatchId, DurableState, PruneBounds};
+use crate::effect::{CommittedConfiguration, Effect};
+use crate::input::Input;
+use crate::log_event::LogEvent;
+use crate::membership::{Change, Membership};
 use crate::proposer::{Intent, Proposer};
 use crate::replicas::{HeldState, Replicas};
-use crate::versions::Versions;
-use rushcourse_messages::{Ballot, ClaimId, Message, NodeId, Proposal, Slot, VotingSet};
-use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest, SessionId, Ticket, Timestamp};
-use std::sync::Arc;
+use crate::setup::Setup;
+use crate::snapshot::Lessons;
+use rushcourse_messages::{Ballot, Message, NodeId, Proposal, Slot, VotingSet};
+use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest, Timestamp, WallTime};
 
 /// ms for which a change of the set is tried before the need for it is looked at again.
 const CHANGE_WAIT: u64 = 1_000;
 
-#[derive(Clone, Debug)]
-pub enum Input {
-    /// A session with a controller stands, or broke.
-    Up {
-        peer: NodeId,
-        zone: Arc<str>,
-    },
-    Down(NodeId),
-    Heard(NodeId, Message),
-    /// The disk holds a batch, or refused it.
-    Synced(u64),
-    Refused(u64),
-    /// A checked configuration of an operator.
-    Put {
-        ticket: Ticket,
-        version: ConfigurationVersion,
-        text: Arc<[u8]>,
-    },
-    Get {
-        ticket: Ticket,
-    },
-    /// A frontend director's claim, by its session.
-    Claim {
-        session: SessionId,
-        set: Epoch,
-        key: KeyDigest,
-        claim: ClaimId,
-    },
-    Withdraw {
-        key: KeyDigest,
-        claim: ClaimId,
-    },
-    /// The process is to end: a spare may take its place.
-    Leave,
-    Tick,
-}
-
-/// How far a replica has come, for its pages.
+/// How far a replica has come, for its status page.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ready {
-    pub set: VotingSet,
-    pub remembers: bool,
-    pub votes: bool,
+pub struct ReplicaSummary {
+    /// The voting set that it counts in.
+    pub voting_set: VotingSet,
+    /// Whether it holds what a voter of its set has to hold.
+    pub has_complete_state: bool,
+    /// Whether it votes in its set.
+    pub is_voter: bool,
     /// The highest version that it has accepted.
-    pub held: u64,
-    pub in_force: ConfigurationVersion,
-    pub claims: usize,
+    pub highest_accepted: ConfigurationVersion,
+    /// The version that it knows to be committed.
+    pub committed: ConfigurationVersion,
+    /// Claims of operation keys that it holds.
+    pub claim_count: usize,
+    /// Controllers in session with it.
     pub peers: Vec<NodeId>,
 }
 
+/// One replica of the control state.
 #[derive(Clone, Debug)]
-pub struct Register {
+pub struct ConsensusNode {
     context: Context,
     agreement: Agreement,
     versions: Versions,
-    keys: Keys,
+    claims: ClaimRegistry,
     lessons: Lessons,
     started: bool,
 }
 
-impl Register {
-    pub fn new(setup: Setup, stored: Stored) -> Register {
-        let Stored {
-            set,
-            remembers,
+impl ConsensusNode {
+    /// A replica at its start, with what its state file holds.
+    pub fn new(setup: Setup, durable: DurableState) -> ConsensusNode {
+        let DurableState {
+            voting_set,
+            has_complete_state,
             records,
             claims,
             hosts: _,
-        } = stored;
-        Register {
-            context: Context::new(setup.me),
+        } = durable;
+        ConsensusNode {
+            context: Context::new(setup.node),
             lessons: Lessons::new(setup.incarnation),
-            keys: Keys::new(setup.key_window_ms, claims),
+            claims: ClaimRegistry::new(setup.key_window, claims),
             agreement: Agreement {
                 proposer: Proposer::new(setup.incarnation),
-                membership: Membership::new(setup, set, remembers),
+                membership: Membership::new(setup, voting_set, has_complete_state),
                 acceptor: Acceptor::new(records),
                 replicas: Replicas::default(),
             },
@@ -101,33 +75,33 @@
         }
     }
 
-    /// One input at a steady clock (`now`, ms) and the time of day (`wall`, ms since 1970; only for pages).
-    pub fn step(&mut self, now: u64, wall: u64, input: Input) -> Vec<Effect> {
+    /// One input at a moment of the steady clock. `wall` is the time of day, which is only shown to people.
+    pub fn step(&mut self, now: Timestamp, wall: WallTime, input: Input) -> Vec<Effect> {
         (self.context.now, self.context.wall) = (now, wall);
         if !self.started {
             self.started = true;
-            self.keys.start(now);
+            self.claims.start(now);
         }
         self.take(input);
-        while let Some(message) = self.context.local.pop_front() {
-            self.heard(self.context.me, message);
+        while let Some(message) = self.context.next_loopback() {
+            self.heard(self.context.node, message);
         }
         self.adopt_chosen_set();
         self.versions.settle(&mut self.context, &mut self.agreement);
-        std::mem::take(&mut self.context.out)
+        self.context.take_effects()
     }
 
     fn take(&mut self, input: Input) {
         match input {
-            Input::Up { peer, zone } => {
+            Input::PeerConnected { peer, zone } => {
                 self.agreement.membership.up(&mut self.context, peer, zone);
                 self.versions.tell(&mut self.context, peer, &self.agreement);
             }
-            Input::Down(peer) => self.down(peer),
-            Input::Heard(peer, message) => self.heard(peer, message),
-            Input::Synced(batch) => self.synced(batch),
-            Input::Refused(batch) => self.refused(batch),
-            Input::Put {
+            Input::PeerDisconnected(peer) => self.down(peer),
+            Input::MessageReceived { from, message } => self.heard(from, message),
+            Input::BatchSynced(batch) => self.synced(batch),
+            Input::BatchRefused(batch) => self.refused(batch),
+            Input::PutConfiguration {
                 ticket,
                 version,
                 text,
@@ -140,28 +114,26 @@
                     &mut self.agreement,
                 );
             }
-            Input::Get { ticket } => {
+            Input::GetConfiguration { ticket } => {
                 self.versions
                     .get(&mut self.context, ticket, &self.agreement);
             }
-            Input::Claim {
-                session,
-                set,
-                key,
-                claim,
-            } => {
-                let votes = self.agreement.membership.votes_in() == Some(set.0);
-                self.keys
-                    .claim(&mut self.context, votes, Asker { session, set }, key, claim);
+            Input::Claim(request) => {
+                let is_voter = self.agreement.membership.votes_in() == Some(request.epoch.0);
+                self.claims.claim(&mut self.context, is_voter, request);
+            }
+            Input::WithdrawClaim { key, claim } => {
+                self.claims.withdraw(&mut self.context, key, claim)
             }
-            Input::Withdraw { key, claim } => self.keys.withdraw(&mut self.context, key, claim),
-            Input::Leave => self.agreement.membership.leave(&mut self.context),
+            Input::ShutDown => self.agreement.membership.leave(&mut self.context),
             Input::Tick => self.tick(),
         }
     }
 
     fn down(&mut self, peer: NodeId) {
-        self.agreement.membership.down(self.context.now, peer);
+        self.agreement
+            .membership
+            .down(self.context.now.as_millis(), peer);
         self.agreement.replicas.forget(peer);
         self.versions.down(peer);
         self.lessons.down(peer);
@@ -170,7 +142,10 @@
     fn tick(&mut self) {
         self.agreement.membership.tick(&mut self.context);
         self.change_set();
-        let voters = self.agreement.membership.ask_for_lessons(self.context.now);
+        let voters = self
+            .agreement
+            .membership
+            .ask_for_lessons(self.context.now.as_millis());
         self.lessons.ask(
             &mut self.context,
             self.agreement.membership.set().epoch,
@@ -180,12 +155,16 @@
             .proposer
             .tick(&mut self.context, &self.agreement.membership);
         self.versions.tick(&mut self.context, &mut self.agreement);
-        self.keys.tick(&mut self.context);
+        self.claims.tick(&mut self.context);
     }
 
     /// Brings about a change of the set that is due: the spare is taught first, then the change is proposed.
     fn change_set(&mut self) {
-        let Some(change) = self.agreement.membership.change_due(self.context.now) else {
+        let Some(change) = self
+            .agreement
+            .membership
+            .change_due(self.context.now.as_millis())
+        else {
             return;
         };
         let slot = Slot::VotingSet(change.next.epoch);
@@ -199,16 +178,16 @@
         if !self.agreement.membership.has_learned(change.with) {
             return self.agreement.membership.invite(context, change.with);
         }
-        context.say(format!(
-            "event=set_change number={} with={}",
-            change.next.epoch, change.with
-        ));
+        context.log(LogEvent::VotingSetChangeProposed {
+            epoch: change.next.epoch,
+            joining: change.with,
+        });
         let value = change.next.to_value();
         let intent = Intent {
             slot,
             value,
             without: change.without,
-            until: context.now + CHANGE_WAIT,
+            until: context.now.as_millis() + CHANGE_WAIT,
         };
         self.agreement
             .proposer
@@ -219,7 +198,7 @@
     /// remember yet is neither a voter nor a teacher.
     fn can_do_without(&self, change: &Change) -> bool {
         let set = self.agreement.membership.set();
-        let (now, me) = (self.context.now, self.context.me);
+        let (now, me) = (self.context.now.as_millis(), self.context.node);
         let votes = |m: &&NodeId| **m == me || self.agreement.replicas.is_voter(now, set, **m);
         let stay = set
             .members
@@ -238,11 +217,13 @@
         };
         let own = self.agreement.membership.votes()
             && self.agreement.acceptor.cast(slot) == Some(accepted.ballot);
-        if !self
-            .agreement
-            .replicas
-            .chosen(self.context.now, set, slot, accepted.ballot, own)
-        {
+        if !self.agreement.replicas.chosen(
+            self.context.now.as_millis(),
+            set,
+            slot,
+            accepted.ballot,
+            own,
+        ) {
             return;
         }
         if let Some(next) = VotingSet::from_value(&accepted.value) {
@@ -304,7 +285,7 @@
             Message::Accept { slot, proposal, .. } => self.accept(peer, slot, proposal),
             Message::Reject { slot, promised, .. } => {
                 self.agreement.proposer.refused(
-                    self.context.now,
+                    self.context.now.as_millis(),
                     &self.agreement.membership,
                     slot,
                     promised,
@@ -334,12 +315,12 @@
             Message::SnapshotRequest { epoch: set, after }
                 if self.agreement.membership.votes_in() == Some(set.0) =>
             {
-                let held = (&self.keys, &self.agreement.acceptor);
+                let held = (&self.claims, &self.agreement.acceptor);
                 self.lessons
                     .teach(&mut self.context, peer, set, after, held);
             }
             Message::SnapshotChunk(lesson) => {
-                let (keys, acceptor) = (&mut self.keys, &mut self.agreement.acceptor);
+                let (keys, acceptor) = (&mut self.claims, &mut self.agreement.acceptor);
                 let (membership, in_force) =
                     (&mut self.agreement.membership, self.versions.version());
                 self.lessons.take(
@@ -414,10 +395,13 @@
             return;
         }
         let number = set.epoch;
-        let chosen =
-            self.agreement
-                .replicas
-                .chosen(self.context.now, set, slot, proposal.ballot, false);
+        let chosen = self.agreement.replicas.chosen(
+            self.context.now.as_millis(),
+            set,
+            slot,
+            proposal.ballot,
+            false,
+        );
         let refused = self.agreement.acceptor.promised(slot) > proposal.ballot;
         let capacity = match (votes, chosen) {
             (true, true) if refused => Capacity::Chosen,
@@ -430,27 +414,35 @@
             .accept(&mut self.context, peer, number, slot, proposal, capacity);
     }
 
-    fn synced(&mut self, batch: u64) {
+    fn synced(&mut self, batch: BatchId) {
         let context = &mut self.context;
         let number = self.agreement.membership.set().epoch;
-        match context.done(batch) {
-            Some(Waits::Set(set)) => self.adopted(set),
-            Some(Waits::Promise { to, slot, ballot }) if self.agreement.membership.votes() => {
+        match context.end_write(batch) {
+            Some(PendingWrite::VotingSet(set)) => self.adopted(set),
+            Some(PendingWrite::Promise {
+                proposer: to,
+                slot,
+                ballot,
+            }) if self.agreement.membership.votes() => {
                 self.agreement
                     .acceptor
                     .promise_synced(context, number, to, slot, ballot);
             }
-            Some(Waits::Accepted { slot, ballot }) => {
+            Some(PendingWrite::Accepted { slot, ballot }) => {
                 if self.agreement.acceptor.accept_synced(slot, ballot) {
                     self.versions.announce(&mut self.context, &self.agreement);
                 }
             }
-            Some(Waits::Claim { key, claim }) => {
+            Some(PendingWrite::Claim { key, claim }) => {
                 let votes_in = self.agreement.membership.votes_in();
-                self.keys.synced(context, votes_in, key, claim);
+                self.claims
+                    .claim_synced(context, votes_in.map(Epoch), key, claim);
             }
-            Some(Waits::Taught { keys, complete }) => self.taught(&keys, complete),
-            Some(Waits::Promise { .. } | Waits::Nothing) | None => {}
+            Some(PendingWrite::Snapshot {
+                keys,
+                completed_epoch: complete,
+            }) => self.taught(&keys, complete),
+            Some(PendingWrite::Promise { .. } | PendingWrite::Untracked) | None => {}
         }
     }
 
@@ -463,21 +455,25 @@
         }
         self.agreement.acceptor.prune(
             &mut self.context,
-            ConfigurationVersion(0),
-            self.agreement.membership.set().epoch,
+            PruneBounds {
+                versions_below: ConfigurationVersion::NONE,
+                epochs_through: self.agreement.membership.set().epoch,
+            },
         );
-        self.agreement.proposer.set_changed(self.context.now);
+        self.agreement
+            .proposer
+            .set_changed(self.context.now.as_millis());
         self.versions
             .set_changed(&mut self.context, &mut self.agreement);
     }
 
     /// What a voter taught is on this disk.
-    fn taught(&mut self, keys: &[KeyDigest], complete: Option<u64>) {
-        self.keys.taught_synced(keys);
+    fn taught(&mut self, keys: &[KeyDigest], complete: Option<Epoch>) {
+        self.claims.install_synced(keys);
         let Some(set) = complete else { return };
         self.agreement
             .membership
-            .lessons_synced(&mut self.context, Epoch(set));
+            .lessons_synced(&mut self.context, set);
         if self.agreement.membership.votes() {
             self.agreement.acceptor.counts_synced();
             self.versions.announce(&mut self.context, &self.agreement);
@@ -485,54 +481,59 @@
     }
 
     /// A write that the disk refused is no vote and no copy: it is taken back, and tried again where it must be.
-    fn refused(&mut self, batch: u64) {
+    fn refused(&mut self, batch: BatchId) {
         let context = &mut self.context;
-        match context.done(batch) {
-            Some(Waits::Set(_)) => self.agreement.membership.set_refused(),
-            Some(Waits::Promise { slot, .. } | Waits::Accepted { slot, .. }) => {
+        match context.end_write(batch) {
+            Some(PendingWrite::VotingSet(_)) => self.agreement.membership.set_refused(),
+            Some(PendingWrite::Promise { slot, .. } | PendingWrite::Accepted { slot, .. }) => {
                 self.agreement.acceptor.write_refused(slot);
             }
-            Some(Waits::Claim { key, claim }) => self.keys.refused(context, key, claim),
-            Some(Waits::Taught { keys, .. }) => {
-                self.keys.taught_refused(&keys);
+            Some(PendingWrite::Claim { key, claim }) => {
+                self.claims.claim_refused(context, key, claim)
+            }
+            Some(PendingWrite::Snapshot { keys, .. }) => {
+                self.claims.install_refused(&keys);
                 self.agreement.membership.lesson_refused();
                 self.lessons.refused();
             }
-            Some(Waits::Nothing) | None => {}
+            Some(PendingWrite::Untracked) | None => {}
         }
     }
 
-    pub fn in_force(&self) -> Option<(ConfigurationVersion, Arc<[u8]>)> {
+    /// The configuration that this replica knows to be committed.
+    pub fn committed_configuration(&self) -> Option<CommittedConfiguration> {
         self.versions.in_force(&self.agreement.acceptor)
     }
 
-    pub fn set(&self) -> &VotingSet {
+    /// The voting set that this replica counts in.
+    pub fn voting_set(&self) -> &VotingSet {
         self.agreement.membership.set()
     }
 
     /// Whether a majority of the set is in session with this replica, itself counted.
-    pub fn in_company(&self) -> bool {
+    pub fn has_quorum_contact(&self) -> bool {
         self.agreement.membership.in_company()
     }
 
-    /// Whether a process that is to end may do so now: no spare could take its place in the set, or one has.
-    pub fn may_end(&self) -> bool {
+    /// Whether a process that is to end may do so now: no standby could take its place in the set, or one has.
+    pub fn may_shut_down(&self) -> bool {
         self.agreement.membership.may_end()
     }
 
-    /// The claim of a key that this replica holds, and whether its disk has it.
-    pub fn held(&self, key: KeyDigest) -> Option<(Claim, bool)> {
-        self.keys.held(key)
+    /// Who holds an operation key at this replica.
+    pub fn claim_holder(&self, key: KeyDigest) -> Option<HeldClaim> {
+        self.claims.holder(key)
     }
 
-    pub fn ready(&self) -> Ready {
-        Ready {
-            set: self.agreement.membership.set().clone(),
-            remembers: self.agreement.membership.remembers(),
-            votes: self.agreement.membership.votes(),
-            held: self.versions.highest(&self.agreement.acceptor),
-            in_force: ConfigurationVersion(self.versions.version()),
-            claims: self.keys.len(),
+    /// How far this replica has come.
+    pub fn summary(&self) -> ReplicaSummary {
+        ReplicaSummary {
+            voting_set: self.agreement.membership.set().clone(),
+            has_complete_state: self.agreement.membership.remembers(),
+            is_voter: self.agreement.membership.votes(),
+            highest_accepted: ConfigurationVersion(self.versions.highest(&self.agreement.acceptor)),
+            committed: ConfigurationVersion(self.versions.version()),
+            claim_count: self.claims.len(),
             peers: self.agreement.membership.peers(),
         }
     }
--- a/crates/gateway/consensus/src/proposer.rs
+++ b/crates/gateway/consensus/src/proposer.rs
@@ -79,7 +79,7 @@
             value: intent.value,
             without: intent.without,
             phase: Phase::Accepting,
-            started: context.now,
+            started: context.now.as_millis(),
             retry_at: 0,
             until: intent.until,
         };
@@ -91,7 +91,7 @@
         self.round += 1;
         let ballot = Ballot {
             round: self.round,
-            node: context.me,
+            node: context.node,
             incarnation: self.incarnation,
         };
         let Some(proposal) = self.proposals.get_mut(&slot) else {
@@ -102,8 +102,8 @@
             promises: BTreeSet::new(),
             best: None,
         };
-        proposal.started = context.now;
-        proposal.retry_at = context.now + RETRY + membership.rank() * RETRY_RANK;
+        proposal.started = context.now.as_millis();
+        proposal.retry_at = context.now.as_millis() + RETRY + membership.rank() * RETRY_RANK;
         let (set, without) = (membership.set().epoch, proposal.without);
         for member in membership.reached_members() {
             context.send(
@@ -134,7 +134,9 @@
         let Phase::Preparing { promises, best } = &mut proposal.phase else {
             return;
         };
-        if context.now >= proposal.started + BALLOT_WAIT || !membership.set().contains(from) {
+        if context.now.as_millis() >= proposal.started + BALLOT_WAIT
+            || !membership.set().contains(from)
+        {
             return;
         }
         promises.insert(from);
@@ -193,7 +195,7 @@
     }
 
     pub fn tick(&mut self, context: &mut Context, membership: &Membership) {
-        let now = context.now;
+        let now = context.now.as_millis();
         self.proposals.retain(|_, p| now < p.until);
         let due: Vec<Slot> = self
             .proposals
--- a/crates/gateway/consensus/src/lessons.rs
+++ b/crates/gateway/consensus/src/snapshot.rs
@@ -2,20 +2,25 @@
 //! a snapshot; later ones carry what came since. The learner checks that the parts add up before it counts them.
 
 use crate::acceptor::Acceptor;
-use crate::context::{Context, Waits};
-use crate::effects::Op;
-use crate::keys::{Keys, digest};
+use crate::claims::ClaimRegistry;
+use crate::context::{Context, PendingWrite};
+use crate::durable_state::WriteOperation;
+use crate::log_event::LogEvent;
 use crate::membership::Membership;
 use rushcourse_messages::{
     ClaimRecord, Incarnation, Message, NodeId, Slot, SlotRecord, SnapshotChunk, SnapshotCursor,
     SnapshotTrailer,
 };
+use rushcourse_types::hash::hash64;
 use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest};
 use std::collections::BTreeMap;
 
 /// Claims in one part (ours): some 180 KB, which a voter encodes in about a millisecond.
 const PART_MOST: usize = 4_096;
 
+/// Seed of a claim's digest, apart from those of other uses.
+const CLAIM_DIGEST_SEED: u64 = 17;
+
 /// What came of a lesson so far.
 #[derive(Clone, Copy, Debug, Default)]
 struct Receiving {
@@ -67,16 +72,16 @@
         to: NodeId,
         set: Epoch,
         after: Option<SnapshotCursor>,
-        (keys, acceptor): (&Keys, &Acceptor),
+        (keys, acceptor): (&ClaimRegistry, &Acceptor),
     ) {
         let from = after
             .filter(|c| c.incarnation == self.incarnation)
             .map(|c| c.position);
-        let claims = keys.lesson(context.now, from);
+        let claims = keys.snapshot(context.now, from);
         let end = SnapshotTrailer {
             cursor: SnapshotCursor {
                 incarnation: self.incarnation,
-                position: keys.place(),
+                position: keys.position(),
             },
             claim_count: claims.len() as u64,
             claims_digest: claims.iter().fold(0, |sum, claim| sum ^ digest(claim)),
@@ -107,11 +112,11 @@
         from: NodeId,
         lesson: SnapshotChunk,
         membership: &mut Membership,
-        (keys, acceptor): (&mut Keys, &mut Acceptor),
+        (keys, acceptor): (&mut ClaimRegistry, &mut Acceptor),
         in_force: ConfigurationVersion,
     ) {
         let set = membership.set().epoch;
-        if lesson.epoch != set || !membership.is_learning(context.now) {
+        if lesson.epoch != set || !membership.is_learning(context.now.as_millis()) {
             return;
         }
         let receiving = self.receiving.entry(from).or_default();
@@ -120,7 +125,7 @@
             .claims
             .iter()
             .fold(0, |sum, claim| sum ^ digest(claim));
-        let mut ops = keys.taught(context, &lesson.claims);
+        let mut ops = keys.install(context, &lesson.claims);
         let taught: Vec<KeyDigest> = lesson
             .claims
             .iter()
@@ -129,10 +134,10 @@
         let complete = lesson.trailer.and_then(|end| {
             let whole = self.receiving.remove(&from)?;
             if whole.claims != end.claim_count || whole.digest != end.claims_digest {
-                context.say(format!(
-                    "event=lesson_damaged claims={} of={}",
-                    whole.claims, end.claim_count
-                ));
+                context.log(LogEvent::SnapshotDamaged {
+                    claims: whole.claims,
+                    expected: end.claim_count,
+                });
                 return None;
             }
             self.cursors.insert(from, end.cursor);
@@ -146,16 +151,26 @@
         });
         if complete.is_some() && membership.is_member() {
             ops.extend(acceptor.begin_to_count());
-            ops.push(Op::Remember);
+            ops.push(WriteOperation::MarkStateComplete);
         }
         if !ops.is_empty() || complete.is_some() {
             context.write(
                 ops,
-                Waits::Taught {
+                PendingWrite::Snapshot {
                     keys: taught,
-                    complete,
+                    completed_epoch: complete.map(Epoch),
                 },
             );
         }
     }
 }
+
+/// Digest of a claim, for the check of a lesson.
+fn digest(claim: &ClaimRecord) -> u64 {
+    let mut bytes = Vec::with_capacity(36);
+    bytes.extend(claim.key.0.to_be_bytes());
+    bytes.extend(claim.claim.node.0.to_be_bytes());
+    bytes.extend(claim.claim.incarnation.0.to_be_bytes());
+    bytes.extend(claim.claim.number.to_be_bytes());
+    hash64(&bytes, CLAIM_DIGEST_SEED)
+}
--- a/crates/gateway/consensus/tests/world/mod.rs
+++ b/crates/gateway/consensus/tests/world/mod.rs
@@ -9,13 +9,18 @@
 //!   (left without a clear answer), `set=2`,   `voters=1,2,5`, `read=5`, `unclear`, `votes`, `mute`, `yes:k:1`, `no:k:1`, `none:k:1` (its last
 //!   verdict), `won:k:1`, `lost:k:1` (a majority granted it, or not)
 
-use rushcourse_consensus::{Effect, Input, Op, Outcome, Register, Setup, Stored};
+use rushcourse_consensus::{
+    ClaimAnswer, ClaimRequest, CommittedConfiguration, ConsensusNode, DurableState, Effect, Input,
+    Outcome, Setup, WriteBatch,
+};
 use rushcourse_messages::{ClaimVerdict, Message};
 use rushcourse_types::{
     ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, SessionId, Ticket,
+    Timestamp, WallTime,
 };
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
+use std::time::Duration;
 
 const TICK: u64 = 50;
 const DELAY: u64 = 2;
@@ -31,9 +36,9 @@
 }
 
 struct Node {
-    register: Option<Register>,
-    stored: Stored,
-    writing: VecDeque<(u64, u64, Vec<Op>)>,
+    register: Option<ConsensusNode>,
+    stored: DurableState,
+    writing: VecDeque<(u64, WriteBatch)>,
     disk: Disk,
     cut: bool,
     first: bool,
@@ -88,7 +93,7 @@
     fn new(count: u32) -> World {
         let node = || Node {
             register: None,
-            stored: Stored::default(),
+            stored: DurableState::default(),
             writing: VecDeque::new(),
             disk: Disk::Flows,
             cut: false,
@@ -124,28 +129,28 @@
         let Some(register) = self.nodes.get_mut(&n).and_then(|x| x.register.as_mut()) else {
             return;
         };
-        for effect in register.step(now, wall, input) {
+        for effect in register.step(Timestamp::from_millis(now), WallTime(wall), input) {
             match effect {
-                Effect::Write { batch, ops } => {
+                Effect::Write(batch) => {
                     let due = now + SYNC;
                     self.nodes
                         .get_mut(&n)
                         .expect("known")
                         .writing
-                        .push_back((due, batch, ops));
+                        .push_back((due, batch));
                 }
                 Effect::Send { to, message } => {
                     let lives = (self.nodes[&n].incarnation, self.nodes[&to].incarnation);
                     self.mail
                         .push_back((now + DELAY, (n, lives.0), (to, lives.1), message));
                 }
-                Effect::Vote {
-                    set,
+                Effect::AnswerClaim(ClaimAnswer {
+                    epoch: set,
                     key: k,
                     claim,
                     verdict,
                     ..
-                } => {
+                }) => {
                     let word: Vec<u8> = k.0.to_be_bytes().into_iter().filter(|b| *b > 0).collect();
                     let word = String::from_utf8(word).expect("a word");
                     self.verdicts
@@ -155,10 +160,12 @@
                     self.note_winner(&word, claim.incarnation.0);
                 }
                 Effect::Answer { ticket, outcome } => match outcome {
-                    Outcome::Acknowledged { another } => {
+                    Outcome::Acknowledged {
+                        is_other_text: another,
+                    } => {
                         self.acked.insert(n, (ticket, another));
                     }
-                    Outcome::Whole { version, text: t } => {
+                    Outcome::Configuration(CommittedConfiguration { version, text: t }) => {
                         assert!(
                             [text(version), twin(version)].contains(&t),
                             "what was sent under its number"
@@ -170,14 +177,14 @@
                         );
                         self.read.insert(n, Some(version));
                     }
-                    Outcome::Unclear if ticket < Ticket(READS) => drop(self.open.insert(n, ticket)),
-                    Outcome::Nothing | Outcome::Unclear => drop(self.read.insert(n, None)),
+                    Outcome::Unknown if ticket < Ticket(READS) => drop(self.open.insert(n, ticket)),
+                    Outcome::NoConfiguration | Outcome::Unknown => drop(self.read.insert(n, None)),
                 },
-                Effect::InForce { version, text } => {
+                Effect::ConfigurationCommitted(CommittedConfiguration { version, text }) => {
                     let one = self.served.entry(version).or_insert_with(|| text.clone());
                     assert_eq!(*one, text, "one text is in force under {version}");
                 }
-                Effect::Set(_) | Effect::Say(_) => {}
+                Effect::VotingSetAdopted(_) | Effect::Log(_) => {}
             }
         }
     }
@@ -191,11 +198,11 @@
             .collect();
         for other in others {
             let change = |peer: NodeId| match up {
-                true => Input::Up {
+                true => Input::PeerConnected {
                     peer,
                     zone: format!("zone-{}", peer.0 % 4).into(),
                 },
-                false => Input::Down(peer),
+                false => Input::PeerDisconnected(peer),
             };
             self.step(other, change(n));
             self.step(n, change(other));
@@ -209,16 +216,16 @@
         node.incarnation.0 += 1;
         node.disk = Disk::Flows;
         let setup = Setup {
-            me: n,
+            node: n,
             zone: format!("zone-{}", n.0 % 4).into(),
             incarnation: Incarnation(u64::from(n.0) * 1_000 + node.incarnation.0),
             seeds,
-            first_start: first,
-            tolerated: 1,
-            catch_up_ms: 4_000,
-            key_window_ms: 60_000,
+            is_first_start: first,
+            tolerated_losses: 1,
+            catch_up: Duration::from_millis(4_000),
+            key_window: Duration::from_millis(60_000),
         };
-        node.register = Some(Register::new(setup, node.stored.clone()));
+        node.register = Some(ConsensusNode::new(setup, node.stored.clone()));
         self.sessions(n, true);
     }
 
@@ -231,7 +238,7 @@
         if !power {
             writing
                 .into_iter()
-                .for_each(|(_, _, ops)| node.stored.apply(ops));
+                .for_each(|(_, batch)| node.stored.apply(batch.operations));
         }
     }
 
@@ -244,12 +251,12 @@
                 while node.disk != Disk::Stalls
                     && node.writing.front().is_some_and(|w| w.0 <= self.now)
                 {
-                    let (_, batch, ops) = node.writing.pop_front().expect("looked");
+                    let (_, batch) = node.writing.pop_front().expect("looked");
                     if node.disk == Disk::Flows {
-                        node.stored.apply(ops);
-                        done.push(Input::Synced(batch));
+                        node.stored.apply(batch.operations);
+                        done.push(Input::BatchSynced(batch.id));
                     } else {
-                        done.push(Input::Refused(batch));
+                        done.push(Input::BatchRefused(batch.id));
                     }
                 }
                 done.into_iter().for_each(|input| self.step(n, input));
@@ -262,7 +269,13 @@
                     self.mail.pop_front().expect("looked");
                 let lives = (self.nodes[&from].incarnation, self.nodes[&to].incarnation);
                 if self.reach(from, to) && lives == (incarnation, its) {
-                    self.step(to, Input::Heard(from, message));
+                    self.step(
+                        to,
+                        Input::MessageReceived {
+                            from: from,
+                            message: message,
+                        },
+                    );
                 }
             }
         }
@@ -277,8 +290,8 @@
             .nodes
             .values()
             .filter_map(|node| node.register.as_ref());
-        let won = |register: &Register| {
-            let set = register.set();
+        let won = |register: &ConsensusNode| {
+            let set = register.voting_set();
             let granted =
                 |m: &&NodeId| verdicts.get(m) == Some(&(set.epoch, ClaimVerdict::Granted));
             set.members.iter().filter(granted).count() >= set.majority()
@@ -310,16 +323,16 @@
                 .and_then(|v| v.get(&n))
                 .map(|v| v.1)
         };
-        let ready = |w: &World| w.nodes[&n].register.as_ref().map(Register::ready);
+        let ready = |w: &World| w.nodes[&n].register.as_ref().map(ConsensusNode::summary);
         match what {
             "start" => self.start(n),
             "new" => {
                 self.nodes.get_mut(&n).expect("known").first = false;
                 self.start(n);
             }
-            "leave" => self.step(n, Input::Leave),
+            "leave" => self.step(n, Input::ShutDown),
             "set" => assert_eq!(
-                ready(self).map(|r| r.set.epoch),
+                ready(self).map(|r| r.voting_set.epoch),
                 Some(Epoch(number())),
                 "{at} {word}"
             ),
@@ -329,7 +342,7 @@
                     .map(|m| NodeId(m.parse().expect("a member")))
                     .collect();
                 assert_eq!(
-                    ready(self).map(|r| r.set.members),
+                    ready(self).map(|r| r.voting_set.members),
                     Some(members),
                     "{at} {word}"
                 );
@@ -338,7 +351,7 @@
             "power" => self.end(n, true),
             "wipe" => {
                 self.end(n, true);
-                self.nodes.get_mut(&n).expect("known").stored = Stored::default();
+                self.nodes.get_mut(&n).expect("known").stored = DurableState::default();
             }
             "stall" => self.nodes.get_mut(&n).expect("known").disk = Disk::Stalls,
             "flow" => self.nodes.get_mut(&n).expect("known").disk = Disk::Flows,
@@ -357,32 +370,32 @@
                 self.read.remove(&n);
                 self.step(
                     n,
-                    Input::Get {
+                    Input::GetConfiguration {
                         ticket: Ticket(READS + self.now),
                     },
                 );
             }
             "claim" => {
-                let set = ready(self).map_or(Epoch::NONE, |r| r.set.epoch);
+                let set = ready(self).map_or(Epoch::NONE, |r| r.voting_set.epoch);
                 self.step(
                     n,
-                    Input::Claim {
+                    Input::Claim(ClaimRequest {
                         session: SessionId(who),
-                        set,
+                        epoch: set,
                         key: key(k),
                         claim: id(who),
-                    },
+                    }),
                 );
             }
             "drop" => self.step(
                 n,
-                Input::Withdraw {
+                Input::WithdrawClaim {
                     key: key(k),
                     claim: id(who),
                 },
             ),
             "force" => assert_eq!(
-                ready(self).map(|r| r.in_force),
+                ready(self).map(|r| r.committed),
                 Some(ConfigurationVersion(number())),
                 "{at} {word}"
             ),
@@ -403,8 +416,8 @@
                 "{at} {word}"
             ),
             "unclear" => assert_eq!(self.read.get(&n), Some(&None), "{at} {word}"),
-            "votes" => assert!(ready(self).is_some_and(|r| r.votes), "{at} {word}"),
-            "mute" => assert!(ready(self).is_some_and(|r| !r.votes), "{at} {word}"),
+            "votes" => assert!(ready(self).is_some_and(|r| r.is_voter), "{at} {word}"),
+            "mute" => assert!(ready(self).is_some_and(|r| !r.is_voter), "{at} {word}"),
             "yes" => assert_eq!(verdict(self), Some(ClaimVerdict::Granted), "{at} {word}"),
             "no" => assert!(
                 !matches!(verdict(self), None | Some(ClaimVerdict::Granted)),
@@ -427,7 +440,7 @@
                 };
                 self.step(
                     n,
-                    Input::Put {
+                    Input::PutConfiguration {
                         ticket: Ticket(version.0),
                         version,
                         text,
--- a/crates/gateway/controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -8,11 +8,16 @@
 use error_stack::{Report, ResultExt};
 use rushcourse_cluster::{self as cluster, Cluster, Contact, Place, Rounds};
 use rushcourse_config::Boot;
-use rushcourse_consensus::{self as register, Op, Outcome, Register, Setup};
+use rushcourse_consensus::{
+    self as register, BatchId, ClaimAnswer, ClaimRequest, CommittedConfiguration, ConsensusNode,
+    Outcome, Setup, WriteOperation,
+};
 use rushcourse_messages::{Handshake, HostState, Message, NodeId, PROTOCOL_VERSION, Role};
 use rushcourse_storage::{Done, Health, Store};
 use rushcourse_transport::{Dialler, Office, SessionEvent, StartError, Times, listen, logs};
-use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, RequestToken, SessionId, Ticket};
+use rushcourse_types::{
+    ConfigurationVersion, Epoch, Incarnation, RequestToken, SessionId, Ticket, Timestamp, WallTime,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
@@ -83,11 +88,11 @@
         mpsc::UnboundedSender<SessionEvent>,
         mpsc::UnboundedReceiver<SessionEvent>,
     ),
-    disk: std::sync::mpsc::Sender<(u64, Vec<Op>)>,
+    disk: std::sync::mpsc::Sender<(u64, Vec<WriteOperation>)>,
     health: Arc<Health>,
     /// The state file.
     file: PathBuf,
-    register: Register,
+    register: ConsensusNode,
     party: Cluster,
     links: Links,
     tickets: BTreeMap<Ticket, oneshot::Sender<Reply>>,
@@ -119,8 +124,8 @@
         let (store, stored) = Store::open(&file).change_context(StartError::Disk)?;
         log::info!(
             "event=start set={} remembers={} configuration={} claims={}",
-            stored.set.epoch,
-            stored.remembers,
+            stored.voting_set.epoch,
+            stored.has_complete_state,
             newest_version(&stored),
             stored.claims.len()
         );
@@ -140,19 +145,19 @@
         spawned.change_context(StartError::Disk)?;
         let seeds: Vec<NodeId> = boot.seeds.iter().map(node).collect();
         let setup = Setup {
-            me: NodeId(me),
+            node: NodeId(me),
             zone: boot.zone.as_str().into(),
             incarnation: Incarnation(times.lot()),
             seeds: seeds.clone(),
-            first_start: boot.first_start && stored.set.epoch == Epoch(0),
-            tolerated: boot.tolerated,
-            catch_up_ms: (boot.bounds.catch_up_s * 1000.0) as u64,
-            key_window_ms: (boot.bounds.key_window_s * 1000.0) as u64,
+            is_first_start: boot.first_start && stored.voting_set.epoch == Epoch(0),
+            tolerated_losses: boot.tolerated,
+            catch_up: Duration::from_millis((boot.bounds.catch_up_s * 1000.0) as u64),
+            key_window: Duration::from_millis((boot.bounds.key_window_s * 1000.0) as u64),
         };
         let mut stored = stored;
         let hosts = std::mem::take(&mut stored.hosts);
         let incarnation = setup.incarnation;
-        let register = Register::new(setup, stored);
+        let register = ConsensusNode::new(setup, stored);
         let party = Cluster::new(Place {
             zone: boot.zone.as_str().into(),
             zones: boot.zones.iter().map(|z| z.as_str().into()).collect(),
@@ -265,13 +270,13 @@
     fn leave(&mut self) {
         if self.leaves_by.is_none() {
             self.leaves_by = Some(self.times.now() + self.leave_wait);
-            self.register(register::Input::Leave);
+            self.register(register::Input::ShutDown);
         }
     }
 
     fn may_end(&self) -> bool {
         self.leaves_by
-            .is_some_and(|by| self.register.may_end() || self.times.now() >= by)
+            .is_some_and(|by| self.register.may_shut_down() || self.times.now() >= by)
     }
 
     fn reread(&mut self, path: &Path) {
@@ -303,7 +308,7 @@
 
     /// Looks whether this director is with a majority, and tells the cluster when that changes.
     fn judge_contact(&mut self) {
-        let company = self.register.in_company();
+        let company = self.register.has_quorum_contact();
         self.contact.majority(company);
         if company != self.company {
             self.company = company;
@@ -323,13 +328,17 @@
     /// may not hear of. Before the first voting set there is nothing to be out of contact with.
     fn may_acknowledge(&mut self) -> bool {
         self.judge_contact();
-        self.contact.is_recent() || self.first_start && self.register.set().epoch == Epoch(0)
+        self.contact.is_recent() || self.first_start && self.register.voting_set().epoch == Epoch(0)
     }
 
     /// The configuration in force, to frontend directors that came while it may have been an old one.
     fn tell_in_force(&mut self) {
         let untold = std::mem::take(&mut self.untold);
-        let Some((version, _)) = self.register.in_force().filter(|_| !untold.is_empty()) else {
+        let Some(CommittedConfiguration { version, .. }) = self
+            .register
+            .committed_configuration()
+            .filter(|_| !untold.is_empty())
+        else {
             return;
         };
         for session in untold {
@@ -342,14 +351,14 @@
     fn ask_round(&mut self, asking: Asking) {
         let token = self.rounds.ask(self.times.now());
         self.asking.insert(token, asking);
-        let set = self.register.set().epoch;
+        let set = self.register.voting_set().epoch;
         self.links
             .to_peers(&Message::ReadRequest { token, epoch: set });
     }
 
     /// Ends an operator's call early where no majority answers. One that waits for the first voting set has its whole time.
     fn bound_order(&mut self, ticket: Ticket) {
-        if self.register.set().epoch > Epoch(0) {
+        if self.register.voting_set().epoch > Epoch(0) {
             self.ask_round(Asking::Order(ticket.0));
         }
     }
@@ -361,7 +370,10 @@
 
     fn end_rounds(&mut self) {
         let me = self.links.office().me().node;
-        for (token, reached) in self.rounds.over(self.times.now(), me, self.register.set()) {
+        for (token, reached) in self
+            .rounds
+            .over(self.times.now(), me, self.register.voting_set())
+        {
             match self.asking.remove(&token) {
                 Some(Asking::Proof { asked_at }) if reached => self.contact.proven(asked_at),
                 Some(Asking::Proof { .. }) if self.contact.needs_proof() => self.ask_proof(),
@@ -373,7 +385,7 @@
                     });
                 }
                 Some(Asking::Order(ticket)) if !reached => {
-                    self.answer(Ticket(ticket), Outcome::Unclear)
+                    self.answer(Ticket(ticket), Outcome::Unknown)
                 }
                 Some(Asking::Proof { .. } | Asking::Order(_)) | None => {}
             }
@@ -381,24 +393,26 @@
     }
 
     fn register(&mut self, input: register::Input) {
-        let effects = self
-            .register
-            .step(self.times.now(), self.times.wall(), input);
+        let effects = self.register.step(
+            Timestamp::from_millis(self.times.now()),
+            WallTime(self.times.wall()),
+            input,
+        );
         for effect in effects {
             match effect {
-                register::Effect::Write { batch, ops } => {
-                    if self.disk.send((batch, ops)).is_err() {
+                register::Effect::Write(batch) => {
+                    if self.disk.send((batch.id.0, batch.operations)).is_err() {
                         log::error!("event=disk_thread_gone");
                     }
                 }
                 register::Effect::Send { to, message } => self.links.to_peer(to, &message),
-                register::Effect::Vote {
+                register::Effect::AnswerClaim(ClaimAnswer {
                     session,
-                    set,
+                    epoch: set,
                     key,
                     claim,
                     verdict,
-                } => {
+                }) => {
                     self.links.to(
                         session.0,
                         &Message::ClaimResponse {
@@ -410,12 +424,17 @@
                     );
                 }
                 register::Effect::Answer { ticket, outcome } => self.answer(ticket, outcome),
-                register::Effect::InForce { version, text } => {
+                register::Effect::ConfigurationCommitted(CommittedConfiguration {
+                    version,
+                    text,
+                }) => {
                     self.untold.clear();
                     self.tell_version(version, text);
                 }
-                register::Effect::Set(set) => self.links.to_fronts(&Message::VotingSet(set)),
-                register::Effect::Say(text) => log::info!("{text}"),
+                register::Effect::VotingSetAdopted(set) => {
+                    self.links.to_fronts(&Message::VotingSet(set))
+                }
+                register::Effect::Log(text) => log::info!("{text}"),
             }
         }
     }
@@ -430,7 +449,7 @@
                 cluster::Effect::ToFronts(message) => self.links.to_fronts(&message),
                 cluster::Effect::Keep(news) => {
                     // Batch 0: nobody waits for it.
-                    let _ = self.disk.send((0, vec![Op::Host(news)]));
+                    let _ = self.disk.send((0, vec![WriteOperation::StoreHost(news)]));
                 }
                 cluster::Effect::Say(text) => log::info!("{text}"),
             }
@@ -453,10 +472,10 @@
 
     /// A gateway asks for the text in force.
     fn asked_for_version(&self, session: SessionId, above: ConfigurationVersion) {
-        if let Some((version, text)) = self
+        if let Some(CommittedConfiguration { version, text }) = self
             .register
-            .in_force()
-            .filter(|(version, _)| *version > above)
+            .committed_configuration()
+            .filter(|committed| committed.version > above)
         {
             self.links
                 .to(session.0, &Message::Configuration { version, text });
@@ -468,10 +487,12 @@
             return;
         };
         let _ = reply.send(match outcome {
-            Outcome::Acknowledged { another } => Reply::Acknowledged { another },
-            Outcome::Whole { text, .. } => Reply::Text(text),
-            Outcome::Nothing => Reply::Nothing,
-            Outcome::Unclear => Reply::Unclear,
+            Outcome::Acknowledged {
+                is_other_text: another,
+            } => Reply::Acknowledged { another },
+            Outcome::Configuration(CommittedConfiguration { text, .. }) => Reply::Text(text),
+            Outcome::NoConfiguration => Reply::Nothing,
+            Outcome::Unknown => Reply::Unclear,
         });
     }
 
@@ -481,7 +502,7 @@
     fn answer_host(&mut self, leaves: bool, reply: oneshot::Sender<Reply>) {
         if !self.may_acknowledge() {
             let _ = reply.send(Reply::NoContact);
-        } else if leaves && self.register.set().epoch > Epoch(0) {
+        } else if leaves && self.register.voting_set().epoch > Epoch(0) {
             self.ask_round(Asking::Heard(reply));
         } else {
             let _ = reply.send(Reply::Done);
@@ -514,7 +535,7 @@
                 reply,
             } => {
                 let ticket = self.ticket(reply);
-                self.register(register::Input::Put {
+                self.register(register::Input::PutConfiguration {
                     ticket: Ticket(ticket),
                     version,
                     text,
@@ -523,7 +544,7 @@
             }
             Command::Get { reply } => {
                 let ticket = self.ticket(reply);
-                self.register(register::Input::Get {
+                self.register(register::Input::GetConfiguration {
                     ticket: Ticket(ticket),
                 });
                 self.bound_order(Ticket(ticket));
@@ -544,7 +565,7 @@
                 let _ = reply.send(Reply::Text(page.into_bytes().into()));
             }
             Command::Key { key, reply } => {
-                let page = pages::key(self.times.wall(), self.register.held(key));
+                let page = pages::key(self.times.wall(), self.register.claim_holder(key));
                 let _ = reply.send(Reply::Text(page.into_bytes().into()));
             }
         }
@@ -553,8 +574,8 @@
     fn disk(&mut self, done: Vec<Done>) {
         for done in done {
             self.register(match done {
-                Done::Synced(batch) => register::Input::Synced(batch),
-                Done::Refused(batch) => register::Input::Refused(batch),
+                Done::Synced(batch) => register::Input::BatchSynced(BatchId(batch)),
+                Done::Refused(batch) => register::Input::BatchRefused(BatchId(batch)),
             });
         }
     }
@@ -591,11 +612,11 @@
         match change {
             Change::PeerUp(node) => {
                 let zone = self.links.zone(node).unwrap_or_default();
-                self.register(register::Input::Up { peer: node, zone });
+                self.register(register::Input::PeerConnected { peer: node, zone });
                 self.party(cluster::Input::PeerUp(node));
             }
             Change::PeerDown(node) => {
-                self.register(register::Input::Down(node));
+                self.register(register::Input::PeerDisconnected(node));
                 self.party(cluster::Input::PeerDown(node));
             }
             Change::FrontUp(id) => {
@@ -604,7 +625,7 @@
                 };
                 let (node, zone) = (session.peer.node, session.peer.zone.as_str().into());
                 self.links
-                    .to(id, &Message::VotingSet(self.register.set().clone()));
+                    .to(id, &Message::VotingSet(self.register.voting_set().clone()));
                 self.untold.insert(id);
                 self.judge_contact();
                 self.party(cluster::Input::FrontUp {
@@ -645,7 +666,10 @@
                 | Message::ControllerStatus { .. } => {
                     self.party(cluster::Input::PeerSaid(node, message))
                 }
-                agreed => self.register(register::Input::Heard(node, agreed)),
+                agreed => self.register(register::Input::MessageReceived {
+                    from: node,
+                    message: agreed,
+                }),
             },
             (
                 Role::Gateway,
@@ -655,18 +679,18 @@
                     claim,
                 },
             ) => {
-                self.register(register::Input::Claim {
+                self.register(register::Input::Claim(ClaimRequest {
                     session: SessionId(id),
-                    set,
+                    epoch: set,
                     key,
                     claim,
-                });
+                }));
             }
             (Role::Gateway, Message::ConfigurationRequest { newer_than: above }) => {
                 self.asked_for_version(SessionId(id), above)
             }
             (Role::Gateway, Message::ClaimWithdrawal { key, claim }) => {
-                self.register(register::Input::Withdraw { key, claim });
+                self.register(register::Input::WithdrawClaim { key, claim });
             }
             (Role::Gateway, message) => self.party(cluster::Input::FrontSaid {
                 session: SessionId(id),
--- a/crates/gateway/controller/src/pages.rs
+++ b/crates/gateway/controller/src/pages.rs
@@ -2,7 +2,7 @@
 
 use crate::links::Links;
 use rushcourse_cluster::Cluster;
-use rushcourse_consensus::{Claim, Register};
+use rushcourse_consensus::{ConsensusNode, HeldClaim};
 use rushcourse_storage::Doing;
 use rushcourse_types::{NodeId, SessionId};
 use std::fmt::Write;
@@ -20,16 +20,17 @@
 }
 
 /// Who holds an operation key, as far as this director has it.
-pub fn key(wall: u64, held: Option<(Claim, bool)>) -> String {
-    let Some((claim, durable)) = held else {
+pub fn key(wall: u64, held: Option<HeldClaim>) -> String {
+    let Some(claim) = held else {
         return "{\"held\":false}".into();
     };
     format!(
-        "{{\"held\":true,\"on_disk\":{durable},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
+        "{{\"held\":true,\"on_disk\":{},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
+        claim.is_durable,
         quoted(&Ipv4Addr::from(claim.id.node).to_string()),
         quoted(&claim.id.incarnation.to_string()),
         claim.id.number,
-        wall.saturating_sub(claim.at) as f64 / 1000.0
+        wall.saturating_sub(claim.claimed_at.0) as f64 / 1000.0
     )
 }
 
@@ -37,12 +38,12 @@
 pub fn status(
     name: &str,
     now: u64,
-    register: &Register,
+    register: &ConsensusNode,
     party: &Cluster,
     links: &Links,
     disk: (Doing, u64),
 ) -> String {
-    let r = register.ready();
+    let r = register.summary();
     let node = |n: NodeId| quoted(&n.to_string());
     let mut page = String::new();
     let _ = write!(
@@ -51,13 +52,13 @@
          \"held\":{},\"in_force\":{},\"claims\":{},\"peers\":{}",
         quoted(name),
         party.primed(),
-        r.set.epoch,
-        list(r.set.members, node),
-        r.remembers,
-        r.votes,
-        r.held,
-        r.in_force,
-        r.claims,
+        r.voting_set.epoch,
+        list(r.voting_set.members, node),
+        r.has_complete_state,
+        r.is_voter,
+        r.highest_accepted,
+        r.committed,
+        r.claim_count,
         list(r.peers, node),
     );
     let (doing, bytes) = disk;
--- a/crates/gateway/controller/src/state_file.rs
+++ b/crates/gateway/controller/src/state_file.rs
@@ -1,8 +1,8 @@
 //! Where the state file is, and what it held at the start.
 
 use error_stack::{Report, ResultExt};
-use rushcourse_consensus::Stored;
-use rushcourse_messages::{AcceptorRecord, Slot};
+use rushcourse_consensus::DurableState;
+use rushcourse_messages::{Slot, SlotRecord};
 use rushcourse_transport::StartError;
 use rushcourse_types::ConfigurationVersion;
 use std::path::{Path, PathBuf};
@@ -23,8 +23,8 @@
 }
 
 /// The newest version that a disk holds; 0: none.
-pub fn newest_version(stored: &Stored) -> u64 {
-    let version = |(slot, _): &(Slot, AcceptorRecord)| match slot {
+pub fn newest_version(stored: &DurableState) -> u64 {
+    let version = |record: &SlotRecord| match &record.slot {
         Slot::Configuration(version) => Some(*version),
         Slot::VotingSet(_) => None,
     };
--- a/crates/gateway/storage/examples/recovery.rs
+++ b/crates/gateway/storage/examples/recovery.rs
@@ -1,13 +1,13 @@
 //! How long a controller takes to read its state file, and how large that is, by the claims that it holds. Real time on
 //! this machine: a figure to look at, no test.
 
-use rushcourse_consensus::{Claim, Op};
+use rushcourse_consensus::{StoredClaim, WriteOperation};
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
+    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
 use rushcourse_storage::Store;
 use rushcourse_types::{
-    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
+    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId, WallTime,
 };
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
 const TEXT: usize = 8_000;
 
 /// A vote for a configuration.
-fn configuration() -> Op {
+fn configuration() -> WriteOperation {
     let ballot = Ballot {
         round: 1,
         node: NodeId(1),
@@ -30,10 +30,10 @@
         accepted,
         is_vote: true,
     };
-    Op::Record {
+    WriteOperation::StoreRecord(SlotRecord {
         slot: Slot::Configuration(ConfigurationVersion(1)),
         record,
-    }
+    })
 }
 
 fn main() {
@@ -68,25 +68,27 @@
             epoch: Epoch(1),
             members: vec![NodeId(1), NodeId(2), NodeId(3), NodeId(4), NodeId(5)],
         };
-        let first = [Op::Set(set), Op::Remember, configuration()]
-            .into_iter()
-            .chain((0..hosts).map(|k| Op::Host(host(k))));
+        let first = [
+            WriteOperation::StoreVotingSet(set),
+            WriteOperation::MarkStateComplete,
+            configuration(),
+        ]
+        .into_iter()
+        .chain((0..hosts).map(|k| WriteOperation::StoreHost(host(k))));
         store.write(&[(1, first.collect())]).expect("room");
         // As they come: some at a sync.
         for part in 0..claims.div_ceil(200) {
             let claim = |k: u64| {
                 let key = u128::from(k.wrapping_mul(0x9e37_79b9_7f4a_7c15)) << 64 | u128::from(k);
-                Op::Claim {
+                WriteOperation::StoreClaim(StoredClaim {
                     key: KeyDigest(key),
-                    claim: Claim {
-                        id: ClaimId {
-                            node: NodeId(1),
-                            incarnation: Incarnation(2),
-                            number: k,
-                        },
-                        at: 1_000 + k,
+                    id: ClaimId {
+                        node: NodeId(1),
+                        incarnation: Incarnation(2),
+                        number: k,
                     },
-                }
+                    claimed_at: WallTime(1_000 + k),
+                })
             };
             let of = part * 200..(part * 200 + 200).min(claims);
             store.write(&[(2, of.map(claim).collect())]).expect("room");
@@ -101,7 +103,9 @@
         );
         assert_eq!(stored.records.len(), 1);
         let begun = Instant::now();
-        store.write(&[(3, vec![Op::Remember])]).expect("room");
+        store
+            .write(&[(3, vec![WriteOperation::MarkStateComplete])])
+            .expect("room");
         let (wrote, bytes) = (
             begun.elapsed(),
             std::fs::metadata(&file).map_or(0, |m| m.len()),
--- a/crates/gateway/storage/src/lib.rs
+++ b/crates/gateway/storage/src/lib.rs
@@ -14,7 +14,7 @@
 pub use health::{Doing, Health};
 pub use store::Store;
 
-use rushcourse_consensus::Op;
+use rushcourse_consensus::WriteOperation;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 /// Works through batches until their sender is gone. `tell` is called from this thread.
 pub fn run(
     mut store: Store,
-    batches: &Receiver<(u64, Vec<Op>)>,
+    batches: &Receiver<(u64, Vec<WriteOperation>)>,
     health: &Health,
     tell: impl Fn(Vec<Done>),
 ) {
--- a/crates/gateway/storage/src/reading.rs
+++ b/crates/gateway/storage/src/reading.rs
@@ -6,14 +6,16 @@
     VERSION_RECORDS, decode,
 };
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable, TableError};
-use rushcourse_consensus::{Claim, Stored};
-use rushcourse_messages::{AcceptorRecord, Slot};
-use rushcourse_types::{ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId};
+use rushcourse_consensus::{DurableState, StoredClaim};
+use rushcourse_messages::{Slot, SlotRecord};
+use rushcourse_types::{
+    ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, WallTime,
+};
 
 /// What a file holds.
 #[derive(Debug, Default)]
 pub(crate) struct Contents {
-    pub stored: Stored,
+    pub stored: DurableState,
     pub places: ClaimPlaces,
 }
 
@@ -57,11 +59,11 @@
     Ok(contents)
 }
 
-fn read_meta(reading: &ReadTransaction, stored: &mut Stored) -> Result<(), redb::Error> {
+fn read_meta(reading: &ReadTransaction, stored: &mut DurableState) -> Result<(), redb::Error> {
     let meta = reading.open_table(META)?;
-    stored.remembers = meta.get(META_REMEMBERS)?.is_some();
+    stored.has_complete_state = meta.get(META_REMEMBERS)?.is_some();
     if let Some(set) = meta.get(META_SET)? {
-        stored.set = decode(set.value(), "voting set")?;
+        stored.voting_set = decode(set.value(), "voting set")?;
     }
     Ok(())
 }
@@ -70,13 +72,16 @@
     reading: &ReadTransaction,
     table: RecordTable,
     slot: impl Fn(u64) -> Slot,
-    records: &mut Vec<(Slot, AcceptorRecord)>,
+    records: &mut Vec<SlotRecord>,
 ) -> Result<(), redb::Error> {
     for entry in reading.open_table(table)?.iter()? {
         let (number, bytes) = entry?;
         // A record that can't be read may be a promise or a vote: without it this replica must not vote.
         let record = decode(bytes.value(), "acceptor's record")?;
-        records.push((slot(number.value()), record));
+        records.push(SlotRecord {
+            slot: slot(number.value()),
+            record,
+        });
     }
     Ok(())
 }
@@ -90,16 +95,17 @@
             incarnation: Incarnation(incarnation),
             number,
         };
-        contents
-            .stored
-            .claims
-            .push((KeyDigest(key), Claim { id, at }));
+        contents.stored.claims.push(StoredClaim {
+            key: KeyDigest(key),
+            id,
+            claimed_at: WallTime(at),
+        });
         contents.places.found(KeyDigest(key), place.value());
     }
     Ok(())
 }
 
-fn read_hosts(reading: &ReadTransaction, stored: &mut Stored) -> Result<(), redb::Error> {
+fn read_hosts(reading: &ReadTransaction, stored: &mut DurableState) -> Result<(), redb::Error> {
     for entry in reading.open_table(HOSTS)?.iter()? {
         // A record that can't be read is a host that calls again soon.
         stored
--- a/crates/gateway/storage/src/store.rs
+++ b/crates/gateway/storage/src/store.rs
@@ -7,7 +7,7 @@
 use crate::{upgrade, writing};
 use error_stack::Report;
 use redb::{Database, StorageBackend};
-use rushcourse_consensus::{Op, Stored};
+use rushcourse_consensus::{DurableState, WriteOperation};
 use std::path::Path;
 
 /// Bytes of pages that are kept in memory: a window's claims are some megabytes, and are read once (ours).
@@ -29,7 +29,7 @@
     ///
     /// # Errors
     /// A file that can't be read or has another form: it is left as it is. An upgrade that the disk refused.
-    pub fn open(path: &Path) -> Result<(Store, Stored), Report<Damaged>> {
+    pub fn open(path: &Path) -> Result<(Store, DurableState), Report<Damaged>> {
         let path = path.to_path_buf();
         Store::open_by(Box::new(move || builder().create(&path)))
     }
@@ -40,11 +40,11 @@
     /// As `open`.
     pub fn open_over<B: StorageBackend>(
         make: impl Fn() -> B + Send + 'static,
-    ) -> Result<(Store, Stored), Report<Damaged>> {
+    ) -> Result<(Store, DurableState), Report<Damaged>> {
         Store::open_by(Box::new(move || builder().create_with_backend(make())))
     }
 
-    fn open_by(opener: Opener) -> Result<(Store, Stored), Report<Damaged>> {
+    fn open_by(opener: Opener) -> Result<(Store, DurableState), Report<Damaged>> {
         let database = opener().map_err(Damaged::unreadable)?;
         prepare(&database)?;
         let Contents { stored, places } =
@@ -63,7 +63,7 @@
     ///
     /// # Errors
     /// The disk refused; nothing of it counts. The file is opened anew for the next write.
-    pub fn write(&mut self, batches: &[(u64, Vec<Op>)]) -> Result<(), Report<Damaged>> {
+    pub fn write(&mut self, batches: &[(u64, Vec<WriteOperation>)]) -> Result<(), Report<Damaged>> {
         let database = match self.database.take() {
             Some(database) => database,
             None => self.reopen()?,
--- a/crates/gateway/storage/src/writing.rs
+++ b/crates/gateway/storage/src/writing.rs
@@ -6,8 +6,8 @@
     VERSION_RECORDS, encode, record_place,
 };
 use redb::{Database, Table, WriteTransaction};
-use rushcourse_consensus::{Claim, Op, is_pruned};
-use rushcourse_messages::{AcceptorRecord, HostRecord, HostState, Slot};
+use rushcourse_consensus::{PruneBounds, StoredClaim, WriteOperation};
+use rushcourse_messages::{AcceptorRecord, HostRecord, HostState, Slot, SlotRecord};
 use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest};
 
 type ClaimTable<'t> = Table<'t, u64, ClaimRow>;
@@ -49,7 +49,7 @@
 /// Writes the operations of all batches, together or not at all. `places` is spoilt where this fails.
 pub(crate) fn write(
     database: &Database,
-    batches: &[(u64, Vec<Op>)],
+    batches: &[(u64, Vec<WriteOperation>)],
     places: &mut ClaimPlaces,
 ) -> Result<(), redb::Error> {
     let writing = database.begin_write()?;
@@ -66,21 +66,20 @@
 fn apply(
     writing: &WriteTransaction,
     claims: &mut ClaimTable,
-    op: &Op,
+    op: &WriteOperation,
     places: &mut ClaimPlaces,
 ) -> Result<(), redb::Error> {
     match op {
-        Op::Set(set) => put_meta(writing, META_SET, &encode(set)?),
-        Op::Remember => put_meta(writing, META_REMEMBERS, REMEMBERS),
-        Op::Forget => remove_meta(writing, META_REMEMBERS),
-        Op::Record { slot, record } => put_record(writing, *slot, record),
-        Op::Prune {
-            versions_below,
-            sets_through,
-        } => prune(writing, *versions_below, *sets_through),
-        Op::Claim { key, claim } => put_claim(claims, *key, claim, places),
-        Op::Release { key } => remove_claim(claims, *key, places),
-        Op::Host(news) => put_host(writing, news),
+        WriteOperation::StoreVotingSet(set) => put_meta(writing, META_SET, &encode(set)?),
+        WriteOperation::MarkStateComplete => put_meta(writing, META_REMEMBERS, REMEMBERS),
+        WriteOperation::MarkStateIncomplete => remove_meta(writing, META_REMEMBERS),
+        WriteOperation::StoreRecord(SlotRecord { slot, record }) => {
+            put_record(writing, *slot, record)
+        }
+        WriteOperation::PruneRecords(bounds) => prune(writing, *bounds),
+        WriteOperation::StoreClaim(claim) => put_claim(claims, claim, places),
+        WriteOperation::RemoveClaim(key) => remove_claim(claims, *key, places),
+        WriteOperation::StoreHost(news) => put_host(writing, news),
     }
 }
 
@@ -94,20 +93,16 @@
     Ok(())
 }
 
-fn prune(
-    writing: &WriteTransaction,
-    versions_below: ConfigurationVersion,
-    sets_through: Epoch,
-) -> Result<(), redb::Error> {
-    let is_kept = |slot: Slot| !is_pruned(slot, versions_below, sets_through);
+fn prune(writing: &WriteTransaction, bounds: PruneBounds) -> Result<(), redb::Error> {
+    let is_kept = |slot: Slot| !bounds.contains(slot);
     writing
         .open_table(SET_RECORDS)?
-        .retain_in(..=sets_through.0, |number, _| {
+        .retain_in(..=bounds.epochs_through.0, |number, _| {
             is_kept(Slot::VotingSet(Epoch(number)))
         })?;
     writing
         .open_table(VERSION_RECORDS)?
-        .retain_in(..versions_below.0, |version, _| {
+        .retain_in(..bounds.versions_below.0, |version, _| {
             is_kept(Slot::Configuration(ConfigurationVersion(version)))
         })?;
     Ok(())
@@ -115,15 +110,20 @@
 
 fn put_claim(
     claims: &mut ClaimTable,
-    key: KeyDigest,
-    claim: &Claim,
+    claim: &StoredClaim,
     places: &mut ClaimPlaces,
 ) -> Result<(), redb::Error> {
-    let (place, earlier) = places.add(key);
+    let (place, earlier) = places.add(claim.key);
     let id = claim.id;
     claims.insert(
         place,
-        (key.0, id.node.0, id.incarnation.0, id.number, claim.at),
+        (
+            claim.key.0,
+            id.node.0,
+            id.incarnation.0,
+            id.number,
+            claim.claimed_at.0,
+        ),
     )?;
     if let Some(earlier) = earlier {
         claims.remove(earlier)?;
--- a/crates/gateway/storage/tests/crashes.rs
+++ b/crates/gateway/storage/tests/crashes.rs
@@ -4,18 +4,18 @@
 mod power;
 
 use power::Disk;
-use rushcourse_consensus::{Claim, Op, Stored};
+use rushcourse_consensus::{DurableState, PruneBounds, StoredClaim, WriteOperation};
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
+    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
 use rushcourse_storage::Store;
 use rushcourse_types::{
-    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
+    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId, WallTime,
 };
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// A vote under a ballot of this round, for a value of this many bytes; without one only a promise.
-fn record(slot: Slot, round: u64, bytes: usize) -> Op {
+fn record(slot: Slot, round: u64, bytes: usize) -> WriteOperation {
     let ballot = Ballot {
         round,
         node: NodeId(1),
@@ -25,20 +25,20 @@
         ballot,
         value: vec![round as u8; bytes].into(),
     });
-    Op::Record {
+    WriteOperation::StoreRecord(SlotRecord {
         slot,
         record: AcceptorRecord {
             promised: ballot,
             is_vote: accepted.is_some(),
             accepted,
         },
-    }
+    })
 }
 
-fn host(sequence: u64, state: HostState) -> Op {
+fn host(sequence: u64, state: HostState) -> WriteOperation {
     let word = |w: &str| w.into();
     let (id, service, zone, address) = (word("i-1"), word("s"), word("z"), word("10.0.0.1:80"));
-    Op::Host(HostRecord {
+    WriteOperation::StoreHost(HostRecord {
         id,
         service,
         zone,
@@ -52,27 +52,27 @@
 }
 
 /// One batch of each kind of write, in a row. Each changes what is held, so that batches can be told apart.
-fn script() -> Vec<Vec<Op>> {
+fn script() -> Vec<Vec<WriteOperation>> {
     let set = |number: u64| {
-        Op::Set(VotingSet {
+        WriteOperation::StoreVotingSet(VotingSet {
             epoch: Epoch(number),
             members: vec![NodeId(1), NodeId(2), NodeId(number as u32 + 2)],
         })
     };
-    let claim = |k: u64| Op::Claim {
-        key: KeyDigest(u128::from(k)),
-        claim: Claim {
+    let claim = |k: u64| {
+        WriteOperation::StoreClaim(StoredClaim {
+            key: KeyDigest(u128::from(k)),
             id: ClaimId {
                 node: NodeId(1),
                 incarnation: Incarnation(2),
                 number: k,
             },
-            at: k,
-        },
+            claimed_at: WallTime(k),
+        })
     };
     let (version, next_set) = (Slot::Configuration, Slot::VotingSet(Epoch(2)));
     vec![
-        vec![set(1), Op::Remember],
+        vec![set(1), WriteOperation::MarkStateComplete],
         vec![record(version(ConfigurationVersion(1)), 1, 0)],
         vec![record(version(ConfigurationVersion(1)), 1, 3_000)],
         (0..40).map(claim).collect(),
@@ -81,23 +81,25 @@
             record(version(ConfigurationVersion(2)), 1, 3_000),
             claim(40),
         ],
-        (0..30).map(|k| Op::Release { key: KeyDigest(k) }).collect(),
+        (0..30)
+            .map(|k| WriteOperation::RemoveClaim(KeyDigest(k)))
+            .collect(),
         vec![record(next_set, 1, 40), host(1, HostState::Ready)],
-        vec![set(2), Op::Forget],
+        vec![set(2), WriteOperation::MarkStateIncomplete],
         (41..60).map(claim).collect(),
         vec![
             record(version(ConfigurationVersion(7)), 3, 3_000),
-            Op::Prune {
+            WriteOperation::PruneRecords(PruneBounds {
                 versions_below: ConfigurationVersion(7),
-                sets_through: Epoch(0),
-            },
+                epochs_through: Epoch(0),
+            }),
         ],
         vec![
-            Op::Prune {
+            WriteOperation::PruneRecords(PruneBounds {
                 versions_below: ConfigurationVersion(0),
-                sets_through: Epoch(2),
-            },
-            Op::Remember,
+                epochs_through: Epoch(2),
+            }),
+            WriteOperation::MarkStateComplete,
             host(2, HostState::Gone),
         ],
         vec![
@@ -108,18 +110,18 @@
 }
 
 /// What a disk holds after the first `count` batches.
-fn held(count: usize) -> Stored {
-    let mut stored = Stored::default();
+fn held(count: usize) -> DurableState {
+    let mut stored = DurableState::default();
     script()
         .into_iter()
         .take(count)
         .for_each(|ops| stored.apply(ops));
-    stored.claims.sort_by_key(|c| c.0);
+    stored.claims.sort_by_key(|claim| claim.key);
     stored
 }
 
-fn same(mut found: Stored, count: usize) -> bool {
-    found.claims.sort_by_key(|c| c.0);
+fn same(mut found: DurableState, count: usize) -> bool {
+    found.claims.sort_by_key(|claim| claim.key);
     found == held(count)
 }
 
@@ -225,7 +227,7 @@
         }
     };
     let (mut store, _) = Store::open_over(make).expect("an empty disk");
-    let batches: Vec<(u64, Vec<Op>)> = script()
+    let batches: Vec<(u64, Vec<WriteOperation>)> = script()
         .into_iter()
         .enumerate()
         .map(|b| (b.0 as u64, b.1))
@@ -237,7 +239,7 @@
     }
     drop(store);
     let (_, stored) = Store::open_over(move || empty.clone()).expect("an empty disk");
-    assert_eq!(stored, Stored::default());
+    assert_eq!(stored, DurableState::default());
 }
 
 /// Ten minutes at 200 claims a second, each kept for its window of 70 s, a version every five seconds.
@@ -249,21 +251,19 @@
     let mut sizes = Vec::new();
     for second in 0..600_u64 {
         let key = |n: u64| u128::from(n) << 64 | u128::from(n.wrapping_mul(0x9E37_79B9_7F4A_7C15));
-        let claim = |n: u64| Op::Claim {
-            key: KeyDigest(key(n)),
-            claim: Claim {
+        let claim = |n: u64| {
+            WriteOperation::StoreClaim(StoredClaim {
+                key: KeyDigest(key(n)),
                 id: ClaimId {
                     node: NodeId(1),
                     incarnation: Incarnation(2),
                     number: n,
                 },
-                at: second * 1_000,
-            },
-        };
-        let release = |n: u64| Op::Release {
-            key: KeyDigest(key(n)),
+                claimed_at: WallTime(second * 1_000),
+            })
         };
-        let mut ops: Vec<Op> = (second * 200..second * 200 + 200).map(claim).collect();
+        let release = |n: u64| WriteOperation::RemoveClaim(KeyDigest(key(n)));
+        let mut ops: Vec<WriteOperation> = (second * 200..second * 200 + 200).map(claim).collect();
         if let Some(old) = second.checked_sub(70) {
             ops.extend((old * 200..old * 200 + 200).map(release));
         }
@@ -273,10 +273,10 @@
                 second + 1,
                 8_000,
             ));
-            ops.push(Op::Prune {
+            ops.push(WriteOperation::PruneRecords(PruneBounds {
                 versions_below: ConfigurationVersion(second + 1),
-                sets_through: Epoch(0),
-            });
+                epochs_through: Epoch(0),
+            }));
         }
         store.write(&[(second, ops)]).expect("room");
         if second == 120 || second == 599 {
--- a/crates/gateway/storage/tests/disk.rs
+++ b/crates/gateway/storage/tests/disk.rs
@@ -2,13 +2,13 @@
 
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
-use rushcourse_consensus::{Claim, Op};
+use rushcourse_consensus::{PruneBounds, StoredClaim, WriteOperation};
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
+    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
 use rushcourse_storage::{Damaged, Done, Health, Store};
 use rushcourse_types::{
-    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
+    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId, WallTime,
 };
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -72,15 +72,16 @@
     folder.join("controller.redb")
 }
 
-fn claim(number: u64) -> Claim {
-    Claim {
+fn claim(key: u64) -> WriteOperation {
+    WriteOperation::StoreClaim(StoredClaim {
+        key: KeyDigest(u128::from(key)),
         id: ClaimId {
             node: NodeId(1),
             incarnation: Incarnation(2),
-            number,
+            number: key,
         },
-        at: 1_000 + number,
-    }
+        claimed_at: WallTime(1_000 + key),
+    })
 }
 
 fn record(round: u64, text: &str) -> AcceptorRecord {
@@ -126,13 +127,17 @@
     {
         let (mut store, stored) = Store::open(&file).expect("a new file");
         assert_eq!(
-            (stored.set.epoch, stored.remembers, stored.claims.len()),
+            (
+                stored.voting_set.epoch,
+                stored.has_complete_state,
+                stored.claims.len()
+            ),
             (Epoch::NONE, false, 0)
         );
         let ops = vec![
-            Op::Set(set.clone()),
-            Op::Remember,
-            Op::Host(host(HostState::Ready)),
+            WriteOperation::StoreVotingSet(set.clone()),
+            WriteOperation::MarkStateComplete,
+            WriteOperation::StoreHost(host(HostState::Ready)),
         ];
         store.write(&[(1, ops)]).expect("room");
         let slots = [
@@ -141,61 +146,51 @@
             Slot::Configuration(ConfigurationVersion(5)),
             Slot::Configuration(ConfigurationVersion(4)),
         ];
-        let records = slots.map(|slot| Op::Record {
-            slot,
-            record: record(1, "earlier"),
+        let records = slots.map(|slot| {
+            WriteOperation::StoreRecord(SlotRecord {
+                slot,
+                record: record(1, "earlier"),
+            })
         });
         store.write(&[(2, records.to_vec())]).expect("room");
         let slot = Slot::Configuration(ConfigurationVersion(5));
         store
             .write(&[(
                 2,
-                vec![Op::Record {
+                vec![WriteOperation::StoreRecord(SlotRecord {
                     slot,
                     record: record(2, "later"),
-                }],
+                })],
             )])
             .expect("room");
-        let claims: Vec<Op> = (0..100)
-            .map(|k| Op::Claim {
-                key: KeyDigest(k),
-                claim: claim(k as u64),
-            })
-            .collect();
+        let claims: Vec<WriteOperation> = (0..100).map(claim).collect();
         store.write(&[(3, claims)]).expect("room");
         store
             .write(&[(
                 4,
                 (0..90)
-                    .map(|key| Op::Release {
-                        key: KeyDigest(key),
-                    })
+                    .map(|key| WriteOperation::RemoveClaim(KeyDigest(key)))
                     .collect(),
             )])
             .expect("room");
     }
     let (mut store, stored) = Store::open(&file).expect("the same file");
-    assert_eq!((stored.set, stored.remembers), (set, true));
+    assert_eq!((stored.voting_set, stored.has_complete_state), (set, true));
     let expected = [
-        (Slot::VotingSet(Epoch(2)), record(1, "earlier")),
-        (
-            Slot::Configuration(ConfigurationVersion(3)),
-            record(1, "earlier"),
-        ),
-        (
-            Slot::Configuration(ConfigurationVersion(4)),
-            record(1, "earlier"),
-        ),
-        (
-            Slot::Configuration(ConfigurationVersion(5)),
-            record(2, "later"),
-        ),
-    ];
+        (Slot::VotingSet(Epoch(2)), "earlier", 1),
+        (Slot::Configuration(ConfigurationVersion(3)), "earlier", 1),
+        (Slot::Configuration(ConfigurationVersion(4)), "earlier", 1),
+        (Slot::Configuration(ConfigurationVersion(5)), "later", 2),
+    ]
+    .map(|(slot, text, round)| SlotRecord {
+        slot,
+        record: record(round, text),
+    });
     assert_eq!(
         stored.records, expected,
         "in the order of slots, the last one of each"
     );
-    let mut keys: Vec<KeyDigest> = stored.claims.iter().map(|c| c.0).collect();
+    let mut keys: Vec<KeyDigest> = stored.claims.iter().map(|claim| claim.key).collect();
     keys.sort_unstable();
     assert_eq!(keys, (90..100).map(KeyDigest).collect::<Vec<KeyDigest>>());
     assert_eq!(stored.hosts, vec![host(HostState::Ready)]);
@@ -204,8 +199,8 @@
         .write(&[(
             5,
             vec![
-                Op::Release { key: KeyDigest(95) },
-                Op::Host(host(HostState::Gone)),
+                WriteOperation::RemoveClaim(KeyDigest(95)),
+                WriteOperation::StoreHost(host(HostState::Gone)),
             ],
         )])
         .expect("room");
@@ -222,10 +217,12 @@
     }]
     .into_iter()
     .flat_map(|kind| (0..10).map(kind));
-    let records: Vec<Op> = slots
-        .map(|slot| Op::Record {
-            slot,
-            record: record(1, "text"),
+    let records: Vec<WriteOperation> = slots
+        .map(|slot| {
+            WriteOperation::StoreRecord(SlotRecord {
+                slot,
+                record: record(1, "text"),
+            })
         })
         .collect();
     let set = VotingSet {
@@ -235,16 +232,25 @@
     {
         let (mut store, _) = Store::open(&file).expect("a new file");
         store
-            .write(&[(1, vec![Op::Set(set.clone()), Op::Remember]), (2, records)])
+            .write(&[
+                (
+                    1,
+                    vec![
+                        WriteOperation::StoreVotingSet(set.clone()),
+                        WriteOperation::MarkStateComplete,
+                    ],
+                ),
+                (2, records),
+            ])
             .expect("room");
         // Bounds that leave all of one kind: none is below version 0.
         store
             .write(&[(
                 3,
-                vec![Op::Prune {
+                vec![WriteOperation::PruneRecords(PruneBounds {
                     versions_below: ConfigurationVersion(0),
-                    sets_through: Epoch(3),
-                }],
+                    epochs_through: Epoch(3),
+                })],
             )])
             .expect("room");
     }
@@ -254,22 +260,26 @@
         .chain((0..10).map(|n| Slot::Configuration(ConfigurationVersion(n))))
         .collect();
     assert_eq!(
-        stored.records.iter().map(|r| r.0).collect::<Vec<Slot>>(),
+        stored
+            .records
+            .iter()
+            .map(|stored| stored.slot)
+            .collect::<Vec<Slot>>(),
         expected
     );
-    assert!(stored.remembers);
+    assert!(stored.has_complete_state);
     let slot = Slot::Configuration(ConfigurationVersion(2));
     let ops = vec![
-        Op::Prune {
+        WriteOperation::PruneRecords(PruneBounds {
             versions_below: ConfigurationVersion(7),
-            sets_through: Epoch(0),
-        },
+            epochs_through: Epoch(0),
+        }),
         // What is written after it in the same batch stays.
-        Op::Record {
+        WriteOperation::StoreRecord(SlotRecord {
             slot,
             record: record(3, "again"),
-        },
-        Op::Forget,
+        }),
+        WriteOperation::MarkStateIncomplete,
     ];
     store.write(&[(4, ops)]).expect("room");
     drop(store);
@@ -277,32 +287,36 @@
     expected
         .retain(|s| *s == slot || !matches!(s, Slot::Configuration(ConfigurationVersion(0..7))));
     assert_eq!(
-        stored.records.iter().map(|r| r.0).collect::<Vec<Slot>>(),
+        stored
+            .records
+            .iter()
+            .map(|stored| stored.slot)
+            .collect::<Vec<Slot>>(),
         expected
     );
     let again = stored
         .records
         .iter()
-        .find(|r| r.0 == slot)
-        .map(|r| r.1.clone());
+        .find(|stored| stored.slot == slot)
+        .map(|stored| stored.record.clone());
     assert_eq!(again, Some(record(3, "again")));
     assert_eq!(
-        (stored.set, stored.remembers),
+        (stored.voting_set, stored.has_complete_state),
         (set, false),
         "it forgot, and counts in its set still"
     );
     let ops = vec![
-        Op::Forget,
-        Op::Prune {
+        WriteOperation::MarkStateIncomplete,
+        WriteOperation::PruneRecords(PruneBounds {
             versions_below: ConfigurationVersion(u64::MAX),
-            sets_through: Epoch(u64::MAX),
-        },
-        Op::Remember,
+            epochs_through: Epoch(u64::MAX),
+        }),
+        WriteOperation::MarkStateComplete,
     ];
     store.write(&[(5, ops)]).expect("room");
     drop(store);
     let (_, stored) = Store::open(&file).expect("the same file");
-    assert_eq!((stored.records, stored.remembers), (vec![], true));
+    assert_eq!((stored.records, stored.has_complete_state), (vec![], true));
 }
 
 #[test]
@@ -348,15 +362,10 @@
             tell.send(done).expect("it listens")
         });
     });
-    let op = |key: u128| {
-        vec![Op::Claim {
-            key: KeyDigest(key),
-            claim: claim(key as u64),
-        }]
-    };
-    send.send((1, op(1))).expect("it works");
+    let operations = |key: u64| vec![claim(key)];
+    send.send((1, operations(1))).expect("it works");
     stalls.recv_timeout(MOST).expect("the sync has begun");
-    (2..50).for_each(|batch| send.send((batch, op(u128::from(batch)))).expect("it works"));
+    (2..50).for_each(|batch| send.send((batch, operations(batch))).expect("it works"));
     assert!(health.doing().writing_ms.is_some(), "a write is under way");
     assert!(
         told.try_recv().is_err(),
--- a/crates/gateway/storage/tests/fixture.rs
+++ b/crates/gateway/storage/tests/fixture.rs
@@ -2,13 +2,13 @@
 //! hosts. This build reads it as the same state, writes on in it, and makes the same bytes in every table.
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
-use rushcourse_consensus::{Claim, Op, Stored};
+use rushcourse_consensus::{DurableState, PruneBounds, StoredClaim, WriteOperation};
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
+    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
 use rushcourse_storage::Store;
 use rushcourse_types::{
-    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
+    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId, WallTime,
 };
 use std::path::{Path, PathBuf};
 
@@ -20,19 +20,17 @@
 const CLAIMS: TableDefinition<u64, ClaimRow> = TableDefinition::new("claims");
 const HOSTS: TableDefinition<&str, &[u8]> = TableDefinition::new("hosts");
 
-fn claim(number: u64) -> (u128, Claim) {
+fn claim(number: u64) -> StoredClaim {
     let id = ClaimId {
         node: NodeId(0x0a01_0022),
         incarnation: Incarnation(u64::MAX - 5),
         number,
     };
-    (
-        u128::from(number) << 90 | 7,
-        Claim {
-            id,
-            at: 1_764_000_000_000 + number,
-        },
-    )
+    StoredClaim {
+        key: KeyDigest(u128::from(number) << 90 | 7),
+        id,
+        claimed_at: WallTime(1_764_000_000_000 + number),
+    }
 }
 
 fn host(id: &str, state: HostState) -> HostRecord {
@@ -50,7 +48,7 @@
 }
 
 /// The two batches that the file was made of: the second one removes and replaces what the first one wrote.
-fn batches() -> Vec<(u64, Vec<Op>)> {
+fn batches() -> Vec<(u64, Vec<WriteOperation>)> {
     let ballot = Ballot {
         round: 300,
         node: NodeId(0x0a01_0024),
@@ -75,61 +73,58 @@
         accepted: None,
         is_vote: false,
     };
-    let put = |(key, claim): (u128, Claim)| Op::Claim {
-        key: KeyDigest(key),
-        claim,
-    };
     let first = vec![
-        Op::Set(VotingSet {
+        WriteOperation::StoreVotingSet(VotingSet {
             epoch: Epoch(11),
             members: vec![NodeId(1), NodeId(2), NodeId(0x0a00_0001)],
         }),
-        Op::Record {
+        WriteOperation::StoreRecord(SlotRecord {
             slot: Slot::Configuration(ConfigurationVersion(7)),
             record: vote.clone(),
-        },
-        Op::Record {
+        }),
+        WriteOperation::StoreRecord(SlotRecord {
             slot: Slot::VotingSet(Epoch(11)),
             record: promise.clone(),
-        },
-        put(claim(1)),
-        put(claim(2)),
-        put(claim(3)),
-        Op::Host(host("i-1", HostState::Ready)),
-        Op::Host(host("i-2", HostState::Ready)),
-        Op::Host(host("i-3", HostState::Ready)),
+        }),
+        WriteOperation::StoreClaim(claim(1)),
+        WriteOperation::StoreClaim(claim(2)),
+        WriteOperation::StoreClaim(claim(3)),
+        WriteOperation::StoreHost(host("i-1", HostState::Ready)),
+        WriteOperation::StoreHost(host("i-2", HostState::Ready)),
+        WriteOperation::StoreHost(host("i-3", HostState::Ready)),
     ];
     let second = vec![
-        Op::Set(VotingSet {
+        WriteOperation::StoreVotingSet(VotingSet {
             epoch: Epoch(12),
             members: vec![NodeId(1), NodeId(2), NodeId(0x0a00_0002)],
         }),
-        Op::Remember,
-        Op::Record {
+        WriteOperation::MarkStateComplete,
+        WriteOperation::StoreRecord(SlotRecord {
             slot: Slot::Configuration(ConfigurationVersion(9)),
             record: vote,
-        },
-        Op::Record {
+        }),
+        WriteOperation::StoreRecord(SlotRecord {
             slot: Slot::VotingSet(Epoch(13)),
             record: promise,
-        },
-        Op::Prune {
+        }),
+        WriteOperation::PruneRecords(PruneBounds {
             versions_below: ConfigurationVersion(9),
-            sets_through: Epoch(12),
-        },
-        Op::Release {
-            key: KeyDigest(claim(2).0),
-        },
-        put((claim(1).0, claim(4).1)),
-        Op::Host(host("i-2", HostState::Draining)),
-        Op::Host(host("i-3", HostState::Gone)),
+            epochs_through: Epoch(12),
+        }),
+        WriteOperation::RemoveClaim(claim(2).key),
+        WriteOperation::StoreClaim(StoredClaim {
+            key: claim(1).key,
+            ..claim(4)
+        }),
+        WriteOperation::StoreHost(host("i-2", HostState::Draining)),
+        WriteOperation::StoreHost(host("i-3", HostState::Gone)),
     ];
     vec![(1, first), (2, second)]
 }
 
 /// What the batches leave behind.
-fn expected() -> Stored {
-    let mut stored = Stored::default();
+fn expected() -> DurableState {
+    let mut stored = DurableState::default();
     batches().into_iter().for_each(|(_, ops)| stored.apply(ops));
     stored
 }
@@ -202,19 +197,13 @@
     let mut wanted = expected();
     assert_eq!(stored, wanted);
     // It is written on, and read again with what was added.
-    let (key, added) = claim(5);
+    let added = claim(5);
     store
-        .write(&[(
-            3,
-            vec![Op::Claim {
-                key: KeyDigest(key),
-                claim: added,
-            }],
-        )])
+        .write(&[(3, vec![WriteOperation::StoreClaim(added)])])
         .expect("room");
     drop(store);
     let (_, again) = Store::open(&file).expect("a file of the present form");
-    wanted.claims.push((KeyDigest(key), added));
+    wanted.claims.push(added);
     assert_eq!(again, wanted);
 }
 
--- a/crates/gateway/storage/tests/format.rs
+++ b/crates/gateway/storage/tests/format.rs
@@ -2,9 +2,9 @@
 //! gets a new number and an upgrade, or files that are already on disks would be read as something else.
 
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
-use rushcourse_consensus::Op;
+use rushcourse_consensus::WriteOperation;
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, HostRecord, HostState, Proposal, Slot, VotingSet,
+    AcceptorRecord, Ballot, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
 use rushcourse_storage::{Damaged, Store};
 use rushcourse_types::{CallSequence, ConfigurationVersion, Epoch, Incarnation, Millis, NodeId};
@@ -26,7 +26,7 @@
     3, b'i', b'-', b'1', 1, b's', 1, b'z', 4, b'a', b':', b'8', b'0', 4, 1, 0xac, 0x02, 2, 1,
 ];
 
-fn ops() -> Vec<Op> {
+fn ops() -> Vec<WriteOperation> {
     let vote = AcceptorRecord {
         promised: Ballot {
             round: 300,
@@ -64,20 +64,20 @@
         age: Millis(1),
     };
     vec![
-        Op::Set(VotingSet {
+        WriteOperation::StoreVotingSet(VotingSet {
             epoch: Epoch(300),
             members: vec![NodeId(1), NodeId(2), NodeId(0x0a00_0001)],
         }),
-        Op::Remember,
-        Op::Record {
+        WriteOperation::MarkStateComplete,
+        WriteOperation::StoreRecord(SlotRecord {
             slot: Slot::Configuration(ConfigurationVersion(9)),
             record: vote,
-        },
-        Op::Record {
+        }),
+        WriteOperation::StoreRecord(SlotRecord {
             slot: Slot::VotingSet(Epoch(301)),
             record: promise,
-        },
-        Op::Host(host),
+        }),
+        WriteOperation::StoreHost(host),
     ]
 }
 
--- a/crates/gateway/storage/tests/properties.rs
+++ b/crates/gateway/storage/tests/properties.rs
@@ -2,13 +2,13 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rushcourse_consensus::{Claim, Op, Stored};
+use rushcourse_consensus::{DurableState, PruneBounds, StoredClaim, WriteOperation};
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
+    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
 use rushcourse_storage::Store;
 use rushcourse_types::{
-    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
+    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId, WallTime,
 };
 use std::sync::Arc;
 
@@ -41,23 +41,25 @@
     )
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn op() -> impl Strategy<Value = WriteOperation> {
     let claim = (0u128..12, any::<u32>(), any::<u64>(), 0u64..5, any::<u64>()).prop_map(
-        |(key, node, incarnation, number, at)| Op::Claim {
-            key: KeyDigest(key),
-            claim: Claim {
+        |(key, node, incarnation, number, at)| {
+            WriteOperation::StoreClaim(StoredClaim {
+                key: KeyDigest(key),
                 id: ClaimId {
                     node: NodeId(node),
                     incarnation: Incarnation(incarnation),
                     number,
                 },
-                at,
-            },
+                claimed_at: WallTime(at),
+            })
         },
     );
-    let prune = (0u64..20, 0u64..8).prop_map(|(versions_below, sets_through)| Op::Prune {
-        versions_below: ConfigurationVersion(versions_below),
-        sets_through: Epoch(sets_through),
+    let prune = (0u64..20, 0u64..8).prop_map(|(versions_below, epochs_through)| {
+        WriteOperation::PruneRecords(PruneBounds {
+            versions_below: ConfigurationVersion(versions_below),
+            epochs_through: Epoch(epochs_through),
+        })
     });
     let state = prop_oneof![
         Just(HostState::Ready),
@@ -68,7 +70,7 @@
         let word = |w: &str| Arc::<str>::from(w);
         let (service, zone, address) = (word("s"), word("z"), word("10.0.0.1:80"));
         let id = format!("i-{id}").into();
-        Op::Host(HostRecord {
+        WriteOperation::StoreHost(HostRecord {
             id,
             service,
             zone,
@@ -81,25 +83,25 @@
         })
     });
     let set = (1u64..4, prop::collection::vec(any::<u32>(), 0..5)).prop_map(|(number, members)| {
-        Op::Set(VotingSet {
+        WriteOperation::StoreVotingSet(VotingSet {
             epoch: Epoch(number),
             members: members.into_iter().map(NodeId).collect(),
         })
     });
     prop_oneof![
         6 => claim,
-        3 => (0u128..12).prop_map(|key| Op::Release { key: KeyDigest(key) }),
-        4 => (slot(), record()).prop_map(|(slot, record)| Op::Record { slot, record }),
+        3 => (0u128..12).prop_map(|key| WriteOperation::RemoveClaim(KeyDigest(key))),
+        4 => (slot(), record()).prop_map(|(slot, record)| WriteOperation::StoreRecord(SlotRecord { slot, record })),
         1 => prune,
         2 => host,
         1 => set,
-        1 => Just(Op::Remember),
-        1 => Just(Op::Forget),
+        1 => Just(WriteOperation::MarkStateComplete),
+        1 => Just(WriteOperation::MarkStateIncomplete),
     ]
 }
 
-fn sorted(mut stored: Stored) -> Stored {
-    stored.claims.sort_by_key(|c| c.0);
+fn sorted(mut stored: DurableState) -> DurableState {
+    stored.claims.sort_by_key(|claim| claim.key);
     stored.hosts.sort_by(|a, b| a.id.cmp(&b.id));
     stored
 }
@@ -115,11 +117,11 @@
     ) {
         let folder = tempfile::tempdir().expect("a folder");
         let file = folder.path().join("controller.redb");
-        let mut wanted = Stored::default();
+        let mut wanted = DurableState::default();
         for life in lives {
             let (mut store, found) = Store::open(&file).expect("its own file");
             prop_assert_eq!(format!("{:?}", sorted(found)), format!("{:?}", sorted(wanted.clone())));
-            let batches: Vec<(u64, Vec<Op>)> = life.into_iter().enumerate().map(|(k, ops)| (k as u64, ops)).collect();
+            let batches: Vec<(u64, Vec<WriteOperation>)> = life.into_iter().enumerate().map(|(k, ops)| (k as u64, ops)).collect();
             store.write(&batches).expect("room");
             batches.into_iter().for_each(|(_, ops)| wanted.apply(ops));
         }
--- a/crates/gateway/storage/tests/upgrade.rs
+++ b/crates/gateway/storage/tests/upgrade.rs
@@ -5,14 +5,14 @@
 
 use power::Disk;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition, TableHandle};
-use rushcourse_consensus::{Claim, Op, Stored};
+use rushcourse_consensus::{DurableState, StoredClaim, WriteOperation};
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
+    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
 use rushcourse_storage::{Damaged, Store};
 use rushcourse_types::hash::hash64;
 use rushcourse_types::{
-    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
+    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId, WallTime,
 };
 use std::path::Path;
 
@@ -102,20 +102,18 @@
 }
 
 /// What `WHOLE` holds, in today's terms.
-fn expected() -> Stored {
+fn expected() -> DurableState {
     let claim = |number: u64| {
         let id = ClaimId {
             node: NodeId(7),
             incarnation: Incarnation(8),
             number,
         };
-        (
-            KeyDigest(u128::from(number) << 100),
-            Claim {
-                id,
-                at: 1_000 + number,
-            },
-        )
+        StoredClaim {
+            key: KeyDigest(u128::from(number) << 100),
+            id,
+            claimed_at: WallTime(1_000 + number),
+        }
     };
     let host = HostRecord {
         id: "i-1".into(),
@@ -128,16 +126,16 @@
         warm_up: Millis(2),
         age: Millis(1),
     };
-    Stored {
-        set: VotingSet {
+    DurableState {
+        voting_set: VotingSet {
             epoch: Epoch(300),
             members: vec![NodeId(1), NodeId(2), NodeId(0x0a00_0001)],
         },
-        remembers: true,
-        records: vec![(
-            Slot::Configuration(ConfigurationVersion(5)),
-            vote(NEWEST, NEWEST_DIGEST),
-        )],
+        has_complete_state: true,
+        records: vec![SlotRecord {
+            slot: Slot::Configuration(ConfigurationVersion(5)),
+            record: vote(NEWEST, NEWEST_DIGEST),
+        }],
         claims: [3, 4, 9].map(claim).to_vec(),
         hosts: vec![host],
     }
@@ -173,26 +171,21 @@
     // It is as any other file from then on: claims stand where they stood, in their order.
     let (mut store, stored) = Store::open(&file).expect("a file of the present form");
     assert_eq!(stored, expected());
-    let claim = Claim {
-        id: ClaimId {
-            node: NodeId(1),
-            incarnation: Incarnation(2),
-            number: 3,
-        },
-        at: 4,
+    let claim = |key: u128| {
+        WriteOperation::StoreClaim(StoredClaim {
+            key: KeyDigest(key),
+            id: ClaimId {
+                node: NodeId(1),
+                incarnation: Incarnation(2),
+                number: 3,
+            },
+            claimed_at: WallTime(4),
+        })
     };
     let ops = vec![
-        Op::Release {
-            key: KeyDigest(4 << 100),
-        },
-        Op::Claim {
-            key: KeyDigest(1),
-            claim,
-        },
-        Op::Claim {
-            key: KeyDigest(9 << 100),
-            claim,
-        },
+        WriteOperation::RemoveClaim(KeyDigest(4 << 100)),
+        claim(1),
+        claim(9 << 100),
     ];
     store.write(&[(1, ops.clone())]).expect("room");
     drop(store);
@@ -214,7 +207,7 @@
     let (store, stored) = Store::open(&file).expect("a file of form 1");
     assert_eq!(
         stored,
-        Stored {
+        DurableState {
             records: vec![],
             ..expected()
         }
@@ -243,13 +236,13 @@
     let (one, same, other) = (record(b"one"), record(b"one"), record(b"other"));
     assert_eq!(
         one,
-        vec![(
-            Slot::Configuration(ConfigurationVersion(5)),
-            vote(b"one", hash64(b"one", 13))
-        )]
+        vec![SlotRecord {
+            slot: Slot::Configuration(ConfigurationVersion(5)),
+            record: vote(b"one", hash64(b"one", 13))
+        }]
     );
     assert_eq!(one, same);
-    assert_ne!(one[0].1.promised, other[0].1.promised);
+    assert_ne!(one[0].record.promised, other[0].record.promised);
 }
 
 /// A form 1 file on a disk in memory; closed in order, or left as its program was killed.
--- a/crates/tools/modelcheck/src/lib.rs
+++ b/crates/tools/modelcheck/src/lib.rs
@@ -1,5 +1,5 @@
 //! Model checking of the consensus state: takes the pure steps that keep what a majority of disks holds
-//! (`Register` of the core directors, `Claims` of the frontend ones) through all orders of delivery, loss, crash and
+//! (`ConsensusNode` of the core directors, `Claims` of the frontend ones) through all orders of delivery, loss, crash and
 //! wipe on a small world, and looks at each state for a broken rule. It imports no clock, disk or network.
 //!
 //! * `moves.rs`: what may happen next; `world.rs`: what there is, and which moves it has; `play.rs`: what a move does; `claimants.rs`: claims.
--- a/crates/tools/modelcheck/src/play.rs
+++ b/crates/tools/modelcheck/src/play.rs
@@ -7,10 +7,16 @@
     CATCH_UP, CLAIMANTS, Core, DAY, LIVES, READS, Sent, TOLERATED, WAIT, WINDOW, World,
     is_accepted, sent_as, text, version, zone,
 };
-use rushcourse_consensus::{Effect, Input, Outcome, Register, Setup, Stored};
+use rushcourse_consensus::{
+    ClaimAnswer, ClaimRequest, CommittedConfiguration, ConsensusNode, DurableState, Effect, Input,
+    Outcome, Setup, WriteBatch,
+};
 use rushcourse_messages::{Message, NodeId, VotingSet};
-use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, SessionId, Ticket};
+use rushcourse_types::{
+    ConfigurationVersion, Epoch, Incarnation, SessionId, Ticket, Timestamp, WallTime,
+};
 use std::collections::VecDeque;
+use std::time::Duration;
 
 /// ms for which a world is looked at once faults have ended, and its steps: over two changes of the set, each with a
 /// newcomer's silence.
@@ -55,13 +61,17 @@
         let Some(core) = self.cores.get_mut(&n) else {
             return;
         };
-        let Some((batch, ops)) = core.writing.pop_front() else {
+        let Some(WriteBatch {
+            id: batch,
+            operations: ops,
+        }) = core.writing.pop_front()
+        else {
             return;
         };
         let joins = broken == Some(Broken::LearnerCounts) && joins(n, &ops);
         core.stored.apply(ops);
         if broken != Some(Broken::AnswerBeforeSync) {
-            self.step(scene, broken, n, Input::Synced(batch));
+            self.step(scene, broken, n, Input::BatchSynced(batch));
         }
         if joins {
             self.counts_at_once(scene, broken, n);
@@ -107,7 +117,7 @@
     }
 
     fn unsettled(&self) -> Option<String> {
-        let registers: Vec<(NodeId, &Register)> = self
+        let registers: Vec<(NodeId, &ConsensusNode)> = self
             .cores
             .iter()
             .filter_map(|(n, c)| Some((*n, c.register.as_ref()?)))
@@ -118,25 +128,30 @@
         let spares = registers.iter().any(|(n, _)| !self.newest.contains(*n));
         for member in &self.newest.members {
             let register = registers.iter().find(|r| r.0 == *member).map(|r| r.1);
-            match register.map(Register::ready) {
+            match register.map(ConsensusNode::summary) {
                 None if spares => {
                     return Some(format!("STUCK: {member} is gone and a spare is there"));
                 }
-                Some(ready) if !ready.votes => {
+                Some(ready) if !ready.is_voter => {
                     return Some(format!("STUCK: {member} does not vote"));
                 }
-                Some(ready) if ready.held > ready.in_force.0 => {
-                    return Some(format!("STUCK: {} stays open at {member}", ready.held));
+                Some(ready) if ready.highest_accepted > ready.committed => {
+                    return Some(format!(
+                        "STUCK: {} stays open at {member}",
+                        ready.highest_accepted
+                    ));
                 }
                 _ => {}
             }
         }
         for (n, register) in registers {
-            let ready = register.ready();
-            if ready.in_force != ConfigurationVersion(self.served) || ready.set != self.newest {
+            let ready = register.summary();
+            if ready.committed != ConfigurationVersion(self.served)
+                || ready.voting_set != self.newest
+            {
                 return Some(format!(
                     "STUCK: {n} has {} of {} in force, in set {} of {}",
-                    ready.in_force, self.served, ready.set.epoch, self.newest.epoch
+                    ready.committed, self.served, ready.voting_set.epoch, self.newest.epoch
                 ));
             }
         }
@@ -166,7 +181,7 @@
             }
             Move::Leave(n) => {
                 self.left.leaves = self.left.leaves.saturating_sub(1);
-                self.step(scene, broken, n, Input::Leave);
+                self.step(scene, broken, n, Input::ShutDown);
             }
             Move::Part(n) => {
                 self.left.parts = self.left.parts.saturating_sub(1);
@@ -185,14 +200,18 @@
                 self.left.wipes = self.left.wipes.saturating_sub(1);
                 self.end(scene, broken, n, false);
                 let forgets = broken != Some(Broken::VoteAfterWipe);
-                let set = self.cores[&n].stored.set.clone();
-                let as_new = Stored {
-                    set,
-                    remembers: true,
-                    ..Stored::default()
+                let set = self.cores[&n].stored.voting_set.clone();
+                let as_new = DurableState {
+                    voting_set: set,
+                    has_complete_state: true,
+                    ..DurableState::default()
                 };
                 let core = self.cores.get_mut(&n).expect("known");
-                core.stored = if forgets { Stored::default() } else { as_new };
+                core.stored = if forgets {
+                    DurableState::default()
+                } else {
+                    as_new
+                };
                 self.start(scene, broken, n);
             }
             Move::Start(n) => self.start(scene, broken, n),
@@ -224,7 +243,7 @@
                     scene,
                     broken,
                     n,
-                    Input::Put {
+                    Input::PutConfiguration {
                         ticket: Ticket(put),
                         version: ConfigurationVersion(version),
                         text,
@@ -242,7 +261,7 @@
                     scene,
                     broken,
                     n,
-                    Input::Get {
+                    Input::GetConfiguration {
                         ticket: Ticket(ticket),
                     },
                 );
@@ -299,31 +318,42 @@
         };
         let effects: Vec<Effect> = inputs
             .into_iter()
-            .flat_map(|input| register.step(now, now + DAY, input))
+            .flat_map(|input| {
+                register.step(Timestamp::from_millis(now), WallTime(now + DAY), input)
+            })
             .collect();
         for effect in effects {
             match effect {
-                Effect::Write { batch, ops } => {
+                Effect::Write(batch) => {
+                    let id = batch.id;
                     self.cores
                         .get_mut(&n)
                         .expect("known")
                         .writing
-                        .push_back((batch, ops));
+                        .push_back(batch);
                     if broken == Some(Broken::AnswerBeforeSync) {
-                        self.step(scene, broken, n, Input::Synced(batch));
+                        self.step(scene, broken, n, Input::BatchSynced(id));
                     }
                 }
                 Effect::Send { to, message } => match unasked(broken, &message) {
-                    Some(promise) => self.step(scene, broken, n, Input::Heard(to, promise)),
+                    Some(promise) => self.step(
+                        scene,
+                        broken,
+                        n,
+                        Input::MessageReceived {
+                            from: to,
+                            message: promise,
+                        },
+                    ),
                     None => self.post(scene, n, to, message),
                 },
-                Effect::Vote {
+                Effect::AnswerClaim(ClaimAnswer {
                     session,
-                    set,
+                    epoch: set,
                     key,
                     claim,
                     verdict,
-                } => {
+                }) => {
                     self.post(
                         scene,
                         n,
@@ -337,10 +367,10 @@
                     );
                 }
                 Effect::Answer { ticket, outcome } => self.answered(ticket, &outcome),
-                Effect::InForce {
+                Effect::ConfigurationCommitted(CommittedConfiguration {
                     version,
                     text: sent,
-                } => {
+                }) => {
                     let core = self.cores.get_mut(&n).expect("known");
                     if version < core.in_force || !sent_as(version.0, &sent) {
                         self.broken = Some(format!(
@@ -355,7 +385,7 @@
                     core.in_force = version;
                     self.served = self.served.max(version.0);
                 }
-                Effect::Set(set) => {
+                Effect::VotingSetAdopted(set) => {
                     let known = self
                         .sets
                         .entry(set.epoch.0)
@@ -366,7 +396,7 @@
                     }
                     self.adopted(scene, n, set);
                 }
-                Effect::Say(_) => {}
+                Effect::Log(_) => {}
             }
         }
     }
@@ -407,21 +437,23 @@
             .copied()
             .unwrap_or(ConfigurationVersion(0));
         match outcome {
-            Outcome::Acknowledged { another } => self.acknowledged(ticket.0, *another),
-            Outcome::Whole {
+            Outcome::Acknowledged {
+                is_other_text: another,
+            } => self.acknowledged(ticket.0, *another),
+            Outcome::Configuration(CommittedConfiguration {
                 version,
                 text: read,
-            } if *version < floor || !sent_as(version.0, read) => {
+            }) if *version < floor || !sent_as(version.0, read) => {
                 self.broken = Some(format!(
                     "LOST: read {version} where {floor} was acknowledged or in force"
                 ));
             }
-            Outcome::Nothing if floor > ConfigurationVersion(0) => {
+            Outcome::NoConfiguration if floor > ConfigurationVersion(0) => {
                 self.broken = Some(format!(
                     "LOST: nothing is there where {floor} was acknowledged"
                 ));
             }
-            Outcome::Whole { .. } | Outcome::Nothing | Outcome::Unclear => {}
+            Outcome::Configuration(_) | Outcome::NoConfiguration | Outcome::Unknown => {}
         }
     }
 
@@ -519,23 +551,31 @@
                     scene,
                     broken,
                     to,
-                    Input::Claim {
+                    Input::Claim(ClaimRequest {
                         session,
-                        set,
+                        epoch: set,
                         key,
                         claim,
-                    },
+                    }),
                 );
             }
             Message::ClaimWithdrawal { key, claim } => {
-                self.step(scene, broken, to, Input::Withdraw { key, claim })
+                self.step(scene, broken, to, Input::WithdrawClaim { key, claim })
             }
             Message::VotingSet(set) if to >= CLAIMANTS => {
                 if broken != Some(Broken::EpochUnchecked) || self.claimants[&to].claims.idle() {
                     self.renewed(from, to, set);
                 }
             }
-            other => self.step(scene, broken, to, Input::Heard(from, other)),
+            other => self.step(
+                scene,
+                broken,
+                to,
+                Input::MessageReceived {
+                    from: from,
+                    message: other,
+                },
+            ),
         }
     }
 
@@ -546,18 +586,18 @@
         core.in_force = ConfigurationVersion(0);
         core.incarnation.0 += 1;
         let setup = Setup {
-            me: n,
+            node: n,
             zone: zone(n),
             incarnation: Incarnation(u64::from(n.0) * LIVES + core.incarnation.0),
             seeds,
-            first_start: first,
-            tolerated: TOLERATED,
-            catch_up_ms: CATCH_UP,
-            key_window_ms: WINDOW,
+            is_first_start: first,
+            tolerated_losses: TOLERATED,
+            catch_up: Duration::from_millis(CATCH_UP),
+            key_window: Duration::from_millis(WINDOW),
         };
-        core.register = Some(Register::new(setup, core.stored.clone()));
+        core.register = Some(ConsensusNode::new(setup, core.stored.clone()));
         self.step(scene, broken, n, Input::Tick);
-        let set = self.cores[&n].stored.set.clone();
+        let set = self.cores[&n].stored.voting_set.clone();
         self.tell_claimants(scene, n, set);
         for other in self.others(n) {
             self.session(scene, broken, n, other, true);
@@ -589,9 +629,9 @@
         self.told.retain(|(_, to), _| *to != n);
         self.open.retain(|_, at| *at != n);
         let core = self.cores.get_mut(&n).expect("known");
-        for (_, ops) in std::mem::take(&mut core.writing) {
+        for batch in std::mem::take(&mut core.writing) {
             if written {
-                core.stored.apply(ops);
+                core.stored.apply(batch.operations);
             }
         }
     }
@@ -661,14 +701,14 @@
             None => drop(core.sessions.remove(&peer)),
         }
         self.told.remove(&(peer, at));
-        let up = Input::Up {
+        let up = Input::PeerConnected {
             peer,
             zone: zone(peer),
         };
         let input = if session.is_some() {
             up
         } else {
-            Input::Down(peer)
+            Input::PeerDisconnected(peer)
         };
         self.step(scene, broken, at, input);
     }
--- a/crates/tools/modelcheck/src/variants.rs
+++ b/crates/tools/modelcheck/src/variants.rs
@@ -3,16 +3,16 @@
 
 use crate::scenes::{Broken, Scene};
 use crate::world::{Sent, World};
-use rushcourse_consensus::{Input, Op, Register};
+use rushcourse_consensus::{ConsensusNode, Input, WriteOperation};
 use rushcourse_messages::{DurableVote, Message, NodeId, Slot, VotingSet};
 use rushcourse_types::{Epoch, Timestamp};
 
 /// Whether a batch makes this replica a member that does not remember.
-pub(crate) fn joins(n: NodeId, ops: &[Op]) -> bool {
+pub(crate) fn joins(n: NodeId, ops: &[WriteOperation]) -> bool {
     let member = ops
         .iter()
-        .any(|op| matches!(op, Op::Set(set) if set.contains(n)));
-    member && ops.contains(&Op::Forget)
+        .any(|op| matches!(op, WriteOperation::StoreVotingSet(set) if set.contains(n)));
+    member && ops.contains(&WriteOperation::MarkStateIncomplete)
 }
 
 /// The promise that a proposer takes for given, where it does not ask for it.
@@ -91,8 +91,8 @@
         let own = |slot: Slot| {
             records
                 .iter()
-                .find(|r| r.0 == slot)
-                .and_then(|r| r.1.accepted.as_ref())
+                .find(|r| r.slot == slot)
+                .and_then(|r| r.record.accepted.as_ref())
         };
         let alter = |cast: DurableVote| DurableVote {
             ballot: own(cast.slot).map_or(cast.ballot, |a| a.ballot),
@@ -115,7 +115,7 @@
             .cores
             .get(&n)
             .and_then(|c| c.register.as_ref())
-            .map(Register::set);
+            .map(ConsensusNode::voting_set);
         let claimant = self.claimants.get(&n).map(|c| c.claims.voting_set());
         core.or(claimant)
             .map_or(Epoch(0), |set: &VotingSet| set.epoch)
@@ -223,9 +223,10 @@
         let mut inputs = Vec::new();
         if broken == Some(Broken::ToldWithoutEnd) {
             let told = self.told.iter().filter(|t| t.0.1 == n);
-            inputs.extend(
-                told.map(|((from, _), message)| Input::Heard(*from, as_of(self.now, message))),
-            );
+            inputs.extend(told.map(|((from, _), message)| Input::MessageReceived {
+                from: *from,
+                message: as_of(self.now, message),
+            }));
         }
         inputs.push(input);
         inputs
@@ -234,7 +235,11 @@
     /// A newcomer that votes as soon as it is a member.
     pub(crate) fn counts_at_once(&mut self, scene: &Scene, broken: Option<Broken>, n: NodeId) {
         self.end(scene, broken, n, true);
-        self.cores.get_mut(&n).expect("known").stored.remembers = true;
+        self.cores
+            .get_mut(&n)
+            .expect("known")
+            .stored
+            .has_complete_state = true;
         self.start(scene, broken, n);
     }
 }
--- a/crates/tools/modelcheck/src/world.rs
+++ b/crates/tools/modelcheck/src/world.rs
@@ -3,8 +3,8 @@
 
 use crate::moves::Move;
 use crate::scenes::{Scene, TWIN};
-use rushcourse_consensus::{Op, Ready, Register, Stored};
-use rushcourse_messages::{AcceptorRecord, ClaimId, Message, NodeId, Slot, VotingSet};
+use rushcourse_consensus::{ConsensusNode, DurableState, ReplicaSummary, WriteBatch};
+use rushcourse_messages::{ClaimId, Message, NodeId, Slot, SlotRecord, VotingSet};
 use rushcourse_routing::Claims;
 use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, SessionId, Ticket};
 use std::collections::{BTreeMap, VecDeque};
@@ -38,17 +38,17 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Core {
-    pub register: Option<Register>,
-    pub stored: Stored,
+    pub register: Option<ConsensusNode>,
+    pub stored: DurableState,
     /// The disk at the start of this world.
-    pub old: Stored,
+    pub old: DurableState,
     /// It never comes back; it is cut off; its process is held.
     pub gone: bool,
     pub apart: bool,
     pub frozen: bool,
     /// The sessions that this end knows of, by their numbers.
     pub sessions: BTreeMap<NodeId, SessionId>,
-    pub writing: VecDeque<(u64, Vec<Op>)>,
+    pub writing: VecDeque<WriteBatch>,
     pub first: bool,
     /// How often it was started.
     pub incarnation: Incarnation,
@@ -130,13 +130,17 @@
 
 /// A core director before its start; spares are no members of the set that is there.
 fn core(scene: &Scene, set: &VotingSet, n: NodeId) -> Core {
-    let there = Stored {
-        set: set.clone(),
-        remembers: true,
-        ..Stored::default()
+    let there = DurableState {
+        voting_set: set.clone(),
+        has_complete_state: true,
+        ..DurableState::default()
     };
     let is_empty = scene.first || !set.contains(n);
-    let stored = if is_empty { Stored::default() } else { there };
+    let stored = if is_empty {
+        DurableState::default()
+    } else {
+        there
+    };
     Core {
         register: None,
         old: stored.clone(),
@@ -167,7 +171,7 @@
 }
 
 /// Whether a disk's record is of an accepted text of this number or a higher one.
-pub(crate) fn is_accepted((slot, record): &(Slot, AcceptorRecord), number: u64) -> bool {
+pub(crate) fn is_accepted(SlotRecord { slot, record }: &SlotRecord, number: u64) -> bool {
     matches!(slot, Slot::Configuration(v) if *v >= ConfigurationVersion(number))
         && record.accepted.is_some()
 }
@@ -255,8 +259,12 @@
     }
 
     /// How far a core director has come, while it is up.
-    pub fn ready(&self, n: NodeId) -> Option<Ready> {
-        self.cores.get(&n)?.register.as_ref().map(Register::ready)
+    pub fn ready(&self, n: NodeId) -> Option<ReplicaSummary> {
+        self.cores
+            .get(&n)?
+            .register
+            .as_ref()
+            .map(ConsensusNode::summary)
     }
 
     pub fn moves(&self, scene: &Scene) -> Vec<Move> {
@@ -302,7 +310,8 @@
         }
         let removed = self.newest.epoch > Epoch(0) && !self.newest.contains(n);
         all.extend(
-            (left.old_disks > 0 && removed && core.old.remembers).then_some(Move::OldDisk(n)),
+            (left.old_disks > 0 && removed && core.old.has_complete_state)
+                .then_some(Move::OldDisk(n)),
         );
         all.extend((left.leaves > 0 && self.newest.contains(n)).then_some(Move::Leave(n)));
         if core.apart {
@@ -326,7 +335,7 @@
                 && self
                     .cores
                     .get(*m)
-                    .is_none_or(|c| c.gone || !c.stored.remembers)
+                    .is_none_or(|c| c.gone || !c.stored.has_complete_state)
         };
         let members = &self.newest.members;
         let most = members.len().saturating_sub(1) / 2;
--- a/crates/tools/modelcheck/tests/ways.rs
+++ b/crates/tools/modelcheck/tests/ways.rs
@@ -2,7 +2,7 @@
 //! defence taken out, and to none with it.
 
 use rushcourse_modelcheck::{Bounds, Broken, Move, Move::*, SCENES, Scene, World, explore};
-use rushcourse_types::{Epoch, NodeId};
+use rushcourse_types::{ConfigurationVersion, Epoch, NodeId};
 
 fn scene(name: &str) -> &'static Scene {
     SCENES.iter().find(|s| s.name == name).expect("a scene")
@@ -233,8 +233,8 @@
 fn votes_in(world: &World, n: NodeId) -> Option<Epoch> {
     world
         .ready(n)
-        .filter(|ready| ready.votes)
-        .map(|ready| ready.set.epoch)
+        .filter(|ready| ready.is_voter)
+        .map(|ready| ready.voting_set.epoch)
 }
 
 #[test]
@@ -299,8 +299,8 @@
         "2 has been taught"
     );
     assert_eq!(
-        [1, 2].map(|n| held.ready(NodeId(n)).map(|ready| ready.held)),
-        [Some(5), Some(0)]
+        [1, 2].map(|n| held.ready(NodeId(n)).map(|ready| ready.highest_accepted)),
+        [5, 0].map(|version| Some(ConfigurationVersion(version)))
     );
 }
 
--- a/crates/tools/netcost/src/hollow/configuration.rs
+++ b/crates/tools/netcost/src/hollow/configuration.rs
@@ -3,12 +3,15 @@
 
 use super::{Size, gauge};
 use rushcourse_config::Configuration;
-use rushcourse_consensus::{Effect, Input, Register, Setup, Stored};
+use rushcourse_consensus::{
+    CommittedConfiguration, ConsensusNode, DurableState, Effect, Input, Setup, WriteBatch,
+};
 use rushcourse_messages::{Message, NodeId, VotingSet, encode};
-use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, Ticket};
+use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, Ticket, Timestamp, WallTime};
 use std::collections::VecDeque;
 use std::fmt::Write;
 use std::sync::Arc;
+use std::time::Duration;
 
 /// ms between two ticks, and for which a change is played.
 const TICK: u64 = 50;
@@ -62,7 +65,7 @@
 
 struct Controllers {
     now: u64,
-    all: Vec<Register>,
+    all: Vec<ConsensusNode>,
     ways: VecDeque<(usize, Input)>,
     counts: Counts,
 }
@@ -74,25 +77,25 @@
 impl Controllers {
     fn new(count: usize) -> Controllers {
         let members: Vec<NodeId> = (0..count).map(node).collect();
-        let stored = || Stored {
-            set: VotingSet {
+        let stored = || DurableState {
+            voting_set: VotingSet {
                 epoch: Epoch(1),
                 members: members.clone(),
             },
-            remembers: true,
-            ..Stored::default()
+            has_complete_state: true,
+            ..DurableState::default()
         };
         let setup = |k: usize| Setup {
-            me: node(k),
+            node: node(k),
             zone: "zone".into(),
             incarnation: Incarnation(k as u64),
             seeds: members.clone(),
-            first_start: false,
-            tolerated: 2,
-            catch_up_ms: CATCH_UP,
-            key_window_ms: WINDOW,
+            is_first_start: false,
+            tolerated_losses: 2,
+            catch_up: Duration::from_millis(CATCH_UP),
+            key_window: Duration::from_millis(WINDOW),
         };
-        let all = (0..count).map(|k| Register::new(setup(k), stored()));
+        let all = (0..count).map(|k| ConsensusNode::new(setup(k), stored()));
         let (all, ways, counts) = (all.collect(), VecDeque::new(), Counts::default());
         let mut controllers = Controllers {
             now: 1_000,
@@ -105,7 +108,7 @@
             controllers.ways.extend(peers.map(|other| {
                 (
                     k,
-                    Input::Up {
+                    Input::PeerConnected {
                         peer: node(other),
                         zone: "zone".into(),
                     },
@@ -118,7 +121,11 @@
 
     fn deliver(&mut self) {
         while let Some((k, input)) = self.ways.pop_front() {
-            for effect in self.all[k].step(self.now, WALL + self.now, input) {
+            for effect in self.all[k].step(
+                Timestamp::from_millis(self.now),
+                WallTime(WALL + self.now),
+                input,
+            ) {
                 self.carry(k, effect);
             }
         }
@@ -126,7 +133,9 @@
 
     fn carry(&mut self, from: usize, effect: Effect) {
         match effect {
-            Effect::Write { batch, .. } => self.ways.push_back((from, Input::Synced(batch))),
+            Effect::Write(WriteBatch { id: batch, .. }) => {
+                self.ways.push_back((from, Input::BatchSynced(batch)))
+            }
             Effect::Send { to, message } => {
                 let bytes = length(&message);
                 match message {
@@ -135,21 +144,24 @@
                 }
                 self.ways.push_back((
                     (to.0 - node(0).0) as usize,
-                    Input::Heard(node(from), message),
+                    Input::MessageReceived {
+                        from: node(from),
+                        message: message,
+                    },
                 ));
             }
-            Effect::InForce { version, text } => {
+            Effect::ConfigurationCommitted(CommittedConfiguration { version, text }) => {
                 self.counts.in_force += length(&Message::Configuration { version, text });
             }
             Effect::Answer { .. } => self.counts.acknowledged = true,
-            Effect::Vote { .. } | Effect::Set(_) | Effect::Say(_) => {}
+            Effect::AnswerClaim(_) | Effect::VotingSetAdopted(_) | Effect::Log(_) => {}
         }
     }
 
     fn put(&mut self, text: Arc<[u8]>) {
         self.ways.push_back((
             0,
-            Input::Put {
+            Input::PutConfiguration {
                 ticket: Ticket(1),
                 version: ConfigurationVersion(2),
                 text,
--- a/crates/tools/netcost/src/hollow/keys.rs
+++ b/crates/tools/netcost/src/hollow/keys.rs
@@ -1,9 +1,12 @@
 //! One real voter's claims of keys: what a claim costs it without socket and disk, what it holds, and where it stops.
 
 use super::{Size, gauge};
-use rushcourse_consensus::{Effect, Input, Register, Setup, Stored};
+use rushcourse_consensus::{
+    ClaimAnswer, ClaimRequest, ConsensusNode, DurableState, Effect, Input, Setup, WriteBatch,
+};
 use rushcourse_messages::{ClaimId, ClaimVerdict, Message, NodeId, VotingSet, decode, encode};
-use rushcourse_types::{Epoch, Incarnation, KeyDigest, SessionId};
+use rushcourse_types::{Epoch, Incarnation, KeyDigest, SessionId, Timestamp, WallTime};
+use std::time::Duration;
 
 /// Claims that are made, at the whole target: more than a voter takes, so that its limit shows.
 const CLAIMS: usize = 240_000;
@@ -25,28 +28,28 @@
     lesson: usize,
 }
 
-fn voter() -> Register {
+fn voter() -> ConsensusNode {
     let members: Vec<NodeId> = (1..=VOTERS).map(NodeId).collect();
     let set = VotingSet {
         epoch: Epoch(1),
         members: members.clone(),
     };
     let setup = Setup {
-        me: NodeId(1),
+        node: NodeId(1),
         zone: "zone".into(),
         incarnation: Incarnation(1),
         seeds: members,
-        first_start: false,
-        tolerated: 2,
-        catch_up_ms: CATCH_UP,
-        key_window_ms: WINDOW,
+        is_first_start: false,
+        tolerated_losses: 2,
+        catch_up: Duration::from_millis(CATCH_UP),
+        key_window: Duration::from_millis(WINDOW),
     };
-    Register::new(
+    ConsensusNode::new(
         setup,
-        Stored {
-            set,
-            remembers: true,
-            ..Stored::default()
+        DurableState {
+            voting_set: set,
+            has_complete_state: true,
+            ..DurableState::default()
         },
     )
 }
@@ -75,17 +78,19 @@
     (0..count).map(claim).collect()
 }
 
-fn carry(register: &mut Register, now: u64, input: Input, counts: &mut Counts) {
-    for effect in register.step(now, WALL + now, input) {
+fn carry(register: &mut ConsensusNode, now: u64, input: Input, counts: &mut Counts) {
+    for effect in register.step(Timestamp::from_millis(now), WallTime(WALL + now), input) {
         match effect {
-            Effect::Write { batch, .. } => carry(register, now, Input::Synced(batch), counts),
-            Effect::Vote {
-                set,
+            Effect::Write(WriteBatch { id: batch, .. }) => {
+                carry(register, now, Input::BatchSynced(batch), counts)
+            }
+            Effect::AnswerClaim(ClaimAnswer {
+                epoch: set,
                 key,
                 claim,
                 verdict,
                 ..
-            } => {
+            }) => {
                 match verdict {
                     ClaimVerdict::Granted => counts.granted += 1,
                     _ => counts.turned_away += 1,
@@ -131,12 +136,12 @@
                     carry(
                         &mut register,
                         1_000,
-                        Input::Claim {
+                        Input::Claim(ClaimRequest {
                             session: SessionId(1),
-                            set,
+                            epoch: set,
                             key,
                             claim,
-                        },
+                        }),
                         &mut counts,
                     );
                 }
@@ -149,13 +154,13 @@
     carry(
         &mut register,
         1_000,
-        Input::Heard(
-            NodeId(2),
-            Message::SnapshotRequest {
+        Input::MessageReceived {
+            from: NodeId(2),
+            message: Message::SnapshotRequest {
                 epoch: Epoch(1),
                 after: None,
             },
-        ),
+        },
         &mut counts,
     );
     println!(
