--- a/crates/tools/modelcheck/src/play.rs
+++ b/crates/tools/modelcheck/src/play.rs
@@ -572,7 +572,7 @@
                 broken,
                 to,
                 Input::MessageReceived {
-                    from: from,
+                    from,
                     message: other,
                 },
             ),
--- a/crates/tools/netcost/src/hollow/configuration.rs
+++ b/crates/tools/netcost/src/hollow/configuration.rs
@@ -146,7 +146,7 @@
                     (to.0 - node(0).0) as usize,
                     Input::MessageReceived {
                         from: node(from),
-                        message: message,
+                        message,
                     },
                 ));
             }
