--- a/crates/gateway/consensus/tests/world/mod.rs
+++ b/crates/gateway/consensus/tests/world/mod.rs
@@ -272,8 +272,8 @@
                     self.step(
                         to,
                         Input::MessageReceived {
-                            from: from,
-                            message: message,
+                            from,
+                            message,
                         },
                     );
                 }
