--- a/crates/gateway/consensus/tests/world/mod.rs
+++ b/crates/gateway/consensus/tests/world/mod.rs
@@ -269,13 +269,7 @@
                     self.mail.pop_front().expect("looked");
                 let lives = (self.nodes[&from].incarnation, self.nodes[&to].incarnation);
                 if self.reach(from, to) && lives == (incarnation, its) {
-                    self.step(
-                        to,
-                        Input::MessageReceived {
-                            from,
-                            message,
-                        },
-                    );
+                    self.step(to, Input::MessageReceived { from, message });
                 }
             }
         }
