--- a/crates/gateway/controller/src/links.rs
+++ b/crates/gateway/controller/src/links.rs
@@ -1,18 +1,19 @@
 //! Sessions by who is on the other side, and who is to be dialled.
 
 use rushcourse_messages::{Handshake, Incarnation, Message, NodeId, Role};
-use rushcourse_transport::{Dialler, Office, Session};
+use rushcourse_transport::{Dialer, Session, SessionFactory};
+use rushcourse_types::SessionId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Core directors that are known of at most: far over what a deployment has (ours).
 const KNOWN_MOST: usize = 64;
 
 pub struct Links {
-    dialler: Dialler,
+    dialer: Dialer,
     known: BTreeSet<NodeId>,
-    sessions: BTreeMap<u64, Session>,
+    sessions: BTreeMap<SessionId, Session>,
     /// Core directors: life and sessions, newest last.
-    peers: BTreeMap<NodeId, (Incarnation, Vec<u64>)>,
+    peers: BTreeMap<NodeId, (Incarnation, Vec<SessionId>)>,
 }
 
 /// What a session's coming or going means.
@@ -20,29 +21,29 @@
 pub enum Change {
     PeerUp(NodeId),
     PeerDown(NodeId),
-    FrontUp(u64),
-    FrontDown(u64),
+    FrontUp(SessionId),
+    FrontDown(SessionId),
 }
 
 impl Links {
-    pub fn new(dialler: Dialler) -> Links {
+    pub fn new(dialer: Dialer) -> Links {
         let (known, sessions, peers) = (BTreeSet::new(), BTreeMap::new(), BTreeMap::new());
         Links {
-            dialler,
+            dialer,
             known,
             sessions,
             peers,
         }
     }
 
-    pub fn office(&self) -> &Office {
-        self.dialler.office()
+    pub fn factory(&self) -> &SessionFactory {
+        self.dialer.factory()
     }
 
     pub fn know(&mut self, nodes: impl IntoIterator<Item = NodeId>) -> bool {
         let before = self.known.len();
         for node in nodes {
-            if node != self.dialler.me().node && self.known.len() < KNOWN_MOST {
+            if node != self.dialer.local_handshake().node && self.known.len() < KNOWN_MOST {
                 self.known.insert(node);
             }
         }
@@ -53,7 +54,7 @@
         self.known
             .iter()
             .copied()
-            .chain([self.dialler.me().node])
+            .chain([self.dialer.local_handshake().node])
             .collect()
     }
 
@@ -66,8 +67,8 @@
             .copied()
             .filter(|n| !self.peers.contains_key(n))
         {
-            if self.dialler.me().node < node || turn % 4 == 3 {
-                self.dialler.dial(node);
+            if self.dialer.local_handshake().node < node || turn % 4 == 3 {
+                self.dialer.dial(node);
             }
         }
     }
@@ -88,7 +89,7 @@
             // It started anew: what its last life said no longer counts.
             for old in std::mem::take(of) {
                 if let Some(session) = self.sessions.remove(&old) {
-                    session.out.close();
+                    session.close();
                 }
             }
             changes.push(Change::PeerDown(peer.node));
@@ -98,7 +99,7 @@
         changes
     }
 
-    pub fn down(&mut self, id: u64) -> Option<Change> {
+    pub fn down(&mut self, id: SessionId) -> Option<Change> {
         let session = self.sessions.remove(&id)?;
         if session.peer.role == Role::Gateway {
             return Some(Change::FrontDown(id));
@@ -113,7 +114,7 @@
         None
     }
 
-    pub fn session(&self, id: u64) -> Option<&Session> {
+    pub fn session(&self, id: SessionId) -> Option<&Session> {
         self.sessions.get(&id)
     }
 
@@ -125,9 +126,9 @@
             .map(|s| s.peer.zone.as_str().into())
     }
 
-    pub fn to(&self, id: u64, message: &Message) {
+    pub fn to(&self, id: SessionId, message: &Message) {
         if let Some(session) = self.sessions.get(&id) {
-            session.out.send(message);
+            session.send(message);
         }
     }
 
@@ -144,7 +145,7 @@
     }
 
     /// Sessions of gateways.
-    pub fn fronts(&self) -> impl Iterator<Item = u64> {
+    pub fn fronts(&self) -> impl Iterator<Item = SessionId> {
         self.sessions
             .values()
             .filter(|s| s.peer.role == Role::Gateway)
@@ -155,7 +156,7 @@
         self.fronts().for_each(|session| self.to(session, message));
     }
 
-    pub fn view(&self) -> Vec<(u64, Handshake)> {
+    pub fn view(&self) -> Vec<(SessionId, Handshake)> {
         self.sessions
             .values()
             .map(|s| (s.id, s.peer.clone()))
--- a/crates/gateway/controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -9,12 +9,17 @@
 use rushcourse_cluster::{self as cluster, Cluster, Contact, Place, Rounds};
 use rushcourse_config::Boot;
 use rushcourse_consensus::{self as register, Op, Outcome, Register, Setup};
-use rushcourse_messages::{Handshake, HostState, Message, NodeId, PROTOCOL_VERSION, Role};
+use rushcourse_messages::{HostState, Message, NodeId, Role};
 use rushcourse_storage::{Done, Health, Store};
-use rushcourse_transport::{Dialler, Office, SessionEvent, StartError, Times, listen, logs};
-use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, RequestToken, SessionId, Ticket};
+use rushcourse_transport::startup::{
+    listen, listen_for_sessions, local_handshake, reload_settings, required_address,
+    run_on_this_thread, seed_nodes,
+};
+use rushcourse_transport::{
+    Clock, Dialer, SessionEvent, SessionFactory, StartError, accept_sessions, logging,
+};
+use rushcourse_types::{ConfigurationVersion, Epoch, RequestToken, SessionId, Ticket};
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,36 +40,18 @@
 /// # Errors
 /// Settings that name no address to listen at or no folder, an address that is taken, a state file that can't be used.
 pub fn serve(path: &Path, boot: Boot) -> Result<(), Report<StartError>> {
-    logs::set_up(&boot.log_level, &boot.node_name);
-    let unbound = |what: &str| Report::new(StartError::Unbound(what.into()));
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .change_context(StartError::Unbound("runtime".into()))?;
-    let local = tokio::task::LocalSet::new();
+    logging::init(&boot.log_level, &boot.node_name);
     let path = path.to_path_buf();
-    local.block_on(&runtime, async move {
-        let control = boot
-            .control_plane
-            .ok_or_else(|| unbound("listen_addresses.control_plane: is missing"))?;
-        let control = bind(control).await?;
-        let internal = bind(SocketAddrV4::new(boot.ip, boot.internal_ports.0)).await?;
+    run_on_this_thread(async move {
+        let control = required_address(boot.control_plane, "listen_addresses.control_plane")?;
+        let control = listen(control).await?;
+        let internal = listen_for_sessions(&boot).await?;
         let owner = Owner::start(&boot)?;
         owner.run(path, boot, control, internal).await;
         Ok(())
     })
 }
 
-async fn bind(at: SocketAddrV4) -> Result<TcpListener, Report<StartError>> {
-    TcpListener::bind(at)
-        .await
-        .change_context_lazy(|| StartError::Unbound(at.to_string()))
-}
-
-pub(crate) fn node(at: &SocketAddrV4) -> NodeId {
-    NodeId(u32::from(*at.ip()))
-}
-
 /// What waits for an answer of a majority.
 enum Asking {
     /// Whether what is held here is current, after a stall.
@@ -76,7 +63,7 @@
 }
 
 struct Owner {
-    times: Times,
+    times: Clock,
     name: String,
     work: (mpsc::UnboundedSender<Work>, mpsc::UnboundedReceiver<Work>),
     sessions: (
@@ -94,7 +81,7 @@
     next_ticket: Ticket,
     contact: Contact,
     /// Sessions of frontend directors that were not told yet which configuration is in force.
-    untold: BTreeSet<u64>,
+    untold: BTreeSet<SessionId>,
     rounds: Rounds,
     /// What waits for the end of a round.
     asking: BTreeMap<RequestToken, Asking>,
@@ -110,7 +97,8 @@
 
 impl Owner {
     fn start(boot: &Boot) -> Result<Owner, Report<StartError>> {
-        let (times, me) = (Times::start(), u32::from(boot.ip));
+        let times = Clock::start();
+        let handshake = local_handshake(boot, Role::Controller);
         let folder = boot
             .data_directory
             .clone()
@@ -138,11 +126,11 @@
             });
         });
         spawned.change_context(StartError::Disk)?;
-        let seeds: Vec<NodeId> = boot.seeds.iter().map(node).collect();
+        let seeds: Vec<NodeId> = seed_nodes(boot).collect();
         let setup = Setup {
-            me: NodeId(me),
+            me: handshake.node,
             zone: boot.zone.as_str().into(),
-            incarnation: Incarnation(times.lot()),
+            incarnation: handshake.incarnation,
             seeds: seeds.clone(),
             first_start: boot.first_start && stored.set.epoch == Epoch(0),
             tolerated: boot.tolerated,
@@ -151,7 +139,6 @@
         };
         let mut stored = stored;
         let hosts = std::mem::take(&mut stored.hosts);
-        let incarnation = setup.incarnation;
         let register = Register::new(setup, stored);
         let party = Cluster::new(Place {
             zone: boot.zone.as_str().into(),
@@ -159,20 +146,12 @@
             beat_ms: (boot.beat_s * 1000.0) as u64,
             drain_ms: boot.bounds.drain_s * 1000.0,
         });
-        let hello = Handshake {
-            protocol_version: PROTOCOL_VERSION,
-            role: Role::Controller,
-            node: NodeId(me),
-            incarnation,
-            name: boot.node_name.clone(),
-            zone: boot.zone.clone(),
-        };
         let sessions = mpsc::unbounded_channel();
-        let office = Office::new(hello, sessions.0.clone());
-        office
+        let factory = SessionFactory::new(handshake, sessions.0.clone());
+        factory
             .set_keys(boot.keys.as_ref())
-            .map_err(|e| Report::new(StartError::Keys).attach(e))?;
-        let mut links = Links::new(Dialler::new(office, boot.internal_ports.0));
+            .change_context(StartError::Keys)?;
+        let mut links = Links::new(Dialer::new(factory, boot.internal_ports.0));
         links.know(seeds);
         let tickets = BTreeMap::new();
         let name = boot.node_name.clone();
@@ -213,7 +192,11 @@
     ) {
         let most = boot.descriptors.saturating_sub(264).max(16) / 2;
         tokio::task::spawn_local(calls::take(control, most, self.work.0.clone()));
-        tokio::task::spawn_local(listen(internal, most, self.links.office().clone()));
+        tokio::task::spawn_local(accept_sessions(
+            internal,
+            most,
+            self.links.factory().clone(),
+        ));
         tokio::task::spawn_local(hang_up(self.work.0.clone()));
         let Ok(mut term) =
             tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
@@ -232,7 +215,7 @@
                 _ = self.work.1.recv_many(&mut work, TURN_MOST) => {}
                 _ = tick.tick() => due = true,
             }
-            if self.contact.turn(self.times.now()) {
+            if self.contact.turn(self.times.now().as_millis()) {
                 log::info!("event=stalled");
                 self.party(cluster::Input::Stalled);
                 self.ask_proof();
@@ -264,30 +247,19 @@
     /// The process is told to end: a spare may take its place among the voters first.
     fn leave(&mut self) {
         if self.leaves_by.is_none() {
-            self.leaves_by = Some(self.times.now() + self.leave_wait);
+            self.leaves_by = Some(self.times.now().as_millis() + self.leave_wait);
             self.register(register::Input::Leave);
         }
     }
 
     fn may_end(&self) -> bool {
         self.leaves_by
-            .is_some_and(|by| self.register.may_end() || self.times.now() >= by)
+            .is_some_and(|by| self.register.may_end() || self.times.now().as_millis() >= by)
     }
 
     fn reread(&mut self, path: &Path) {
-        match rushcourse_transport::start(path) {
-            Ok(boot) => {
-                self.links.know(boot.seeds.iter().map(node));
-                log::info!(
-                    "event=settings_read seeds={} keys={}",
-                    boot.seeds.len(),
-                    boot.keys.is_some()
-                );
-                if let Err(e) = self.links.office().set_keys(boot.keys.as_ref()) {
-                    log::error!("event=keys_unusable why={e:?}");
-                }
-            }
-            Err(report) => log::error!("event=settings_unusable why={:?}", format!("{report}")),
+        if let Some(settings) = reload_settings(path, self.links.factory()) {
+            self.links.know(seed_nodes(&settings));
         }
     }
 
@@ -296,7 +268,7 @@
         self.end_rounds();
         self.judge_contact();
         self.party(cluster::Input::Tick);
-        if let Some(line) = self.links.office().due(self.times.now()) {
+        if let Some(line) = self.links.factory().take_rejections_line(self.times.now()) {
             log::warn!("{line}");
         }
     }
@@ -340,7 +312,7 @@
 
     /// Asks all core directors, behind what was sent to them before.
     fn ask_round(&mut self, asking: Asking) {
-        let token = self.rounds.ask(self.times.now());
+        let token = self.rounds.ask(self.times.now().as_millis());
         self.asking.insert(token, asking);
         let set = self.register.set().epoch;
         self.links
@@ -355,13 +327,16 @@
     }
 
     fn ask_proof(&mut self) {
-        let asked_at = self.times.now();
+        let asked_at = self.times.now().as_millis();
         self.ask_round(Asking::Proof { asked_at });
     }
 
     fn end_rounds(&mut self) {
-        let me = self.links.office().me().node;
-        for (token, reached) in self.rounds.over(self.times.now(), me, self.register.set()) {
+        let me = self.links.factory().local_handshake().node;
+        for (token, reached) in
+            self.rounds
+                .over(self.times.now().as_millis(), me, self.register.set())
+        {
             match self.asking.remove(&token) {
                 Some(Asking::Proof { asked_at }) if reached => self.contact.proven(asked_at),
                 Some(Asking::Proof { .. }) if self.contact.needs_proof() => self.ask_proof(),
@@ -381,9 +356,11 @@
     }
 
     fn register(&mut self, input: register::Input) {
-        let effects = self
-            .register
-            .step(self.times.now(), self.times.wall(), input);
+        let effects = self.register.step(
+            self.times.now().as_millis(),
+            self.times.wall_time().0,
+            input,
+        );
         for effect in effects {
             match effect {
                 register::Effect::Write { batch, ops } => {
@@ -400,7 +377,7 @@
                     verdict,
                 } => {
                     self.links.to(
-                        session.0,
+                        session,
                         &Message::ClaimResponse {
                             epoch: set,
                             key,
@@ -421,12 +398,12 @@
     }
 
     fn party(&mut self, input: cluster::Input) {
-        let effects = self.party.step(self.times.now(), input);
+        let effects = self.party.step(self.times.now().as_millis(), input);
         for effect in effects {
             match effect {
                 cluster::Effect::ToPeer(node, message) => self.links.to_peer(node, &message),
                 cluster::Effect::ToPeers(message) => self.links.to_peers(&message),
-                cluster::Effect::ToFront { session, message } => self.links.to(session.0, &message),
+                cluster::Effect::ToFront { session, message } => self.links.to(session, &message),
                 cluster::Effect::ToFronts(message) => self.links.to_fronts(&message),
                 cluster::Effect::Keep(news) => {
                     // Batch 0: nobody waits for it.
@@ -442,7 +419,7 @@
         let in_force = Message::Configuration { version, text };
         let named = Message::CommittedVersion { version };
         for session in self.links.fronts() {
-            let message = if self.party.is_home(SessionId(session)) {
+            let message = if self.party.is_home(session) {
                 &in_force
             } else {
                 &named
@@ -459,7 +436,7 @@
             .filter(|(version, _)| *version > above)
         {
             self.links
-                .to(session.0, &Message::Configuration { version, text });
+                .to(session, &Message::Configuration { version, text });
         }
     }
 
@@ -535,7 +512,7 @@
                 );
                 let page = pages::status(
                     &self.name,
-                    self.times.now(),
+                    self.times.now().as_millis(),
                     &self.register,
                     &self.party,
                     &self.links,
@@ -544,7 +521,7 @@
                 let _ = reply.send(Reply::Text(page.into_bytes().into()));
             }
             Command::Key { key, reply } => {
-                let page = pages::key(self.times.wall(), self.register.held(key));
+                let page = pages::key(self.times.wall_time().0, self.register.held(key));
                 let _ = reply.send(Reply::Text(page.into_bytes().into()));
             }
         }
@@ -561,7 +538,7 @@
 
     fn session(&mut self, event: SessionEvent) {
         match event {
-            SessionEvent::Up(session) => {
+            SessionEvent::Opened(session) => {
                 let (id, peer) = (session.id, session.peer.clone());
                 log::info!("event=session_up peer={} role={:?}", peer.name, peer.role);
                 for change in self.links.up(session) {
@@ -575,7 +552,7 @@
                     self.links.to_fronts(&cores);
                 }
             }
-            SessionEvent::Down(id) => {
+            SessionEvent::Closed(id) => {
                 if let Some(session) = self.links.session(id) {
                     log::info!("event=session_down peer={}", session.peer.name);
                 }
@@ -583,7 +560,10 @@
                     self.change(change);
                 }
             }
-            SessionEvent::Said(id, message) => self.said(id, message),
+            SessionEvent::Received {
+                session: id,
+                message,
+            } => self.said(id, message),
         }
     }
 
@@ -608,21 +588,19 @@
                 self.untold.insert(id);
                 self.judge_contact();
                 self.party(cluster::Input::FrontUp {
-                    session: SessionId(id),
+                    session: id,
                     node,
                     zone,
                 });
             }
             Change::FrontDown(session) => {
                 self.untold.remove(&session);
-                self.party(cluster::Input::FrontDown {
-                    session: SessionId(session),
-                });
+                self.party(cluster::Input::FrontDown { session: session });
             }
         }
     }
 
-    fn said(&mut self, id: u64, message: Message) {
+    fn said(&mut self, id: SessionId, message: Message) {
         let Some(session) = self.links.session(id) else {
             return;
         };
@@ -656,20 +634,20 @@
                 },
             ) => {
                 self.register(register::Input::Claim {
-                    session: SessionId(id),
+                    session: id,
                     set,
                     key,
                     claim,
                 });
             }
             (Role::Gateway, Message::ConfigurationRequest { newer_than: above }) => {
-                self.asked_for_version(SessionId(id), above)
+                self.asked_for_version(id, above)
             }
             (Role::Gateway, Message::ClaimWithdrawal { key, claim }) => {
                 self.register(register::Input::Withdraw { key, claim });
             }
             (Role::Gateway, message) => self.party(cluster::Input::FrontSaid {
-                session: SessionId(id),
+                session: id,
                 message,
             }),
         }
--- a/crates/gateway/controller/src/pages.rs
+++ b/crates/gateway/controller/src/pages.rs
@@ -4,7 +4,7 @@
 use rushcourse_cluster::Cluster;
 use rushcourse_consensus::{Claim, Register};
 use rushcourse_storage::Doing;
-use rushcourse_types::{NodeId, SessionId};
+use rushcourse_types::NodeId;
 use std::fmt::Write;
 use std::net::Ipv4Addr;
 
@@ -78,7 +78,7 @@
             node(hello.node),
             quoted(&hello.zone),
             quoted(&role),
-            party.is_home(SessionId(id)),
+            party.is_home(id),
         )
     });
     let hosts = list(party.hosts().iter(), |s| {
@@ -102,7 +102,7 @@
         format!("{{\"service\":{service},\"table\":{table},\"fronts\":{fronts},\"lines\":{lines}}}")
     });
     let _ = write!(page, ",\"members\":{}", list(party.members().all(), node));
-    let refused = links.office().refused();
+    let refused = links.factory().rejections();
     let refused: Vec<String> = refused
         .iter()
         .map(|(why, n)| format!("{}:{n}", quoted(why)))
--- a/crates/gateway/gateway/src/board.rs
+++ b/crates/gateway/gateway/src/board.rs
@@ -8,8 +8,8 @@
     Budget, Claims, Decision, Homing, Operations, Tables, Verdicts, VersionFetch, VoteRequest,
     Withdrawal,
 };
-use rushcourse_transport::{SessionEvent, Tally, Times};
-use rushcourse_types::{ConfigurationVersion, Incarnation, KeyDigest, RequestToken};
+use rushcourse_transport::{Clock, Counters, SessionEvent};
+use rushcourse_types::{ConfigurationVersion, Incarnation, KeyDigest, RequestToken, SessionId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 pub type Shared = Rc<Board>;
 
 pub struct Board {
-    pub times: Times,
+    pub times: Clock,
     pub state: RefCell<State>,
     /// Told to end: no new requests are asked for.
     pub ending: Cell<bool>,
@@ -46,11 +46,11 @@
     pub asked: BTreeMap<RequestToken, oneshot::Sender<OperationState>>,
     next_token: RequestToken,
     usage_at: u64,
-    pub tally: Tally,
+    pub tally: Counters,
 }
 
 impl Board {
-    pub fn new(boot: &Boot, times: Times, incarnation: Incarnation, links: Links) -> Board {
+    pub fn new(boot: &Boot, times: Clock, incarnation: Incarnation, links: Links) -> Board {
         let me = u32::from(boot.ip);
         let b = &boot.bounds;
         let window = (b.key_window_s * 1000.0) as u64;
@@ -73,7 +73,7 @@
             asked: BTreeMap::new(),
             next_token: RequestToken(0),
             usage_at: 0,
-            tally: Tally::new("own_answers"),
+            tally: Counters::new("own_answers"),
         };
         Board {
             times,
@@ -99,10 +99,10 @@
     }
 
     pub fn session(&self, event: SessionEvent) {
-        let now = self.times.now();
+        let now = self.times.now().as_millis();
         let mut state = self.state.borrow_mut();
         match event {
-            SessionEvent::Up(session) => {
+            SessionEvent::Opened(session) => {
                 let zone = session.peer.zone.clone();
                 log::info!(
                     "event=session_up peer={} role={:?}",
@@ -116,7 +116,7 @@
                     state.homing.up(node, &zone);
                 }
             }
-            SessionEvent::Down(id) => {
+            SessionEvent::Closed(id) => {
                 if let Some((node, Role::Controller)) = state.links.down(id) {
                     log::info!("event=session_down node={}", std::net::Ipv4Addr::from(node));
                     state.homing.down(node);
@@ -125,7 +125,10 @@
                     state.choose_home();
                 }
             }
-            SessionEvent::Said(id, message) => {
+            SessionEvent::Received {
+                session: id,
+                message,
+            } => {
                 let Some((node, role)) = state.links.peer(id).map(|p| (p.node, p.role)) else {
                     return;
                 };
@@ -138,9 +141,9 @@
     }
 
     pub fn tick(&self) {
-        let now = self.times.now();
+        let now = self.times.now().as_millis();
         let mut state = self.state.borrow_mut();
-        if let Some(line) = state.tally.due(now) {
+        if let Some(line) = state.tally.take_log_line(self.times.now()) {
             log::info!("{line}");
         }
         let over = state.claims.over(now);
@@ -362,7 +365,7 @@
         }
     }
 
-    fn front_said(&mut self, now: u64, id: u64, message: Message) {
+    fn front_said(&mut self, now: u64, id: SessionId, message: Message) {
         match message {
             Message::OperationQuery { token, key, claim } => {
                 let progress = self.operations.progress(key, claim);
--- a/crates/gateway/gateway/src/hosts.rs
+++ b/crates/gateway/gateway/src/hosts.rs
@@ -63,7 +63,7 @@
 
 /// One try of a request at a host that was picked. `until`: when its client stops waiting.
 pub async fn try_at(board: &Shared, out: &Outgoing, host: &Pick, until: Instant) -> Tried {
-    let begun = board.times.exact();
+    let begun = board.times.precise_millis();
     let guard = Counted {
         board: board.clone(),
         service: out.service.clone(),
@@ -72,10 +72,10 @@
     };
     let tried = attempt(board, out, host, until).await;
     let met = match &tried {
-        Tried::Answered(_) => Met::Answer(board.times.exact() - begun),
+        Tried::Answered(_) => Met::Answer(board.times.precise_millis() - begun),
         Tried::NotRun(met) => *met,
         Tried::Broke => Met::Broke,
-        Tried::Late => Met::Answer(board.times.exact() - begun),
+        Tried::Late => Met::Answer(board.times.precise_millis() - begun),
     };
     guard.end(met);
     tried
@@ -92,7 +92,7 @@
 impl Counted {
     fn end(mut self, met: Met) {
         self.done = true;
-        let now = self.board.times.now();
+        let now = self.board.times.now().as_millis();
         self.board
             .state
             .borrow_mut()
@@ -123,7 +123,7 @@
         .state
         .borrow_mut()
         .pools
-        .may_open(board.times.now(), service, &host.id)
+        .may_open(board.times.now().as_millis(), service, &host.id)
     {
         return Err(Met::Full);
     }
@@ -175,7 +175,7 @@
             .state
             .borrow_mut()
             .pools
-            .take(board.times.now(), &host.id);
+            .take(board.times.now().as_millis(), &host.id);
         let mut line = match idle {
             Some(sender) => Line {
                 sender,
@@ -290,7 +290,7 @@
         Ok(Err(_)) => return not_run.map_or(Tried::Broke, Tried::NotRun),
         Ok(Ok(held)) => held,
     };
-    let now = board.times.now();
+    let now = board.times.now().as_millis();
     strip(&mut head.headers);
     if let Some(rest) = rest {
         return Tried::Answered(Response::from_parts(
--- a/crates/gateway/gateway/src/keyed.rs
+++ b/crates/gateway/gateway/src/keyed.rs
@@ -81,7 +81,7 @@
             let mut state = board.state.borrow_mut();
             if what.status() == StatusCode::SERVICE_UNAVAILABLE {
                 // Nothing ran and nothing will: the key is free for the next try.
-                state.withdraw(board.times.now(), key, claim);
+                state.withdraw(board.times.now().as_millis(), key, claim);
             } else {
                 state.operations.end(key, claim, State::Unknown);
             }
@@ -118,7 +118,7 @@
         Some(State::Running | State::Unknown) => return refuse(board, Own::AtWork),
         None => {}
     }
-    let now = board.times.now();
+    let now = board.times.now().as_millis();
     let begun = {
         let mut state = board.state.borrow_mut();
         let state = &mut *state;
@@ -151,7 +151,7 @@
                 board
                     .state
                     .borrow_mut()
-                    .withdraw(board.times.now(), key, claim);
+                    .withdraw(board.times.now().as_millis(), key, claim);
                 refuse(&board, Own::Refused(NO_MAJORITY))
             }
         };
@@ -172,7 +172,7 @@
     holder: ClaimId,
 ) -> Response<Answer> {
     let (token, told) = {
-        let now = board.times.now();
+        let now = board.times.now().as_millis();
         let mut state = board.state.borrow_mut();
         state.withdraw(now, key, claim);
         if holder.node == claim.node {
--- a/crates/gateway/gateway/src/links.rs
+++ b/crates/gateway/gateway/src/links.rs
@@ -1,7 +1,8 @@
 //! Sessions of a frontend director: to all core directors, and to other frontend ones while repeats are asked for.
 
 use rushcourse_messages::{Handshake, Message, NodeId, Role};
-use rushcourse_transport::{Dialler, Session};
+use rushcourse_transport::{Dialer, Session};
+use rushcourse_types::SessionId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Core directors that are known of at most (ours).
@@ -12,17 +13,17 @@
 const UNUSED: u64 = 4_000;
 
 pub struct Links {
-    dialler: Dialler,
+    dialler: Dialer,
     cores: BTreeSet<NodeId>,
-    sessions: BTreeMap<u64, Session>,
-    by_node: BTreeMap<NodeId, u64>,
+    sessions: BTreeMap<SessionId, Session>,
+    by_node: BTreeMap<NodeId, SessionId>,
     /// Questions for frontend directors with whom no session stands yet.
     asks: BTreeMap<NodeId, Vec<Message>>,
     used: BTreeMap<NodeId, u64>,
 }
 
 impl Links {
-    pub fn new(dialler: Dialler) -> Links {
+    pub fn new(dialler: Dialer) -> Links {
         Links {
             dialler,
             cores: BTreeSet::new(),
@@ -60,7 +61,7 @@
             self.used.remove(&node);
             self.asks.remove(&node);
             if let Some(session) = self.by_node.get(&node).and_then(|id| self.sessions.get(id)) {
-                session.out.close();
+                session.close();
             }
         }
     }
@@ -69,7 +70,7 @@
     pub fn up(&mut self, session: Session) -> (NodeId, Role) {
         let (node, role) = (session.peer.node, session.peer.role);
         if let Some(asks) = self.asks.remove(&node) {
-            asks.iter().for_each(|a| session.out.send(a));
+            asks.iter().for_each(|a| session.send(a));
         }
         self.by_node.insert(node, session.id);
         self.sessions.insert(session.id, session);
@@ -77,7 +78,7 @@
     }
 
     /// Who is no longer reached, if this was the newest session with it.
-    pub fn down(&mut self, id: u64) -> Option<(NodeId, Role)> {
+    pub fn down(&mut self, id: SessionId) -> Option<(NodeId, Role)> {
         let session = self.sessions.remove(&id)?;
         let node = session.peer.node;
         if self.by_node.get(&node) != Some(&id) {
@@ -87,13 +88,13 @@
         Some((node, session.peer.role))
     }
 
-    pub fn peer(&self, id: u64) -> Option<&Handshake> {
+    pub fn peer(&self, id: SessionId) -> Option<&Handshake> {
         self.sessions.get(&id).map(|s| &s.peer)
     }
 
-    pub fn reply(&self, id: u64, message: &Message) {
+    pub fn reply(&self, id: SessionId, message: &Message) {
         if let Some(session) = self.sessions.get(&id) {
-            session.out.send(message);
+            session.send(message);
         }
     }
 
--- a/crates/gateway/gateway/src/requests.rs
+++ b/crates/gateway/gateway/src/requests.rs
@@ -137,7 +137,7 @@
         .state
         .borrow_mut()
         .budget
-        .request(board.times.now(), &service);
+        .request(board.times.now().as_millis(), &service);
     Ok(Call {
         out: Outgoing {
             service,
@@ -192,15 +192,16 @@
                 .state
                 .borrow_mut()
                 .budget
-                .take(board.times.now(), service)
+                .take(board.times.now().as_millis(), service)
         {
             return Carried::Own(last);
         }
-        let pick = board
-            .state
-            .borrow_mut()
-            .tables
-            .pick(board.times.now(), service, &tried, || board.chance());
+        let pick = board.state.borrow_mut().tables.pick(
+            board.times.now().as_millis(),
+            service,
+            &tried,
+            || board.chance(),
+        );
         let Some(host) = pick else {
             return Carried::Own(last);
         };
--- a/crates/gateway/gateway/src/server.rs
+++ b/crates/gateway/gateway/src/server.rs
@@ -4,7 +4,6 @@
 use crate::board::{Board, Shared};
 use crate::front;
 use crate::links::Links;
-use rushcourse_types::{Incarnation, NodeId};
 
 use axum::http::StatusCode;
 use bytes::Bytes;
@@ -13,13 +12,18 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use rushcourse_config::Boot;
-use rushcourse_messages::{Handshake, PROTOCOL_VERSION, Role};
-use rushcourse_transport::{Dialler, Office, StartError, Times, accept, listen, logs};
+use rushcourse_messages::Role;
+use rushcourse_transport::startup::{
+    listen, listen_for_sessions, local_handshake, reload_settings, required_address,
+    run_on_this_thread, seed_nodes,
+};
+use rushcourse_transport::{
+    Clock, Dialer, SessionFactory, StartError, accept, accept_sessions, logging,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 use std::io;
-use std::net::SocketAddrV4;
 use std::path::Path;
 use std::pin::Pin;
 use std::rc::Rc;
@@ -45,53 +49,31 @@
 /// # Errors
 /// Settings that name no address to listen at, or an address that is taken.
 pub fn serve(path: &Path, boot: Boot) -> Result<(), Report<StartError>> {
-    logs::set_up(&boot.log_level, &boot.node_name);
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .change_context(StartError::Unbound("runtime".into()))?;
-    let local = tokio::task::LocalSet::new();
-    let path = path.to_path_buf();
-    local.block_on(&runtime, run(path, boot))
-}
-
-async fn bind(at: Option<SocketAddrV4>, what: &str) -> Result<TcpListener, Report<StartError>> {
-    let at = at.ok_or_else(|| Report::new(StartError::Unbound(format!("{what}: is missing"))))?;
-    TcpListener::bind(at)
-        .await
-        .change_context_lazy(|| StartError::Unbound(at.to_string()))
+    logging::init(&boot.log_level, &boot.node_name);
+    run_on_this_thread(run(path.to_path_buf(), boot))
 }
 
 async fn run(path: std::path::PathBuf, boot: Boot) -> Result<(), Report<StartError>> {
-    let front = bind(boot.front_http, "listen_addresses.front_http").await?;
-    let readiness = bind(boot.readiness, "listen_addresses.readiness").await?;
-    let internal = bind(
-        Some(SocketAddrV4::new(boot.ip, boot.internal_ports.0)),
-        "internal_port_range",
-    )
-    .await?;
-    let times = Times::start();
-    let incarnation = Incarnation(times.lot());
-    let hello = Handshake {
-        protocol_version: PROTOCOL_VERSION,
-        role: Role::Gateway,
-        node: NodeId(u32::from(boot.ip)),
-        incarnation,
-        name: boot.node_name.clone(),
-        zone: boot.zone.clone(),
-    };
-    let (tell, mut events) = mpsc::unbounded_channel();
-    let office = Office::new(hello, tell);
-    office
+    let front = required_address(boot.front_http, "listen_addresses.front_http")?;
+    let front = listen(front).await?;
+    let readiness = required_address(boot.readiness, "listen_addresses.readiness")?;
+    let readiness = listen(readiness).await?;
+    let internal = listen_for_sessions(&boot).await?;
+    let times = Clock::start();
+    let handshake = local_handshake(&boot, Role::Gateway);
+    let incarnation = handshake.incarnation;
+    let (event_sender, mut events) = mpsc::unbounded_channel();
+    let factory = SessionFactory::new(handshake, event_sender);
+    factory
         .set_keys(boot.keys.as_ref())
-        .map_err(|e| Report::new(StartError::Keys).attach(e))?;
-    let mut links = Links::new(Dialler::new(office.clone(), boot.internal_ports.0));
-    links.know(boot.seeds.iter().map(|s| NodeId::from(*s.ip())));
+        .change_context(StartError::Keys)?;
+    let mut links = Links::new(Dialer::new(factory.clone(), boot.internal_ports.0));
+    links.know(seed_nodes(&boot));
     let board: Shared = Rc::new(Board::new(&boot, times, incarnation, links));
     let descriptors = boot.descriptors.saturating_sub(264).max(32);
     let ready = Arc::new(AtomicBool::new(false));
     log::info!("event=start incarnation={incarnation}");
-    tokio::task::spawn_local(listen(internal, descriptors / 8, office.clone()));
+    tokio::task::spawn_local(accept_sessions(internal, descriptors / 8, factory.clone()));
     tokio::task::spawn_local(tell_ready(readiness, ready.clone()));
     let clients = Rc::new(Clients::default());
     tokio::task::spawn_local(take_clients(
@@ -100,9 +82,8 @@
         board.clone(),
         clients.clone(),
     ));
-    let unbound = || StartError::Unbound("signals".into());
-    let mut term = signal(SignalKind::terminate()).change_context_lazy(unbound)?;
-    let mut hup = signal(SignalKind::hangup()).change_context_lazy(unbound)?;
+    let mut term = signal(SignalKind::terminate()).change_context(StartError::Signals)?;
+    let mut hup = signal(SignalKind::hangup()).change_context(StartError::Signals)?;
     let mut tick = tokio::time::interval(Duration::from_millis(TICK));
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let mut told = Vec::new();
@@ -115,13 +96,13 @@
             }
             _ = tick.tick() => {
                 board.tick();
-                if let Some(line) = office.due(board.times.now()) {
+                if let Some(line) = factory.take_rejections_line(board.times.now()) {
                     log::warn!("{line}");
                 }
                 ready.store(board.ready(), Ordering::Relaxed);
                 clients.sweep(&board);
                 if let Some(at) = ended_at {
-                    let now = board.times.now();
+                    let now = board.times.now().as_millis();
                     let grace = (boot.bounds.grace_period_s * GRACE_PART * 1000.0) as u64;
                     if now >= at + LINGER.min(grace / 2) {
                         clients.end();
@@ -136,19 +117,13 @@
                 log::info!("event=ending");
                 board.ending.set(true);
                 ready.store(false, Ordering::Relaxed);
-                ended_at.get_or_insert(board.times.now());
+                ended_at.get_or_insert(board.times.now().as_millis());
             }
-            _ = hup.recv() => match rushcourse_transport::start(&path) {
-                Ok(boot) => {
-                    let seeds = boot.seeds.iter().map(|s| NodeId::from(*s.ip()));
-                    board.state.borrow_mut().links.know(seeds);
-                    log::info!("event=settings_read seeds={} keys={}", boot.seeds.len(), boot.keys.is_some());
-                    if let Err(e) = office.set_keys(boot.keys.as_ref()) {
-                        log::error!("event=keys_unusable why={e:?}");
-                    }
+            _ = hup.recv() => {
+                if let Some(settings) = reload_settings(&path, &factory) {
+                    board.state.borrow_mut().links.know(seed_nodes(&settings));
                 }
-                Err(report) => log::error!("event=settings_unusable why={:?}", format!("{report}")),
-            },
+            }
         }
     }
     log::info!("event=end why=told requests_at_work={}", board.busy.get());
@@ -198,7 +173,8 @@
     /// The connection rests from its last byte on.
     fn wrote(&self, board: &Board) {
         if self.doing.get().0 == Doing::Waiting {
-            self.doing.set((Doing::Waiting, board.times.now()));
+            self.doing
+                .set((Doing::Waiting, board.times.now().as_millis()));
         }
     }
 }
@@ -234,7 +210,7 @@
     fn drop(&mut self) {
         self.client
             .doing
-            .set((Doing::Waiting, self.board.times.now()));
+            .set((Doing::Waiting, self.board.times.now().as_millis()));
     }
 }
 
@@ -254,7 +230,7 @@
 
     /// Closes connections whose request does not come to an end, or that are idle for too long.
     fn sweep(&self, board: &Board) {
-        let now = board.times.now();
+        let now = board.times.now().as_millis();
         // After a standstill, what came during it is read first.
         if now > self.swept.replace(now) + STANDSTILL {
             return;
@@ -308,7 +284,7 @@
         if matches!(read, Poll::Ready(Ok(()))) && self.client.doing.get().0 == Doing::Waiting {
             self.client
                 .doing
-                .set((Doing::Sending, self.board.times.now()));
+                .set((Doing::Sending, self.board.times.now().as_millis()));
         }
         read
     }
@@ -357,7 +333,7 @@
         let number = clients.next.get() + 1;
         clients.next.set(number);
         let client = Rc::new(Client {
-            doing: Cell::new((Doing::Waiting, board.times.now())),
+            doing: Cell::new((Doing::Waiting, board.times.now().as_millis())),
             wake: Notify::new(),
             at_once: Cell::new(false),
         });
@@ -389,7 +365,9 @@
         let (board, client) = (board.clone(), client.clone());
         service_fn(move |request| {
             let (board, client) = (board.clone(), client.clone());
-            client.doing.set((Doing::Served, board.times.now()));
+            client
+                .doing
+                .set((Doing::Served, board.times.now().as_millis()));
             async move {
                 let response = front::handle(&board, request).await;
                 Ok::<_, Infallible>(response.map(|body| Leaving {
--- a/crates/gateway/gateway/tests/clients.rs
+++ b/crates/gateway/gateway/tests/clients.rs
@@ -5,7 +5,7 @@
 use rushcourse_messages::{
     ClaimId, ClaimVerdict, Handshake, Message, NodeId, OperationState, PROTOCOL_VERSION, Role,
 };
-use rushcourse_transport::{Dialler, Office, SessionEvent};
+use rushcourse_transport::{Dialer, SessionEvent, SessionFactory};
 use rushcourse_types::{Epoch, Incarnation, KeyDigest, RequestToken};
 use std::time::Duration;
 use tokio::sync::mpsc::unbounded_channel;
@@ -383,16 +383,16 @@
             name: "front-2".into(),
             zone: "z".into(),
         };
-        Dialler::new(Office::new(hello, tell), INTERNAL).dial(NodeId::from(*w.front.ip()));
-        let Some(SessionEvent::Up(session)) = events.recv().await else {
+        Dialer::new(SessionFactory::new(hello, tell), INTERNAL).dial(NodeId::from(*w.front.ip()));
+        let Some(SessionEvent::Opened(session)) = events.recv().await else {
             panic!("no session")
         };
-        session.out.send(&Message::OperationQuery {
+        session.send(&Message::OperationQuery {
             token: RequestToken(7),
             key,
             claim,
         });
-        let Some(SessionEvent::Said(_, told)) = events.recv().await else {
+        let Some(SessionEvent::Received { message: told, .. }) = events.recv().await else {
             panic!("no answer")
         };
         assert_eq!(
--- a/crates/gateway/gateway/tests/world/core.rs
+++ b/crates/gateway/gateway/tests/world/core.rs
@@ -6,7 +6,7 @@
     ClaimId, ClaimVerdict, EndpointWeight, Handshake, Message, NodeId, PROTOCOL_VERSION, Role,
     VotingSet,
 };
-use rushcourse_transport::{Office, Session, SessionEvent, listen};
+use rushcourse_transport::{Session, SessionEvent, SessionFactory, accept_sessions};
 use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, KeyDigest};
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -72,7 +72,11 @@
             let listener = TcpListener::bind((*address, port))
                 .await
                 .expect("the internal port is free");
-            tokio::task::spawn_local(listen(listener, SESSIONS_MOST, Office::new(hello, tell)));
+            tokio::task::spawn_local(accept_sessions(
+                listener,
+                SESSIONS_MOST,
+                SessionFactory::new(hello, tell),
+            ));
             tokio::task::spawn_local(work(number, events, shared.clone()));
         }
         Cores(shared)
@@ -111,7 +115,7 @@
             .rev()
             .find(|s| s.0 == core)
             .expect("a session");
-        session.1.out.send(message);
+        session.1.send(message);
     }
 
     pub fn tell_set(&self, core: usize, number: u64, members: &[usize]) {
@@ -185,24 +189,27 @@
 async fn work(number: usize, mut events: UnboundedReceiver<SessionEvent>, shared: Rc<Shared>) {
     while let Some(event) = events.recv().await {
         match event {
-            SessionEvent::Up(session) => {
+            SessionEvent::Opened(session) => {
                 for message in greeting(&shared) {
-                    session.out.send(&message);
+                    session.send(&message);
                 }
                 shared.sessions.borrow_mut().push((number, session));
             }
-            SessionEvent::Said(id, message) => {
+            SessionEvent::Received {
+                session: id,
+                message,
+            } => {
                 let sessions = shared.sessions.borrow();
                 let Some((_, session)) = sessions.iter().find(|s| s.0 == number && s.1.id == id)
                 else {
                     continue;
                 };
                 for reply in replies(&shared, &message) {
-                    session.out.send(&reply);
+                    session.send(&reply);
                 }
                 shared.heard.borrow_mut().push((number, message));
             }
-            SessionEvent::Down(id) => shared
+            SessionEvent::Closed(id) => shared
                 .sessions
                 .borrow_mut()
                 .retain(|s| s.0 != number || s.1.id != id),
--- /dev/null
+++ b/crates/gateway/transport/tests/counters.rs
@@ -0,0 +1,30 @@
+//! What was counted by reason comes as one line of the log each interval.
+
+use rushcourse_transport::Counters;
+use rushcourse_types::Timestamp;
+
+const fn at(millis: u64) -> Timestamp {
+    Timestamp::from_millis(millis)
+}
+
+#[test]
+fn a_line_comes_once_each_interval_and_only_where_something_was_counted() {
+    let mut counters = Counters::new("own_answers");
+    assert!(counters.count("no host"));
+    assert!(!counters.count("no host"), "not the first");
+    counters.count("time is over");
+
+    assert_eq!(counters.take_log_line(at(9_999)), None);
+    assert_eq!(
+        counters.take_log_line(at(10_000)).as_deref(),
+        Some("event=own_answers span_s=10 no_host=2 time_is_over=1")
+    );
+    assert_eq!(counters.take_log_line(at(20_000)), None, "nothing since");
+
+    counters.count("no route");
+    assert_eq!(
+        counters.take_log_line(at(31_500)).as_deref(),
+        Some("event=own_answers span_s=11 no_route=1")
+    );
+    assert_eq!(counters.totals().values().sum::<u64>(), 4);
+}
--- a/crates/gateway/transport/tests/sessions.rs
+++ b/crates/gateway/transport/tests/sessions.rs
@@ -3,7 +3,7 @@
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use rushcourse_config::PeerKeys;
 use rushcourse_messages::{Handshake, Message, NodeId, PROTOCOL_VERSION, Role, encode};
-use rushcourse_transport::{Dialler, Office, Session, SessionEvent, listen};
+use rushcourse_transport::{Dialer, Session, SessionEvent, SessionFactory, accept_sessions};
 use rushcourse_types::{Epoch, Incarnation};
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -51,7 +51,7 @@
 /// A director: an address of loopback, its office and what happens on its sessions.
 struct Director {
     at: Ipv4Addr,
-    office: Office,
+    factory: SessionFactory,
     events: UnboundedReceiver<SessionEvent>,
 }
 
@@ -69,7 +69,7 @@
     };
     Director {
         at,
-        office: Office::new(hello, tell),
+        factory: SessionFactory::new(hello, tell),
         events,
     }
 }
@@ -81,12 +81,12 @@
             .await
             .expect("an address of loopback");
         let port = listener.local_addr().expect("an address").port();
-        tokio::task::spawn_local(listen(listener, 8, self.office.clone()));
+        tokio::task::spawn_local(accept_sessions(listener, 8, self.factory.clone()));
         port
     }
 
     fn dial(&self, other: &Director, port: u16) {
-        Dialler::new(self.office.clone(), port).dial(NodeId::from(other.at));
+        Dialer::new(self.factory.clone(), port).dial(NodeId::from(other.at));
     }
 
     async fn next(&mut self) -> SessionEvent {
@@ -98,23 +98,23 @@
 
     async fn up(&mut self) -> Session {
         match self.next().await {
-            SessionEvent::Up(session) => session,
+            SessionEvent::Opened(session) => session,
             _ => panic!("a session was to come up"),
         }
     }
 
     async fn said(&mut self) -> Message {
         match self.next().await {
-            SessionEvent::Said(_, message) => message,
-            SessionEvent::Up(_) => panic!("a second session"),
-            SessionEvent::Down(_) => panic!("the session ended"),
+            SessionEvent::Received { message, .. } => message,
+            SessionEvent::Opened(_) => panic!("a second session"),
+            SessionEvent::Closed(_) => panic!("the session ended"),
         }
     }
 
     /// Waits until something was refused for this reason; nothing came up meanwhile.
     async fn refuses(&mut self, reason: &str) {
         let wait = async {
-            while !self.office.refused().contains_key(reason) {
+            while !self.factory.rejections().contains_key(reason) {
                 tokio::task::yield_now().await;
             }
         };
@@ -122,7 +122,7 @@
         assert!(
             met.is_ok(),
             "{reason} was to be refused: {:?}",
-            self.office.refused()
+            self.factory.rejections()
         );
         assert!(self.events.try_recv().is_err(), "no session came of it");
     }
@@ -145,12 +145,12 @@
         front.dial(&core, port);
         assert_eq!(core.up().await.peer.name, "director-11");
         let session = front.up().await;
-        session.out.send(&Message::PrimarySelected(true));
+        session.send(&Message::PrimarySelected(true));
         assert_eq!(core.said().await, Message::PrimarySelected(true));
         // Another machine that greets with that name's address is refused.
         let false_one = director([127, 31, 0, 12], Role::Gateway);
-        let mut hello = false_one.office.me().clone();
-        hello.node = front.office.me().node;
+        let mut hello = false_one.factory.local_handshake().clone();
+        hello.node = front.factory.local_handshake().node;
         let socket = TcpSocket::new_v4().expect("a socket");
         socket.bind((false_one.at, 0).into()).expect("an address");
         let mut stream = socket
@@ -172,7 +172,7 @@
         let front = director([127, 31, 1, 11], Role::Gateway);
         let mut greeting = Vec::new();
         encode(
-            &Message::Handshake(front.office.me().clone()),
+            &Message::Handshake(front.factory.local_handshake().clone()),
             &mut greeting,
         )
         .expect("a frame");
@@ -202,7 +202,7 @@
             let _ = core.up().await;
             stream.write_all(&bytes).await.expect("written");
             assert!(
-                matches!(core.next().await, SessionEvent::Down(_)),
+                matches!(core.next().await, SessionEvent::Closed(_)),
                 "{reason}: nothing was handed on"
             );
             // The other side sees the end.
@@ -212,7 +212,7 @@
                 .expect("an end");
             core.refuses(reason).await;
             assert_eq!(
-                core.office.refused().values().sum::<u64>(),
+                core.factory.rejections().values().sum::<u64>(),
                 count as u64 + 1
             );
         }
@@ -224,7 +224,7 @@
             .write_all(&frame(&Message::Ping))
             .await
             .expect("written");
-        core.refuses("no greeting").await;
+        core.refuses("no handshake").await;
     });
 }
 
@@ -237,7 +237,7 @@
     };
     run(async {
         let mut core = director([127, 31, 2, 1], Role::Controller);
-        core.office
+        core.factory
             .set_keys(Some(&keys(
                 &ours,
                 "core",
@@ -249,13 +249,13 @@
 
         let mut front = director([127, 31, 2, 11], Role::Gateway);
         front
-            .office
+            .factory
             .set_keys(Some(&keys(&ours, "front", &["127.31.2.11"], &[&ours])))
             .expect("keys");
         front.dial(&core, port);
         assert_eq!(core.up().await.peer.role, Role::Gateway);
         let session = front.up().await;
-        session.out.send(&Message::PrimarySelected(true));
+        session.send(&Message::PrimarySelected(true));
         assert_eq!(core.said().await, Message::PrimarySelected(true));
 
         // Without keys: its greeting is no certificate.
@@ -264,7 +264,7 @@
         // A certificate of another machine.
         let other = director([127, 31, 2, 13], Role::Gateway);
         other
-            .office
+            .factory
             .set_keys(Some(&keys(&ours, "other", &["127.31.2.99"], &[&ours])))
             .expect("keys");
         other.dial(&core, port);
@@ -272,7 +272,7 @@
         // A frontend machine that would vote.
         let false_core = director([127, 31, 2, 14], Role::Controller);
         false_core
-            .office
+            .factory
             .set_keys(Some(&keys(&ours, "false", &["127.31.2.14"], &[&ours])))
             .expect("keys");
         false_core.dial(&core, port);
@@ -280,7 +280,7 @@
         // Who dials looks as well: a listener of another cluster is refused.
         let mut stranger = director([127, 31, 2, 15], Role::Controller);
         stranger
-            .office
+            .factory
             .set_keys(Some(&keys(
                 &theirs,
                 "theirs",
@@ -307,7 +307,7 @@
         let names = [&["127.31.3.1", "controller"][..], &["127.31.3.11"][..]];
         let set = |director: &Director, k: usize, by: &Authority, trusted: &[&Authority]| {
             let keys = by.issue(folder.path(), &format!("{k}"), names[k], trusted);
-            director.office.set_keys(Some(&keys)).expect("keys");
+            director.factory.set_keys(Some(&keys)).expect("keys");
             keys
         };
         set(&core, 0, &old, &[&old]);
@@ -325,26 +325,29 @@
             // One machine after the other: between the two, new sessions are made all the same.
             front.dial(&core, port);
             let (_, second) = (core.up().await, front.up().await);
-            second.out.close();
-            assert!(matches!(front.next().await, SessionEvent::Down(_)));
-            assert!(matches!(core.next().await, SessionEvent::Down(_)));
+            second.close();
+            assert!(matches!(front.next().await, SessionEvent::Closed(_)));
+            assert!(matches!(core.next().await, SessionEvent::Closed(_)));
             let keys = set(&front, 1, by, trusted);
             let broken = PeerKeys {
                 key: keys.certificate.clone(),
                 ..keys
             };
             let why = front
-                .office
+                .factory
                 .set_keys(Some(&broken))
                 .expect_err("no key in it");
-            assert!(why.contains("1.cert"), "the file is named: {why}");
-            session.out.send(&Message::PrimarySelected(true));
+            assert!(
+                why.to_string().contains("1.cert"),
+                "the file is named: {why}"
+            );
+            session.send(&Message::PrimarySelected(true));
             assert_eq!(
                 core.said().await,
                 Message::PrimarySelected(true),
                 "the first session goes on"
             );
         }
-        assert!(core.office.refused().is_empty() && front.office.refused().is_empty());
+        assert!(core.factory.rejections().is_empty() && front.factory.rejections().is_empty());
     });
 }
