--- a/crates/gateway/controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -595,7 +595,7 @@
             }
             Change::FrontDown(session) => {
                 self.untold.remove(&session);
-                self.party(cluster::Input::FrontDown { session: session });
+                self.party(cluster::Input::FrontDown { session });
             }
         }
     }
