--- a/crates/gateway/controller/src/pages.rs
+++ b/crates/gateway/controller/src/pages.rs
@@ -2,9 +2,9 @@
 
 use crate::links::Links;
 use rushcourse_cluster::{Cluster, TableEndpoint};
-use rushcourse_consensus::{Claim, Register};
+use rushcourse_consensus::{ConsensusNode, HeldClaim};
 use rushcourse_storage::DiskStatistics;
-use rushcourse_types::{NodeId, SessionId, Timestamp};
+use rushcourse_types::{NodeId, Timestamp};
 use std::fmt::Write;
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -26,16 +26,17 @@
 }
 
 /// Who holds an operation key, as far as this director has it.
-pub fn key(wall: u64, held: Option<(Claim, bool)>) -> String {
-    let Some((claim, durable)) = held else {
+pub fn key(wall: u64, held: Option<HeldClaim>) -> String {
+    let Some(claim) = held else {
         return "{\"held\":false}".into();
     };
     format!(
-        "{{\"held\":true,\"on_disk\":{durable},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
+        "{{\"held\":true,\"on_disk\":{},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
+        claim.is_durable,
         quoted(&Ipv4Addr::from(claim.id.node).to_string()),
         quoted(&claim.id.incarnation.to_string()),
         claim.id.number,
-        wall.saturating_sub(claim.at) as f64 / 1000.0
+        wall.saturating_sub(claim.claimed_at.0) as f64 / 1000.0
     )
 }
 
@@ -43,12 +44,12 @@
 pub fn status(
     name: &str,
     now: Timestamp,
-    register: &Register,
+    register: &ConsensusNode,
     party: &Cluster,
     links: &Links,
     disk: (DiskStatistics, u64),
 ) -> String {
-    let r = register.ready();
+    let r = register.summary();
     let node = |n: NodeId| quoted(&n.to_string());
     let mut page = String::new();
     let _ = write!(
@@ -57,13 +58,13 @@
          \"held\":{},\"in_force\":{},\"claims\":{},\"peers\":{}",
         quoted(name),
         party.is_synchronized(),
-        r.set.epoch,
-        list(r.set.members, node),
-        r.remembers,
-        r.votes,
-        r.held,
-        r.in_force,
-        r.claims,
+        r.voting_set.epoch,
+        list(r.voting_set.members, node),
+        r.has_complete_state,
+        r.is_voter,
+        r.highest_accepted,
+        r.committed,
+        r.claim_count,
         list(r.peers, node),
     );
     let (statistics, bytes) = disk;
@@ -75,7 +76,7 @@
         ",\"disk\":{{\"bytes\":{bytes},\"syncs\":{},\"refused\":{},\"last_ms\":{:.1},\"most_ms\":{:.1},\
          \"writing_ms\":{stalled}}}",
         statistics.syncs,
-        statistics.failed_syncs,
+        statistics.refused_syncs,
         millis(statistics.last_sync),
         millis(statistics.longest_sync),
     );
@@ -87,7 +88,7 @@
             node(hello.node),
             quoted(&hello.zone),
             quoted(&role),
-            party.is_primary_for(SessionId(id)),
+            party.is_primary_for(id),
         )
     });
     let hosts = list(party.hosts().iter(), |s| {
@@ -111,7 +112,7 @@
         format!("{{\"service\":{service},\"table\":{table},\"fronts\":{fronts},\"lines\":{lines}}}")
     });
     let _ = write!(page, ",\"members\":{}", list(party.gateways().all(), node));
-    let refused = links.office().refused();
+    let refused = links.factory().rejections();
     let refused: Vec<String> = refused
         .iter()
         .map(|(why, n)| format!("{}:{n}", quoted(why)))
--- a/crates/gateway/storage/src/disk_health.rs
+++ b/crates/gateway/storage/src/disk_health.rs
@@ -9,7 +9,7 @@
 pub struct DiskHealth {
     started_at: Instant,
     syncs: AtomicU64,
-    failed_syncs: AtomicU64,
+    refused_syncs: AtomicU64,
     last_sync_us: AtomicU64,
     longest_sync_us: AtomicU64,
     /// When the write that is under way began, plus one; 0: none is.
@@ -22,7 +22,7 @@
     /// Syncs that succeeded.
     pub syncs: u64,
     /// Syncs that the disk refused.
-    pub failed_syncs: u64,
+    pub refused_syncs: u64,
     /// What the last sync took, refused or not.
     pub last_sync: Duration,
     /// What the longest sync took.
@@ -36,7 +36,7 @@
         DiskHealth {
             started_at: Instant::now(),
             syncs: AtomicU64::new(0),
-            failed_syncs: AtomicU64::new(0),
+            refused_syncs: AtomicU64::new(0),
             last_sync_us: AtomicU64::new(0),
             longest_sync_us: AtomicU64::new(0),
             write_started: AtomicU64::new(0),
@@ -61,7 +61,7 @@
         let count = if result.is_ok() {
             &self.syncs
         } else {
-            &self.failed_syncs
+            &self.refused_syncs
         };
         count.fetch_add(1, Relaxed);
         result
@@ -73,7 +73,7 @@
         let current_us = || (self.now_us() + 1).saturating_sub(write_started);
         DiskStatistics {
             syncs: self.syncs.load(Relaxed),
-            failed_syncs: self.failed_syncs.load(Relaxed),
+            refused_syncs: self.refused_syncs.load(Relaxed),
             last_sync: Duration::from_micros(self.last_sync_us.load(Relaxed)),
             longest_sync: Duration::from_micros(self.longest_sync_us.load(Relaxed)),
             current_write: (write_started > 0).then(|| Duration::from_micros(current_us())),
--- a/crates/gateway/storage/src/error.rs
+++ b/crates/gateway/storage/src/error.rs
@@ -13,7 +13,7 @@
     /// The file has a format that this program does not know.
     UnknownFormat(u64),
     /// The disk refused a write.
-    WriteFailed,
+    WriteRefused,
 }
 
 impl StorageError {
@@ -21,8 +21,8 @@
         Report::new(StorageError::Unreadable).attach(cause.to_string())
     }
 
-    pub(crate) fn write_failed(cause: impl fmt::Display) -> Report<StorageError> {
-        Report::new(StorageError::WriteFailed).attach(cause.to_string())
+    pub(crate) fn write_refused(cause: impl fmt::Display) -> Report<StorageError> {
+        Report::new(StorageError::WriteRefused).attach(cause.to_string())
     }
 }
 
@@ -34,7 +34,7 @@
                 f,
                 "the state file has format {format}, this program knows {FORMAT}"
             ),
-            StorageError::WriteFailed => write!(f, "the disk refused a write"),
+            StorageError::WriteRefused => write!(f, "the disk refused a write"),
         }
     }
 }
--- a/crates/gateway/storage/src/writer.rs
+++ b/crates/gateway/storage/src/writer.rs
@@ -1,8 +1,9 @@
 //! The work of the storage thread: many batches to a sync.
 
-use crate::batch::{WriteBatch, WriteOutcome};
 use crate::disk_health::DiskHealth;
+use crate::outcome::WriteOutcome;
 use crate::store::Store;
+use rushcourse_consensus::WriteBatch;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
@@ -37,12 +38,12 @@
         Ok(()) => WriteOutcome::Synced,
         Err(error) => {
             log::error!(
-                "event=disk_write_failed batches={} error={:?}",
+                "event=disk_refused batches={} error={:?}",
                 batches.len(),
                 error.to_string()
             );
-            WriteOutcome::Failed
+            WriteOutcome::Refused
         }
     };
-    batches.iter().map(|batch| outcome(batch.number)).collect()
+    batches.iter().map(|batch| outcome(batch.id)).collect()
 }
