--- a/crates/gateway/storage/examples/recovery.rs
+++ b/crates/gateway/storage/examples/recovery.rs
@@ -9,18 +9,45 @@
 use rushcourse_types::{
     CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId, WallTime,
 };
-use std::time::Instant;
+use std::path::Path;
+use std::time::{Duration, Instant};
 
 /// Bytes of a configuration's text.
-const TEXT: usize = 8_000;
+const TEXT_BYTES: usize = 8_000;
 
-fn batch(number: u64, operations: Vec<WriteOperation>) -> WriteBatch {
-    WriteBatch {
-        id: BatchId(number),
-        operations,
-    }
+/// Claims in one sync, as they come.
+const CLAIMS_PER_SYNC: u64 = 200;
+
+/// What a state file holds.
+#[derive(Clone, Copy)]
+struct Size {
+    claims: u64,
+    hosts: u32,
 }
 
+const SIZES: [Size; 5] = [
+    Size {
+        claims: 0,
+        hosts: 0,
+    },
+    Size {
+        claims: 1_000,
+        hosts: 30,
+    },
+    Size {
+        claims: 11_000,
+        hosts: 30,
+    },
+    Size {
+        claims: 65_000,
+        hosts: 255,
+    },
+    Size {
+        claims: 200_000,
+        hosts: 1_000,
+    },
+];
+
 /// A vote for a configuration.
 fn configuration() -> WriteOperation {
     let ballot = Ballot {
@@ -28,13 +55,12 @@
         node: NodeId(1),
         incarnation: Incarnation(2),
     };
-    let accepted = Some(Proposal {
-        ballot,
-        value: vec![b'x'; TEXT].into(),
-    });
     let record = AcceptorRecord {
         promised: ballot,
-        accepted,
+        accepted: Some(Proposal {
+            ballot,
+            value: vec![b'x'; TEXT_BYTES].into(),
+        }),
         is_vote: true,
     };
     WriteOperation::StoreRecord(SlotRecord {
@@ -43,88 +69,95 @@
     })
 }
 
+fn voting_set() -> WriteOperation {
+    WriteOperation::StoreVotingSet(VotingSet {
+        epoch: Epoch(1),
+        members: [1, 2, 3, 4, 5].map(NodeId).to_vec(),
+    })
+}
+
+fn host(number: u32) -> WriteOperation {
+    WriteOperation::StoreHost(HostRecord {
+        id: format!("i-{number:010x}").into(),
+        service: "orders".into(),
+        zone: "north".into(),
+        address: format!("10.0.{}.{}:8540", number / 250, number % 250).into(),
+        slots: 4,
+        state: HostState::Ready,
+        sequence: CallSequence(1),
+        warm_up: Millis(0),
+        age: Millis(0),
+    })
+}
+
+fn claim(number: u64) -> WriteOperation {
+    let high = number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+    WriteOperation::StoreClaim(StoredClaim {
+        key: KeyDigest(u128::from(high) << 64 | u128::from(number)),
+        id: ClaimId {
+            node: NodeId(1),
+            incarnation: Incarnation(2),
+            number,
+        },
+        claimed_at: WallTime(1_000 + number),
+    })
+}
+
+fn write(store: &mut Store, operations: Vec<WriteOperation>) {
+    let batch = WriteBatch {
+        id: BatchId(1),
+        operations,
+    };
+    store.write(&[batch]).expect("room");
+}
+
+fn make(file: &Path, size: Size) {
+    let (mut store, _) = Store::open(file).expect("a new file");
+    let mut first = vec![
+        voting_set(),
+        WriteOperation::MarkStateComplete,
+        configuration(),
+    ];
+    first.extend((0..size.hosts).map(host));
+    write(&mut store, first);
+    for part in 0..size.claims.div_ceil(CLAIMS_PER_SYNC) {
+        let from = part * CLAIMS_PER_SYNC;
+        let to = (from + CLAIMS_PER_SYNC).min(size.claims);
+        write(&mut store, (from..to).map(claim).collect());
+    }
+}
+
+fn measure(file: &Path, size: Size) {
+    let began = Instant::now();
+    let (mut store, state) = Store::open(file).expect("the same file");
+    let open_time = began.elapsed();
+    assert_eq!(state.claims.len() as u64, size.claims);
+    assert_eq!(state.hosts.len() as u32, size.hosts);
+    assert_eq!(state.records.len(), 1);
+
+    let began = Instant::now();
+    write(&mut store, vec![WriteOperation::MarkStateComplete]);
+    let write_time = began.elapsed();
+    let bytes = std::fs::metadata(file).map_or(0, |metadata| metadata.len());
+    let millis = |span: Duration| span.as_secs_f64() * 1000.0;
+    println!(
+        "{:>8} {:>8} {bytes:>12} {:>10.1} {:>12.2}",
+        size.claims,
+        size.hosts,
+        millis(open_time),
+        millis(write_time)
+    );
+}
+
 fn main() {
-    let folder = std::env::temp_dir().join(format!("rushcourse-recovery-{}", std::process::id()));
     println!(
         "{:>8} {:>8} {:>12} {:>10} {:>12}",
         "claims", "hosts", "bytes", "open ms", "first write"
     );
-    for (claims, hosts) in [
-        (0u64, 0u32),
-        (1_000, 30),
-        (11_000, 30),
-        (65_000, 255),
-        (200_000, 1_000),
-    ] {
-        let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let file = folder.join("controller.redb");
-        let (mut store, _) = Store::open(&file).expect("a new file");
-        let host = |k: u32| HostRecord {
-            id: format!("i-{k:010x}").into(),
-            service: "orders".into(),
-            zone: "north".into(),
-            address: format!("10.0.{}.{}:8540", k / 250, k % 250).into(),
-            slots: 4,
-            state: HostState::Ready,
-            sequence: CallSequence(1),
-            warm_up: Millis(0),
-            age: Millis(0),
-        };
-        let set = VotingSet {
-            epoch: Epoch(1),
-            members: vec![NodeId(1), NodeId(2), NodeId(3), NodeId(4), NodeId(5)],
-        };
-        let first = [
-            WriteOperation::StoreVotingSet(set),
-            WriteOperation::MarkStateComplete,
-            configuration(),
-        ]
-        .into_iter()
-        .chain((0..hosts).map(|k| WriteOperation::StoreHost(host(k))));
-        store.write(&[batch(1, first.collect())]).expect("room");
-        // As they come: some at a sync.
-        for part in 0..claims.div_ceil(200) {
-            let claim = |k: u64| {
-                let key = u128::from(k.wrapping_mul(0x9e37_79b9_7f4a_7c15)) << 64 | u128::from(k);
-                WriteOperation::StoreClaim(StoredClaim {
-                    key: KeyDigest(key),
-                    id: ClaimId {
-                        node: NodeId(1),
-                        incarnation: Incarnation(2),
-                        number: k,
-                    },
-                    claimed_at: WallTime(1_000 + k),
-                })
-            };
-            let of = part * 200..(part * 200 + 200).min(claims);
-            store
-                .write(&[batch(2, of.map(claim).collect())])
-                .expect("room");
-        }
-        drop(store);
-        let begun = Instant::now();
-        let (mut store, stored) = Store::open(&file).expect("the same file");
-        let opened = begun.elapsed();
-        assert_eq!(
-            (stored.claims.len() as u64, stored.hosts.len() as u32),
-            (claims, hosts)
-        );
-        assert_eq!(stored.records.len(), 1);
-        let begun = Instant::now();
-        store
-            .write(&[batch(3, vec![WriteOperation::MarkStateComplete])])
-            .expect("room");
-        let (wrote, bytes) = (
-            begun.elapsed(),
-            std::fs::metadata(&file).map_or(0, |m| m.len()),
-        );
-        let ms = |d: std::time::Duration| d.as_secs_f64() * 1000.0;
-        println!(
-            "{claims:>8} {hosts:>8} {bytes:>12} {:>10.1} {:>12.2}",
-            ms(opened),
-            ms(wrote)
-        );
+    for size in SIZES {
+        let folder = tempfile::tempdir().expect("a folder");
+        let file = folder.path().join("controller.redb");
+        make(&file, size);
+        measure(&file, size);
     }
-    let _ = std::fs::remove_dir_all(&folder);
 }
--- a/crates/gateway/storage/src/error.rs
+++ b/crates/gateway/storage/src/error.rs
@@ -6,7 +6,7 @@
 
 /// Why a state file can't be opened, or a write did not reach the disk. The report's attachment is the database's own
 /// reason.
-#[derive(Debug)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageError {
     /// The file can't be opened or read, or holds what can't be read.
     Unreadable,
--- a/crates/gateway/storage/src/lib.rs
+++ b/crates/gateway/storage/src/lib.rs
@@ -1,7 +1,8 @@
 //! A controller's disk. [`Store::open`] reads what is there; [`run_writer`] is the work of the storage thread: it takes
 //! batches of operations, writes all that wait in one transaction, syncs once, and reports what became of each batch.
 //!
-//! * [`store`]: the open file; [`writer`]: the storage thread; [`outcome`]: what it reports; [`disk_health`]: what pages show of it.
+//! * [`store`]: the open file; [`writer`]: the storage thread; [`disk_health`]: what pages show of it; [`error`]: what can
+//!   go wrong.
 //! * `tables`: the file's tables; `reading`, `writing`: what goes between them and the types of `rushcourse-consensus`.
 //! * `upgrade`: files of the format before the present one.
 //! * `claim_positions`: where claims stand in their table.
@@ -11,7 +12,6 @@
 mod claim_positions;
 pub mod disk_health;
 pub mod error;
-pub mod outcome;
 mod reading;
 pub mod store;
 mod tables;
@@ -21,6 +21,5 @@
 
 pub use disk_health::{DiskHealth, DiskStatistics};
 pub use error::StorageError;
-pub use outcome::WriteOutcome;
 pub use store::Store;
-pub use writer::run_writer;
+pub use writer::{WriteOutcome, run_writer};
--- a/crates/gateway/storage/src/writer.rs
+++ b/crates/gateway/storage/src/writer.rs
@@ -1,9 +1,8 @@
 //! The work of the storage thread: many batches to a sync.
 
 use crate::disk_health::DiskHealth;
-use crate::outcome::WriteOutcome;
 use crate::store::Store;
-use rushcourse_consensus::WriteBatch;
+use rushcourse_consensus::{BatchId, WriteBatch};
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
@@ -13,6 +12,15 @@
 /// How long one wait for a batch lasts before the next one begins.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(3600);
 
+/// What became of a batch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WriteOutcome {
+    /// It is on the disk.
+    Synced(BatchId),
+    /// The disk refused it: nothing of it counts.
+    Refused(BatchId),
+}
+
 /// Writes batches until their sender is gone. Batches that wait are written together and synced once, 512 at most.
 /// `report` is called from this thread after each sync, with the outcomes in the order of the batches.
 pub fn run_writer(
--- /dev/null
+++ b/crates/gateway/storage/tests/common/previous_format.rs
@@ -0,0 +1,152 @@
+//! Files of format 1, as earlier builds wrote them. They are made by their bytes: nothing that encodes today has a part
+//! in it.
+
+use super::tables::{CLAIMS, CONFIGURATIONS, HOSTS, META};
+use super::{version, voting_set};
+use redb::{Database, ReadableDatabase, TableHandle};
+use rushcourse_consensus::{DurableState, StoredClaim};
+use rushcourse_messages::{
+    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, SlotRecord,
+};
+use rushcourse_types::{CallSequence, Incarnation, KeyDigest, Millis, NodeId, WallTime};
+use std::path::Path;
+
+/// The set 300 of 1, 2 and 10.0.0.1.
+pub const SET: &[u8] = &[0xac, 0x02, 3, 1, 2, 0x81, 0x80, 0x80, 0x50];
+/// The host "i-1" of service "s", zone "z", address "a:80", with 4 slots, ready, sequence 300, warm-up 2 ms, age 1 ms.
+const HOST: &[u8] = &[
+    3, b'i', b'-', b'1', 1, b's', 1, b'z', 4, b'a', b':', b'8', b'0', 4, 0, 0xac, 0x02, 2, 1,
+];
+const OLDER: &[u8] = b"an older configuration";
+const NEWEST: &[u8] = b"{\"version\": 5}";
+/// Digest of `NEWEST` with seed 13, computed apart from the program (FNV-1a and its last mix).
+const NEWEST_DIGEST: u64 = 0x53a8_d65e_07bd_bb8f;
+
+/// What a test's file of format 1 holds.
+#[derive(Clone, Copy)]
+pub struct PreviousFile {
+    pub format: u64,
+    pub set: &'static [u8],
+    pub configurations: &'static [(u64, &'static [u8])],
+}
+
+pub const VALID: PreviousFile = PreviousFile {
+    format: 1,
+    set: SET,
+    configurations: &[(4, OLDER), (5, NEWEST)],
+};
+
+impl PreviousFile {
+    pub fn write(&self, database: &Database) {
+        let writing = database.begin_write().expect("a transaction");
+        {
+            let mut meta = writing.open_table(META).expect("meta");
+            let format = self.format.to_be_bytes();
+            meta.insert("format", format.as_slice()).expect("room");
+            meta.insert("set", self.set).expect("room");
+            meta.insert("remembers", [1].as_slice()).expect("room");
+            let mut configurations = writing.open_table(CONFIGURATIONS).expect("configurations");
+            for (version, text) in self.configurations {
+                configurations.insert(version, *text).expect("room");
+            }
+            let mut claims = writing.open_table(CLAIMS).expect("claims");
+            for position in [3, 4, 9] {
+                let key = u128::from(position) << 100;
+                let row = (key, 7, 8, position, 1_000 + position);
+                claims.insert(position, row).expect("room");
+            }
+            let mut hosts = writing.open_table(HOSTS).expect("hosts");
+            hosts.insert("i-1", HOST).expect("room");
+        }
+        writing.commit().expect("room");
+    }
+
+    pub fn make(&self, file: &Path) {
+        self.write(&Database::create(file).expect("a new file"));
+    }
+}
+
+/// The record that a text of format 1 becomes, by the text's digest.
+pub fn upgraded_vote(text: &[u8], digest: u64) -> AcceptorRecord {
+    let ballot = Ballot {
+        round: 0,
+        node: NodeId(0),
+        incarnation: Incarnation(digest),
+    };
+    AcceptorRecord {
+        promised: ballot,
+        accepted: Some(Proposal {
+            ballot,
+            value: text.into(),
+        }),
+        is_vote: true,
+    }
+}
+
+/// What `VALID` holds, in today's terms.
+pub fn expected_state() -> DurableState {
+    let claim = |number: u64| StoredClaim {
+        key: KeyDigest(u128::from(number) << 100),
+        id: ClaimId {
+            node: NodeId(7),
+            incarnation: Incarnation(8),
+            number,
+        },
+        claimed_at: WallTime(1_000 + number),
+    };
+    let host = HostRecord {
+        id: "i-1".into(),
+        service: "s".into(),
+        zone: "z".into(),
+        address: "a:80".into(),
+        slots: 4,
+        state: HostState::Ready,
+        sequence: CallSequence(300),
+        warm_up: Millis(2),
+        age: Millis(1),
+    };
+    DurableState {
+        voting_set: voting_set(300, &[1, 2, 0x0a00_0001]),
+        has_complete_state: true,
+        records: vec![SlotRecord {
+            slot: version(5),
+            record: upgraded_vote(NEWEST, NEWEST_DIGEST),
+        }],
+        claims: [3, 4, 9].map(claim).to_vec(),
+        hosts: vec![host],
+    }
+}
+
+/// Which format a file has.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct FormatOfFile {
+    pub number: u64,
+    /// Whether the table is there that format 1 alone has.
+    pub has_configurations: bool,
+}
+
+pub const PREVIOUS: FormatOfFile = FormatOfFile {
+    number: 1,
+    has_configurations: true,
+};
+
+pub const PRESENT: FormatOfFile = FormatOfFile {
+    number: 2,
+    has_configurations: false,
+};
+
+pub fn format_of(database: &Database) -> FormatOfFile {
+    let reading = database.begin_read().expect("readable");
+    let meta = reading.open_table(META).expect("meta");
+    let bytes = meta.get("format").expect("readable").expect("a format");
+    let number = u64::from_be_bytes(bytes.value().try_into().expect("eight bytes"));
+    let mut tables = reading.list_tables().expect("readable");
+    FormatOfFile {
+        number,
+        has_configurations: tables.any(|table| table.name() == "configurations"),
+    }
+}
+
+pub fn format_of_file(file: &Path) -> FormatOfFile {
+    format_of(&Database::open(file).expect("a file"))
+}
--- /dev/null
+++ b/crates/gateway/storage/tests/store.rs
@@ -0,0 +1,172 @@
+//! What was synced is there again after a start, and what was removed is not; a file that is none is left alone.
+
+mod common;
+
+use common::{
+    StateFile, batch, claim, epoch, host, prune, remove_claim, store_record, version, vote,
+    voting_set,
+};
+use rushcourse_consensus::{DurableState, WriteOperation};
+use rushcourse_messages::{HostState, Slot, SlotRecord};
+use rushcourse_storage::{StorageError, Store};
+use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest};
+use std::path::Path;
+
+/// Writes each batch with a sync of its own, in one run of the program.
+fn write(file: &Path, batches: impl IntoIterator<Item = Vec<WriteOperation>>) {
+    let (mut store, _) = Store::open(file).expect("a state file");
+    for (number, operations) in (1..).zip(batches) {
+        store.write(&[batch(number, operations)]).expect("room");
+    }
+}
+
+fn read(file: &Path) -> DurableState {
+    Store::open(file).expect("a state file").1
+}
+
+fn slots(state: &DurableState) -> Vec<Slot> {
+    state.records.iter().map(|stored| stored.slot).collect()
+}
+
+#[test]
+fn what_was_written_is_there_again() {
+    let file = StateFile::new();
+    let new = read(file.path());
+    assert_eq!(
+        (
+            new.voting_set.epoch,
+            new.has_complete_state,
+            new.claims.len()
+        ),
+        (Epoch::NONE, false, 0)
+    );
+
+    let voting_set = voting_set(1, &[1, 2, 3]);
+    let operations = vec![
+        WriteOperation::StoreVotingSet(voting_set.clone()),
+        WriteOperation::MarkStateComplete,
+        WriteOperation::StoreHost(host("i-1", 1, HostState::Ready)),
+    ];
+    write(file.path(), [operations]);
+
+    let state = read(file.path());
+    assert_eq!(
+        (state.voting_set, state.has_complete_state),
+        (voting_set, true)
+    );
+    assert_eq!(state.hosts, vec![host("i-1", 1, HostState::Ready)]);
+}
+
+#[test]
+fn the_last_record_of_each_slot_is_there_again() {
+    let file = StateFile::new();
+    let earlier = [version(3), epoch(2), version(5), version(4)]
+        .map(|slot| store_record(slot, vote(1, b"earlier")));
+    let later = store_record(version(5), vote(2, b"later"));
+    write(file.path(), [earlier.to_vec(), vec![later]]);
+
+    let expected = [
+        (epoch(2), vote(1, b"earlier")),
+        (version(3), vote(1, b"earlier")),
+        (version(4), vote(1, b"earlier")),
+        (version(5), vote(2, b"later")),
+    ]
+    .map(|(slot, record)| SlotRecord { slot, record });
+    assert_eq!(read(file.path()).records, expected, "in the order of slots");
+}
+
+#[test]
+fn claims_and_hosts_that_were_removed_are_gone() {
+    let file = StateFile::new();
+    let mut stored: Vec<WriteOperation> = (0..100)
+        .map(|key| WriteOperation::StoreClaim(claim(key)))
+        .collect();
+    stored.push(WriteOperation::StoreHost(host("i-1", 1, HostState::Ready)));
+    let removed = (0..90).map(remove_claim).collect();
+    write(file.path(), [stored, removed]);
+
+    let state = read(file.path());
+    let mut keys: Vec<KeyDigest> = state.claims.iter().map(|claim| claim.key).collect();
+    keys.sort_unstable();
+    assert_eq!(keys, (90..100).map(KeyDigest).collect::<Vec<KeyDigest>>());
+
+    // Removed by a later run of the program, which never saw them written.
+    let operations = vec![
+        remove_claim(95),
+        WriteOperation::StoreHost(host("i-1", 1, HostState::Gone)),
+    ];
+    write(file.path(), [operations]);
+    let state = read(file.path());
+    assert_eq!((state.claims.len(), state.hosts.len()), (9, 0));
+}
+
+#[test]
+fn records_that_were_pruned_are_gone_and_all_others_are_there() {
+    let file = StateFile::new();
+    let all = (0..10).map(epoch).chain((0..10).map(version));
+    let records = all
+        .map(|slot| store_record(slot, vote(1, b"text")))
+        .collect();
+    // Bounds that leave all of one kind: none is below version 0.
+    write(file.path(), [records, vec![prune(0, 3)]]);
+    let mut expected: Vec<Slot> = (4..10).map(epoch).chain((0..10).map(version)).collect();
+    assert_eq!(slots(&read(file.path())), expected);
+
+    // What is written after it in the same batch stays.
+    let again = store_record(version(2), vote(3, b"again"));
+    write(file.path(), [vec![prune(7, 0), again]]);
+    expected.retain(|slot| {
+        *slot == version(2) || !matches!(slot, Slot::Configuration(ConfigurationVersion(0..7)))
+    });
+    let state = read(file.path());
+    assert_eq!(slots(&state), expected);
+    let mut records = state.records.into_iter();
+    let rewritten = records.find(|stored| stored.slot == version(2));
+    assert_eq!(
+        rewritten.map(|stored| stored.record),
+        Some(vote(3, b"again"))
+    );
+
+    let all_gone = vec![
+        WriteOperation::MarkStateIncomplete,
+        prune(u64::MAX, u64::MAX),
+        WriteOperation::MarkStateComplete,
+    ];
+    write(file.path(), [all_gone]);
+    let state = read(file.path());
+    assert_eq!((state.records, state.has_complete_state), (vec![], true));
+}
+
+#[test]
+fn a_replica_whose_state_became_incomplete_counts_in_its_voting_set_still() {
+    let file = StateFile::new();
+    let voting_set = voting_set(1, &[1, 2, 3]);
+    let complete = vec![
+        WriteOperation::StoreVotingSet(voting_set.clone()),
+        WriteOperation::MarkStateComplete,
+    ];
+    write(file.path(), [complete]);
+    assert!(read(file.path()).has_complete_state);
+
+    write(file.path(), [vec![WriteOperation::MarkStateIncomplete]]);
+    let state = read(file.path());
+    assert_eq!(
+        (state.voting_set, state.has_complete_state),
+        (voting_set, false)
+    );
+}
+
+#[test]
+fn a_file_that_is_no_state_file_is_refused_and_left_as_it_is() {
+    let file = StateFile::new();
+    let other = b"something else that somebody keeps here, longer than a header";
+    std::fs::write(file.path(), other).expect("written");
+    let Err(report) = Store::open(file.path()) else {
+        panic!("it was opened")
+    };
+    assert!(
+        matches!(report.current_context(), StorageError::Unreadable),
+        "{report:?}"
+    );
+    assert_eq!(std::fs::read(file.path()).expect("there"), other);
+}
