--- a/crates/gateway/cluster/src/cluster/host_requests.rs
+++ b/crates/gateway/cluster/src/cluster/host_requests.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Takes over the hosts that the disk held at the start. They count as heard now: one that does not call within the
+    /// Takes over the hosts that the disk held at the start. They count as seen now: one that does not call within the
     /// usual time is gone.
     pub(super) fn restore_hosts(&mut self, now: Timestamp, records: Vec<HostRecord>) {
         self.initial_sync.set_done(!records.is_empty());
@@ -52,7 +52,7 @@
         self.distribute_hosts(now, &ids);
     }
 
-    /// What this controller heard from a host itself goes to all other controllers. That a host leaves goes to all
+    /// What a host said to this controller itself goes to all other controllers. That a host leaves goes to all
     /// gateways too, whichever controller they take their tables from.
     fn broadcast_host(&mut self, record: HostRecord) {
         if record.state != HostState::Ready {
--- a/crates/gateway/cluster/src/cluster/maintenance.rs
+++ b/crates/gateway/cluster/src/cluster/maintenance.rs
@@ -1,5 +1,5 @@
-//! What time alone brings: the end of the initial synchronization, batches of heartbeats, digests, hosts that fell
-//! silent, and the timers of the policies.
+//! What time alone brings: the end of the initial synchronization, batches of heartbeats, digests, hosts that
+//! time out, and the timers of the policies.
 
 use crate::cluster::Cluster;
 use rushcourse_messages::Message;
@@ -16,7 +16,7 @@
             self.broadcast_to_peers(heartbeats);
         }
         self.broadcast_digests(now);
-        self.detect_silent_hosts(now);
+        self.detect_timed_out_hosts(now);
         let updates = self.distribution.run_due_timers(now);
         self.send_updates(now, updates);
     }
@@ -40,17 +40,17 @@
         }
     }
 
-    fn detect_silent_hosts(&mut self, now: Timestamp) {
+    fn detect_timed_out_hosts(&mut self, now: Timestamp) {
         self.hosts.remove_expired(now);
         let is_detecting = self.is_synchronized() && self.failure_detection.is_active(now);
-        let newly_silent = if is_detecting {
-            self.hosts.mark_silent(now)
+        let newly_timed_out = if is_detecting {
+            self.hosts.mark_timed_out(now)
         } else {
             Vec::new()
         };
-        for id in &newly_silent {
-            self.log(format!("event=host_silent id={id}"));
+        for id in &newly_timed_out {
+            self.log(format!("event=host_timed_out id={id}"));
         }
-        self.publish_hosts(now, &newly_silent);
+        self.publish_hosts(now, &newly_timed_out);
     }
 }
--- a/crates/gateway/cluster/src/cluster/peer_messages.rs
+++ b/crates/gateway/cluster/src/cluster/peer_messages.rs
@@ -52,14 +52,14 @@
     }
 
     fn apply_heartbeats(&mut self, now: Timestamp, heartbeats: &[Heartbeat]) {
-        let mut heard_again: Vec<Arc<str>> = Vec::new();
+        let mut seen_again: Vec<Arc<str>> = Vec::new();
         for heartbeat in heartbeats {
             let (id, sequence) = (&heartbeat.host, heartbeat.sequence);
             if self.hosts.apply_heartbeat(now, id, sequence) {
-                heard_again.push(id.clone());
+                seen_again.push(id.clone());
             }
         }
-        self.publish_hosts(now, &heard_again);
+        self.publish_hosts(now, &seen_again);
     }
 
     /// Asks a peer for the ranges in which its hosts differ from the ones here (anti-entropy).
--- a/crates/gateway/cluster/src/failure_detection.rs
+++ b/crates/gateway/cluster/src/failure_detection.rs
@@ -1,13 +1,13 @@
-//! From when on the silence of a host counts against it.
+//! From when on a host that sends no heartbeats is taken for dead.
 
 use rushcourse_types::Timestamp;
 use std::time::Duration;
 
-/// How long silence does not count after contact with a majority came back, or after a stall: the hosts that others
-/// have heard come right after their sessions (ours).
+/// How long no host times out after contact with a majority came back, or after a stall: records of hosts that others
+/// have seen come right after their sessions (ours).
 const GRACE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Whether this controller hears what a majority hears. Otherwise silence of a host proves nothing: it may call others.
+/// Whether this controller sees what a majority sees. Otherwise missing heartbeats prove nothing: the host may call others.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FailureDetection {
     has_quorum_contact: bool,
@@ -26,12 +26,12 @@
         self.has_quorum_contact = has_quorum_contact;
     }
 
-    /// Lets silence not count for the grace period.
+    /// Lets no host time out for the grace period.
     pub(crate) fn defer(&mut self, now: Timestamp) {
         self.counts_from = now + GRACE_PERIOD;
     }
 
-    /// Whether silence counts.
+    /// Whether hosts may time out.
     pub(crate) fn is_active(&self, now: Timestamp) -> bool {
         self.has_quorum_contact && now >= self.counts_from
     }
--- a/crates/gateway/cluster/src/host_registry.rs
+++ b/crates/gateway/cluster/src/host_registry.rs
@@ -22,7 +22,7 @@
 const MAX_MISSED_HEARTBEATS: f64 = 3.4;
 
 /// Added to the time of the missed heartbeats (ours).
-const SILENCE_MARGIN: Duration = Duration::from_millis(400);
+const TIMEOUT_MARGIN: Duration = Duration::from_millis(400);
 
 /// How long an instance that ended is remembered: late heartbeats of it are recognized, and digests agree (ours).
 const GONE_RETENTION: Duration = Duration::from_secs(60);
@@ -31,20 +31,20 @@
 #[derive(Clone, Debug)]
 pub struct HostEntry {
     record: HostRecord,
-    last_heard_at: Timestamp,
+    last_seen_at: Timestamp,
     warming_since: Option<Timestamp>,
-    is_silent: bool,
+    is_timed_out: bool,
     ended_at: Option<Timestamp>,
 }
 
 impl HostEntry {
-    fn new(now: Timestamp, record: HostRecord, silence_timeout: Duration) -> HostEntry {
+    fn new(now: Timestamp, record: HostRecord, heartbeat_timeout: Duration) -> HostEntry {
         let is_gone = record.state == HostState::Gone;
-        let last_heard_at = now.saturating_sub(record.age.into());
+        let last_seen_at = now.saturating_sub(record.age.into());
         HostEntry {
-            last_heard_at,
+            last_seen_at,
             warming_since: (record.warm_up > Millis(0)).then_some(now),
-            is_silent: !is_gone && now.since(last_heard_at) > silence_timeout,
+            is_timed_out: !is_gone && now.since(last_seen_at) > heartbeat_timeout,
             ended_at: is_gone.then_some(now),
             record,
         }
@@ -58,28 +58,28 @@
     /// The record as it goes to another node: with its age.
     pub fn record_at(&self, now: Timestamp) -> HostRecord {
         HostRecord {
-            age: now.since(self.last_heard_at).into(),
+            age: now.since(self.last_seen_at).into(),
             ..self.record.clone()
         }
     }
 
-    /// What tables go by: its own word, or [`HostState::Gone`] while it is silent.
+    /// What tables go by: its own word, or [`HostState::Gone`] while it is timed out.
     pub fn state(&self) -> HostState {
-        if self.is_silent {
+        if self.is_timed_out {
             HostState::Gone
         } else {
             self.record.state
         }
     }
 
-    /// Whether nothing was heard of it for too long. A heartbeat ends that.
-    pub fn is_silent(&self) -> bool {
-        self.is_silent
+    /// Whether it was not seen for too long. A heartbeat ends that.
+    pub fn is_timed_out(&self) -> bool {
+        self.is_timed_out
     }
 
-    /// When it was last heard, by whichever controller.
-    pub fn last_heard_at(&self) -> Timestamp {
-        self.last_heard_at
+    /// When it was last seen, by whichever controller.
+    pub fn last_seen_at(&self) -> Timestamp {
+        self.last_seen_at
     }
 
     /// When it was first known, if it was in its warm-up then.
@@ -88,25 +88,23 @@
     }
 
     /// Takes over a newer record of the same instance. True if tables may change by it.
-    fn update(&mut self, now: Timestamp, record: HostRecord, silence_timeout: Duration) -> bool {
-        self.last_heard_at = self
-            .last_heard_at
-            .max(now.saturating_sub(record.age.into()));
-        let is_heard_again = self.is_silent && now.since(self.last_heard_at) <= silence_timeout;
-        self.is_silent &= !is_heard_again;
+    fn update(&mut self, now: Timestamp, record: HostRecord, heartbeat_timeout: Duration) -> bool {
+        self.last_seen_at = self.last_seen_at.max(now.saturating_sub(record.age.into()));
+        let is_seen_again = self.is_timed_out && now.since(self.last_seen_at) <= heartbeat_timeout;
+        self.is_timed_out &= !is_seen_again;
         let is_changed = self.record.state != record.state
             || self.record.address != record.address
             || self.record.service != record.service
             || self.record.slots != record.slots;
         self.ended_at = (record.state == HostState::Gone).then_some(now);
         self.record = record;
-        is_changed || is_heard_again
+        is_changed || is_seen_again
     }
 
-    /// Whether it ended, or was last heard, so long ago that it is forgotten.
+    /// Whether it ended, or was last seen, so long ago that it is forgotten.
     fn is_expired(&self, now: Timestamp) -> bool {
         let has_passed = |since: Timestamp| now >= since + GONE_RETENTION;
-        self.ended_at.is_some_and(has_passed) || self.is_silent && has_passed(self.last_heard_at)
+        self.ended_at.is_some_and(has_passed) || self.is_timed_out && has_passed(self.last_seen_at)
     }
 
     /// What digests are made of: all that tables go by, and nothing that each heartbeat changes.
@@ -148,7 +146,7 @@
 /// All hosts that a controller knows, by their ids.
 #[derive(Clone, Debug)]
 pub struct HostRegistry {
-    silence_timeout: Duration,
+    heartbeat_timeout: Duration,
     hosts: BTreeMap<Arc<str>, HostEntry>,
 }
 
@@ -157,7 +155,7 @@
     pub fn new(heartbeat_interval: Duration) -> HostRegistry {
         let missed = heartbeat_span(heartbeat_interval, MAX_MISSED_HEARTBEATS);
         HostRegistry {
-            silence_timeout: missed + SILENCE_MARGIN,
+            heartbeat_timeout: missed + TIMEOUT_MARGIN,
             hosts: BTreeMap::new(),
         }
     }
@@ -175,7 +173,7 @@
     /// Applies what a host, or another controller, said of a host. True if tables may change by it.
     pub fn apply_record(&mut self, now: Timestamp, record: HostRecord) -> bool {
         let Some(known) = self.hosts.get_mut(&record.id) else {
-            let entry = HostEntry::new(now, record, self.silence_timeout);
+            let entry = HostEntry::new(now, record, self.heartbeat_timeout);
             self.hosts.insert(entry.record.id.clone(), entry);
             return true;
         };
@@ -184,10 +182,10 @@
         }
         let is_outdated =
             record.state != HostState::Gone && record.sequence < known.record.sequence;
-        !is_outdated && known.update(now, record, self.silence_timeout)
+        !is_outdated && known.update(now, record, self.heartbeat_timeout)
     }
 
-    /// Applies a heartbeat that another controller passed on. True if the host was silent and is heard again.
+    /// Applies a heartbeat that another controller passed on. True if the host had timed out and is seen again.
     pub fn apply_heartbeat(&mut self, now: Timestamp, id: &str, sequence: CallSequence) -> bool {
         let Some(known) = self.hosts.get_mut(id) else {
             return false;
@@ -196,8 +194,8 @@
             return false;
         }
         known.record.sequence = sequence;
-        known.last_heard_at = now;
-        std::mem::take(&mut known.is_silent)
+        known.last_seen_at = now;
+        std::mem::take(&mut known.is_timed_out)
     }
 
     /// Ends a host that deregistered. Its record, if that is news.
@@ -216,18 +214,18 @@
         self.hosts.retain(|_, host| !host.is_expired(now));
     }
 
-    /// Marks the hosts that have not been heard for too long as silent; the ids of those that were not before. To be
-    /// called only by a controller that hears what a majority hears: otherwise silence proves nothing.
-    pub fn mark_silent(&mut self, now: Timestamp) -> Vec<Arc<str>> {
-        let mut newly_silent = Vec::new();
+    /// Marks the hosts that have not been seen for too long as timed out; the ids of those that were not before. To be
+    /// called only by a controller that sees what a majority sees: otherwise missing heartbeats prove nothing.
+    pub fn mark_timed_out(&mut self, now: Timestamp) -> Vec<Arc<str>> {
+        let mut newly_timed_out = Vec::new();
         for (id, host) in &mut self.hosts {
-            let is_overdue = now > host.last_heard_at + self.silence_timeout;
-            if is_overdue && !host.is_silent && host.record.state != HostState::Gone {
-                host.is_silent = true;
-                newly_silent.push(id.clone());
+            let is_overdue = now > host.last_seen_at + self.heartbeat_timeout;
+            if is_overdue && !host.is_timed_out && host.record.state != HostState::Gone {
+                host.is_timed_out = true;
+                newly_timed_out.push(id.clone());
             }
         }
-        newly_silent
+        newly_timed_out
     }
 
     /// All records, as they go to another node.
--- a/crates/gateway/cluster/src/quorum_contact.rs
+++ b/crates/gateway/cluster/src/quorum_contact.rs
@@ -1,7 +1,7 @@
 //! Whether a controller may act on what it knows: it is in session with a majority of the voting set, and its own
 //! process has not stalled meanwhile.
 //!
-//! Sessions end after a silence that is measured by a steady clock, so a controller that is partitioned learns it from
+//! Sessions end after a time-out that is measured by a steady clock, so a controller that is partitioned learns it from
 //! them. A process that was frozen does not: when it runs again, its sessions look alive until their ends are read. What
 //! it knows is then as old as the freeze, so nothing counts until a majority has answered a probe
 //! ([`crate::contact_probes`]) that was sent after it.
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 /// The time between two turns of a controller's loop from which on it counts as stalled. The loop turns every 50 ms;
-/// sessions end after 1,600 ms of silence, so nobody has taken a controller that stood still for less than this for dead.
+/// sessions time out after 1,600 ms, so nobody has taken a controller that stood still for less than this for dead.
 pub const STALL_THRESHOLD: Duration = Duration::from_millis(600);
 
 /// A controller's view of its own contact with a majority of the voting set.
--- a/crates/gateway/cluster/tests/failure_detection.rs
+++ b/crates/gateway/cluster/tests/failure_detection.rs
@@ -8,7 +8,7 @@
 use rushcourse_types::Millis;
 
 #[test]
-fn silence_ends_a_host_only_where_a_majority_is_in_contact() {
+fn a_host_times_out_only_where_a_majority_is_in_contact() {
     for (has_quorum_contact, is_gone) in [(true, true), (false, false)] {
         let (mut controller, _) = Controller::with_gateway();
         controller.step(4_500, Input::QuorumContactChanged(has_quorum_contact));
@@ -42,7 +42,7 @@
     controller.step(24_500, Input::QuorumContactChanged(true));
     let effects = controller.tick(24_500, 24_600);
     assert!(
-        !has_logged(&effects, "host_silent"),
+        !has_logged(&effects, "host_timed_out"),
         "it did not hear whom they called meanwhile"
     );
 
@@ -70,7 +70,7 @@
     let mut effects = controller.step(11_000, Input::Stalled);
     effects.extend(controller.step(11_000, Input::Tick));
     assert!(
-        !has_logged(&effects, "host_silent"),
+        !has_logged(&effects, "host_timed_out"),
         "its own silence is not theirs"
     );
     let is_status = |effect: &Effect| {
--- a/crates/gateway/config/src/settings.rs
+++ b/crates/gateway/config/src/settings.rs
@@ -14,7 +14,7 @@
 /// s; hosts are taken to call no more often than this.
 const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.05;
 
-/// What a process is told at its start.
+/// What a process is given at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// Which machine it runs on.
@@ -110,7 +110,7 @@
 pub struct Bounds {
     /// How long after its acknowledgement a host that drains may get requests.
     pub drain: Duration,
-    /// How long a process that is told to end may take.
+    /// How long a process that is asked to end may take.
     pub grace_period: Duration,
     /// Within which a configuration is in force everywhere.
     pub configuration_apply: Duration,
--- a/crates/gateway/config/src/settings_file.rs
+++ b/crates/gateway/config/src/settings_file.rs
@@ -5,8 +5,8 @@
 use std::fmt;
 use std::str::FromStr;
 
-/// Letters of a line that can't be read, as the error shows them.
-const MAX_SHOWN_LETTERS: usize = 60;
+/// Letters of a line that can't be read, as the error quotes them.
+const MAX_QUOTED_LETTERS: usize = 60;
 
 /// What is wrong with a settings file, and where.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -57,7 +57,7 @@
             let Some((name, value)) = text.split_once('=') else {
                 return Err(SettingsError {
                     line: Some(line),
-                    field: text.chars().take(MAX_SHOWN_LETTERS).collect(),
+                    field: text.chars().take(MAX_QUOTED_LETTERS).collect(),
                     reason: "is not of the form a.b=value".into(),
                 });
             };
--- a/crates/gateway/config/tests/configuration.rs
+++ b/crates/gateway/config/tests/configuration.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_split_follows_its_weights_and_one_request_goes_to_one_service() {
+fn a_split_follows_its_weights_and_one_request_is_sent_to_one_service() {
     let configuration = parse(CONFIGURATION);
     let route = &configuration.routes[0];
     let of_s1 = (0..10_000)
@@ -80,10 +80,10 @@
     {
         let text = CONFIGURATION.replacen(replaced, by, 1);
         assert_ne!(text, CONFIGURATION, "{replaced}");
-        let told = Configuration::parse(text.as_bytes())
+        let message = Configuration::parse(text.as_bytes())
             .expect_err(by)
             .to_string();
-        assert!(told.contains(error), "{by}: {told}");
+        assert!(message.contains(error), "{by}: {message}");
     }
 }
 
--- a/crates/gateway/config/tests/properties.rs
+++ b/crates/gateway/config/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties of what people write down: a spoilt text never panics, and a configuration that is accepted keeps
+//! Properties of what people write down: a corrupted text never panics, and a configuration that is accepted keeps
 //! PROTOCOL.md's list of what makes one invalid, checked here by itself.
 
 use proptest::prelude::*;
@@ -129,7 +129,7 @@
     })]
 
     #[test]
-    fn a_spoilt_configuration_is_refused_or_keeps_the_list(changes in prop::collection::vec(change(), 1..4)) {
+    fn a_corrupted_configuration_is_refused_or_keeps_the_list(changes in prop::collection::vec(change(), 1..4)) {
         assert_valid_or_refused(&apply(VALID_CONFIGURATION, &changes));
     }
 
@@ -140,7 +140,7 @@
     }
 
     #[test]
-    fn a_spoilt_settings_file_names_what_is_wrong_or_is_read(changes in prop::collection::vec(change(), 1..4)) {
+    fn a_corrupted_settings_file_names_what_is_wrong_or_is_read(changes in prop::collection::vec(change(), 1..4)) {
         if let Err(error) = NodeSettings::parse(&apply(VALID_SETTINGS, &changes)) {
             prop_assert!(!error.field.is_empty() || error.line.is_some(), "{}", error);
             prop_assert!(!error.reason.is_empty());
--- a/crates/gateway/config/tests/settings.rs
+++ b/crates/gateway/config/tests/settings.rs
@@ -42,10 +42,10 @@
         ("zone=z1\n", "zone\n", "line 2: zone: is not of the form"),
         ("node_name=core-1\n", "", "node_name: is missing"),
     ] {
-        let told = NodeSettings::parse(&SETTINGS.replacen(replaced, by, 1))
+        let message = NodeSettings::parse(&SETTINGS.replacen(replaced, by, 1))
             .expect_err(by)
             .to_string();
-        assert!(told.starts_with(error), "{told}");
+        assert!(message.starts_with(error), "{message}");
     }
 }
 
@@ -69,10 +69,13 @@
     for (left_out, field) in fields.iter().enumerate() {
         let mut others = lines.to_vec();
         others.remove(left_out);
-        let told = NodeSettings::parse(&[SETTINGS, &others.concat()].concat())
+        let message = NodeSettings::parse(&[SETTINGS, &others.concat()].concat())
             .expect_err(field)
             .to_string();
-        assert!(told.starts_with(&format!("{field}: is missing")), "{told}");
+        assert!(
+            message.starts_with(&format!("{field}: is missing")),
+            "{message}"
+        );
     }
 }
 
--- a/crates/gateway/controller/src/pages.rs
+++ b/crates/gateway/controller/src/pages.rs
@@ -100,8 +100,8 @@
             quoted(&s.record().address),
             quoted(&s.record().zone),
             quoted(&state),
-            s.is_silent(),
-            now.since(s.last_heard_at()).as_millis() as f64 / 1000.0
+            s.is_timed_out(),
+            now.since(s.last_seen_at()).as_millis() as f64 / 1000.0
         )
     });
     let tables = list(party.distribution().tables(), |t| {
--- a/crates/gateway/storage/tests/common/tables.rs
+++ b/crates/gateway/storage/tests/common/tables.rs
@@ -52,8 +52,8 @@
     .collect()
 }
 
-/// All rows of a table whose keys are words.
-pub fn rows_by_word(
+/// All rows of a table whose keys are texts.
+pub fn rows_by_text(
     reading: &ReadTransaction,
     table: TableDefinition<&str, &[u8]>,
 ) -> Vec<(String, Vec<u8>)> {
--- a/crates/gateway/storage/tests/fixture.rs
+++ b/crates/gateway/storage/tests/fixture.rs
@@ -5,7 +5,7 @@
 
 use common::tables::{
     ClaimRow, HOSTS, META, SET_RECORDS, VERSION_RECORDS, claim_rows, read, rows_by_number,
-    rows_by_word, table_names,
+    rows_by_text, table_names,
 };
 use common::{StateFile, batch, epoch, prune, store_record, version, voting_set};
 use rushcourse_consensus::{DurableState, StoredClaim, WriteOperation};
@@ -132,11 +132,11 @@
 fn tables(file: &Path) -> Tables {
     read(file, |reading| Tables {
         names: table_names(reading),
-        meta: rows_by_word(reading, META),
+        meta: rows_by_text(reading, META),
         set_records: rows_by_number(reading, SET_RECORDS),
         version_records: rows_by_number(reading, VERSION_RECORDS),
         claims: claim_rows(reading),
-        hosts: rows_by_word(reading, HOSTS),
+        hosts: rows_by_text(reading, HOSTS),
     })
 }
 
--- a/crates/gateway/storage/tests/upgrade.rs
+++ b/crates/gateway/storage/tests/upgrade.rs
@@ -7,7 +7,7 @@
     upgraded_vote,
 };
 use common::tables::{
-    CONFIGURATIONS, META, change, read, rows_by_number, rows_by_word, table_names,
+    CONFIGURATIONS, META, change, read, rows_by_number, rows_by_text, table_names,
 };
 use common::{StateFile, batch, version};
 use rushcourse_consensus::{DurableState, StoredClaim, WriteOperation};
@@ -29,7 +29,7 @@
 fn dump(file: &Path) -> String {
     read(file, |reading| {
         let tables = table_names(reading);
-        let meta = rows_by_word(reading, META);
+        let meta = rows_by_text(reading, META);
         let configurations = rows_by_number(reading, CONFIGURATIONS);
         format!("{tables:?} {meta:?} {configurations:?}")
     })
