--- a/crates/gateway/storage/examples/recovery.rs
+++ b/crates/gateway/storage/examples/recovery.rs
@@ -1,7 +1,7 @@
 //! How long a controller takes to read its state file, and how large that is, by the claims that it holds. Real time on
 //! this machine: a figure to look at, no test.
 
-use rushcourse_consensus::{StoredClaim, WriteOperation};
+use rushcourse_consensus::{BatchId, StoredClaim, WriteBatch, WriteOperation};
 use rushcourse_messages::{
     AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
@@ -14,6 +14,13 @@
 /// Bytes of a configuration's text.
 const TEXT: usize = 8_000;
 
+fn batch(number: u64, operations: Vec<WriteOperation>) -> WriteBatch {
+    WriteBatch {
+        id: BatchId(number),
+        operations,
+    }
+}
+
 /// A vote for a configuration.
 fn configuration() -> WriteOperation {
     let ballot = Ballot {
@@ -75,7 +82,7 @@
         ]
         .into_iter()
         .chain((0..hosts).map(|k| WriteOperation::StoreHost(host(k))));
-        store.write(&[(1, first.collect())]).expect("room");
+        store.write(&[batch(1, first.collect())]).expect("room");
         // As they come: some at a sync.
         for part in 0..claims.div_ceil(200) {
             let claim = |k: u64| {
@@ -91,7 +98,9 @@
                 })
             };
             let of = part * 200..(part * 200 + 200).min(claims);
-            store.write(&[(2, of.map(claim).collect())]).expect("room");
+            store
+                .write(&[batch(2, of.map(claim).collect())])
+                .expect("room");
         }
         drop(store);
         let begun = Instant::now();
@@ -104,7 +113,7 @@
         assert_eq!(stored.records.len(), 1);
         let begun = Instant::now();
         store
-            .write(&[(3, vec![WriteOperation::MarkStateComplete])])
+            .write(&[batch(3, vec![WriteOperation::MarkStateComplete])])
             .expect("room");
         let (wrote, bytes) = (
             begun.elapsed(),
--- a/crates/gateway/storage/src/reading.rs
+++ b/crates/gateway/storage/src/reading.rs
@@ -1,69 +1,61 @@
 //! Reads a state file whole.
 
-use crate::claims::ClaimPlaces;
+use crate::claim_positions::ClaimPositions;
 use crate::tables::{
-    CLAIMS, HOSTS, META, META_FORMAT, META_REMEMBERS, META_SET, RecordTable, SET_RECORDS,
-    VERSION_RECORDS, decode,
+    CLAIMS, HOSTS, META, META_COMPLETE_STATE, META_FORMAT, META_VOTING_SET, RecordTable,
+    VERSION_RECORDS, VOTING_SET_RECORDS, claim_of_row, decode,
 };
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable, TableError};
-use rushcourse_consensus::{DurableState, StoredClaim};
+use rushcourse_consensus::DurableState;
 use rushcourse_messages::{Slot, SlotRecord};
-use rushcourse_types::{
-    ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, WallTime,
-};
+use rushcourse_types::{ConfigurationVersion, Epoch};
 
 /// What a file holds.
 #[derive(Debug, Default)]
 pub(crate) struct Contents {
-    pub stored: DurableState,
-    pub places: ClaimPlaces,
+    pub(crate) state: DurableState,
+    pub(crate) claim_positions: ClaimPositions,
 }
 
-/// The form of a file; none if it was never written to.
-pub(crate) fn format(database: &Database) -> Result<Option<u64>, redb::Error> {
+/// The format of a file; `None` if it was never written to.
+pub(crate) fn read_format(database: &Database) -> Result<Option<u64>, redb::Error> {
     let meta = match database.begin_read()?.open_table(META) {
         Ok(meta) => meta,
         Err(TableError::TableDoesNotExist(_)) => return Ok(None),
-        Err(e) => return Err(e.into()),
+        Err(error) => return Err(error.into()),
     };
     let number = |bytes: &[u8]| bytes.try_into().map(u64::from_be_bytes).unwrap_or(0);
-    Ok(meta.get(META_FORMAT)?.map(|v| number(v.value())))
+    Ok(meta.get(META_FORMAT)?.map(|value| number(value.value())))
 }
 
-/// All that a file of the present form holds.
-pub(crate) fn contents(database: &Database) -> Result<Contents, redb::Error> {
+/// All that a file of the present format holds.
+pub(crate) fn read_contents(database: &Database) -> Result<Contents, redb::Error> {
     let reading = database.begin_read()?;
-    let mut contents = all_but_records(&reading)?;
-    let records = &mut contents.stored.records;
-    read_records(
-        &reading,
-        SET_RECORDS,
-        |n| Slot::VotingSet(Epoch(n)),
-        records,
-    )?;
-    read_records(
-        &reading,
-        VERSION_RECORDS,
-        |n| Slot::Configuration(ConfigurationVersion(n)),
-        records,
-    )?;
+    let mut contents = read_all_but_records(&reading)?;
+    let records = &mut contents.state.records;
+    read_records(&reading, VOTING_SET_RECORDS, records, |number| {
+        Slot::VotingSet(Epoch(number))
+    })?;
+    read_records(&reading, VERSION_RECORDS, records, |number| {
+        Slot::Configuration(ConfigurationVersion(number))
+    })?;
     Ok(contents)
 }
 
-/// What stands in the same tables in this form of the file and in the one before.
-pub(crate) fn all_but_records(reading: &ReadTransaction) -> Result<Contents, redb::Error> {
+/// What stands in the same tables in this format and in the one before.
+pub(crate) fn read_all_but_records(reading: &ReadTransaction) -> Result<Contents, redb::Error> {
     let mut contents = Contents::default();
-    read_meta(reading, &mut contents.stored)?;
+    read_meta(reading, &mut contents.state)?;
     read_claims(reading, &mut contents)?;
-    read_hosts(reading, &mut contents.stored)?;
+    read_hosts(reading, &mut contents.state)?;
     Ok(contents)
 }
 
-fn read_meta(reading: &ReadTransaction, stored: &mut DurableState) -> Result<(), redb::Error> {
+fn read_meta(reading: &ReadTransaction, state: &mut DurableState) -> Result<(), redb::Error> {
     let meta = reading.open_table(META)?;
-    stored.has_complete_state = meta.get(META_REMEMBERS)?.is_some();
-    if let Some(set) = meta.get(META_SET)? {
-        stored.voting_set = decode(set.value(), "voting set")?;
+    state.has_complete_state = meta.get(META_COMPLETE_STATE)?.is_some();
+    if let Some(voting_set) = meta.get(META_VOTING_SET)? {
+        state.voting_set = decode(voting_set.value(), "voting set")?;
     }
     Ok(())
 }
@@ -71,46 +63,36 @@
 fn read_records(
     reading: &ReadTransaction,
     table: RecordTable,
-    slot: impl Fn(u64) -> Slot,
     records: &mut Vec<SlotRecord>,
+    slot: impl Fn(u64) -> Slot,
 ) -> Result<(), redb::Error> {
     for entry in reading.open_table(table)?.iter()? {
         let (number, bytes) = entry?;
         // A record that can't be read may be a promise or a vote: without it this replica must not vote.
         let record = decode(bytes.value(), "acceptor's record")?;
-        records.push(SlotRecord {
-            slot: slot(number.value()),
-            record,
-        });
+        let slot = slot(number.value());
+        records.push(SlotRecord { slot, record });
     }
     Ok(())
 }
 
 fn read_claims(reading: &ReadTransaction, contents: &mut Contents) -> Result<(), redb::Error> {
     for entry in reading.open_table(CLAIMS)?.iter()? {
-        let (place, value) = entry?;
-        let (key, node, incarnation, number, at) = value.value();
-        let id = ClaimId {
-            node: NodeId(node),
-            incarnation: Incarnation(incarnation),
-            number,
-        };
-        contents.stored.claims.push(StoredClaim {
-            key: KeyDigest(key),
-            id,
-            claimed_at: WallTime(at),
-        });
-        contents.places.found(KeyDigest(key), place.value());
+        let (position, row) = entry?;
+        let claim = claim_of_row(row.value());
+        contents
+            .claim_positions
+            .add_stored(claim.key, position.value());
+        contents.state.claims.push(claim);
     }
     Ok(())
 }
 
-fn read_hosts(reading: &ReadTransaction, stored: &mut DurableState) -> Result<(), redb::Error> {
+fn read_hosts(reading: &ReadTransaction, state: &mut DurableState) -> Result<(), redb::Error> {
     for entry in reading.open_table(HOSTS)?.iter()? {
-        // A record that can't be read is a host that calls again soon.
-        stored
-            .hosts
-            .extend(postcard::from_bytes(entry?.1.value()).ok());
+        // A record that can't be read is of a host that calls again soon.
+        let host = postcard::from_bytes(entry?.1.value());
+        state.hosts.extend(host.ok());
     }
     Ok(())
 }
--- a/crates/gateway/storage/tests/properties.rs
+++ b/crates/gateway/storage/tests/properties.rs
@@ -1,8 +1,11 @@
 //! What the file holds is what the ops say, in any order, over any number of starts.
 
+mod common;
+
+use common::batch;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use rushcourse_consensus::{DurableState, PruneBounds, StoredClaim, WriteOperation};
+use rushcourse_consensus::{DurableState, PruneBounds, StoredClaim, WriteBatch, WriteOperation};
 use rushcourse_messages::{
     AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
@@ -121,9 +124,9 @@
         for life in lives {
             let (mut store, found) = Store::open(&file).expect("its own file");
             prop_assert_eq!(format!("{:?}", sorted(found)), format!("{:?}", sorted(wanted.clone())));
-            let batches: Vec<(u64, Vec<WriteOperation>)> = life.into_iter().enumerate().map(|(k, ops)| (k as u64, ops)).collect();
+            let batches: Vec<WriteBatch> = life.into_iter().enumerate().map(|(k, ops)| batch(k as u64, ops)).collect();
             store.write(&batches).expect("room");
-            batches.into_iter().for_each(|(_, ops)| wanted.apply(ops));
+            batches.into_iter().for_each(|batch| wanted.apply(batch.operations));
         }
         let (_, found) = Store::open(&file).expect("its own file");
         prop_assert_eq!(format!("{:?}", sorted(found)), format!("{:?}", sorted(wanted)));
--- a/crates/gateway/transport/src/tls.rs
+++ b/crates/gateway/transport/src/tls.rs
@@ -1,7 +1,7 @@
 //! TLS between nodes: both sides show a certificate of the deployment's authority.
 
 use crate::error::SessionError;
-use rushcourse_config::{CORE_NAME, EARLIER_CORE_NAME, PeerKeys};
+use rushcourse_config::{CONTROLLER_NAME, LEGACY_CONTROLLER_NAME, PeerKeys};
 use rushcourse_messages::{CertifiedIdentity, PresentedIdentity};
 use rushcourse_tls::Files;
 use rushcourse_types::NodeId;
@@ -100,8 +100,9 @@
             names_controller: false,
         };
     };
-    let (names_machine, names_role) = rushcourse_tls::names(certificate, address, CORE_NAME);
-    let (_, names_earlier_role) = rushcourse_tls::names(certificate, address, EARLIER_CORE_NAME);
+    let (names_machine, names_role) = rushcourse_tls::names(certificate, address, CONTROLLER_NAME);
+    let (_, names_earlier_role) =
+        rushcourse_tls::names(certificate, address, LEGACY_CONTROLLER_NAME);
     CertifiedIdentity {
         names_machine,
         names_controller: names_role || names_earlier_role,
