--- a/crates/gateway/types/src/identity.rs
+++ b/crates/gateway/types/src/identity.rs
@@ -47,7 +47,7 @@
 )]
 pub struct KeyDigest(pub u128);
 
-/// One claim of an operation key: the gateway that made it, and the how manyth claim of its incarnation it is.
+/// One claim of an operation key: the gateway that made it, and which claim of its incarnation it is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimId {
     /// The gateway that claims the key.
