--- a/crates/gateway/messages/src/authorization.rs
+++ b/crates/gateway/messages/src/authorization.rs
@@ -36,12 +36,12 @@
     /// The reason as it stands in counters and in the log.
     pub fn reason(&self) -> &'static str {
         match self {
-            PeerRejection::ProtocolVersion(_) => "other form",
+            PeerRejection::ProtocolVersion(_) => "other protocol version",
             PeerRejection::InvalidName => "bad name",
             PeerRejection::WrongMachine { .. } => "other machine",
             PeerRejection::Loopback => "itself",
             PeerRejection::RoleNotCertified => "role not certified",
-            PeerRejection::NotAllowed => "not for this speaker",
+            PeerRejection::NotAllowed => "not for this sender",
             PeerRejection::ForeignClaim => "claim of another",
         }
     }
@@ -51,10 +51,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             PeerRejection::ProtocolVersion(version) => {
-                write!(f, "speaks form {version}, not {PROTOCOL_VERSION}")
+                write!(
+                    f,
+                    "speaks protocol version {version}, not {PROTOCOL_VERSION}"
+                )
             }
             PeerRejection::WrongMachine { claimed, actual } => {
-                write!(f, "greets as {claimed}, but is {actual}")
+                write!(f, "presents itself as {claimed}, but is {actual}")
             }
             other => f.write_str(other.reason()),
         }
--- a/crates/gateway/messages/src/frames.rs
+++ b/crates/gateway/messages/src/frames.rs
@@ -6,6 +6,9 @@
 /// Bytes of a message at most: with room for a snapshot chunk and for a configuration's text (ours).
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
+/// Bytes of a frame before its message: the message's length.
+const HEADER_BYTES: usize = 4;
+
 /// Why bytes are no message. The session that they came by is closed: what follows can't be trusted either.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FrameError {
@@ -37,15 +40,15 @@
 /// A message over [`MAX_FRAME_BYTES`]; nothing is appended then.
 pub fn encode(message: &Message, buffer: &mut Vec<u8>) -> Result<(), FrameError> {
     let start = buffer.len();
-    buffer.extend([0; 4]);
+    buffer.extend([0; HEADER_BYTES]);
     let written = postcard::to_extend(message, std::mem::take(buffer));
     *buffer = written.map_err(|error| FrameError::Unreadable(error.to_string()))?;
-    let length = buffer.len() - start - 4;
+    let length = buffer.len() - start - HEADER_BYTES;
     if length > MAX_FRAME_BYTES {
         buffer.truncate(start);
         return Err(FrameError::TooLong(length));
     }
-    buffer[start..start + 4].copy_from_slice(&(length as u32).to_be_bytes());
+    buffer[start..start + HEADER_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
     Ok(())
 }
 
@@ -53,7 +56,7 @@
 ///
 /// # Errors
 /// More than [`MAX_FRAME_BYTES`].
-pub fn frame_length(header: [u8; 4]) -> Result<usize, FrameError> {
+pub fn frame_length(header: [u8; HEADER_BYTES]) -> Result<usize, FrameError> {
     let length = u32::from_be_bytes(header) as usize;
     if length > MAX_FRAME_BYTES {
         return Err(FrameError::TooLong(length));
--- a/crates/gateway/messages/src/hosts.rs
+++ b/crates/gateway/messages/src/hosts.rs
@@ -1,4 +1,4 @@
-//! What controllers know of hosts, and what they tell gateways of them.
+//! What controllers know of hosts, and what they send to gateways of them.
 
 use rushcourse_types::{CallSequence, Millis};
 use serde::{Deserialize, Serialize};
@@ -11,7 +11,7 @@
     Ready,
     /// It ends soon: no new requests.
     Draining,
-    /// It signed off, or is taken for dead.
+    /// It deregistered, or it is taken for dead.
     Gone,
 }
 
@@ -34,7 +34,7 @@
     pub sequence: CallSequence,
     /// How much longer it is slow from its start, as it said in its newest call.
     pub warm_up: Millis,
-    /// How long ago it was last heard, when this record was sent.
+    /// How long ago it was last seen, when this record was sent.
     pub age: Millis,
 }
 
--- a/crates/gateway/messages/src/lib.rs
+++ b/crates/gateway/messages/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! * [`message`]: every message, and the handshake that opens a session.
 //! * [`ballots`], [`voting_set`], [`snapshot`]: what controllers agree on, and how a replica that lags is brought up.
-//! * [`hosts`]: what controllers tell each other and gateways of hosts.
+//! * [`hosts`]: what controllers send to each other and to gateways of hosts.
 //! * [`operations`]: claims of operation keys and what became of the operations.
 //! * [`frames`]: messages as bytes.
 //! * [`authorization`]: which node may send which message.
--- a/crates/gateway/messages/tests/authorization.rs
+++ b/crates/gateway/messages/tests/authorization.rs
@@ -12,18 +12,37 @@
 use samples::{CLAIM, samples};
 use std::collections::BTreeSet;
 
-const BETWEEN_CONTROLLERS: (Role, Role) = (Role::Controller, Role::Controller);
-const TO_GATEWAY: (Role, Role) = (Role::Controller, Role::Gateway);
-const TO_CONTROLLER: (Role, Role) = (Role::Gateway, Role::Controller);
-const BETWEEN_GATEWAYS: (Role, Role) = (Role::Gateway, Role::Gateway);
-const ALL: &[(Role, Role)] = &[
+/// Who sends to whom.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+struct Direction {
+    sender: Role,
+    receiver: Role,
+}
+
+const BETWEEN_CONTROLLERS: Direction = Direction {
+    sender: Role::Controller,
+    receiver: Role::Controller,
+};
+const TO_GATEWAY: Direction = Direction {
+    sender: Role::Controller,
+    receiver: Role::Gateway,
+};
+const TO_CONTROLLER: Direction = Direction {
+    sender: Role::Gateway,
+    receiver: Role::Controller,
+};
+const BETWEEN_GATEWAYS: Direction = Direction {
+    sender: Role::Gateway,
+    receiver: Role::Gateway,
+};
+const ALL: &[Direction] = &[
     BETWEEN_CONTROLLERS,
     TO_GATEWAY,
     TO_CONTROLLER,
     BETWEEN_GATEWAYS,
 ];
 
-/// Of the node that is greeted.
+/// Of the node that a handshake is presented to.
 const LOCAL_INCARNATION: Incarnation = Incarnation(10);
 
 fn handshake(role: Role, node: NodeId, incarnation: Incarnation) -> Handshake {
@@ -37,8 +56,8 @@
     }
 }
 
-/// Who may send a kind of message to whom: sender and receiver.
-fn allowed(kind: &str) -> &'static [(Role, Role)] {
+/// The directions in which a kind of message may go.
+fn allowed(kind: &str) -> &'static [Direction] {
     match kind {
         "Handshake" => &[],
         "Ping" => ALL,
@@ -56,7 +75,7 @@
         "ClaimResponse" | "CommittedVersion" | "Configuration" | "TableReplacement"
         | "TableUpdate" | "HostStates" => &[TO_GATEWAY],
         "OperationQuery" | "OperationReply" => &[BETWEEN_GATEWAYS],
-        other => panic!("nothing is said of {other}"),
+        other => panic!("no directions of {other}"),
     }
 }
 
@@ -70,15 +89,15 @@
 fn each_message_comes_from_those_who_may_send_it_and_from_nobody_else() {
     for (_, message) in samples() {
         let allowed = allowed(kind(&message));
-        for (sender, receiver) in ALL {
-            let sender_handshake = handshake(*sender, CLAIM.node, CLAIM.incarnation);
-            let checked = check_message(&sender_handshake, *receiver, &message);
-            let expected = if allowed.contains(&(*sender, *receiver)) {
+        for direction in ALL {
+            let sender = handshake(direction.sender, CLAIM.node, CLAIM.incarnation);
+            let checked = check_message(&sender, direction.receiver, &message);
+            let expected = if allowed.contains(direction) {
                 Ok(())
             } else {
                 Err(PeerRejection::NotAllowed)
             };
-            assert_eq!(checked, expected, "{sender:?} to {receiver:?}: {message:?}");
+            assert_eq!(checked, expected, "{direction:?}: {message:?}");
         }
     }
 }
@@ -113,15 +132,29 @@
     }
 }
 
-/// A peer at node 2, with what its certificate names, if it showed one.
-fn identity(certificate: Option<(bool, bool)>) -> PresentedIdentity {
-    let certified = |(names_machine, names_controller)| CertifiedIdentity {
-        names_machine,
-        names_controller,
-    };
+/// Certificates by what they name.
+const CONTROLLER_HERE: CertifiedIdentity = CertifiedIdentity {
+    names_machine: true,
+    names_controller: true,
+};
+const MACHINE_HERE: CertifiedIdentity = CertifiedIdentity {
+    names_machine: true,
+    names_controller: false,
+};
+const CONTROLLER_ELSEWHERE: CertifiedIdentity = CertifiedIdentity {
+    names_machine: false,
+    names_controller: true,
+};
+const MACHINE_ELSEWHERE: CertifiedIdentity = CertifiedIdentity {
+    names_machine: false,
+    names_controller: false,
+};
+
+/// A peer at node 2, with its certificate, if it showed one.
+fn identity(certificate: Option<CertifiedIdentity>) -> PresentedIdentity {
     PresentedIdentity {
         address: NodeId(2),
-        certificate: certificate.map(certified),
+        certificate,
     }
 }
 
@@ -131,26 +164,22 @@
     let gateway = handshake(Role::Gateway, NodeId(2), Incarnation(20));
     let wrong_machine = Some("other machine");
     let cases = [
-        (&controller, identity(None), None),
-        (&gateway, identity(None), None),
-        (&controller, identity(Some((true, true))), None),
-        (&gateway, identity(Some((true, false))), None),
-        (
-            &controller,
-            identity(Some((true, false))),
-            Some("role not certified"),
-        ),
-        (&controller, identity(Some((false, true))), wrong_machine),
-        (&gateway, identity(Some((false, false))), wrong_machine),
+        (&controller, None, None),
+        (&gateway, None, None),
+        (&controller, Some(CONTROLLER_HERE), None),
+        (&gateway, Some(MACHINE_HERE), None),
+        (&controller, Some(MACHINE_HERE), Some("role not certified")),
+        (&controller, Some(CONTROLLER_ELSEWHERE), wrong_machine),
+        (&gateway, Some(MACHINE_ELSEWHERE), wrong_machine),
     ];
-    for (presented, identity, reason) in cases {
-        check_rejected_for(presented, identity, reason);
+    for (presented, certificate, reason) in cases {
+        assert_rejected_for(presented, identity(certificate), reason);
     }
     let elsewhere = PresentedIdentity {
         address: NodeId(3),
         certificate: None,
     };
-    check_rejected_for(&controller, elsewhere, wrong_machine);
+    assert_rejected_for(&controller, elsewhere, wrong_machine);
 }
 
 #[test]
@@ -168,20 +197,24 @@
         zone: "a b".into(),
         ..controller.clone()
     };
-    check_rejected_for(&other_version, identity(None), Some("other form"));
-    check_rejected_for(&of_this_process, identity(None), Some("itself"));
-    check_rejected_for(&bad_zone, identity(None), Some("bad name"));
+    assert_rejected_for(
+        &other_version,
+        identity(None),
+        Some("other protocol version"),
+    );
+    assert_rejected_for(&of_this_process, identity(None), Some("itself"));
+    assert_rejected_for(&bad_zone, identity(None), Some("bad name"));
     for name in ["", "core 1", "core\n", "level=error", &"x".repeat(200)] {
         let named = Handshake {
             name: name.into(),
             ..controller.clone()
         };
-        check_rejected_for(&named, identity(None), Some("bad name"));
+        assert_rejected_for(&named, identity(None), Some("bad name"));
     }
 }
 
 /// Presents a handshake to a controller at node 1; `reason`: why it is rejected, or that it is not.
-fn check_rejected_for(presented: &Handshake, identity: PresentedIdentity, reason: Option<&str>) {
+fn assert_rejected_for(presented: &Handshake, identity: PresentedIdentity, reason: Option<&str>) {
     let local = handshake(Role::Controller, NodeId(1), LOCAL_INCARNATION);
     let checked = check_handshake(&local, identity, presented);
     assert_eq!(
--- a/crates/gateway/transport/tests/sessions.rs
+++ b/crates/gateway/transport/tests/sessions.rs
@@ -72,8 +72,8 @@
         let cases: [(&str, Vec<u8>); 4] = [
             ("unreadable", vec![0, 0, 0, 2, 0xff, 0xff]),
             ("too long", vec![0xff; 8]),
-            ("not for this speaker", frame(&of_a_learner)),
-            ("not for this speaker", frame(&handshake)),
+            ("not for this sender", frame(&of_a_learner)),
+            ("not for this sender", frame(&handshake)),
         ];
         for (count, (reason, bytes)) in cases.into_iter().enumerate() {
             session_ends_by(&mut controller, &gateway, port, &bytes, reason).await;
