--- a/crates/gateway/cluster/src/cluster.rs
+++ b/crates/gateway/cluster/src/cluster.rs
@@ -12,8 +12,8 @@
 use crate::heartbeat_batch::HeartbeatBatch;
 use crate::host_registry::HostRegistry;
 use crate::initial_sync::InitialSync;
-use rushcourse_messages::{Message, NodeId};
-use rushcourse_types::{SessionId, Timestamp};
+use rushcourse_messages::Message;
+use rushcourse_types::{NodeId, SessionId, Timestamp};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/gateway/cluster/src/cluster/gateway_sessions.rs
+++ b/crates/gateway/cluster/src/cluster/gateway_sessions.rs
@@ -3,8 +3,8 @@
 use crate::cluster::Cluster;
 use crate::distribution::Load;
 use crate::service_tables::{GatewayUpdate, TableEndpoint, Withdrawal};
-use rushcourse_messages::{EndpointWeight, HostRecord, HostState, Message, NodeId};
-use rushcourse_types::{SessionId, Timestamp};
+use rushcourse_messages::{EndpointWeight, HostRecord, HostState, Message};
+use rushcourse_types::{NodeId, SessionId, Timestamp};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/gateway/cluster/src/cluster/peer_messages.rs
+++ b/crates/gateway/cluster/src/cluster/peer_messages.rs
@@ -1,8 +1,8 @@
 //! What other controllers send, and what they get when a session with them begins.
 
 use crate::cluster::Cluster;
-use rushcourse_messages::{Heartbeat, HostRecord, Message, NodeId};
-use rushcourse_types::Timestamp;
+use rushcourse_messages::{Heartbeat, HostRecord, Message};
+use rushcourse_types::{NodeId, Timestamp};
 use std::sync::Arc;
 
 impl Cluster {
--- a/crates/gateway/cluster/src/contact_probes.rs
+++ b/crates/gateway/cluster/src/contact_probes.rs
@@ -1,8 +1,8 @@
 //! Questions that go to all controllers. An answer proves that a peer runs, is reached, and has handled all that was sent
 //! to it before the question, since messages of a session stay in order.
 
-use rushcourse_messages::{NodeId, VotingSet};
-use rushcourse_types::{RequestToken, Timestamp};
+use rushcourse_messages::VotingSet;
+use rushcourse_types::{NodeId, RequestToken, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -3,12 +3,12 @@
 
 use crate::host_registry::HostEntry;
 use crate::service_tables::{GatewayUpdate, ServiceTables, TableView, policy_time};
-use rushcourse_messages::{HostState, NodeId};
+use rushcourse_messages::HostState;
 use rushcourse_policy::interface::{
     Again, Channel, Class, Effect, Entry, Event, KeyScope, LevelKind, ListKind, Ms, Readiness,
     Settings,
 };
-use rushcourse_types::Timestamp;
+use rushcourse_types::{NodeId, Timestamp};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/gateway/cluster/src/events.rs
+++ b/crates/gateway/cluster/src/events.rs
@@ -1,7 +1,7 @@
 //! What goes into a step of [`crate::Cluster`], and what comes out of it.
 
-use rushcourse_messages::{HostRecord, Message, NodeId};
-use rushcourse_types::SessionId;
+use rushcourse_messages::{HostRecord, Message};
+use rushcourse_types::{NodeId, SessionId};
 use std::sync::Arc;
 use std::time::Duration;
 
--- a/crates/gateway/cluster/src/gateway_membership.rs
+++ b/crates/gateway/cluster/src/gateway_membership.rs
@@ -1,8 +1,7 @@
 //! The gateways that are there. A gateway is a member while its session with a controller stands. Controllers report
 //! their sessions to each other; what a controller reported counts while the session with it stands.
 
-use rushcourse_messages::NodeId;
-use rushcourse_types::SessionId;
+use rushcourse_types::{NodeId, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/gateway/cluster/src/service_tables.rs
+++ b/crates/gateway/cluster/src/service_tables.rs
@@ -2,10 +2,9 @@
 //! which table with which weight; gateways are its proxies, each with a channel of its own. This file keeps the tables
 //! as the policy ordered them, and turns its actions into what each gateway has to hear.
 
-use rushcourse_messages::NodeId;
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{Action, Channel, Event, Ms, Settings, TableId};
-use rushcourse_types::Timestamp;
+use rushcourse_types::{NodeId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/gateway/cluster/tests/common/mod.rs
+++ b/crates/gateway/cluster/tests/common/mod.rs
@@ -2,8 +2,8 @@
 #![allow(dead_code)]
 
 use rushcourse_cluster::{Cluster, Effect, Input, Topology};
-use rushcourse_messages::{HostRecord, HostState, Message, NodeId};
-use rushcourse_types::{CallSequence, Millis, SessionId, Timestamp};
+use rushcourse_messages::{HostRecord, HostState, Message};
+use rushcourse_types::{CallSequence, Millis, NodeId, SessionId, Timestamp};
 use std::time::Duration;
 
 /// The time between two ticks, ms.
--- a/crates/gateway/cluster/tests/failure_detection.rs
+++ b/crates/gateway/cluster/tests/failure_detection.rs
@@ -4,8 +4,8 @@
 
 use common::{Controller, HEARTBEAT_INTERVAL, has_logged, host};
 use rushcourse_cluster::{Effect, Input};
-use rushcourse_messages::{HostState, Message, NodeId};
-use rushcourse_types::Millis;
+use rushcourse_messages::{HostState, Message};
+use rushcourse_types::{Millis, NodeId};
 
 #[test]
 fn a_host_times_out_only_where_a_majority_is_in_contact() {
--- a/crates/gateway/cluster/tests/host_registry.rs
+++ b/crates/gateway/cluster/tests/host_registry.rs
@@ -6,7 +6,8 @@
 use common::{Controller, HEARTBEAT_INTERVAL, at, host};
 use rushcourse_cluster::host_registry::RANGE_COUNT;
 use rushcourse_cluster::{Effect, HostRegistry, Input};
-use rushcourse_messages::{HostState, Message, NodeId};
+use rushcourse_messages::{HostState, Message};
+use rushcourse_types::NodeId;
 use std::time::Duration;
 
 fn registry() -> HostRegistry {
--- a/crates/gateway/storage/examples/recovery.rs
+++ b/crates/gateway/storage/examples/recovery.rs
@@ -3,11 +3,12 @@
 
 use rushcourse_consensus::{BatchId, StoredClaim, WriteBatch, WriteOperation};
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
+    AcceptorRecord, Ballot, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
 use rushcourse_storage::Store;
 use rushcourse_types::{
-    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId, WallTime,
+    CallSequence, ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
+    WallTime,
 };
 use std::path::Path;
 use std::time::{Duration, Instant};
--- a/crates/gateway/storage/tests/common/mod.rs
+++ b/crates/gateway/storage/tests/common/mod.rs
@@ -7,10 +7,11 @@
 
 use rushcourse_consensus::{BatchId, PruneBounds, StoredClaim, WriteBatch, WriteOperation};
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
+    AcceptorRecord, Ballot, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
 use rushcourse_types::{
-    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId, WallTime,
+    CallSequence, ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
+    WallTime,
 };
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
--- a/crates/gateway/storage/tests/common/previous_format.rs
+++ b/crates/gateway/storage/tests/common/previous_format.rs
@@ -5,10 +5,8 @@
 use super::{version, voting_set};
 use redb::{Database, ReadableDatabase, TableHandle};
 use rushcourse_consensus::{DurableState, StoredClaim};
-use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, SlotRecord,
-};
-use rushcourse_types::{CallSequence, Incarnation, KeyDigest, Millis, NodeId, WallTime};
+use rushcourse_messages::{AcceptorRecord, Ballot, HostRecord, HostState, Proposal, SlotRecord};
+use rushcourse_types::{CallSequence, ClaimId, Incarnation, KeyDigest, Millis, NodeId, WallTime};
 use std::path::Path;
 
 /// The set 300 of 1, 2 and 10.0.0.1.
--- a/crates/gateway/storage/tests/crashes.rs
+++ b/crates/gateway/storage/tests/crashes.rs
@@ -9,9 +9,9 @@
     voting_set,
 };
 use rushcourse_consensus::{DurableState, StoredClaim, WriteBatch, WriteOperation};
-use rushcourse_messages::{ClaimId, HostState, Slot};
+use rushcourse_messages::{HostState, Slot};
 use rushcourse_storage::Store;
-use rushcourse_types::{KeyDigest, WallTime};
+use rushcourse_types::{ClaimId, KeyDigest, WallTime};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// A vote for a value of this many bytes.
--- a/crates/gateway/storage/tests/fixture.rs
+++ b/crates/gateway/storage/tests/fixture.rs
@@ -9,9 +9,9 @@
 };
 use common::{StateFile, batch, epoch, prune, store_record, version, voting_set};
 use rushcourse_consensus::{DurableState, StoredClaim, WriteOperation};
-use rushcourse_messages::{AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal};
+use rushcourse_messages::{AcceptorRecord, Ballot, HostRecord, HostState, Proposal};
 use rushcourse_storage::Store;
-use rushcourse_types::{CallSequence, Incarnation, KeyDigest, Millis, NodeId, WallTime};
+use rushcourse_types::{CallSequence, ClaimId, Incarnation, KeyDigest, Millis, NodeId, WallTime};
 use std::path::{Path, PathBuf};
 
 fn claim(number: u64) -> StoredClaim {
--- a/crates/gateway/storage/tests/properties.rs
+++ b/crates/gateway/storage/tests/properties.rs
@@ -7,10 +7,12 @@
 use proptest::test_runner::RngSeed;
 use rushcourse_consensus::{DurableState, PruneBounds, StoredClaim, WriteBatch, WriteOperation};
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostState, Proposal, Slot, SlotRecord, VotingSet,
+    AcceptorRecord, Ballot, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
 use rushcourse_storage::Store;
-use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, WallTime};
+use rushcourse_types::{
+    ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, WallTime,
+};
 use std::sync::Arc;
 
 fn any_ballot() -> impl Strategy<Value = Ballot> {
--- a/crates/gateway/storage/tests/upgrade.rs
+++ b/crates/gateway/storage/tests/upgrade.rs
@@ -11,10 +11,10 @@
 };
 use common::{StateFile, batch, version};
 use rushcourse_consensus::{DurableState, StoredClaim, WriteOperation};
-use rushcourse_messages::{ClaimId, SlotRecord};
+use rushcourse_messages::SlotRecord;
 use rushcourse_storage::{StorageError, Store};
 use rushcourse_types::hash::hash64;
-use rushcourse_types::{Incarnation, KeyDigest, NodeId, WallTime};
+use rushcourse_types::{ClaimId, Incarnation, KeyDigest, NodeId, WallTime};
 use std::path::Path;
 
 /// Why a file is not opened.
