--- a/crates/gateway/cluster/src/cluster.rs
+++ b/crates/gateway/cluster/src/cluster.rs
@@ -1,4 +1,5 @@
-//! The step of a controller's shared, soft state: what hosts, other controllers and gateways send, and what goes to them.
+//! The step of a controller's soft state: it applies what hosts, other controllers and gateways send, and returns what
+//! is to be sent to them.
 
 mod gateway_sessions;
 mod host_requests;
@@ -22,11 +23,12 @@
 struct Status {
     /// Whether this controller can serve as one.
     is_synchronized: bool,
-    /// Gateways that are members, here or by the word of other controllers.
+    /// Gateways in session with this controller, or with another one as that one reported.
     gateway_count: u32,
 }
 
-/// A controller's shared, soft state. It changes in [`Cluster::step`] and nowhere else, reads no clock and does no I/O.
+/// The soft state of a controller: what it shares with the others without a majority's agreement. It changes in
+/// [`Cluster::step`] and nowhere else, reads no clock and does no I/O.
 pub struct Cluster {
     zone: Arc<str>,
     hosts: HostRegistry,
@@ -38,9 +40,9 @@
     failure_detection: FailureDetection,
     heartbeats: HeartbeatBatch,
     digests_sent_at: Timestamp,
-    /// What all gateways in session were told last.
+    /// The last status that was broadcast to gateways; `None`: one of them has not got it.
     announced_status: Option<Status>,
-    /// Of the step that is under way.
+    /// Effects of the current step.
     effects: Vec<Effect>,
 }
 
@@ -97,7 +99,7 @@
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether this controller knows the hosts that there are.
+    /// Whether this controller knows all hosts, so that gateways may take their tables from it.
     pub fn is_synchronized(&self) -> bool {
         self.initial_sync.is_done()
     }
@@ -124,7 +126,7 @@
         &self.distribution
     }
 
-    /// Tells all gateways when what they choose their primary controller by has changed.
+    /// Broadcasts the status to gateways when it has changed.
     fn announce_status(&mut self) {
         let has_quorum_contact = self.failure_detection.has_quorum_contact();
         let status = Status {
--- a/crates/gateway/cluster/src/cluster/gateway_sessions.rs
+++ b/crates/gateway/cluster/src/cluster/gateway_sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of gateways, what gateways send by them, and the tables that they get.
+//! Sessions of gateways, their messages, and the table updates that are sent to them.
 
 use crate::cluster::Cluster;
 use crate::distribution::Load;
@@ -16,7 +16,7 @@
         zone: Arc<str>,
     ) {
         self.gateways.add_session(session, gateway, zone);
-        // The new one has not been told the status.
+        // The new session has not got the status.
         self.announced_status = None;
         self.broadcast_gateway_sessions();
     }
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Sends each update by the session by which its gateway takes its tables. Withdrawals go first: they hold at once.
+    /// Sends each update over the session by which its gateway takes its tables. Withdrawals are sent first, since they
+    /// apply at once.
     pub(super) fn send_updates(&mut self, now: Timestamp, updates: Vec<GatewayUpdate>) {
         for update in updates {
             let Some(session) = self.primary_gateways.get(&update.gateway).copied() else {
@@ -89,7 +90,7 @@
         self.primary_gateways.get(&gateway) == Some(&session)
     }
 
-    /// A gateway takes its tables from here from now on, whole ones first.
+    /// A gateway takes its tables from here from now on. It gets complete tables first.
     fn adopt_gateway(&mut self, now: Timestamp, gateway: NodeId, session: SessionId) {
         self.primary_gateways.insert(gateway, session);
         let zone = self.gateways.zone_of(gateway).unwrap_or(&self.zone).clone();
@@ -98,7 +99,7 @@
         self.send_updates(now, updates);
     }
 
-    /// A gateway takes its tables from here no more.
+    /// A gateway no longer takes its tables from here.
     fn release_gateway(&mut self, now: Timestamp, gateway: NodeId) {
         self.primary_gateways.remove(&gateway);
         let updates = self.distribution.remove_gateway(now, gateway);
@@ -110,7 +111,7 @@
         self.broadcast_to_peers(sessions);
     }
 
-    /// A host that is forgotten has no record: a gateway drops its line by the weight alone.
+    /// Leaves out hosts that this controller no longer knows.
     fn table_message(&self, now: Timestamp, update: GatewayUpdate) -> Message {
         let endpoints = update
             .endpoints
@@ -150,7 +151,7 @@
         states.collect()
     }
 
-    /// A withdrawn host counts as draining, whatever it says itself.
+    /// The record to send for a withdrawal: a withdrawn host counts as draining even if it says that it is ready.
     fn host_state(&self, now: Timestamp, withdrawal: &Withdrawal) -> Option<HostRecord> {
         let host = self.hosts.get(&withdrawal.host)?;
         let state = match host.state() {
--- a/crates/gateway/cluster/src/cluster/host_requests.rs
+++ b/crates/gateway/cluster/src/cluster/host_requests.rs
@@ -1,4 +1,4 @@
-//! What hosts say themselves, and what follows from hosts that are new or have changed.
+//! Requests of hosts, and what follows from hosts that are new or have changed.
 
 use crate::cluster::Cluster;
 use crate::events::Effect;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 impl Cluster {
-    /// A host called this controller.
+    /// Applies a heartbeat or registration that a host sent to this controller.
     pub(super) fn handle_host_request(&mut self, now: Timestamp, record: HostRecord) {
         let id = record.id.clone();
         let sequence = record.sequence;
@@ -26,7 +26,7 @@
         self.publish_hosts(now, &[id]);
     }
 
-    /// A host called this controller to deregister.
+    /// Applies a deregistration that a host sent to this controller.
     pub(super) fn handle_deregistration(&mut self, now: Timestamp, id: Arc<str>) {
         if let Some(record) = self.hosts.deregister(now, &id) {
             self.broadcast_host(record);
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Takes over the hosts that the disk held at the start. They count as seen now: one that does not call within the
+    /// Adds the hosts that were on the disk at the start. They count as seen now: one that sends no heartbeat within the
     /// usual time is gone.
     pub(super) fn restore_hosts(&mut self, now: Timestamp, records: Vec<HostRecord>) {
         self.initial_sync.set_done(!records.is_empty());
         let ids: Vec<Arc<str>> = records.iter().map(|record| record.id.clone()).collect();
         for record in records {
-            // A host that was in its warm-up then may be warm now; it says so in its next call.
+            // A host that was in its warm-up then may be warm now; its next heartbeat says so.
             let record = HostRecord {
                 age: Millis(0),
                 warm_up: Millis(0),
@@ -52,8 +52,8 @@
         self.distribute_hosts(now, &ids);
     }
 
-    /// What a host said to this controller itself goes to all other controllers. That a host leaves goes to all
-    /// gateways too, whichever controller they take their tables from.
+    /// Sends a change that a host made here to all other controllers. If the host leaves, all gateways get it too,
+    /// whichever controller they take their tables from.
     fn broadcast_host(&mut self, record: HostRecord) {
         if record.state != HostState::Ready {
             self.log(format!(
@@ -65,7 +65,7 @@
         self.broadcast_to_peers(Message::HostUpdates(vec![record]));
     }
 
-    /// Hosts that are new or have changed go to the disk and into the tables.
+    /// Persists hosts that are new or have changed, and updates the tables by them.
     pub(super) fn publish_hosts(&mut self, now: Timestamp, ids: &[Arc<str>]) {
         for id in ids {
             if let Some(host) = self.hosts.get(id) {
@@ -79,7 +79,7 @@
         self.distribute_hosts(now, ids);
     }
 
-    /// Hosts that are new or have changed go into the tables.
+    /// Updates the tables by hosts that are new or have changed.
     fn distribute_hosts(&mut self, now: Timestamp, ids: &[Arc<str>]) {
         let hosts = ids.iter().filter_map(|id| self.hosts.get(id));
         let updates = self.distribution.update_hosts(now, hosts);
--- a/crates/gateway/cluster/src/cluster/maintenance.rs
+++ b/crates/gateway/cluster/src/cluster/maintenance.rs
@@ -1,12 +1,12 @@
-//! What time alone brings: the end of the initial synchronization, batches of heartbeats, digests, hosts that
-//! time out, and the timers of the policies.
+//! The periodic work of a step: the end of the initial synchronization, batches of heartbeats, digests, hosts that time
+//! out, and the timers of the policies.
 
 use crate::cluster::Cluster;
 use rushcourse_messages::Message;
 use rushcourse_types::Timestamp;
 use std::time::Duration;
 
-/// The time between two comparisons of all hosts with the other controllers.
+/// How often digests of all hosts are sent to the other controllers (anti-entropy).
 const DIGEST_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Cluster {
--- a/crates/gateway/cluster/src/cluster/peer_messages.rs
+++ b/crates/gateway/cluster/src/cluster/peer_messages.rs
@@ -1,4 +1,4 @@
-//! What other controllers send, and what they get when a session with them begins.
+//! Messages of other controllers, and the messages that open a session with one.
 
 use crate::cluster::Cluster;
 use rushcourse_messages::{Heartbeat, HostRecord, Message};
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 impl Cluster {
-    /// All that this controller knows goes to a peer whose session stands. The status comes last: it says that all hosts
-    /// were sent before it.
+    /// Sends all that this controller knows to a peer whose session was opened. The status is last, since it says that
+    /// all hosts were sent before it.
     pub(super) fn open_peer_session(&mut self, now: Timestamp, peer: NodeId) {
         self.send_to_peer(peer, Message::HostUpdates(self.hosts.records(now)));
         self.send_to_peer(
--- a/crates/gateway/cluster/src/contact_probes.rs
+++ b/crates/gateway/cluster/src/contact_probes.rs
@@ -1,19 +1,19 @@
-//! Questions that go to all controllers. An answer proves that a peer runs, is reached, and has handled all that was sent
-//! to it before the question, since messages of a session stay in order.
+//! Probes that are sent to all controllers. A response proves that a peer runs, is reachable, and has handled all that
+//! was sent to it before the probe, since messages of a session stay in order.
 
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{NodeId, RequestToken, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// After this time a probe counts as failed (ours): a majority that is there answers within some ten ms, and a caller
-/// that is told so in time has most of its second left for another controller.
+/// After this time a probe counts as failed (ours). A majority that is reachable answers within some ten milliseconds,
+/// and a caller that gets the failure in time has most of its second left for another controller.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// Tokens of probes have this bit, those of reads (`rushcourse-consensus`) don't.
 const PROBE_TOKEN_BIT: u64 = 1 << 63;
 
-/// A probe that is over.
+/// The result of a probe that is over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeResult {
     /// As [`ContactProbes::start`] gave it.
@@ -29,12 +29,12 @@
 }
 
 impl PendingProbe {
-    /// Whether a majority of the set has answered, the local node counted where it is a member.
+    /// Whether a majority of the set has responded. The local node counts if it is a member.
     fn is_confirmed(&self, local_node: NodeId, voting_set: &VotingSet) -> bool {
-        let has_answered =
+        let has_responded =
             |member: &&NodeId| **member == local_node || self.responders.contains(member);
-        let answers = voting_set.members.iter().filter(has_answered).count();
-        !voting_set.epoch.is_none() && answers >= voting_set.majority()
+        let responses = voting_set.members.iter().filter(has_responded).count();
+        !voting_set.epoch.is_none() && responses >= voting_set.majority()
     }
 
     /// The result, if the probe is over: confirmed or timed out.
@@ -54,7 +54,7 @@
     }
 }
 
-/// The probes of a controller whose answers are awaited.
+/// The pending probes of a controller.
 #[derive(Clone, Debug, Default)]
 pub struct ContactProbes {
     started_count: u64,
@@ -62,7 +62,7 @@
 }
 
 impl ContactProbes {
-    /// Starts a probe. Its token goes out to all peers, behind what they are to have handled.
+    /// Starts a probe. Its token is to be sent to all peers, after what they are to have handled.
     pub fn start(&mut self, now: Timestamp) -> RequestToken {
         self.started_count += 1;
         let token = RequestToken(PROBE_TOKEN_BIT | self.started_count);
@@ -74,7 +74,7 @@
         token
     }
 
-    /// Records a peer's answer. True if it is to a probe, also to one that is over.
+    /// Records a peer's response. True if the token is of a probe, pending or over.
     pub fn record_response(&mut self, peer: NodeId, token: RequestToken) -> bool {
         if let Some(probe) = self.pending.get_mut(&token) {
             probe.responders.insert(peer);
--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -1,5 +1,5 @@
-//! Which gateway gets which hosts: one policy for each service ([`crate::service_tables`]). Gateways that take their
-//! tables from this controller take part in all of them.
+//! Which gateway gets which hosts. Each service has a policy and tables of its own ([`crate::service_tables`]); every
+//! gateway that takes its tables from this controller takes part in all of them.
 
 use crate::host_registry::HostEntry;
 use crate::service_tables::{GatewayUpdate, ServiceTables, TableView, policy_time};
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the policy of a service is told of a gateway's requests.
+/// A gateway's requests to a service during an interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Load {
     /// Attempts at the service's hosts.
@@ -30,7 +30,7 @@
     local_zone: usize,
     drain_timeout: Duration,
     services: BTreeMap<Arc<str>, ServiceTables>,
-    /// Each with the place of its zone among `zones`.
+    /// Each with the index of its zone in `zones`.
     gateways: BTreeMap<NodeId, usize>,
 }
 
@@ -41,7 +41,7 @@
         drain_timeout: Duration,
     ) -> Distribution {
         Distribution {
-            local_zone: position(&zones, local_zone),
+            local_zone: zone_index(&zones, local_zone),
             zones,
             drain_timeout,
             services: BTreeMap::new(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// All tables, for pages that people look at.
+    /// All tables, for status pages.
     pub fn tables(&self) -> Vec<TableView> {
         self.services
             .values()
@@ -96,7 +96,7 @@
         gateway: NodeId,
         zone: &str,
     ) -> Vec<GatewayUpdate> {
-        let zone = position(&self.zones, zone);
+        let zone = zone_index(&self.zones, zone);
         self.gateways.insert(gateway, zone);
         self.handle_everywhere(now, |_| vec![joined(gateway, zone)])
     }
@@ -112,7 +112,7 @@
         self.handle_everywhere(now, |_| vec![left(gateway)])
     }
 
-    /// A gateway holds the update of a revision, and all before it.
+    /// A gateway has applied the update of a revision, and all updates before it.
     pub(crate) fn acknowledge(
         &mut self,
         now: Timestamp,
@@ -152,7 +152,7 @@
         self.handle_everywhere(now, |tables| tables.take_due_timers(now))
     }
 
-    /// Hands events to the policy of each service for which there are any.
+    /// Passes events to the policies of all services that have any.
     fn handle_everywhere(
         &mut self,
         now: Timestamp,
@@ -168,7 +168,7 @@
         updates
     }
 
-    /// Hands an event of a gateway to a service's policy, if both are known here.
+    /// Passes an event of a gateway to a service's policy, if both are known here.
     fn handle_of_gateway(
         &mut self,
         now: Timestamp,
@@ -197,7 +197,7 @@
         };
         Entry {
             host: record.id.clone(),
-            zone: position(&self.zones, &record.zone),
+            zone: zone_index(&self.zones, &record.zone),
             cell: 0,
             readiness,
             weight: f64::from(record.slots.max(1)),
@@ -221,7 +221,7 @@
             zones: self.zones.len(),
             my_zone: Some(self.local_zone),
             directors: 1,
-            // The channel is a session: lines of some thousand a second, an answer within a few milliseconds.
+            // The channel is a session: some thousand table entries a second, an answer within a few milliseconds.
             backlog: 4000.0,
             push_rate: 4000.0,
             per_message: 1.0,
@@ -241,12 +241,12 @@
     }
 }
 
-/// The place of a zone among all zones. One that is not known counts as the first.
-fn position(zones: &[Arc<str>], zone: &str) -> usize {
+/// The index of a zone in `zones`. A zone that is not known counts as the first.
+fn zone_index(zones: &[Arc<str>], zone: &str) -> usize {
     zones.iter().position(|known| &**known == zone).unwrap_or(0)
 }
 
-/// A span as the policy counts it. Whole milliseconds come out exactly.
+/// A span in the policy's unit, milliseconds with fractions. Whole milliseconds are converted exactly.
 fn policy_span(span: Duration) -> Ms {
     span.as_nanos() as Ms / 1e6
 }
--- a/crates/gateway/cluster/src/events.rs
+++ b/crates/gateway/cluster/src/events.rs
@@ -1,33 +1,33 @@
-//! What goes into a step of [`crate::Cluster`], and what comes out of it.
+//! The inputs and effects of a step of [`crate::Cluster`].
 
 use rushcourse_messages::{HostRecord, Message};
 use rushcourse_types::{NodeId, SessionId};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Where a controller stands, and the settings that its steps go by.
+/// The zones of the deployment, and the settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Topology {
     /// The controller's own zone.
     pub zone: Arc<str>,
     /// All zones, in the order of their names.
     pub zones: Vec<Arc<str>>,
-    /// How often a host calls.
+    /// How often a host sends a heartbeat.
     pub heartbeat_interval: Duration,
-    /// How long a host that drains still takes requests.
+    /// How long a draining host may still get requests.
     pub drain_timeout: Duration,
 }
 
-/// What a step is about.
+/// An event for a controller's state.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A host called: it registers, says that it lives, or that it drains. The record's age is 0.
+    /// A host sent a registration or a heartbeat, which may say that it drains. The record's age is 0.
     HostRequest(HostRecord),
     /// A host of this id deregistered.
     Deregister(Arc<str>),
-    /// A session with another controller stands.
+    /// A session with another controller was opened.
     PeerSessionOpened(NodeId),
-    /// There is no session with another controller any more.
+    /// The last session with another controller was closed.
     PeerSessionClosed(NodeId),
     /// Another controller sent a message.
     PeerMessage {
@@ -36,7 +36,7 @@
         /// What it sent.
         message: Message,
     },
-    /// A session of a gateway with this controller stands.
+    /// A session with a gateway was opened.
     GatewaySessionOpened {
         /// The new session.
         session: SessionId,
@@ -45,7 +45,7 @@
         /// The gateway's zone.
         zone: Arc<str>,
     },
-    /// A session of a gateway with this controller ended.
+    /// A session with a gateway was closed.
     GatewaySessionClosed(SessionId),
     /// A gateway sent a message.
     GatewayMessage {
@@ -56,15 +56,15 @@
     },
     /// Whether a majority of the voting set is in session with this controller.
     QuorumContactChanged(bool),
-    /// This process stood still for a while: what hosts sent meanwhile still waits to be handled.
+    /// This process stalled: what hosts sent meanwhile still waits to be handled.
     Stalled,
-    /// Hosts that this controller's disk held at its start.
+    /// The hosts that were on this controller's disk at its start.
     HostsRestored(Vec<HostRecord>),
     /// Time has passed.
     Tick,
 }
 
-/// What a step asks for. Effects are carried out in their order.
+/// What a step asks its caller to do, in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Send a message to another controller.
@@ -76,14 +76,14 @@
     },
     /// Send a message to all other controllers that are in session.
     BroadcastToPeers(Message),
-    /// Send a message by a gateway's session.
+    /// Send a message over a gateway's session.
     SendToGateway {
-        /// By which session.
+        /// Over which session.
         session: SessionId,
         /// What.
         message: Message,
     },
-    /// Send a message by all sessions of gateways.
+    /// Send a message over all sessions of gateways.
     BroadcastToGateways(Message),
     /// Write a host to the disk, for the next start of this controller.
     PersistHost(HostRecord),
--- a/crates/gateway/cluster/src/failure_detection.rs
+++ b/crates/gateway/cluster/src/failure_detection.rs
@@ -1,10 +1,10 @@
-//! From when on a host that sends no heartbeats is taken for dead.
+//! Whether a host that sends no heartbeats may be taken for dead.
 
 use rushcourse_types::Timestamp;
 use std::time::Duration;
 
-/// How long no host times out after contact with a majority came back, or after a stall: records of hosts that others
-/// have seen come right after their sessions (ours).
+/// How long no host times out after contact with a majority is back, or after a stall: other controllers send the
+/// hosts that they have seen right after their sessions are open (ours).
 const GRACE_PERIOD: Duration = Duration::from_secs(1);
 
 /// Whether this controller sees what a majority sees. Otherwise missing heartbeats prove nothing: the host may call others.
--- a/crates/gateway/cluster/src/gateway_membership.rs
+++ b/crates/gateway/cluster/src/gateway_membership.rs
@@ -1,11 +1,11 @@
-//! The gateways that are there. A gateway is a member while its session with a controller stands. Controllers report
-//! their sessions to each other; what a controller reported counts while the session with it stands.
+//! Which gateways exist. A gateway is a member while it has a session with any controller. Controllers report their
+//! sessions to each other; a report counts while the session with its controller is open.
 
 use rushcourse_types::{NodeId, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The gateways of this controller's own sessions, and those that other controllers reported.
+/// The gateways in session with this controller, and those that other controllers reported.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayMembership {
     local_sessions: BTreeMap<SessionId, NodeId>,
@@ -21,7 +21,7 @@
         self.zones.insert(gateway, zone);
     }
 
-    /// Removes a session that ended; the gateway that it was of. A gateway may have a newer session by then.
+    /// Removes a session that ended, and returns its gateway. The gateway may have a newer session by then.
     pub(crate) fn remove_session(&mut self, session: SessionId) -> Option<NodeId> {
         let gateway = self.local_sessions.remove(&session)?;
         if !self.local_sessions.values().any(|node| *node == gateway) {
@@ -46,13 +46,13 @@
         gateways.into_iter().collect()
     }
 
-    /// Replaces what another controller reported of its sessions.
+    /// Replaces the report of another controller.
     pub(crate) fn set_reported(&mut self, controller: NodeId, gateways: Vec<NodeId>) {
         self.reported
             .insert(controller, gateways.into_iter().collect());
     }
 
-    /// Forgets what another controller reported: its session has ended.
+    /// Removes the report of a controller whose session ended.
     pub(crate) fn remove_reported(&mut self, controller: NodeId) {
         self.reported.remove(&controller);
     }
--- a/crates/gateway/cluster/src/heartbeat_batch.rs
+++ b/crates/gateway/cluster/src/heartbeat_batch.rs
@@ -1,4 +1,4 @@
-//! Heartbeats of hosts that changed nothing go to the other controllers in batches.
+//! Heartbeats that change nothing are sent to the other controllers in batches.
 
 use rushcourse_messages::{Heartbeat, Message};
 use rushcourse_types::{CallSequence, Timestamp};
@@ -9,7 +9,7 @@
 /// The time between two batches.
 const BATCH_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Heartbeats that came to this controller since the last batch: the newest of each host.
+/// Heartbeats that this controller received since the last batch: the newest of each host.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeartbeatBatch {
     sequences: BTreeMap<Arc<str>, CallSequence>,
@@ -21,7 +21,7 @@
         self.sequences.insert(host, sequence);
     }
 
-    /// The message for the other controllers, if there is something to send and it is time.
+    /// The batch for the other controllers, if it is due and not empty.
     pub(crate) fn take_due(&mut self, now: Timestamp) -> Option<Message> {
         if now < self.sent_at + BATCH_INTERVAL || self.sequences.is_empty() {
             return None;
--- a/crates/gateway/cluster/src/host_registry.rs
+++ b/crates/gateway/cluster/src/host_registry.rs
@@ -50,12 +50,12 @@
         }
     }
 
-    /// What the host said of itself in its newest request, by whichever controller it came.
+    /// What the host said in its newest request to any controller.
     pub fn record(&self) -> &HostRecord {
         &self.record
     }
 
-    /// The record as it goes to another node: with its age.
+    /// The record to send to another node: with the host's age.
     pub fn record_at(&self, now: Timestamp) -> HostRecord {
         HostRecord {
             age: now.since(self.last_seen_at).into(),
@@ -63,7 +63,7 @@
         }
     }
 
-    /// What tables go by: its own word, or [`HostState::Gone`] while it is timed out.
+    /// The state that tables go by: as in the record, or [`HostState::Gone`] while it is timed out.
     pub fn state(&self) -> HostState {
         if self.is_timed_out {
             HostState::Gone
@@ -87,7 +87,7 @@
         self.warming_since
     }
 
-    /// Takes over a newer record of the same instance. True if tables may change by it.
+    /// Applies a newer record of the same instance. True if tables may change by it.
     fn update(&mut self, now: Timestamp, record: HostRecord, heartbeat_timeout: Duration) -> bool {
         self.last_seen_at = self.last_seen_at.max(now.saturating_sub(record.age.into()));
         let is_seen_again = self.is_timed_out && now.since(self.last_seen_at) <= heartbeat_timeout;
@@ -101,13 +101,13 @@
         is_changed || is_seen_again
     }
 
-    /// Whether it ended, or was last seen, so long ago that it is forgotten.
+    /// Whether it ended, or was last seen, so long ago that it can be removed.
     fn is_expired(&self, now: Timestamp) -> bool {
         let has_passed = |since: Timestamp| now >= since + GONE_RETENTION;
         self.ended_at.is_some_and(has_passed) || self.is_timed_out && has_passed(self.last_seen_at)
     }
 
-    /// What digests are made of: all that tables go by, and nothing that each heartbeat changes.
+    /// A digest of what tables go by, without what every heartbeat changes.
     fn digest(&self) -> u64 {
         let HostRecord {
             id,
@@ -123,7 +123,7 @@
     }
 }
 
-/// The time of so many heartbeats, cut off at whole milliseconds.
+/// So many heartbeat intervals, cut off at whole milliseconds.
 pub(crate) fn heartbeat_span(heartbeat_interval: Duration, count: f64) -> Duration {
     Duration::from_millis((heartbeat_interval.as_millis() as f64 * count) as u64)
 }
@@ -151,7 +151,7 @@
 }
 
 impl HostRegistry {
-    /// A registry without hosts. `heartbeat_interval`: how often a host calls.
+    /// A registry without hosts. `heartbeat_interval`: how often a host sends a heartbeat.
     pub fn new(heartbeat_interval: Duration) -> HostRegistry {
         let missed = heartbeat_span(heartbeat_interval, MAX_MISSED_HEARTBEATS);
         HostRegistry {
@@ -170,7 +170,7 @@
         self.hosts.values()
     }
 
-    /// Applies what a host, or another controller, said of a host. True if tables may change by it.
+    /// Applies a record that came from the host or from another controller. True if tables may change by it.
     pub fn apply_record(&mut self, now: Timestamp, record: HostRecord) -> bool {
         let Some(known) = self.hosts.get_mut(&record.id) else {
             let entry = HostEntry::new(now, record, self.heartbeat_timeout);
@@ -198,7 +198,7 @@
         std::mem::take(&mut known.is_timed_out)
     }
 
-    /// Ends a host that deregistered. Its record, if that is news.
+    /// Marks a host as gone that deregistered. Returns its record, unless it was gone before.
     pub fn deregister(&mut self, now: Timestamp, id: &str) -> Option<HostRecord> {
         let known = self.hosts.get_mut(id)?;
         if known.record.state == HostState::Gone {
@@ -209,13 +209,14 @@
         Some(known.record.clone())
     }
 
-    /// Forgets the hosts that ended long ago.
+    /// Removes the hosts that ended long ago.
     pub fn remove_expired(&mut self, now: Timestamp) {
         self.hosts.retain(|_, host| !host.is_expired(now));
     }
 
-    /// Marks the hosts that have not been seen for too long as timed out; the ids of those that were not before. To be
-    /// called only by a controller that sees what a majority sees: otherwise missing heartbeats prove nothing.
+    /// Marks the hosts that have not been seen for too long as timed out, and returns the ids of those that were not
+    /// yet. To be called only while this controller sees what a majority sees: otherwise missing heartbeats prove
+    /// nothing.
     pub fn mark_timed_out(&mut self, now: Timestamp) -> Vec<Arc<str>> {
         let mut newly_timed_out = Vec::new();
         for (id, host) in &mut self.hosts {
@@ -228,7 +229,7 @@
         newly_timed_out
     }
 
-    /// All records, as they go to another node.
+    /// All records, to send to another node.
     pub fn records(&self, now: Timestamp) -> Vec<HostRecord> {
         self.iter().map(|host| host.record_at(now)).collect()
     }
@@ -251,7 +252,7 @@
             .collect()
     }
 
-    /// The records of some ranges, as they go to another node.
+    /// The records of some ranges, to send to another node.
     pub fn records_in_ranges(&self, now: Timestamp, ranges: &[u16]) -> Vec<HostRecord> {
         self.iter()
             .filter(|host| ranges.contains(&(range_of(&host.record.id) as u16)))
--- a/crates/gateway/cluster/src/initial_sync.rs
+++ b/crates/gateway/cluster/src/initial_sync.rs
@@ -1,14 +1,14 @@
-//! Whether a controller knows the hosts that there are. Until then no gateway may take its tables from it.
+//! Whether a controller that has started knows all hosts. Until it does, no gateway may take its tables from it.
 
 use crate::host_registry::heartbeat_span;
 use rushcourse_types::Timestamp;
 use std::time::Duration;
 
-/// Heartbeat intervals after which a controller that started alone knows the hosts that there are.
+/// Heartbeat intervals after which a controller that gets no hosts from others knows all of them.
 const LONE_START_HEARTBEATS: f64 = 1.6;
 
-/// The initial synchronization of a controller that has started: it is done when another controller that has done its
-/// own has sent all hosts, when the disk held some, or when all hosts had time to call.
+/// The initial synchronization. It is done once a synchronized controller has sent all its hosts, if the disk held some
+/// hosts, or after all hosts had time to send a heartbeat.
 #[derive(Clone, Debug)]
 pub(crate) struct InitialSync {
     lone_start_delay: Duration,
@@ -38,7 +38,7 @@
         self.is_done = is_done;
     }
 
-    /// Ends the wait for the hosts' own calls. True if it ended now.
+    /// Ends the wait for heartbeats. True if it ended now.
     pub(crate) fn end_wait(&mut self, now: Timestamp) -> bool {
         let had_time = self
             .started_at
--- a/crates/gateway/cluster/src/lib.rs
+++ b/crates/gateway/cluster/src/lib.rs
@@ -1,12 +1,14 @@
-//! What controllers share without a majority's agreement (soft state): hosts, gateways, and the tables that gateways
-//! are bound to. One [`Cluster`] for each controller; [`Cluster::step`] is the only place where it changes. Nothing here
-//! reads a clock or does I/O.
+//! The soft state of a controller, which it shares with the others without a majority's agreement: hosts, gateways, and
+//! the tables that gateways are bound to. It changes in [`Cluster::step`] and nowhere else. Nothing here reads a clock or
+//! does I/O.
 //!
-//! * [`cluster`]: the step; [`events`]: what goes in and what comes out.
-//! * [`host_registry`]: the hosts, by their instances; what came late is recognized by its sequence.
+//! * [`cluster`]: the step; [`events`]: its inputs and effects.
+//! * [`host_registry`]: the hosts. Late records are recognized by their sequence.
 //! * [`gateway_membership`]: which gateways are in session with which controller.
-//! * [`distribution`]: the policy of each service; [`service_tables`]: the tables as the policy orders them.
-//! * [`quorum_contact`]: whether a majority was in contact lately; [`contact_probes`]: the questions that prove it.
+//! * [`distribution`]: the services, each with its policy; [`service_tables`]: the tables of one service.
+//! * `initial_sync`, `failure_detection`: when this controller knows all hosts, and when a host may be taken for dead.
+//! * `heartbeat_batch`: heartbeats for the other controllers.
+//! * [`quorum_contact`]: whether a majority was in contact lately; [`contact_probes`]: the probes that prove it.
 
 pub mod cluster;
 pub mod contact_probes;
--- a/crates/gateway/cluster/src/quorum_contact.rs
+++ b/crates/gateway/cluster/src/quorum_contact.rs
@@ -4,7 +4,7 @@
 //! Sessions end after a time-out that is measured by a steady clock, so a controller that is partitioned learns it from
 //! them. A process that was frozen does not: when it runs again, its sessions look alive until their ends are read. What
 //! it knows is then as old as the freeze, so nothing counts until a majority has answered a probe
-//! ([`crate::contact_probes`]) that was sent after it.
+//! ([`crate::contact_probes`]) that was sent after the freeze.
 
 use rushcourse_types::Timestamp;
 use std::time::Duration;
--- a/crates/gateway/cluster/src/service_tables.rs
+++ b/crates/gateway/cluster/src/service_tables.rs
@@ -1,6 +1,6 @@
-//! The endpoint tables of one service. The policy of the director (`rushcourse-policy`) decides which hosts stand in
-//! which table with which weight; gateways are its proxies, each with a channel of its own. This file keeps the tables
-//! as the policy ordered them, and turns its actions into what each gateway has to hear.
+//! The endpoint tables of one service. The load balancing policy (`rushcourse-policy`) decides which hosts are in which
+//! table and with which weight; it sees gateways as its proxies, each with a channel of its own. This module stores the
+//! tables as the policy defines them, and turns the policy's actions into updates for gateways.
 
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{Action, Channel, Event, Ms, Settings, TableId};
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A line of an endpoint table.
+/// A host in an endpoint table, and its weight.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableEndpoint {
     /// The host's id.
@@ -17,7 +17,7 @@
     pub weight: f64,
 }
 
-/// A table as it stands.
+/// A table as it is now, for status pages.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableView {
     /// The service that the table is of.
@@ -26,50 +26,50 @@
     pub table: TableId,
     /// How many gateways are bound to it.
     pub gateways: usize,
-    /// Its lines, in the order of their hosts.
+    /// Its hosts, in the order of their ids.
     pub endpoints: Vec<TableEndpoint>,
 }
 
-/// A host that no gateway may send to, whatever its table says, or that may be sent to again.
+/// A host that is withdrawn: no gateway may send to it, whatever its table says. Or one that is withdrawn no longer.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Withdrawal {
     pub(crate) host: Arc<str>,
     pub(crate) is_withdrawn: bool,
 }
 
-/// What a gateway has to hear of the table that it is bound to.
+/// A message for one gateway about the table that it is bound to.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct GatewayUpdate {
     pub(crate) gateway: NodeId,
     pub(crate) service: Arc<str>,
-    /// The gateway gives it back once it holds the update.
+    /// The gateway acknowledges the update by it.
     pub(crate) revision: u16,
-    /// Whether `endpoints` are all lines of the table, and replace what the gateway holds.
+    /// Whether `endpoints` is the complete table, which replaces what the gateway has; otherwise only what changed.
     pub(crate) is_replacement: bool,
     pub(crate) endpoints: Vec<TableEndpoint>,
     pub(crate) withdrawals: Vec<Withdrawal>,
 }
 
-/// A moment as the policy counts it.
+/// A moment in the policy's unit, milliseconds with fractions.
 pub(crate) fn policy_time(moment: Timestamp) -> Ms {
     moment.as_millis() as Ms
 }
 
-/// A call that the policy asked for at a later moment.
+/// The policy asked to be called at a later moment.
 #[derive(Clone, Debug)]
 struct PolicyTimer {
     due_at: Ms,
     token: String,
 }
 
-/// What one gateway has to hear by one reply of the policy.
+/// The changes for one gateway that follow from one call of the policy.
 #[derive(Default)]
 struct UpdateBatch {
     is_replacement: bool,
     changes: BTreeMap<Arc<str>, f64>,
 }
 
-/// What all gateways have to hear by one reply of the policy.
+/// The changes for all gateways that follow from one call of the policy.
 #[derive(Default)]
 struct PendingUpdates {
     batches: BTreeMap<NodeId, UpdateBatch>,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Hands events to the policy; what gateways have to hear by its reply.
+    /// Passes events to the policy, and returns the updates for gateways that follow.
     pub(crate) fn handle(&mut self, now: Timestamp, events: Vec<Event>) -> Vec<GatewayUpdate> {
         let actions = self.policy.handle(policy_time(now), events);
         let mut pending = PendingUpdates::default();
@@ -132,7 +132,7 @@
         self.bindings.remove(&gateway);
     }
 
-    /// The tables, for pages that people look at.
+    /// The tables, for status pages.
     pub(crate) fn views(&self) -> impl Iterator<Item = TableView> {
         self.tables.iter().map(|(id, weights)| TableView {
             service: self.service.clone(),
@@ -205,7 +205,7 @@
         bound.map(|(gateway, _)| *gateway)
     }
 
-    /// In the order of gateways. A withdrawal goes to all that are bound to any table.
+    /// The updates in the order of gateways. A withdrawal goes to every gateway that is bound to any table.
     fn gateway_updates(&self, mut pending: PendingUpdates) -> Vec<GatewayUpdate> {
         let mut receivers: BTreeSet<NodeId> = pending.batches.keys().copied().collect();
         if !pending.withdrawals.is_empty() {
@@ -220,7 +220,7 @@
             .collect()
     }
 
-    /// A gateway whose table is replaced gets all that is withdrawn, as it may be new here.
+    /// A gateway whose table is replaced gets all withdrawn hosts, since it may be new here.
     fn gateway_update(
         &self,
         gateway: NodeId,
@@ -242,7 +242,7 @@
         }
     }
 
-    /// All lines of the table that a gateway is bound to.
+    /// The complete table that a gateway is bound to.
     fn endpoints_for(&self, gateway: NodeId) -> Vec<TableEndpoint> {
         let table = self.bindings.get(&gateway);
         let weights = table.and_then(|table| self.tables.get(table));
--- a/crates/gateway/config/src/configuration.rs
+++ b/crates/gateway/config/src/configuration.rs
@@ -1,7 +1,7 @@
 //! A configuration of the gateway: read whole, checked whole, looked up by host and longest prefix.
 //!
-//! What makes one invalid is PROTOCOL.md's list, and what can't be carried out at all (a split without a weight, two
-//! routes with one host and prefix). Fields that are not known are left alone, so that a later release may add some.
+//! A configuration is invalid by PROTOCOL.md's list, or if it can't be carried out at all (a split without a weight, two
+//! routes with one host and prefix). Unknown fields are ignored, so that a later release may add some.
 
 use crate::error::ValidationError;
 use crate::json;
@@ -22,7 +22,7 @@
     pub routes: Vec<Route>,
     /// By their names, in the order of the text.
     pub services: IndexMap<String, Service>,
-    /// Of all clients.
+    /// Limits of all clients' connections.
     pub limits: Limits,
     /// Indices of the routes of a host, longest prefix first.
     routes_by_host: BTreeMap<String, Vec<usize>>,
@@ -54,7 +54,7 @@
     /// The route of a request: by its `Host` header, with or without a port, and the longest prefix of its path.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = without_port(host);
-        // Most clients write it in lower case: that spares a copy.
+        // Most clients write it in lower case, which saves a copy.
         let indices = match self.routes_by_host.get(host) {
             Some(indices) => indices,
             None => self.routes_by_host.get(&host.to_ascii_lowercase())?,
--- a/crates/gateway/config/src/error.rs
+++ b/crates/gateway/config/src/error.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a body that a person or a program wrote, and where.
+//! Validation errors: what is wrong with a body that a person or a program wrote, and where.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 pub struct ValidationError {
     /// Where, as a path: `routes.rows[1].service`.
     pub field: String,
-    /// What is wrong there, to be read behind the field.
+    /// What is wrong there. Follows the field in messages.
     pub reason: String,
 }
 
--- a/crates/gateway/config/src/lib.rs
+++ b/crates/gateway/config/src/lib.rs
@@ -1,4 +1,4 @@
-//! What people write down: a machine's settings file, and the configuration of the gateway that operators put.
+//! The files that people write: a machine's settings, and the configuration of the gateway that operators upload.
 //!
 //! * [`settings`]: the settings of a process; [`settings_file`]: their lines.
 //! * [`configuration`]: a configuration and its look-ups, made of [`route`], [`service`] and [`limits`].
--- a/crates/gateway/config/src/route.rs
+++ b/crates/gateway/config/src/route.rs
@@ -45,16 +45,16 @@
     pub weight: f64,
 }
 
-/// Which requests go where, and how.
+/// Which requests are sent to which services, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// For people; may be empty.
+    /// For people to read; may be empty.
     pub name: String,
-    /// The `Host` header that it is of, in lower case and without a port.
+    /// The `Host` header that it matches, in lower case and without a port.
     pub host: String,
     /// Begins with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub kind: RouteKind,
     /// How long a request may be held: over 0, up to ten minutes.
     pub timeout: Option<Duration>,
--- a/crates/gateway/config/src/settings.rs
+++ b/crates/gateway/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process: what its machine's settings file says. Fields that are not known are ignored.
+//! The settings of a process, from its machine's settings file. Unknown fields are ignored.
 
 use crate::seconds::duration_of;
 use crate::settings_file::{SettingsError, SettingsFile};
@@ -11,27 +11,27 @@
 /// The same name in certificates made by versions before 0.2; still accepted.
 pub const LEGACY_CONTROLLER_NAME: &str = "exchange";
 
-/// s; hosts are taken to call no more often than this.
+/// s; shorter heartbeat intervals count as this.
 const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.05;
 
-/// What a process is given at its start.
+/// The settings that a process reads at its start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
     /// Which machine it runs on.
     pub node: NodeIdentity,
     /// All zones, in the order of their names.
     pub zones: Vec<String>,
-    /// Where it listens for what is not of other nodes.
+    /// Where it listens for clients, hosts and operators.
     pub listen_addresses: ListenAddresses,
-    /// How it reaches other nodes, and they it.
+    /// How it communicates with other nodes.
     pub peers: PeerSettings,
-    /// Whether all of the system starts for the first time.
+    /// Whether the whole system starts for the first time.
     pub is_first_start: bool,
     /// The folder of a controller's state.
     pub data_directory: Option<String>,
     /// What the process may use.
     pub limits: ProcessLimits,
-    /// How often a host calls.
+    /// How often a host sends a heartbeat.
     pub heartbeat_interval: Duration,
     /// Machines that count, zones or regions that may be lost at once, whichever are more.
     pub tolerated_losses: usize,
@@ -52,18 +52,18 @@
     pub zone: String,
 }
 
-/// Where a process listens; which of these are there depends on what the machine serves.
+/// Where a process listens. Which addresses are set depends on what the machine serves.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListenAddresses {
     /// For clients' requests.
     pub front_http: Option<SocketAddrV4>,
-    /// For the question whether it is ready.
+    /// For readiness checks.
     pub readiness: Option<SocketAddrV4>,
     /// For hosts and operators.
     pub control_plane: Option<SocketAddrV4>,
 }
 
-/// How nodes reach each other.
+/// How nodes communicate with each other.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
     /// Ports of each machine that are free for traffic between nodes.
@@ -86,11 +86,11 @@
 /// Files in PEM form (`peers.certificate`, `peers.key`, `peers.authority`).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerKeys {
-    /// What this machine shows to others.
+    /// The certificate that this machine presents.
     pub certificate: String,
     /// The key of that certificate.
     pub key: String,
-    /// Whose certificates other nodes must show.
+    /// The authority that must have signed the certificates of other nodes.
     pub authority: String,
 }
 
@@ -112,7 +112,7 @@
     pub drain: Duration,
     /// How long a process that is asked to end may take.
     pub grace_period: Duration,
-    /// Within which a configuration is in force everywhere.
+    /// Within which a configuration must be in force everywhere.
     pub configuration_apply: Duration,
     /// Retries for each request of the window.
     pub retry_budget_ratio: f64,
@@ -120,9 +120,9 @@
     pub budget_window: Duration,
     /// Retries of the window beyond the ratio.
     pub retry_budget_slack: f64,
-    /// How long an operation key counts.
+    /// How long an operation key is remembered.
     pub key_window: Duration,
-    /// A machine that came back, or is new, has to bear the next loss this long after.
+    /// How soon after a machine has returned, or is new, the next loss has to be tolerated.
     pub catch_up: Duration,
 }
 
--- a/crates/gateway/config/src/settings_file.rs
+++ b/crates/gateway/config/src/settings_file.rs
@@ -15,7 +15,7 @@
     pub line: Option<usize>,
     /// The field's name, or the beginning of a line that has none.
     pub field: String,
-    /// What is wrong, to be read behind the field.
+    /// What is wrong. Follows the field in messages.
     pub reason: String,
 }
 
--- a/crates/gateway/storage/src/claim_positions.rs
+++ b/crates/gateway/storage/src/claim_positions.rs
@@ -1,5 +1,5 @@
-//! Where claims stand in their table. They stand in the order in which they came, so that a sync touches few pages and
-//! old ones leave from the front.
+//! The positions of claims in their table. They are in the order of arrival, so that a sync touches few pages and old
+//! claims are removed from the front.
 
 use rushcourse_types::KeyDigest;
 use std::collections::BTreeMap;
--- a/crates/gateway/storage/src/disk_health.rs
+++ b/crates/gateway/storage/src/disk_health.rs
@@ -1,10 +1,9 @@
-//! How the disk is doing, for people to look at: written by the thread that works on it, read by any other.
+//! Statistics of the disk for status pages: updated by the storage thread, read by any other.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// Measures the writes of one run of the storage thread. All times are in microseconds of a steady clock that began with
-/// it.
+/// The statistics of one run of the storage thread. All times are microseconds of a steady clock that starts with it.
 #[derive(Debug)]
 pub struct DiskHealth {
     started_at: Instant,
@@ -12,7 +11,7 @@
     refused_syncs: AtomicU64,
     last_sync_us: AtomicU64,
     longest_sync_us: AtomicU64,
-    /// When the write that is under way began, plus one; 0: none is.
+    /// When the current write began, plus one; 0: there is none.
     write_started: AtomicU64,
 }
 
@@ -23,11 +22,11 @@
     pub syncs: u64,
     /// Syncs that the disk refused.
     pub refused_syncs: u64,
-    /// What the last sync took, refused or not.
+    /// The duration of the last sync, refused or not.
     pub last_sync: Duration,
-    /// What the longest sync took.
+    /// The duration of the longest sync.
     pub longest_sync: Duration,
-    /// How long the write that is under way has taken so far: a disk that stalls.
+    /// How long the current write has taken so far, if there is one. It grows while a disk stalls.
     pub current_write: Option<Duration>,
 }
 
@@ -67,7 +66,7 @@
         result
     }
 
-    /// What was done so far. The values are read one after the other, while writes go on.
+    /// The statistics so far. The values are read one after the other, while writes go on.
     pub fn statistics(&self) -> DiskStatistics {
         let write_started = self.write_started.load(Relaxed);
         let current_us = || (self.now_us() + 1).saturating_sub(write_started);
--- a/crates/gateway/storage/src/error.rs
+++ b/crates/gateway/storage/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a state file.
+//! Errors of a state file.
 
 use crate::tables::FORMAT;
 use error_stack::Report;
--- a/crates/gateway/storage/src/lib.rs
+++ b/crates/gateway/storage/src/lib.rs
@@ -1,13 +1,13 @@
-//! A controller's disk. [`Store::open`] reads what is there; [`run_writer`] is the work of the storage thread: it takes
-//! batches of operations, writes all that wait in one transaction, syncs once, and reports what became of each batch.
+//! The state file of a controller. [`Store::open`] reads it; [`run_writer`] is the loop of the storage thread: it receives
+//! batches of operations, writes all that wait in one transaction, syncs once, and reports the outcome of each batch.
 //!
-//! * [`store`]: the open file; [`writer`]: the storage thread; [`disk_health`]: what pages show of it; [`error`]: what can
-//!   go wrong.
-//! * `tables`: the file's tables; `reading`, `writing`: what goes between them and the types of `rushcourse-consensus`.
+//! * [`store`]: the open file; [`writer`]: the storage thread; [`disk_health`]: its statistics; [`error`]: its errors.
+//! * `tables`: the file's tables; `reading`, `writing`: their rows as the types of `rushcourse-consensus`, and back.
 //! * `upgrade`: files of the format before the present one.
-//! * `claim_positions`: where claims stand in their table.
+//! * `claim_positions`: the positions of claims in their table.
 //!
-//! Tables, keys and the bytes of rows are those of files on disks: `tests/format.rs` and `tests/fixture.rs` hold them.
+//! Tables, keys and the bytes of rows must not change, since there are files on disks: `tests/format.rs` and
+//! `tests/fixture.rs` check them.
 
 mod claim_positions;
 pub mod disk_health;
--- a/crates/gateway/storage/src/writer.rs
+++ b/crates/gateway/storage/src/writer.rs
@@ -1,4 +1,4 @@
-//! The work of the storage thread: many batches to a sync.
+//! The loop of the storage thread: many batches to a sync.
 
 use crate::disk_health::DiskHealth;
 use crate::store::Store;
@@ -9,10 +9,10 @@
 /// Batches in one sync at most (ours): keeps a transaction under a megabyte.
 const MAX_BATCHES_PER_SYNC: usize = 512;
 
-/// How long one wait for a batch lasts before the next one begins.
+/// The longest single wait for a batch. The next wait follows at once.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// What became of a batch.
+/// The outcome of a batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// It is on the disk.
