--- a/crates/gateway/messages/tests/strategies/values.rs
+++ b/crates/gateway/messages/tests/strategies/values.rs
@@ -4,7 +4,7 @@
 use rushcourse_messages::{
     AcceptorRecord, Ballot, ClaimRecord, ClaimVerdict, DurableVote, EndpointWeight, Handshake,
     Heartbeat, HostRecord, HostState, OperationState, Proposal, Role, Slot, SlotRecord,
-    SnapshotChunk, SnapshotCursor, SnapshotTrailer, StoredResponse, VotingSet,
+    SnapshotChunk, SnapshotCursor, SnapshotTrailer, StoredResponse,
 };
 use rushcourse_types::{
     CallSequence, ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
