--- a/crates/gateway/gateway/src/board.rs
+++ b/crates/gateway/gateway/src/board.rs
@@ -5,15 +5,17 @@
 use rushcourse_config::{Boot, Configuration};
 use rushcourse_messages::{ClaimId, Message, NodeId, OperationState, Role, VotingSet};
 use rushcourse_routing::{
-    Budget, Claims, Decision, Homing, Operations, Tables, Verdicts, VersionFetch, VoteRequest,
-    Withdrawal,
+    ClaimDecision, ClaimOutcome, ClaimRequest, ClaimResponse, ClaimWithdrawal, Claims,
+    ConfigurationFetch, ControllerSelection, EndpointTables, Operations, PrimaryChange,
+    RetryBudget, ServiceUsage,
 };
 use rushcourse_transport::{SessionEvent, Tally, Times};
-use rushcourse_types::{ConfigurationVersion, Incarnation, KeyDigest, RequestToken};
+use rushcourse_types::{ConfigurationVersion, Incarnation, KeyDigest, RequestToken, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
+use std::time::Duration;
 use tokio::sync::oneshot;
 
 /// Part of the memory that answers of operations may take (ours).
@@ -33,16 +35,16 @@
 }
 
 pub struct State {
-    pub tables: Tables,
-    pub budget: Budget,
+    pub tables: EndpointTables,
+    pub retry_budget: RetryBudget,
     pub claims: Claims,
     pub operations: Operations,
-    pub homing: Homing,
+    pub controllers: ControllerSelection,
     pub links: Links,
     pub pools: Pools,
     pub configuration: Option<Arc<Configuration>>,
-    versions: VersionFetch,
-    pub claimed: BTreeMap<KeyDigest, oneshot::Sender<Verdicts>>,
+    configuration_fetch: ConfigurationFetch,
+    pub claimed: BTreeMap<KeyDigest, oneshot::Sender<ClaimOutcome>>,
     pub asked: BTreeMap<RequestToken, oneshot::Sender<OperationState>>,
     next_token: RequestToken,
     usage_at: u64,
@@ -53,22 +55,23 @@
     pub fn new(boot: &Boot, times: Times, incarnation: Incarnation, links: Links) -> Board {
         let me = u32::from(boot.ip);
         let b = &boot.bounds;
-        let window = (b.key_window_s * 1000.0) as u64;
+        let key_window = Duration::from_millis((b.key_window_s * 1000.0) as u64);
+        let budget_window = Duration::from_millis((b.budget_window_s * 1000.0) as u64);
         let memory = (boot.memory_mb * ANSWERS_PART * 1_000_000.0) as usize;
         let state = State {
-            tables: Tables::new(&boot.zone),
-            budget: Budget::new(
+            tables: EndpointTables::new(&boot.zone),
+            retry_budget: RetryBudget::new(
                 b.retry_budget_ratio,
                 b.retry_budget_slack,
-                (b.budget_window_s * 1000.0) as u64,
+                budget_window,
             ),
             claims: Claims::new(NodeId(me), incarnation),
-            operations: Operations::new(window, memory),
-            homing: Homing::new(NodeId(me), &boot.zone),
+            operations: Operations::new(key_window, memory),
+            controllers: ControllerSelection::new(NodeId(me), &boot.zone),
             links,
             pools: Pools::default(),
             configuration: None,
-            versions: VersionFetch::default(),
+            configuration_fetch: ConfigurationFetch::default(),
             claimed: BTreeMap::new(),
             asked: BTreeMap::new(),
             next_token: RequestToken(0),
@@ -98,8 +101,13 @@
         self.state.borrow_mut().tally.count(what);
     }
 
+    /// Now, by the steady clock.
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_millis(self.times.now())
+    }
+
     pub fn session(&self, event: SessionEvent) {
-        let now = self.times.now();
+        let now = self.now();
         let mut state = self.state.borrow_mut();
         match event {
             SessionEvent::Up(session) => {
@@ -112,15 +120,15 @@
                 let (node, role) = state.links.up(session);
                 if role == Role::Controller {
                     state.links.know([node]);
-                    state.homing.down(node);
-                    state.homing.up(node, &zone);
+                    state.controllers.controller_disconnected(node);
+                    state.controllers.controller_connected(node, &zone);
                 }
             }
             SessionEvent::Down(id) => {
                 if let Some((node, Role::Controller)) = state.links.down(id) {
                     log::info!("event=session_down node={}", std::net::Ipv4Addr::from(node));
-                    state.homing.down(node);
-                    let over = state.claims.lost_voter(now, node);
+                    state.controllers.controller_disconnected(node);
+                    let over = state.claims.voter_disconnected(now, node);
                     state.decided(over);
                     state.choose_home();
                 }
@@ -138,29 +146,35 @@
     }
 
     pub fn tick(&self) {
-        let now = self.times.now();
+        let now = self.now();
         let mut state = self.state.borrow_mut();
-        if let Some(line) = state.tally.due(now) {
+        if let Some(line) = state.tally.due(now.as_millis()) {
             log::info!("{line}");
         }
-        let over = state.claims.over(now);
+        let over = state.claims.take_decided(now);
         state.decided(over);
         state.ask_for_version(now);
-        state.operations.tick(now);
+        state.operations.expire(now);
+        let now = now.as_millis();
         state.links.dial_missing(now);
         state.pools.sweep(now);
         if now >= state.usage_at + USAGE_EVERY {
             let span = (now - state.usage_at).min(10 * USAGE_EVERY) as u32;
             state.usage_at = now;
-            let usage = state.tables.usage();
-            if let Some(home) = state.homing.home() {
-                for (service, tries, failed) in usage {
+            let usage = state.tables.take_usage();
+            if let Some(home) = state.controllers.primary() {
+                for ServiceUsage {
+                    service,
+                    attempts,
+                    failures,
+                } in usage
+                {
                     state.links.to(
                         home,
                         &Message::LoadReport {
                             service,
-                            attempts: tries,
-                            failures: failed,
+                            attempts,
+                            failures,
                             interval_ms: span,
                         },
                     );
@@ -185,14 +199,14 @@
             .services
             .keys()
             .filter(|s| named(s))
-            .any(|s| state.tables.serves(s));
-        !self.ending.get() && served && state.homing.home().is_some()
+            .any(|s| state.tables.has_available_host(s));
+        !self.ending.get() && served && state.controllers.primary().is_some()
     }
 }
 
 impl State {
-    fn core_said(&mut self, now: u64, node: NodeId, message: Message) {
-        let home = self.homing.home() == Some(node);
+    fn core_said(&mut self, now: Timestamp, node: NodeId, message: Message) {
+        let home = self.controllers.primary() == Some(node);
         match message {
             Message::Controllers(nodes) => self.links.know(nodes),
             Message::VotingSet(set) => self.voting_set(now, node, set),
@@ -200,33 +214,39 @@
                 is_synchronized: primed,
                 gateways: fronts,
             } => {
-                self.homing.primed(node, primed);
-                self.budget.members(fronts);
+                self.controllers.set_synchronized(node, primed);
+                self.retry_budget.set_gateway_count(fronts);
                 self.pools.members(fronts);
                 self.choose_home();
             }
             Message::Configuration { version, text } => self.in_force(version, &text),
             Message::CommittedVersion { version } => {
-                self.versions
-                    .named(now, node, version, ConfigurationVersion(self.version()));
+                self.configuration_fetch.version_announced(
+                    now,
+                    node,
+                    version,
+                    ConfigurationVersion(self.version()),
+                );
                 self.ask_for_version(now);
             }
             Message::ClaimResponse {
-                epoch: set,
+                epoch,
                 key,
                 claim,
                 verdict,
             } => {
-                if let Some(decided) = self.claims.vote(now, node, set, key, claim, verdict) {
-                    self.decided(vec![Decision {
-                        key,
-                        claim,
-                        verdicts: decided,
-                    }]);
+                let response = ClaimResponse {
+                    epoch,
+                    key,
+                    claim,
+                    verdict,
+                };
+                if let Some(decision) = self.claims.record_response(now, node, response) {
+                    self.decided(vec![decision]);
                 }
             }
             Message::HostStates(news) => {
-                for id in self.tables.out(&news) {
+                for id in self.tables.apply_host_states(&news) {
                     self.pools.shut(&id);
                 }
             }
@@ -235,7 +255,7 @@
                 revision: mark,
                 endpoints: lines,
             } if home => {
-                self.tables.table(&service, lines);
+                self.tables.replace(&service, lines);
                 self.links.to(
                     node,
                     &Message::TableApplied {
@@ -249,7 +269,7 @@
                 revision: mark,
                 endpoints: lines,
             } if home => {
-                self.tables.lines(&service, lines);
+                self.tables.update(&service, lines);
                 self.links.to(
                     node,
                     &Message::TableApplied {
@@ -267,11 +287,13 @@
         self.configuration.as_ref().map_or(0, |c| c.version.0)
     }
 
-    fn ask_for_version(&mut self, now: u64) {
-        let (above, homing) = (self.version(), &self.homing);
-        if let Some(holder) = self
-            .versions
-            .ask(now, ConfigurationVersion(above), |n| homing.reached(n))
+    fn ask_for_version(&mut self, now: Timestamp) {
+        let (above, controllers) = (self.version(), &self.controllers);
+        if let Some(holder) =
+            self.configuration_fetch
+                .next_request(now, ConfigurationVersion(above), |n| {
+                    controllers.is_connected(n)
+                })
         {
             self.links.to(
                 holder,
@@ -297,7 +319,8 @@
                     "event=in_force version={version} routes={}",
                     read.routes.len()
                 );
-                self.budget.retain(|s| read.services.contains_key(s));
+                self.retry_budget
+                    .retain_services(|s| read.services.contains_key(s));
                 self.pools.capacities(&read.services);
                 self.configuration = Some(Arc::new(read));
             }
@@ -309,41 +332,43 @@
     }
 
     fn choose_home(&mut self) {
-        let (new, old) = self.homing.choose();
-        if let Some(old) = old {
-            self.links.to(old, &Message::PrimarySelected(false));
-        }
-        if let Some(new) = new {
-            log::info!("event=home node={}", std::net::Ipv4Addr::from(new));
-            self.links.to(new, &Message::PrimarySelected(true));
+        let Some(PrimaryChange { selected, released }) = self.controllers.select() else {
+            return;
+        };
+        if let Some(released) = released {
+            self.links.to(released, &Message::PrimarySelected(false));
         }
+        log::info!("event=home node={}", std::net::Ipv4Addr::from(selected));
+        self.links.to(selected, &Message::PrimarySelected(true));
     }
 
     /// A core director's voting set. Claims that wait go to the voters of a newer one.
-    fn voting_set(&mut self, now: u64, node: NodeId, set: VotingSet) {
-        let homing = &self.homing;
-        let renewal = self.claims.set(now, node, set, |n| homing.reached(n));
-        renewal.requests.iter().for_each(|b| self.send_claim(b));
-        renewal
+    fn voting_set(&mut self, now: Timestamp, node: NodeId, set: VotingSet) {
+        let controllers = &self.controllers;
+        let actions = self
+            .claims
+            .voting_set_reported(now, node, set, |n| controllers.is_connected(n));
+        actions.requests.iter().for_each(|r| self.send_claim(r));
+        actions
             .withdrawals
             .iter()
             .for_each(|w| self.send_withdrawal(w));
-        self.decided(renewal.decided);
+        self.decided(actions.decisions);
     }
 
-    pub fn send_claim(&self, vote_request: &VoteRequest) {
+    pub fn send_claim(&self, request: &ClaimRequest) {
         let message = Message::ClaimRequest {
-            epoch: vote_request.set,
-            key: vote_request.key,
-            claim: vote_request.claim,
+            epoch: request.epoch,
+            key: request.key,
+            claim: request.claim,
         };
-        vote_request
+        request
             .voters
             .iter()
             .for_each(|v| self.links.to(*v, &message));
     }
 
-    fn send_withdrawal(&self, withdrawal: &Withdrawal) {
+    fn send_withdrawal(&self, withdrawal: &ClaimWithdrawal) {
         let message = Message::ClaimWithdrawal {
             key: withdrawal.key,
             claim: withdrawal.claim,
@@ -354,18 +379,18 @@
             .for_each(|v| self.links.to(*v, &message));
     }
 
-    fn decided(&mut self, decided: Vec<Decision>) {
+    fn decided(&mut self, decided: Vec<ClaimDecision>) {
         for decision in decided {
             if let Some(waiter) = self.claimed.remove(&decision.key) {
-                let _ = waiter.send(decision.verdicts);
+                let _ = waiter.send(decision.outcome);
             }
         }
     }
 
-    fn front_said(&mut self, now: u64, id: u64, message: Message) {
+    fn front_said(&mut self, now: Timestamp, id: u64, message: Message) {
         match message {
             Message::OperationQuery { token, key, claim } => {
-                let progress = self.operations.progress(key, claim);
+                let progress = self.operations.state_of_claim(key, claim);
                 if progress == OperationState::NotFound {
                     self.withdraw_again(now, key, claim);
                 }
@@ -392,7 +417,7 @@
     /// Asks the claimant of a key what became of it.
     pub fn ask(
         &mut self,
-        now: u64,
+        now: Timestamp,
         key: KeyDigest,
         claim: ClaimId,
     ) -> (RequestToken, oneshot::Receiver<OperationState>) {
@@ -400,7 +425,7 @@
         let (token, (tell, told)) = (self.next_token, oneshot::channel());
         self.asked.insert(token, tell);
         self.links.ask(
-            now,
+            now.as_millis(),
             claim.node,
             Message::OperationQuery { token, key, claim },
         );
@@ -409,8 +434,8 @@
 
     /// Voters were found to hold a claim of which nothing is known here: it was withdrawn, or its window is over, and
     /// they have not heard so. True if it is one of this incarnation; of an earlier one it isn't known what was sent.
-    pub fn withdraw_again(&mut self, now: u64, key: KeyDigest, claim: ClaimId) -> bool {
-        let made = self.claims.made(claim);
+    pub fn withdraw_again(&mut self, now: Timestamp, key: KeyDigest, claim: ClaimId) -> bool {
+        let made = self.claims.is_own(claim);
         if made {
             self.withdraw(now, key, claim);
         }
@@ -418,7 +443,7 @@
     }
 
     /// Tells all voters that may hold a claim that nothing was sent under it.
-    pub fn withdraw(&mut self, now: u64, key: KeyDigest, claim: ClaimId) {
+    pub fn withdraw(&mut self, now: Timestamp, key: KeyDigest, claim: ClaimId) {
         self.operations.withdraw(key, claim);
         let withdrawal = self.claims.withdraw(now, key, claim);
         self.send_withdrawal(&withdrawal);
--- a/crates/gateway/gateway/src/hosts.rs
+++ b/crates/gateway/gateway/src/hosts.rs
@@ -10,7 +10,7 @@
 use hyper::http::response::Parts;
 use hyper::{Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use rushcourse_routing::{Met, Pick};
+use rushcourse_routing::{HostChoice, Observed};
 use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 pub enum Tried {
     Answered(Response<Answer>),
     /// It has not run there and never will: what was met.
-    NotRun(Met),
+    NotRun(Observed),
     /// It may have run.
     Broke,
     /// Time is over; it may have run.
@@ -47,7 +47,7 @@
 
 impl Outgoing {
     /// The request to one host, with what is left of its time.
-    fn request(&self, host: &Pick, left_ms: u64) -> Request<Full<Bytes>> {
+    fn request(&self, host: &HostChoice, left_ms: u64) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
@@ -62,7 +62,7 @@
 }
 
 /// One try of a request at a host that was picked. `until`: when its client stops waiting.
-pub async fn try_at(board: &Shared, out: &Outgoing, host: &Pick, until: Instant) -> Tried {
+pub async fn try_at(board: &Shared, out: &Outgoing, host: &HostChoice, until: Instant) -> Tried {
     let begun = board.times.exact();
     let guard = Counted {
         board: board.clone(),
@@ -72,10 +72,14 @@
     };
     let tried = attempt(board, out, host, until).await;
     let met = match &tried {
-        Tried::Answered(_) => Met::Answer(board.times.exact() - begun),
+        Tried::Answered(_) => Observed::Response {
+            latency_ms: board.times.exact() - begun,
+        },
         Tried::NotRun(met) => *met,
-        Tried::Broke => Met::Broke,
-        Tried::Late => Met::Answer(board.times.exact() - begun),
+        Tried::Broke => Observed::Failed,
+        Tried::Late => Observed::Response {
+            latency_ms: board.times.exact() - begun,
+        },
     };
     guard.end(met);
     tried
@@ -90,14 +94,14 @@
 }
 
 impl Counted {
-    fn end(mut self, met: Met) {
+    fn end(mut self, met: Observed) {
         self.done = true;
-        let now = self.board.times.now();
+        let now = self.board.now();
         self.board
             .state
             .borrow_mut()
             .tables
-            .met(now, &self.service, &self.host, met);
+            .record_attempt(now, &self.service, &self.host, met);
     }
 }
 
@@ -108,7 +112,7 @@
                 .state
                 .borrow_mut()
                 .tables
-                .dropped(&self.service, &self.host);
+                .cancel_attempt(&self.service, &self.host);
         }
     }
 }
@@ -116,16 +120,16 @@
 async fn connect(
     board: &Shared,
     service: &str,
-    host: &Pick,
+    host: &HostChoice,
     until: Instant,
-) -> Result<SendRequest<Full<Bytes>>, Met> {
+) -> Result<SendRequest<Full<Bytes>>, Observed> {
     if !board
         .state
         .borrow_mut()
         .pools
         .may_open(board.times.now(), service, &host.id)
     {
-        return Err(Met::Full);
+        return Err(Observed::Rejected);
     }
     let closing = Closing {
         board: board.clone(),
@@ -134,7 +138,7 @@
     let wait = Instant::now() + CONNECT_WAIT;
     let stream = match timeout_at(wait.min(until), TcpStream::connect(&*host.address)).await {
         Ok(Ok(stream)) => stream,
-        _ => return Err(Met::Unreached),
+        _ => return Err(Observed::ConnectFailed),
     };
     let _ = stream.set_nodelay(true);
     let made = http1::Builder::new()
@@ -142,7 +146,7 @@
         .handshake(TokioIo::new(stream))
         .await;
     let Ok((sender, connection)) = made else {
-        return Err(Met::Unreached);
+        return Err(Observed::ConnectFailed);
     };
     tokio::task::spawn_local(async move {
         let _closing = closing;
@@ -169,7 +173,7 @@
     reused: bool,
 }
 
-async fn attempt(board: &Shared, out: &Outgoing, host: &Pick, until: Instant) -> Tried {
+async fn attempt(board: &Shared, out: &Outgoing, host: &HostChoice, until: Instant) -> Tried {
     loop {
         let idle = board
             .state
@@ -190,12 +194,17 @@
             },
         };
         // The table may have changed while the connection was made: nothing leaves for a host that drains.
-        if !board.state.borrow().tables.open(&out.service, &host.id) {
-            return Tried::NotRun(Met::Other);
+        if !board
+            .state
+            .borrow()
+            .tables
+            .is_available(&out.service, &host.id)
+        {
+            return Tried::NotRun(Observed::WrongInstance);
         }
         let left = until.saturating_duration_since(Instant::now()).as_millis() as u64;
         if left < 2 {
-            return Tried::NotRun(Met::Full);
+            return Tried::NotRun(Observed::Rejected);
         }
         let sent = line.sender.try_send_request(out.request(host, left));
         let response = match timeout_at(until, sent).await {
@@ -214,11 +223,11 @@
 }
 
 /// Whether a host says that it did not run a request.
-fn refusal(head: &Parts) -> Option<Met> {
+fn refusal(head: &Parts) -> Option<Observed> {
     if head.headers.contains_key(NOT_EXECUTED) {
-        Some(Met::Full)
+        Some(Observed::Rejected)
     } else if head.status == StatusCode::MISDIRECTED_REQUEST {
-        Some(Met::Other)
+        Some(Observed::WrongInstance)
     } else {
         None
     }
@@ -266,7 +275,7 @@
 async fn answered(
     board: &Shared,
     out: &Outgoing,
-    host: &Pick,
+    host: &HostChoice,
     line: Line,
     response: Response<Incoming>,
     until: Instant,
--- a/crates/gateway/gateway/src/keyed.rs
+++ b/crates/gateway/gateway/src/keyed.rs
@@ -9,7 +9,7 @@
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::{Response, StatusCode};
 use rushcourse_messages::{ClaimId, OperationState, StoredResponse};
-use rushcourse_routing::{State, Verdicts, VoteRequest};
+use rushcourse_routing::{ClaimOutcome, OperationStatus};
 use rushcourse_types::KeyDigest;
 use rushcourse_types::hash::key_digest;
 use std::sync::Arc;
@@ -51,7 +51,7 @@
                     .state
                     .borrow_mut()
                     .operations
-                    .end(key, claim, State::Unknown);
+                    .finish(key, claim, OperationStatus::Unknown);
                 return Response::from_parts(head, body);
             };
             let bytes = body
@@ -70,20 +70,26 @@
                 body: bytes.to_vec(),
             };
             let state = if bytes.len() <= KEPT_MOST {
-                State::Answered(Arc::new(kept))
+                OperationStatus::Completed(Arc::new(kept))
             } else {
-                State::Unknown
+                OperationStatus::Unknown
             };
-            board.state.borrow_mut().operations.end(key, claim, state);
+            board
+                .state
+                .borrow_mut()
+                .operations
+                .finish(key, claim, state);
             Response::from_parts(head, Answer::Whole(Full::new(bytes)))
         }
         Carried::Own(what) => {
             let mut state = board.state.borrow_mut();
             if what.status() == StatusCode::SERVICE_UNAVAILABLE {
                 // Nothing ran and nothing will: the key is free for the next try.
-                state.withdraw(board.times.now(), key, claim);
+                state.withdraw(board.now(), key, claim);
             } else {
-                state.operations.end(key, claim, State::Unknown);
+                state
+                    .operations
+                    .finish(key, claim, OperationStatus::Unknown);
             }
             drop(state);
             refuse(board, what)
@@ -112,29 +118,27 @@
     let Some(key) = call.key.as_deref().map(key_digest) else {
         return refuse(board, Own::Bad("no operation key"));
     };
-    let known = board.state.borrow().operations.state(key).cloned();
+    let known = board.state.borrow().operations.status(key).cloned();
     match known {
-        Some(State::Answered(kept)) => return repeat(&call, &kept),
-        Some(State::Running | State::Unknown) => return refuse(board, Own::AtWork),
+        Some(OperationStatus::Completed(kept)) => return repeat(&call, &kept),
+        Some(OperationStatus::Running | OperationStatus::Unknown) => {
+            return refuse(board, Own::AtWork);
+        }
         None => {}
     }
-    let now = board.times.now();
+    let now = board.now();
     let begun = {
         let mut state = board.state.borrow_mut();
         let state = &mut *state;
-        let begun = state.claims.begin(now, key, |n| state.homing.reached(n));
-        begun.map(|(claim, asked)| {
+        let started = state
+            .claims
+            .start(now, key, |n| state.controllers.is_connected(n));
+        started.map(|request| {
             let (tell, told) = oneshot::channel();
             state.claimed.insert(key, tell);
-            state.operations.begin(now, key, claim);
-            let set = state.claims.voting_set().epoch;
-            state.send_claim(&VoteRequest {
-                set,
-                key,
-                claim,
-                voters: asked,
-            });
-            (claim, told)
+            state.operations.start(now, key, request.claim);
+            state.send_claim(&request);
+            (request.claim, told)
         })
     };
     let Some((claim, told)) = begun else {
@@ -145,13 +149,10 @@
     let outer = board.clone();
     tokio::task::spawn_local(async move {
         let response = match told.await {
-            Ok(Verdicts::Won) => carry_call(&board, call, key, claim).await,
-            Ok(Verdicts::Lost(holder)) => lost(&board, &call, key, claim, holder).await,
+            Ok(ClaimOutcome::Won) => carry_call(&board, call, key, claim).await,
+            Ok(ClaimOutcome::LostTo(holder)) => lost(&board, &call, key, claim, holder).await,
             _ => {
-                board
-                    .state
-                    .borrow_mut()
-                    .withdraw(board.times.now(), key, claim);
+                board.state.borrow_mut().withdraw(board.now(), key, claim);
                 refuse(&board, Own::Refused(NO_MAJORITY))
             }
         };
@@ -172,7 +173,7 @@
     holder: ClaimId,
 ) -> Response<Answer> {
     let (token, told) = {
-        let now = board.times.now();
+        let now = board.now();
         let mut state = board.state.borrow_mut();
         state.withdraw(now, key, claim);
         if holder.node == claim.node {
--- a/crates/gateway/gateway/src/requests.rs
+++ b/crates/gateway/gateway/src/requests.rs
@@ -9,7 +9,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
 use rushcourse_config::{Configuration, RouteKind};
-use rushcourse_routing::Met;
+use rushcourse_routing::Observed;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
@@ -136,8 +136,8 @@
     board
         .state
         .borrow_mut()
-        .budget
-        .request(board.times.now(), &service);
+        .retry_budget
+        .record_request(board.now(), &service);
     Ok(Call {
         out: Outgoing {
             service,
@@ -191,16 +191,17 @@
             && !board
                 .state
                 .borrow_mut()
-                .budget
-                .take(board.times.now(), service)
+                .retry_budget
+                .try_spend(board.now(), service)
         {
             return Carried::Own(last);
         }
-        let pick = board
-            .state
-            .borrow_mut()
-            .tables
-            .pick(board.times.now(), service, &tried, || board.chance());
+        let pick =
+            board
+                .state
+                .borrow_mut()
+                .tables
+                .choose_host(board.now(), service, &tried, || board.chance());
         let Some(host) = pick else {
             return Carried::Own(last);
         };
@@ -209,7 +210,7 @@
         match came {
             Tried::Answered(response) => return Carried::Answered(response),
             Tried::NotRun(met) => {
-                let seen = !matches!(met, Met::Unreached);
+                let seen = !matches!(met, Observed::ConnectFailed);
                 reached += u32::from(seen);
                 unreached += u32::from(!seen);
                 last = Own::Refused(if seen {
--- a/crates/gateway/routing/src/lib.rs
+++ b/crates/gateway/routing/src/lib.rs
@@ -1,22 +1,31 @@
-//! What a frontend director decides for a request. Pure: times come in as ms of a steady clock, chance as numbers.
+//! What a gateway decides for a request: the host of each attempt, retries and their budget, claims of operation keys and
+//! the responses that repeats get. Pure: moments of the steady clock and random numbers come from the caller.
 //!
-//! * `tables.rs`: tables as core directors order them, what was met at hosts, the pick.
-//! * `budget.rs`: further tries, within what all directors share.
-//! * `claims.rs`: votes of core directors on a claim of an operation key.
-//! * `operations.rs`: what became of operations that were claimed here.
-//! * `homing.rs`: which core director the tables come from.
-//! * `versions.rs`: which one is asked for the text of a new configuration.
+//! * [`endpoint_tables`]: the hosts of each service, and what attempts met at them; `upstream_host.rs` (latency, outlier
+//!   ejection), `load_balancing.rs` (the choice of a host) and `ended_hosts.rs` are parts of it.
+//! * [`retry_budget`]: retries, within what all gateways share.
+//! * [`claims`]: claims of operation (idempotency) keys at the voters.
+//! * [`operations`]: what became of the operations that were claimed here.
+//! * [`controller_selection`]: which controller the tables come from.
+//! * [`configuration_fetch`]: which controller is asked for the text of a new configuration.
 
-pub mod budget;
 pub mod claims;
-pub mod homing;
+pub mod configuration_fetch;
+pub mod controller_selection;
+mod ended_hosts;
+pub mod endpoint_tables;
+mod load_balancing;
 pub mod operations;
-pub mod tables;
-pub mod versions;
+pub mod retry_budget;
+mod upstream_host;
 
-pub use budget::Budget;
-pub use claims::{Claims, Decision, Renewal, Verdicts, VoteRequest, Withdrawal};
-pub use homing::Homing;
-pub use operations::{Operations, State};
-pub use tables::{Met, Pick, Tables};
-pub use versions::VersionFetch;
+pub use claims::{
+    ClaimDecision, ClaimOutcome, ClaimRequest, ClaimResponse, ClaimWithdrawal, Claims,
+    ReclaimActions,
+};
+pub use configuration_fetch::ConfigurationFetch;
+pub use controller_selection::{ControllerSelection, PrimaryChange};
+pub use endpoint_tables::{EndpointTables, HostChoice, ServiceUsage};
+pub use operations::{OperationStatus, Operations};
+pub use retry_budget::RetryBudget;
+pub use upstream_host::Observed;
--- a/crates/gateway/routing/src/operations.rs
+++ b/crates/gateway/routing/src/operations.rs
@@ -1,160 +1,196 @@
-//! What became of operations that were claimed by this life of a frontend director. Repeats get the first run's answer
-//! from here, wherever they arrive.
+//! What became of the operations that this incarnation of the gateway claimed. Repeats of an operation get the response
+//! of its one run from here, at whichever gateway they arrive.
 
 use rushcourse_messages::{ClaimId, OperationState, StoredResponse};
-use rushcourse_types::KeyDigest;
+use rushcourse_types::{KeyDigest, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
+use std::time::Duration;
 
-/// ms for which an answer is kept beyond the window (ours).
-const KEEP_LONGER: u64 = 5_000;
+/// How long an operation is kept beyond the window of its key (ours).
+const RETENTION_AFTER_WINDOW: Duration = Duration::from_millis(5_000);
+/// What one header of a stored response takes beside its name and value, in bytes (ours).
+const HEADER_OVERHEAD: usize = 64;
 
+/// How far an operation is, as the gateway that claimed it knows it. [`OperationState`] is what it tells other gateways.
 #[derive(Clone, Debug)]
-pub enum State {
+pub enum OperationStatus {
     /// Being claimed, or sent and not yet answered.
     Running,
-    Answered(Arc<StoredResponse>),
-    /// Sent, and whether it ran is not known; it is never sent again.
+    /// It ran: the response that its repeats get.
+    Completed(Arc<StoredResponse>),
+    /// Sent, and whether it ran is not known, or its response is not kept. It is never sent again.
     Unknown,
 }
 
+impl OperationStatus {
+    /// Bytes that a stored response takes.
+    fn stored_bytes(&self) -> usize {
+        let OperationStatus::Completed(response) = self else {
+            return 0;
+        };
+        let headers = response.headers.iter();
+        let header_bytes = headers.map(|(name, value)| name.len() + value.len() + HEADER_OVERHEAD);
+        response.body.len() + header_bytes.sum::<usize>()
+    }
+}
+
 struct Operation {
     claim: ClaimId,
-    state: State,
-    until: u64,
+    status: OperationStatus,
+    expires_at: Timestamp,
 }
 
-pub struct Operations {
-    keep_ms: u64,
-    bytes_most: usize,
-    bytes: usize,
-    known: BTreeMap<KeyDigest, Operation>,
-    order: VecDeque<(u64, KeyDigest)>,
+/// When an operation is looked at to be forgotten. One that was started anew since has a later `expires_at`.
+#[derive(Clone, Copy)]
+struct Expiry {
+    at: Timestamp,
+    key: KeyDigest,
 }
 
-fn weight(state: &State) -> usize {
-    match state {
-        State::Answered(kept) => {
-            kept.body.len()
-                + kept
-                    .headers
-                    .iter()
-                    .map(|h| h.0.len() + h.1.len() + 64)
-                    .sum::<usize>()
-        }
-        _ => 0,
-    }
+/// The operations of one incarnation of the gateway, by operation key.
+pub struct Operations {
+    retention: Duration,
+    max_stored_bytes: usize,
+    stored_bytes: usize,
+    by_key: BTreeMap<KeyDigest, Operation>,
+    /// In the order of their times, which is that of the operations' starts.
+    expiries: VecDeque<Expiry>,
 }
 
 impl Operations {
-    /// `window_ms`: how long a key binds; `bytes_most`: of answers that are kept; beyond, the oldest go, and their
-    /// repeats are told that the operation is at work.
-    pub fn new(window_ms: u64, bytes_most: usize) -> Operations {
-        let (known, order) = (BTreeMap::new(), VecDeque::new());
+    /// `key_window`: how long a key binds its attempts into one operation; `max_stored_bytes`: what stored responses may
+    /// take. Beyond it the oldest go, and their repeats are told that the operation is at work.
+    pub fn new(key_window: Duration, max_stored_bytes: usize) -> Operations {
         Operations {
-            keep_ms: window_ms + KEEP_LONGER,
-            bytes_most,
-            bytes: 0,
-            known,
-            order,
+            retention: key_window + RETENTION_AFTER_WINDOW,
+            max_stored_bytes,
+            stored_bytes: 0,
+            by_key: BTreeMap::new(),
+            expiries: VecDeque::new(),
         }
     }
 
-    /// What is known of a key here.
-    pub fn state(&self, key: KeyDigest) -> Option<&State> {
-        self.known.get(&key).map(|o| &o.state)
+    /// How far the operation of a key is, if it was claimed here.
+    pub fn status(&self, key: KeyDigest) -> Option<&OperationStatus> {
+        self.by_key.get(&key).map(|operation| &operation.status)
     }
 
-    /// What another director is told of a claim of this one.
-    pub fn progress(&self, key: KeyDigest, claim: ClaimId) -> OperationState {
-        match self
-            .known
-            .get(&key)
-            .filter(|o| o.claim == claim)
-            .map(|o| &o.state)
-        {
-            Some(State::Running) => OperationState::Running,
-            Some(State::Answered(kept)) => OperationState::Completed(StoredResponse::clone(kept)),
-            Some(State::Unknown) => OperationState::Unknown,
-            None => OperationState::NotFound,
+    /// What another gateway is told of a claim of this one.
+    pub fn state_of_claim(&self, key: KeyDigest, claim: ClaimId) -> OperationState {
+        let operation = self.by_key.get(&key);
+        let Some(operation) = operation.filter(|operation| operation.claim == claim) else {
+            return OperationState::NotFound;
+        };
+        match &operation.status {
+            OperationStatus::Running => OperationState::Running,
+            OperationStatus::Completed(response) => {
+                OperationState::Completed(StoredResponse::clone(response))
+            }
+            OperationStatus::Unknown => OperationState::Unknown,
         }
     }
 
-    pub fn begin(&mut self, now: u64, key: KeyDigest, claim: ClaimId) {
-        let until = now + self.keep_ms;
-        self.known.insert(
+    /// An operation is being claimed.
+    pub fn start(&mut self, now: Timestamp, key: KeyDigest, claim: ClaimId) {
+        let expires_at = now + self.retention;
+        let operation = Operation {
+            claim,
+            status: OperationStatus::Running,
+            expires_at,
+        };
+        self.by_key.insert(key, operation);
+        self.expiries.push_back(Expiry {
+            at: expires_at,
             key,
-            Operation {
-                claim,
-                state: State::Running,
-                until,
-            },
-        );
-        self.order.push_back((until, key));
+        });
     }
 
-    /// It ended, answered or not known.
-    pub fn end(&mut self, key: KeyDigest, claim: ClaimId, state: State) {
-        let Some(operation) = self.known.get_mut(&key).filter(|o| o.claim == claim) else {
+    /// An operation ended under this claim: completed or not known.
+    pub fn finish(&mut self, key: KeyDigest, claim: ClaimId, status: OperationStatus) {
+        let operation = self.by_key.get_mut(&key);
+        let Some(operation) = operation.filter(|operation| operation.claim == claim) else {
             return;
         };
-        self.bytes = self.bytes + weight(&state) - weight(&operation.state);
-        operation.state = state;
-        if self.bytes > self.bytes_most {
-            self.lighten();
+        self.stored_bytes -= operation.status.stored_bytes();
+        self.stored_bytes += status.stored_bytes();
+        operation.status = status;
+        if self.stored_bytes > self.max_stored_bytes {
+            self.evict_responses();
         }
     }
 
     /// Nothing was sent under this claim: the key is free again.
     pub fn withdraw(&mut self, key: KeyDigest, claim: ClaimId) {
-        if self.known.get(&key).is_some_and(|o| o.claim == claim)
-            && let Some(gone) = self.known.remove(&key)
-        {
-            self.bytes -= weight(&gone.state);
+        let operation = self.by_key.get(&key);
+        if operation.is_some_and(|operation| operation.claim == claim) {
+            self.remove(key);
         }
     }
 
-    fn lighten(&mut self) {
-        for (_, key) in &self.order {
-            if self.bytes <= self.bytes_most / 10 * 9 {
-                break;
-            }
-            if let Some(operation) = self.known.get_mut(key) {
-                let freed = weight(&operation.state);
-                if freed > 0 {
-                    self.bytes -= freed;
-                    operation.state = State::Unknown;
-                }
+    /// Forgets operations whose time is over. One that still runs is kept for as long again.
+    pub fn expire(&mut self, now: Timestamp) {
+        while let Some(expiry) = self.pop_due_expiry(now) {
+            let operation = self.by_key.get_mut(&expiry.key);
+            let Some(operation) = operation.filter(|known| known.expires_at == expiry.at) else {
+                continue;
+            };
+            if matches!(operation.status, OperationStatus::Running) {
+                operation.expires_at = now + self.retention;
+                self.expiries.push_back(Expiry {
+                    at: operation.expires_at,
+                    key: expiry.key,
+                });
+            } else {
+                self.remove(expiry.key);
             }
         }
     }
 
-    /// Forgets what is over. An operation that still runs is kept for as long again.
-    pub fn tick(&mut self, now: u64) {
-        while let Some((until, key)) = self.order.front().copied().filter(|o| now >= o.0) {
-            self.order.pop_front();
-            let Some(operation) = self.known.get_mut(&key).filter(|o| o.until == until) else {
+    fn pop_due_expiry(&mut self, now: Timestamp) -> Option<Expiry> {
+        let first = self.expiries.front()?;
+        if now < first.at {
+            return None;
+        }
+        self.expiries.pop_front()
+    }
+
+    fn remove(&mut self, key: KeyDigest) {
+        if let Some(removed) = self.by_key.remove(&key) {
+            self.stored_bytes -= removed.status.stored_bytes();
+        }
+    }
+
+    /// Drops the oldest responses until a tenth of the room is free, so that this is not done for each operation.
+    fn evict_responses(&mut self) {
+        let target = self.max_stored_bytes / 10 * 9;
+        for expiry in &self.expiries {
+            if self.stored_bytes <= target {
+                break;
+            }
+            let Some(operation) = self.by_key.get_mut(&expiry.key) else {
                 continue;
             };
-            if matches!(operation.state, State::Running) {
-                operation.until = now + self.keep_ms;
-                self.order.push_back((operation.until, key));
-                continue;
+            let freed = operation.status.stored_bytes();
+            if freed > 0 {
+                self.stored_bytes -= freed;
+                operation.status = OperationStatus::Unknown;
             }
-            self.bytes -= weight(&operation.state);
-            self.known.remove(&key);
         }
     }
 
+    /// Operations that are known.
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.by_key.len()
     }
 
+    /// Whether none is known.
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.by_key.is_empty()
     }
 
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    /// Bytes that stored responses take.
+    pub fn stored_bytes(&self) -> usize {
+        self.stored_bytes
     }
 }
--- /dev/null
+++ b/crates/gateway/routing/tests/claims.rs
@@ -0,0 +1,93 @@
+//! Claims of operation keys under one voting set.
+
+mod common;
+
+use common::{KEY, at, claimant, decision, grant, nodes, respond, voting_set};
+use rushcourse_messages::{ClaimId, ClaimVerdict, NodeId};
+use rushcourse_routing::claims::CLAIM_TIMEOUT;
+use rushcourse_routing::{ClaimDecision, ClaimOutcome, Claims};
+use rushcourse_types::{Incarnation, KeyDigest};
+
+fn claimant_of_four() -> Claims {
+    claimant(1, voting_set(1, &[1, 2, 3, 4]))
+}
+
+#[test]
+fn a_claim_is_won_by_a_majority_that_grants_it_in_time() {
+    let mut claims = claimant_of_four();
+    let request = claims
+        .start(at(0), KEY, |_| true)
+        .expect("all are connected");
+    assert_eq!(request.voters, nodes(&[1, 2, 3, 4]));
+    let claim = request.claim;
+    assert_eq!(grant(&mut claims, 10, 1, 1, claim), None);
+    assert_eq!(
+        grant(&mut claims, 10, 1, 1, claim),
+        None,
+        "one voter counts once"
+    );
+    assert_eq!(grant(&mut claims, 11, 2, 1, claim), None);
+    assert_eq!(
+        grant(&mut claims, 12, 3, 2, claim),
+        None,
+        "of another epoch"
+    );
+    assert_eq!(
+        grant(&mut claims, 13, 3, 1, claim),
+        Some(decision(claim, ClaimOutcome::Won))
+    );
+}
+
+#[test]
+fn a_grant_that_comes_too_late_is_none() {
+    let mut claims = claimant_of_four();
+    let request = claims
+        .start(at(0), KEY, |_| true)
+        .expect("all are connected");
+    let claim = request.claim;
+    grant(&mut claims, 10, 1, 1, claim);
+    grant(&mut claims, 11, 2, 1, claim);
+    // The process was frozen and woken: the third grant lay in its socket all the while.
+    let timeout = CLAIM_TIMEOUT.as_millis() as u64;
+    assert_eq!(
+        grant(&mut claims, timeout, 3, 1, claim),
+        Some(decision(claim, ClaimOutcome::NoMajority))
+    );
+}
+
+#[test]
+fn a_claim_is_lost_as_soon_as_no_majority_is_left() {
+    let mut claims = claimant_of_four();
+    let holder = ClaimId {
+        node: NodeId(8),
+        incarnation: Incarnation(1),
+        number: 1,
+    };
+    let request = claims
+        .start(at(0), KEY, |_| true)
+        .expect("all are connected");
+    let held = ClaimVerdict::HeldBy(holder);
+    respond(&mut claims, 10, 1, 1, request.claim, held);
+    assert_eq!(
+        respond(&mut claims, 11, 2, 1, request.claim, held),
+        Some(decision(request.claim, ClaimOutcome::LostTo(holder)))
+    );
+}
+
+#[test]
+fn a_claim_without_a_connected_majority_is_not_started_or_ends() {
+    let mut claims = claimant_of_four();
+    let request = claims
+        .start(at(20), KeyDigest(6), |node| node != NodeId(4))
+        .expect("three are connected");
+    assert_eq!(
+        claims.voter_disconnected(at(30), NodeId(2)),
+        vec![ClaimDecision {
+            key: KeyDigest(6),
+            claim: request.claim,
+            outcome: ClaimOutcome::NoMajority
+        }]
+    );
+    let third = claims.start(at(40), KeyDigest(7), |node| node < NodeId(3));
+    assert!(third.is_none(), "two of four are no majority");
+}
--- a/crates/tools/modelcheck/src/claimants.rs
+++ b/crates/tools/modelcheck/src/claimants.rs
@@ -1,9 +1,9 @@
 //! What frontend directors do with their claims.
 
 use crate::world::{KEY, Sent, World};
-use rushcourse_messages::{ClaimId, Message, NodeId, VotingSet};
-use rushcourse_routing::{Decision, Verdicts, VoteRequest, Withdrawal};
-use rushcourse_types::KeyDigest;
+use rushcourse_messages::{Message, NodeId, VotingSet};
+use rushcourse_routing::{ClaimDecision, ClaimOutcome, ClaimRequest, ClaimWithdrawal};
+use rushcourse_types::{KeyDigest, Timestamp};
 
 impl World {
     pub(crate) fn begin(&mut self, n: NodeId) {
@@ -15,27 +15,18 @@
             .collect();
         let claimant = self.claimants.get_mut(&n).expect("known");
         claimant.begun += 1;
-        let set = claimant.claims.voting_set().epoch;
-        let Some((claim, voters)) = claimant
+        let now = Timestamp::from_millis(self.now);
+        let request = claimant
             .claims
-            .begin(self.now, KeyDigest(KEY), |m| up.contains(&m))
-        else {
-            return;
-        };
-        self.ask(
-            n,
-            VoteRequest {
-                set,
-                key: KeyDigest(KEY),
-                claim,
-                voters,
-            },
-        );
+            .start(now, KeyDigest(KEY), |m| up.contains(&m));
+        if let Some(request) = request {
+            self.ask(n, request);
+        }
     }
 
-    pub(crate) fn ask(&mut self, n: NodeId, request: VoteRequest) {
-        let VoteRequest {
-            set,
+    pub(crate) fn ask(&mut self, n: NodeId, request: ClaimRequest) {
+        let ClaimRequest {
+            epoch,
             key,
             claim,
             voters,
@@ -44,16 +35,12 @@
             self.links
                 .entry((n, voter))
                 .or_default()
-                .push_back(Sent::Message(Message::ClaimRequest {
-                    epoch: set,
-                    key,
-                    claim,
-                }));
+                .push_back(Sent::Message(Message::ClaimRequest { epoch, key, claim }));
         }
     }
 
-    pub(crate) fn withdraw(&mut self, n: NodeId, withdrawal: Withdrawal) {
-        let Withdrawal { key, claim, voters } = withdrawal;
+    pub(crate) fn withdraw(&mut self, n: NodeId, withdrawal: ClaimWithdrawal) {
+        let ClaimWithdrawal { key, claim, voters } = withdrawal;
         for voter in voters {
             self.links
                 .entry((n, voter))
@@ -71,33 +58,32 @@
             .map(|c| *c.0)
             .collect();
         let claimant = self.claimants.get_mut(&n).expect("known");
-        let renewal = claimant
+        let now = Timestamp::from_millis(self.now);
+        let actions = claimant
             .claims
-            .set(self.now, from, set, |m| up.contains(&m));
-        renewal
+            .voting_set_reported(now, from, set, |m| up.contains(&m));
+        actions
             .requests
             .into_iter()
             .for_each(|request| self.ask(n, request));
-        renewal
+        actions
             .withdrawals
             .into_iter()
             .for_each(|withdrawal| self.withdraw(n, withdrawal));
-        for Decision {
-            claim, verdicts, ..
-        } in renewal.decided
-        {
-            self.decided(n, claim, verdicts);
+        for decision in actions.decisions {
+            self.decided(n, decision);
         }
     }
 
     /// Won: the request may leave. Else nothing was sent, and the claim is withdrawn at all that were asked.
-    pub(crate) fn decided(&mut self, n: NodeId, claim: ClaimId, verdicts: Verdicts) {
+    pub(crate) fn decided(&mut self, n: NodeId, decision: ClaimDecision) {
         let claimant = self.claimants.get_mut(&n).expect("known");
-        if verdicts == Verdicts::Won {
-            claimant.won = Some(claim);
+        if decision.outcome == ClaimOutcome::Won {
+            claimant.won = Some(decision.claim);
             return;
         }
-        let withdrawal = claimant.claims.withdraw(self.now, KeyDigest(KEY), claim);
+        let now = Timestamp::from_millis(self.now);
+        let withdrawal = claimant.claims.withdraw(now, decision.key, decision.claim);
         self.withdraw(n, withdrawal);
     }
 }
--- a/crates/tools/modelcheck/src/play.rs
+++ b/crates/tools/modelcheck/src/play.rs
@@ -9,7 +9,8 @@
 };
 use rushcourse_consensus::{Effect, Input, Outcome, Register, Setup, Stored};
 use rushcourse_messages::{Message, NodeId, VotingSet};
-use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, SessionId, Ticket};
+use rushcourse_routing::ClaimResponse;
+use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, SessionId, Ticket, Timestamp};
 use std::collections::VecDeque;
 
 /// ms for which a world is looked at once faults have ended, and its steps: over two changes of the set, each with a
@@ -263,8 +264,11 @@
                 if broken != Some(Broken::VotesWithoutEnd) {
                     for n in self.claimants.keys().copied().collect::<Vec<_>>() {
                         let claimant = self.claimants.get_mut(&n).expect("known");
-                        for decision in claimant.claims.over(self.now) {
-                            self.decided(n, decision.claim, decision.verdicts);
+                        for decision in claimant
+                            .claims
+                            .take_decided(Timestamp::from_millis(self.now))
+                        {
+                            self.decided(n, decision);
                         }
                     }
                 }
@@ -491,7 +495,7 @@
         let (from, message) = self.altered(scene, broken, from, to, message);
         match message {
             Message::ClaimResponse {
-                epoch: set,
+                epoch,
                 key,
                 claim,
                 verdict,
@@ -504,9 +508,15 @@
                 let Some(claimant) = self.claimants.get_mut(&to) else {
                     return;
                 };
-                let decided = claimant.claims.vote(now, from, set, key, claim, verdict);
-                if let Some(verdicts) = decided {
-                    self.decided(to, claim, verdicts);
+                let response = ClaimResponse {
+                    epoch,
+                    key,
+                    claim,
+                    verdict,
+                };
+                let now = Timestamp::from_millis(now);
+                if let Some(decision) = claimant.claims.record_response(now, from, response) {
+                    self.decided(to, decision);
                 }
             }
             Message::ClaimRequest {
@@ -531,7 +541,7 @@
                 self.step(scene, broken, to, Input::Withdraw { key, claim })
             }
             Message::VotingSet(set) if to >= CLAIMANTS => {
-                if broken != Some(Broken::EpochUnchecked) || self.claimants[&to].claims.idle() {
+                if broken != Some(Broken::EpochUnchecked) || self.claimants[&to].claims.is_idle() {
                     self.renewed(from, to, set);
                 }
             }
--- a/crates/tools/modelcheck/src/world.rs
+++ b/crates/tools/modelcheck/src/world.rs
@@ -6,7 +6,7 @@
 use rushcourse_consensus::{Op, Ready, Register, Stored};
 use rushcourse_messages::{AcceptorRecord, ClaimId, Message, NodeId, Slot, VotingSet};
 use rushcourse_routing::Claims;
-use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, SessionId, Ticket};
+use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, SessionId, Ticket, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -188,7 +188,7 @@
         };
         let claimant = |n: NodeId| {
             let mut claims = Claims::new(n, Incarnation(1));
-            claims.set(0, NodeId(1), set.clone(), |_| true);
+            claims.voting_set_reported(Timestamp::ZERO, NodeId(1), set.clone(), |_| true);
             Claimant {
                 claims,
                 begun: 0,
@@ -271,7 +271,7 @@
         }
         for (n, claimant) in &self.claimants {
             all.extend(claimant.won.is_some().then_some(Move::Send(*n)));
-            let free = claimant.claims.idle() && claimant.won.is_none();
+            let free = claimant.claims.is_idle() && claimant.won.is_none();
             all.extend((free && claimant.begun < scene.claims).then_some(Move::Begin(*n)));
         }
         all.extend(self.left.puts.iter().map(|v| Move::Put(*v)));
--- a/crates/tools/netcost/src/hollow/gateway.rs
+++ b/crates/tools/netcost/src/hollow/gateway.rs
@@ -3,7 +3,8 @@
 use super::controller::host;
 use super::{Size, gauge};
 use rushcourse_messages::{EndpointWeight, Message, decode, encode};
-use rushcourse_routing::{Met, Tables};
+use rushcourse_routing::{EndpointTables, Observed, ServiceUsage};
+use rushcourse_types::Timestamp;
 use std::sync::Arc;
 
 /// Requests that are played.
@@ -32,23 +33,21 @@
         .collect();
     let bytes: usize = frames.iter().map(Vec::len).sum();
     let empty = gauge::resident_mb();
-    let mut tables = Tables::new("zone-00");
+    let mut tables = EndpointTables::new("zone-00");
     let ((), taken) = gauge::timed(|| frames.iter().for_each(|frame| take(&mut tables, frame)));
     let resident = gauge::resident_mb() - empty;
     let mut lot = 88_172_645_463_325_252;
     let ((), picked) = gauge::timed(|| {
         for k in 0..REQUESTS {
             let service = &names[k % names.len()];
-            if let Some(pick) = tables.pick(k as u64, service, &[], || chance(&mut lot)) {
-                tables.met(k as u64, service, &pick.id, Met::Answer(20.0));
+            let now = Timestamp::from_millis(k as u64);
+            if let Some(host) = tables.choose_host(now, service, &[], || chance(&mut lot)) {
+                let observed = Observed::Response { latency_ms: 20.0 };
+                tables.record_attempt(now, service, &host.id, observed);
             }
         }
     });
-    let told = tables.usage();
-    let usage: usize = told
-        .into_iter()
-        .map(|(service, tries, failed)| usage(service, tries, failed))
-        .sum();
+    let usage: usize = tables.take_usage().into_iter().map(usage_bytes).sum();
     println!(
         "{:>5} | {:>8} | {:>9.0} | {:>8.0} | {:>6.1} | {:>7.2} | {:>10.1}",
         size.hosts,
@@ -76,25 +75,25 @@
     })
 }
 
-fn take(tables: &mut Tables, frame: &[u8]) {
+fn take(tables: &mut EndpointTables, frame: &[u8]) {
     match decode(&frame[HEAD..]) {
         Ok(Message::TableReplacement {
             service,
             endpoints: lines,
             ..
-        }) => tables.table(&service, lines),
+        }) => tables.replace(&service, lines),
         other => unreachable!("a table was written: {other:?}"),
     }
 }
 
-fn usage(service: Arc<str>, tries: u32, failed: u32) -> usize {
-    frame(&Message::LoadReport {
-        service,
-        attempts: tries,
-        failures: failed,
+fn usage_bytes(usage: ServiceUsage) -> usize {
+    let report = Message::LoadReport {
+        service: usage.service,
+        attempts: usage.attempts,
+        failures: usage.failures,
         interval_ms: 1_000,
-    })
-    .len()
+    };
+    frame(&report).len()
 }
 
 fn frame(message: &Message) -> Vec<u8> {
--- a/crates/tools/netcost/src/world.rs
+++ b/crates/tools/netcost/src/world.rs
@@ -2,7 +2,7 @@
 
 use rushcourse_cluster::{Cluster, Effect, Input, Place};
 use rushcourse_messages::{HostRecord, HostState, Message, NodeId, encode};
-use rushcourse_routing::Homing;
+use rushcourse_routing::{ControllerSelection, PrimaryChange};
 use rushcourse_types::{CallSequence, Millis, SessionId};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -39,7 +39,7 @@
 }
 
 struct Front {
-    homing: Homing,
+    controllers: ControllerSelection,
     got: u64,
 }
 
@@ -157,9 +157,13 @@
 
     /// A frontend director makes its sessions.
     pub fn join(&mut self, f: usize) {
-        let mut homing = Homing::new(front_node(f), &zone(f, &self.size));
-        (0..self.size.cores).for_each(|k| homing.up(core_node(k), &zone(k, &self.size)));
-        self.fronts[f] = Some(Front { homing, got: 0 });
+        let mut controllers = ControllerSelection::new(front_node(f), &zone(f, &self.size));
+        (0..self.size.cores)
+            .for_each(|k| controllers.controller_connected(core_node(k), &zone(k, &self.size)));
+        self.fronts[f] = Some(Front {
+            controllers,
+            got: 0,
+        });
         for k in 0..self.size.cores {
             let (session, node, zone) = (f as u64 + 1, front_node(f), zone(f, &self.size));
             self.core(
@@ -213,11 +217,12 @@
                 is_synchronized: primed,
                 ..
             } => {
-                front.homing.primed(core_node(from), primed);
-                let (new, old) = front.homing.choose();
+                front.controllers.set_synchronized(core_node(from), primed);
                 let k = |node: NodeId| (node.0 - core_node(0).0) as usize;
-                said.extend(old.map(|node| (k(node), Message::PrimarySelected(false))));
-                said.extend(new.map(|node| (k(node), Message::PrimarySelected(true))));
+                if let Some(PrimaryChange { selected, released }) = front.controllers.select() {
+                    said.extend(released.map(|node| (k(node), Message::PrimarySelected(false))));
+                    said.push((k(selected), Message::PrimarySelected(true)));
+                }
             }
             Message::TableReplacement {
                 service,
@@ -285,7 +290,7 @@
         for f in 0..self.fronts.len() {
             let Some(home) = self.fronts[f]
                 .as_ref()
-                .and_then(|front| front.homing.home())
+                .and_then(|front| front.controllers.primary())
             else {
                 continue;
             };
