--- /dev/null
+++ b/crates/gateway/cli/src/commands.rs
@@ -0,0 +1,182 @@
+//! What each command does. Each gives the text that is printed.
+
+use crate::arguments::{Arguments, Command, Operands};
+use crate::configuration_diff::ConfigurationDiff;
+use crate::control_api::{ClearAnswer, ControlApi, ControllerPage};
+use crate::error::{AtPath, CliError, FileProblem};
+use crate::manual::MANUAL;
+use crate::shedding_order::shedding_order;
+use crate::{certificates, example_settings, views};
+use bytes::Bytes;
+use hyper::Method;
+use rushcourse_config::{Boot, Configuration};
+
+/// Paths of the control API.
+const CONFIGURATION_PATH: &str = "/-/configuration";
+const STATUS_PATH: &str = "/-/status";
+const KEYS_PATH: &str = "/-/keys";
+/// Field of the response to a configuration that changed nothing, as another text is committed under its version.
+const ANOTHER_TEXT_FIELD: &str = "another_text_in_force";
+
+/// Runs a command and gives the text to be printed.
+///
+/// # Errors
+/// What is wrong with a file or the command line, the rejection of a controller, or that none answered clearly.
+pub(crate) fn run(arguments: &Arguments, command: &Command) -> Result<String, CliError> {
+    let api = ControlApi::new(&arguments.at);
+    let json = arguments.json;
+    match command {
+        Command::Check(operands) => check(operands),
+        Command::CheckSettings(operands) => check_settings(operands),
+        Command::Diff(operands) => diff(&api, operands),
+        Command::Order(operands) => Ok(shedding_order(&read_configuration(operands.first()?)?)),
+        Command::Put(operands) => put(&api, operands, json),
+        Command::Get(_) => get(&api),
+        Command::Key(key) => show_key(&api, key, json),
+        Command::Status(_) => show_each(&api, json, views::status),
+        Command::Members(_) => show_each(&api, json, views::members),
+        Command::Voters(_) => show_each(&api, json, views::voters),
+        Command::Disks(_) => show_each(&api, json, views::disks),
+        Command::Hosts(_) => show_first(&api, json, views::hosts),
+        Command::Tables(_) => show_first(&api, json, views::tables),
+        Command::MakeKeys(operands) => make_keys(operands),
+        Command::MakeSettings(operands) => example_settings::make(operands.first()?),
+        Command::Manual(_) => Ok(MANUAL.into()),
+    }
+}
+
+impl Operands {
+    fn first(&self) -> Result<&str, CliError> {
+        self.at(0)
+    }
+
+    fn at(&self, position: usize) -> Result<&str, CliError> {
+        let operand = self.files.get(position).map(String::as_str);
+        operand.ok_or(CliError::MissingArgument("a file"))
+    }
+}
+
+fn read_file(path: &str) -> Result<Vec<u8>, CliError> {
+    std::fs::read(path)
+        .map_err(FileProblem::Unreadable)
+        .at_path(path)
+}
+
+fn read_configuration(path: &str) -> Result<Configuration, CliError> {
+    Configuration::read(&read_file(path)?).at_path(path)
+}
+
+fn check(operands: &Operands) -> Result<String, CliError> {
+    let configuration = read_configuration(operands.first()?)?;
+    Ok(format!("version {}: valid\n", configuration.version))
+}
+
+fn check_settings(operands: &Operands) -> Result<String, CliError> {
+    let path = operands.first()?;
+    let text = String::from_utf8(read_file(path)?).at_path(path)?;
+    let settings = Boot::read(&text).at_path(path)?;
+    Ok(format!("{}: valid\n", settings.node_name))
+}
+
+/// Between two files, or the committed configuration and one file.
+fn diff(api: &ControlApi, operands: &Operands) -> Result<String, CliError> {
+    let (old, new) = if operands.files.len() == 1 {
+        (committed_configuration(api)?, operands.first()?)
+    } else {
+        (read_configuration(operands.first()?)?, operands.at(1)?)
+    };
+    let new = read_configuration(new)?;
+    let diff = ConfigurationDiff {
+        old: &old,
+        new: &new,
+    };
+    Ok(diff.to_string())
+}
+
+fn committed_configuration(api: &ControlApi) -> Result<Configuration, CliError> {
+    let answer = api.first_clear(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
+    Configuration::read(answer.body.as_bytes()).map_err(|reason| CliError::InvalidConfiguration {
+        controller: answer.controller,
+        reason,
+    })
+}
+
+fn put(api: &ControlApi, operands: &Operands, json: bool) -> Result<String, CliError> {
+    let path = operands.first()?;
+    let version = read_configuration(path)?.version;
+    let text = Bytes::from(read_file(path)?);
+    let answer = api.first_clear(&Method::PUT, CONFIGURATION_PATH, &text)?;
+    if answer.body.contains(ANOTHER_TEXT_FIELD) {
+        return Err(CliError::AnotherText(version));
+    }
+    if json {
+        return Ok(answer.body);
+    }
+    Ok(format!(
+        "version {version} acknowledged by {}\n",
+        answer.controller
+    ))
+}
+
+fn get(api: &ControlApi) -> Result<String, CliError> {
+    let answer = api.first_clear(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
+    Ok(answer.body + "\n")
+}
+
+fn make_keys(operands: &Operands) -> Result<String, CliError> {
+    match operands.files.split_first() {
+        Some((folder, settings)) if !settings.is_empty() => certificates::make(folder, settings),
+        _ => Err(CliError::MissingArgument("a folder and settings files")),
+    }
+}
+
+fn show_key(api: &ControlApi, key: &Operands, json: bool) -> Result<String, CliError> {
+    let path = format!("{KEYS_PATH}/{}", percent_encoded(key.first()?));
+    let pages = api.pages(&path);
+    if json {
+        Ok(views::json(&pages))
+    } else {
+        views::operation_key(&pages)
+    }
+}
+
+/// The status pages of all controllers.
+fn show_each(
+    api: &ControlApi,
+    json: bool,
+    view: impl Fn(&[ControllerPage]) -> Result<String, CliError>,
+) -> Result<String, CliError> {
+    let pages = api.pages(STATUS_PATH);
+    if json {
+        Ok(views::json(&pages))
+    } else {
+        view(&pages)
+    }
+}
+
+/// The status page of the first controller that answers.
+fn show_first(
+    api: &ControlApi,
+    json: bool,
+    view: impl Fn(&ClearAnswer) -> Result<String, CliError>,
+) -> Result<String, CliError> {
+    let answer = api.first_clear(&Method::GET, STATUS_PATH, &Bytes::new())?;
+    if json {
+        Ok(answer.body + "\n")
+    } else {
+        view(&answer)
+    }
+}
+
+/// A text as one segment of a path.
+fn percent_encoded(text: &str) -> String {
+    let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
+    let encoded = |byte: u8| {
+        if is_plain(byte) {
+            char::from(byte).to_string()
+        } else {
+            format!("%{byte:02X}")
+        }
+    };
+    text.bytes().map(encoded).collect()
+}
--- /dev/null
+++ b/crates/gateway/cli/src/configuration_diff.rs
@@ -0,0 +1,70 @@
+//! What differs between two configurations.
+
+use rushcourse_config::{Configuration, Route};
+use std::fmt;
+
+/// What differs, as text with a line each: `+` is added, `~` changed, `-` removed.
+pub(crate) struct ConfigurationDiff<'a> {
+    /// The configuration before.
+    pub(crate) old: &'a Configuration,
+    /// The configuration after.
+    pub(crate) new: &'a Configuration,
+}
+
+impl fmt::Display for ConfigurationDiff<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let ConfigurationDiff { old, new } = self;
+        writeln!(f, "version {} to {}", old.version, new.version)?;
+        write_routes(f, &old.routes, &new.routes)?;
+        write_services(f, old, new)?;
+        if old.limits != new.limits {
+            writeln!(f, "~ limits: {:?} to {:?}", old.limits, new.limits)?;
+        }
+        Ok(())
+    }
+}
+
+/// A route is known by the host and prefix that it serves, whatever its name.
+fn find<'a>(routes: &'a [Route], wanted: &Route) -> Option<&'a Route> {
+    let mut routes = routes.iter();
+    routes.find(|route| route.host == wanted.host && route.prefix == wanted.prefix)
+}
+
+fn write_routes(f: &mut fmt::Formatter<'_>, old: &[Route], new: &[Route]) -> fmt::Result {
+    let shown = |route: &Route| format!("route {} {} {}", route.name, route.host, route.prefix);
+    for route in new {
+        match find(old, route) {
+            None => writeln!(f, "+ {}", shown(route))?,
+            Some(before) if before != route => {
+                writeln!(f, "~ {}: {before:?} to {route:?}", shown(route))?;
+            }
+            Some(_) => {}
+        }
+    }
+    for route in old.iter().filter(|route| find(new, route).is_none()) {
+        writeln!(f, "- {}", shown(route))?;
+    }
+    Ok(())
+}
+
+fn write_services(
+    f: &mut fmt::Formatter<'_>,
+    old: &Configuration,
+    new: &Configuration,
+) -> fmt::Result {
+    for (name, service) in &new.services {
+        match old.services.get(name) {
+            None => writeln!(f, "+ service {name}")?,
+            Some(before) if before != service => {
+                writeln!(f, "~ service {name}: {before:?} to {service:?}")?;
+            }
+            Some(_) => {}
+        }
+    }
+    for name in old.services.keys() {
+        if !new.services.contains_key(name) {
+            writeln!(f, "- service {name}")?;
+        }
+    }
+    Ok(())
+}
--- /dev/null
+++ b/crates/gateway/cli/tests/views.rs
@@ -0,0 +1,86 @@
+//! Status pages of three controllers as tables; the third one does not answer.
+
+use rushcourse_cli::control_api::{CallError, ControllerPage};
+use rushcourse_cli::views::{disks, members, status, voters};
+use rushcourse_types::Epoch;
+
+fn page(name: &str, epoch: Epoch, is_primary: bool) -> String {
+    format!(
+        r#"{{"name":"{name}","set":{{"number":{epoch},"members":["10.0.0.1","10.0.0.2","10.0.0.3"]}},
+        "remembers":true,"votes":true,"held":7,"in_force":7,"claims":2,"peers":["10.0.0.2"],
+        "disk":{{"bytes":4096,"syncs":9,"refused":1,"last_ms":0.5,"most_ms":31.0,"writing_ms":null}},
+        "sessions":[{{"id":1,"name":"front-1","address":"10.0.0.9","zone":"n","role":"gateway","home":{is_primary}}},
+        {{"id":2,"name":"core-2","address":"10.0.0.2","zone":"n","role":"controller","home":false}}],
+        "members":["10.0.0.9"],"hosts":[],"refused":{{"other machine":2,"unreadable":1}},"tables":[]}}"#
+    )
+}
+
+fn pages() -> Vec<ControllerPage> {
+    let of = |controller: &str, page| ControllerPage {
+        controller: controller.into(),
+        page,
+    };
+    vec![
+        of("10.0.0.1:80", Ok(page("core-1", Epoch(1), false))),
+        of("10.0.0.2:80", Ok(page("core-2", Epoch(2), true))),
+        of("10.0.0.3:80", Err(CallError::TimedOut)),
+    ]
+}
+
+/// The cells of each row of a table.
+fn cells(table: &str) -> Vec<Vec<&str>> {
+    table
+        .lines()
+        .map(|line| {
+            let cells = line.split("  ").map(str::trim);
+            cells.filter(|cell| !cell.is_empty()).collect()
+        })
+        .collect()
+}
+
+#[test]
+fn voters_show_who_is_reached_and_where_controllers_differ() {
+    let table = voters(&pages()).expect("a table");
+    let rows = cells(&table);
+    assert_eq!(
+        rows[1],
+        [
+            "10.0.0.1:80",
+            "core-1",
+            "1",
+            "10.0.0.1,10.0.0.2,10.0.0.3",
+            "2",
+            "yes",
+            "yes",
+            "7"
+        ]
+    );
+    assert_eq!(rows[3], ["10.0.0.3:80", "(no answer)"]);
+    assert_eq!(rows[4], ["controllers differ: not all vote in one epoch"]);
+    assert!(!voters(&pages()[..1]).expect("a table").contains("differ"));
+}
+
+#[test]
+fn gateways_have_their_primary_controller() {
+    let table = members(&pages()).expect("a table");
+    assert_eq!(
+        cells(&table)[1],
+        ["front-1", "10.0.0.9", "n", "core-2", "core-1,core-2"]
+    );
+    assert!(table.ends_with("10.0.0.3:80  (no answer)\n"), "{table}");
+}
+
+#[test]
+fn disks_have_their_refusals_and_controllers_the_sum_of_all_reasons() {
+    let table = disks(&pages()).expect("a table");
+    assert_eq!(
+        cells(&table)[1],
+        ["10.0.0.1:80", "core-1", "4096", "9", "1", "0.5", "31", "-"]
+    );
+    let table = status(&pages()).expect("a table");
+    assert_eq!(
+        cells(&table)[1].last(),
+        Some(&"3"),
+        "refused, for all reasons: {table}"
+    );
+}
