--- a/crates/gateway/cli/src/configuration_diff.rs
+++ b/crates/gateway/cli/src/configuration_diff.rs
@@ -31,18 +31,18 @@
 }
 
 fn write_routes(f: &mut fmt::Formatter<'_>, old: &[Route], new: &[Route]) -> fmt::Result {
-    let shown = |route: &Route| format!("route {} {} {}", route.name, route.host, route.prefix);
+    let label = |route: &Route| format!("route {} {} {}", route.name, route.host, route.prefix);
     for route in new {
         match find(old, route) {
-            None => writeln!(f, "+ {}", shown(route))?,
+            None => writeln!(f, "+ {}", label(route))?,
             Some(before) if before != route => {
-                writeln!(f, "~ {}: {before:?} to {route:?}", shown(route))?;
+                writeln!(f, "~ {}: {before:?} to {route:?}", label(route))?;
             }
             Some(_) => {}
         }
     }
     for route in old.iter().filter(|route| find(new, route).is_none()) {
-        writeln!(f, "- {}", shown(route))?;
+        writeln!(f, "- {}", label(route))?;
     }
     Ok(())
 }
--- a/crates/gateway/cli/src/control_api.rs
+++ b/crates/gateway/cli/src/control_api.rs
@@ -29,7 +29,7 @@
     Http(hyper::Error),
     /// The connection was closed without a response.
     Closed,
-    /// No response came within [`CALL_TIMEOUT`].
+    /// No response came in time.
     TimedOut,
     /// It answered with another status than success.
     Status {
--- a/crates/gateway/cli/src/status_page.rs
+++ b/crates/gateway/cli/src/status_page.rs
@@ -4,7 +4,7 @@
 use crate::error::CliError;
 use facet_value::{VObject, Value};
 
-/// What is shown for a field that a page does not have.
+/// What stands for a field that a page does not have.
 pub(crate) const ABSENT: &str = "-";
 
 /// A page of a controller.
@@ -35,7 +35,7 @@
 impl<'a> Fields<'a> {
     /// A field as text, or [`ABSENT`]. A truth value is `yes` or `no`, a fraction has one digit.
     pub(crate) fn text(self, name: &str) -> String {
-        let text = self.0.get(name).and_then(shown);
+        let text = self.0.get(name).and_then(display_text);
         text.unwrap_or_else(|| ABSENT.into())
     }
 
@@ -55,11 +55,11 @@
         items.filter_map(Value::as_object).map(Fields).collect()
     }
 
-    /// The words of a list.
-    pub(crate) fn words(self, name: &str) -> Vec<String> {
-        let word = |item: &Value| item.as_string().map(|word| word.as_str().to_string());
+    /// The strings of a list.
+    pub(crate) fn strings(self, name: &str) -> Vec<String> {
+        let string = |item: &Value| item.as_string().map(|string| string.as_str().to_string());
         self.items(name)
-            .map(|item| word(item).unwrap_or_default())
+            .map(|item| string(item).unwrap_or_default())
             .collect()
     }
 
@@ -80,10 +80,10 @@
     }
 }
 
-/// A word, truth value or number as text.
-fn shown(value: &Value) -> Option<String> {
-    if let Some(word) = value.as_string() {
-        return Some(word.as_str().to_string());
+/// A string, truth value or number as text.
+fn display_text(value: &Value) -> Option<String> {
+    if let Some(string) = value.as_string() {
+        return Some(string.as_str().to_string());
     }
     if let Some(is_true) = value.as_bool() {
         return Some(if is_true { "yes" } else { "no" }.into());
--- a/crates/gateway/cli/src/views/gateways.rs
+++ b/crates/gateway/cli/src/views/gateways.rs
@@ -13,9 +13,9 @@
 /// A truth value that holds, as [`Fields::text`] shows it.
 const TRUE: &str = "yes";
 
-/// A gateway as controllers see it.
+/// A gateway as controllers report it.
 #[derive(Default)]
-struct ShownGateway {
+struct ReportedGateway {
     address: String,
     zone: String,
     /// Names of the controllers that have a session with it.
@@ -24,7 +24,7 @@
     primaries: Vec<String>,
 }
 
-impl ShownGateway {
+impl ReportedGateway {
     fn add_session(&mut self, controller: &str, session: Fields<'_>) {
         self.address = session.text("address");
         self.zone = session.text("zone");
@@ -55,7 +55,7 @@
 /// # Errors
 /// [`CliError::InvalidPage`]: a page that can't be read.
 pub fn members(pages: &[ControllerPage]) -> Result<String, CliError> {
-    let mut gateways: BTreeMap<String, ShownGateway> = BTreeMap::new();
+    let mut gateways: BTreeMap<String, ReportedGateway> = BTreeMap::new();
     let mut unanswered = String::new();
     for ControllerPage { controller, page } in pages {
         match page {
@@ -77,7 +77,7 @@
     Ok(format!("{table}{unanswered}"))
 }
 
-fn add_sessions(gateways: &mut BTreeMap<String, ShownGateway>, page: Fields<'_>) {
+fn add_sessions(gateways: &mut BTreeMap<String, ReportedGateway>, page: Fields<'_>) {
     let controller = page.text("name");
     for session in page.objects("sessions") {
         if session.text("role") == GATEWAY_ROLE {
--- a/crates/gateway/cli/src/views/mod.rs
+++ b/crates/gateway/cli/src/views/mod.rs
@@ -20,6 +20,6 @@
 
 /// The pages that came, as they came, a line each.
 pub fn json(pages: &[ControllerPage]) -> String {
-    let came = pages.iter().filter_map(|page| page.page.as_ref().ok());
-    came.map(|page| format!("{page}\n")).collect()
+    let received = pages.iter().filter_map(|page| page.page.as_ref().ok());
+    received.map(|page| format!("{page}\n")).collect()
 }
--- a/crates/gateway/cli/src/views/voters.rs
+++ b/crates/gateway/cli/src/views/voters.rs
@@ -8,19 +8,19 @@
 
 const EPOCHS_DIFFER: &str = "controllers differ: not all vote in one epoch\n";
 
-/// A voting set as a page shows it.
+/// A voting set as a page reports it.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct ShownVotingSet {
+struct ReportedVotingSet {
     epoch: String,
     members: Vec<String>,
 }
 
-impl ShownVotingSet {
-    fn of(page: Fields<'_>) -> Option<ShownVotingSet> {
+impl ReportedVotingSet {
+    fn of(page: Fields<'_>) -> Option<ReportedVotingSet> {
         let set = page.object("set")?;
-        Some(ShownVotingSet {
+        Some(ReportedVotingSet {
             epoch: set.text("number"),
-            members: set.words("members"),
+            members: set.strings("members"),
         })
     }
 }
@@ -49,11 +49,11 @@
 }
 
 fn voter_row(page: Fields<'_>) -> Vec<String> {
-    let set = ShownVotingSet::of(page).unwrap_or_else(|| ShownVotingSet {
+    let set = ReportedVotingSet::of(page).unwrap_or_else(|| ReportedVotingSet {
         epoch: ABSENT.into(),
         members: Vec::new(),
     });
-    let peers = page.words("peers");
+    let peers = page.strings("peers");
     let is_reached = |member: &&String| peers.contains(member);
     // A controller is no peer of its own.
     let reached = set.members.iter().filter(is_reached).count() + 1;
@@ -68,10 +68,10 @@
 }
 
 fn sets_differ(pages: &[ControllerPage]) -> bool {
-    let came = pages.iter().filter_map(|page| page.page.as_ref().ok());
-    let sets: BTreeSet<ShownVotingSet> = came
+    let texts = pages.iter().filter_map(|page| page.page.as_ref().ok());
+    let sets: BTreeSet<ReportedVotingSet> = texts
         .filter_map(|text| StatusPage::read(text).ok())
-        .filter_map(|page| ShownVotingSet::of(page.fields()?))
+        .filter_map(|page| ReportedVotingSet::of(page.fields()?))
         .collect();
     sets.len() > 1
 }
