--- a/crates/gateway/gateway/src/board.rs
+++ b/crates/gateway/gateway/src/board.rs
@@ -9,8 +9,10 @@
     ConfigurationFetch, ControllerSelection, EndpointTables, Operations, PrimaryChange,
     RetryBudget, ServiceUsage,
 };
-use rushcourse_transport::{SessionEvent, Tally, Times};
-use rushcourse_types::{ConfigurationVersion, Incarnation, KeyDigest, RequestToken, Timestamp};
+use rushcourse_transport::{Clock, Counters, SessionEvent};
+use rushcourse_types::{
+    ConfigurationVersion, Incarnation, KeyDigest, RequestToken, SessionId, Timestamp,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -26,7 +28,7 @@
 pub type Shared = Rc<Board>;
 
 pub struct Board {
-    pub times: Times,
+    pub times: Clock,
     pub state: RefCell<State>,
     /// Told to end: no new requests are asked for.
     pub ending: Cell<bool>,
@@ -48,11 +50,11 @@
     pub asked: BTreeMap<RequestToken, oneshot::Sender<OperationState>>,
     next_token: RequestToken,
     usage_at: u64,
-    pub tally: Tally,
+    pub tally: Counters,
 }
 
 impl Board {
-    pub fn new(boot: &Boot, times: Times, incarnation: Incarnation, links: Links) -> Board {
+    pub fn new(boot: &Boot, times: Clock, incarnation: Incarnation, links: Links) -> Board {
         let me = u32::from(boot.ip);
         let b = &boot.bounds;
         let key_window = Duration::from_millis((b.key_window_s * 1000.0) as u64);
@@ -76,7 +78,7 @@
             asked: BTreeMap::new(),
             next_token: RequestToken(0),
             usage_at: 0,
-            tally: Tally::new("own_answers"),
+            tally: Counters::new("own_answers"),
         };
         Board {
             times,
@@ -103,14 +105,14 @@
 
     /// Now, by the steady clock.
     pub fn now(&self) -> Timestamp {
-        Timestamp::from_millis(self.times.now())
+        self.times.now()
     }
 
     pub fn session(&self, event: SessionEvent) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
         match event {
-            SessionEvent::Up(session) => {
+            SessionEvent::Opened(session) => {
                 let zone = session.peer.zone.clone();
                 log::info!(
                     "event=session_up peer={} role={:?}",
@@ -124,7 +126,7 @@
                     state.controllers.controller_connected(node, &zone);
                 }
             }
-            SessionEvent::Down(id) => {
+            SessionEvent::Closed(id) => {
                 if let Some((node, Role::Controller)) = state.links.down(id) {
                     log::info!("event=session_down node={}", std::net::Ipv4Addr::from(node));
                     state.controllers.controller_disconnected(node);
@@ -133,7 +135,10 @@
                     state.choose_home();
                 }
             }
-            SessionEvent::Said(id, message) => {
+            SessionEvent::Received {
+                session: id,
+                message,
+            } => {
                 let Some((node, role)) = state.links.peer(id).map(|p| (p.node, p.role)) else {
                     return;
                 };
@@ -148,7 +153,7 @@
     pub fn tick(&self) {
         let now = self.now();
         let mut state = self.state.borrow_mut();
-        if let Some(line) = state.tally.due(now.as_millis()) {
+        if let Some(line) = state.tally.take_log_line(now) {
             log::info!("{line}");
         }
         let over = state.claims.take_decided(now);
@@ -387,7 +392,7 @@
         }
     }
 
-    fn front_said(&mut self, now: Timestamp, id: u64, message: Message) {
+    fn front_said(&mut self, now: Timestamp, id: SessionId, message: Message) {
         match message {
             Message::OperationQuery { token, key, claim } => {
                 let progress = self.operations.state_of_claim(key, claim);
--- a/crates/gateway/gateway/src/hosts.rs
+++ b/crates/gateway/gateway/src/hosts.rs
@@ -63,7 +63,7 @@
 
 /// One try of a request at a host that was picked. `until`: when its client stops waiting.
 pub async fn try_at(board: &Shared, out: &Outgoing, host: &HostChoice, until: Instant) -> Tried {
-    let begun = board.times.exact();
+    let begun = board.times.precise_millis();
     let guard = Counted {
         board: board.clone(),
         service: out.service.clone(),
@@ -73,12 +73,12 @@
     let tried = attempt(board, out, host, until).await;
     let met = match &tried {
         Tried::Answered(_) => Observed::Response {
-            latency_ms: board.times.exact() - begun,
+            latency_ms: board.times.precise_millis() - begun,
         },
         Tried::NotRun(met) => *met,
         Tried::Broke => Observed::Failed,
         Tried::Late => Observed::Response {
-            latency_ms: board.times.exact() - begun,
+            latency_ms: board.times.precise_millis() - begun,
         },
     };
     guard.end(met);
@@ -127,7 +127,7 @@
         .state
         .borrow_mut()
         .pools
-        .may_open(board.times.now(), service, &host.id)
+        .may_open(board.times.now().as_millis(), service, &host.id)
     {
         return Err(Observed::Rejected);
     }
@@ -179,7 +179,7 @@
             .state
             .borrow_mut()
             .pools
-            .take(board.times.now(), &host.id);
+            .take(board.times.now().as_millis(), &host.id);
         let mut line = match idle {
             Some(sender) => Line {
                 sender,
@@ -299,7 +299,7 @@
         Ok(Err(_)) => return not_run.map_or(Tried::Broke, Tried::NotRun),
         Ok(Ok(held)) => held,
     };
-    let now = board.times.now();
+    let now = board.times.now().as_millis();
     strip(&mut head.headers);
     if let Some(rest) = rest {
         return Tried::Answered(Response::from_parts(
