--- a/crates/gateway/routing/src/endpoint_tables.rs
+++ b/crates/gateway/routing/src/endpoint_tables.rs
@@ -76,7 +76,7 @@
         };
         for (id, host) in &mut table.hosts {
             if !kept.contains(id) {
-                host.weight = 0.0;
+                host.remove_line();
             }
         }
         table.remove_unneeded_hosts();
@@ -101,15 +101,14 @@
             self.ended.insert(&host.id);
         }
         let is_unavailable = self.is_unavailable(&host);
-        let in_own_zone = host.zone == self.zone;
+        let is_in_own_zone = host.zone == self.zone;
         let table = self.services.entry(service.clone()).or_default();
         let known = table
             .hosts
             .entry(host.id)
-            .or_insert_with(|| UpstreamHost::new(host.address.clone(), in_own_zone));
-        known.address = host.address;
-        known.weight = f64::from(weight);
-        known.is_unavailable = is_unavailable;
+            .or_insert_with(|| UpstreamHost::new(host.address.clone(), is_in_own_zone));
+        known.set_line(host.address, f64::from(weight));
+        known.set_unavailable(is_unavailable);
     }
 
     fn is_unavailable(&self, host: &HostRecord) -> bool {
@@ -126,7 +125,7 @@
             let is_unavailable = self.is_unavailable(host);
             for table in self.services.values_mut() {
                 if let Some(known) = table.hosts.get_mut(&host.id) {
-                    known.is_unavailable = is_unavailable;
+                    known.set_unavailable(is_unavailable);
                 }
             }
             if is_unavailable {
@@ -169,7 +168,7 @@
         table.attempts += 1;
         Some(HostChoice {
             id: id.clone(),
-            address: host.address.clone(),
+            address: host.address().clone(),
         })
     }
 
--- a/crates/gateway/routing/src/load_balancing.rs
+++ b/crates/gateway/routing/src/load_balancing.rs
@@ -61,10 +61,10 @@
 
 fn cost(host: &UpstreamHost, typical_latency_ms: f64) -> f64 {
     let latency_ms = host.mean_latency_ms().unwrap_or(typical_latency_ms);
-    let zone_cost = if host.in_own_zone {
+    let zone_cost = if host.is_in_own_zone() {
         1.0
     } else {
         OTHER_ZONE_COST
     };
-    (f64::from(host.active_requests()) + 1.0) / host.weight * latency_ms * zone_cost
+    (f64::from(host.active_requests()) + 1.0) / host.weight() * latency_ms * zone_cost
 }
--- a/crates/gateway/routing/src/upstream_host.rs
+++ b/crates/gateway/routing/src/upstream_host.rs
@@ -46,12 +46,12 @@
 /// A host of one service.
 #[derive(Clone, Debug)]
 pub(crate) struct UpstreamHost {
-    pub(crate) address: Arc<str>,
-    pub(crate) in_own_zone: bool,
+    address: Arc<str>,
+    is_in_own_zone: bool,
     /// Of its line in the endpoint table; 0: it has none any more.
-    pub(crate) weight: f64,
+    weight: f64,
     /// It is draining or gone.
-    pub(crate) is_unavailable: bool,
+    is_unavailable: bool,
     active_requests: u32,
     /// Moving average; 0.0 while no response came.
     mean_latency_ms: f64,
@@ -59,10 +59,11 @@
 }
 
 impl UpstreamHost {
-    pub(crate) fn new(address: Arc<str>, in_own_zone: bool) -> UpstreamHost {
+    /// A host without a line yet.
+    pub(crate) fn new(address: Arc<str>, is_in_own_zone: bool) -> UpstreamHost {
         UpstreamHost {
             address,
-            in_own_zone,
+            is_in_own_zone,
             weight: 0.0,
             is_unavailable: false,
             active_requests: 0,
@@ -71,6 +72,34 @@
         }
     }
 
+    /// Takes its line of the endpoint table.
+    pub(crate) fn set_line(&mut self, address: Arc<str>, weight: f64) {
+        self.address = address;
+        self.weight = weight;
+    }
+
+    /// The endpoint table has no line for it any more.
+    pub(crate) fn remove_line(&mut self) {
+        self.weight = 0.0;
+    }
+
+    /// It is draining or gone, or is back.
+    pub(crate) fn set_unavailable(&mut self, is_unavailable: bool) {
+        self.is_unavailable = is_unavailable;
+    }
+
+    pub(crate) fn address(&self) -> &Arc<str> {
+        &self.address
+    }
+
+    pub(crate) fn is_in_own_zone(&self) -> bool {
+        self.is_in_own_zone
+    }
+
+    pub(crate) fn weight(&self) -> f64 {
+        self.weight
+    }
+
     /// Whether new requests may go to it.
     pub(crate) fn is_available(&self) -> bool {
         self.weight > 0.0 && !self.is_unavailable
