--- a/crates/gateway/cli/src/certificates.rs
+++ b/crates/gateway/cli/src/certificates.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{AtPath, CliError, FileProblem};
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair};
-use rushcourse_config::{Boot, CORE_NAME};
+use rushcourse_config::{CONTROLLER_NAME, NodeSettings};
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::os::unix::fs::OpenOptionsExt;
@@ -24,7 +24,7 @@
     let mut machines = Vec::new();
     for file in settings_files {
         let text = std::fs::read_to_string(file).at_path(file)?;
-        machines.push((file, Boot::read(&text).at_path(file)?));
+        machines.push((file, NodeSettings::parse(&text).at_path(file)?));
     }
     let authority = authority(folder)?;
     let mut lines = String::new();
@@ -67,18 +67,23 @@
 /// Writes the certificate and key of one machine, and gives the paths of both files.
 fn machine_files(
     folder: &Path,
-    settings: &Boot,
+    settings: &NodeSettings,
     authority: &Issuer<'_, KeyPair>,
 ) -> Result<(String, String), CliError> {
-    let certificate_file = folder.join(format!("{}.cert", settings.node_name));
-    let key_file = folder.join(format!("{}.key", settings.node_name));
+    let certificate_file = folder.join(format!("{}.cert", settings.node.name));
+    let key_file = folder.join(format!("{}.key", settings.node.name));
     let key = KeyPair::generate().at_path(&key_file)?;
-    let mut names = vec![settings.ip.to_string()];
-    names.extend(settings.control_plane.map(|_| CORE_NAME.to_string()));
+    let mut names = vec![settings.node.ip_address.to_string()];
+    names.extend(
+        settings
+            .listen_addresses
+            .control_plane
+            .map(|_| CONTROLLER_NAME.to_string()),
+    );
     let mut params = CertificateParams::new(names).at_path(&certificate_file)?;
     params
         .distinguished_name
-        .push(DnType::CommonName, settings.node_name.as_str());
+        .push(DnType::CommonName, settings.node.name.as_str());
     let certificate = params
         .signed_by(&key, authority)
         .at_path(&certificate_file)?;
--- a/crates/gateway/cli/src/commands.rs
+++ b/crates/gateway/cli/src/commands.rs
@@ -9,7 +9,7 @@
 use crate::{certificates, example_settings, views};
 use bytes::Bytes;
 use hyper::Method;
-use rushcourse_config::{Boot, Configuration};
+use rushcourse_config::{Configuration, NodeSettings};
 
 /// Paths of the control API.
 const CONFIGURATION_PATH: &str = "/-/configuration";
@@ -63,7 +63,7 @@
 }
 
 fn read_configuration(path: &str) -> Result<Configuration, CliError> {
-    Configuration::read(&read_file(path)?).at_path(path)
+    Configuration::parse(&read_file(path)?).at_path(path)
 }
 
 fn check(operands: &Operands) -> Result<String, CliError> {
@@ -74,8 +74,8 @@
 fn check_settings(operands: &Operands) -> Result<String, CliError> {
     let path = operands.first()?;
     let text = String::from_utf8(read_file(path)?).at_path(path)?;
-    let settings = Boot::read(&text).at_path(path)?;
-    Ok(format!("{}: valid\n", settings.node_name))
+    let settings = NodeSettings::parse(&text).at_path(path)?;
+    Ok(format!("{}: valid\n", settings.node.name))
 }
 
 /// Between two files, or the committed configuration and one file.
@@ -95,7 +95,7 @@
 
 fn committed_configuration(api: &ControlApi) -> Result<Configuration, CliError> {
     let answer = api.first_clear(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
-    Configuration::read(answer.body.as_bytes()).map_err(|reason| CliError::InvalidConfiguration {
+    Configuration::parse(answer.body.as_bytes()).map_err(|reason| CliError::InvalidConfiguration {
         controller: answer.controller,
         reason,
     })
--- a/crates/gateway/cli/src/configuration_diff.rs
+++ b/crates/gateway/cli/src/configuration_diff.rs
@@ -27,11 +27,12 @@
 /// A route is known by the host and prefix that it serves, whatever its name.
 fn find<'a>(routes: &'a [Route], wanted: &Route) -> Option<&'a Route> {
     let mut routes = routes.iter();
-    routes.find(|route| route.host == wanted.host && route.prefix == wanted.prefix)
+    routes.find(|route| route.host == wanted.host && route.path_prefix == wanted.path_prefix)
 }
 
 fn write_routes(f: &mut fmt::Formatter<'_>, old: &[Route], new: &[Route]) -> fmt::Result {
-    let label = |route: &Route| format!("route {} {} {}", route.name, route.host, route.prefix);
+    let label =
+        |route: &Route| format!("route {} {} {}", route.name, route.host, route.path_prefix);
     for route in new {
         match find(old, route) {
             None => writeln!(f, "+ {}", label(route))?,
--- a/crates/gateway/cli/src/error.rs
+++ b/crates/gateway/cli/src/error.rs
@@ -1,7 +1,7 @@
 //! Why a command failed, and the exit code that says so.
 
 use hyper::StatusCode;
-use rushcourse_config::{BootError, Invalid};
+use rushcourse_config::{SettingsError, ValidationError};
 use rushcourse_types::ConfigurationVersion;
 use std::fmt;
 use std::path::{Path, PathBuf};
@@ -43,7 +43,7 @@
         /// Its control address.
         controller: String,
         /// What is wrong with the configuration.
-        reason: Invalid,
+        reason: ValidationError,
     },
 }
 
@@ -97,9 +97,9 @@
     /// It is no text.
     NotText(std::string::FromUtf8Error),
     /// It is no valid configuration.
-    Configuration(Invalid),
+    Configuration(ValidationError),
     /// It is no valid settings file.
-    Settings(BootError),
+    Settings(SettingsError),
     /// It can't be made or written.
     Io(std::io::Error),
     /// The key or certificate in it can't be used or made.
@@ -138,8 +138,8 @@
 
 file_problems! {
     std::string::FromUtf8Error => NotText,
-    Invalid => Configuration,
-    BootError => Settings,
+    ValidationError => Configuration,
+    SettingsError => Settings,
     std::io::Error => Io,
     rcgen::Error => Certificate,
 }
--- a/crates/gateway/cli/src/shedding_order.rs
+++ b/crates/gateway/cli/src/shedding_order.rs
@@ -2,7 +2,7 @@
 
 use crate::status_page::ABSENT;
 use crate::text_table::TextTable;
-use rushcourse_admission::{Order, Rank};
+use rushcourse_admission::{Rank, RankedRoutes, SheddingOrder};
 use rushcourse_config::Configuration;
 
 const HEADINGS: [&str; 6] = [
@@ -18,11 +18,11 @@
 pub(crate) fn shedding_order(configuration: &Configuration) -> String {
     let mut table = TextTable::new(&HEADINGS);
     for service in configuration.services.keys() {
-        let order = Order::at(configuration, service);
+        let order = SheddingOrder::for_service(configuration, service);
         let ranks = order.ranks();
-        for (from_last, (rank, routes)) in ranks.iter().enumerate().rev() {
+        for (from_last, ranked) in ranks.iter().enumerate().rev() {
             let place = place(ranks.len() - from_last, from_last == 0);
-            table.add_row(row(service, place, rank, routes));
+            table.add_row(row(service, place, ranked));
         }
     }
     table.to_string()
@@ -37,12 +37,13 @@
     }
 }
 
-fn row(service: &str, place: String, rank: &Rank, routes: &[String]) -> Vec<String> {
-    let kind = if rank.read_only { "reads" } else { "binds" };
-    let target_latency = if rank.aim_ms == u64::MAX {
+fn row(service: &str, place: String, ranked: &RankedRoutes) -> Vec<String> {
+    let RankedRoutes { rank, routes } = ranked;
+    let kind = if rank.is_read_only { "reads" } else { "binds" };
+    let target_latency = if rank.target_latency == Rank::NO_TARGET {
         ABSENT.into()
     } else {
-        format!("{:.3}", rank.aim_ms as f64 / 1000.0)
+        format!("{:.3}", rank.target_latency.as_secs_f64())
     };
     vec![
         service.into(),
--- a/crates/gateway/controller/src/pages.rs
+++ b/crates/gateway/controller/src/pages.rs
@@ -1,12 +1,13 @@
 //! The state of a core director as a page of JSON.
 
 use crate::links::Links;
-use rushcourse_cluster::Cluster;
+use rushcourse_cluster::{Cluster, TableEndpoint};
 use rushcourse_consensus::{ConsensusNode, HeldClaim};
-use rushcourse_storage::Doing;
-use rushcourse_types::NodeId;
+use rushcourse_storage::DiskStatistics;
+use rushcourse_types::{NodeId, Timestamp};
 use std::fmt::Write;
 use std::net::Ipv4Addr;
+use std::time::Duration;
 
 fn quoted(word: &str) -> String {
     facet_json::to_string(&word.to_string()).unwrap_or_else(|_| "\"?\"".into())
@@ -19,6 +20,11 @@
     )
 }
 
+/// Milliseconds with fractions, from whole microseconds.
+fn millis(span: Duration) -> f64 {
+    span.as_micros() as f64 / 1000.0
+}
+
 /// Who holds an operation key, as far as this director has it.
 pub fn key(wall: u64, held: Option<HeldClaim>) -> String {
     let Some(claim) = held else {
@@ -37,11 +43,11 @@
 /// `disk`: what the disk has done, and the bytes of its file.
 pub fn status(
     name: &str,
-    now: u64,
+    now: Timestamp,
     register: &ConsensusNode,
     party: &Cluster,
     links: &Links,
-    disk: (Doing, u64),
+    disk: (DiskStatistics, u64),
 ) -> String {
     let r = register.summary();
     let node = |n: NodeId| quoted(&n.to_string());
@@ -51,7 +57,7 @@
         "{{\"name\":{},\"primed\":{},\"set\":{{\"number\":{},\"members\":{}}},\"remembers\":{},\"votes\":{},\
          \"held\":{},\"in_force\":{},\"claims\":{},\"peers\":{}",
         quoted(name),
-        party.primed(),
+        party.is_synchronized(),
         r.voting_set.epoch,
         list(r.voting_set.members, node),
         r.has_complete_state,
@@ -61,15 +67,18 @@
         r.claim_count,
         list(r.peers, node),
     );
-    let (doing, bytes) = disk;
-    let stalled = doing
-        .writing_ms
-        .map_or("null".to_string(), |ms| format!("{ms:.1}"));
+    let (statistics, bytes) = disk;
+    let stalled = statistics
+        .current_write
+        .map_or("null".to_string(), |span| format!("{:.1}", millis(span)));
     let _ = write!(
         page,
         ",\"disk\":{{\"bytes\":{bytes},\"syncs\":{},\"refused\":{},\"last_ms\":{:.1},\"most_ms\":{:.1},\
          \"writing_ms\":{stalled}}}",
-        doing.syncs, doing.refused, doing.last_ms, doing.most_ms,
+        statistics.syncs,
+        statistics.refused_syncs,
+        millis(statistics.last_sync),
+        millis(statistics.longest_sync),
     );
     let sessions = list(links.view(), |(id, hello)| {
         let role = format!("{:?}", hello.role).to_lowercase();
@@ -79,30 +88,30 @@
             node(hello.node),
             quoted(&hello.zone),
             quoted(&role),
-            party.is_home(id),
+            party.is_primary_for(id),
         )
     });
     let hosts = list(party.hosts().iter(), |s| {
         let state = format!("{:?}", s.state()).to_lowercase();
         format!(
             "{{\"id\":{},\"service\":{},\"address\":{},\"zone\":{},\"state\":{},\"silent\":{},\"age_s\":{:.1}}}",
-            quoted(&s.news.id),
-            quoted(&s.news.service),
-            quoted(&s.news.address),
-            quoted(&s.news.zone),
+            quoted(&s.record().id),
+            quoted(&s.record().service),
+            quoted(&s.record().address),
+            quoted(&s.record().zone),
             quoted(&state),
-            s.silent,
-            now.saturating_sub(s.heard) as f64 / 1000.0
+            s.is_silent(),
+            now.since(s.last_heard_at()).as_millis() as f64 / 1000.0
         )
     });
-    let tables = list(party.distribution().view(), |t| {
-        let lines = list(t.lines, |(host, weight)| {
+    let tables = list(party.distribution().tables(), |t| {
+        let lines = list(t.endpoints, |TableEndpoint { host, weight }| {
             format!("[{},{weight:.3}]", quoted(&host))
         });
-        let (service, table, fronts) = (quoted(&t.service), t.table, t.fronts);
+        let (service, table, fronts) = (quoted(&t.service), t.table, t.gateways);
         format!("{{\"service\":{service},\"table\":{table},\"fronts\":{fronts},\"lines\":{lines}}}")
     });
-    let _ = write!(page, ",\"members\":{}", list(party.members().all(), node));
+    let _ = write!(page, ",\"members\":{}", list(party.gateways().all(), node));
     let refused = links.factory().rejections();
     let refused: Vec<String> = refused
         .iter()
--- a/crates/gateway/gateway/src/board.rs
+++ b/crates/gateway/gateway/src/board.rs
@@ -2,7 +2,7 @@
 
 use crate::links::Links;
 use crate::pools::Pools;
-use rushcourse_config::{Boot, Configuration};
+use rushcourse_config::{Configuration, NodeSettings};
 use rushcourse_messages::{ClaimId, Message, NodeId, OperationState, Role, VotingSet};
 use rushcourse_routing::{
     ClaimDecision, ClaimOutcome, ClaimRequest, ClaimResponse, ClaimWithdrawal, Claims,
@@ -17,7 +17,6 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::sync::Arc;
-use std::time::Duration;
 use tokio::sync::oneshot;
 
 /// Part of the memory that answers of operations may take (ours).
@@ -54,22 +53,20 @@
 }
 
 impl Board {
-    pub fn new(boot: &Boot, times: Clock, incarnation: Incarnation, links: Links) -> Board {
-        let me = u32::from(boot.ip);
+    pub fn new(boot: &NodeSettings, times: Clock, incarnation: Incarnation, links: Links) -> Board {
+        let me = u32::from(boot.node.ip_address);
         let b = &boot.bounds;
-        let key_window = Duration::from_millis((b.key_window_s * 1000.0) as u64);
-        let budget_window = Duration::from_millis((b.budget_window_s * 1000.0) as u64);
-        let memory = (boot.memory_mb * ANSWERS_PART * 1_000_000.0) as usize;
+        let memory = (boot.limits.memory_mb * ANSWERS_PART * 1_000_000.0) as usize;
         let state = State {
-            tables: EndpointTables::new(&boot.zone),
+            tables: EndpointTables::new(&boot.node.zone),
             retry_budget: RetryBudget::new(
                 b.retry_budget_ratio,
                 b.retry_budget_slack,
-                budget_window,
+                b.budget_window,
             ),
             claims: Claims::new(NodeId(me), incarnation),
-            operations: Operations::new(key_window, memory),
-            controllers: ControllerSelection::new(NodeId(me), &boot.zone),
+            operations: Operations::new(b.key_window, memory),
+            controllers: ControllerSelection::new(NodeId(me), &boot.node.zone),
             links,
             pools: Pools::default(),
             configuration: None,
@@ -198,7 +195,7 @@
             configuration
                 .routes
                 .iter()
-                .any(|r| r.split.iter().any(|p| p.0 == s))
+                .any(|r| r.services.iter().any(|p| *p.service == *s))
         };
         let served = configuration
             .services
@@ -318,7 +315,7 @@
         {
             return;
         }
-        match Configuration::read(text) {
+        match Configuration::parse(text) {
             Ok(read) => {
                 log::info!(
                     "event=in_force version={version} routes={}",
