--- a/crates/tools/netcost/src/simulated_gateway.rs
+++ b/crates/tools/netcost/src/simulated_gateway.rs
@@ -70,7 +70,10 @@
             message: Message::PrimarySelected(is_primary),
         };
         let released = released.map(|node| selection(node, false));
-        released.into_iter().chain([selection(selected, true)]).collect()
+        released
+            .into_iter()
+            .chain([selection(selected, true)])
+            .collect()
     }
 
     /// What the gateway reports of its attempts, a message for each service.
