--- /dev/null
+++ b/crates/gateway/controller/src/admin.rs
@@ -0,0 +1,135 @@
+//! The state of a controller as pages of JSON, which `rushctl` reads.
+
+use crate::controller::Controller;
+use crate::json::{list, quoted};
+use crate::peer_sessions::PeerSessions;
+use rushcourse_cluster::{Cluster, Subscriber, TableView};
+use rushcourse_consensus::{Claim, Ready};
+use rushcourse_storage::Doing;
+use rushcourse_transport::Session;
+use rushcourse_types::{NodeId, Timestamp, WallTime};
+
+/// Who holds an operation key, as far as this controller has it. `held`: the claim, and whether its disk has it.
+pub(crate) fn key_page(now: WallTime, held: Option<(Claim, bool)>) -> String {
+    let Some((claim, is_durable)) = held else {
+        return "{\"held\":false}".into();
+    };
+    format!(
+        "{{\"held\":true,\"on_disk\":{is_durable},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
+        node(claim.id.node),
+        quoted(&claim.id.incarnation.to_string()),
+        claim.id.number,
+        now.0.saturating_sub(claim.at) as f64 / 1000.0
+    )
+}
+
+/// All that this controller knows of itself and of the others.
+pub(crate) fn status_page(controller: &Controller) -> String {
+    let Controller {
+        clock,
+        storage,
+        consensus,
+        cluster,
+        sessions,
+        ..
+    } = controller;
+    let name = &sessions.factory().local_handshake().name;
+    let fields = [
+        format!("\"name\":{}", quoted(name)),
+        format!("\"primed\":{}", cluster.primed()),
+        replica_fields(&consensus.ready()),
+        disk_field(&storage.statistics(), storage.file_bytes()),
+        format!("\"members\":{}", list(cluster.members().all(), node)),
+        rejections_field(sessions),
+        sessions_field(sessions, cluster),
+        hosts_field(cluster, clock.now()),
+        tables_field(cluster),
+    ];
+    format!("{{{}}}", fields.join(","))
+}
+
+fn node(node: NodeId) -> String {
+    quoted(&node.to_string())
+}
+
+fn replica_fields(replica: &Ready) -> String {
+    format!(
+        "\"set\":{{\"number\":{},\"members\":{}}},\"remembers\":{},\"votes\":{},\"held\":{},\"in_force\":{},\
+         \"claims\":{},\"peers\":{}",
+        replica.set.epoch,
+        list(replica.set.members.iter().copied(), node),
+        replica.remembers,
+        replica.votes,
+        replica.held,
+        replica.in_force,
+        replica.claims,
+        list(replica.peers.iter().copied(), node),
+    )
+}
+
+/// `file_bytes`: of the state file.
+fn disk_field(disk: &Doing, file_bytes: u64) -> String {
+    let writing_ms = match disk.writing_ms {
+        Some(writing_ms) => format!("{writing_ms:.1}"),
+        None => "null".into(),
+    };
+    format!(
+        "\"disk\":{{\"bytes\":{file_bytes},\"syncs\":{},\"refused\":{},\"last_ms\":{:.1},\"most_ms\":{:.1},\
+         \"writing_ms\":{writing_ms}}}",
+        disk.syncs, disk.refused, disk.last_ms, disk.most_ms,
+    )
+}
+
+fn rejections_field(sessions: &PeerSessions) -> String {
+    let rejections = sessions.factory().rejections();
+    let counts: Vec<String> = rejections
+        .iter()
+        .map(|(reason, count)| format!("{}:{count}", quoted(reason)))
+        .collect();
+    format!("\"refused\":{{{}}}", counts.join(","))
+}
+
+fn sessions_field(sessions: &PeerSessions, cluster: &Cluster) -> String {
+    let session = |session: &Session| {
+        let peer = &session.peer;
+        let role = format!("{:?}", peer.role).to_lowercase();
+        format!(
+            "{{\"id\":{},\"name\":{},\"address\":{},\"zone\":{},\"role\":{},\"home\":{}}}",
+            session.id,
+            quoted(&peer.name),
+            node(peer.node),
+            quoted(&peer.zone),
+            quoted(&role),
+            cluster.is_home(session.id),
+        )
+    };
+    format!("\"sessions\":{}", list(sessions.iter(), session))
+}
+
+fn hosts_field(cluster: &Cluster, now: Timestamp) -> String {
+    let host = |host: &Subscriber| {
+        let state = format!("{:?}", host.state()).to_lowercase();
+        format!(
+            "{{\"id\":{},\"service\":{},\"address\":{},\"zone\":{},\"state\":{},\"silent\":{},\"age_s\":{:.1}}}",
+            quoted(&host.news.id),
+            quoted(&host.news.service),
+            quoted(&host.news.address),
+            quoted(&host.news.zone),
+            quoted(&state),
+            host.silent,
+            now.as_millis().saturating_sub(host.heard) as f64 / 1000.0
+        )
+    };
+    format!("\"hosts\":{}", list(cluster.hosts().iter(), host))
+}
+
+fn tables_field(cluster: &Cluster) -> String {
+    let table = |table: TableView| {
+        let lines = list(table.lines, |(host, weight)| {
+            format!("[{},{weight:.3}]", quoted(&host))
+        });
+        let (service, id, gateways) = (quoted(&table.service), table.table, table.fronts);
+        format!("{{\"service\":{service},\"table\":{id},\"fronts\":{gateways},\"lines\":{lines}}}")
+    };
+    format!("\"tables\":{}", list(cluster.distribution().view(), table))
+}
--- /dev/null
+++ b/crates/gateway/controller/src/contact.rs
@@ -0,0 +1,100 @@
+//! Whether this controller may speak for the system: it is in contact with a majority of the voting set, and has not
+//! stood still since that was last proven.
+
+use crate::control_request::ControlResponse;
+use crate::controller::Controller;
+use crate::rounds::{FinishedRound, PendingRound};
+use rushcourse_cluster as cluster;
+use rushcourse_consensus::Outcome;
+use rushcourse_messages::Message;
+use rushcourse_types::Epoch;
+
+impl Controller {
+    /// Whether there is a voting set to be in contact with.
+    pub(crate) fn has_voting_set(&self) -> bool {
+        self.consensus.set().epoch > Epoch::NONE
+    }
+
+    /// A turn of the event loop, before anything that waited is handled. A process that stood still may not know what
+    /// became of its sessions, so a majority is asked anew.
+    pub(crate) fn check_for_stall(&mut self) {
+        if self.contact.record_turn(self.clock.now()) {
+            log::info!("event=stalled");
+            self.step_cluster(cluster::Input::Stalled);
+            self.prove_contact();
+        }
+    }
+
+    /// Looks whether this controller is with a majority, and tells the cluster when that changes.
+    pub(crate) fn update_contact(&mut self) {
+        let has_contact = self.consensus.in_company();
+        if self.contact.record_contact(has_contact) {
+            log::info!("event=quorum_contact has_majority={has_contact}");
+            self.step_cluster(cluster::Input::Company(has_contact));
+            if has_contact && self.contact.needs_proof() {
+                // The question of the stall may have gone to sessions that were dead.
+                self.prove_contact();
+            }
+        }
+        if self.contact.is_recent() {
+            self.notify_unnotified_sessions();
+        }
+    }
+
+    /// Whether requests may be acknowledged. What a controller without recent contact to a majority acknowledges, the
+    /// others may not hear of. Before the first voting set there is nothing to be out of contact with.
+    pub(crate) fn may_acknowledge(&mut self) -> bool {
+        self.update_contact();
+        let precedes_first_set = self.contact.is_first_start() && !self.has_voting_set();
+        self.contact.is_recent() || precedes_first_set
+    }
+
+    /// Asks all controllers, behind what was sent to them before.
+    pub(crate) fn begin_round(&mut self, pending: PendingRound) {
+        let token = self.contact.rounds.begin(self.clock.now(), pending);
+        let epoch = self.consensus.set().epoch;
+        self.sessions
+            .send_to_controllers(&Message::ReadRequest { token, epoch });
+    }
+
+    /// Asks a majority whether what is held here is current.
+    fn prove_contact(&mut self) {
+        let asked_at = self.clock.now();
+        self.begin_round(PendingRound::ContactProof { asked_at });
+    }
+
+    /// Carries out what the rounds that are over decide.
+    pub(crate) fn finish_rounds(&mut self) {
+        let (now, local) = (self.clock.now(), self.sessions.local_node());
+        let rounds = &mut self.contact.rounds;
+        for round in rounds.take_finished(now, local, self.consensus.set()) {
+            self.finish_round(round);
+        }
+    }
+
+    fn finish_round(&mut self, round: FinishedRound) {
+        let has_majority = round.has_majority;
+        match round.pending {
+            PendingRound::ContactProof { asked_at } if has_majority => {
+                self.contact.record_proof(asked_at);
+            }
+            PendingRound::ContactProof { .. } => {
+                if self.contact.needs_proof() {
+                    self.prove_contact();
+                }
+            }
+            PendingRound::HostResponse(responder) => {
+                let _ = responder.send(if has_majority {
+                    ControlResponse::Done
+                } else {
+                    ControlResponse::NoQuorumContact
+                });
+            }
+            PendingRound::OperatorRequest(ticket) => {
+                if !has_majority {
+                    self.pending_requests.respond(ticket, Outcome::Unclear);
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/controller/src/controller.rs
@@ -0,0 +1,112 @@
+//! All state of a controller, and the two pure state machines that decide: every input of theirs goes through here, and
+//! so does what they want done.
+
+use crate::contact_state::ContactState;
+use crate::peer_sessions::PeerSessions;
+use crate::pending_requests::PendingRequests;
+use crate::shutdown::Shutdown;
+use crate::storage_thread::StorageThread;
+use rushcourse_cluster::{self as cluster, Cluster};
+use rushcourse_consensus::{self as consensus, Op, Register};
+use rushcourse_messages::Message;
+use rushcourse_transport::Clock;
+use rushcourse_types::SessionId;
+use std::collections::BTreeSet;
+
+/// A controller. The event loop is its only caller, so that it changes by one input at a time.
+pub(crate) struct Controller {
+    pub(crate) clock: Clock,
+    pub(crate) storage: StorageThread,
+    /// What a majority of disks holds: voting set, configuration, claims.
+    pub(crate) consensus: Register,
+    /// What controllers tell each other of hosts and gateways, and the tables that come of it.
+    pub(crate) cluster: Cluster,
+    pub(crate) sessions: PeerSessions,
+    pub(crate) contact: ContactState,
+    pub(crate) pending_requests: PendingRequests,
+    /// Sessions of gateways that were not told yet which configuration is committed.
+    pub(crate) unnotified_sessions: BTreeSet<SessionId>,
+    pub(crate) shutdown: Shutdown,
+}
+
+impl Controller {
+    /// One input of the consensus, and what comes of it.
+    pub(crate) fn step_consensus(&mut self, input: consensus::Input) {
+        let (now, wall_time) = (self.clock.now(), self.clock.wall_time());
+        let effects = self.consensus.step(now.as_millis(), wall_time.0, input);
+        for effect in effects {
+            self.apply_consensus_effect(effect);
+        }
+    }
+
+    fn apply_consensus_effect(&mut self, effect: consensus::Effect) {
+        match effect {
+            consensus::Effect::Write { batch, ops } => self.storage.write(batch, ops),
+            consensus::Effect::Send { to, message } => {
+                self.sessions.send_to_controller(to, &message);
+            }
+            consensus::Effect::Vote {
+                session,
+                set,
+                key,
+                claim,
+                verdict,
+            } => {
+                let response = Message::ClaimResponse {
+                    epoch: set,
+                    key,
+                    claim,
+                    verdict,
+                };
+                self.sessions.send(session, &response);
+            }
+            consensus::Effect::Answer { ticket, outcome } => {
+                self.pending_requests.respond(ticket, outcome);
+            }
+            consensus::Effect::InForce { version, text } => {
+                self.announce_configuration(version, text);
+            }
+            consensus::Effect::Set(voting_set) => {
+                let message = Message::VotingSet(voting_set);
+                self.sessions.send_to_gateways(&message);
+            }
+            consensus::Effect::Say(line) => log::info!("{line}"),
+        }
+    }
+
+    /// One input of the cluster, and what comes of it.
+    pub(crate) fn step_cluster(&mut self, input: cluster::Input) {
+        let now = self.clock.now();
+        for effect in self.cluster.step(now.as_millis(), input) {
+            self.apply_cluster_effect(effect);
+        }
+    }
+
+    fn apply_cluster_effect(&self, effect: cluster::Effect) {
+        match effect {
+            cluster::Effect::ToPeer(node, message) => {
+                self.sessions.send_to_controller(node, &message);
+            }
+            cluster::Effect::ToPeers(message) => self.sessions.send_to_controllers(&message),
+            cluster::Effect::ToFront { session, message } => {
+                self.sessions.send(session, &message);
+            }
+            cluster::Effect::ToFronts(message) => self.sessions.send_to_gateways(&message),
+            cluster::Effect::Keep(record) => self.storage.write_untracked(Op::Host(record)),
+            cluster::Effect::Say(line) => log::info!("{line}"),
+        }
+    }
+
+    /// The process is to end: a standby may take its place among the voters first.
+    pub(crate) fn begin_shutdown(&mut self) {
+        if self.shutdown.begin(self.clock.now()) {
+            self.step_consensus(consensus::Input::Leave);
+        }
+    }
+
+    /// Whether the process is to end now: its place is taken, or no standby could take it, or its time is over.
+    pub(crate) fn may_stop(&self) -> bool {
+        self.shutdown.has_begun()
+            && (self.consensus.may_end() || self.shutdown.is_due(self.clock.now()))
+    }
+}
--- /dev/null
+++ b/crates/gateway/controller/src/http_api/handler.rs
@@ -0,0 +1,105 @@
+//! A request from its body to its answer.
+
+use super::endpoints::{Endpoint, Operation};
+use super::host_body;
+use super::responses::{RequestRejection, response_to};
+use crate::control_request::{
+    ControlEvent, ControlRequest, ControlResponse, EventSender, Responder,
+};
+use axum::body::{Body, Bytes, to_bytes};
+use axum::extract::Request;
+use axum::http::Response;
+use rushcourse_config::{Configuration, Invalid};
+use rushcourse_types::hash::key_digest;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::timeout;
+
+/// A request is answered within this time: its caller moves on after a second (PROTOCOL.md).
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(950);
+/// A body comes within this time.
+const BODY_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// Answers one request. `id`: what its path names.
+pub(super) async fn handle(
+    endpoint: &'static Endpoint,
+    events: EventSender,
+    id: Option<String>,
+    request: Request,
+) -> Response<Body> {
+    match forward(endpoint, &events, &id.unwrap_or_default(), request).await {
+        Ok(outcome) => response_to(outcome),
+        Err(rejection) => rejection.into_response(),
+    }
+}
+
+/// Checks a request and hands it to the event loop. `None`: it answered nothing in time.
+async fn forward(
+    endpoint: &'static Endpoint,
+    events: &EventSender,
+    id: &str,
+    request: Request,
+) -> Result<Option<ControlResponse>, RequestRejection> {
+    let body = read_body(request, endpoint.max_body_bytes).await?;
+    let (responder, response) = oneshot::channel();
+    let request = parse(endpoint.operation, id, &body, responder)?;
+    events
+        .send(ControlEvent::Request(request))
+        .map_err(|_| RequestRejection::Stopping)?;
+    let outcome = timeout(RESPONSE_TIMEOUT, response).await;
+    Ok(outcome.ok().and_then(Result::ok))
+}
+
+async fn read_body(request: Request, max_bytes: usize) -> Result<Bytes, RequestRejection> {
+    match timeout(BODY_TIMEOUT, to_bytes(request.into_body(), max_bytes)).await {
+        Ok(Ok(body)) => Ok(body),
+        Ok(Err(_)) => Err(RequestRejection::BodyTooLarge { max_bytes }),
+        Err(_) => Err(RequestRejection::BodyTimeout),
+    }
+}
+
+fn parse(
+    operation: Operation,
+    id: &str,
+    body: &[u8],
+    responder: Responder,
+) -> Result<ControlRequest, RequestRejection> {
+    Ok(match operation {
+        Operation::RegisterHost => {
+            let record = host_body::parse(id, body).map_err(|invalid| {
+                log::warn!(
+                    "event=request_rejected request=register_host id={id:?} why={:?}",
+                    invalid.to_string()
+                );
+                RequestRejection::Invalid(invalid)
+            })?;
+            ControlRequest::RegisterHost { record, responder }
+        }
+        Operation::DeregisterHost => ControlRequest::DeregisterHost {
+            id: id.into(),
+            responder,
+        },
+        Operation::PutConfiguration => ControlRequest::PutConfiguration {
+            version: checked_configuration(body)?.version,
+            text: Arc::from(body),
+            responder,
+        },
+        Operation::GetConfiguration => ControlRequest::GetConfiguration { responder },
+        Operation::GetStatus => ControlRequest::GetStatus { responder },
+        Operation::GetKey => ControlRequest::GetKey {
+            key: key_digest(id.as_bytes()),
+            responder,
+        },
+    })
+}
+
+fn checked_configuration(body: &[u8]) -> Result<Configuration, RequestRejection> {
+    Configuration::read(body).map_err(|invalid: Invalid| {
+        log::warn!(
+            "event=request_rejected request=put_configuration why={:?}",
+            invalid.to_string()
+        );
+        RequestRejection::Invalid(invalid)
+    })
+}
--- /dev/null
+++ b/crates/gateway/controller/src/http_api/host_body.rs
@@ -0,0 +1,111 @@
+//! What a host says of itself in a registration or a heartbeat.
+
+use facet_value::{VObject, Value};
+use rushcourse_config::Invalid;
+use rushcourse_config::cells::{needed, number, object, whole};
+use rushcourse_messages::{HostRecord, HostState};
+use rushcourse_types::{CallSequence, Millis};
+use std::net::SocketAddrV4;
+use std::sync::Arc;
+
+/// Bytes of a host's id, service, zone or address at most (ours).
+const MAX_WORD_BYTES: usize = 200;
+/// Seconds that a host is slow from its start at most (ours); more is taken for this.
+const MAX_WARM_UP_SECONDS: f64 = 3600.0;
+/// Requests that a host works on at once at most (ours); more are taken for this.
+const MAX_SLOTS: u64 = 1_000_000;
+
+/// Reads the body of a registration or a heartbeat of the host `id`.
+///
+/// # Errors
+/// The first field that is missing or wrong, by its place.
+pub(super) fn parse(id: &str, body: &[u8]) -> Result<HostRecord, Invalid> {
+    if id.is_empty() || id.len() > MAX_WORD_BYTES {
+        return Err(Invalid::at("path", "names no host"));
+    }
+    let value = parse_json(body)?;
+    let fields = object(&value, "body")?;
+    let information = object(needed(fields, "information", "body")?, "information")?;
+    let status = object(needed(fields, "status", "body")?, "status")?;
+    let address = parse_address(fields)?;
+    let state = parse_state(status)?;
+    let warm_up = parse_warm_up(status)?;
+    let slots = parse_slots(information)?;
+    let service = needed(information, "service", "information")?;
+    let zone = needed(information, "zone", "information")?;
+    let sequence = needed(status, "call_sequence", "status")?;
+    Ok(HostRecord {
+        id: id.into(),
+        service: word(service, "information.service")?,
+        zone: word(zone, "information.zone")?,
+        address,
+        slots,
+        state,
+        sequence: CallSequence(whole(sequence, "status.call_sequence")?),
+        warm_up,
+        age: Millis(0),
+    })
+}
+
+fn parse_json(body: &[u8]) -> Result<Value, Invalid> {
+    let text = std::str::from_utf8(body)
+        .map_err(|error| Invalid::at("body", format!("is no text: {error}")))?;
+    facet_json::from_str(text)
+        .map_err(|error| Invalid::at("body", format!("can't be read: {error}")))
+}
+
+fn parse_address(fields: &VObject) -> Result<Arc<str>, Invalid> {
+    let address = word(needed(fields, "address", "body")?, "address")?;
+    if address.parse::<SocketAddrV4>().is_err() {
+        let reason = format!("{address:?} is no address of the form 10.1.0.34:8080");
+        return Err(Invalid::at("address", reason));
+    }
+    Ok(address)
+}
+
+fn parse_state(status: &VObject) -> Result<HostState, Invalid> {
+    let state = word(needed(status, "state", "status")?, "status.state")?;
+    match &*state {
+        "ready" => Ok(HostState::Ready),
+        "draining" => Ok(HostState::Draining),
+        other => {
+            let reason = format!("{other:?} is neither ready nor draining");
+            Err(Invalid::at("status.state", reason))
+        }
+    }
+}
+
+fn parse_warm_up(status: &VObject) -> Result<Millis, Invalid> {
+    let Some(value) = optional(status, "cold_remaining_s") else {
+        return Ok(Millis(0));
+    };
+    let seconds = number(value, "status.cold_remaining_s")?.clamp(0.0, MAX_WARM_UP_SECONDS);
+    Ok(Millis((seconds * 1000.0) as u64))
+}
+
+fn parse_slots(information: &VObject) -> Result<u32, Invalid> {
+    let Some(value) = optional(information, "available_slots") else {
+        return Ok(1);
+    };
+    let slots = whole(value, "information.available_slots")?;
+    Ok(slots.clamp(1, MAX_SLOTS) as u32)
+}
+
+fn optional<'a>(fields: &'a VObject, name: &str) -> Option<&'a Value> {
+    fields.get(name).filter(|value| !value.is_null())
+}
+
+fn word(value: &Value, place: &str) -> Result<Arc<str>, Invalid> {
+    let word = value
+        .as_string()
+        .ok_or_else(|| Invalid::at(place, "must be a word"))?;
+    let word = word.as_str();
+    match word.len() {
+        0 => Err(Invalid::at(place, "is empty")),
+        length if length > MAX_WORD_BYTES => Err(Invalid::at(
+            place,
+            format!("has {length} letters, over {MAX_WORD_BYTES}"),
+        )),
+        _ => Ok(word.into()),
+    }
+}
--- a/crates/gateway/controller/src/lib.rs
+++ b/crates/gateway/controller/src/lib.rs
@@ -1,13 +1,36 @@
-//! The core director's program: calls of hosts and operators over HTTP (`calls.rs`, `reading.rs`), sessions with other
-//! directors (`links.rs`), and the owner that works through all of it and carries out what the pure parts say
-//! (`owner.rs`).
+//! The program `controller`: requests of hosts and operators over HTTP, sessions with other nodes, the state file, and
+//! the event loop that works through all of it and carries out what the pure packages decide.
+//!
+//! * `startup.rs`: from the settings to a running controller.
+//! * `event_loop.rs`: the loop, its queues, and what goes where.
+//! * `controller.rs`: all state, and the steps of consensus and cluster with their effects.
+//! * `host_requests.rs`, `operator_requests.rs`, `pending_requests.rs`: what callers get.
+//! * `configuration.rs`: what gateways get.
+//! * `contact.rs`, `contact_state.rs`, `rounds.rs`: whether this controller may speak for the system.
+//! * `shutdown.rs`: the end of the process.
+//! * `session_events.rs`, `peer_sessions.rs`: other nodes.
+//! * `control_request.rs`, `http_api/`: the HTTP interface.
+//! * `admin.rs`, `json.rs`: pages for operators.
+//! * `state_file.rs`, `storage_thread.rs`: the disk.
 
-mod calls;
-mod links;
-mod owner;
-mod pages;
-mod reading;
+mod admin;
+mod configuration;
+mod contact;
+mod contact_state;
+mod control_request;
+mod controller;
+mod event_loop;
+mod host_requests;
+mod http_api;
+mod json;
+mod operator_requests;
+mod peer_sessions;
+mod pending_requests;
+mod rounds;
+mod session_events;
+mod shutdown;
+mod startup;
 mod state_file;
-mod work;
+mod storage_thread;
 
-pub use owner::serve;
+pub use startup::serve;
--- /dev/null
+++ b/crates/gateway/controller/src/session_events.rs
@@ -0,0 +1,132 @@
+//! What happens on sessions with other nodes, and what they send.
+
+use crate::controller::Controller;
+use crate::peer_sessions::SessionChange;
+use rushcourse_cluster as cluster;
+use rushcourse_consensus as consensus;
+use rushcourse_messages::{Message, NodeId, Role};
+use rushcourse_transport::{Session, SessionEvent};
+use rushcourse_types::SessionId;
+
+impl Controller {
+    /// One event of a session.
+    pub(crate) fn handle_session_event(&mut self, event: SessionEvent) {
+        match event {
+            SessionEvent::Opened(session) => self.session_opened(session),
+            SessionEvent::Closed(id) => self.session_closed(id),
+            SessionEvent::Received { session, message } => self.handle_message(session, message),
+        }
+    }
+
+    fn session_opened(&mut self, session: Session) {
+        let (id, role) = (session.id, session.peer.role);
+        log::info!(
+            "event=session_opened peer={} role={role:?}",
+            session.peer.name
+        );
+        for change in self.sessions.opened(session) {
+            self.handle_session_change(change);
+        }
+        let controllers = Message::Controllers(self.sessions.known());
+        self.sessions.send(id, &controllers);
+        // All hear of a controller that nobody knew.
+        if role == Role::Controller {
+            self.sessions.send_to_controllers(&controllers);
+            self.sessions.send_to_gateways(&controllers);
+        }
+    }
+
+    fn session_closed(&mut self, id: SessionId) {
+        if let Some(session) = self.sessions.get(id) {
+            log::info!("event=session_closed peer={}", session.peer.name);
+        }
+        if let Some(change) = self.sessions.closed(id) {
+            self.handle_session_change(change);
+        }
+    }
+
+    fn handle_session_change(&mut self, change: SessionChange) {
+        match change {
+            SessionChange::ControllerConnected(node) => {
+                let zone = self.sessions.zone(node).unwrap_or_default();
+                self.step_consensus(consensus::Input::Up { peer: node, zone });
+                self.step_cluster(cluster::Input::PeerUp(node));
+            }
+            SessionChange::ControllerDisconnected(node) => {
+                self.step_consensus(consensus::Input::Down(node));
+                self.step_cluster(cluster::Input::PeerDown(node));
+            }
+            SessionChange::GatewayConnected(session) => self.gateway_connected(session),
+            SessionChange::GatewayDisconnected(session) => {
+                self.unnotified_sessions.remove(&session);
+                self.step_cluster(cluster::Input::FrontDown { session });
+            }
+        }
+    }
+
+    fn gateway_connected(&mut self, id: SessionId) {
+        let Some(session) = self.sessions.get(id) else {
+            return;
+        };
+        let (node, zone) = (session.peer.node, session.peer.zone.as_str().into());
+        session.send(&Message::VotingSet(self.consensus.set().clone()));
+        self.unnotified_sessions.insert(id);
+        self.update_contact();
+        self.step_cluster(cluster::Input::FrontUp {
+            session: id,
+            node,
+            zone,
+        });
+    }
+
+    fn handle_message(&mut self, id: SessionId, message: Message) {
+        let Some(session) = self.sessions.get(id) else {
+            return;
+        };
+        let node = session.peer.node;
+        match session.peer.role {
+            Role::Controller => self.handle_controller_message(node, message),
+            Role::Gateway => self.handle_gateway_message(id, message),
+        }
+    }
+
+    fn handle_controller_message(&mut self, node: NodeId, message: Message) {
+        match message {
+            Message::Controllers(nodes) => self.sessions.add_known(nodes),
+            Message::ReadResponse { token, .. }
+                if self.contact.rounds.record_response(node, token) =>
+            {
+                self.finish_rounds();
+            }
+            Message::GatewaySessions(_)
+            | Message::HostUpdates(_)
+            | Message::Heartbeats(_)
+            | Message::HostDigests(_)
+            | Message::HostRangeRequest(_)
+            | Message::ControllerStatus { .. } => {
+                self.step_cluster(cluster::Input::PeerSaid(node, message));
+            }
+            message => self.step_consensus(consensus::Input::Heard(node, message)),
+        }
+    }
+
+    fn handle_gateway_message(&mut self, session: SessionId, message: Message) {
+        match message {
+            Message::ClaimRequest { epoch, key, claim } => {
+                self.step_consensus(consensus::Input::Claim {
+                    session,
+                    set: epoch,
+                    key,
+                    claim,
+                });
+            }
+            Message::ClaimWithdrawal { key, claim } => {
+                self.step_consensus(consensus::Input::Withdraw { key, claim });
+            }
+            Message::ConfigurationRequest { newer_than } => {
+                self.send_configuration(session, newer_than);
+            }
+            message => self.step_cluster(cluster::Input::FrontSaid { session, message }),
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/controller/src/startup.rs
@@ -0,0 +1,169 @@
+//! The start of a controller: sockets, the state file, the state machines, and the tasks around the event loop.
+
+use crate::contact_state::ContactState;
+use crate::control_request::{ControlEvent, EventSender};
+use crate::controller::Controller;
+use crate::event_loop::{self, Queues};
+use crate::http_api;
+use crate::peer_sessions::PeerSessions;
+use crate::pending_requests::PendingRequests;
+use crate::shutdown::Shutdown;
+use crate::state_file::{newest_version, state_file};
+use crate::storage_thread::StorageThread;
+use error_stack::{Report, ResultExt};
+use rushcourse_cluster::{self as cluster, Cluster, Place};
+use rushcourse_config::Boot;
+use rushcourse_consensus::{Register, Setup, Stored};
+use rushcourse_messages::{Handshake, Role};
+use rushcourse_storage::Store;
+use rushcourse_transport::startup::{
+    listen, listen_for_sessions, local_handshake, required_address, run_on_this_thread, seed_nodes,
+};
+use rushcourse_transport::{
+    Clock, Dialer, SessionEvent, SessionFactory, StartError, accept_sessions, logging,
+};
+use rushcourse_types::Epoch;
+use std::collections::BTreeSet;
+use std::path::Path;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+
+/// File descriptors that are not given to connections of others (ours).
+const RESERVED_DESCRIPTORS: usize = 264;
+/// Connections of others that a controller takes with however few descriptors (ours).
+const MIN_CONNECTIONS: usize = 16;
+
+/// Runs a controller until it is to end.
+///
+/// # Errors
+/// Settings that name no address to listen at or no folder, an address that is taken, a state file or keys that can't be
+/// used.
+pub fn serve(settings_path: &Path, settings: Boot) -> Result<(), Report<StartError>> {
+    logging::init(&settings.log_level, &settings.node_name);
+    run_on_this_thread(async {
+        let field = "listen_addresses.control_plane";
+        let control_plane = listen(required_address(settings.control_plane, field)?).await?;
+        let internal = listen_for_sessions(&settings).await?;
+        let (event_sender, control) = mpsc::unbounded_channel();
+        let (session_sender, sessions) = mpsc::unbounded_channel();
+        let controller = start(&settings, &event_sender, session_sender)?;
+        let factory = controller.sessions.factory().clone();
+        spawn_tasks(&settings, control_plane, internal, event_sender, factory);
+        event_loop::run(controller, Queues { sessions, control }, settings_path).await;
+        Ok(())
+    })
+}
+
+/// Starts the tasks that feed the event loop.
+fn spawn_tasks(
+    settings: &Boot,
+    control_plane: TcpListener,
+    internal: TcpListener,
+    events: EventSender,
+    factory: SessionFactory,
+) {
+    let descriptors = settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+    // Half of them for hosts and operators, half for sessions.
+    let max_connections = descriptors.max(MIN_CONNECTIONS) / 2;
+    tokio::task::spawn_local(http_api::serve_connections(
+        control_plane,
+        max_connections,
+        events.clone(),
+    ));
+    tokio::task::spawn_local(accept_sessions(internal, max_connections, factory));
+    tokio::task::spawn_local(event_loop::watch_hangups(events));
+}
+
+/// A controller with what its disk held.
+fn start(
+    settings: &Boot,
+    events: &EventSender,
+    session_events: mpsc::UnboundedSender<SessionEvent>,
+) -> Result<Controller, Report<StartError>> {
+    let clock = Clock::start();
+    let handshake = local_handshake(settings, Role::Controller);
+    let (storage, mut stored) = open_storage(settings, events.clone())?;
+    let stored_hosts = std::mem::take(&mut stored.hosts);
+    let setup = consensus_setup(settings, &handshake, &stored);
+    let mut controller = Controller {
+        clock,
+        storage,
+        consensus: Register::new(setup, stored),
+        cluster: Cluster::new(place(settings)),
+        sessions: open_sessions(settings, handshake, session_events)?,
+        contact: ContactState::new(settings.first_start),
+        pending_requests: PendingRequests::default(),
+        unnotified_sessions: BTreeSet::new(),
+        shutdown: Shutdown::new(settings.bounds.grace_period_s),
+    };
+    // Their tables stand before the hosts call again.
+    if !stored_hosts.is_empty() {
+        controller.step_cluster(cluster::Input::Held(stored_hosts));
+    }
+    Ok(controller)
+}
+
+/// Opens the state file, and starts the thread that works on it.
+fn open_storage(
+    settings: &Boot,
+    events: EventSender,
+) -> Result<(StorageThread, Stored), Report<StartError>> {
+    let Some(folder) = &settings.data_directory else {
+        return Err(Report::new(StartError::Disk).attach("data_directory is missing"));
+    };
+    let file = state_file(Path::new(folder))?;
+    let (store, stored) = Store::open(&file).change_context(StartError::Disk)?;
+    log::info!(
+        "event=start epoch={} complete_state={} configuration={} claims={}",
+        stored.set.epoch,
+        stored.remembers,
+        newest_version(&stored),
+        stored.claims.len()
+    );
+    let storage = StorageThread::spawn(store, &file, move |done| {
+        // The event loop is gone only where the process ends.
+        let _ = events.send(ControlEvent::Storage(done));
+    })?;
+    Ok((storage, stored))
+}
+
+fn consensus_setup(settings: &Boot, handshake: &Handshake, stored: &Stored) -> Setup {
+    Setup {
+        me: handshake.node,
+        zone: settings.zone.as_str().into(),
+        incarnation: handshake.incarnation,
+        seeds: seed_nodes(settings).collect(),
+        first_start: settings.first_start && stored.set.epoch == Epoch::NONE,
+        tolerated: settings.tolerated,
+        catch_up_ms: (settings.bounds.catch_up_s * 1000.0) as u64,
+        key_window_ms: (settings.bounds.key_window_s * 1000.0) as u64,
+    }
+}
+
+fn place(settings: &Boot) -> Place {
+    Place {
+        zone: settings.zone.as_str().into(),
+        zones: settings
+            .zones
+            .iter()
+            .map(|zone| zone.as_str().into())
+            .collect(),
+        beat_ms: (settings.beat_s * 1000.0) as u64,
+        drain_ms: settings.bounds.drain_s * 1000.0,
+    }
+}
+
+/// The sessions of a node that knows its seeds, none of them open.
+fn open_sessions(
+    settings: &Boot,
+    handshake: Handshake,
+    events: mpsc::UnboundedSender<SessionEvent>,
+) -> Result<PeerSessions, Report<StartError>> {
+    let factory = SessionFactory::new(handshake, events);
+    factory
+        .set_keys(settings.keys.as_ref())
+        .change_context(StartError::Keys)?;
+    let mut sessions = PeerSessions::new(Dialer::new(factory, settings.internal_ports.0));
+    sessions.add_known(seed_nodes(settings));
+    Ok(sessions)
+}
--- a/crates/gateway/controller/src/state_file.rs
+++ b/crates/gateway/controller/src/state_file.rs
@@ -2,37 +2,37 @@
 
 use error_stack::{Report, ResultExt};
 use rushcourse_consensus::Stored;
-use rushcourse_messages::{AcceptorRecord, Slot};
+use rushcourse_messages::Slot;
 use rushcourse_transport::StartError;
 use rushcourse_types::ConfigurationVersion;
+use std::fs::{self, File};
 use std::path::{Path, PathBuf};
 
 /// Name of the state file, and the name that versions before 0.2 gave it.
 const STATE_FILE: &str = "controller.redb";
 const EARLIER_STATE_FILE: &str = "exchange.redb";
 
-/// The state file's place. A file under its earlier name is renamed.
-pub fn state_file(folder: &Path) -> Result<PathBuf, Report<StartError>> {
+/// The path of the state file in a folder. A file under its earlier name is renamed.
+///
+/// # Errors
+/// [`StartError::Disk`] where it can't be renamed.
+pub(crate) fn state_file(folder: &Path) -> Result<PathBuf, Report<StartError>> {
     let (file, earlier) = (folder.join(STATE_FILE), folder.join(EARLIER_STATE_FILE));
     if earlier.exists() && !file.exists() {
-        std::fs::rename(&earlier, &file).change_context(StartError::Disk)?;
-        let synced = std::fs::File::open(folder).and_then(|f| f.sync_all());
+        fs::rename(&earlier, &file).change_context(StartError::Disk)?;
+        // The rename has to reach the disk as well.
+        let synced = File::open(folder).and_then(|folder| folder.sync_all());
         synced.change_context(StartError::Disk)?;
     }
     Ok(file)
 }
 
-/// The newest version that a disk holds; 0: none.
-pub fn newest_version(stored: &Stored) -> u64 {
-    let version = |(slot, _): &(Slot, AcceptorRecord)| match slot {
-        Slot::Configuration(version) => Some(*version),
+/// The newest version of a configuration that a disk holds.
+pub(crate) fn newest_version(stored: &Stored) -> ConfigurationVersion {
+    let slots = stored.records.iter().map(|(slot, _)| *slot);
+    let versions = slots.filter_map(|slot| match slot {
+        Slot::Configuration(version) => Some(version),
         Slot::VotingSet(_) => None,
-    };
-    stored
-        .records
-        .iter()
-        .filter_map(version)
-        .max()
-        .unwrap_or(ConfigurationVersion(0))
-        .0
+    });
+    versions.max().unwrap_or(ConfigurationVersion::NONE)
 }
