--- a/crates/gateway/controller/src/http_api/host_body.rs
+++ b/crates/gateway/controller/src/http_api/host_body.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 
 /// Bytes of a host's id, service, zone or address at most (ours).
-const MAX_WORD_BYTES: usize = 200;
+const MAX_FIELD_BYTES: usize = 200;
 /// Seconds that a host is slow from its start at most (ours); more is taken for this.
 const MAX_WARM_UP_SECONDS: f64 = 3600.0;
 /// Requests that a host works on at once at most (ours); more are taken for this.
@@ -20,7 +20,7 @@
 /// # Errors
 /// The first field that is missing or wrong, by its place.
 pub(super) fn parse(id: &str, body: &[u8]) -> Result<HostRecord, Invalid> {
-    if id.is_empty() || id.len() > MAX_WORD_BYTES {
+    if id.is_empty() || id.len() > MAX_FIELD_BYTES {
         return Err(Invalid::at("path", "names no host"));
     }
     let value = parse_json(body)?;
@@ -36,8 +36,8 @@
     let sequence = needed(status, "call_sequence", "status")?;
     Ok(HostRecord {
         id: id.into(),
-        service: word(service, "information.service")?,
-        zone: word(zone, "information.zone")?,
+        service: text_field(service, "information.service")?,
+        zone: text_field(zone, "information.zone")?,
         address,
         slots,
         state,
@@ -55,7 +55,7 @@
 }
 
 fn parse_address(fields: &VObject) -> Result<Arc<str>, Invalid> {
-    let address = word(needed(fields, "address", "body")?, "address")?;
+    let address = text_field(needed(fields, "address", "body")?, "address")?;
     if address.parse::<SocketAddrV4>().is_err() {
         let reason = format!("{address:?} is no address of the form 10.1.0.34:8080");
         return Err(Invalid::at("address", reason));
@@ -64,7 +64,7 @@
 }
 
 fn parse_state(status: &VObject) -> Result<HostState, Invalid> {
-    let state = word(needed(status, "state", "status")?, "status.state")?;
+    let state = text_field(needed(status, "state", "status")?, "status.state")?;
     match &*state {
         "ready" => Ok(HostState::Ready),
         "draining" => Ok(HostState::Draining),
@@ -95,17 +95,17 @@
     fields.get(name).filter(|value| !value.is_null())
 }
 
-fn word(value: &Value, place: &str) -> Result<Arc<str>, Invalid> {
-    let word = value
+fn text_field(value: &Value, place: &str) -> Result<Arc<str>, Invalid> {
+    let text = value
         .as_string()
         .ok_or_else(|| Invalid::at(place, "must be a word"))?;
-    let word = word.as_str();
-    match word.len() {
+    let text = text.as_str();
+    match text.len() {
         0 => Err(Invalid::at(place, "is empty")),
-        length if length > MAX_WORD_BYTES => Err(Invalid::at(
+        length if length > MAX_FIELD_BYTES => Err(Invalid::at(
             place,
-            format!("has {length} letters, over {MAX_WORD_BYTES}"),
+            format!("has {length} letters, over {MAX_FIELD_BYTES}"),
         )),
-        _ => Ok(word.into()),
+        _ => Ok(text.into()),
     }
 }
--- a/crates/gateway/controller/src/http_api/responses.rs
+++ b/crates/gateway/controller/src/http_api/responses.rs
@@ -46,14 +46,14 @@
 }
 
 impl fmt::Display for RequestRejection {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RequestRejection::BodyTooLarge { max_bytes } => {
-                write!(f, "body: over {max_bytes} bytes, or broken off")
+                write!(formatter, "body: over {max_bytes} bytes, or broken off")
             }
-            RequestRejection::BodyTimeout => f.write_str("body: did not come"),
-            RequestRejection::Invalid(invalid) => invalid.fmt(f),
-            RequestRejection::Stopping => f.write_str("ending"),
+            RequestRejection::BodyTimeout => formatter.write_str("body: did not come"),
+            RequestRejection::Invalid(invalid) => invalid.fmt(formatter),
+            RequestRejection::Stopping => formatter.write_str("ending"),
         }
     }
 }
--- a/crates/gateway/transport/src/connection.rs
+++ b/crates/gateway/transport/src/connection.rs
@@ -22,7 +22,7 @@
 /// Each side sends something at least this often.
 const PING_INTERVAL: Duration = Duration::from_millis(400);
 /// A session is over after so long without a message.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(1_600);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// Bytes of a handshake at most: no peer that has not opened a session makes a node hold more.
 const MAX_HANDSHAKE_BYTES: usize = 1_024;
 /// Bytes that are read of a connection at once.
@@ -64,7 +64,7 @@
 fn configure_socket(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let _ = stream.set_nodelay(true);
-    let _ = socket.set_tcp_user_timeout(Some(SILENCE_TIMEOUT));
+    let _ = socket.set_tcp_user_timeout(Some(IDLE_TIMEOUT));
 }
 
 /// Waits for what must come within a time.
@@ -140,7 +140,7 @@
     let local_role = factory.local_handshake().role;
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, reader);
     loop {
-        let message = within(SILENCE_TIMEOUT, read_frame(&mut reader, MAX_FRAME_BYTES)).await?;
+        let message = within(IDLE_TIMEOUT, read_frame(&mut reader, MAX_FRAME_BYTES)).await?;
         authorization::check_message(peer, local_role, &message)?;
         if message != Message::Ping {
             factory.emit(SessionEvent::Received {
@@ -171,6 +171,6 @@
             writer.write_all(&frames).await?;
             writer.flush().await
         };
-        within(SILENCE_TIMEOUT, write).await?;
+        within(IDLE_TIMEOUT, write).await?;
     }
 }
--- a/crates/gateway/transport/src/error.rs
+++ b/crates/gateway/transport/src/error.rs
@@ -43,15 +43,15 @@
 }
 
 impl fmt::Display for SessionError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SessionError::Io(error) | SessionError::BadCertificate(error) => error.fmt(f),
-            SessionError::Rejected(rejection) => rejection.fmt(f),
-            SessionError::Frame(error) => error.fmt(f),
-            SessionError::NotIpv4 => f.write_str("no IPv4 address"),
-            SessionError::NoHandshake => f.write_str("its first message is no handshake"),
+            SessionError::Io(error) | SessionError::BadCertificate(error) => error.fmt(formatter),
+            SessionError::Rejected(rejection) => rejection.fmt(formatter),
+            SessionError::Frame(error) => error.fmt(formatter),
+            SessionError::NotIpv4 => formatter.write_str("no IPv4 address"),
+            SessionError::NoHandshake => formatter.write_str("its first message is no handshake"),
             SessionError::TooManySessions { max_sessions } => {
-                write!(f, "{max_sessions} sessions are open")
+                write!(formatter, "{max_sessions} sessions are open")
             }
         }
     }
--- a/crates/gateway/transport/src/startup.rs
+++ b/crates/gateway/transport/src/startup.rs
@@ -40,23 +40,25 @@
 }
 
 impl fmt::Display for StartError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             StartError::NoSettingsFile => write!(
-                f,
+                formatter,
                 "no settings file: give --settings FILE or set {SETTINGS_VARIABLE}"
             ),
             StartError::SettingsUnreadable(path) => {
-                write!(f, "{}: can't be read", path.display())
+                write!(formatter, "{}: can't be read", path.display())
             }
-            StartError::SettingsInvalid(path) => write!(f, "{}: can't be used", path.display()),
-            StartError::MissingSetting(field) => write!(f, "{field}: is missing"),
-            StartError::Listen(address) => write!(f, "can't listen at {address}"),
-            StartError::Runtime => f.write_str("the asynchronous runtime can't start"),
-            StartError::Signals => f.write_str("signals can't be handled"),
-            StartError::Disk => f.write_str("the state on disk can't be used"),
+            StartError::SettingsInvalid(path) => {
+                write!(formatter, "{}: can't be used", path.display())
+            }
+            StartError::MissingSetting(field) => write!(formatter, "{field}: is missing"),
+            StartError::Listen(address) => write!(formatter, "can't listen at {address}"),
+            StartError::Runtime => formatter.write_str("the asynchronous runtime can't start"),
+            StartError::Signals => formatter.write_str("signals can't be handled"),
+            StartError::Disk => formatter.write_str("the state on disk can't be used"),
             StartError::Keys => {
-                f.write_str("the keys for sessions between nodes (peers.) can't be used")
+                formatter.write_str("the keys for sessions between nodes (peers.) can't be used")
             }
         }
     }
--- a/crates/gateway/transport/src/tls.rs
+++ b/crates/gateway/transport/src/tls.rs
@@ -17,8 +17,8 @@
 pub struct KeysError(String);
 
 impl fmt::Display for KeysError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(&self.0)
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(&self.0)
     }
 }
 
@@ -80,10 +80,10 @@
             _ => SessionError::Io(error),
         })?;
         let (_, connection) = stream.get_ref();
-        let shown = connection.peer_certificates();
+        let presented = connection.peer_certificates();
         let identity = PresentedIdentity {
             address: NodeId::from(address),
-            certificate: Some(certified_identity(shown, address)),
+            certificate: Some(certified_identity(presented, address)),
         };
         Ok((stream, identity))
     }
--- a/crates/gateway/transport/tests/keys.rs
+++ b/crates/gateway/transport/tests/keys.rs
@@ -7,6 +7,7 @@
 use common::run;
 use rushcourse_config::PeerKeys;
 use rushcourse_messages::{Message, Role};
+use rushcourse_transport::Session;
 use tempfile::TempDir;
 
 fn folder() -> TempDir {
@@ -132,57 +133,84 @@
     }
 }
 
-/// First all trust both authorities, then each shows a certificate of the new one, then the old one goes. Open sessions
-/// go on through all of it; files that can't be used change nothing.
-#[test]
-fn keys_are_exchanged_in_service_without_a_lost_session() {
-    let (folder, old, new) = (folder(), Authority::new(), Authority::new());
-    run(async {
+/// A controller and a gateway that trust one authority, and a session between them.
+struct Pair<'a> {
+    controller: Rotating<'a>,
+    gateway: Rotating<'a>,
+    port: u16,
+    session: Session,
+}
+
+impl Pair<'_> {
+    async fn start<'a>(folder: &'a TempDir, authority: &Authority) -> Pair<'a> {
         let mut controller = Rotating {
             node: Node::controller([127, 31, 3, 1]),
             names: &["127.31.3.1", "controller"],
-            folder: &folder,
+            folder,
             file: "0",
         };
         let mut gateway = Rotating {
             node: Node::gateway([127, 31, 3, 11]),
             names: &["127.31.3.11"],
-            folder: &folder,
+            folder,
             file: "1",
         };
-        controller.set_keys(&old, &[&old]);
-        gateway.set_keys(&old, &[&old]);
+        controller.set_keys(authority, &[authority]);
+        gateway.set_keys(authority, &[authority]);
         let port = controller.node.listen().await;
         gateway.node.dial(&controller.node, port);
         controller.node.opened().await;
         let session = gateway.node.opened().await;
+        Pair {
+            controller,
+            gateway,
+            port,
+            session,
+        }
+    }
+
+    /// A new session is made, and ends.
+    async fn open_and_close_another_session(&mut self) {
+        let (controller, gateway) = (&mut self.controller.node, &mut self.gateway.node);
+        gateway.dial(controller, self.port);
+        controller.opened().await;
+        let second = gateway.opened().await;
+        second.close();
+        gateway.closed("the second session ends").await;
+        controller.closed("the second session ends").await;
+    }
+
+    async fn first_session_goes_on(&mut self) {
+        self.session.send(&Message::PrimarySelected(true));
+        assert_eq!(
+            self.controller.node.received().await,
+            Message::PrimarySelected(true),
+            "the first session goes on"
+        );
+    }
+}
 
+/// First all trust both authorities, then each shows a certificate of the new one, then the old one goes. Open sessions
+/// go on through all of it; files that can't be used change nothing.
+#[test]
+fn keys_are_exchanged_in_service_without_a_lost_session() {
+    let (folder, old, new) = (folder(), Authority::new(), Authority::new());
+    run(async {
+        let mut pair = Pair::start(&folder, &old).await;
         let steps: [(&Authority, &[&Authority]); 3] = [
             (&old, &[&old, &new]),
             (&new, &[&old, &new]),
             (&new, &[&new]),
         ];
         for (by, trusted) in steps {
-            controller.set_keys(by, trusted);
+            pair.controller.set_keys(by, trusted);
             // One machine after the other: between the two, new sessions are made all the same.
-            gateway.node.dial(&controller.node, port);
-            controller.node.opened().await;
-            let second = gateway.node.opened().await;
-            second.close();
-            gateway.node.closed("the second session ends").await;
-            controller.node.closed("the second session ends").await;
-
-            let keys = gateway.set_keys(by, trusted);
-            gateway.set_unusable_keys(keys);
-            session.send(&Message::PrimarySelected(true));
-            let received = controller.node.received().await;
-            assert_eq!(
-                received,
-                Message::PrimarySelected(true),
-                "the first session goes on"
-            );
+            pair.open_and_close_another_session().await;
+            let keys = pair.gateway.set_keys(by, trusted);
+            pair.gateway.set_unusable_keys(keys);
+            pair.first_session_goes_on().await;
         }
-        assert!(controller.node.factory.rejections().is_empty());
-        assert!(gateway.node.factory.rejections().is_empty());
+        assert!(pair.controller.node.factory.rejections().is_empty());
+        assert!(pair.gateway.node.factory.rejections().is_empty());
     });
 }
