--- a/crates/gateway/controller/src/admin.rs
+++ b/crates/gateway/controller/src/admin.rs
@@ -4,22 +4,23 @@
 use crate::json::{list, quoted};
 use crate::peer_sessions::PeerSessions;
 use rushcourse_cluster::{Cluster, Subscriber, TableView};
-use rushcourse_consensus::{Claim, Ready};
+use rushcourse_consensus::{HeldClaim, ReplicaSummary};
 use rushcourse_storage::Doing;
 use rushcourse_transport::Session;
 use rushcourse_types::{NodeId, Timestamp, WallTime};
 
-/// Who holds an operation key, as far as this controller has it. `held`: the claim, and whether its disk has it.
-pub(crate) fn key_page(now: WallTime, held: Option<(Claim, bool)>) -> String {
-    let Some((claim, is_durable)) = held else {
+/// Who holds an operation key, as far as this controller has it.
+pub(crate) fn key_page(now: WallTime, holder: Option<HeldClaim>) -> String {
+    let Some(claim) = holder else {
         return "{\"held\":false}".into();
     };
     format!(
-        "{{\"held\":true,\"on_disk\":{is_durable},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
+        "{{\"held\":true,\"on_disk\":{},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
+        claim.is_durable,
         node(claim.id.node),
         quoted(&claim.id.incarnation.to_string()),
         claim.id.number,
-        now.0.saturating_sub(claim.at) as f64 / 1000.0
+        now.0.saturating_sub(claim.claimed_at.0) as f64 / 1000.0
     )
 }
 
@@ -37,7 +38,7 @@
     let fields = [
         format!("\"name\":{}", quoted(name)),
         format!("\"primed\":{}", cluster.primed()),
-        replica_fields(&consensus.ready()),
+        replica_fields(&consensus.summary()),
         disk_field(&storage.statistics(), storage.file_bytes()),
         format!("\"members\":{}", list(cluster.members().all(), node)),
         rejections_field(sessions),
@@ -52,17 +53,17 @@
     quoted(&node.to_string())
 }
 
-fn replica_fields(replica: &Ready) -> String {
+fn replica_fields(replica: &ReplicaSummary) -> String {
     format!(
         "\"set\":{{\"number\":{},\"members\":{}}},\"remembers\":{},\"votes\":{},\"held\":{},\"in_force\":{},\
          \"claims\":{},\"peers\":{}",
-        replica.set.epoch,
-        list(replica.set.members.iter().copied(), node),
-        replica.remembers,
-        replica.votes,
-        replica.held,
-        replica.in_force,
-        replica.claims,
+        replica.voting_set.epoch,
+        list(replica.voting_set.members.iter().copied(), node),
+        replica.has_complete_state,
+        replica.is_voter,
+        replica.highest_accepted,
+        replica.committed,
+        replica.claim_count,
         list(replica.peers.iter().copied(), node),
     )
 }
--- a/crates/gateway/controller/src/configuration.rs
+++ b/crates/gateway/controller/src/configuration.rs
@@ -1,19 +1,16 @@
 //! The committed configuration on its way to the gateways.
 
 use crate::controller::Controller;
+use rushcourse_consensus::CommittedConfiguration;
 use rushcourse_messages::Message;
 use rushcourse_types::{ConfigurationVersion, SessionId};
-use std::sync::Arc;
 
 impl Controller {
     /// Brings a version that is now committed to the gateways that take their tables from here, and names it to the
     /// others.
-    pub(crate) fn announce_configuration(
-        &mut self,
-        version: ConfigurationVersion,
-        text: Arc<[u8]>,
-    ) {
+    pub(crate) fn announce_configuration(&mut self, committed: CommittedConfiguration) {
         self.unnotified_sessions.clear();
+        let CommittedConfiguration { version, text } = committed;
         let configuration = Message::Configuration { version, text };
         let version = Message::CommittedVersion { version };
         for session in self.sessions.gateways() {
@@ -32,9 +29,10 @@
         if sessions.is_empty() {
             return;
         }
-        let Some((version, _)) = self.consensus.in_force() else {
+        let Some(committed) = self.consensus.committed_configuration() else {
             return;
         };
+        let version = committed.version;
         for session in sessions {
             self.sessions
                 .send(session, &Message::CommittedVersion { version });
@@ -43,9 +41,10 @@
 
     /// A gateway asks for the committed text, if it is newer than the one that it has.
     pub(crate) fn send_configuration(&self, session: SessionId, newer_than: ConfigurationVersion) {
-        let Some((version, text)) = self.consensus.in_force() else {
+        let Some(committed) = self.consensus.committed_configuration() else {
             return;
         };
+        let CommittedConfiguration { version, text } = committed;
         if version > newer_than {
             self.sessions
                 .send(session, &Message::Configuration { version, text });
--- a/crates/gateway/controller/src/contact.rs
+++ b/crates/gateway/controller/src/contact.rs
@@ -12,7 +12,7 @@
 impl Controller {
     /// Whether there is a voting set to be in contact with.
     pub(crate) fn has_voting_set(&self) -> bool {
-        self.consensus.set().epoch > Epoch::NONE
+        self.consensus.voting_set().epoch > Epoch::NONE
     }
 
     /// A turn of the event loop, before anything that waited is handled. A process that stood still may not know what
@@ -27,7 +27,7 @@
 
     /// Looks whether this controller is with a majority, and tells the cluster when that changes.
     pub(crate) fn update_contact(&mut self) {
-        let has_contact = self.consensus.in_company();
+        let has_contact = self.consensus.has_quorum_contact();
         if self.contact.record_contact(has_contact) {
             log::info!("event=quorum_contact has_majority={has_contact}");
             self.step_cluster(cluster::Input::Company(has_contact));
@@ -52,7 +52,7 @@
     /// Asks all controllers, behind what was sent to them before.
     pub(crate) fn begin_round(&mut self, pending: PendingRound) {
         let token = self.contact.rounds.begin(self.clock.now(), pending);
-        let epoch = self.consensus.set().epoch;
+        let epoch = self.consensus.voting_set().epoch;
         self.sessions
             .send_to_controllers(&Message::ReadRequest { token, epoch });
     }
@@ -67,7 +67,7 @@
     pub(crate) fn finish_rounds(&mut self) {
         let (now, local) = (self.clock.now(), self.sessions.local_node());
         let rounds = &mut self.contact.rounds;
-        for round in rounds.take_finished(now, local, self.consensus.set()) {
+        for round in rounds.take_finished(now, local, self.consensus.voting_set()) {
             self.finish_round(round);
         }
     }
@@ -92,7 +92,7 @@
             }
             PendingRound::OperatorRequest(ticket) => {
                 if !has_majority {
-                    self.pending_requests.respond(ticket, Outcome::Unclear);
+                    self.pending_requests.respond(ticket, Outcome::Unknown);
                 }
             }
         }
--- a/crates/gateway/controller/src/control_request.rs
+++ b/crates/gateway/controller/src/control_request.rs
@@ -61,8 +61,8 @@
     Text(Arc<[u8]>),
     /// No configuration was ever acknowledged.
     NoConfiguration,
-    /// No majority in time: come back.
-    Unclear,
+    /// No majority in time: the configuration may be committed or not.
+    Unknown,
     /// This controller has no recent contact with a majority: nothing was acknowledged, another controller may.
     NoQuorumContact,
 }
--- a/crates/gateway/controller/src/controller.rs
+++ b/crates/gateway/controller/src/controller.rs
@@ -7,7 +7,7 @@
 use crate::shutdown::Shutdown;
 use crate::storage_thread::StorageThread;
 use rushcourse_cluster::{self as cluster, Cluster};
-use rushcourse_consensus::{self as consensus, Op, Register};
+use rushcourse_consensus::{self as consensus, ClaimAnswer, ConsensusNode, WriteOperation};
 use rushcourse_messages::Message;
 use rushcourse_transport::Clock;
 use rushcourse_types::SessionId;
@@ -18,7 +18,7 @@
     pub(crate) clock: Clock,
     pub(crate) storage: StorageThread,
     /// What a majority of disks holds: voting set, configuration, claims.
-    pub(crate) consensus: Register,
+    pub(crate) consensus: ConsensusNode,
     /// What controllers tell each other of hosts and gateways, and the tables that come of it.
     pub(crate) cluster: Cluster,
     pub(crate) sessions: PeerSessions,
@@ -33,7 +33,7 @@
     /// One input of the consensus, and what comes of it.
     pub(crate) fn step_consensus(&mut self, input: consensus::Input) {
         let (now, wall_time) = (self.clock.now(), self.clock.wall_time());
-        let effects = self.consensus.step(now.as_millis(), wall_time.0, input);
+        let effects = self.consensus.step(now, wall_time, input);
         for effect in effects {
             self.apply_consensus_effect(effect);
         }
@@ -41,39 +41,35 @@
 
     fn apply_consensus_effect(&mut self, effect: consensus::Effect) {
         match effect {
-            consensus::Effect::Write { batch, ops } => self.storage.write(batch, ops),
+            consensus::Effect::Write(batch) => self.storage.write(batch),
             consensus::Effect::Send { to, message } => {
                 self.sessions.send_to_controller(to, &message);
             }
-            consensus::Effect::Vote {
-                session,
-                set,
-                key,
-                claim,
-                verdict,
-            } => {
-                let response = Message::ClaimResponse {
-                    epoch: set,
-                    key,
-                    claim,
-                    verdict,
-                };
-                self.sessions.send(session, &response);
-            }
+            consensus::Effect::AnswerClaim(answer) => self.answer_claim(answer),
             consensus::Effect::Answer { ticket, outcome } => {
                 self.pending_requests.respond(ticket, outcome);
             }
-            consensus::Effect::InForce { version, text } => {
-                self.announce_configuration(version, text);
+            consensus::Effect::ConfigurationCommitted(committed) => {
+                self.announce_configuration(committed);
             }
-            consensus::Effect::Set(voting_set) => {
+            consensus::Effect::VotingSetAdopted(voting_set) => {
                 let message = Message::VotingSet(voting_set);
                 self.sessions.send_to_gateways(&message);
             }
-            consensus::Effect::Say(line) => log::info!("{line}"),
+            consensus::Effect::Log(line) => log::info!("{line}"),
         }
     }
 
+    fn answer_claim(&self, answer: ClaimAnswer) {
+        let response = Message::ClaimResponse {
+            epoch: answer.epoch,
+            key: answer.key,
+            claim: answer.claim,
+            verdict: answer.verdict,
+        };
+        self.sessions.send(answer.session, &response);
+    }
+
     /// One input of the cluster, and what comes of it.
     pub(crate) fn step_cluster(&mut self, input: cluster::Input) {
         let now = self.clock.now();
@@ -92,7 +88,9 @@
                 self.sessions.send(session, &message);
             }
             cluster::Effect::ToFronts(message) => self.sessions.send_to_gateways(&message),
-            cluster::Effect::Keep(record) => self.storage.write_untracked(Op::Host(record)),
+            cluster::Effect::Keep(record) => self
+                .storage
+                .write_untracked(WriteOperation::StoreHost(record)),
             cluster::Effect::Say(line) => log::info!("{line}"),
         }
     }
@@ -100,13 +98,13 @@
     /// The process is to end: a standby may take its place among the voters first.
     pub(crate) fn begin_shutdown(&mut self) {
         if self.shutdown.begin(self.clock.now()) {
-            self.step_consensus(consensus::Input::Leave);
+            self.step_consensus(consensus::Input::ShutDown);
         }
     }
 
     /// Whether the process is to end now: its place is taken, or no standby could take it, or its time is over.
     pub(crate) fn may_stop(&self) -> bool {
         self.shutdown.has_begun()
-            && (self.consensus.may_end() || self.shutdown.is_due(self.clock.now()))
+            && (self.consensus.may_shut_down() || self.shutdown.is_due(self.clock.now()))
     }
 }
--- a/crates/gateway/controller/src/event_loop.rs
+++ b/crates/gateway/controller/src/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::control_request::{ControlEvent, ControlRequest, ControlResponse, EventSender};
 use crate::controller::Controller;
 use rushcourse_cluster as cluster;
-use rushcourse_consensus as consensus;
+use rushcourse_consensus::{self as consensus, BatchId};
 use rushcourse_storage::Done;
 use rushcourse_transport::SessionEvent;
 use rushcourse_transport::startup::{reload_settings, seed_nodes};
@@ -115,8 +115,8 @@
     fn handle_storage(&mut self, done: Vec<Done>) {
         for batch in done {
             self.step_consensus(match batch {
-                Done::Synced(batch) => consensus::Input::Synced(batch),
-                Done::Refused(batch) => consensus::Input::Refused(batch),
+                Done::Synced(batch) => consensus::Input::BatchSynced(BatchId(batch)),
+                Done::Refused(batch) => consensus::Input::BatchRefused(BatchId(batch)),
             });
         }
     }
@@ -140,7 +140,8 @@
                 let _ = responder.send(ControlResponse::Text(page.into_bytes().into()));
             }
             ControlRequest::GetKey { key, responder } => {
-                let page = admin::key_page(self.clock.wall_time(), self.consensus.held(key));
+                let page =
+                    admin::key_page(self.clock.wall_time(), self.consensus.claim_holder(key));
                 let _ = responder.send(ControlResponse::Text(page.into_bytes().into()));
             }
         }
--- a/crates/gateway/controller/src/http_api/responses.rs
+++ b/crates/gateway/controller/src/http_api/responses.rs
@@ -12,7 +12,7 @@
 /// Why a controller that is cut off acknowledges nothing.
 const NO_QUORUM_CONTACT: &str = "no recent contact with a majority: ask another director";
 /// Why a configuration is neither acknowledged nor refused.
-const UNCLEAR: &str = "no majority in time: it may be in force or not";
+const OUTCOME_UNKNOWN: &str = "no majority in time: it may be in force or not";
 /// The answer to a configuration under whose number another operator's text is committed: it is acknowledged, as each
 /// version that is not above the one held (PROTOCOL.md), and changed nothing.
 const OTHER_TEXT_COMMITTED: &str = "{\"another_text_in_force\":true}";
@@ -77,8 +77,8 @@
         Some(ControlResponse::NoQuorumContact) => {
             error_response(StatusCode::SERVICE_UNAVAILABLE, NO_QUORUM_CONTACT)
         }
-        Some(ControlResponse::Unclear) | None => {
-            error_response(StatusCode::SERVICE_UNAVAILABLE, UNCLEAR)
+        Some(ControlResponse::Unknown) | None => {
+            error_response(StatusCode::SERVICE_UNAVAILABLE, OUTCOME_UNKNOWN)
         }
     }
 }
--- a/crates/gateway/controller/src/operator_requests.rs
+++ b/crates/gateway/controller/src/operator_requests.rs
@@ -18,7 +18,7 @@
         let Some(ticket) = self.accept_operator_request(responder) else {
             return;
         };
-        self.step_consensus(consensus::Input::Put {
+        self.step_consensus(consensus::Input::PutConfiguration {
             ticket,
             version,
             text,
@@ -31,7 +31,7 @@
         let Some(ticket) = self.accept_operator_request(responder) else {
             return;
         };
-        self.step_consensus(consensus::Input::Get { ticket });
+        self.step_consensus(consensus::Input::GetConfiguration { ticket });
         self.limit_wait(ticket);
     }
 
--- a/crates/gateway/controller/src/pending_requests.rs
+++ b/crates/gateway/controller/src/pending_requests.rs
@@ -26,11 +26,15 @@
             return;
         };
         let _ = responder.send(match outcome {
-            Outcome::Acknowledged { another: false } => ControlResponse::Acknowledged,
-            Outcome::Acknowledged { another: true } => ControlResponse::OtherTextCommitted,
-            Outcome::Whole { text, .. } => ControlResponse::Text(text),
-            Outcome::Nothing => ControlResponse::NoConfiguration,
-            Outcome::Unclear => ControlResponse::Unclear,
+            Outcome::Acknowledged {
+                is_other_text: false,
+            } => ControlResponse::Acknowledged,
+            Outcome::Acknowledged {
+                is_other_text: true,
+            } => ControlResponse::OtherTextCommitted,
+            Outcome::Configuration(committed) => ControlResponse::Text(committed.text),
+            Outcome::NoConfiguration => ControlResponse::NoConfiguration,
+            Outcome::Unknown => ControlResponse::Unknown,
         });
     }
 }
--- a/crates/gateway/controller/src/session_events.rs
+++ b/crates/gateway/controller/src/session_events.rs
@@ -3,7 +3,7 @@
 use crate::controller::Controller;
 use crate::peer_sessions::SessionChange;
 use rushcourse_cluster as cluster;
-use rushcourse_consensus as consensus;
+use rushcourse_consensus::{self as consensus, ClaimRequest};
 use rushcourse_messages::{Message, NodeId, Role};
 use rushcourse_transport::{Session, SessionEvent};
 use rushcourse_types::SessionId;
@@ -49,11 +49,11 @@
         match change {
             SessionChange::ControllerConnected(node) => {
                 let zone = self.sessions.zone(node).unwrap_or_default();
-                self.step_consensus(consensus::Input::Up { peer: node, zone });
+                self.step_consensus(consensus::Input::PeerConnected { peer: node, zone });
                 self.step_cluster(cluster::Input::PeerUp(node));
             }
             SessionChange::ControllerDisconnected(node) => {
-                self.step_consensus(consensus::Input::Down(node));
+                self.step_consensus(consensus::Input::PeerDisconnected(node));
                 self.step_cluster(cluster::Input::PeerDown(node));
             }
             SessionChange::GatewayConnected(session) => self.gateway_connected(session),
@@ -69,7 +69,7 @@
             return;
         };
         let (node, zone) = (session.peer.node, session.peer.zone.as_str().into());
-        session.send(&Message::VotingSet(self.consensus.set().clone()));
+        session.send(&Message::VotingSet(self.consensus.voting_set().clone()));
         self.unnotified_sessions.insert(id);
         self.update_contact();
         self.step_cluster(cluster::Input::FrontUp {
@@ -106,22 +106,25 @@
             | Message::ControllerStatus { .. } => {
                 self.step_cluster(cluster::Input::PeerSaid(node, message));
             }
-            message => self.step_consensus(consensus::Input::Heard(node, message)),
+            message => self.step_consensus(consensus::Input::MessageReceived {
+                from: node,
+                message,
+            }),
         }
     }
 
     fn handle_gateway_message(&mut self, session: SessionId, message: Message) {
         match message {
             Message::ClaimRequest { epoch, key, claim } => {
-                self.step_consensus(consensus::Input::Claim {
+                self.step_consensus(consensus::Input::Claim(ClaimRequest {
                     session,
-                    set: epoch,
+                    epoch,
                     key,
                     claim,
-                });
+                }));
             }
             Message::ClaimWithdrawal { key, claim } => {
-                self.step_consensus(consensus::Input::Withdraw { key, claim });
+                self.step_consensus(consensus::Input::WithdrawClaim { key, claim });
             }
             Message::ConfigurationRequest { newer_than } => {
                 self.send_configuration(session, newer_than);
--- a/crates/gateway/controller/src/startup.rs
+++ b/crates/gateway/controller/src/startup.rs
@@ -13,7 +13,7 @@
 use error_stack::{Report, ResultExt};
 use rushcourse_cluster::{self as cluster, Cluster, Place};
 use rushcourse_config::Boot;
-use rushcourse_consensus::{Register, Setup, Stored};
+use rushcourse_consensus::{ConsensusNode, DurableState, Setup};
 use rushcourse_messages::{Handshake, Role};
 use rushcourse_storage::Store;
 use rushcourse_transport::startup::{
@@ -25,6 +25,7 @@
 use rushcourse_types::Epoch;
 use std::collections::BTreeSet;
 use std::path::Path;
+use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
@@ -88,7 +89,7 @@
     let mut controller = Controller {
         clock,
         storage,
-        consensus: Register::new(setup, stored),
+        consensus: ConsensusNode::new(setup, stored),
         cluster: Cluster::new(place(settings)),
         sessions: open_sessions(settings, handshake, session_events)?,
         contact: ContactState::new(settings.first_start),
@@ -107,16 +108,16 @@
 fn open_storage(
     settings: &Boot,
     events: EventSender,
-) -> Result<(StorageThread, Stored), Report<StartError>> {
+) -> Result<(StorageThread, DurableState), Report<StartError>> {
     let Some(folder) = &settings.data_directory else {
         return Err(Report::new(StartError::Disk).attach("data_directory is missing"));
     };
     let file = state_file(Path::new(folder))?;
     let (store, stored) = Store::open(&file).change_context(StartError::Disk)?;
     log::info!(
-        "event=start epoch={} complete_state={} configuration={} claims={}",
-        stored.set.epoch,
-        stored.remembers,
+        "event=start epoch={} has_complete_state={} configuration={} claims={}",
+        stored.voting_set.epoch,
+        stored.has_complete_state,
         newest_version(&stored),
         stored.claims.len()
     );
@@ -127,19 +128,24 @@
     Ok((storage, stored))
 }
 
-fn consensus_setup(settings: &Boot, handshake: &Handshake, stored: &Stored) -> Setup {
+fn consensus_setup(settings: &Boot, handshake: &Handshake, stored: &DurableState) -> Setup {
     Setup {
-        me: handshake.node,
+        node: handshake.node,
         zone: settings.zone.as_str().into(),
         incarnation: handshake.incarnation,
         seeds: seed_nodes(settings).collect(),
-        first_start: settings.first_start && stored.set.epoch == Epoch::NONE,
-        tolerated: settings.tolerated,
-        catch_up_ms: (settings.bounds.catch_up_s * 1000.0) as u64,
-        key_window_ms: (settings.bounds.key_window_s * 1000.0) as u64,
+        is_first_start: settings.first_start && stored.voting_set.epoch == Epoch::NONE,
+        tolerated_losses: settings.tolerated,
+        catch_up: whole_millis(settings.bounds.catch_up_s),
+        key_window: whole_millis(settings.bounds.key_window_s),
     }
 }
 
+/// A span of the settings, down to whole milliseconds.
+fn whole_millis(seconds: f64) -> Duration {
+    Duration::from_millis((seconds * 1000.0) as u64)
+}
+
 fn place(settings: &Boot) -> Place {
     Place {
         zone: settings.zone.as_str().into(),
--- a/crates/gateway/controller/src/state_file.rs
+++ b/crates/gateway/controller/src/state_file.rs
@@ -1,7 +1,7 @@
 //! Where the state file is, and what it held at the start.
 
 use error_stack::{Report, ResultExt};
-use rushcourse_consensus::Stored;
+use rushcourse_consensus::DurableState;
 use rushcourse_messages::Slot;
 use rushcourse_transport::StartError;
 use rushcourse_types::ConfigurationVersion;
@@ -28,8 +28,8 @@
 }
 
 /// The newest version of a configuration that a disk holds.
-pub(crate) fn newest_version(stored: &Stored) -> ConfigurationVersion {
-    let slots = stored.records.iter().map(|(slot, _)| *slot);
+pub(crate) fn newest_version(stored: &DurableState) -> ConfigurationVersion {
+    let slots = stored.records.iter().map(|record| record.slot);
     let versions = slots.filter_map(|slot| match slot {
         Slot::Configuration(version) => Some(version),
         Slot::VotingSet(_) => None,
--- a/crates/gateway/controller/src/storage_thread.rs
+++ b/crates/gateway/controller/src/storage_thread.rs
@@ -1,7 +1,7 @@
 //! The thread that works on the state file, as the event loop sees it.
 
 use error_stack::{Report, ResultExt};
-use rushcourse_consensus::Op;
+use rushcourse_consensus::{BatchId, WriteBatch, WriteOperation};
 use rushcourse_storage::{Doing, Done, Health, Store};
 use rushcourse_transport::StartError;
 use std::path::{Path, PathBuf};
@@ -12,11 +12,11 @@
 /// The stack of the storage thread.
 const STACK_BYTES: usize = 512 << 10;
 /// The number of batches whose end nobody waits for.
-const UNTRACKED_BATCH: u64 = 0;
+const UNTRACKED_BATCH: BatchId = BatchId(0);
 
 /// A way to the storage thread.
 pub(crate) struct StorageThread {
-    batches: mpsc::Sender<(u64, Vec<Op>)>,
+    batches: mpsc::Sender<(u64, Vec<WriteOperation>)>,
     health: Arc<Health>,
     file: PathBuf,
 }
@@ -47,15 +47,15 @@
     }
 
     /// Hands a batch to the thread, which reports by its number once it is on disk.
-    pub(crate) fn write(&self, batch: u64, operations: Vec<Op>) {
-        if self.batches.send((batch, operations)).is_err() {
+    pub(crate) fn write(&self, batch: WriteBatch) {
+        if self.batches.send((batch.id.0, batch.operations)).is_err() {
             log::error!("event=storage_thread_gone");
         }
     }
 
     /// Hands an operation to the thread that nobody waits for.
-    pub(crate) fn write_untracked(&self, operation: Op) {
-        let _ = self.batches.send((UNTRACKED_BATCH, vec![operation]));
+    pub(crate) fn write_untracked(&self, operation: WriteOperation) {
+        let _ = self.batches.send((UNTRACKED_BATCH.0, vec![operation]));
     }
 
     /// What the thread has done so far.
