--- a/crates/gateway/controller/src/admin.rs
+++ b/crates/gateway/controller/src/admin.rs
@@ -3,11 +3,12 @@
 use crate::controller::Controller;
 use crate::json::{list, quoted};
 use crate::peer_sessions::PeerSessions;
-use rushcourse_cluster::{Cluster, Subscriber, TableView};
+use rushcourse_cluster::{Cluster, HostEntry, TableEndpoint, TableView};
 use rushcourse_consensus::{HeldClaim, ReplicaSummary};
-use rushcourse_storage::Doing;
+use rushcourse_storage::DiskStatistics;
 use rushcourse_transport::Session;
 use rushcourse_types::{NodeId, Timestamp, WallTime};
+use std::time::Duration;
 
 /// Who holds an operation key, as far as this controller has it.
 pub(crate) fn key_page(now: WallTime, holder: Option<HeldClaim>) -> String {
@@ -37,10 +38,10 @@
     let name = &sessions.factory().local_handshake().name;
     let fields = [
         format!("\"name\":{}", quoted(name)),
-        format!("\"primed\":{}", cluster.primed()),
+        format!("\"primed\":{}", cluster.is_synchronized()),
         replica_fields(&consensus.summary()),
         disk_field(&storage.statistics(), storage.file_bytes()),
-        format!("\"members\":{}", list(cluster.members().all(), node)),
+        format!("\"members\":{}", list(cluster.gateways().all(), node)),
         rejections_field(sessions),
         sessions_field(sessions, cluster),
         hosts_field(cluster, clock.now()),
@@ -53,6 +54,11 @@
     quoted(&node.to_string())
 }
 
+/// Milliseconds with fractions, from whole microseconds.
+fn millis(span: Duration) -> f64 {
+    span.as_micros() as f64 / 1000.0
+}
+
 fn replica_fields(replica: &ReplicaSummary) -> String {
     format!(
         "\"set\":{{\"number\":{},\"members\":{}}},\"remembers\":{},\"votes\":{},\"held\":{},\"in_force\":{},\
@@ -69,15 +75,18 @@
 }
 
 /// `file_bytes`: of the state file.
-fn disk_field(disk: &Doing, file_bytes: u64) -> String {
-    let writing_ms = match disk.writing_ms {
-        Some(writing_ms) => format!("{writing_ms:.1}"),
+fn disk_field(disk: &DiskStatistics, file_bytes: u64) -> String {
+    let writing_ms = match disk.current_write {
+        Some(span) => format!("{:.1}", millis(span)),
         None => "null".into(),
     };
     format!(
         "\"disk\":{{\"bytes\":{file_bytes},\"syncs\":{},\"refused\":{},\"last_ms\":{:.1},\"most_ms\":{:.1},\
          \"writing_ms\":{writing_ms}}}",
-        disk.syncs, disk.refused, disk.last_ms, disk.most_ms,
+        disk.syncs,
+        disk.refused_syncs,
+        millis(disk.last_sync),
+        millis(disk.longest_sync),
     )
 }
 
@@ -101,24 +110,25 @@
             node(peer.node),
             quoted(&peer.zone),
             quoted(&role),
-            cluster.is_home(session.id),
+            cluster.is_primary_for(session.id),
         )
     };
     format!("\"sessions\":{}", list(sessions.iter(), session))
 }
 
 fn hosts_field(cluster: &Cluster, now: Timestamp) -> String {
-    let host = |host: &Subscriber| {
+    let host = |host: &HostEntry| {
+        let record = host.record();
         let state = format!("{:?}", host.state()).to_lowercase();
         format!(
             "{{\"id\":{},\"service\":{},\"address\":{},\"zone\":{},\"state\":{},\"silent\":{},\"age_s\":{:.1}}}",
-            quoted(&host.news.id),
-            quoted(&host.news.service),
-            quoted(&host.news.address),
-            quoted(&host.news.zone),
+            quoted(&record.id),
+            quoted(&record.service),
+            quoted(&record.address),
+            quoted(&record.zone),
             quoted(&state),
-            host.silent,
-            now.as_millis().saturating_sub(host.heard) as f64 / 1000.0
+            host.is_silent(),
+            now.since(host.last_heard_at()).as_millis() as f64 / 1000.0
         )
     };
     format!("\"hosts\":{}", list(cluster.hosts().iter(), host))
@@ -126,11 +136,14 @@
 
 fn tables_field(cluster: &Cluster) -> String {
     let table = |table: TableView| {
-        let lines = list(table.lines, |(host, weight)| {
+        let lines = list(table.endpoints, |TableEndpoint { host, weight }| {
             format!("[{},{weight:.3}]", quoted(&host))
         });
-        let (service, id, gateways) = (quoted(&table.service), table.table, table.fronts);
+        let (service, id, gateways) = (quoted(&table.service), table.table, table.gateways);
         format!("{{\"service\":{service},\"table\":{id},\"fronts\":{gateways},\"lines\":{lines}}}")
     };
-    format!("\"tables\":{}", list(cluster.distribution().view(), table))
+    format!(
+        "\"tables\":{}",
+        list(cluster.distribution().tables(), table)
+    )
 }
--- a/crates/gateway/controller/src/configuration.rs
+++ b/crates/gateway/controller/src/configuration.rs
@@ -14,7 +14,7 @@
         let configuration = Message::Configuration { version, text };
         let version = Message::CommittedVersion { version };
         for session in self.sessions.gateways() {
-            let message = if self.cluster.is_home(session) {
+            let message = if self.cluster.is_primary_for(session) {
                 &configuration
             } else {
                 &version
--- a/crates/gateway/controller/src/contact.rs
+++ b/crates/gateway/controller/src/contact.rs
@@ -3,7 +3,7 @@
 
 use crate::control_request::ControlResponse;
 use crate::controller::Controller;
-use crate::rounds::{FinishedRound, PendingRound};
+use crate::probes::{FinishedProbe, ProbePurpose};
 use rushcourse_cluster as cluster;
 use rushcourse_consensus::Outcome;
 use rushcourse_messages::Message;
@@ -21,7 +21,7 @@
         if self.contact.record_turn(self.clock.now()) {
             log::info!("event=stalled");
             self.step_cluster(cluster::Input::Stalled);
-            self.prove_contact();
+            self.confirm_contact();
         }
     }
 
@@ -30,13 +30,13 @@
         let has_contact = self.consensus.has_quorum_contact();
         if self.contact.record_contact(has_contact) {
             log::info!("event=quorum_contact has_majority={has_contact}");
-            self.step_cluster(cluster::Input::Company(has_contact));
-            if has_contact && self.contact.needs_proof() {
-                // The question of the stall may have gone to sessions that were dead.
-                self.prove_contact();
+            self.step_cluster(cluster::Input::QuorumContactChanged(has_contact));
+            if has_contact && self.contact.needs_confirmation() {
+                // The probe of the stall may have gone to sessions that were dead.
+                self.confirm_contact();
             }
         }
-        if self.contact.is_recent() {
+        if self.contact.is_current() {
             self.notify_unnotified_sessions();
         }
     }
@@ -46,52 +46,52 @@
     pub(crate) fn may_acknowledge(&mut self) -> bool {
         self.update_contact();
         let precedes_first_set = self.contact.is_first_start() && !self.has_voting_set();
-        self.contact.is_recent() || precedes_first_set
+        self.contact.is_current() || precedes_first_set
     }
 
     /// Asks all controllers, behind what was sent to them before.
-    pub(crate) fn begin_round(&mut self, pending: PendingRound) {
-        let token = self.contact.rounds.begin(self.clock.now(), pending);
+    pub(crate) fn begin_probe(&mut self, purpose: ProbePurpose) {
+        let token = self.contact.probes.begin(self.clock.now(), purpose);
         let epoch = self.consensus.voting_set().epoch;
         self.sessions
             .send_to_controllers(&Message::ReadRequest { token, epoch });
     }
 
     /// Asks a majority whether what is held here is current.
-    fn prove_contact(&mut self) {
-        let asked_at = self.clock.now();
-        self.begin_round(PendingRound::ContactProof { asked_at });
+    fn confirm_contact(&mut self) {
+        let probed_at = self.clock.now();
+        self.begin_probe(ProbePurpose::StallRecovery { probed_at });
     }
 
-    /// Carries out what the rounds that are over decide.
-    pub(crate) fn finish_rounds(&mut self) {
+    /// Carries out what the probes that are over decide.
+    pub(crate) fn finish_probes(&mut self) {
         let (now, local) = (self.clock.now(), self.sessions.local_node());
-        let rounds = &mut self.contact.rounds;
-        for round in rounds.take_finished(now, local, self.consensus.voting_set()) {
-            self.finish_round(round);
+        let probes = &mut self.contact.probes;
+        for probe in probes.take_finished(now, local, self.consensus.voting_set()) {
+            self.finish_probe(probe);
         }
     }
 
-    fn finish_round(&mut self, round: FinishedRound) {
-        let has_majority = round.has_majority;
-        match round.pending {
-            PendingRound::ContactProof { asked_at } if has_majority => {
-                self.contact.record_proof(asked_at);
+    fn finish_probe(&mut self, probe: FinishedProbe) {
+        let is_confirmed = probe.is_confirmed;
+        match probe.purpose {
+            ProbePurpose::StallRecovery { probed_at } if is_confirmed => {
+                self.contact.confirm(probed_at);
             }
-            PendingRound::ContactProof { .. } => {
-                if self.contact.needs_proof() {
-                    self.prove_contact();
+            ProbePurpose::StallRecovery { .. } => {
+                if self.contact.needs_confirmation() {
+                    self.confirm_contact();
                 }
             }
-            PendingRound::HostResponse(responder) => {
-                let _ = responder.send(if has_majority {
+            ProbePurpose::HostResponse(responder) => {
+                let _ = responder.send(if is_confirmed {
                     ControlResponse::Done
                 } else {
                     ControlResponse::NoQuorumContact
                 });
             }
-            PendingRound::OperatorRequest(ticket) => {
-                if !has_majority {
+            ProbePurpose::OperatorRequest(ticket) => {
+                if !is_confirmed {
                     self.pending_requests.respond(ticket, Outcome::Unknown);
                 }
             }
--- a/crates/gateway/controller/src/contact_state.rs
+++ b/crates/gateway/controller/src/contact_state.rs
@@ -1,57 +1,57 @@
 //! What is known of this controller's contact with a majority.
 
-use crate::rounds::PendingRounds;
-use rushcourse_cluster::Contact;
+use crate::probes::PendingProbes;
+use rushcourse_cluster::QuorumContact;
 use rushcourse_types::Timestamp;
 
-/// The contact with a majority, and the rounds that prove it.
+/// The contact with a majority, and the probes that confirm it.
 pub(crate) struct ContactState {
-    quorum: Contact,
+    quorum: QuorumContact,
     /// What the cluster was told last.
     reported_contact: bool,
     /// All of the system starts for the first time: no voting set can be known yet.
     is_first_start: bool,
-    pub(crate) rounds: PendingRounds,
+    pub(crate) probes: PendingProbes,
 }
 
 impl ContactState {
     /// The state of a process that has no session yet.
     pub(crate) fn new(is_first_start: bool) -> ContactState {
         ContactState {
-            quorum: Contact::default(),
+            quorum: QuorumContact::default(),
             reported_contact: false,
             is_first_start,
-            rounds: PendingRounds::default(),
+            probes: PendingProbes::default(),
         }
     }
 
     /// A turn of the event loop, before anything that waited is handled. True if the process stood still since the last
     /// one: a majority has to be asked anew.
     pub(crate) fn record_turn(&mut self, now: Timestamp) -> bool {
-        self.quorum.turn(now.as_millis())
+        self.quorum.record_turn(now)
     }
 
     /// Whether sessions with a majority of the voting set are open. True if that has changed.
     pub(crate) fn record_contact(&mut self, has_contact: bool) -> bool {
-        self.quorum.majority(has_contact);
+        self.quorum.record_quorum_sessions(has_contact);
         let has_changed = has_contact != self.reported_contact;
         self.reported_contact = has_contact;
         has_changed
     }
 
     /// A majority has answered a question of that time.
-    pub(crate) fn record_proof(&mut self, asked_at: Timestamp) {
-        self.quorum.proven(asked_at.as_millis());
+    pub(crate) fn confirm(&mut self, probed_at: Timestamp) {
+        self.quorum.confirm(probed_at);
     }
 
     /// Whether a majority has yet to answer a question since the last stall.
-    pub(crate) fn needs_proof(&self) -> bool {
-        self.quorum.needs_proof()
+    pub(crate) fn needs_confirmation(&self) -> bool {
+        self.quorum.needs_confirmation()
     }
 
     /// Whether what this controller says now may count as current.
-    pub(crate) fn is_recent(&self) -> bool {
-        self.quorum.is_recent()
+    pub(crate) fn is_current(&self) -> bool {
+        self.quorum.is_current()
     }
 
     /// Whether all of the system starts for the first time.
--- a/crates/gateway/controller/src/control_request.rs
+++ b/crates/gateway/controller/src/control_request.rs
@@ -1,7 +1,7 @@
 //! What the event loop works through besides sessions, in the order in which it comes.
 
 use rushcourse_messages::HostRecord;
-use rushcourse_storage::Done;
+use rushcourse_storage::WriteOutcome;
 use rushcourse_types::{ConfigurationVersion, KeyDigest};
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
@@ -17,7 +17,7 @@
     /// A host or an operator calls.
     Request(ControlRequest),
     /// The storage thread has worked through these batches.
-    Storage(Vec<Done>),
+    Storage(Vec<WriteOutcome>),
     /// The settings file may have changed.
     SettingsChanged,
 }
--- a/crates/gateway/controller/src/controller.rs
+++ b/crates/gateway/controller/src/controller.rs
@@ -73,25 +73,30 @@
     /// One input of the cluster, and what comes of it.
     pub(crate) fn step_cluster(&mut self, input: cluster::Input) {
         let now = self.clock.now();
-        for effect in self.cluster.step(now.as_millis(), input) {
+        for effect in self.cluster.step(now, input) {
             self.apply_cluster_effect(effect);
         }
     }
 
     fn apply_cluster_effect(&self, effect: cluster::Effect) {
         match effect {
-            cluster::Effect::ToPeer(node, message) => {
-                self.sessions.send_to_controller(node, &message);
+            cluster::Effect::SendToPeer { peer, message } => {
+                self.sessions.send_to_controller(peer, &message);
             }
-            cluster::Effect::ToPeers(message) => self.sessions.send_to_controllers(&message),
-            cluster::Effect::ToFront { session, message } => {
+            cluster::Effect::BroadcastToPeers(message) => {
+                self.sessions.send_to_controllers(&message);
+            }
+            cluster::Effect::SendToGateway { session, message } => {
                 self.sessions.send(session, &message);
             }
-            cluster::Effect::ToFronts(message) => self.sessions.send_to_gateways(&message),
-            cluster::Effect::Keep(record) => self
-                .storage
-                .write_untracked(WriteOperation::StoreHost(record)),
-            cluster::Effect::Say(line) => log::info!("{line}"),
+            cluster::Effect::BroadcastToGateways(message) => {
+                self.sessions.send_to_gateways(&message);
+            }
+            cluster::Effect::PersistHost(record) => {
+                self.storage
+                    .write_untracked(WriteOperation::StoreHost(record));
+            }
+            cluster::Effect::Log(line) => log::info!("{line}"),
         }
     }
 
--- a/crates/gateway/controller/src/event_loop.rs
+++ b/crates/gateway/controller/src/event_loop.rs
@@ -4,8 +4,8 @@
 use crate::control_request::{ControlEvent, ControlRequest, ControlResponse, EventSender};
 use crate::controller::Controller;
 use rushcourse_cluster as cluster;
-use rushcourse_consensus::{self as consensus, BatchId};
-use rushcourse_storage::Done;
+use rushcourse_consensus as consensus;
+use rushcourse_storage::WriteOutcome;
 use rushcourse_transport::SessionEvent;
 use rushcourse_transport::startup::{reload_settings, seed_nodes};
 use std::path::Path;
@@ -91,7 +91,7 @@
             self.sessions.dial_missing(ticks / DIAL_TICKS);
         }
         self.step_consensus(consensus::Input::Tick);
-        self.finish_rounds();
+        self.finish_probes();
         self.update_contact();
         self.step_cluster(cluster::Input::Tick);
         let rejections = self.sessions.factory();
@@ -103,7 +103,7 @@
     fn handle_control_event(&mut self, event: ControlEvent, settings_path: &Path) {
         match event {
             ControlEvent::Request(request) => self.handle_request(request),
-            ControlEvent::Storage(done) => self.handle_storage(done),
+            ControlEvent::Storage(outcomes) => self.handle_storage(outcomes),
             ControlEvent::SettingsChanged => {
                 if let Some(settings) = reload_settings(settings_path, self.sessions.factory()) {
                     self.sessions.add_known(seed_nodes(&settings));
@@ -112,11 +112,11 @@
         }
     }
 
-    fn handle_storage(&mut self, done: Vec<Done>) {
-        for batch in done {
-            self.step_consensus(match batch {
-                Done::Synced(batch) => consensus::Input::BatchSynced(BatchId(batch)),
-                Done::Refused(batch) => consensus::Input::BatchRefused(BatchId(batch)),
+    fn handle_storage(&mut self, outcomes: Vec<WriteOutcome>) {
+        for outcome in outcomes {
+            self.step_consensus(match outcome {
+                WriteOutcome::Synced(batch) => consensus::Input::BatchSynced(batch),
+                WriteOutcome::Refused(batch) => consensus::Input::BatchRefused(batch),
             });
         }
     }
--- a/crates/gateway/controller/src/host_requests.rs
+++ b/crates/gateway/controller/src/host_requests.rs
@@ -2,7 +2,7 @@
 
 use crate::control_request::{ControlResponse, Responder};
 use crate::controller::Controller;
-use crate::rounds::PendingRound;
+use crate::probes::ProbePurpose;
 use rushcourse_cluster as cluster;
 use rushcourse_messages::{HostRecord, HostState};
 use std::sync::Arc;
@@ -11,13 +11,13 @@
     /// A host registers, or sends a heartbeat.
     pub(crate) fn register_host(&mut self, record: HostRecord, responder: Responder) {
         let is_leaving = record.state != HostState::Ready;
-        self.step_cluster(cluster::Input::Call(record));
+        self.step_cluster(cluster::Input::HostRequest(record));
         self.respond_to_host(is_leaving, responder);
     }
 
     /// A host ends.
     pub(crate) fn deregister_host(&mut self, id: Arc<str>, responder: Responder) {
-        self.step_cluster(cluster::Input::SignOff(id));
+        self.step_cluster(cluster::Input::Deregister(id));
         self.respond_to_host(true, responder);
     }
 
@@ -28,7 +28,7 @@
         if !self.may_acknowledge() {
             let _ = responder.send(ControlResponse::NoQuorumContact);
         } else if is_leaving && self.has_voting_set() {
-            self.begin_round(PendingRound::HostResponse(responder));
+            self.begin_probe(ProbePurpose::HostResponse(responder));
         } else {
             let _ = responder.send(ControlResponse::Done);
         }
--- a/crates/gateway/controller/src/http_api/handler.rs
+++ b/crates/gateway/controller/src/http_api/handler.rs
@@ -9,7 +9,7 @@
 use axum::body::{Body, Bytes, to_bytes};
 use axum::extract::Request;
 use axum::http::Response;
-use rushcourse_config::{Configuration, Invalid};
+use rushcourse_config::Configuration;
 use rushcourse_types::hash::key_digest;
 use std::sync::Arc;
 use std::time::Duration;
@@ -67,12 +67,12 @@
 ) -> Result<ControlRequest, RequestRejection> {
     Ok(match operation {
         Operation::RegisterHost => {
-            let record = host_body::parse(id, body).map_err(|invalid| {
+            let record = host_body::parse(id, body).map_err(|error| {
                 log::warn!(
                     "event=request_rejected request=register_host id={id:?} why={:?}",
-                    invalid.to_string()
+                    error.to_string()
                 );
-                RequestRejection::Invalid(invalid)
+                RequestRejection::Invalid(error)
             })?;
             ControlRequest::RegisterHost { record, responder }
         }
@@ -95,11 +95,11 @@
 }
 
 fn checked_configuration(body: &[u8]) -> Result<Configuration, RequestRejection> {
-    Configuration::read(body).map_err(|invalid: Invalid| {
+    Configuration::parse(body).map_err(|error| {
         log::warn!(
             "event=request_rejected request=put_configuration why={:?}",
-            invalid.to_string()
+            error.to_string()
         );
-        RequestRejection::Invalid(invalid)
+        RequestRejection::Invalid(error)
     })
 }
--- a/crates/gateway/controller/src/http_api/host_body.rs
+++ b/crates/gateway/controller/src/http_api/host_body.rs
@@ -1,8 +1,8 @@
 //! What a host says of itself in a registration or a heartbeat.
 
 use facet_value::{VObject, Value};
-use rushcourse_config::Invalid;
-use rushcourse_config::cells::{needed, number, object, whole};
+use rushcourse_config::ValidationError;
+use rushcourse_config::json::{self, number, object, required, whole_number};
 use rushcourse_messages::{HostRecord, HostState};
 use rushcourse_types::{CallSequence, Millis};
 use std::net::SocketAddrV4;
@@ -19,21 +19,21 @@
 ///
 /// # Errors
 /// The first field that is missing or wrong, by its place.
-pub(super) fn parse(id: &str, body: &[u8]) -> Result<HostRecord, Invalid> {
+pub(super) fn parse(id: &str, body: &[u8]) -> Result<HostRecord, ValidationError> {
     if id.is_empty() || id.len() > MAX_FIELD_BYTES {
-        return Err(Invalid::at("path", "names no host"));
+        return Err(ValidationError::at("path", "names no host"));
     }
-    let value = parse_json(body)?;
+    let value = json::parse(body)?;
     let fields = object(&value, "body")?;
-    let information = object(needed(fields, "information", "body")?, "information")?;
-    let status = object(needed(fields, "status", "body")?, "status")?;
+    let information = object(required(fields, "information", "body")?, "information")?;
+    let status = object(required(fields, "status", "body")?, "status")?;
     let address = parse_address(fields)?;
     let state = parse_state(status)?;
     let warm_up = parse_warm_up(status)?;
     let slots = parse_slots(information)?;
-    let service = needed(information, "service", "information")?;
-    let zone = needed(information, "zone", "information")?;
-    let sequence = needed(status, "call_sequence", "status")?;
+    let service = required(information, "service", "information")?;
+    let zone = required(information, "zone", "information")?;
+    let sequence = required(status, "call_sequence", "status")?;
     Ok(HostRecord {
         id: id.into(),
         service: text_field(service, "information.service")?,
@@ -41,41 +41,34 @@
         address,
         slots,
         state,
-        sequence: CallSequence(whole(sequence, "status.call_sequence")?),
+        sequence: CallSequence(whole_number(sequence, "status.call_sequence")?),
         warm_up,
         age: Millis(0),
     })
 }
 
-fn parse_json(body: &[u8]) -> Result<Value, Invalid> {
-    let text = std::str::from_utf8(body)
-        .map_err(|error| Invalid::at("body", format!("is no text: {error}")))?;
-    facet_json::from_str(text)
-        .map_err(|error| Invalid::at("body", format!("can't be read: {error}")))
-}
-
-fn parse_address(fields: &VObject) -> Result<Arc<str>, Invalid> {
-    let address = text_field(needed(fields, "address", "body")?, "address")?;
+fn parse_address(fields: &VObject) -> Result<Arc<str>, ValidationError> {
+    let address = text_field(required(fields, "address", "body")?, "address")?;
     if address.parse::<SocketAddrV4>().is_err() {
         let reason = format!("{address:?} is no address of the form 10.1.0.34:8080");
-        return Err(Invalid::at("address", reason));
+        return Err(ValidationError::at("address", reason));
     }
     Ok(address)
 }
 
-fn parse_state(status: &VObject) -> Result<HostState, Invalid> {
-    let state = text_field(needed(status, "state", "status")?, "status.state")?;
+fn parse_state(status: &VObject) -> Result<HostState, ValidationError> {
+    let state = text_field(required(status, "state", "status")?, "status.state")?;
     match &*state {
         "ready" => Ok(HostState::Ready),
         "draining" => Ok(HostState::Draining),
         other => {
             let reason = format!("{other:?} is neither ready nor draining");
-            Err(Invalid::at("status.state", reason))
+            Err(ValidationError::at("status.state", reason))
         }
     }
 }
 
-fn parse_warm_up(status: &VObject) -> Result<Millis, Invalid> {
+fn parse_warm_up(status: &VObject) -> Result<Millis, ValidationError> {
     let Some(value) = optional(status, "cold_remaining_s") else {
         return Ok(Millis(0));
     };
@@ -83,11 +76,11 @@
     Ok(Millis((seconds * 1000.0) as u64))
 }
 
-fn parse_slots(information: &VObject) -> Result<u32, Invalid> {
+fn parse_slots(information: &VObject) -> Result<u32, ValidationError> {
     let Some(value) = optional(information, "available_slots") else {
         return Ok(1);
     };
-    let slots = whole(value, "information.available_slots")?;
+    let slots = whole_number(value, "information.available_slots")?;
     Ok(slots.clamp(1, MAX_SLOTS) as u32)
 }
 
@@ -95,14 +88,11 @@
     fields.get(name).filter(|value| !value.is_null())
 }
 
-fn text_field(value: &Value, place: &str) -> Result<Arc<str>, Invalid> {
-    let text = value
-        .as_string()
-        .ok_or_else(|| Invalid::at(place, "must be a word"))?;
-    let text = text.as_str();
+fn text_field(value: &Value, place: &str) -> Result<Arc<str>, ValidationError> {
+    let text = json::text(value, place)?;
     match text.len() {
-        0 => Err(Invalid::at(place, "is empty")),
-        length if length > MAX_FIELD_BYTES => Err(Invalid::at(
+        0 => Err(ValidationError::at(place, "is empty")),
+        length if length > MAX_FIELD_BYTES => Err(ValidationError::at(
             place,
             format!("has {length} letters, over {MAX_FIELD_BYTES}"),
         )),
--- a/crates/gateway/controller/src/http_api/responses.rs
+++ b/crates/gateway/controller/src/http_api/responses.rs
@@ -4,7 +4,7 @@
 use crate::json::quoted;
 use axum::body::{Body, Bytes};
 use axum::http::{HeaderValue, Response, StatusCode, header};
-use rushcourse_config::Invalid;
+use rushcourse_config::ValidationError;
 use std::fmt;
 
 /// Seconds after which a caller that got no clear answer may come back.
@@ -25,7 +25,7 @@
     /// Its body did not come in time.
     BodyTimeout,
     /// Its body can't be used.
-    Invalid(Invalid),
+    Invalid(ValidationError),
     /// The process ends.
     Stopping,
 }
@@ -52,7 +52,7 @@
                 write!(formatter, "body: over {max_bytes} bytes, or broken off")
             }
             RequestRejection::BodyTimeout => formatter.write_str("body: did not come"),
-            RequestRejection::Invalid(invalid) => invalid.fmt(formatter),
+            RequestRejection::Invalid(error) => error.fmt(formatter),
             RequestRejection::Stopping => formatter.write_str("ending"),
         }
     }
--- a/crates/gateway/controller/src/lib.rs
+++ b/crates/gateway/controller/src/lib.rs
@@ -6,7 +6,7 @@
 //! * `controller.rs`: all state, and the steps of consensus and cluster with their effects.
 //! * `host_requests.rs`, `operator_requests.rs`, `pending_requests.rs`: what callers get.
 //! * `configuration.rs`: what gateways get.
-//! * `contact.rs`, `contact_state.rs`, `rounds.rs`: whether this controller may speak for the system.
+//! * `contact.rs`, `contact_state.rs`, `probes.rs`: whether this controller may speak for the system.
 //! * `shutdown.rs`: the end of the process.
 //! * `session_events.rs`, `peer_sessions.rs`: other nodes.
 //! * `control_request.rs`, `http_api/`: the HTTP interface.
@@ -26,7 +26,7 @@
 mod operator_requests;
 mod peer_sessions;
 mod pending_requests;
-mod rounds;
+mod probes;
 mod session_events;
 mod shutdown;
 mod startup;
--- a/crates/gateway/controller/src/operator_requests.rs
+++ b/crates/gateway/controller/src/operator_requests.rs
@@ -2,7 +2,7 @@
 
 use crate::control_request::{ControlResponse, Responder};
 use crate::controller::Controller;
-use crate::rounds::PendingRound;
+use crate::probes::ProbePurpose;
 use rushcourse_consensus as consensus;
 use rushcourse_types::{ConfigurationVersion, Ticket};
 use std::sync::Arc;
@@ -47,7 +47,7 @@
     /// Ends a request early where no majority answers. One that waits for the first voting set has its whole time.
     fn limit_wait(&mut self, ticket: Ticket) {
         if self.has_voting_set() {
-            self.begin_round(PendingRound::OperatorRequest(ticket));
+            self.begin_probe(ProbePurpose::OperatorRequest(ticket));
         }
     }
 }
--- a/crates/gateway/controller/src/session_events.rs
+++ b/crates/gateway/controller/src/session_events.rs
@@ -50,16 +50,16 @@
             SessionChange::ControllerConnected(node) => {
                 let zone = self.sessions.zone(node).unwrap_or_default();
                 self.step_consensus(consensus::Input::PeerConnected { peer: node, zone });
-                self.step_cluster(cluster::Input::PeerUp(node));
+                self.step_cluster(cluster::Input::PeerSessionOpened(node));
             }
             SessionChange::ControllerDisconnected(node) => {
                 self.step_consensus(consensus::Input::PeerDisconnected(node));
-                self.step_cluster(cluster::Input::PeerDown(node));
+                self.step_cluster(cluster::Input::PeerSessionClosed(node));
             }
             SessionChange::GatewayConnected(session) => self.gateway_connected(session),
             SessionChange::GatewayDisconnected(session) => {
                 self.unnotified_sessions.remove(&session);
-                self.step_cluster(cluster::Input::FrontDown { session });
+                self.step_cluster(cluster::Input::GatewaySessionClosed(session));
             }
         }
     }
@@ -72,7 +72,7 @@
         session.send(&Message::VotingSet(self.consensus.voting_set().clone()));
         self.unnotified_sessions.insert(id);
         self.update_contact();
-        self.step_cluster(cluster::Input::FrontUp {
+        self.step_cluster(cluster::Input::GatewaySessionOpened {
             session: id,
             node,
             zone,
@@ -94,9 +94,9 @@
         match message {
             Message::Controllers(nodes) => self.sessions.add_known(nodes),
             Message::ReadResponse { token, .. }
-                if self.contact.rounds.record_response(node, token) =>
+                if self.contact.probes.record_response(node, token) =>
             {
-                self.finish_rounds();
+                self.finish_probes();
             }
             Message::GatewaySessions(_)
             | Message::HostUpdates(_)
@@ -104,7 +104,10 @@
             | Message::HostDigests(_)
             | Message::HostRangeRequest(_)
             | Message::ControllerStatus { .. } => {
-                self.step_cluster(cluster::Input::PeerSaid(node, message));
+                self.step_cluster(cluster::Input::PeerMessage {
+                    peer: node,
+                    message,
+                });
             }
             message => self.step_consensus(consensus::Input::MessageReceived {
                 from: node,
@@ -129,7 +132,7 @@
             Message::ConfigurationRequest { newer_than } => {
                 self.send_configuration(session, newer_than);
             }
-            message => self.step_cluster(cluster::Input::FrontSaid { session, message }),
+            message => self.step_cluster(cluster::Input::GatewayMessage { session, message }),
         }
     }
 }
--- a/crates/gateway/controller/src/shutdown.rs
+++ b/crates/gateway/controller/src/shutdown.rs
@@ -3,7 +3,7 @@
 use rushcourse_types::Timestamp;
 use std::time::Duration;
 
-/// Share of `grace_period_s` for which a process that is to end waits for a standby to take its place (ours).
+/// Share of `bounds.grace_period_s` for which a process that is to end waits for a standby to take its place (ours).
 const HANDOVER_SHARE: f64 = 0.5;
 
 /// How far the end of the process is.
@@ -14,9 +14,9 @@
 }
 
 impl Shutdown {
-    /// The process runs on. `grace_period_s`: after it the platform kills a process that it has told to end.
-    pub(crate) fn new(grace_period_s: f64) -> Shutdown {
-        let handover_ms = (grace_period_s * 1000.0 * HANDOVER_SHARE) as u64;
+    /// The process runs on. `grace_period`: after it the platform kills a process that it has told to end.
+    pub(crate) fn new(grace_period: Duration) -> Shutdown {
+        let handover_ms = (grace_period.as_secs_f64() * 1000.0 * HANDOVER_SHARE) as u64;
         Shutdown {
             handover_timeout: Duration::from_millis(handover_ms),
             deadline: None,
--- a/crates/gateway/controller/src/startup.rs
+++ b/crates/gateway/controller/src/startup.rs
@@ -11,8 +11,8 @@
 use crate::state_file::{newest_version, state_file};
 use crate::storage_thread::StorageThread;
 use error_stack::{Report, ResultExt};
-use rushcourse_cluster::{self as cluster, Cluster, Place};
-use rushcourse_config::Boot;
+use rushcourse_cluster::{self as cluster, Cluster, Topology};
+use rushcourse_config::NodeSettings;
 use rushcourse_consensus::{ConsensusNode, DurableState, Setup};
 use rushcourse_messages::{Handshake, Role};
 use rushcourse_storage::Store;
@@ -25,7 +25,6 @@
 use rushcourse_types::Epoch;
 use std::collections::BTreeSet;
 use std::path::Path;
-use std::time::Duration;
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
@@ -39,11 +38,15 @@
 /// # Errors
 /// Settings that name no address to listen at or no folder, an address that is taken, a state file or keys that can't be
 /// used.
-pub fn serve(settings_path: &Path, settings: Boot) -> Result<(), Report<StartError>> {
-    logging::init(&settings.log_level, &settings.node_name);
+pub fn serve(settings_path: &Path, settings: NodeSettings) -> Result<(), Report<StartError>> {
+    logging::init(&settings.log_level, &settings.node.name);
     run_on_this_thread(async {
         let field = "listen_addresses.control_plane";
-        let control_plane = listen(required_address(settings.control_plane, field)?).await?;
+        let control_plane = listen(required_address(
+            settings.listen_addresses.control_plane,
+            field,
+        )?)
+        .await?;
         let internal = listen_for_sessions(&settings).await?;
         let (event_sender, control) = mpsc::unbounded_channel();
         let (session_sender, sessions) = mpsc::unbounded_channel();
@@ -57,13 +60,16 @@
 
 /// Starts the tasks that feed the event loop.
 fn spawn_tasks(
-    settings: &Boot,
+    settings: &NodeSettings,
     control_plane: TcpListener,
     internal: TcpListener,
     events: EventSender,
     factory: SessionFactory,
 ) {
-    let descriptors = settings.descriptors.saturating_sub(RESERVED_DESCRIPTORS);
+    let descriptors = settings
+        .limits
+        .file_descriptors
+        .saturating_sub(RESERVED_DESCRIPTORS);
     // Half of them for hosts and operators, half for sessions.
     let max_connections = descriptors.max(MIN_CONNECTIONS) / 2;
     tokio::task::spawn_local(http_api::serve_connections(
@@ -77,7 +83,7 @@
 
 /// A controller with what its disk held.
 fn start(
-    settings: &Boot,
+    settings: &NodeSettings,
     events: &EventSender,
     session_events: mpsc::UnboundedSender<SessionEvent>,
 ) -> Result<Controller, Report<StartError>> {
@@ -90,23 +96,23 @@
         clock,
         storage,
         consensus: ConsensusNode::new(setup, stored),
-        cluster: Cluster::new(place(settings)),
+        cluster: Cluster::new(topology(settings)),
         sessions: open_sessions(settings, handshake, session_events)?,
-        contact: ContactState::new(settings.first_start),
+        contact: ContactState::new(settings.is_first_start),
         pending_requests: PendingRequests::default(),
         unnotified_sessions: BTreeSet::new(),
-        shutdown: Shutdown::new(settings.bounds.grace_period_s),
+        shutdown: Shutdown::new(settings.bounds.grace_period),
     };
     // Their tables stand before the hosts call again.
     if !stored_hosts.is_empty() {
-        controller.step_cluster(cluster::Input::Held(stored_hosts));
+        controller.step_cluster(cluster::Input::HostsRestored(stored_hosts));
     }
     Ok(controller)
 }
 
 /// Opens the state file, and starts the thread that works on it.
 fn open_storage(
-    settings: &Boot,
+    settings: &NodeSettings,
     events: EventSender,
 ) -> Result<(StorageThread, DurableState), Report<StartError>> {
     let Some(folder) = &settings.data_directory else {
@@ -121,55 +127,50 @@
         newest_version(&stored),
         stored.claims.len()
     );
-    let storage = StorageThread::spawn(store, &file, move |done| {
+    let storage = StorageThread::spawn(store, &file, move |outcomes| {
         // The event loop is gone only where the process ends.
-        let _ = events.send(ControlEvent::Storage(done));
+        let _ = events.send(ControlEvent::Storage(outcomes));
     })?;
     Ok((storage, stored))
 }
 
-fn consensus_setup(settings: &Boot, handshake: &Handshake, stored: &DurableState) -> Setup {
+fn consensus_setup(settings: &NodeSettings, handshake: &Handshake, stored: &DurableState) -> Setup {
     Setup {
         node: handshake.node,
-        zone: settings.zone.as_str().into(),
+        zone: settings.node.zone.as_str().into(),
         incarnation: handshake.incarnation,
         seeds: seed_nodes(settings).collect(),
-        is_first_start: settings.first_start && stored.voting_set.epoch == Epoch::NONE,
-        tolerated_losses: settings.tolerated,
-        catch_up: whole_millis(settings.bounds.catch_up_s),
-        key_window: whole_millis(settings.bounds.key_window_s),
+        is_first_start: settings.is_first_start && stored.voting_set.epoch == Epoch::NONE,
+        tolerated_losses: settings.tolerated_losses,
+        catch_up: settings.bounds.catch_up,
+        key_window: settings.bounds.key_window,
     }
 }
 
-/// A span of the settings, down to whole milliseconds.
-fn whole_millis(seconds: f64) -> Duration {
-    Duration::from_millis((seconds * 1000.0) as u64)
-}
-
-fn place(settings: &Boot) -> Place {
-    Place {
-        zone: settings.zone.as_str().into(),
+fn topology(settings: &NodeSettings) -> Topology {
+    Topology {
+        zone: settings.node.zone.as_str().into(),
         zones: settings
             .zones
             .iter()
             .map(|zone| zone.as_str().into())
             .collect(),
-        beat_ms: (settings.beat_s * 1000.0) as u64,
-        drain_ms: settings.bounds.drain_s * 1000.0,
+        heartbeat_interval: settings.heartbeat_interval,
+        drain_timeout: settings.bounds.drain,
     }
 }
 
 /// The sessions of a node that knows its seeds, none of them open.
 fn open_sessions(
-    settings: &Boot,
+    settings: &NodeSettings,
     handshake: Handshake,
     events: mpsc::UnboundedSender<SessionEvent>,
 ) -> Result<PeerSessions, Report<StartError>> {
     let factory = SessionFactory::new(handshake, events);
     factory
-        .set_keys(settings.keys.as_ref())
+        .set_keys(settings.peers.keys.as_ref())
         .change_context(StartError::Keys)?;
-    let mut sessions = PeerSessions::new(Dialer::new(factory, settings.internal_ports.0));
+    let mut sessions = PeerSessions::new(Dialer::new(factory, settings.peers.ports.first));
     sessions.add_known(seed_nodes(settings));
     Ok(sessions)
 }
--- a/crates/gateway/controller/src/storage_thread.rs
+++ b/crates/gateway/controller/src/storage_thread.rs
@@ -2,7 +2,7 @@
 
 use error_stack::{Report, ResultExt};
 use rushcourse_consensus::{BatchId, WriteBatch, WriteOperation};
-use rushcourse_storage::{Doing, Done, Health, Store};
+use rushcourse_storage::{DiskHealth, DiskStatistics, Store, WriteOutcome, run_writer};
 use rushcourse_transport::StartError;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -11,13 +11,11 @@
 
 /// The stack of the storage thread.
 const STACK_BYTES: usize = 512 << 10;
-/// The number of batches whose end nobody waits for.
-const UNTRACKED_BATCH: BatchId = BatchId(0);
 
 /// A way to the storage thread.
 pub(crate) struct StorageThread {
-    batches: mpsc::Sender<(u64, Vec<WriteOperation>)>,
-    health: Arc<Health>,
+    batches: mpsc::Sender<WriteBatch>,
+    health: Arc<DiskHealth>,
     file: PathBuf,
 }
 
@@ -29,15 +27,15 @@
     pub(crate) fn spawn(
         store: Store,
         file: &Path,
-        report: impl Fn(Vec<Done>) + Send + 'static,
+        report: impl Fn(Vec<WriteOutcome>) + Send + 'static,
     ) -> Result<StorageThread, Report<StartError>> {
         let (batches, queue) = mpsc::channel();
-        let health = Arc::new(Health::default());
+        let health = Arc::new(DiskHealth::default());
         let thread_health = health.clone();
         thread::Builder::new()
             .name("storage".into())
             .stack_size(STACK_BYTES)
-            .spawn(move || rushcourse_storage::run(store, &queue, &thread_health, report))
+            .spawn(move || run_writer(store, &queue, &thread_health, report))
             .change_context(StartError::Disk)?;
         Ok(StorageThread {
             batches,
@@ -48,19 +46,22 @@
 
     /// Hands a batch to the thread, which reports by its number once it is on disk.
     pub(crate) fn write(&self, batch: WriteBatch) {
-        if self.batches.send((batch.id.0, batch.operations)).is_err() {
+        if self.batches.send(batch).is_err() {
             log::error!("event=storage_thread_gone");
         }
     }
 
     /// Hands an operation to the thread that nobody waits for.
     pub(crate) fn write_untracked(&self, operation: WriteOperation) {
-        let _ = self.batches.send((UNTRACKED_BATCH.0, vec![operation]));
+        let _ = self.batches.send(WriteBatch {
+            id: BatchId::NONE,
+            operations: vec![operation],
+        });
     }
 
     /// What the thread has done so far.
-    pub(crate) fn statistics(&self) -> Doing {
-        self.health.doing()
+    pub(crate) fn statistics(&self) -> DiskStatistics {
+        self.health.statistics()
     }
 
     /// Bytes of the state file.
