--- a/crates/director/director-protocol/src/frames.rs
+++ b/crates/director/director-protocol/src/frames.rs
@@ -3,7 +3,7 @@
 
 use crate::load;
 use bytes::{BufMut, Bytes, BytesMut};
-use rushcourse_policy::interface::Load;
+use rushcourse_policy::interface::HostLoad;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
@@ -47,7 +47,7 @@
     /// Nothing where no try was good.
     pub avg: Option<f64>,
     pub window: f64,
-    pub load: Load,
+    pub load: HostLoad,
 }
 
 /// What came to a proxy.
--- a/crates/director/director-protocol/src/load.rs
+++ b/crates/director/director-protocol/src/load.rs
@@ -1,7 +1,7 @@
 //! A host's load report: an object in what collectors forward, a line of text from the host itself. Names
 //! that are not known are skipped; a known one with a value that can't be spoils the report.
 
-use rushcourse_policy::interface::Load;
+use rushcourse_policy::interface::HostLoad;
 use serde_json::Value;
 use serde_json::value::RawValue;
 
@@ -9,11 +9,11 @@
 const VALUE_MOST: f64 = 1e6;
 
 /// Sets a known name; `None` for a value that can't be.
-fn set(load: &mut Load, name: &str, value: Option<f64>) -> Option<()> {
+fn set(load: &mut HostLoad, name: &str, value: Option<f64>) -> Option<()> {
     let slot = match name {
-        "util" => &mut load.busy,
-        "queue" => &mut load.waiting,
-        "inflight" => &mut load.inflight,
+        "util" => &mut load.cpu_utilization,
+        "queue" => &mut load.queued,
+        "inflight" => &mut load.in_flight,
         _ => return Some(()),
     };
     *slot = Some(value.filter(|v| (0.0..=VALUE_MOST).contains(v))?);
@@ -21,8 +21,8 @@
 }
 
 /// The report inside a collector's message; none is an empty one.
-pub fn object(raw: Option<&RawValue>) -> Option<Load> {
-    let mut load = Load::default();
+pub fn object(raw: Option<&RawValue>) -> Option<HostLoad> {
+    let mut load = HostLoad::default();
     match raw.map_or(Ok(Value::Null), |r| serde_json::from_str(r.get())) {
         Ok(Value::Null) => {}
         Ok(Value::Object(fields)) => {
@@ -36,8 +36,8 @@
 }
 
 /// The report in a host's answer: `TEXT inflight=7, queue=2, util=0.61`. A spoilt one tells nothing.
-pub fn text(body: &[u8]) -> Load {
-    let mut load = Load::default();
+pub fn text(body: &[u8]) -> HostLoad {
+    let mut load = HostLoad::default();
     let body = String::from_utf8_lossy(body);
     let mut pairs = body
         .trim()
@@ -50,6 +50,6 @@
     if read.is_some() {
         load
     } else {
-        Load::default()
+        HostLoad::default()
     }
 }
--- a/crates/director/director-protocol/src/relay.rs
+++ b/crates/director/director-protocol/src/relay.rs
@@ -21,41 +21,49 @@
 
 /// Writes an action as an order; `None` for an action that is none of the relay's, which is the shared channel.
 pub fn order(action: &Action, classes: &[String]) -> Option<String> {
-    let own = |table: &u32| Channel::of(*table) == Channel::Own;
+    let own = |table: &u32| Channel::of(*table) == Channel::Dedicated;
     let words = |mask: u32| match named(mask, classes) {
         some if mask != 0 && some.len() < classes.len() => some.join("+"),
         _ => "*".into(),
     };
     let mut out = String::new();
     let written = match action {
-        Action::Line { table, .. } | Action::Clear { table } if own(table) => return None,
-        Action::Bind { table, .. } | Action::Level { table, .. } if own(table) => return None,
-        Action::Withdraw {
-            channel: Channel::Own,
+        Action::SetEndpoint { table, .. } | Action::ClearTable { table } if own(table) => {
+            return None;
+        }
+        Action::BindProxy { table, .. } | Action::SetAdmission { table, .. } if own(table) => {
+            return None;
+        }
+        Action::SetWithdrawn {
+            channel: Channel::Dedicated,
             ..
         } => return None,
-        Action::Line {
+        Action::SetEndpoint {
             table,
             host,
             weight,
         } => write!(out, "share,{table},{host},{weight}"),
-        Action::Clear { table } => write!(out, "clear,{table}"),
-        Action::Bind {
+        Action::ClearTable { table } => write!(out, "clear,{table}"),
+        Action::BindProxy {
             proxy,
             table,
             classes,
         } => write!(out, "bind,{proxy},{table},{}", words(*classes)),
-        Action::Withdraw {
-            host, out: true, ..
+        Action::SetWithdrawn {
+            host,
+            is_withdrawn: true,
+            ..
         } => write!(out, "withdraw,{host}"),
-        Action::Withdraw {
-            host, out: false, ..
+        Action::SetWithdrawn {
+            host,
+            is_withdrawn: false,
+            ..
         } => write!(out, "restore,{host}"),
-        Action::Level {
+        Action::SetAdmission {
             table,
             classes,
             quota,
-            again,
+            retry_policy: again,
         } => {
             let table = if *table == ALL_TABLES {
                 "*".into()
@@ -69,11 +77,11 @@
                 *again as u8
             )
         }
-        Action::Mark { number } => write!(out, "mark,{number},0"),
-        Action::Timer { .. }
-        | Action::Probe { .. }
-        | Action::Tell { .. }
-        | Action::Subscribe
+        Action::RequestAck { ack_number: number } => write!(out, "mark,{number},0"),
+        Action::StartTimer { .. }
+        | Action::CheckHealth { .. }
+        | Action::BroadcastToPeers { .. }
+        | Action::SubscribeToHosts
         | Action::Log { .. } => return None,
     };
     written.is_ok().then_some(out)
--- a/crates/director/director-protocol/tests/codecs.rs
+++ b/crates/director/director-protocol/tests/codecs.rs
@@ -3,7 +3,7 @@
 use rushcourse_director_protocol::frames::{self, Message};
 use rushcourse_director_protocol::relay::{self, Answer, News};
 use rushcourse_director_protocol::{discovery, load};
-use rushcourse_policy::interface::{Action, Again, Channel, Load};
+use rushcourse_policy::interface::{Action, Channel, HostLoad, RetryPolicy};
 
 fn classes() -> Vec<String> {
     ["lookup", "basket", "pay"].map(String::from).to_vec()
@@ -21,10 +21,10 @@
     );
     assert_eq!(
         h.load,
-        Load {
-            busy: Some(0.61),
-            waiting: None,
-            inflight: Some(7.0)
+        HostLoad {
+            cpu_utilization: Some(0.61),
+            queued: None,
+            in_flight: Some(7.0)
         }
     );
     let json = br#"{"@type":"usage","sidecar":17,"kind":"lookup","n":19,"bad":0,"window":1000.0}"#;
@@ -58,7 +58,7 @@
     assert!(matches!(h.host, std::borrow::Cow::Borrowed(_)));
     assert_eq!(
         (h.avg, h.load),
-        (None, Load::default()),
+        (None, HostLoad::default()),
         "nothing was good, and no report exists"
     );
 }
@@ -169,7 +169,7 @@
     let host = || "s-5be2a07c".into();
     let all = [
         (
-            Action::Line {
+            Action::SetEndpoint {
                 table: 4,
                 host: host(),
                 weight: 1.5,
@@ -177,7 +177,7 @@
             "share,4,s-5be2a07c,1.5",
         ),
         (
-            Action::Line {
+            Action::SetEndpoint {
                 table: 4,
                 host: host(),
                 weight: 0.0,
@@ -185,16 +185,16 @@
             "share,4,s-5be2a07c,0",
         ),
         (
-            Action::Line {
+            Action::SetEndpoint {
                 table: 4,
                 host: host(),
                 weight: 1e-7,
             },
             "share,4,s-5be2a07c,0.0000001",
         ),
-        (Action::Clear { table: 4 }, "clear,4"),
+        (Action::ClearTable { table: 4 }, "clear,4"),
         (
-            Action::Bind {
+            Action::BindProxy {
                 proxy: 17,
                 table: 4,
                 classes: 1,
@@ -202,7 +202,7 @@
             "bind,17,4,lookup",
         ),
         (
-            Action::Bind {
+            Action::BindProxy {
                 proxy: 17,
                 table: 4,
                 classes: 6,
@@ -210,7 +210,7 @@
             "bind,17,4,basket+pay",
         ),
         (
-            Action::Bind {
+            Action::BindProxy {
                 proxy: 17,
                 table: 4,
                 classes: 0,
@@ -218,48 +218,48 @@
             "bind,17,4,*",
         ),
         (
-            Action::Withdraw {
+            Action::SetWithdrawn {
                 host: host(),
-                out: true,
+                is_withdrawn: true,
                 channel: Channel::Shared,
             },
             "withdraw,s-5be2a07c",
         ),
         (
-            Action::Withdraw {
+            Action::SetWithdrawn {
                 host: host(),
-                out: false,
+                is_withdrawn: false,
                 channel: Channel::Shared,
             },
             "restore,s-5be2a07c",
         ),
         (
-            Action::Level {
+            Action::SetAdmission {
                 table: 4,
                 classes: 1,
                 quota: 0.9,
-                again: Again::AfterProof,
+                retry_policy: RetryPolicy::OnceIfNotRun,
             },
             "admit,4,lookup,0.9,1",
         ),
         (
-            Action::Level {
+            Action::SetAdmission {
                 table: 65_535,
                 classes: 7,
                 quota: 1.0,
-                again: Again::Never,
+                retry_policy: RetryPolicy::Never,
             },
             "admit,*,*,1,0",
         ),
-        (Action::Mark { number: 905 }, "mark,905,0"),
+        (Action::RequestAck { ack_number: 905 }, "mark,905,0"),
     ];
     for (action, text) in all {
         assert_eq!(relay::order(&action, &classes()).as_deref(), Some(text));
     }
     for action in [
-        Action::Subscribe,
+        Action::SubscribeToHosts,
         Action::Log { text: "x".into() },
-        Action::Probe { host: host() },
+        Action::CheckHealth { host: host() },
     ] {
         assert_eq!(relay::order(&action, &classes()), None);
     }
@@ -323,10 +323,10 @@
 
 #[test]
 fn a_load_report_in_text_is_read_as_far_as_it_is_known() {
-    let all = Load {
-        busy: Some(0.61),
-        waiting: Some(2.0),
-        inflight: Some(7.0),
+    let all = HostLoad {
+        cpu_utilization: Some(0.61),
+        queued: Some(2.0),
+        in_flight: Some(7.0),
     };
     assert_eq!(load::text(b"TEXT inflight=7, queue=2, util=0.61"), all);
     assert_eq!(
@@ -341,7 +341,7 @@
         "TEXT util",
         "\u{0}",
     ] {
-        assert_eq!(load::text(odd.as_bytes()), Load::default(), "{odd:?}");
+        assert_eq!(load::text(odd.as_bytes()), HostLoad::default(), "{odd:?}");
     }
 }
 
--- a/crates/director/director-settings/src/lib.rs
+++ b/crates/director/director-settings/src/lib.rs
@@ -3,7 +3,9 @@
 
 pub mod figures;
 
-use rushcourse_policy::interface::{self as core, Again, Effect, KeyScope, LevelKind, LoadSource};
+use rushcourse_policy::interface::{
+    self as core, AdmissionKind, Idempotency, LoadSource, RetryPolicy,
+};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -132,71 +134,69 @@
         .categories
         .into_iter()
         .enumerate()
-        .map(|(k, c)| core::Class {
-            aim: c.aim_ms,
+        .map(|(k, c)| core::RequestClass {
+            target_latency: c.aim_ms,
             deadline: c.deadline_ms,
-            worth: c.worth,
-            effect: match c.effect.as_str() {
-                "free" => Effect::Free,
-                "guarded" => Effect::Guarded,
-                _ => Effect::SingleShot,
+            value: c.worth,
+            idempotency: match c.effect.as_str() {
+                "free" => Idempotency::Idempotent,
+                "guarded" => Idempotency::Keyed,
+                _ => Idempotency::NotIdempotent,
             },
-            key_scope: match c.key_scope.as_str() {
-                "all" => KeyScope::All,
-                "zone" => KeyScope::Zone,
-                _ => KeyScope::Cell,
-            },
-            key_ttl: c.key_ttl_ms,
-            zone_bound: info.zone_bound.get(k).copied().unwrap_or(false),
-            writes: info.class_writes.get(k).copied().unwrap_or(false),
+            is_zone_bound: info.zone_bound.get(k).copied().unwrap_or(false),
+            is_write: info.class_writes.get(k).copied().unwrap_or(false),
         });
     core::Settings {
         classes: classes.collect(),
-        zones: o.zones.len(),
-        my_zone: o.my_zone,
-        zonal: info.zonal,
-        me: o.my_number,
-        directors: o.balancers,
-        proxies: info.proxy_count,
-        backlog: info.backlog,
-        push_rate: info.push_rate,
-        per_message: info.per_message,
-        update_cap: info.update_cap,
-        counted_over: info.counted_over_ms,
-        late: info.late_ms,
-        transit_max: info.transit_max_ms,
-        unserved_max: info.unserved_max_ms,
-        report_every: info.report_every_ms,
-        level_kind: match info.level_kind.as_str() {
-            "ratio" => LevelKind::Ratio,
-            "rps" => LevelKind::Rate,
-            _ => LevelKind::Off,
+        fleet: core::FleetSettings {
+            zones: o.zones.len(),
+            own_zone: o.my_zone,
+            is_zonal: info.zonal,
+            own_index: o.my_number,
+            directors: o.balancers,
+            proxies: info.proxy_count,
         },
-        base_again: match info.base_mode {
-            0 => Again::Never,
-            1 => Again::AfterProof,
-            2 => Again::OnceAfterAny,
-            _ => Again::TwiceAfterAny,
+        channel: core::ChannelSettings {
+            max_queued_lines: info.backlog,
+            lines_per_second: info.push_rate,
+            lines_per_message: info.per_message,
+            max_messages: info.update_cap,
+            message_window: info.counted_over_ms,
+            mean_transit: info.late_ms,
+            max_transit: info.transit_max_ms,
         },
-        first_wait: info.first_wait,
-        ejects: info.ejects,
-        may_probe: o.caps.may_probe,
-        may_tell: o.caps.peer_messages,
-        must_subscribe: o.registry_mode == "subscribe",
+        hosts: core::HostSettings {
+            drain_grace: o.rules.drain_grace_ms,
+            may_keep_unlisted: o.rules.removal_not_binding,
+            start_capacity: o.rules.start_capacity,
+            warm_up: o.rules.cold_ms,
+            overload_multiple: o.rules.fall_multiple,
+            has_listed_weights: o.weight_source != "off",
+        },
+        proxies: core::ProxySettings {
+            admission_kind: match info.level_kind.as_str() {
+                "ratio" => AdmissionKind::Ratio,
+                "rps" => AdmissionKind::Rate,
+                _ => AdmissionKind::Off,
+            },
+            retry_policy: match info.base_mode {
+                0 => RetryPolicy::Never,
+                1 => RetryPolicy::OnceIfNotRun,
+                2 => RetryPolicy::OnceAfterFailure,
+                _ => RetryPolicy::TwiceAfterFailure,
+            },
+            ejection_failures: info.ejects,
+        },
+        report_interval: info.report_every_ms,
         load_source: match o.reporting.source.as_str() {
-            "inline" => LoadSource::Sums,
-            "on_probe" => LoadSource::Probes,
+            "inline" => LoadSource::Reports,
+            "on_probe" => LoadSource::HealthChecks,
             _ => LoadSource::Nowhere,
         },
-        drain_grace: o.rules.drain_grace_ms,
-        gone_may_stay: o.rules.removal_not_binding,
-        start_capacity: o.rules.start_capacity,
-        cold: o.rules.cold_ms,
-        fall_multiple: o.rules.fall_multiple,
-        overload_for: o.rules.overload_for_ms,
         cross_zone_price: o.penalties.cross_zone,
-        probe_price: o.penalties.probe,
-        listed_weights: o.weight_source != "off",
+        may_check_health: o.caps.may_probe,
+        may_message_peers: o.caps.peer_messages,
+        must_subscribe: o.registry_mode == "subscribe",
     }
 }
 
--- a/crates/director/director-settings/tests/options.rs
+++ b/crates/director/director-settings/tests/options.rs
@@ -1,7 +1,7 @@
 //! The settings object as the operators write it.
 
 use rushcourse_director_settings::{Names, Options, senseless, settings};
-use rushcourse_policy::interface::{Again, Effect, LevelKind, LoadSource};
+use rushcourse_policy::interface::{AdmissionKind, Idempotency, LoadSource, RetryPolicy};
 use serde_json::{Value, json};
 
 fn options() -> Value {
@@ -35,30 +35,50 @@
     assert_eq!(names.quantum, 4.0);
     let s = settings(read(options()));
     assert_eq!(
-        (s.zones, s.my_zone, s.me, s.directors, s.proxies),
+        (
+            s.fleet.zones,
+            s.fleet.own_zone,
+            s.fleet.own_index,
+            s.fleet.directors,
+            s.fleet.proxies
+        ),
         (2, Some(0), 1, 2, 12)
     );
     assert_eq!(
-        (s.backlog, s.push_rate, s.update_cap, s.counted_over),
+        (
+            s.channel.max_queued_lines,
+            s.channel.lines_per_second,
+            s.channel.max_messages,
+            s.channel.message_window
+        ),
         (9400.0, 4700.0, 12, 10_000.0)
     );
     assert_eq!(
-        (s.classes[0].effect, s.classes[1].effect),
-        (Effect::Free, Effect::SingleShot)
+        (s.classes[0].idempotency, s.classes[1].idempotency),
+        (Idempotency::Idempotent, Idempotency::NotIdempotent)
     );
     assert_eq!(
         (
-            s.classes[1].zone_bound,
-            s.classes[1].writes,
-            s.classes[0].zone_bound
+            s.classes[1].is_zone_bound,
+            s.classes[1].is_write,
+            s.classes[0].is_zone_bound
         ),
         (true, true, false)
     );
     assert_eq!(
-        (s.level_kind, s.base_again, s.load_source),
-        (LevelKind::Ratio, Again::AfterProof, LoadSource::Sums)
+        (
+            s.proxies.admission_kind,
+            s.proxies.retry_policy,
+            s.load_source
+        ),
+        (
+            AdmissionKind::Ratio,
+            RetryPolicy::OnceIfNotRun,
+            LoadSource::Reports
+        )
     );
-    assert!(s.may_probe && !s.may_tell && s.listed_weights && !s.must_subscribe);
+    assert!(s.may_check_health && !s.may_message_peers);
+    assert!(s.hosts.has_listed_weights && !s.must_subscribe);
 }
 
 #[test]
--- a/crates/director/director-state/src/calls.rs
+++ b/crates/director/director-state/src/calls.rs
@@ -169,7 +169,12 @@
             });
         }
         if let Some(mark) = mark {
-            (0..further).for_each(|_| context.event(Event::Delayed { mark, twice: true }));
+            (0..further).for_each(|_| {
+                context.event(Event::CallUnconfirmed {
+                    ack_number: mark,
+                    may_have_run: true,
+                })
+            });
         }
         let calls = parts.into_iter().map(|orders| Call {
             orders,
@@ -189,9 +194,9 @@
             .enumerate()
             .find_map(|(at, c)| c.mark.map(|mark| (at, mark)));
         if let Some((at, mark)) = marked {
-            context.event(Event::Delayed {
-                mark,
-                twice: unsure && at == 0,
+            context.event(Event::CallUnconfirmed {
+                ack_number: mark,
+                may_have_run: unsure && at == 0,
             });
         }
     }
--- a/crates/director/director-state/src/listing.rs
+++ b/crates/director/director-state/src/listing.rs
@@ -4,7 +4,7 @@
 use crate::boundary::{Effect, Weight};
 use crate::step_context::StepContext;
 use rushcourse_director_protocol::discovery::{self, Listing, Member};
-use rushcourse_policy::interface::{Entry, Event, HostId, ListKind, Ms, Readiness};
+use rushcourse_policy::interface::{Event, HostEntry, HostId, HostListKind, Ms, Readiness};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -54,7 +54,7 @@
     /// When the last answer came that could be used.
     last: Option<Ms>,
     /// What was last told of each host, and where it listens.
-    known: BTreeMap<HostId, (Entry, String)>,
+    known: BTreeMap<HostId, (HostEntry, String)>,
 }
 
 impl Hosts {
@@ -88,7 +88,7 @@
     }
 
     /// All that is known: what was last told of each host, and where it listens.
-    pub fn all(&self) -> impl Iterator<Item = (&Entry, &String)> + Clone {
+    pub fn all(&self) -> impl Iterator<Item = (&HostEntry, &String)> + Clone {
         self.known.values().map(|(entry, address)| (entry, address))
     }
 
@@ -113,9 +113,9 @@
         match discovery::decode(body) {
             Ok(list) if list.revision > self.revision => {
                 let kind = if list.complete {
-                    ListKind::Full
+                    HostListKind::Full
                 } else {
-                    ListKind::Delta
+                    HostListKind::Delta
                 };
                 self.revision = list.revision;
                 self.give(context, &list, kind, zones);
@@ -136,14 +136,14 @@
 
     /// The list that the director had before its start: maybe old.
     pub fn held(&mut self, context: &mut StepContext, list: &Listing, zones: &[String]) {
-        self.give(context, list, ListKind::Held, zones);
+        self.give(context, list, HostListKind::Cached, zones);
     }
 
     fn give(
         &mut self,
         context: &mut StepContext,
         list: &Listing,
-        kind: ListKind,
+        kind: HostListKind,
         zones: &[String],
     ) {
         let mut entries = Vec::new();
@@ -167,14 +167,14 @@
         // Only what the list still names is remembered.
         let named = |host: &HostId| entries.iter().any(|e| e.host == *host);
         self.known.retain(|host, (e, _)| {
-            e.readiness != Readiness::Gone && (kind == ListKind::Delta || named(host))
+            e.readiness != Readiness::Gone && (kind == HostListKind::Delta || named(host))
         });
-        if kind != ListKind::Delta || !entries.is_empty() {
-            context.event(Event::List { kind, entries });
+        if kind != HostListKind::Delta || !entries.is_empty() {
+            context.event(Event::HostsListed { kind, entries });
         }
     }
 
-    fn entry(&self, m: &Member, zones: &[String]) -> Result<(Entry, String), String> {
+    fn entry(&self, m: &Member, zones: &[String]) -> Result<(HostEntry, String), String> {
         let host: HostId = m.id.as_ref().into();
         let readiness = match m.phase.as_ref() {
             "Ready" => Some(Readiness::Ready),
@@ -193,13 +193,13 @@
                 m.id, m.phase, m.locality
             ));
         };
-        let entry = Entry {
+        let entry = HostEntry {
             host,
             zone,
             cell: m.cell as u32,
             readiness,
             weight: m.size,
-            up_since: m.up_since_ms,
+            started_at: m.up_since_ms,
         };
         Ok((entry, m.host_port.to_string()))
     }
@@ -244,9 +244,9 @@
             (self.moved, self.old_ask) = (false, None);
         }
         if list.complete && (new || whole) {
-            self.give(context, &list, ListKind::Full, zones);
+            self.give(context, &list, HostListKind::Full, zones);
         } else if new && !whole {
-            self.give(context, &list, ListKind::Delta, zones);
+            self.give(context, &list, HostListKind::Delta, zones);
         } else if whole {
             return self.fail(context, "asked for the whole list, it told changes");
         }
@@ -321,7 +321,7 @@
             StepContext::default(),
         );
         let zones = ["east".to_string()];
-        let mut after = |kind: ListKind, revision: u64, member: &str| {
+        let mut after = |kind: HostListKind, revision: u64, member: &str| {
             let text = format!(r#"{{"revision":{revision},"complete":true,"members":[{member}]}}"#);
             hosts.give(
                 &mut context,
@@ -337,24 +337,24 @@
             )
         };
         assert_eq!(
-            after(ListKind::Full, 1, &at(1, "Ready")).as_deref(),
+            after(HostListKind::Full, 1, &at(1, "Ready")).as_deref(),
             Some("127.0.0.1:1")
         );
         assert_eq!(
-            after(ListKind::Delta, 2, &at(2, "Ready")).as_deref(),
+            after(HostListKind::Delta, 2, &at(2, "Ready")).as_deref(),
             Some("127.0.0.1:2")
         );
         assert_eq!(
-            after(ListKind::Delta, 3, &at(2, "Odd")).as_deref(),
+            after(HostListKind::Delta, 3, &at(2, "Odd")).as_deref(),
             Some("127.0.0.1:2")
         );
-        assert_eq!(after(ListKind::Delta, 4, &at(2, "Gone")), None);
+        assert_eq!(after(HostListKind::Delta, 4, &at(2, "Gone")), None);
         assert_eq!(
-            after(ListKind::Full, 5, &at(3, "Ready")).as_deref(),
+            after(HostListKind::Full, 5, &at(3, "Ready")).as_deref(),
             Some("127.0.0.1:3")
         );
         assert_eq!(
-            after(ListKind::Full, 6, ""),
+            after(HostListKind::Full, 6, ""),
             None,
             "a list that does not name it forgets it"
         );
--- a/crates/director/director-state/src/news.rs
+++ b/crates/director/director-state/src/news.rs
@@ -267,10 +267,10 @@
         context.proved.push(mark);
         if let Some(seen) = self.joined.get_mut(&proxy) {
             seen.applied = true;
-            context.event(Event::Applied {
-                mark,
+            context.event(Event::Acknowledged {
+                ack_number: mark,
                 proxy,
-                took,
+                elapsed: took,
                 channel: Channel::Shared,
             });
         }
@@ -295,7 +295,7 @@
             }
             News::Left { proxy } => {
                 if self.joined.remove(&proxy).is_some() {
-                    context.event(Event::Left {
+                    context.event(Event::ProxyLeft {
                         proxy,
                         channel: Channel::Shared,
                     });
@@ -317,11 +317,11 @@
         rate: f64,
         fresh: bool,
     ) {
-        let joined = Event::Joined {
+        let joined = Event::ProxyJoined {
             proxy,
             zone,
             rate,
-            fresh,
+            is_fresh: fresh,
             channel: Channel::Shared,
         };
         let gap = self.gap.map_or(0.0, |since| context.now - since);
@@ -336,7 +336,7 @@
             None => context.event(joined),
             // It holds nothing of what it had applied: it has started anew.
             Some(old) if !standing || fresh && old.applied => {
-                context.event(Event::Left {
+                context.event(Event::ProxyLeft {
                     proxy,
                     channel: Channel::Shared,
                 });
@@ -359,11 +359,11 @@
     pub fn rejoin(&self, context: &mut StepContext, proxy: ProxyId) {
         if let Some(Seen { zone, rate, .. }) = self.joined.get(&proxy) {
             let (zone, rate) = (*zone, *rate);
-            context.event(Event::Joined {
+            context.event(Event::ProxyJoined {
                 proxy,
                 zone,
                 rate,
-                fresh: false,
+                is_fresh: false,
                 channel: Channel::Shared,
             });
         }
@@ -388,7 +388,7 @@
         }
         for proxy in gone {
             self.joined.remove(&proxy);
-            context.event(Event::Left {
+            context.event(Event::ProxyLeft {
                 proxy,
                 channel: Channel::Shared,
             });
--- a/crates/director/director-state/src/probes.rs
+++ b/crates/director/director-state/src/probes.rs
@@ -29,16 +29,18 @@
         let doubled =
             self.in_flight.contains(&host) || self.waiting.iter().any(|(h, _)| *h == host);
         match address {
-            Some(address) if s.may_probe && !doubled && self.waiting.len() < WAITING_MOST => {
+            Some(address)
+                if s.may_check_health && !doubled && self.waiting.len() < WAITING_MOST =>
+            {
                 self.waiting.push_back((host, address.clone()));
             }
             _ => {
                 context.counters.add("probes_not_sent", 1);
                 context.note(Weight::Warning, "probe", || format!("{host} is not probed"));
-                context.event(Event::Probed {
+                context.event(Event::HealthChecked {
                     host,
-                    took: 0.0,
-                    answered: false,
+                    elapsed: 0.0,
+                    is_answered: false,
                     load: Default::default(),
                 });
             }
@@ -56,10 +58,10 @@
         body: &[u8],
     ) {
         if self.in_flight.remove(&host) {
-            context.event(Event::Probed {
+            context.event(Event::HealthChecked {
                 host,
-                took,
-                answered: ok,
+                elapsed: took,
+                is_answered: ok,
                 load: load::text(body),
             });
         }
@@ -92,10 +94,10 @@
 mod tests {
     use super::*;
 
-    fn settings(source: LoadSource, may_probe: bool) -> Settings {
+    fn settings(source: LoadSource, may_check_health: bool) -> Settings {
         Settings {
             load_source: source,
-            may_probe,
+            may_check_health,
             ..Settings::default()
         }
     }
@@ -119,7 +121,11 @@
         let answered = std::mem::take(&mut context.events)
             .into_iter()
             .filter_map(|e| match e {
-                Event::Probed { answered, load, .. } => Some((answered, load.busy)),
+                Event::HealthChecked {
+                    is_answered: answered,
+                    load,
+                    ..
+                } => Some((answered, load.cpu_utilization)),
                 _ => None,
             });
         answered.collect()
@@ -130,7 +136,7 @@
         let (mut probes, mut context, s) = (
             Probes::default(),
             StepContext::default(),
-            settings(LoadSource::Sums, true),
+            settings(LoadSource::Reports, true),
         );
         let address = "127.0.0.1:1".to_string();
         for k in 0..200 {
@@ -170,7 +176,7 @@
         assert_eq!(answers(&mut context), [(false, None); 2]);
         probes.want(
             &mut context,
-            &settings(LoadSource::Sums, false),
+            &settings(LoadSource::Reports, false),
             "other".into(),
             Some(&address),
         );
@@ -182,7 +188,7 @@
         let (mut probes, mut context, s) = (
             Probes::default(),
             StepContext::default(),
-            settings(LoadSource::Sums, true),
+            settings(LoadSource::Reports, true),
         );
         let address = "127.0.0.1:1".to_string();
         for (ok, body) in [
--- a/crates/director/director-state/src/reports.rs
+++ b/crates/director/director-state/src/reports.rs
@@ -32,12 +32,12 @@
             None if h.bad >= h.n => 0.0,
             _ => return Err("avg is out of range"),
         };
-        Ok(Event::Heard {
+        Ok(Event::HostReported {
             zone,
             host,
-            tries: h.n,
+            attempts: h.n,
             failed: h.bad,
-            mean,
+            mean_latency: mean,
             span: h.window,
             load: h.load,
         })
@@ -50,16 +50,16 @@
             .iter()
             .position(|c| *c == u.kind)
             .ok_or("kind is no known class")?;
-        let proxies = self.settings.proxies;
+        let proxies = self.settings.fleet.proxies;
         if proxies > 0 && u.sidecar as usize >= proxies {
             return Err("sidecar is no proxy");
         }
         match figures::spoilt(u.n, u.bad, u.window) {
             Some(why) => Err(why),
-            None => Ok(Event::Usage {
+            None => Ok(Event::TrafficReported {
                 proxy: u.sidecar,
                 class,
-                tries: u.n,
+                attempts: u.n,
                 failed: u.bad,
                 span: u.window,
             }),
--- a/crates/director/director-state/src/session.rs
+++ b/crates/director/director-state/src/session.rs
@@ -17,7 +17,7 @@
 use rushcourse_director_protocol::{discovery, relay};
 use rushcourse_director_settings::Names;
 use rushcourse_policy::Director;
-use rushcourse_policy::interface::{Action, Event, Ms, Settings, View};
+use rushcourse_policy::interface::{Action, DirectorView, Event, Ms, Settings};
 use rushcourse_xds::{Rules, Streams};
 use std::collections::BTreeMap;
 
@@ -30,7 +30,6 @@
 pub struct Setup {
     pub settings: Settings,
     pub names: Names,
-    pub seed: u64,
     pub places: Places,
     pub bounds: Bounds,
     /// Whether there is a relay: without one, proxies are reached by streams alone.
@@ -78,7 +77,7 @@
         Session {
             relay: setup.relay,
             streams,
-            director: Director::new(setup.settings.clone(), setup.seed),
+            director: Director::new(setup.settings.clone()),
             settings: setup.settings,
             names: setup.names,
             known: setup.known,
@@ -160,7 +159,7 @@
             (
                 "module_entries",
                 "What the module remembers of hosts, tables, messages.",
-                self.director.kept() as f64,
+                self.director.record_count() as f64,
             ),
         ];
         gauges.extend(self.streams.iter().flat_map(Streams::gauges));
@@ -168,7 +167,7 @@
     }
 
     /// What the module holds of proxies and tables.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> DirectorView {
         self.director.view()
     }
 
@@ -365,7 +364,7 @@
             .filter(|t| t.key().0 <= micros(now))
         {
             let token = due.remove();
-            self.context.event(Event::Timer { token });
+            self.context.event(Event::TimerFired { token });
         }
         if now >= self.status {
             self.status = now + STATUS_EVERY;
@@ -391,7 +390,7 @@
             .map(|(at, _)| at.0 as f64 / 1000.0);
         let (calls, watch) = if self.relay {
             let calls = self.calls.advance(&mut self.context, |mark| {
-                self.director.may_repeat(mark, now)
+                self.director.may_resend(mark, now)
             });
             (calls, self.watch.advance(&mut self.context))
         } else {
@@ -451,20 +450,20 @@
                 orders.push(order);
             }
             match action {
-                Action::Mark { number } => last = Some(number),
-                Action::Timer { token, at } => {
+                Action::RequestAck { ack_number: number } => last = Some(number),
+                Action::StartTimer { token, at } => {
                     self.set += 1;
                     self.timers.insert((micros(at), self.set), token);
                     self.context
                         .must(self.timers.len() <= TIMERS_MOST, "few timers are pending");
                 }
-                Action::Probe { host } => {
+                Action::CheckHealth { host } => {
                     let address = self.hosts.address(&host);
                     self.probes
                         .want(&mut self.context, &self.settings, host, address);
                 }
-                Action::Subscribe => self.hosts.refresh(),
-                Action::Tell { .. } => self.context.counters.add("tells_not_sent", 1),
+                Action::SubscribeToHosts => self.hosts.refresh(),
+                Action::BroadcastToPeers { .. } => self.context.counters.add("tells_not_sent", 1),
                 Action::Log { text } => {
                     self.context
                         .note(Weight::Info, step_context::MODULE, || text)
--- a/crates/director/director-state/src/step_context.rs
+++ b/crates/director/director-state/src/step_context.rs
@@ -36,22 +36,25 @@
 impl StepContext {
     /// An event for the module's next tick.
     pub fn event(&mut self, event: Event) {
-        let report = matches!(event, Event::Heard { .. } | Event::Usage { .. });
+        let report = matches!(
+            event,
+            Event::HostReported { .. } | Event::TrafficReported { .. }
+        );
         if report && self.is_full() {
             return self.counters.add("reports_dropped", 1);
         }
         // The newest joining counts, whichever way it came.
         match &event {
-            Event::Joined {
+            Event::ProxyJoined {
                 proxy,
-                channel: Channel::Own,
+                channel: Channel::Dedicated,
                 ..
             } => _ = self.streamed.insert(*proxy),
-            Event::Left {
+            Event::ProxyLeft {
                 proxy,
-                channel: Channel::Own,
+                channel: Channel::Dedicated,
             } => _ = self.streamed.remove(proxy),
-            Event::Joined { proxy, .. } if self.streamed.remove(proxy) => {
+            Event::ProxyJoined { proxy, .. } if self.streamed.remove(proxy) => {
                 self.superseded.push(*proxy)
             }
             _ => {}
--- a/crates/director/director-state/src/streams.rs
+++ b/crates/director/director-state/src/streams.rs
@@ -10,9 +10,9 @@
     let out = streams.take();
     let mut left = Vec::new();
     for event in out.events {
-        if let Event::Left {
+        if let Event::ProxyLeft {
             proxy,
-            channel: Channel::Own,
+            channel: Channel::Dedicated,
         } = &event
         {
             left.push(*proxy);
--- a/crates/director/director-state/tests/common/mod.rs
+++ b/crates/director/director-state/tests/common/mod.rs
@@ -136,7 +136,6 @@
         let setup = Setup {
             names,
             settings: rushcourse_director_settings::settings(options),
-            seed: 7,
             places: places(0),
             bounds: Bounds::of(32.0, 256),
             relay: true,
--- a/crates/director/director-state/tests/reload.rs
+++ b/crates/director/director-state/tests/reload.rs
@@ -99,7 +99,7 @@
     let old = stand.turns[Link::News as usize];
     stand.drain(6, "a1", "east");
     stand.pass(20.0);
-    let (mark, flying) = (stand.mark(), stand.session.view().flying);
+    let (mark, flying) = (stand.mark(), stand.session.view().unacknowledged_lines);
     assert!(flying > 0.0);
     reload(&mut stand, 1);
     stand.pass(20.0);
@@ -108,7 +108,7 @@
     }
     stand.pass(20.0);
     assert_eq!(
-        stand.session.view().flying,
+        stand.session.view().unacknowledged_lines,
         0.0,
         "the mark was answered where the relay was"
     );
--- a/crates/director/director/src/config.rs
+++ b/crates/director/director/src/config.rs
@@ -134,12 +134,10 @@
                 .parse::<SocketAddr>()
                 .map_err(|_| format!("{key} is no address and port: {value:?}"))
         };
-        let seed = if file.seed.is_empty() {
-            0
-        } else {
-            u64::from_str_radix(&file.seed, 16)
-                .map_err(|_| format!("seed is no hex number: {:?}", file.seed))?
-        };
+        // No decision draws random numbers, yet a seed that is no number is a fault of the configuration.
+        if !file.seed.is_empty() && u64::from_str_radix(&file.seed, 16).is_err() {
+            return Err(format!("seed is no hex number: {:?}", file.seed));
+        }
         let known = file
             .known
             .as_ref()
@@ -164,7 +162,6 @@
             setup: Setup {
                 names: Names::of(&settings),
                 settings: rushcourse_director_settings::settings(settings),
-                seed,
                 bounds: opened.bounds,
                 relay: opened.relay,
                 streams: opened.streams.map(|(rules, _)| rules),
--- a/crates/director/director/src/net/admin.rs
+++ b/crates/director/director/src/net/admin.rs
@@ -132,30 +132,31 @@
     let classes = |mask: u32| relay::named(mask, &names.classes);
     let proxies = view.proxies.iter().map(|p| {
         let lines = p.groups.iter().flat_map(|g| {
-            g.lines.iter().map(move |(host, standing)| {
-                let standing = format!("{standing:?}").to_lowercase();
-                json!({"host": &**host, "standing": standing, "table": g.table, "classes": classes(g.classes)})
+            g.endpoints.iter().map(move |e| {
+                let standing = e.certainty.to_string();
+                json!({"host": &*e.host, "standing": standing, "table": g.table, "classes": classes(g.classes)})
             })
         });
         json!({"proxy": p.proxy, "zone": zone(p.zone), "lines": lines.collect::<Vec<_>>()})
     });
-    let tables = view.tables.iter().map(|(id, lines)| {
-        let lines: serde_json::Map<String, Value> = lines
+    let tables = view.tables.iter().map(|t| {
+        let lines: serde_json::Map<String, Value> = t
+            .weights
             .iter()
             .map(|(host, weight)| (host.to_string(), json!(weight)))
             .collect();
-        json!({"table": id, "lines": lines})
+        json!({"table": t.table, "lines": lines})
     });
     let withdrawn = |channel: Channel| {
-        let of = view.withdrawn.iter().filter(|(_, c)| *c == channel);
-        of.map(|(host, _)| host.to_string()).collect::<Vec<_>>()
+        let of = view.withdrawn.iter().filter(|w| w.channel == channel);
+        of.map(|w| w.host.to_string()).collect::<Vec<_>>()
     };
     json!({
         "proxies": proxies.collect::<Vec<_>>(),
         "tables": tables.collect::<Vec<_>>(),
         "withdrawn": withdrawn(Channel::Shared),
-        "withdrawn_for_streams": withdrawn(Channel::Own),
-        "lines_unanswered": view.flying,
-        "changes_waiting": view.waiting,
+        "withdrawn_for_streams": withdrawn(Channel::Dedicated),
+        "lines_unanswered": view.unacknowledged_lines,
+        "changes_waiting": view.pending_updates,
     })
 }
--- a/crates/director/grpc/src/convert.rs
+++ b/crates/director/grpc/src/convert.rs
@@ -10,7 +10,7 @@
 use prost::Message;
 use prost_types::value::Kind;
 use prost_types::{Any, Duration, Struct, Value};
-use rushcourse_policy::interface::Again;
+use rushcourse_policy::interface::RetryPolicy;
 use rushcourse_xds::{
     Ask, Assignment, ClusterLoad, DeltaAsk, Endpoint, HostLoad, LoadStats, Locality, Node,
     NodeReport, Resource, TABLE_TYPE,
@@ -20,11 +20,11 @@
 /// Where the way of trying again stands: `LocalityLbEndpoints.metadata.filter_metadata` of this name, its field
 /// `again`, with one of the words below.
 const PLACE: &str = "rushcourse";
-const WAYS: [(Again, &str); 4] = [
-    (Again::Never, "never"),
-    (Again::AfterProof, "after_proof"),
-    (Again::OnceAfterAny, "once_after_any"),
-    (Again::TwiceAfterAny, "twice_after_any"),
+const WAYS: [(RetryPolicy, &str); 4] = [
+    (RetryPolicy::Never, "never"),
+    (RetryPolicy::OnceIfNotRun, "after_proof"),
+    (RetryPolicy::OnceAfterFailure, "once_after_any"),
+    (RetryPolicy::TwiceAfterFailure, "twice_after_any"),
 ];
 /// The category of drops that admission levels make.
 const ADMISSION: &str = "admission";
@@ -151,7 +151,7 @@
 
 /// A table as a relay reads it; nothing where a part that is needed is missing.
 pub fn of_assignment(a: &endpoint::ClusterLoadAssignment) -> Option<Assignment> {
-    let mut again = Again::Never;
+    let mut again = RetryPolicy::Never;
     let mut localities = Vec::new();
     for l in &a.endpoints {
         let way = said(&l.metadata, "again")?;
@@ -386,7 +386,7 @@
                 },
             ],
             drop_ppm: 125_000,
-            again: Again::OnceAfterAny,
+            again: RetryPolicy::OnceAfterFailure,
         };
         let bytes = assignment(&table).encode_to_vec();
         let read = endpoint::ClusterLoadAssignment::decode(&bytes[..]).expect("a message");
--- a/crates/director/xds/src/boundary.rs
+++ b/crates/director/xds/src/boundary.rs
@@ -1,6 +1,6 @@
 //! What crosses the boundary: what was read from streams comes in, what is to be sent, ended or dialled goes out.
 
-use rushcourse_policy::interface::{Again, HostId, Ms};
+use rushcourse_policy::interface::{HostId, Ms, RetryPolicy};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -171,7 +171,7 @@
     pub localities: Vec<Locality>,
     /// Requests that are turned away, in millionths (`policy.drop_overloads`, category `admission`).
     pub drop_ppm: u32,
-    pub again: Again,
+    pub again: RetryPolicy,
 }
 
 /// A table with its version.
--- a/crates/director/xds/src/loads.rs
+++ b/crates/director/xds/src/loads.rs
@@ -83,7 +83,7 @@
     zone: ZoneId,
     settings: &Settings,
     cache: &ResourceCache,
-    load_of: impl Fn(&HostId) -> Load,
+    load_of: impl Fn(&HostId) -> HostLoad,
 ) -> Result<(Vec<Event>, u64), Spoilt> {
     let (mut events, mut unlisted) = (Vec::new(), 0);
     for c in &stats.clusters {
@@ -100,17 +100,17 @@
                 "load_report_interval is missing or out of range",
             );
         };
-        if span > PERIODS_MOST * settings.report_every.max(1.0) {
+        if span > PERIODS_MOST * settings.report_interval.max(1.0) {
             return spoilt("loads_old", "it covers more than what is judged by");
         }
         let (let_in, failed) = (c.successes as f64 + c.errors as f64, c.errors as f64);
         if let Some(why) = figures::spoilt(let_in, failed, span) {
             return spoilt("loads_figures", why);
         }
-        events.push(Event::Usage {
+        events.push(Event::TrafficReported {
             proxy,
             class,
-            tries: let_in,
+            attempts: let_in,
             failed,
             span,
         });
@@ -145,16 +145,16 @@
                     &format!("{}: {LATENCY} is out of range", h.address),
                 );
             }
-            let load = Load {
-                inflight: Some(h.in_progress as f64),
+            let load = HostLoad {
+                in_flight: Some(h.in_progress as f64),
                 ..load_of(host)
             };
-            events.push(Event::Heard {
+            events.push(Event::HostReported {
                 zone,
                 host: host.clone(),
-                tries,
+                attempts: tries,
                 failed,
-                mean,
+                mean_latency: mean,
                 span,
                 load,
             });
--- a/crates/director/xds/src/nodes.rs
+++ b/crates/director/xds/src/nodes.rs
@@ -35,7 +35,7 @@
     turn: u64,
     retry: Retry,
     /// What it last said, and when.
-    said: Option<(Ms, Load)>,
+    said: Option<(Ms, HostLoad)>,
 }
 
 /// A host that may be asked.
@@ -90,7 +90,7 @@
     }
 
     /// What a host said of itself, while that counts.
-    pub fn load(&self, now: Ms, host: &HostId) -> Load {
+    pub fn load(&self, now: Ms, host: &HostId) -> HostLoad {
         let said = self.hosts.get(host).and_then(|h| h.said.as_ref());
         let fresh = said.filter(|(at, _)| now - at <= FRESH * self.every);
         fresh.map(|(_, load)| load.clone()).unwrap_or_default()
@@ -182,16 +182,16 @@
             return out.note(Grade::Info, "host report skipped", text);
         }
         out.add("node_reports_taken", 1);
-        let load = Load {
-            busy: Some(report.util),
-            waiting: report.queue,
-            inflight: None,
+        let load = HostLoad {
+            cpu_utilization: Some(report.util),
+            queued: report.queue,
+            in_flight: None,
         };
         h.said = Some((now, load.clone()));
-        out.event(Event::Probed {
+        out.event(Event::HealthChecked {
             host: host.clone(),
-            took: 0.0,
-            answered: true,
+            elapsed: 0.0,
+            is_answered: true,
             load,
         });
     }
@@ -300,8 +300,12 @@
         assert_eq!(dials(&mut out), [("a".into(), 1)]);
         nodes.up(10.0, &host, 1);
         nodes.said(1000.0, &host, 1, &report(0.5), &mut out);
-        assert_eq!(nodes.load(3000.0, &host).busy, Some(0.5));
-        assert_eq!(nodes.load(3600.0, &host).busy, None, "old by now");
+        assert_eq!(nodes.load(3000.0, &host).cpu_utilization, Some(0.5));
+        assert_eq!(
+            nodes.load(3600.0, &host).cpu_utilization,
+            None,
+            "old by now"
+        );
         let next = nodes.advance(3600.0, &mut out);
         assert_eq!(next, 5000.0);
         nodes.advance(5000.0, &mut out);
@@ -314,7 +318,11 @@
         nodes.advance(again, &mut out);
         assert_eq!(dials(&mut out), [("a".into(), 2)]);
         nodes.said(again, &host, 1, &report(0.9), &mut out);
-        assert_eq!(nodes.load(again, &host).busy, None, "of an earlier stream");
+        assert_eq!(
+            nodes.load(again, &host).cpu_utilization,
+            None,
+            "of an earlier stream"
+        );
     }
 
     #[test]
@@ -324,16 +332,16 @@
         nodes.advance(0.0, &mut out);
         nodes.said(100.0, &host, 1, &report(0.5), &mut out);
         nodes.listed(200.0, vec![askable("a", 150.0)], &mut out);
-        assert_eq!(nodes.load(201.0, &host), Load::default());
+        assert_eq!(nodes.load(201.0, &host), HostLoad::default());
         nodes.said(210.0, &host, 1, &report(0.5), &mut out);
         assert_eq!(
             nodes.load(211.0, &host),
-            Load::default(),
+            HostLoad::default(),
             "it lay in the old stream"
         );
         nodes.advance(220.0, &mut out);
         nodes.said(230.0, &host, 2, &report(0.1), &mut out);
-        assert_eq!(nodes.load(231.0, &host).busy, Some(0.1));
+        assert_eq!(nodes.load(231.0, &host).cpu_utilization, Some(0.1));
     }
 
     #[test]
@@ -359,7 +367,7 @@
                 &mut out,
             );
         }
-        assert_eq!(nodes.load(2.0, &host), Load::default());
+        assert_eq!(nodes.load(2.0, &host), HostLoad::default());
         assert_eq!(
             out.counts
                 .iter()
--- a/crates/director/xds/src/resources.rs
+++ b/crates/director/xds/src/resources.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Default)]
 struct Table {
     lines: ByHost<f64>,
-    levels: BTreeMap<ClassId, (f64, Again)>,
+    levels: BTreeMap<ClassId, (f64, RetryPolicy)>,
 }
 
 /// Where a host is, as the list last had it.
@@ -27,7 +27,7 @@
     zones: Vec<String>,
     classes: Vec<String>,
     /// What holds for a class that no level names.
-    usual: (f64, Again),
+    usual: (f64, RetryPolicy),
     /// Whether levels are shares that proxies are to follow.
     follows: bool,
     epoch: u64,
@@ -50,8 +50,8 @@
         ResourceCache {
             zones: names.zones.clone(),
             classes: names.classes.clone(),
-            usual: (1.0, settings.base_again),
-            follows: settings.level_kind == LevelKind::Ratio,
+            usual: (1.0, settings.proxies.retry_policy),
+            follows: settings.proxies.admission_kind == AdmissionKind::Ratio,
             epoch,
             tables: BTreeMap::new(),
             bound: BTreeMap::new(),
@@ -108,9 +108,9 @@
 
     /// Carries an order out. Those of the shared channel are not kept.
     pub fn apply(&mut self, action: &Action) {
-        let own = |table: &TableId| Channel::of(*table) == Channel::Own;
+        let own = |table: &TableId| Channel::of(*table) == Channel::Dedicated;
         match action {
-            Action::Line {
+            Action::SetEndpoint {
                 table,
                 host,
                 weight,
@@ -120,11 +120,11 @@
                 lines.retain(|_, weight| *weight > 0.0);
                 self.touch(*table);
             }
-            Action::Clear { table } if own(table) => {
+            Action::ClearTable { table } if own(table) => {
                 self.tables.remove(table);
                 self.touch(*table);
             }
-            Action::Bind {
+            Action::BindProxy {
                 proxy,
                 table,
                 classes,
@@ -137,10 +137,10 @@
                 }
                 self.moved.insert(*proxy);
             }
-            Action::Withdraw {
+            Action::SetWithdrawn {
                 host,
-                out,
-                channel: Channel::Own,
+                is_withdrawn: out,
+                channel: Channel::Dedicated,
             } => {
                 if *out {
                     self.draining.insert(host.clone())
@@ -149,11 +149,11 @@
                 };
                 self.touch_host(host);
             }
-            Action::Level {
+            Action::SetAdmission {
                 table,
                 classes,
                 quota,
-                again,
+                retry_policy: again,
             } if own(table) => {
                 let levels = &mut self.tables.entry(*table).or_default().levels;
                 for class in
--- a/crates/director/xds/src/streams/arrivals.rs
+++ b/crates/director/xds/src/streams/arrivals.rs
@@ -210,14 +210,15 @@
         let rate = rate
             .filter(|r| r.is_finite() && *r > 0.0 && *r <= RATE_MOST)
             .unwrap_or(USUAL_RATE);
-        self.out.event(Event::Joined {
+        self.out.event(Event::ProxyJoined {
             proxy,
             zone,
             rate,
-            fresh,
-            channel: Channel::Own,
+            is_fresh: fresh,
+            channel: Channel::Dedicated,
         });
-        let (cap, over) = (self.settings.update_cap, self.settings.counted_over);
+        let channel = &self.settings.channel;
+        let (cap, over) = (channel.max_messages, channel.message_window);
         if let Some(open) = self.open.get_mut(&stream) {
             let ads = Ads::new(open.service == Service::Whole, self.rules.epoch, cap, over);
             open.is = Use::Tables(who, Box::new(ads));
--- a/crates/director/xds/src/streams/state.rs
+++ b/crates/director/xds/src/streams/state.rs
@@ -63,7 +63,7 @@
 
 /// ms between two load reports of a relay or host.
 pub(super) fn report_interval(settings: &Settings) -> Ms {
-    settings.report_every.max(REPORT_LEAST)
+    settings.report_interval.max(REPORT_LEAST)
 }
 
 impl Streams {
@@ -75,7 +75,7 @@
             members: Members::new(
                 rules.identities.clone(),
                 names.zones.clone(),
-                settings.proxies,
+                settings.fleet.proxies,
             ),
             nodes: Nodes::new(
                 every,
@@ -225,9 +225,9 @@
             && self.members.ended(now, who.proxy, stream)
         {
             self.cache.forget(who.proxy);
-            self.out.event(Event::Left {
+            self.out.event(Event::ProxyLeft {
                 proxy: who.proxy,
-                channel: Channel::Own,
+                channel: Channel::Dedicated,
             });
         }
         Some(open)
--- a/crates/director/xds/src/streams/tables.rs
+++ b/crates/director/xds/src/streams/tables.rs
@@ -40,15 +40,19 @@
             self.out.note(Grade::Warning, "tables refused", text);
         }
         if let Some((mark, took)) = came.proved {
-            self.out.event(Event::Applied {
-                mark,
+            self.out.event(Event::Acknowledged {
+                ack_number: mark,
                 proxy,
-                took,
-                channel: Channel::Own,
+                elapsed: took,
+                channel: Channel::Dedicated,
             });
         }
         if let Some((mark, again)) = came.behind {
-            self.out.event(Event::Behind { proxy, mark, again });
+            self.out.event(Event::NotApplied {
+                proxy,
+                ack_number: mark,
+                is_resent: again,
+            });
         }
         if let Some(response) = came.response {
             self.out.add("tables_sent", 1);
@@ -60,7 +64,7 @@
     pub fn reply(&mut self, now: Ms, actions: &[Action]) {
         actions.iter().for_each(|action| self.cache.apply(action));
         let mark = actions.iter().rev().find_map(|a| match a {
-            Action::Mark { number } => Some(*number),
+            Action::RequestAck { ack_number: number } => Some(*number),
             _ => None,
         });
         for proxy in self.cache.reached() {
@@ -83,9 +87,9 @@
     pub fn listed<'a>(
         &mut self,
         now: Ms,
-        hosts: impl Iterator<Item = (&'a Entry, &'a String)> + Clone,
+        hosts: impl Iterator<Item = (&'a HostEntry, &'a String)> + Clone,
     ) {
-        let place = |(e, address): (&Entry, &String)| {
+        let place = |(e, address): (&HostEntry, &String)| {
             (
                 e.host.clone(),
                 Place {
@@ -101,10 +105,10 @@
         if self.rules.ask_hosts || self.nodes.count() > 0 {
             let ready =
                 hosts.filter(|(e, address)| e.readiness == Readiness::Ready && !address.is_empty());
-            let askable = |(e, address): (&Entry, &String)| Askable {
+            let askable = |(e, address): (&HostEntry, &String)| Askable {
                 host: e.host.clone(),
                 address: address.clone(),
-                up_since: e.up_since,
+                up_since: e.started_at,
             };
             self.nodes
                 .listed(now, ready.map(askable).collect(), &mut self.out);
--- a/crates/director/xds/tests/common/mod.rs
+++ b/crates/director/xds/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use rushcourse_policy::interface::*;
 use rushcourse_xds::*;
 
-pub const TABLE: TableId = OWN_TABLES + 1;
+pub const TABLE: TableId = FIRST_DEDICATED_TABLE + 1;
 pub const LIMITS: Limits = Limits {
     streams: 64,
     strangers: 8,
@@ -13,25 +13,34 @@
 };
 
 pub fn settings() -> Settings {
-    let class = |effect, zone_bound| Class {
-        aim: 1000.0,
+    let class = |idempotency| RequestClass {
+        target_latency: 1000.0,
         deadline: 3000.0,
-        worth: 1.0,
-        effect,
-        key_scope: KeyScope::All,
-        key_ttl: 0.0,
-        zone_bound,
-        writes: false,
+        value: 1.0,
+        idempotency,
+        is_zone_bound: false,
+        is_write: false,
     };
-    use rushcourse_policy::interface::Effect as May;
     Settings {
-        classes: vec![class(May::Free, false), class(May::SingleShot, false)],
-        zones: 2,
-        proxies: 8,
-        update_cap: 12,
-        counted_over: 10_000.0,
-        report_every: 1000.0,
-        level_kind: LevelKind::Ratio,
+        classes: vec![
+            class(Idempotency::Idempotent),
+            class(Idempotency::NotIdempotent),
+        ],
+        fleet: FleetSettings {
+            zones: 2,
+            proxies: 8,
+            ..FleetSettings::default()
+        },
+        channel: ChannelSettings {
+            max_messages: 12,
+            message_window: 10_000.0,
+            ..ChannelSettings::default()
+        },
+        proxies: ProxySettings {
+            admission_kind: AdmissionKind::Ratio,
+            ..ProxySettings::default()
+        },
+        report_interval: 1000.0,
         ..Settings::default()
     }
 }
@@ -88,20 +97,20 @@
     }
 
     pub fn list(&mut self, hosts: &[&str]) {
-        let entry = |h: &&str| Entry {
+        let entry = |h: &&str| HostEntry {
             host: (*h).into(),
             zone: usize::from(h.starts_with('b')),
             cell: 0,
             readiness: Readiness::Ready,
             weight: 1.0,
-            up_since: 0.0,
+            started_at: 0.0,
         };
-        let entries: Vec<(Entry, String)> = hosts
+        let entries: Vec<(HostEntry, String)> = hosts
             .iter()
             .map(|h| (entry(h), format!("127.0.0.9:{}", h.len() + 70)))
             .collect();
         // Each has a port of its own.
-        let entries: Vec<(Entry, String)> = entries
+        let entries: Vec<(HostEntry, String)> = entries
             .into_iter()
             .enumerate()
             .map(|(k, (e, _))| (e, format!("127.0.0.9:{}", 7000 + k)))
@@ -201,7 +210,7 @@
         self.open(stream, stream, service);
         self.first(stream, proxy, service);
         assert!(
-            matches!(self.events[..], [Event::Joined { .. }]),
+            matches!(self.events[..], [Event::ProxyJoined { .. }]),
             "{:?}",
             self.events
         );
@@ -242,7 +251,7 @@
     /// A reply of the module: these orders, and a mark.
     pub fn reply(&mut self, mark: u16, mut orders: Vec<Action>) {
         (self.events, self.responses, self.ended, self.counts) = Default::default();
-        orders.push(Action::Mark { number: mark });
+        orders.push(Action::RequestAck { ack_number: mark });
         self.streams.reply(self.now, &orders);
         self.settle();
     }
@@ -250,7 +259,7 @@
     /// Binds proxies to a filled table.
     pub fn bind(&mut self, mark: u16, proxies: &[ProxyId]) {
         let mut orders = vec![line("a1", 1.0), line("b1", 0.25)];
-        orders.extend(proxies.iter().map(|proxy| Action::Bind {
+        orders.extend(proxies.iter().map(|proxy| Action::BindProxy {
             proxy: *proxy,
             table: TABLE,
             classes: 0,
@@ -285,10 +294,10 @@
     /// Marks that are proved, by proxy.
     pub fn proved(&self) -> Vec<(ProxyId, u16)> {
         let of = |e: &Event| match e {
-            Event::Applied {
+            Event::Acknowledged {
                 proxy,
-                mark,
-                channel: Channel::Own,
+                ack_number: mark,
+                channel: Channel::Dedicated,
                 ..
             } => Some((*proxy, *mark)),
             _ => None,
@@ -298,7 +307,11 @@
 
     pub fn behind(&self) -> Vec<(ProxyId, u16, bool)> {
         let of = |e: &Event| match e {
-            Event::Behind { proxy, mark, again } => Some((*proxy, *mark, *again)),
+            Event::NotApplied {
+                proxy,
+                ack_number: mark,
+                is_resent: again,
+            } => Some((*proxy, *mark, *again)),
             _ => None,
         };
         self.events.iter().filter_map(of).collect()
@@ -314,7 +327,7 @@
 }
 
 pub fn line(host: &str, weight: f64) -> Action {
-    Action::Line {
+    Action::SetEndpoint {
         table: TABLE,
         host: host.into(),
         weight,
--- a/crates/director/xds/tests/loads.rs
+++ b/crates/director/xds/tests/loads.rs
@@ -59,19 +59,19 @@
         stats(vec![host(7000, 12, 2, 80.0), host(9999, 5, 0, 10.0)]),
     );
     let [
-        Event::Usage {
+        Event::TrafficReported {
             proxy: 3,
             class: 0,
-            tries: 20.0,
+            attempts: 20.0,
             failed: 2.0,
             ..
         },
-        Event::Heard {
+        Event::HostReported {
             zone: 0,
             host,
-            tries: 12.0,
+            attempts: 12.0,
             failed: 2.0,
-            mean: 80.0,
+            mean_latency: 80.0,
             load,
             ..
         },
@@ -79,7 +79,7 @@
     else {
         panic!("{:?}", stand.events)
     };
-    assert_eq!((&**host, load.inflight), ("a1", Some(2.0)));
+    assert_eq!((&**host, load.in_flight), ("a1", Some(2.0)));
     assert!(
         stand.counts.contains(&"loads_unlisted"),
         "nobody listens at the other address"
@@ -136,10 +136,10 @@
     say(&mut stand, stats(vec![host(7000, 10, 0, 60.0)]));
     stand.pass(250.0);
     let [
-        Event::Usage { .. },
-        Event::Heard {
+        Event::TrafficReported { .. },
+        Event::HostReported {
             failed: 0.0,
-            mean: 60.0,
+            mean_latency: 60.0,
             ..
         },
     ] = &stand.events[..]
--- a/crates/director/xds/tests/tables.rs
+++ b/crates/director/xds/tests/tables.rs
@@ -58,10 +58,10 @@
 fn a_drain_is_shown_as_such_and_goes_out_while_an_answer_is_waited_for() {
     for service in BOTH {
         let mut stand = bound(service);
-        let out = Action::Withdraw {
+        let out = Action::SetWithdrawn {
             host: "a1".into(),
-            out: true,
-            channel: Channel::Own,
+            is_withdrawn: true,
+            channel: Channel::Dedicated,
         };
         stand.reply(2, vec![out]);
         let [(1, response)] = &stand.responses[..] else {
@@ -70,9 +70,9 @@
         assert_eq!(lines(response, "look")[0], ("a1".to_string(), 10_000, true));
         stand.reply(
             3,
-            vec![Action::Withdraw {
+            vec![Action::SetWithdrawn {
                 host: "a1".into(),
-                out: true,
+                is_withdrawn: true,
                 channel: Channel::Shared,
             }],
         );
@@ -83,14 +83,14 @@
 #[test]
 fn levels_and_the_way_of_trying_again_are_told() {
     let mut stand = bound(Service::Delta);
-    let again = Again::AfterProof;
+    let again = RetryPolicy::OnceIfNotRun;
     stand.reply(
         2,
-        vec![Action::Level {
+        vec![Action::SetAdmission {
             table: TABLE,
             classes: 0b10,
             quota: 0.9,
-            again,
+            retry_policy: again,
         }],
     );
     let [(1, response)] = &stand.responses[..] else {
@@ -175,11 +175,11 @@
 fn what_is_sent_after_a_refusal_does_not_prove_what_was_refused() {
     let mut stand = bound(Service::Delta);
     let first = nonce(&stand.responses[0].1);
-    let level = |quota| Action::Level {
+    let level = |quota| Action::SetAdmission {
         table: TABLE,
         classes: 0b10,
         quota,
-        again: Again::Never,
+        retry_policy: RetryPolicy::Never,
     };
     stand.reply(2, vec![level(0.5)]);
     let second = nonce(&stand.responses[0].1);
@@ -261,9 +261,9 @@
     assert!(
         matches!(
             stand.events[..],
-            [Event::Left {
+            [Event::ProxyLeft {
                 proxy: 3,
-                channel: Channel::Own
+                channel: Channel::Dedicated
             }]
         ),
         "{:?}",
@@ -470,7 +470,7 @@
     stand.first(2, 3, Service::Whole);
     assert_eq!(stand.ended, [(1, Code::Aborted)]);
     assert!(
-        matches!(stand.events[..], [Event::Joined { proxy: 3, .. }]),
+        matches!(stand.events[..], [Event::ProxyJoined { proxy: 3, .. }]),
         "it did not leave: {:?}",
         stand.events
     );
@@ -539,7 +539,7 @@
                 why: String::new(),
             });
         }
-        stand.reply(60_000, vec![Action::Clear { table: TABLE }]);
+        stand.reply(60_000, vec![Action::ClearTable { table: TABLE }]);
         stand.pass(100.0);
     }
     assert_eq!(kept(&stand), none);
--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -7,8 +7,8 @@
 use rushcourse_messages::{HostState, NodeId};
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{
-    Action, Again, Channel, Class, Effect, Entry, Event, KeyScope, LevelKind, ListKind, Ms,
-    Readiness, Settings, TableId,
+    Action, Channel, ChannelSettings, Event, FleetSettings, HostEntry, HostListKind, HostSettings,
+    Idempotency, Ms, Readiness, RequestClass, Settings, TableId,
 };
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -66,36 +66,40 @@
     }
 
     fn settings(&self) -> Settings {
-        let class = Class {
-            aim: 500.0,
+        let class = RequestClass {
+            target_latency: 500.0,
             deadline: 2000.0,
-            worth: 1.0,
-            effect: Effect::Free,
-            key_scope: KeyScope::All,
-            key_ttl: 0.0,
-            zone_bound: false,
-            writes: false,
+            value: 1.0,
+            idempotency: Idempotency::Idempotent,
+            is_zone_bound: false,
+            is_write: false,
         };
         Settings {
             classes: vec![class],
-            zones: self.zones.len(),
-            my_zone: Some(self.my_zone),
-            directors: 1,
+            fleet: FleetSettings {
+                zones: self.zones.len(),
+                own_zone: Some(self.my_zone),
+                directors: 1,
+                ..FleetSettings::default()
+            },
             // The channel is a session: lines of some thousand a second, an answer within a few milliseconds.
-            backlog: 4000.0,
-            push_rate: 4000.0,
-            per_message: 1.0,
-            counted_over: 10_000.0,
-            late: 20.0,
-            transit_max: 500.0,
-            unserved_max: 1000.0,
-            report_every: 1000.0,
-            level_kind: LevelKind::Off,
-            base_again: Again::Never,
-            drain_grace: self.drain_ms,
+            channel: ChannelSettings {
+                max_queued_lines: 4000.0,
+                lines_per_second: 4000.0,
+                lines_per_message: 1.0,
+                message_window: 10_000.0,
+                mean_transit: 20.0,
+                max_transit: 500.0,
+                ..ChannelSettings::default()
+            },
             // The ramp is the design's: a tenth, rising over 10 s. Hosts say how long they stay cold, not how much.
-            start_capacity: 1.0,
-            listed_weights: true,
+            hosts: HostSettings {
+                drain_grace: self.drain_ms,
+                start_capacity: 1.0,
+                has_listed_weights: true,
+                ..HostSettings::default()
+            },
+            report_interval: 1000.0,
             ..Settings::default()
         }
     }
@@ -104,19 +108,19 @@
         self.zones.iter().position(|z| &**z == name).unwrap_or(0)
     }
 
-    fn entry(&self, s: &Subscriber) -> Entry {
+    fn entry(&self, s: &Subscriber) -> HostEntry {
         let readiness = match s.state() {
             HostState::Ready => Readiness::Ready,
             HostState::Draining => Readiness::Draining,
             HostState::Gone => Readiness::Gone,
         };
-        Entry {
+        HostEntry {
             host: s.news.id.clone(),
             zone: self.zone(&s.news.zone),
             cell: 0,
             readiness,
             weight: f64::from(s.news.slots.max(1)),
-            up_since: s.up_since as Ms,
+            started_at: s.up_since as Ms,
         }
     }
 
@@ -126,7 +130,7 @@
         now: u64,
         changed: impl Iterator<Item = &'a Subscriber>,
     ) -> Vec<Order> {
-        let mut by: BTreeMap<Arc<str>, Vec<Entry>> = BTreeMap::new();
+        let mut by: BTreeMap<Arc<str>, Vec<HostEntry>> = BTreeMap::new();
         for s in changed {
             by.entry(s.news.service.clone())
                 .or_default()
@@ -134,8 +138,8 @@
         }
         let mut orders = Vec::new();
         for (service, entries) in by {
-            let mut events = vec![Event::List {
-                kind: ListKind::Delta,
+            let mut events = vec![Event::HostsListed {
+                kind: HostListKind::Delta,
                 entries,
             }];
             if !self.boards.contains_key(&service) {
@@ -145,7 +149,7 @@
                         .map(|(proxy, zone)| joined(*proxy, *zone)),
                 );
                 let board = Board {
-                    director: Director::new(self.settings(), 0),
+                    director: Director::new(self.settings()),
                     tables: BTreeMap::new(),
                     bound: BTreeMap::new(),
                     withdrawn: BTreeSet::new(),
@@ -174,9 +178,9 @@
             board.bound.remove(&proxy);
         }
         self.each(now, |_| {
-            vec![Event::Left {
+            vec![Event::ProxyLeft {
                 proxy,
-                channel: Channel::Own,
+                channel: Channel::Dedicated,
             }]
         })
     }
@@ -193,11 +197,11 @@
         self.give(
             now,
             &service,
-            vec![Event::Applied {
-                mark,
+            vec![Event::Acknowledged {
+                ack_number: mark,
                 proxy,
-                took: 0.0,
-                channel: Channel::Own,
+                elapsed: 0.0,
+                channel: Channel::Dedicated,
             }],
         )
     }
@@ -221,10 +225,10 @@
         self.give(
             now,
             &service,
-            vec![Event::Usage {
+            vec![Event::TrafficReported {
                 proxy,
                 class: 0,
-                tries,
+                attempts: tries,
                 failed,
                 span,
             }],
@@ -246,7 +250,7 @@
             board.timers = later;
             let due: Vec<(Ms, String)> = due;
             due.into_iter()
-                .map(|(_, token)| Event::Timer { token })
+                .map(|(_, token)| Event::TimerFired { token })
                 .collect()
         })
     }
@@ -295,12 +299,12 @@
 }
 
 fn joined(proxy: NodeId, zone: usize) -> Event {
-    Event::Joined {
+    Event::ProxyJoined {
         proxy,
         zone,
         rate: 1.0,
-        fresh: true,
-        channel: Channel::Own,
+        is_fresh: true,
+        channel: Channel::Dedicated,
     }
 }
 
@@ -317,7 +321,7 @@
         let mut out: Vec<(Arc<str>, bool)> = Vec::new();
         for action in actions {
             match action {
-                Action::Line {
+                Action::SetEndpoint {
                     table,
                     host,
                     weight,
@@ -336,20 +340,20 @@
                             .insert(host.clone(), weight);
                     }
                 }
-                Action::Clear { table } => {
+                Action::ClearTable { table } => {
                     self.tables.remove(&table);
                     for (proxy, _) in self.bound.iter().filter(|b| *b.1 == table) {
                         parcels.entry(*proxy).or_default().whole = true;
                     }
                 }
-                Action::Bind { proxy, table, .. } => {
+                Action::BindProxy { proxy, table, .. } => {
                     self.bound.insert(proxy, table);
                     parcels.entry(proxy).or_default().whole = true;
                 }
-                Action::Withdraw {
+                Action::SetWithdrawn {
                     host,
-                    out: shut,
-                    channel: Channel::Own,
+                    is_withdrawn: shut,
+                    channel: Channel::Dedicated,
                 } => {
                     if shut {
                         self.withdrawn.insert(host.clone())
@@ -358,8 +362,8 @@
                     };
                     out.push((host, shut));
                 }
-                Action::Mark { number } => self.mark = number,
-                Action::Timer { token, at } => self.timers.push((at, token)),
+                Action::RequestAck { ack_number: number } => self.mark = number,
+                Action::StartTimer { token, at } => self.timers.push((at, token)),
                 _ => {}
             }
         }
--- a/crates/shared/policy/src/admission.rs
+++ b/crates/shared/policy/src/admission.rs
@@ -11,7 +11,9 @@
             (self.gates[zone].clone(), total(self.met(zone).values()), self.rates(zone));
         let jammed = full > FULL_DOWN || fails > FAILS_DOWN;
         let free = full < FULL_UP && fails < FAILS_DOWN / 2.0;
-        let fled = self.s.ejects > 0 && fails.powi(self.s.ejects as i32) > FAILS_DOWN || g.hold == 0.0;
+        let fled = self.s.proxies.ejection_failures > 0
+            && fails.powi(self.s.proxies.ejection_failures as i32) > FAILS_DOWN
+            || g.hold == 0.0;
         let jam = jammed || g.hold < 1.0 && !free;
         g.hold = if !jam { 1.0 } else { RAMP_FROM * f64::from(!fled) };
         if self.now - g.at >= self.pause {
@@ -31,7 +33,7 @@
                 admit *= 0.95;
             }
             (admit, g.part) = if !jammed && admit > 0.9 { (1.0, 1.0) } else { (admit, g.part) };
-            let told = self.s.level_kind == LevelKind::Ratio;
+            let told = self.s.proxies.admission_kind == AdmissionKind::Ratio;
             if told && (admit - std::mem::replace(&mut g.admit, admit)).abs() > 0.02 {
                 self.log(format!(
                     "zone {zone}: admission {admit:.2}: strain {full:.2}, {fails:.2} of tries fail"
@@ -49,22 +51,27 @@
         let hosts =
             self.list.values().filter(|l| l.entry.zone == zone && l.entry.readiness == Readiness::Ready);
         let each = hosts.count() as f64 / self.pools.max(1) as f64;
-        self.s.ejects > 0 && usual / each.max(1.0) >= f64::from(self.s.ejects)
+        self.s.proxies.ejection_failures > 0
+            && usual / each.max(1.0) >= f64::from(self.s.proxies.ejection_failures)
     }
 
     /// 1 for the class worth least for its time, less for dearer ones: their levels fall by that power.
     pub(crate) fn cheapness(&self, class: ClassId) -> f64 {
-        let dear = |c: &Class| c.worth.max(1e-6) / c.aim.max(1.0);
+        let dear = |c: &RequestClass| c.value.max(1e-6) / c.target_latency.max(1.0);
         self.s.classes.iter().map(dear).fold(f64::INFINITY, f64::min) / dear(&self.s.classes[class])
     }
 
     /// Proxies try again as the site has it, after proof only unless the class is free. In a jam not at all:
     /// it takes what a full host refused to the next one, or to a cold one that still has room.
-    pub(crate) fn level(&self, zone: ZoneId, class: ClassId) -> (f64, Again) {
+    pub(crate) fn level(&self, zone: ZoneId, class: ClassId) -> (f64, RetryPolicy) {
         let quota = self.gate(zone).admit.powf(self.cheapness(class));
-        let free = self.s.classes[class].effect == Effect::Free;
-        let safe = if free { Again::TwiceAfterAny } else { Again::AfterProof };
-        let again = if self.gate(zone).hold < 1.0 { Again::Never } else { self.s.base_again.min(safe) };
+        let free = self.s.classes[class].idempotency == Idempotency::Idempotent;
+        let safe = if free { RetryPolicy::TwiceAfterFailure } else { RetryPolicy::OnceIfNotRun };
+        let again = if self.gate(zone).hold < 1.0 {
+            RetryPolicy::Never
+        } else {
+            self.s.proxies.retry_policy.min(safe)
+        };
         ((quota * 100.0).round().max(1.0) / 100.0, again)
     }
 }
--- a/crates/shared/policy/src/books.rs
+++ b/crates/shared/policy/src/books.rs
@@ -70,11 +70,27 @@
         self.gates.iter().map(|g| g.usage[class].tries).sum()
     }
 
+    /// What comes to each zone's proxies. Those that others direct are taken for usual ones, spread over the
+    /// zones like one's own, or over the other zones where proxies join their own zone's director.
+    pub(crate) fn demand(&self) -> Vec<f64> {
+        let mut seen = vec![0.0; self.s.fleet.zones.max(1)];
+        for p in self.proxies.values() {
+            seen.get_mut(p.zone).into_iter().for_each(|s| *s += p.came.tries);
+        }
+        let others = self.s.fleet.proxies.saturating_sub(self.proxies.len()) as f64;
+        let unseen = others * sum(&seen) / self.proxies.len().max(1) as f64;
+        let share = |z: usize| {
+            if self.s.fleet.is_zonal { f64::from(self.s.fleet.own_zone != Some(z)) } else { seen[z] }
+        };
+        let all = (0..seen.len()).map(share).sum::<f64>().max(1e-9);
+        (0..seen.len()).map(|z| seen[z] + unseen * share(z) / all).collect()
+    }
+
     /// The aim of the mean request.
     pub(crate) fn aim(&self) -> f64 {
         let used = |c: usize| self.used(c) + 1e-6;
         let all: f64 = (0..self.s.classes.len()).map(used).sum();
-        self.s.classes.iter().enumerate().map(|(k, c)| c.aim.max(1.0) * used(k) / all).sum()
+        self.s.classes.iter().enumerate().map(|(k, c)| c.target_latency.max(1.0) * used(k) / all).sum()
     }
 
     /// What a zone's proxies met at each live host, as far as it was heard of late.
@@ -113,7 +129,7 @@
         if let Some(table) = self.current.get(&key) {
             return *table;
         }
-        let base = if key.4 == Channel::Own { OWN_TABLES } else { 0 };
+        let base = if key.4 == Channel::Dedicated { FIRST_DEDICATED_TABLE } else { 0 };
         let free = |k: &TableId| !self.tables.contains_key(k);
         let table =
             (0..).map(|k| base + (self.last_table + k) % 65_000 + 1).find(free).expect("few are in use");
@@ -132,7 +148,7 @@
         let idle = |(id, t): &(&TableId, &Table)| t.users.is_empty() && !current.contains(id);
         for table in self.tables.iter().filter(idle).map(|(id, _)| *id).collect::<Vec<_>>() {
             self.tables.remove(&table);
-            self.out.push(Action::Clear { table });
+            self.out.push(Action::ClearTable { table });
         }
         self.forget_gone(forgotten_after);
     }
@@ -221,7 +237,7 @@
     /// What a message of so many lines takes of the channel. Under one line is the chance that there is a message:
     /// counted whole at a thousand proxies of which few hold the host, one withdrawal took a second of the channel.
     pub(crate) fn charged(&self, lines: f64) -> f64 {
-        lines + (self.s.per_message + 1.0) * lines.min(1.0)
+        lines + (self.s.channel.lines_per_message + 1.0) * lines.min(1.0)
     }
 
     /// What so many lines more take, beside those of the reply in the making.
@@ -240,6 +256,27 @@
         self.flights.keys().rev().find(|r| (**r % MARKS) as u16 == mark).copied()
     }
 
+    /// An answer makes additions certain at once, removals late. Its channel is in order: all before it left;
+    /// it shows nothing of other channels.
+    pub(crate) fn answered(&mut self, mark: u16, proxy: ProxyId, took: Ms) {
+        let shared = self.by(&proxy, Channel::Shared);
+        let reply = if shared { self.marked(mark) } else { self.recent(mark) };
+        let (Some(reply), Some(p)) = (reply, self.proxies.get_mut(&proxy)) else { return };
+        let slowest = if shared { &mut self.slowest } else { &mut p.slowest };
+        *slowest = took.max(*slowest * 0.95);
+        for held in p.lines.iter_mut().flat_map(|g| g.values_mut()).filter(|h| h.reply <= reply) {
+            match held.standing {
+                Certainty::Removing => held.answered = held.answered.or(Some(self.now)),
+                _ => held.standing = Certainty::Certain,
+            }
+        }
+        if shared {
+            self.flights.retain(|r, _| *r >= reply);
+            let flight = self.flights.get_mut(&reply);
+            flight.into_iter().for_each(|f| f.waiting -= f.lines.remove(&proxy).unwrap_or(0.0));
+        }
+    }
+
     /// The messages of a mark, and all behind them, leave only now: nothing about them is older. Where the call
     /// may have been carried out, that counts as a message of this moment, and its repeat as one more.
     pub(crate) fn delayed(&mut self, mark: u16, twice: bool) {
@@ -267,7 +304,9 @@
     /// turns certain by time. `again`: one more message leaves now.
     pub(crate) fn behind(&mut self, proxy: ProxyId, mark: u16, again: bool) {
         let (Some(reply), now) = (self.recent(mark), self.now) else { return };
-        let Some(p) = self.proxies.get_mut(&proxy).filter(|p| p.channel == Channel::Own) else { return };
+        let Some(p) = self.proxies.get_mut(&proxy).filter(|p| p.channel == Channel::Dedicated) else {
+            return;
+        };
         p.written.extend(again.then_some(now));
         let waiting = p.lines.iter_mut().flat_map(|g| g.values_mut());
         waiting.filter(|l| l.reply >= reply && l.answered.is_none()).for_each(|l| l.since = now);
@@ -276,7 +315,7 @@
     /// Most messages written to one of the proxies that a mark reaches, within the span that the cap counts and
     /// the longest way of a message more, its next one included.
     pub(crate) fn most_written(&self, mark: u16, now: Ms) -> usize {
-        let over = self.s.counted_over + self.s.transit_max;
+        let over = self.s.channel.message_window + self.s.channel.max_transit;
         let of = self.marked(mark).and_then(|reply| self.flights.get(&reply));
         let met = of.into_iter().flat_map(|f| f.lines.keys()).filter_map(|id| self.proxies.get(id));
         met.map(|p| p.written.iter().filter(|at| now - **at <= over).count()).max().unwrap_or(0)
@@ -284,7 +323,7 @@
 
     /// Carries a sent change into the orders and, as uncertain, into the model.
     pub(crate) fn apply(&mut self, key: &Key, value: f64) {
-        let sent = Held { standing: Standing::Adding, reply: self.reply, since: self.now, answered: None };
+        let sent = Held { standing: Certainty::Adding, reply: self.reply, since: self.now, answered: None };
         match key {
             Key::Line(table, host) => {
                 let users: Vec<ProxyId> = self.users(*table).collect();
@@ -295,7 +334,7 @@
                     let proxy = self.proxies.get_mut(&p).expect("a user is joined");
                     touch(&mut proxy.lines[t.key.1], host, value > 0.0, &sent);
                 }
-                self.out.push(Action::Line { table: *table, host: host.clone(), weight: value });
+                self.out.push(Action::SetEndpoint { table: *table, host: host.clone(), weight: value });
             }
             Key::Bind(proxy, group, table) => {
                 let (p, t) = (self.proxies.get_mut(proxy).expect("joined"), &self.tables[table]);
@@ -310,7 +349,7 @@
                 }
                 self.tables.get_mut(table).into_iter().for_each(|t| _ = t.users.insert(*proxy));
                 let classes = if self.groups.len() > 1 { self.groups[*group].0 } else { 0 };
-                self.out.push(Action::Bind { proxy: *proxy, table: *table, classes });
+                self.out.push(Action::BindProxy { proxy: *proxy, table: *table, classes });
             }
             Key::Level(..) => {}
             Key::Withdraw(host, channel) | Key::Return(host, channel) => {
@@ -319,46 +358,53 @@
                     l.withdrawn[channel as usize] = out;
                     l.told = if channel == Channel::Shared { (self.joins, self.now) } else { l.told };
                 }
-                self.out.push(Action::Withdraw { host: host.clone(), out, channel });
+                self.out.push(Action::SetWithdrawn { host: host.clone(), is_withdrawn: out, channel });
             }
         }
     }
 
     /// Carries a level, and the way of trying again with it, into the orders.
-    pub(crate) fn apply_level(&mut self, table: TableId, class: ClassId, (quota, again): (f64, Again)) {
+    pub(crate) fn apply_level(&mut self, table: TableId, class: ClassId, (quota, again): (f64, RetryPolicy)) {
         self.tables.get_mut(&table).expect("known").levels.insert(class, (quota, again));
-        self.out.push(Action::Level { table, classes: 1 << class, quota, again });
+        self.out.push(Action::SetAdmission { table, classes: 1 << class, quota, retry_policy: again });
     }
 
-    /// Entries of all that is remembered of hosts, tables and messages.
-    pub fn kept(&self) -> usize {
+    /// Number of records kept of hosts, tables and messages.
+    pub fn record_count(&self) -> usize {
         let of_hosts = self.list.len() + self.sums.len() + self.health.len() + self.grades.len();
         of_hosts + self.tables.len() + self.current.len() + self.flights.len() + self.buffer.len()
     }
 
     /// Proxies and changes looked at since the start: work that grows with the fleet, whatever the machine.
-    pub fn looked(&self) -> u64 {
+    pub fn examined_count(&self) -> u64 {
         self.looked
     }
 
     /// What is held, to look at.
-    pub fn view(&self) -> View {
+    pub fn view(&self) -> DirectorView {
         let group = |p: &Proxy, g: usize| {
-            let lines = p.lines[g].iter().map(|(host, l)| (host.clone(), l.standing)).collect();
-            GroupView { classes: self.groups[g].0, table: p.bound[g], lines }
+            let lines = p.lines[g].iter();
+            let endpoints = lines.map(|(host, l)| EndpointView { host: host.clone(), certainty: l.standing });
+            ClassGroupView { classes: self.groups[g].0, table: p.bound[g], endpoints: endpoints.collect() }
         };
         let proxies = self.proxies.iter().map(|(proxy, p)| {
             let groups = (0..self.groups.len()).map(|g| group(p, g)).collect();
             ProxyView { proxy: *proxy, zone: p.zone, groups }
         });
         let of = |channel: Channel| self.list.iter().filter(move |(_, l)| l.withdrawn[channel as usize]);
-        let out = Channel::ALL.into_iter().flat_map(|c| of(c).map(move |(host, _)| (host.clone(), c)));
-        View {
+        let out = Channel::ALL
+            .into_iter()
+            .flat_map(|c| of(c).map(move |(host, _)| WithdrawnHost { host: host.clone(), channel: c }));
+        DirectorView {
             proxies: proxies.collect(),
-            tables: self.tables.iter().map(|(id, t)| (*id, t.lines.clone())).collect(),
+            tables: self
+                .tables
+                .iter()
+                .map(|(id, t)| TableView { table: *id, weights: t.lines.clone() })
+                .collect(),
             withdrawn: out.collect(),
-            flying: self.flying(),
-            waiting: self.buffer.len(),
+            unacknowledged_lines: self.flying(),
+            pending_updates: self.buffer.len(),
         }
     }
 
@@ -369,10 +415,12 @@
     /// Ends the reply: one mark for all that it reaches.
     pub(crate) fn close(&mut self) -> Vec<Action> {
         if !self.lines.is_empty() {
-            self.out.push(Action::Mark { number: (self.reply % MARKS) as u16 });
+            self.out.push(Action::RequestAck { ack_number: (self.reply % MARKS) as u16 });
             for id in self.lines.keys() {
                 let Some(p) = self.proxies.get_mut(id) else { continue };
-                p.written.retain(|at| *at >= self.now - self.s.counted_over - self.s.transit_max);
+                p.written.retain(|at| {
+                    *at >= self.now - self.s.channel.message_window - self.s.channel.max_transit
+                });
                 p.written.push_back(self.now);
             }
             let mut lines = std::mem::take(&mut self.lines);
@@ -419,9 +467,9 @@
 /// Marks a sent line as uncertain, unless it was certain and stays.
 pub(crate) fn touch(lines: &mut ByHost<Held>, host: &HostId, stays: bool, sent: &Held) {
     let standing = match (stays, lines.get(host).map(|l| l.standing)) {
-        (true, Some(Standing::Certain)) | (false, Some(Standing::Removing)) => return,
-        (true, _) => Standing::Adding,
-        (false, _) => Standing::Removing,
+        (true, Some(Certainty::Certain)) | (false, Some(Certainty::Removing)) => return,
+        (true, _) => Certainty::Adding,
+        (false, _) => Certainty::Removing,
     };
     lines.insert(host.clone(), Held { standing, ..sent.clone() });
 }
--- a/crates/shared/policy/src/decide.rs
+++ b/crates/shared/policy/src/decide.rs
@@ -5,31 +5,41 @@
 use std::collections::BTreeMap;
 
 impl Director {
-    pub fn new(s: Settings, _seed: u64) -> Director {
+    pub fn new(s: Settings) -> Director {
         let mask = |bound: bool| {
-            let of = s.classes.iter().enumerate().filter(|(_, c)| c.zone_bound == bound);
+            let of = s.classes.iter().enumerate().filter(|(_, c)| c.is_zone_bound == bound);
             of.fold(0u32, |m, (k, _)| m | 1 << k)
         };
         let groups = [(mask(false), false), (mask(true), true)].into_iter().filter(|g| g.0 > 0).collect();
         let usage = vec![Sums::default(); s.classes.len()];
         let well = Gate { hold: 1.0, flees: true, admit: 1.0, part: 1.0, usage, ..Gate::default() };
-        let gates = vec![well; s.zones.max(1)];
-        Director { groups, reply: 1, gates, pause: 2.0 * (s.report_every + s.late), s, ..Director::default() }
+        let gates = vec![well; s.fleet.zones.max(1)];
+        Director {
+            groups,
+            reply: 1,
+            gates,
+            pause: 2.0 * (s.report_interval + s.channel.mean_transit),
+            s,
+            ..Director::default()
+        }
     }
 
     pub fn handle(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
         // Silence of the reports says nothing of the hosts: older sums judge nobody.
-        (self.now, self.heard_from) = (now, now - STALE * self.s.report_every);
+        (self.now, self.heard_from) = (now, now - STALE * self.s.report_interval);
         let first = !std::mem::replace(&mut self.started, true);
-        if self.s.classes.is_empty() || self.s.push_rate <= 0.0 || self.s.backlog <= 0.0 {
+        if self.s.classes.is_empty()
+            || self.s.channel.lines_per_second <= 0.0
+            || self.s.channel.max_queued_lines <= 0.0
+        {
             let text = "settings make no sense (no classes, or a channel that carries nothing): no orders";
             return first.then(|| Action::Log { text: text.into() }).into_iter().collect();
         }
-        self.out.extend(first.then(|| Action::Timer { token: "round".into(), at: now + ROUND }));
-        self.out.extend((first && self.s.must_subscribe).then_some(Action::Subscribe));
+        self.out.extend(first.then(|| Action::StartTimer { token: "round".into(), at: now + ROUND }));
+        self.out.extend((first && self.s.must_subscribe).then_some(Action::SubscribeToHosts));
         // Answers and sums wait for a round; what changes who holds what is acted on at once.
-        let listed = events.iter().any(|e| matches!(e, Event::List { .. }));
-        let who = |e: &Event| matches!(e, Event::Joined { .. } | Event::Left { .. });
+        let listed = events.iter().any(|e| matches!(e, Event::HostsListed { .. }));
+        let who = |e: &Event| matches!(e, Event::ProxyJoined { .. } | Event::ProxyLeft { .. });
         let news = listed || events.iter().any(who);
         events.into_iter().for_each(|event| self.take(event));
         // It opens a round after its start: by then it knows who joins, and fills tables once.
@@ -51,11 +61,11 @@
     }
 
     pub(crate) fn take(&mut self, event: Event) {
-        let (now, memory) = (self.now, MEMORY * self.s.report_every);
+        let (now, memory) = (self.now, MEMORY * self.s.report_interval);
         match event {
-            Event::List { kind, entries } => self.listed(kind, entries),
+            Event::HostsListed { kind, entries } => self.listed(kind, entries),
             // It joins with lines that we don't know: bare to the model, bound at once. Messages count on.
-            Event::Joined { proxy, zone, rate, channel, .. } => {
+            Event::ProxyJoined { proxy, zone, rate, channel, .. } => {
                 let old = self.unbound(proxy).unwrap_or_default();
                 (self.came_at, self.joins) = (now, self.joins + usize::from(self.joined.insert(proxy)));
                 let (bound, lines) = self.groups.iter().map(|_| (None, BTreeMap::new())).unzip();
@@ -68,69 +78,52 @@
                     .insert(proxy, Proxy { zone, rate, pool, came, bound, lines, channel, nth, ..old });
             }
             // What a channel says of a proxy that has joined by another one is of before.
-            Event::Left { proxy, channel } if self.by(&proxy, channel) => drop(self.unbound(proxy)),
-            Event::Applied { mark, proxy, took, channel } if self.by(&proxy, channel) => {
-                self.answered(mark, proxy, took)
+            Event::ProxyLeft { proxy, channel } if self.by(&proxy, channel) => drop(self.unbound(proxy)),
+            Event::Acknowledged { ack_number, proxy, elapsed, channel } if self.by(&proxy, channel) => {
+                self.answered(ack_number, proxy, elapsed)
             }
-            Event::Delayed { mark, twice } => self.delayed(mark, twice),
-            Event::Behind { proxy, mark, again } => self.behind(proxy, mark, again),
-            Event::Heard { zone, host, tries, failed, mean, .. } if self.list.contains_key(&host) => {
+            Event::CallUnconfirmed { ack_number, may_have_run } => self.delayed(ack_number, may_have_run),
+            Event::NotApplied { proxy, ack_number, is_resent } => self.behind(proxy, ack_number, is_resent),
+            Event::HostReported { zone, host, attempts, failed, mean_latency, .. }
+                if self.list.contains_key(&host) =>
+            {
                 let sums = self.sums.entry((zone, host)).or_default();
-                add(sums, now, memory, tries, failed, mean * (tries - failed));
+                add(sums, now, memory, attempts, failed, mean_latency * (attempts - failed));
             }
-            Event::Usage { proxy, class, tries, failed, .. } => {
+            Event::TrafficReported { proxy, class, attempts, failed, .. } => {
                 let Some(p) = self.proxies.get_mut(&proxy) else { return };
-                add(&mut p.came, now, RATE_HOLDS, tries, failed, 0.0);
+                add(&mut p.came, now, RATE_HOLDS, attempts, failed, 0.0);
                 let gate = self.gates.get_mut(p.zone).and_then(|g| g.usage.get_mut(class));
-                gate.into_iter().for_each(|sums| add(sums, now, memory, tries, failed, 0.0));
+                gate.into_iter().for_each(|sums| add(sums, now, memory, attempts, failed, 0.0));
+            }
+            Event::TimerFired { token } if token == "round" => {
+                self.out.push(Action::StartTimer { token, at: now + ROUND })
             }
-            Event::Timer { token } if token == "round" => {
-                self.out.push(Action::Timer { token, at: now + ROUND })
+            Event::TimerFired { .. } => {
+                self.out.extend(self.s.must_subscribe.then_some(Action::SubscribeToHosts))
             }
-            Event::Timer { .. } => self.out.extend(self.s.must_subscribe.then_some(Action::Subscribe)),
-            Event::Heard { .. } | Event::Probed { .. } | Event::Told { .. } => {}
-            Event::Left { .. } | Event::Applied { .. } => {}
+            Event::HostReported { .. } | Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
+            Event::ProxyLeft { .. } | Event::Acknowledged { .. } => {}
         }
     }
 
     // ---- model (paper 4.2, 4.3): what each proxy may hold ----
 
-    /// An answer makes additions certain at once, removals late. Its channel is in order: all before it left;
-    /// it shows nothing of other channels.
-    pub(crate) fn answered(&mut self, mark: u16, proxy: ProxyId, took: Ms) {
-        let shared = self.by(&proxy, Channel::Shared);
-        let reply = if shared { self.marked(mark) } else { self.recent(mark) };
-        let (Some(reply), Some(p)) = (reply, self.proxies.get_mut(&proxy)) else { return };
-        let slowest = if shared { &mut self.slowest } else { &mut p.slowest };
-        *slowest = took.max(*slowest * 0.95);
-        for held in p.lines.iter_mut().flat_map(|g| g.values_mut()).filter(|h| h.reply <= reply) {
-            match held.standing {
-                Standing::Removing => held.answered = held.answered.or(Some(self.now)),
-                _ => held.standing = Standing::Certain,
-            }
-        }
-        if shared {
-            self.flights.retain(|r, _| *r >= reply);
-            let flight = self.flights.get_mut(&reply);
-            flight.into_iter().for_each(|f| f.waiting -= f.lines.remove(&proxy).unwrap_or(0.0));
-        }
-    }
-
     /// Time settles what no answer did; later on a slow channel, where lines may still wait (extension).
     /// The room of the channel at once, the lines of all proxies once a round.
     pub(crate) fn settle(&mut self, lines: bool) {
-        let after = |slowest: Ms| ANSWER_TIMEOUT.max(2.0 * slowest).max(2.0 * self.s.transit_max);
+        let after = |slowest: Ms| ANSWER_TIMEOUT.max(2.0 * slowest).max(2.0 * self.s.channel.max_transit);
         let (now, shared) = (self.now, after(self.slowest));
-        let timeout = |p: &Proxy| if p.channel == Channel::Own { after(p.slowest) } else { shared };
+        let timeout = |p: &Proxy| if p.channel == Channel::Dedicated { after(p.slowest) } else { shared };
         for p in self.proxies.values_mut().filter(|_| lines) {
             let timeout = timeout(p);
             p.lines.iter_mut().for_each(|group| {
                 group.retain(|_, l| {
-                    if l.standing == Standing::Adding && now - l.since >= timeout {
-                        l.standing = Standing::Certain;
+                    if l.standing == Certainty::Adding && now - l.since >= timeout {
+                        l.standing = Certainty::Certain;
                     }
                     let gone = l.answered.unwrap_or(l.since + timeout) + REMOVAL_DELAY;
-                    l.standing != Standing::Removing || now < gone
+                    l.standing != Certainty::Removing || now < gone
                 })
             });
         }
--- a/crates/shared/policy/src/fleet.rs
+++ b/crates/shared/policy/src/fleet.rs
@@ -5,12 +5,14 @@
 
 impl Director {
     /// The list: deltas apply to the one held, a complete one removes what it doesn't name.
-    pub(crate) fn listed(&mut self, kind: ListKind, entries: Vec<Entry>) {
-        if kind == ListKind::Lost {
-            return self.out.push(Action::Timer { token: "ask".into(), at: self.now + self.s.report_every });
+    pub(crate) fn listed(&mut self, kind: HostListKind, entries: Vec<HostEntry>) {
+        if kind == HostListKind::Unavailable {
+            return self
+                .out
+                .push(Action::StartTimer { token: "ask".into(), at: self.now + self.s.report_interval });
         }
         let named: BTreeSet<HostId> = entries.iter().map(|e| e.host.clone()).collect();
-        let missing = |h: &&HostId| kind != ListKind::Delta && !named.contains(*h);
+        let missing = |h: &&HostId| kind != HostListKind::Delta && !named.contains(*h);
         let missing: Vec<HostId> = self.list.keys().filter(missing).cloned().collect();
         missing.iter().for_each(|host| _ = self.dropped(host));
         for mut entry in entries {
@@ -18,8 +20,8 @@
                 continue;
             }
             entry.weight = if entry.weight > 0.0 { entry.weight.min(1e6) } else { 1.0 };
-            entry.up_since = if entry.up_since > 0.0 { entry.up_since } else { f64::NEG_INFINITY };
-            let restarted = self.list.get(&entry.host).is_some_and(|l| l.entry.up_since < entry.up_since);
+            entry.started_at = if entry.started_at > 0.0 { entry.started_at } else { f64::NEG_INFINITY };
+            let restarted = self.list.get(&entry.host).is_some_and(|l| l.entry.started_at < entry.started_at);
             if restarted || entry.readiness != Readiness::Ready {
                 self.health.remove(&entry.host);
                 self.grades.remove(&entry.host);
@@ -35,7 +37,7 @@
     /// decides: a list can be wrong about most of the fleet. Harm: a dead host is tried until sums tell.
     pub(crate) fn dropped(&mut self, host: &HostId) -> bool {
         let Some(l) = self.list.get_mut(host) else { return false };
-        let stays = self.s.gone_may_stay && l.entry.readiness == Readiness::Ready;
+        let stays = self.s.hosts.may_keep_unlisted && l.entry.readiness == Readiness::Ready;
         l.doubted = if stays { l.doubted.or(Some(self.now)) } else { None };
         l.entry.readiness = if stays { Readiness::Ready } else { Readiness::Gone };
         stays
@@ -45,7 +47,7 @@
     pub(crate) fn believe(&mut self) {
         for (host, l) in self.list.iter_mut() {
             let Some(since) = l.doubted else { continue };
-            let mine = (0..self.s.zones.max(1)).filter_map(|z| self.sums.get(&(z, host.clone())));
+            let mine = (0..self.s.fleet.zones.max(1)).filter_map(|z| self.sums.get(&(z, host.clone())));
             let s = total(mine.filter(|s| s.at > since));
             if s.failed > 0.5 * s.tries || s.tries == 0.0 && self.now - since > 2.0 * self.pause {
                 (l.entry.readiness, l.doubted) = (Readiness::Gone, None);
@@ -59,7 +61,7 @@
         let ready = |l: &Listed| l.entry.readiness == Readiness::Ready;
         self.pools =
             self.pools.max(self.list.values().filter(|l| ready(l)).count().div_ceil(POOL_PLAN)).max(1);
-        for zone in 0..self.s.zones.max(1) {
+        for zone in 0..self.s.fleet.zones.max(1) {
             let here = self.list.values_mut().filter(|l| ready(l) && l.entry.zone == zone);
             let hosts: Vec<&mut Listed> = here.collect();
             let mut size = vec![0.0; self.pools];
@@ -76,7 +78,7 @@
 
     /// Moves one proxy a round and zone to a pool that has much less to carry.
     pub(crate) fn even_out(&mut self) {
-        for zone in 0..self.s.zones.max(1) {
+        for zone in 0..self.s.fleet.zones.max(1) {
             let load = self.burden(zone);
             let over: Vec<f64> = load.iter().map(|x| x.0 / x.1).collect();
             let (least, most) = (lowest(&over, 1.0), lowest(&over, -1.0));
--- a/crates/shared/policy/src/health.rs
+++ b/crates/shared/policy/src/health.rs
@@ -15,7 +15,7 @@
     /// Ejects hosts that answer (almost) nothing to a zone's proxies while the rest serve them well: hung,
     /// silent, refusing, or cut off. Slow ones still carry load. Harm: a good host may go out by chance.
     pub(crate) fn judge(&mut self) {
-        let (now, over) = (self.now, RAMP_OVER.max(self.s.cold));
+        let (now, over) = (self.now, RAMP_OVER.max(self.s.hosts.warm_up));
         let mut notes = Vec::new();
         for (host, h) in self.health.iter_mut().filter(|(_, h)| now >= h.until && !h.proved) {
             let good = |z| self.sums.get(&(z, host.clone())).is_some_and(|s| s.tries - s.failed >= 0.5);
@@ -24,7 +24,7 @@
         }
         self.health.retain(|_, h| now - h.until < over);
         let mut bad: ByHost<(f64, Vec<ZoneId>)> = BTreeMap::new();
-        for zone in 0..self.s.zones.max(1) {
+        for zone in 0..self.s.fleet.zones.max(1) {
             let seen = || self.sums.iter().filter(|((z, h), _)| *z == zone && self.judged(h));
             let fails = |s: &Sums| s.tries > 0.0 && s.failed >= OUTLIER_FAILS * s.tries;
             let well = total(seen().map(|(_, s)| s).filter(|s| !fails(s)));
--- a/crates/shared/policy/src/scheduler.rs
+++ b/crates/shared/policy/src/scheduler.rs
@@ -12,13 +12,13 @@
         let keeps = |proxy: &ProxyId, group: usize, stays: &dyn Fn(&HostId) -> bool| {
             let p = &self.proxies[proxy];
             let mut lines = p.lines[group].iter();
-            lines.any(|(h, l)| l.standing == Standing::Certain && self.live(h, p.channel) && stays(h))
+            lines.any(|(h, l)| l.standing == Certainty::Certain && self.live(h, p.channel) && stays(h))
         };
         match &change.1 {
             Key::Line(table, host) => {
                 let group = self.tables[table].key.1;
                 let held = |p: &ProxyId| self.proxies[p].lines[group].get(host).map(|l| l.standing);
-                let returns = |p: &ProxyId| change.2 > 0.0 && held(p) != Some(Standing::Removing);
+                let returns = |p: &ProxyId| change.2 > 0.0 && held(p) != Some(Certainty::Removing);
                 self.users(*table).all(|p| returns(&p) || change.2 == 0.0 && keeps(&p, group, &|h| h != host))
             }
             Key::Bind(proxy, group, table) => {
@@ -38,7 +38,7 @@
         // are bound first, or it goes out again once all are here: what takes less of the channel. Harm: a
         // line again at those who knew.
         let crowd = if self.now - self.came_at < JOINING { Vec::new() } else { self.waiting() };
-        let fresh = |l: &Listed| l.withdrawn[0] && self.came_at - l.told.1 < self.s.drain_grace / 2.0;
+        let fresh = |l: &Listed| l.withdrawn[0] && self.came_at - l.told.1 < self.s.hosts.drain_grace / 2.0;
         let last = crowd.iter().copied().max().unwrap_or(0);
         let late = |l: &Listed| fresh(l) && l.told.0 < last;
         let told: Vec<usize> =
@@ -47,7 +47,7 @@
         let behind = crowd.iter().filter(|joined| **joined > since).count() as f64;
         let again = self.retelling(told.len()) * (crowd.len() as f64) < self.binding() * behind;
         let every = || Channel::ALL.into_iter().flat_map(|c| self.list.iter().map(move |(h, l)| (c, h, l)));
-        let knows = |c: Channel, l: &Listed| c == Channel::Own || !again || !late(l);
+        let knows = |c: Channel, l: &Listed| c == Channel::Dedicated || !again || !late(l);
         let out = |c: Channel, l: &Listed| l.withdrawn[c as usize] && knows(c, l);
         let mut shut: Vec<_> = every().filter(|(c, h, l)| !out(*c, l) && !self.ready(h)).collect();
         // What nobody was told yet goes first: behind fifty told again, ten came two seconds late.
@@ -95,7 +95,7 @@
                 let p = &self.proxies[proxy];
                 if p.bound[group] != Some(table) {
                     let may = |(h, l): (&HostId, &Held)| {
-                        l.standing != Standing::Removing && self.live(h, p.channel)
+                        l.standing != Certainty::Removing && self.live(h, p.channel)
                     };
                     let bare = close || !p.lines[group].iter().any(may);
                     let size = if bare { f64::INFINITY } else { p.rate.max(1.0) };
@@ -138,7 +138,7 @@
             heavy.insert((host.clone(), key.4));
         }
         for class in self.classes(key.1) {
-            let have = t.levels.get(&class).copied().unwrap_or((1.0, self.s.base_again));
+            let have = t.levels.get(&class).copied().unwrap_or((1.0, self.s.proxies.retry_policy));
             let want = self.level(key.0, class);
             if want != have {
                 push((want.0 - have.0).abs() + 0.01, false, Key::Level(table, class), want.0);
@@ -172,17 +172,19 @@
         let new: f64 = on_it.map(|(p, l)| self.charged_more(p, *l)).sum();
         let part = if urgent { URGENT_PART } else { ORDINARY_PART };
         // What lies in the channel delays withdrawals: binds of thousands that joined filled nine seconds.
-        let ahead = self.s.push_rate / 1000.0 * (self.s.drain_grace * AHEAD_OF_DRAINS).max(AHEAD_LEAST);
+        let ahead = self.s.channel.lines_per_second / 1000.0
+            * (self.s.hosts.drain_grace * AHEAD_OF_DRAINS).max(AHEAD_LEAST);
         let first = matches!(key, Key::Withdraw(..)) || flying + self.sent <= 0.0;
-        let most = (part * self.s.backlog).min(if first { f64::INFINITY } else { ahead });
+        let most = (part * self.s.channel.max_queued_lines).min(if first { f64::INFINITY } else { ahead });
         // Half go out freely, urgent ones beyond it spaced, withdrawals but one left for a repeat.
-        let (over, half) = (self.s.counted_over, ORDINARY_MESSAGES * self.s.update_cap as f64);
+        let (over, half) =
+            (self.s.channel.message_window, ORDINARY_MESSAGES * self.s.channel.max_messages as f64);
         let full = |p: &ProxyId| {
             let written = || self.proxies[p].written.iter().filter(|at| self.now - **at <= over);
             let (count, last) = (written().count() as f64 + 1.0, written().next_back().unwrap_or(&0.0));
-            let must = matches!(key, Key::Withdraw(..)) && count < self.s.update_cap as f64;
+            let must = matches!(key, Key::Withdraw(..)) && count < self.s.channel.max_messages as f64;
             let spaced = urgent && self.now - last > over / half;
-            self.s.update_cap > 0 && !self.lines.contains_key(p) && count > half && !must && !spaced
+            self.s.channel.max_messages > 0 && !self.lines.contains_key(p) && count > half && !must && !spaced
         };
         let fits = new == 0.0 || flying + self.sent + new <= most;
         let room = fits && !cost.iter().any(|(p, _)| full(p));
@@ -202,7 +204,7 @@
     }
 
     /// A call of unknown outcome goes out again once its proxies have room under the cap for it.
-    pub fn may_repeat(&self, mark: u16, now: Ms) -> bool {
-        self.s.update_cap == 0 || self.most_written(mark, now) <= self.s.update_cap
+    pub fn may_resend(&self, ack_number: AckNumber, now: Ms) -> bool {
+        self.s.channel.max_messages == 0 || self.most_written(ack_number, now) <= self.s.channel.max_messages
     }
 }
--- a/crates/shared/policy/src/state.rs
+++ b/crates/shared/policy/src/state.rs
@@ -5,7 +5,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Held {
-    pub standing: Standing,
+    pub standing: Certainty,
     /// Number of the reply that last touched it, and when that went out.
     pub reply: u64,
     pub since: Ms,
@@ -37,7 +37,7 @@
 pub(crate) struct Table {
     pub key: TableKey,
     pub lines: ByHost<f64>,
-    pub levels: BTreeMap<ClassId, (f64, Again)>,
+    pub levels: BTreeMap<ClassId, (f64, RetryPolicy)>,
     /// Proxies that are bound to it.
     pub users: BTreeSet<ProxyId>,
 }
@@ -74,7 +74,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Listed {
-    pub entry: Entry,
+    pub entry: HostEntry,
     /// Shut out of all tables of a channel by an order, by `Channel as usize`.
     pub withdrawn: [bool; 2],
     /// Joinings before its withdrawal was last ordered on the shared channel, and when.
@@ -89,7 +89,7 @@
 
 impl Listed {
     /// As first listed, in no pool yet.
-    pub fn of(entry: Entry) -> Listed {
+    pub fn of(entry: HostEntry) -> Listed {
         Listed { entry, withdrawn: [false; 2], told: (0, 0.0), doubted: None, gone: None, pool: usize::MAX }
     }
 }
--- a/crates/shared/policy/src/tables.rs
+++ b/crates/shared/policy/src/tables.rs
@@ -8,41 +8,34 @@
     pub(crate) fn ramp(&self, age: Ms) -> f64 {
         let step = (age / RAMP_OVER * RAMP_STEPS).floor().clamp(0.0, RAMP_STEPS) / RAMP_STEPS;
         let most = ((self.promised(age) * RAMP_STEPS).ceil() / RAMP_STEPS).min(1.0 - 1e-9);
-        if age >= RAMP_OVER.max(self.s.cold) { 1.0 } else { (RAMP_FROM + (1.0 - RAMP_FROM) * step).min(most) }
+        if age >= RAMP_OVER.max(self.s.hosts.warm_up) {
+            1.0
+        } else {
+            (RAMP_FROM + (1.0 - RAMP_FROM) * step).min(most)
+        }
     }
 
     pub(crate) fn promised(&self, age: Ms) -> f64 {
-        (self.s.start_capacity + (1.0 - self.s.start_capacity) * age.max(0.0) / self.s.cold.max(1.0)).min(1.0)
-    }
-
-    /// What comes to each zone's proxies. Those that others direct are taken for usual ones, spread over the
-    /// zones like one's own, or over the other zones where proxies join their own zone's director.
-    pub(crate) fn demand(&self) -> Vec<f64> {
-        let mut seen = vec![0.0; self.s.zones.max(1)];
-        for p in self.proxies.values() {
-            seen.get_mut(p.zone).into_iter().for_each(|s| *s += p.came.tries);
-        }
-        let others = self.s.proxies.saturating_sub(self.proxies.len()) as f64;
-        let unseen = others * sum(&seen) / self.proxies.len().max(1) as f64;
-        let share = |z: usize| if self.s.zonal { f64::from(self.s.my_zone != Some(z)) } else { seen[z] };
-        let all = (0..seen.len()).map(share).sum::<f64>().max(1e-9);
-        (0..seen.len()).map(|z| seen[z] + unseen * share(z) / all).collect()
+        (self.s.hosts.start_capacity
+            + (1.0 - self.s.hosts.start_capacity) * age.max(0.0) / self.s.hosts.warm_up.max(1.0))
+        .min(1.0)
     }
 
     /// How far tables reach into other zones: as far as a zone has more to carry than its part of what all
     /// hosts can do, and a little by the price of a crossing, so that no zone's loss empties a table. Harm:
     /// a wrong guess of what other directors' proxies bring fills a zone that had room.
     pub(crate) fn reach(&mut self) {
-        let (zones, demand, mut can) = (self.s.zones.max(1), self.demand(), vec![0.0; self.s.zones.max(1)]);
+        let (zones, demand, mut can) =
+            (self.s.fleet.zones.max(1), self.demand(), vec![0.0; self.s.fleet.zones.max(1)]);
         for (host, l) in self.list.iter().filter(|(_, l)| l.entry.readiness == Readiness::Ready) {
-            let up = self.ramp(self.now - l.entry.up_since);
+            let up = self.ramp(self.now - l.entry.started_at);
             let part = up * self.fit(l.entry.zone, host) * l.entry.weight;
             can.get_mut(l.entry.zone).into_iter().for_each(|c| *c += part);
         }
         let (least, full) = (0.01 * sum(&can), sum(&demand) / sum(&can));
         can.iter_mut().for_each(|c| *c = c.max(least));
         let tries = |bound: bool| -> f64 {
-            let of = (0..self.s.classes.len()).filter(|c| self.s.classes[*c].zone_bound == bound);
+            let of = (0..self.s.classes.len()).filter(|c| self.s.classes[*c].is_zone_bound == bound);
             of.map(|c| self.used(c) + 1e-6).sum()
         };
         let open = tries(false) / (tries(false) + tries(true));
@@ -67,14 +60,14 @@
         let ((zone, _, closed, pool, _), bound) = (key, self.groups[key.1].1);
         // A class bound to its zone takes the zone's warm hosts too where its pool has none.
         let mine = self.list.iter().filter(|(h, l)| self.ready(h) && l.entry.zone == zone && l.pool == pool);
-        let warm = |l: &Listed| self.ramp(self.now - l.entry.up_since) >= 1.0;
+        let warm = |l: &Listed| self.ramp(self.now - l.entry.started_at) >= 1.0;
         let (all, few) = (mine.clone().count(), bound && !mine.clone().any(|(_, l)| warm(l)));
         let mut parts: Vec<Part> = Vec::new();
         for (host, l) in self.list.iter().filter(|(_, l)| !closed && l.entry.readiness == Readiness::Ready) {
             let e = &l.entry;
             if (l.pool == pool || few && (all == 0 || warm(l))) && (e.zone == zone || !bound) {
                 let weight = e.weight * self.near(zone, e.zone);
-                let up = self.ramp(self.now - e.up_since);
+                let up = self.ramp(self.now - e.started_at);
                 parts.push(Part { host, weight, up, fit: self.fit(zone, host) });
             }
         }
@@ -96,7 +89,7 @@
         } else {
             // Proxies that make too few tries to flee bring a cold host what they bring the others: from the
             // second step on a safe part of the multiple at which it falls over. Held back, it ends no jam.
-            (1.0, room.max((COLD_PART * self.s.fall_multiple * room).min(1.0)))
+            (1.0, room.max((COLD_PART * self.s.hosts.overload_multiple * room).min(1.0)))
         };
         let held = if warm { held } else { held.max(RAMP_FROM) };
         let room = |up: f64| if up > RAMP_FROM { risen } else { least };
@@ -107,16 +100,16 @@
     /// Proxies whose zone has only cold hosts for a zone-bound class, beyond what those can take: they get an
     /// empty table, as levels may be off. Harm: refusals while the hosts could have done a little more.
     pub(crate) fn closed(&self, group: usize) -> BTreeSet<ProxyId> {
-        let zones = if self.groups[group].1 { self.s.zones } else { 0 };
+        let zones = if self.groups[group].1 { self.s.fleet.zones } else { 0 };
         let ready = self.list.values().map(|l| &l.entry).filter(|e| e.readiness == Readiness::Ready);
-        let able = |e: &Entry| self.promised(self.now - e.up_since);
+        let able = |e: &HostEntry| self.promised(self.now - e.started_at);
         // Hosts are taken to carry just what proxies usually bring: a director may not have seen more yet.
         let usual = self.all_rates() / ready.clone().map(|e| e.weight).sum::<f64>().max(1e-9);
         let room = |zone: ZoneId| {
             let mine = ready.clone().filter(|e| e.zone == zone);
             let can: f64 = mine.clone().map(|e| e.weight * able(e)).sum();
             let warm = can == 0.0 || mine.clone().any(|e| able(e) >= 1.0);
-            if warm { f64::INFINITY } else { COLD_PART * self.s.fall_multiple * can * usual }
+            if warm { f64::INFINITY } else { COLD_PART * self.s.hosts.overload_multiple * can * usual }
         };
         let mut rooms: Vec<f64> = (0..zones).map(room).collect();
         let mut over = |p: &Proxy| rooms.get_mut(p.zone).is_some_and(|room| (*room -= p.rate, *room < 0.0).1);
--- a/crates/shared/policy/tests/common/mod.rs
+++ b/crates/shared/policy/tests/common/mod.rs
@@ -5,70 +5,89 @@
 use rushcourse_policy::interface::*;
 use std::collections::BTreeMap;
 
-pub fn class(effect: Effect, worth: f64, zone_bound: bool) -> Class {
-    Class {
-        aim: 1000.0,
+pub fn class(idempotency: Idempotency, value: f64, is_zone_bound: bool) -> RequestClass {
+    RequestClass {
+        target_latency: 1000.0,
         deadline: 3000.0,
-        worth,
-        effect,
-        key_scope: KeyScope::Cell,
-        key_ttl: 1500.0,
-        zone_bound,
-        writes: false,
+        value,
+        idempotency,
+        is_zone_bound,
+        is_write: false,
     }
 }
 
 pub fn settings() -> Settings {
     Settings {
-        classes: vec![class(Effect::Free, 2.0, false), class(Effect::SingleShot, 5.0, false)],
-        zones: 2,
-        my_zone: Some(0),
-        me: 0,
-        directors: 2,
-        proxies: 4,
-        backlog: 4000.0,
-        push_rate: 2000.0,
-        per_message: 3.0,
-        update_cap: 0,
-        counted_over: 10_000.0,
-        late: 200.0,
-        transit_max: 500.0,
-        unserved_max: 6000.0,
-        report_every: 1000.0,
-        level_kind: LevelKind::Ratio,
-        base_again: Again::Never,
-        first_wait: 0.8,
-        drain_grace: 2000.0,
-        start_capacity: 0.2,
-        cold: 15_000.0,
-        fall_multiple: 2.5,
-        overload_for: 2000.0,
+        classes: vec![
+            class(Idempotency::Idempotent, 2.0, false),
+            class(Idempotency::NotIdempotent, 5.0, false),
+        ],
+        fleet: FleetSettings {
+            zones: 2,
+            own_zone: Some(0),
+            directors: 2,
+            proxies: 4,
+            ..FleetSettings::default()
+        },
+        channel: ChannelSettings {
+            max_queued_lines: 4000.0,
+            lines_per_second: 2000.0,
+            lines_per_message: 3.0,
+            max_messages: 0,
+            message_window: 10_000.0,
+            mean_transit: 200.0,
+            max_transit: 500.0,
+        },
+        hosts: HostSettings {
+            drain_grace: 2000.0,
+            start_capacity: 0.2,
+            warm_up: 15_000.0,
+            overload_multiple: 2.5,
+            ..HostSettings::default()
+        },
+        proxies: ProxySettings { admission_kind: AdmissionKind::Ratio, ..ProxySettings::default() },
+        report_interval: 1000.0,
         cross_zone_price: 0.1,
         ..Settings::default()
     }
 }
 
-pub fn host(name: &str, zone: ZoneId) -> Entry {
-    let (host, cell, weight, up_since) = (name.into(), 0, 1.0, 0.0);
-    Entry { host, zone, cell, readiness: Readiness::Ready, weight, up_since }
+/// The usual settings with a change.
+pub fn settings_with(change: impl FnOnce(&mut Settings)) -> Settings {
+    let mut settings = settings();
+    change(&mut settings);
+    settings
 }
 
-pub fn with(mut entry: Entry, readiness: Readiness, up_since: Ms) -> Entry {
-    (entry.readiness, entry.up_since) = (readiness, up_since);
+pub fn host(name: &str, zone: ZoneId) -> HostEntry {
+    let (host, cell, weight, started_at) = (name.into(), 0, 1.0, 0.0);
+    HostEntry { host, zone, cell, readiness: Readiness::Ready, weight, started_at }
+}
+
+pub fn with(mut entry: HostEntry, readiness: Readiness, started_at: Ms) -> HostEntry {
+    (entry.readiness, entry.started_at) = (readiness, started_at);
     entry
 }
 
-pub fn list(kind: ListKind, entries: &[Entry]) -> Event {
-    Event::List { kind, entries: entries.to_vec() }
+pub fn list(kind: HostListKind, entries: &[HostEntry]) -> Event {
+    Event::HostsListed { kind, entries: entries.to_vec() }
 }
 
 pub fn join(proxy: ProxyId, zone: ZoneId) -> Event {
-    Event::Joined { proxy, zone, rate: 5.0, fresh: true, channel: Channel::Shared }
+    Event::ProxyJoined { proxy, zone, rate: 5.0, is_fresh: true, channel: Channel::Shared }
 }
 
 pub fn heard(zone: ZoneId, host: &str, tries: f64, failed: f64, mean: Ms) -> Event {
-    let load = Load::default();
-    Event::Heard { zone, host: host.into(), tries, failed, mean, span: 1000.0, load }
+    let load = HostLoad::default();
+    Event::HostReported {
+        zone,
+        host: host.into(),
+        attempts: tries,
+        failed,
+        mean_latency: mean,
+        span: 1000.0,
+        load,
+    }
 }
 
 /// A director with its clock, its orders so far, and what they left in tables and at proxies.
@@ -78,7 +97,7 @@
     pub tables: BTreeMap<TableId, BTreeMap<String, f64>>,
     pub bound: BTreeMap<(ProxyId, u32), TableId>,
     pub withdrawn: BTreeMap<String, bool>,
-    pub levels: BTreeMap<(TableId, u32), (f64, Again)>,
+    pub levels: BTreeMap<(TableId, u32), (f64, RetryPolicy)>,
     pub last_mark: Option<u16>,
     pub logs: Vec<String>,
     next: Ms,
@@ -87,7 +106,7 @@
 impl Stand {
     pub fn new(settings: Settings) -> Stand {
         // The director has been up for a while: it opens a round after its start.
-        let mut director = Director::new(settings, 7);
+        let mut director = Director::new(settings);
         director.handle(500.0, vec![]);
         Stand {
             director,
@@ -107,7 +126,7 @@
         let actions = self.director.handle(self.now, events);
         for action in &actions {
             match action.clone() {
-                Action::Line { table, host, weight } => {
+                Action::SetEndpoint { table, host, weight } => {
                     let lines = self.tables.entry(table).or_default();
                     if weight > 0.0 {
                         lines.insert(host.to_string(), weight);
@@ -115,16 +134,16 @@
                         lines.remove(&*host);
                     }
                 }
-                Action::Clear { table } => drop(self.tables.remove(&table)),
-                Action::Bind { proxy, table, classes } => drop(self.bound.insert((proxy, classes), table)),
-                Action::Withdraw { host, out, channel: Channel::Shared } => {
+                Action::ClearTable { table } => drop(self.tables.remove(&table)),
+                Action::BindProxy { proxy, table, classes } => _ = self.bound.insert((proxy, classes), table),
+                Action::SetWithdrawn { host, is_withdrawn: out, channel: Channel::Shared } => {
                     self.withdrawn.insert(host.to_string(), out);
                 }
-                Action::Level { table, classes, quota, again } => {
+                Action::SetAdmission { table, classes, quota, retry_policy: again } => {
                     self.levels.insert((table, classes), (quota, again));
                 }
-                Action::Mark { number } => self.last_mark = Some(number),
-                Action::Timer { token, at } if token == "round" => self.next = at,
+                Action::RequestAck { ack_number: number } => self.last_mark = Some(number),
+                Action::StartTimer { token, at } if token == "round" => self.next = at,
                 Action::Log { text } => self.logs.push(text),
                 _ => {}
             }
@@ -138,7 +157,7 @@
         let mut all = Vec::new();
         while self.next <= end {
             self.now = self.now.max(self.next);
-            all.extend(self.give(vec![Event::Timer { token: "round".into() }]));
+            all.extend(self.give(vec![Event::TimerFired { token: "round".into() }]));
         }
         self.now = end;
         all
@@ -150,7 +169,12 @@
         self.give(
             proxies
                 .iter()
-                .map(|p| Event::Applied { mark, proxy: *p, took: 300.0, channel: Channel::Shared })
+                .map(|p| Event::Acknowledged {
+                    ack_number: mark,
+                    proxy: *p,
+                    elapsed: 300.0,
+                    channel: Channel::Shared,
+                })
                 .collect(),
         )
     }
@@ -166,8 +190,8 @@
 /// Two zones of three hosts, listed.
 pub fn listed(settings: Settings) -> Stand {
     let mut stand = Stand::new(settings);
-    let hosts: Vec<Entry> = HOSTS.iter().map(|h| host(h, usize::from(h.starts_with('b')))).collect();
-    stand.give(vec![list(ListKind::Held, &hosts)]);
+    let hosts: Vec<HostEntry> = HOSTS.iter().map(|h| host(h, usize::from(h.starts_with('b')))).collect();
+    stand.give(vec![list(HostListKind::Cached, &hosts)]);
     stand
 }
 
--- a/crates/shared/policy/tests/delayed.rs
+++ b/crates/shared/policy/tests/delayed.rs
@@ -8,7 +8,7 @@
 fn removes(stand: &Stand, proxy: ProxyId, name: &str, actions: &[Action]) -> bool {
     let mine = stand.bound[&(proxy, 0)];
     let gone = |a: &Action| match a {
-        Action::Line { table, host, weight } => *table == mine && &**host == name && *weight == 0.0,
+        Action::SetEndpoint { table, host, weight } => *table == mine && &**host == name && *weight == 0.0,
         _ => false,
     };
     actions.iter().any(gone)
@@ -16,12 +16,12 @@
 
 fn withdraws(actions: &[Action], name: &str) -> bool {
     actions.iter().any(
-        |a| matches!(a, Action::Withdraw { host, out: true, channel: Channel::Shared } if &**host == name),
+        |a| matches!(a, Action::SetWithdrawn { host, is_withdrawn: true, channel: Channel::Shared } if &**host == name),
     )
 }
 
 fn drain(stand: &mut Stand, name: &str) -> Vec<Action> {
-    stand.give(vec![list(ListKind::Delta, &[with(host(name, 0), Readiness::Draining, 0.0)])])
+    stand.give(vec![list(HostListKind::Delta, &[with(host(name, 0), Readiness::Draining, 0.0)])])
 }
 
 /// Binds that no proxy has answered, for longer than time needs to settle them.
@@ -31,7 +31,7 @@
     for _ in 0..8 {
         stand.pass(500.0);
         if delayed {
-            stand.give(vec![Event::Delayed { mark, twice: false }]);
+            stand.give(vec![Event::CallUnconfirmed { ack_number: mark, may_have_run: false }]);
         }
     }
     stand
@@ -57,11 +57,15 @@
     stand.give(vec![join(3, 0)]);
     for _ in 0..8 {
         stand.pass(500.0);
-        stand.give(vec![Event::Delayed { mark: first, twice: false }]);
+        stand.give(vec![Event::CallUnconfirmed { ack_number: first, may_have_run: false }]);
     }
     // The proxies of the first call answer; the one behind it has not.
-    let answers =
-        [1, 2].map(|proxy| Event::Applied { mark: first, proxy, took: 300.0, channel: Channel::Shared });
+    let answers = [1, 2].map(|proxy| Event::Acknowledged {
+        ack_number: first,
+        proxy,
+        elapsed: 300.0,
+        channel: Channel::Shared,
+    });
     stand.give(answers.to_vec());
     drain(&mut stand, "a1");
     let actions = stand.pass(500.0);
@@ -71,7 +75,7 @@
 
 /// A site where a proxy gets four messages at most.
 fn capped() -> Settings {
-    Settings { update_cap: 4, ..settings() }
+    settings_with(|s| s.channel.max_messages = 4)
 }
 
 #[test]
@@ -80,7 +84,7 @@
     assert!(withdraws(&drain(&mut stand, "a1"), "a1"), "one message was written: there is room");
     let mut stand = joined(capped());
     let mark = stand.last_mark.expect("a mark");
-    stand.give((0..3).map(|_| Event::Delayed { mark, twice: true }).collect());
+    stand.give((0..3).map(|_| Event::CallUnconfirmed { ack_number: mark, may_have_run: true }).collect());
     assert!(
         !withdraws(&drain(&mut stand, "a1"), "a1"),
         "four may have been written: no more within the span"
@@ -95,8 +99,11 @@
     let mark = stand.last_mark.expect("a mark");
     stand.pass(9_000.0);
     // The call leaves only now, as does one repeat of it.
-    stand.give(vec![Event::Delayed { mark, twice: true }, Event::Delayed { mark, twice: true }]);
-    stand.give(vec![Event::Delayed { mark, twice: true }]);
+    stand.give(vec![
+        Event::CallUnconfirmed { ack_number: mark, may_have_run: true },
+        Event::CallUnconfirmed { ack_number: mark, may_have_run: true },
+    ]);
+    stand.give(vec![Event::CallUnconfirmed { ack_number: mark, may_have_run: true }]);
     stand.pass(2_000.0);
     assert!(!withdraws(&drain(&mut stand, "a1"), "a1"), "the four were written two seconds ago");
 }
@@ -104,35 +111,35 @@
 #[test]
 fn who_joins_without_having_left_is_bound_anew_and_its_messages_count_on() {
     let count = |left: bool| {
-        let mut stand = joined(Settings { update_cap: 6, ..settings() });
+        let mut stand = joined(settings_with(|s| s.channel.max_messages = 6));
         let mark = stand.last_mark.expect("a mark");
         stand.pass(300.0);
-        stand.give((0..3).map(|_| Event::Delayed { mark, twice: true }).collect());
+        stand.give((0..3).map(|_| Event::CallUnconfirmed { ack_number: mark, may_have_run: true }).collect());
         let mut events = vec![join(1, 0), join(2, 1)];
         if left {
             events.splice(
                 0..0,
                 [
-                    Event::Left { proxy: 1, channel: Channel::Shared },
-                    Event::Left { proxy: 2, channel: Channel::Shared },
+                    Event::ProxyLeft { proxy: 1, channel: Channel::Shared },
+                    Event::ProxyLeft { proxy: 2, channel: Channel::Shared },
                 ],
             );
         }
         let actions = stand.give(events);
-        actions.iter().filter(|a| matches!(a, Action::Bind { .. })).count()
+        actions.iter().filter(|a| matches!(a, Action::BindProxy { .. })).count()
     };
     assert_eq!(count(true), 2, "a stream that is new counts from its joining");
     assert_eq!(count(false), 0, "four of six are written: the binds wait for their turn");
     let mut stand = usual();
     let actions = stand.give(vec![join(1, 0)]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Bind { proxy: 1, .. })), "it may be on no table");
+    assert!(actions.iter().any(|a| matches!(a, Action::BindProxy { proxy: 1, .. })), "it may be on no table");
 }
 
 #[test]
 fn one_message_of_the_cap_is_left_for_a_repeat() {
     let mut stand = joined(capped());
     let mark = stand.last_mark.expect("a mark");
-    stand.give((0..2).map(|_| Event::Delayed { mark, twice: true }).collect());
+    stand.give((0..2).map(|_| Event::CallUnconfirmed { ack_number: mark, may_have_run: true }).collect());
     assert!(
         !withdraws(&drain(&mut stand, "a1"), "a1"),
         "its call may go out twice: that would be five of four"
--- a/crates/shared/policy/tests/health.rs
+++ b/crates/shared/policy/tests/health.rs
@@ -6,8 +6,9 @@
 
 /// What came to the proxies of both zones, half to each.
 fn usage(tries: f64) -> Vec<Event> {
-    let each =
-        |proxy| move |class| Event::Usage { proxy, class, tries: tries / 2.0, failed: 0.0, span: 1000.0 };
+    let each = |proxy| {
+        move |class| Event::TrafficReported { proxy, class, attempts: tries / 2.0, failed: 0.0, span: 1000.0 }
+    };
     (0..2).map(each(1)).chain((0..2).map(each(2))).collect()
 }
 
@@ -105,7 +106,7 @@
 #[test]
 fn a_site_without_levels_gets_none() {
     let mut s = settings();
-    s.level_kind = LevelKind::Off;
+    s.proxies.admission_kind = AdmissionKind::Off;
     let mut stand = joined(s);
     run(&mut stand, 10, 16.0, |_| (0.5, 900.0));
     assert!(stand.levels.values().all(|l| l.0 == 1.0));
@@ -114,19 +115,19 @@
 #[test]
 fn further_tries_follow_the_site_and_stop_in_a_jam() {
     let mut s = settings();
-    s.base_again = Again::AfterProof;
+    s.proxies.retry_policy = RetryPolicy::OnceIfNotRun;
     let mut stand = joined(s);
     run(&mut stand, 3, 8.0, |_| (0.0, 200.0));
     assert!(stand.levels.is_empty(), "the site's own mode needs no order");
     run(&mut stand, 4, 16.0, |_| (0.5, 900.0));
     let table = stand.bound[&(1, 0)];
     let modes = stand.levels.iter().filter(|((t, _), _)| *t == table).map(|(_, l)| l.1);
-    assert_eq!(modes.collect::<Vec<_>>(), [Again::Never; 2]);
+    assert_eq!(modes.collect::<Vec<_>>(), [RetryPolicy::Never; 2]);
 }
 
 /// The usual stand, of proxies that keep away from a host after five failures in a row.
 fn fleeing() -> Stand {
-    let mut stand = joined(Settings { ejects: 5, ..settings() });
+    let mut stand = joined(settings_with(|s| s.proxies.ejection_failures = 5));
     stand.now += 300.0;
     stand.answer(&[1, 2]);
     stand
@@ -134,16 +135,20 @@
 
 /// What a cold host weighs for the first proxy in a jam of a zone with so many proxies, which bring the same together.
 fn cold_in_a_jam(proxies: u32) -> f64 {
-    let s = Settings { ejects: 8, proxies: proxies as usize, backlog: 40_000.0, ..settings() };
+    let s = settings_with(|s| {
+        s.proxies.ejection_failures = 8;
+        s.fleet.proxies = proxies as usize;
+        s.channel.max_queued_lines = 40_000.0;
+    });
     let mut stand = listed(s);
     let rate = 60.0 / f64::from(proxies);
     let zone = 0;
-    let joined = |proxy| Event::Joined { proxy, zone, rate, fresh: false, channel: Channel::Shared };
+    let joined = |proxy| Event::ProxyJoined { proxy, zone, rate, is_fresh: false, channel: Channel::Shared };
     stand.give((0..proxies).map(joined).collect());
     let ids: Vec<ProxyId> = (0..proxies).collect();
     let span = 1000.0;
     let jam = |stand: &mut Stand| {
-        let of = |proxy| Event::Usage { proxy, class: 0, tries: rate, failed: 0.0, span };
+        let of = |proxy| Event::TrafficReported { proxy, class: 0, attempts: rate, failed: 0.0, span };
         let mut events: Vec<Event> = ids.iter().map(|p| of(*p)).collect();
         events.extend(HOSTS.map(|h| heard(0, h, 10.0, 5.0, 900.0)));
         stand.give(events);
@@ -153,7 +158,7 @@
         }
     };
     (0..3).for_each(|_| jam(&mut stand));
-    stand.give(vec![list(ListKind::Delta, &[with(host("a4", 0), Readiness::Ready, stand.now)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a4", 0), Readiness::Ready, stand.now)])]);
     (0..8).for_each(|_| jam(&mut stand));
     stand.lines(0)["a4"]
 }
@@ -170,7 +175,7 @@
 fn a_cold_host_stays_at_the_first_step_while_the_fleet_is_jammed() {
     let mut stand = fleeing();
     run(&mut stand, 4, 16.0, |_| (0.5, 900.0));
-    stand.give(vec![list(ListKind::Delta, &[with(host("a4", 0), Readiness::Ready, stand.now)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a4", 0), Readiness::Ready, stand.now)])]);
     run(&mut stand, 8, 16.0, |_| (0.5, 900.0));
     let w = stand.lines(1)["a4"];
     assert!(w <= 0.1 + 1e-9, "{w}");
@@ -194,10 +199,10 @@
 #[test]
 fn ejection_leaves_a_zone_its_warm_hosts_when_the_others_are_cold() {
     let mut s = settings();
-    s.classes[1].zone_bound = true;
+    s.classes[1].is_zone_bound = true;
     let mut stand = joined(s);
     let cold = ["a2", "a3"].map(|h| with(host(h, 0), Readiness::Ready, stand.now));
-    stand.give(vec![list(ListKind::Delta, &cold)]);
+    stand.give(vec![list(HostListKind::Delta, &cold)]);
     for _ in 0..4 {
         let mut events = usage(30.0);
         events.push(heard(0, "a1", 8.0, 8.0, 0.0));
@@ -215,16 +220,16 @@
 #[test]
 fn a_zone_with_only_cold_hosts_takes_no_more_than_they_can() {
     let mut s = settings();
-    s.classes[1].zone_bound = true;
-    s.level_kind = LevelKind::Off;
+    s.classes[1].is_zone_bound = true;
+    s.proxies.admission_kind = AdmissionKind::Off;
     let mut stand = listed(s);
     stand.give((1..=6).map(|p| join(p, usize::from(p > 3))).collect());
     run(&mut stand, 4, 8.0, |_| (0.0, 200.0));
     // A release drains the zone's hosts; one successor is cold.
-    let mut news: Vec<Entry> =
+    let mut news: Vec<HostEntry> =
         ["a1", "a2", "a3"].iter().map(|h| with(host(h, 0), Readiness::Draining, 0.0)).collect();
     news.push(with(host("a4", 0), Readiness::Ready, stand.now));
-    stand.give(vec![list(ListKind::Delta, &news)]);
+    stand.give(vec![list(HostListKind::Delta, &news)]);
     stand.pass(500.0);
     let open = |stand: &Stand| {
         let table = |p| stand.tables.get(&stand.bound[&(p, 2)]).is_some_and(|t| t.contains_key("a4"));
@@ -252,10 +257,10 @@
 #[test]
 fn a_cold_host_stays_out_while_proxies_flee_the_others() {
     let mut s = settings();
-    s.ejects = 3;
+    s.proxies.ejection_failures = 3;
     let mut stand = joined(s);
     run(&mut stand, 4, 16.0, |_| (0.7, 900.0));
-    stand.give(vec![list(ListKind::Delta, &[with(host("a4", 0), Readiness::Ready, stand.now)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a4", 0), Readiness::Ready, stand.now)])]);
     run(&mut stand, 5, 16.0, |_| (0.7, 900.0));
     assert!(!stand.lines(1).contains_key("a4"));
     run(&mut stand, 6, 6.0, |_| (0.0, 200.0));
@@ -313,12 +318,12 @@
 fn a_director_that_has_seen_nothing_closes_a_zone_with_one_cold_host() {
     // It starts anew: proxies of a zone without hosts dial in, then its first host comes back, cold.
     let mut s = settings();
-    s.classes[1].zone_bound = true;
-    s.level_kind = LevelKind::Off;
+    s.classes[1].is_zone_bound = true;
+    s.proxies.admission_kind = AdmissionKind::Off;
     let mut stand = Stand::new(s);
-    stand.give(vec![list(ListKind::Held, &["b1", "b2", "b3"].map(|h| host(h, 1)))]);
+    stand.give(vec![list(HostListKind::Cached, &["b1", "b2", "b3"].map(|h| host(h, 1)))]);
     stand.give((1..=6).map(|p| join(p, 0)).collect());
-    stand.give(vec![list(ListKind::Delta, &[with(host("a1", 0), Readiness::Ready, stand.now - 500.0)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Ready, stand.now - 500.0)])]);
     let names = |p: &ProxyId| stand.tables.get(&stand.bound[&(*p, 2)]).is_some_and(|t| t.contains_key("a1"));
     let with_host = (1..=6).filter(names).count();
     assert!(with_host <= 1, "{with_host} of six proxies send all of the bound class to it");
@@ -351,7 +356,10 @@
     assert!(level(&stand, 1, 0) < 0.9, "{:?}", stand.logs);
     assert_eq!(level(&stand, 2, 0), 1.0, "{:?}", stand.logs);
     // A cold host of the jammed zone is held for that zone's proxies only.
-    stand.give(vec![list(ListKind::Delta, &[with(host("a4", 0), Readiness::Ready, stand.now - 12_000.0)])]);
+    stand.give(vec![list(
+        HostListKind::Delta,
+        &[with(host("a4", 0), Readiness::Ready, stand.now - 12_000.0)],
+    )]);
     stand.pass(500.0);
     assert!(stand.lines(1)["a4"] < 0.2, "{:?}", stand.lines(1));
 }
@@ -366,7 +374,7 @@
         run(&mut stand, 2, 10.0, |_| (0.0, 340.0));
         assert_eq!(level(&stand, 1, 0) < 1.0, jam, "{:?}", stand.logs);
         let cold = with(host("a4", 0), Readiness::Ready, stand.now - 9000.0);
-        stand.give(vec![list(ListKind::Delta, &[cold])]);
+        stand.give(vec![list(HostListKind::Delta, &[cold])]);
         stand.pass(500.0);
         stand.lines(1)["a4"]
     };
--- a/crates/shared/policy/tests/mechanism.rs
+++ b/crates/shared/policy/tests/mechanism.rs
@@ -6,7 +6,7 @@
 
 fn removals(actions: &[Action]) -> Vec<String> {
     let gone = |a: &Action| match a {
-        Action::Line { host, weight, .. } if *weight == 0.0 => Some(host.to_string()),
+        Action::SetEndpoint { host, weight, .. } if *weight == 0.0 => Some(host.to_string()),
         _ => None,
     };
     actions.iter().filter_map(gone).collect()
@@ -15,12 +15,12 @@
 #[test]
 fn a_joining_proxy_is_bound_at_once_to_a_filled_table_with_a_mark() {
     let mut stand = Stand::new(settings());
-    stand.give(vec![list(ListKind::Held, &[host("a1", 0), host("b1", 1)])]);
+    stand.give(vec![list(HostListKind::Cached, &[host("a1", 0), host("b1", 1)])]);
     let actions = stand.give(vec![join(1, 0)]);
     let place = |f: &dyn Fn(&Action) -> bool| actions.iter().position(f).expect("ordered");
-    let line = place(&|a| matches!(a, Action::Line { .. }));
-    let bind = place(&|a| matches!(a, Action::Bind { proxy: 1, classes: 0, .. }));
-    assert!(line < bind && bind < place(&|a| matches!(a, Action::Mark { .. })));
+    let line = place(&|a| matches!(a, Action::SetEndpoint { .. }));
+    let bind = place(&|a| matches!(a, Action::BindProxy { proxy: 1, classes: 0, .. }));
+    assert!(line < bind && bind < place(&|a| matches!(a, Action::RequestAck { .. })));
     let lines = stand.lines(1);
     assert!(lines["a1"] > lines["b1"] && lines["b1"] > 0.0, "its zone first, the other kept for its loss");
 }
@@ -36,9 +36,9 @@
 #[test]
 fn a_zone_bound_class_gets_hosts_of_the_proxys_zone_only() {
     let mut s = settings();
-    s.classes[1].zone_bound = true;
+    s.classes[1].is_zone_bound = true;
     let mut stand = Stand::new(s);
-    stand.give(vec![list(ListKind::Held, &[host("a1", 0), host("b1", 1)])]);
+    stand.give(vec![list(HostListKind::Cached, &[host("a1", 0), host("b1", 1)])]);
     stand.give(vec![join(1, 0)]);
     let table = stand.bound[&(1, 2)];
     assert_eq!(stand.tables[&table].keys().collect::<Vec<_>>(), ["a1"]);
@@ -48,26 +48,35 @@
 #[test]
 fn a_draining_host_is_withdrawn_in_the_same_reply_and_its_line_leaves_later() {
     let mut stand = usual();
-    let actions = stand.give(vec![list(ListKind::Delta, &[with(host("a1", 0), Readiness::Draining, 0.0)])]);
-    assert!(actions.contains(&Action::Withdraw { host: "a1".into(), out: true, channel: Channel::Shared }));
-    assert!(matches!(actions.last(), Some(Action::Mark { .. })));
+    let actions =
+        stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Draining, 0.0)])]);
+    assert!(actions.contains(&Action::SetWithdrawn {
+        host: "a1".into(),
+        is_withdrawn: true,
+        channel: Channel::Shared
+    }));
+    assert!(matches!(actions.last(), Some(Action::RequestAck { .. })));
     assert!(removals(&stand.pass(1000.0)).contains(&"a1".to_string()));
 }
 
 #[test]
 fn a_host_missing_from_a_full_list_is_withdrawn() {
     let mut stand = usual();
-    let rest: Vec<Entry> = ["a1", "a2", "a3", "b1", "b2"].iter().map(|h| host(h, 0)).collect();
-    let actions = stand.give(vec![list(ListKind::Full, &rest)]);
-    assert!(actions.contains(&Action::Withdraw { host: "b3".into(), out: true, channel: Channel::Shared }));
+    let rest: Vec<HostEntry> = ["a1", "a2", "a3", "b1", "b2"].iter().map(|h| host(h, 0)).collect();
+    let actions = stand.give(vec![list(HostListKind::Full, &rest)]);
+    assert!(actions.contains(&Action::SetWithdrawn {
+        host: "b3".into(),
+        is_withdrawn: true,
+        channel: Channel::Shared
+    }));
 }
 
 #[test]
 fn a_removal_waits_until_another_line_is_certain() {
     let mut stand = Stand::new(settings());
-    stand.give(vec![list(ListKind::Held, &[host("a1", 0), host("a2", 0)])]);
+    stand.give(vec![list(HostListKind::Cached, &[host("a1", 0), host("a2", 0)])]);
     stand.give(vec![join(1, 0)]);
-    stand.give(vec![list(ListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
     assert!(removals(&stand.pass(1500.0)).is_empty(), "a2 is not answered yet");
     stand.answer(&[1]);
     assert_eq!(removals(&stand.pass(500.0)), ["a1"], "the answer lets it pass");
@@ -76,12 +85,12 @@
 #[test]
 fn an_unanswered_line_turns_certain_by_the_timeout_not_sooner() {
     let mut s = settings();
-    s.zones = 1;
+    s.fleet.zones = 1;
     let mut stand = Stand::new(s);
-    stand.give(vec![list(ListKind::Held, &[host("a1", 0), host("a2", 0)])]);
+    stand.give(vec![list(HostListKind::Cached, &[host("a1", 0), host("a2", 0)])]);
     stand.give(vec![join(1, 0)]);
     stand.pass(1600.0);
-    stand.give(vec![list(ListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
     assert!(removals(&stand.pass(1300.0)).is_empty());
     assert_eq!(removals(&stand.pass(500.0)), ["a1"]);
 }
@@ -89,10 +98,10 @@
 #[test]
 fn a_removal_that_cannot_pass_goes_to_a_fresh_table() {
     let mut stand = Stand::new(settings());
-    stand.give(vec![list(ListKind::Held, &[host("a1", 0), host("a2", 0)])]);
+    stand.give(vec![list(HostListKind::Cached, &[host("a1", 0), host("a2", 0)])]);
     stand.give(vec![join(1, 0)]);
     let old = stand.bound[&(1, 0)];
-    stand.give(vec![list(ListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
     stand.pass(2600.0);
     assert!(stand.logs.iter().any(|l| l.starts_with("fallback")), "{:?}", stand.logs);
     stand.pass(1500.0);
@@ -104,10 +113,10 @@
 #[test]
 fn a_line_comes_back_only_when_its_removal_is_certain() {
     let mut stand = usual();
-    stand.give(vec![list(ListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
     stand.pass(500.0);
     stand.answer(&[1, 2]);
-    stand.give(vec![list(ListKind::Delta, &[with(host("a1", 0), Readiness::Ready, stand.now)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Ready, stand.now)])]);
     stand.pass(700.0);
     assert!(!stand.lines(1).contains_key("a1"), "its removal was answered, but its delay runs");
     stand.pass(700.0);
@@ -117,7 +126,7 @@
 #[test]
 fn a_started_host_enters_at_a_tenth_and_rises_by_steps() {
     let mut stand = usual();
-    stand.give(vec![list(ListKind::Delta, &[with(host("a4", 0), Readiness::Ready, stand.now)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a4", 0), Readiness::Ready, stand.now)])]);
     stand.pass(500.0);
     let first = stand.lines(1)["a4"];
     assert!(first <= 0.1 * stand.lines(1)["a1"] + 1e-9, "{first}");
@@ -134,12 +143,12 @@
 #[test]
 fn a_cold_host_gets_its_part_of_a_full_table_when_most_others_are_out() {
     let mut stand = usual();
-    let gone: Vec<Entry> =
+    let gone: Vec<HostEntry> =
         ["a1", "a2", "b1", "b2"].iter().map(|h| with(host(h, 0), Readiness::Gone, 0.0)).collect();
-    stand.give(vec![list(ListKind::Delta, &gone)]);
-    let cold: Vec<Entry> =
+    stand.give(vec![list(HostListKind::Delta, &gone)]);
+    let cold: Vec<HostEntry> =
         ["c1", "c2", "c3", "c4"].iter().map(|h| with(host(h, 0), Readiness::Ready, stand.now)).collect();
-    stand.give(vec![list(ListKind::Delta, &cold)]);
+    stand.give(vec![list(HostListKind::Delta, &cold)]);
     stand.pass(500.0);
     let lines = stand.lines(1);
     let total: f64 = lines.values().sum();
@@ -150,18 +159,17 @@
 fn a_host_restarted_under_its_name_loses_weight_in_the_same_reply() {
     let mut stand = usual();
     let now = stand.now;
-    let actions = stand.give(vec![list(ListKind::Delta, &[with(host("a1", 0), Readiness::Ready, now)])]);
-    let cut =
-        |a: &Action| matches!(a, Action::Line { host, weight, .. } if &**host == "a1" && *weight <= 0.1);
+    let actions = stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Ready, now)])]);
+    let cut = |a: &Action| matches!(a, Action::SetEndpoint { host, weight, .. } if &**host == "a1" && *weight <= 0.1);
     assert!(actions.iter().any(cut), "{actions:?}");
 }
 
 #[test]
 fn a_returning_host_is_let_back_only_when_its_weight_is_small() {
     let mut stand = usual();
-    stand.give(vec![list(ListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
     let back = with(host("a1", 0), Readiness::Ready, stand.now);
-    stand.give(vec![list(ListKind::Delta, &[back])]);
+    stand.give(vec![list(HostListKind::Delta, &[back])]);
     stand.pass(4500.0);
     assert!(!stand.withdrawn["a1"]);
     assert!(stand.lines(1)["a1"] < 0.5);
@@ -170,35 +178,43 @@
 #[test]
 fn a_proxy_that_left_holds_up_nothing() {
     let mut stand = Stand::new(settings());
-    stand.give(vec![list(ListKind::Held, &[host("a1", 0), host("a2", 0)])]);
+    stand.give(vec![list(HostListKind::Cached, &[host("a1", 0), host("a2", 0)])]);
     stand.give(vec![join(1, 0), join(2, 0)]);
-    stand.give(vec![list(ListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
+    stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
     stand.answer(&[1]);
     assert!(removals(&stand.pass(500.0)).is_empty(), "proxy 2 has not answered");
-    stand.give(vec![Event::Left { proxy: 2, channel: Channel::Shared }]);
+    stand.give(vec![Event::ProxyLeft { proxy: 2, channel: Channel::Shared }]);
     assert_eq!(removals(&stand.pass(500.0)), ["a1"]);
 }
 
 #[test]
 fn a_proxy_from_another_director_is_bound_at_once() {
     let mut stand = usual();
-    let event = Event::Joined { proxy: 9, zone: 1, rate: 5.0, fresh: false, channel: Channel::Shared };
+    let event =
+        Event::ProxyJoined { proxy: 9, zone: 1, rate: 5.0, is_fresh: false, channel: Channel::Shared };
     let actions = stand.give(vec![event]);
-    assert!(actions.iter().any(|a| matches!(a, Action::Bind { proxy: 9, .. })));
+    assert!(actions.iter().any(|a| matches!(a, Action::BindProxy { proxy: 9, .. })));
 }
 
 #[test]
 fn a_restarted_director_starts_over_from_its_old_list() {
     let mut stand = usual();
-    stand.director = rushcourse_policy::Director::new(settings(), 8);
+    stand.director = rushcourse_policy::Director::new(settings());
     (stand.tables, stand.bound) = Default::default();
-    stand.give(vec![list(ListKind::Held, &[host("a1", 0), host("old", 0)])]);
-    assert!(!stand.give(vec![join(1, 0)]).iter().any(|a| matches!(a, Action::Bind { .. })), "it opens later");
+    stand.give(vec![list(HostListKind::Cached, &[host("a1", 0), host("old", 0)])]);
+    assert!(
+        !stand.give(vec![join(1, 0)]).iter().any(|a| matches!(a, Action::BindProxy { .. })),
+        "it opens later"
+    );
     stand.pass(300.0);
     assert!(stand.bound.contains_key(&(1, 0)), "a round after its start");
     let news = [with(host("old", 0), Readiness::Gone, 0.0), host("a2", 0)];
-    let actions = stand.give(vec![list(ListKind::Delta, &news)]);
-    assert!(actions.contains(&Action::Withdraw { host: "old".into(), out: true, channel: Channel::Shared }));
+    let actions = stand.give(vec![list(HostListKind::Delta, &news)]);
+    assert!(actions.contains(&Action::SetWithdrawn {
+        host: "old".into(),
+        is_withdrawn: true,
+        channel: Channel::Shared
+    }));
     assert!(removals(&stand.pass(1000.0)).is_empty(), "all its lines are uncertain");
     stand.answer(&[1]);
     stand.pass(1000.0);
@@ -208,8 +224,8 @@
 #[test]
 fn large_fleets_are_dealt_to_pools_of_under_thirty_lines() {
     let mut stand = Stand::new(settings());
-    let hosts: Vec<Entry> = (0..70).map(|k| host(&format!("h{k:02}"), k % 2)).collect();
-    stand.give(vec![list(ListKind::Held, &hosts)]);
+    let hosts: Vec<HostEntry> = (0..70).map(|k| host(&format!("h{k:02}"), k % 2)).collect();
+    stand.give(vec![list(HostListKind::Cached, &hosts)]);
     stand.give((0..6).map(|p| join(p, 0)).collect());
     let mut met = std::collections::BTreeSet::new();
     for p in 0..6 {
@@ -221,11 +237,11 @@
 
 #[test]
 fn settings_without_sense_get_one_note_and_no_orders() {
-    for spoil in [|s: &mut Settings| s.classes.clear(), |s: &mut Settings| s.push_rate = 0.0] {
+    for spoil in [|s: &mut Settings| s.classes.clear(), |s: &mut Settings| s.channel.lines_per_second = 0.0] {
         let mut s = settings();
         spoil(&mut s);
-        let mut director = rushcourse_policy::Director::new(s, 7);
-        let first = director.handle(1000.0, vec![list(ListKind::Held, &[host("a1", 0)])]);
+        let mut director = rushcourse_policy::Director::new(s);
+        let first = director.handle(1000.0, vec![list(HostListKind::Cached, &[host("a1", 0)])]);
         assert!(matches!(&first[..], [Action::Log { .. }]));
         assert!(director.handle(1000.0, vec![join(1, 0)]).is_empty());
         assert!(director.handle(2000.0, vec![join(2, 0)]).is_empty());
@@ -238,10 +254,15 @@
     stand.pass(500.0);
     let actions = stand.give(vec![
         heard(0, "stranger", 10.0, 10.0, 0.0),
-        Event::Left { proxy: 77, channel: Channel::Shared },
-        Event::Applied { mark: 4000, proxy: 77, took: 1.0, channel: Channel::Shared },
-        Event::Usage { proxy: 77, class: 9, tries: 5.0, failed: 0.0, span: 1000.0 },
-        Event::Probed { host: "stranger".into(), took: 1.0, answered: false, load: Load::default() },
+        Event::ProxyLeft { proxy: 77, channel: Channel::Shared },
+        Event::Acknowledged { ack_number: 4000, proxy: 77, elapsed: 1.0, channel: Channel::Shared },
+        Event::TrafficReported { proxy: 77, class: 9, attempts: 5.0, failed: 0.0, span: 1000.0 },
+        Event::HealthChecked {
+            host: "stranger".into(),
+            elapsed: 1.0,
+            is_answered: false,
+            load: HostLoad::default(),
+        },
     ]);
     assert!(actions.is_empty(), "{actions:?}");
 }
--- a/crates/tools/bench-adapter/src/main.rs
+++ b/crates/tools/bench-adapter/src/main.rs
@@ -54,10 +54,7 @@
     if let Some(start) = part.start {
         directors.insert(
             id,
-            Director::new(
-                rushcourse_director_settings::settings(start.options),
-                start.nonce64,
-            ),
+            Director::new(rushcourse_director_settings::settings(start.options)),
         );
     }
     match directors.get_mut(&id) {
--- a/crates/tools/bench-adapter/src/wire.rs
+++ b/crates/tools/bench-adapter/src/wire.rs
@@ -27,7 +27,9 @@
 
 #[derive(Deserialize)]
 pub struct Provision {
-    pub nonce64: u64,
+    /// Seeds random numbers. Decisions draw none, yet a start without it is malformed.
+    #[serde(rename = "nonce64")]
+    pub _seed: u64,
     pub options: Options,
 }
 
@@ -150,12 +152,12 @@
     pub agent: u32,
 }
 
-fn load(v: &serde_json::Value) -> core::Load {
+fn load(v: &serde_json::Value) -> core::HostLoad {
     let field = |name: &str| v.get(name).and_then(serde_json::Value::as_f64);
-    core::Load {
-        busy: field("cpu_share"),
-        waiting: field("pending"),
-        inflight: field("busy_reqs"),
+    core::HostLoad {
+        cpu_utilization: field("cpu_share"),
+        queued: field("pending"),
+        in_flight: field("busy_reqs"),
     }
 }
 
@@ -176,12 +178,12 @@
         "Announce" => {
             let a: Announce = parse(v)?;
             let kind = match a.kind {
-                ListWord::Incr => core::ListKind::Delta,
-                ListWord::Total => core::ListKind::Full,
-                ListWord::WarmCopy => core::ListKind::Held,
-                ListWord::Lost => core::ListKind::Lost,
+                ListWord::Incr => core::HostListKind::Delta,
+                ListWord::Total => core::HostListKind::Full,
+                ListWord::WarmCopy => core::HostListKind::Cached,
+                ListWord::Lost => core::HostListKind::Unavailable,
             };
-            let entries = a.rows.into_iter().map(|r| core::Entry {
+            let entries = a.rows.into_iter().map(|r| core::HostEntry {
                 host: r.host.into(),
                 zone: r.locality,
                 cell: r.unit_group,
@@ -191,74 +193,74 @@
                     ReadyWord::Gone => core::Readiness::Gone,
                 },
                 weight: r.w,
-                up_since: r.up_since_ms,
+                started_at: r.up_since_ms,
             });
-            core::Event::List {
+            core::Event::HostsListed {
                 kind,
                 entries: entries.collect(),
             }
         }
         "Observed" => {
             let o: Observed = parse(v)?;
-            core::Event::Heard {
+            core::Event::HostReported {
                 zone: o.locality,
                 host: o.host.into(),
-                tries: o.tries_n,
+                attempts: o.tries_n,
                 failed: o.unanswered,
-                mean: o.spent_ms,
+                mean_latency: o.spent_ms,
                 span: o.span_ms,
                 load: load(&o.server_stats),
             }
         }
         "Traffic" => {
             let t: Traffic = parse(v)?;
-            core::Event::Usage {
+            core::Event::TrafficReported {
                 proxy: t.agent,
                 class: t.priority,
-                tries: t.tries_n,
+                attempts: t.tries_n,
                 failed: t.unanswered,
                 span: t.span_ms,
             }
         }
-        "LostStream" => core::Event::Left {
+        "LostStream" => core::Event::ProxyLeft {
             proxy: parse::<LostStream>(v)?.agent,
             channel: core::Channel::Shared,
         },
         "TookEffect" => {
             let t: TookEffect = parse(v)?;
-            core::Event::Applied {
-                mark: t.number,
+            core::Event::Acknowledged {
+                ack_number: t.number,
                 proxy: t.agent,
-                took: t.spent_ms,
+                elapsed: t.spent_ms,
                 channel: core::Channel::Shared,
             }
         }
-        "Fired" => core::Event::Timer {
+        "Fired" => core::Event::TimerFired {
             token: parse::<Fired>(v)?.ctx,
         },
         "FromPeer" => {
             let p: FromPeer = parse(v)?;
-            core::Event::Told {
+            core::Event::PeerMessage {
                 from: p.neighbour,
                 bytes: unhex(&p.payload),
             }
         }
         "PingResult" => {
             let p: PingResult = parse(v)?;
-            core::Event::Probed {
+            core::Event::HealthChecked {
                 host: p.host.into(),
-                took: p.spent_ms,
-                answered: p.disposition == "completed",
+                elapsed: p.spent_ms,
+                is_answered: p.disposition == "completed",
                 load: load(&p.server_stats),
             }
         }
         "DialledIn" => {
             let d: DialledIn = parse(v)?;
-            core::Event::Joined {
+            core::Event::ProxyJoined {
                 proxy: d.agent,
                 zone: d.locality,
                 rate: d.w,
-                fresh: d.on,
+                is_fresh: d.on,
                 channel: core::Channel::Shared,
             }
         }
@@ -337,7 +339,7 @@
 /// The order of an action; none for those of a channel that the wire does not have.
 pub fn order(director: u64, action: core::Action) -> Option<Order> {
     Some(match action {
-        core::Action::Line {
+        core::Action::SetEndpoint {
             table,
             host,
             weight,
@@ -347,11 +349,11 @@
             sheet: table,
             w: weight,
         },
-        core::Action::Clear { table } => Order::Empty {
+        core::Action::ClearTable { table } => Order::Empty {
             director,
             sheet: table,
         },
-        core::Action::Bind {
+        core::Action::BindProxy {
             proxy,
             table,
             classes,
@@ -361,20 +363,24 @@
             only: classes,
             agent: proxy,
         },
-        core::Action::Withdraw {
-            channel: core::Channel::Own,
+        core::Action::SetWithdrawn {
+            channel: core::Channel::Dedicated,
             ..
         } => return None,
-        core::Action::Withdraw { host, out, .. } => Order::Bench {
+        core::Action::SetWithdrawn {
+            host,
+            is_withdrawn: out,
+            ..
+        } => Order::Bench {
             director,
             host: host.to_string(),
             on: out,
         },
-        core::Action::Level {
+        core::Action::SetAdmission {
             table,
             classes,
             quota,
-            again,
+            retry_policy: again,
         } => Order::Level {
             director,
             sheet: table,
@@ -382,21 +388,21 @@
             only: classes,
             again: again as u8,
         },
-        core::Action::Mark { number } => Order::Seal {
+        core::Action::RequestAck { ack_number: number } => Order::Seal {
             director,
             number,
             on: false,
         },
-        core::Action::Timer { token, at } => Order::Schedule {
+        core::Action::StartTimer { token, at } => Order::Schedule {
             director,
             ctx: token,
             alarm_time_ms: at,
         },
-        core::Action::Probe { host } => Order::HealthCheck {
+        core::Action::CheckHealth { host } => Order::HealthCheck {
             director,
             host: host.to_string(),
         },
-        core::Action::Tell { bytes } => {
+        core::Action::BroadcastToPeers { bytes } => {
             let payload = bytes.iter().map(|b| format!("{b:02x}")).collect();
             Order::Share {
                 director,
@@ -404,7 +410,7 @@
                 payload,
             }
         }
-        core::Action::Subscribe => Order::Tail { director, on: true },
+        core::Action::SubscribeToHosts => Order::Tail { director, on: true },
         core::Action::Log { text } => Order::NoteDown {
             director,
             reason_text: text,
--- a/crates/tools/bench-adapter/tests/fronts.rs
+++ b/crates/tools/bench-adapter/tests/fronts.rs
@@ -349,7 +349,6 @@
         streams: None,
         names: Names::of(&opts),
         settings: rushcourse_director_settings::settings(opts),
-        seed: 7,
         known: Bytes::from(whole(1)),
     };
     let session = Session::new(setup);
--- a/crates/tools/simulation/src/cost.rs
+++ b/crates/tools/simulation/src/cost.rs
@@ -24,83 +24,90 @@
 }
 
 fn settings(proxies: u32) -> Settings {
-    let class = |effect, worth| Class {
-        aim: 1000.0,
+    let class = |idempotency, value| RequestClass {
+        target_latency: 1000.0,
         deadline: 3000.0,
-        worth,
-        effect,
-        key_scope: KeyScope::All,
-        key_ttl: 5000.0,
-        zone_bound: false,
-        writes: false,
+        value,
+        idempotency,
+        is_zone_bound: false,
+        is_write: false,
     };
     Settings {
         classes: vec![
-            class(Effect::Free, 2.0),
-            class(Effect::Guarded, 5.0),
-            class(Effect::SingleShot, 5.0),
+            class(Idempotency::Idempotent, 2.0),
+            class(Idempotency::Keyed, 5.0),
+            class(Idempotency::NotIdempotent, 5.0),
         ],
-        zones: 3,
-        proxies: 2 * proxies as usize,
-        directors: 5,
-        backlog: 1e6,
-        push_rate: 5000.0,
-        per_message: 3.0,
-        update_cap: 12,
-        counted_over: 10_000.0,
-        late: 200.0,
-        transit_max: 500.0,
-        unserved_max: 8000.0,
-        report_every: 1000.0,
-        level_kind: LevelKind::Ratio,
-        ejects: 8,
-        drain_grace: 3000.0,
-        start_capacity: 0.2,
-        cold: 15_000.0,
-        fall_multiple: 2.5,
-        overload_for: 2000.0,
+        fleet: FleetSettings {
+            zones: 3,
+            proxies: 2 * proxies as usize,
+            directors: 5,
+            ..FleetSettings::default()
+        },
+        channel: ChannelSettings {
+            max_queued_lines: 1e6,
+            lines_per_second: 5000.0,
+            lines_per_message: 3.0,
+            max_messages: 12,
+            message_window: 10_000.0,
+            mean_transit: 200.0,
+            max_transit: 500.0,
+        },
+        hosts: HostSettings {
+            drain_grace: 3000.0,
+            start_capacity: 0.2,
+            warm_up: 15_000.0,
+            overload_multiple: 2.5,
+            ..HostSettings::default()
+        },
+        proxies: ProxySettings {
+            admission_kind: AdmissionKind::Ratio,
+            ejection_failures: 8,
+            ..ProxySettings::default()
+        },
+        report_interval: 1000.0,
         cross_zone_price: 0.12,
         ..Settings::default()
     }
 }
 
-fn entry(k: usize) -> Entry {
+fn entry(k: usize) -> HostEntry {
     let (zone, cell, readiness) = (k % 3, k as u32 / 4, Readiness::Ready);
-    Entry {
+    HostEntry {
         host: format!("h{k:04}").into(),
         zone,
         cell,
         readiness,
         weight: 3.0,
-        up_since: 0.0,
+        started_at: 0.0,
     }
 }
 
 fn join(proxy: ProxyId) -> Event {
-    Event::Joined {
+    Event::ProxyJoined {
         proxy,
         zone: proxy as usize % 3,
         rate: 0.5,
-        fresh: false,
+        is_fresh: false,
         channel: Channel::Shared,
     }
 }
 
 /// What proxies of each zone met at each host of it, and what came to them: a second's reports.
 fn reports(proxies: u32, hosts: usize) -> Vec<Event> {
-    let heard = |k: usize| Event::Heard {
+    let heard = |k: usize| Event::HostReported {
         zone: k % 3,
         host: entry(k).host,
-        tries: 6.0,
+        attempts: 6.0,
         failed: 0.0,
-        mean: 220.0,
+        mean_latency: 220.0,
         span: 1000.0,
-        load: Load::default(),
+        load: HostLoad::default(),
     };
-    let usage = |proxy| Event::Usage {
+    let usage = |proxy| Event::TrafficReported {
         proxy,
         class: 0,
-        tries: 1.0,
+        attempts: 1.0,
         failed: 0.0,
         span: 1000.0,
     };
@@ -112,37 +119,37 @@
 
 /// Plays ten seconds of reports and a hundred joinings at one size.
 pub fn measure(proxies: u32, hosts: usize) -> Cost {
-    let mut director = Director::new(settings(proxies), 1);
+    let mut director = Director::new(settings(proxies));
     let (mut now, mut mark) = (1000.0, None);
     let round = || {
-        vec![Event::Timer {
+        vec![Event::TimerFired {
             token: "round".into(),
         }]
     };
     let mut step = |director: &mut Director, now: Ms, events: Vec<Event>| {
-        let (at, looked) = (Instant::now(), director.looked());
+        let (at, looked) = (Instant::now(), director.examined_count());
         let actions = director.handle(now, events);
         let marked = actions.iter().find_map(|a| {
-            if let Action::Mark { number } = a {
+            if let Action::RequestAck { ack_number: number } = a {
                 Some(*number)
             } else {
                 None
             }
         });
         mark = marked.or(mark);
-        (at.elapsed(), director.looked() - looked, mark)
+        (at.elapsed(), director.examined_count() - looked, mark)
     };
-    let listed = Event::List {
-        kind: ListKind::Held,
+    let listed = Event::HostsListed {
+        kind: HostListKind::Cached,
         entries: (0..hosts).map(entry).collect(),
     };
     step(&mut director, now - 500.0, vec![listed]);
     let (_, _, mark) = step(&mut director, now, (0..proxies).map(join).collect());
     let took = 300.0;
-    let answer = |proxy| Event::Applied {
-        mark: mark.unwrap_or(0),
+    let answer = |proxy| Event::Acknowledged {
+        ack_number: mark.unwrap_or(0),
         proxy,
-        took,
+        elapsed: took,
         channel: Channel::Shared,
     };
     step(
--- a/crates/tools/simulation/src/world/effects.rs
+++ b/crates/tools/simulation/src/world/effects.rs
@@ -179,7 +179,7 @@
             match self.flaw {
                 Some(Flaw::EmptiesTables) => table.localities.clear(),
                 Some(Flaw::RepeatsAll) => {
-                    table.again = rushcourse_policy::interface::Again::TwiceAfterAny
+                    table.again = rushcourse_policy::interface::RetryPolicy::TwiceAfterFailure
                 }
                 _ => {}
             }
--- a/crates/tools/simulation/src/world/setup.rs
+++ b/crates/tools/simulation/src/world/setup.rs
@@ -56,7 +56,6 @@
     Session::new(Setup {
         settings: rushcourse_director_settings::settings(options),
         names,
-        seed: script.seed,
         places: Places {
             relay: at,
             discovery: at,
