--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -179,7 +179,7 @@
         }
         self.each(now, |_| {
             vec![Event::ProxyLeft {
-                proxy,
+                proxy: proxy.0,
                 channel: Channel::Dedicated,
             }]
         })
@@ -199,7 +199,7 @@
             &service,
             vec![Event::Acknowledged {
                 ack_number: mark,
-                proxy,
+                proxy: proxy.0,
                 elapsed: 0.0,
                 channel: Channel::Dedicated,
             }],
@@ -226,7 +226,7 @@
             now,
             &service,
             vec![Event::TrafficReported {
-                proxy,
+                proxy: proxy.0,
                 class: 0,
                 attempts: tries,
                 failed,
@@ -300,7 +300,7 @@
 
 fn joined(proxy: NodeId, zone: usize) -> Event {
     Event::ProxyJoined {
-        proxy,
+        proxy: proxy.0,
         zone,
         rate: 1.0,
         is_fresh: true,
@@ -347,8 +347,8 @@
                     }
                 }
                 Action::BindProxy { proxy, table, .. } => {
-                    self.bound.insert(proxy, table);
-                    parcels.entry(proxy).or_default().whole = true;
+                    self.bound.insert(NodeId(proxy), table);
+                    parcels.entry(NodeId(proxy)).or_default().whole = true;
                 }
                 Action::SetWithdrawn {
                     host,
