--- a/crates/shared/policy/src/admission.rs
+++ b/crates/shared/policy/src/admission.rs
@@ -1,77 +1,98 @@
-//! Levels and retries, by zone of the proxies.
+//! Admission levels and retries, by zone of the proxies.
 
-use crate::{books::*, interface::*, state::*, tuned::*};
+use crate::director::Director;
+use crate::interface::{ClassId, Idempotency, RetryPolicy, ZoneId};
+use crate::state::{Admission, AttemptTotals, ZonePressure};
+use crate::tuned::{
+    ADMISSION_DECREASE, ADMISSION_SEARCH_STEP, EASING_PART, HEALTHY_SATURATION, MAX_ADMISSION_INCREASE,
+    MIN_ADMISSION, MIN_CAPACITY_PART, OPEN_ADMISSION, OVERLOAD_FAILURES, OVERLOAD_SATURATION,
+    REOPENED_ADMISSION, SLOW_START_WEIGHT,
+};
+
+impl ZonePressure {
+    fn is_overloaded(&self) -> bool {
+        self.saturation > OVERLOAD_SATURATION || self.failed > OVERLOAD_FAILURES
+    }
+
+    fn is_healthy(&self) -> bool {
+        self.saturation < HEALTHY_SATURATION && self.failed < OVERLOAD_FAILURES / 2.0
+    }
+}
 
 impl Director {
-    /// Moves the admission levels of a zone's proxies a step at a time, on sums that had a pause to fill.
-    pub(crate) fn steer(&mut self, zone: ZoneId) {
-        self.gates[zone].flees = self.flees(zone);
-        let Some((full, fails)) = self.middle(zone) else { return self.gates[zone].at = self.now };
-        let (mut g, met, rates) =
-            (self.gates[zone].clone(), total(self.met(zone).values()), self.rates(zone));
-        let jammed = full > FULL_DOWN || fails > FAILS_DOWN;
-        let free = full < FULL_UP && fails < FAILS_DOWN / 2.0;
-        let fled = self.s.proxies.ejection_failures > 0
-            && fails.powi(self.s.proxies.ejection_failures as i32) > FAILS_DOWN
-            || g.hold == 0.0;
-        let jam = jammed || g.hold < 1.0 && !free;
-        g.hold = if !jam { 1.0 } else { RAMP_FROM * f64::from(!fled) };
-        if self.now - g.at >= self.pause {
-            // A jam is cut to a part of what the hosts were seen to carry, never to nothing on late evidence.
-            let carried = (met.tries - met.failed) / rates;
-            g.carried = if jammed && g.carried > 0.0 { g.carried } else { carried.max(g.carried) };
-            let calm = if free { (FULL_UP / full).min(PART_UP) } else { 1.0 };
-            let step = if jammed && full >= 0.97 * g.full { PART_DOWN } else { calm };
-            g.part = (g.part * step).max(PART_LEAST);
-            (g.full, g.at) = (full, self.now);
-            let let_in = |c: usize, admit: f64| g.usage[c].tries * admit.powf(self.cheapness(c));
-            let asked = |admit: f64| (0..g.usage.len()).map(|c| let_in(c, admit)).sum::<f64>();
-            // Who is refused asks again: of those tries less comes through than the level says, if at all.
-            let through = if g.admit < 0.95 && !jammed { met.tries / asked(g.admit).max(1e-9) } else { 1.0 };
-            let (room, mut admit) = (g.part * g.carried * rates / through.clamp(PART_LEAST, 1.0), 1.0);
-            while (jammed || g.admit < 1.0) && admit > LEVEL_LEAST && asked(admit) > room {
-                admit *= 0.95;
-            }
-            (admit, g.part) = if !jammed && admit > 0.9 { (1.0, 1.0) } else { (admit, g.part) };
-            let told = self.s.proxies.admission_kind == AdmissionKind::Ratio;
-            if told && (admit - std::mem::replace(&mut g.admit, admit)).abs() > 0.02 {
-                self.log(format!(
-                    "zone {zone}: admission {admit:.2}: strain {full:.2}, {fails:.2} of tries fail"
-                ));
-            }
+    /// Moves the admission levels of a zone's proxies a step at a time, once the totals show the last one.
+    pub(crate) fn adjust_admission(&mut self, zone: ZoneId) {
+        let now = self.clock.now;
+        self.zones[zone].may_eject = self.may_eject(zone);
+        let Some(pressure) = self.zone_pressure(zone) else { return self.zones[zone].adjusted_at = now };
+        self.limit_warming_hosts(zone, &pressure);
+        if now - self.zones[zone].adjusted_at >= self.reports.feedback_delay {
+            self.step_admission(zone, &pressure);
+            self.zones[zone].adjusted_at = now;
         }
-        self.gates[zone] = g;
     }
 
-    /// Whether proxies make so many tries at a host while another warms up that a run of failures could make
-    /// them keep away from it. By what the tries see: a busy proxy counts for more. Large fleets don't flee.
-    pub(crate) fn flees(&self, zone: ZoneId) -> bool {
-        let mine = || self.proxies.values().filter(|p| p.zone == zone).map(|p| p.came.tries);
-        let usual = mine().map(|n| n * n).sum::<f64>() / mine().sum::<f64>().max(1e-9);
-        let hosts =
-            self.list.values().filter(|l| l.entry.zone == zone && l.entry.readiness == Readiness::Ready);
-        let each = hosts.count() as f64 / self.pools.max(1) as f64;
-        self.s.proxies.ejection_failures > 0
-            && usual / each.max(1.0) >= f64::from(self.s.proxies.ejection_failures)
+    /// In an overload warming hosts stay at the first step, or out while proxies are taken to eject others.
+    fn limit_warming_hosts(&mut self, zone: ZoneId, pressure: &ZonePressure) {
+        let limit = self.zones[zone].warming_limit;
+        let in_a_row = self.settings.proxies.ejection_failures;
+        let eject = in_a_row > 0 && pressure.failed.powi(in_a_row as i32) > OVERLOAD_FAILURES || limit == 0.0;
+        let is_overloaded = pressure.is_overloaded() || limit < 1.0 && !pressure.is_healthy();
+        let overload_limit = if eject { 0.0 } else { SLOW_START_WEIGHT };
+        self.zones[zone].warming_limit = if is_overloaded { overload_limit } else { 1.0 };
+    }
+
+    /// An overload is cut to a part of what the hosts were seen to carry, never to nothing on late evidence.
+    fn step_admission(&mut self, zone: ZoneId, pressure: &ZonePressure) {
+        let (is_overloaded, saturation) = (pressure.is_overloaded(), pressure.saturation);
+        let met = AttemptTotals::sum(self.met_in_zone(zone).values());
+        let rate = self.proxies.rate_in_zone(zone);
+        let state = &mut self.zones[zone];
+        let carried = (met.attempts - met.failed) / rate;
+        let keeps_peak = is_overloaded && state.peak_capacity > 0.0;
+        state.peak_capacity = if keeps_peak { state.peak_capacity } else { carried.max(state.peak_capacity) };
+        let slack = (HEALTHY_SATURATION / saturation).min(MAX_ADMISSION_INCREASE);
+        let is_easing = saturation < EASING_PART * state.saturation;
+        let usual_step = if pressure.is_healthy() { slack } else { 1.0 };
+        let step = if is_overloaded && !is_easing { ADMISSION_DECREASE } else { usual_step };
+        state.capacity_part = (state.capacity_part * step).max(MIN_CAPACITY_PART);
+        state.saturation = saturation;
+        let (level, admitted_part) = (state.admission, state.capacity_part * state.peak_capacity);
+        // Who is rejected asks again: of those attempts less comes through than the level says, if at all.
+        let is_reopening = level < REOPENED_ADMISSION && !is_overloaded;
+        let admitted = |level| self.admitted_demand(zone, level);
+        let through = if is_reopening { met.attempts / admitted(level).max(1e-9) } else { 1.0 };
+        let room = admitted_part * rate / through.clamp(MIN_CAPACITY_PART, 1.0);
+        let (mut admission, is_limited) = (1.0, is_overloaded || level < 1.0);
+        while is_limited && admission > MIN_ADMISSION && admitted(admission) > room {
+            admission *= ADMISSION_SEARCH_STEP;
+        }
+        if !is_overloaded && admission > OPEN_ADMISSION {
+            (admission, self.zones[zone].capacity_part) = (1.0, 1.0);
+        }
+        self.set_admission(zone, admission, pressure);
     }
 
-    /// 1 for the class worth least for its time, less for dearer ones: their levels fall by that power.
-    pub(crate) fn cheapness(&self, class: ClassId) -> f64 {
-        let dear = |c: &RequestClass| c.value.max(1e-6) / c.target_latency.max(1.0);
-        self.s.classes.iter().map(dear).fold(f64::INFINITY, f64::min) / dear(&self.s.classes[class])
+    /// Whether proxies make so many attempts at a host while another warms up that a run of failures could
+    /// make them eject it. By what the attempts see: a busy proxy counts for more. Large fleets don't eject.
+    fn may_eject(&self, zone: ZoneId) -> bool {
+        let attempts = || self.proxies.in_zone(zone).map(|proxy| proxy.traffic.attempts);
+        let usual = attempts().map(|n| n * n).sum::<f64>() / attempts().sum::<f64>().max(1e-9);
+        let pool_hosts = self.hosts.ready_in(zone).count() as f64 / self.hosts.pools() as f64;
+        let in_a_row = self.settings.proxies.ejection_failures;
+        in_a_row > 0 && usual / pool_hosts.max(1.0) >= f64::from(in_a_row)
     }
 
-    /// Proxies try again as the site has it, after proof only unless the class is free. In a jam not at all:
-    /// it takes what a full host refused to the next one, or to a cold one that still has room.
-    pub(crate) fn level(&self, zone: ZoneId, class: ClassId) -> (f64, RetryPolicy) {
-        let quota = self.gate(zone).admit.powf(self.cheapness(class));
-        let free = self.s.classes[class].idempotency == Idempotency::Idempotent;
-        let safe = if free { RetryPolicy::TwiceAfterFailure } else { RetryPolicy::OnceIfNotRun };
-        let again = if self.gate(zone).hold < 1.0 {
-            RetryPolicy::Never
-        } else {
-            self.s.proxies.retry_policy.min(safe)
-        };
-        ((quota * 100.0).round().max(1.0) / 100.0, again)
+    /// Proxies retry as the site has it, after proof only unless the class is idempotent. In an overload not
+    /// at all: a retry takes what a full host rejected to the next one, or to a warming one that still has
+    /// room.
+    pub(crate) fn admission(&self, zone: ZoneId, class: ClassId) -> Admission {
+        let state = self.zone(zone);
+        let quota = state.admission.powf(self.shedding_exponent(class));
+        let is_idempotent = self.settings.classes[class].idempotency == Idempotency::Idempotent;
+        let safe = if is_idempotent { RetryPolicy::TwiceAfterFailure } else { RetryPolicy::OnceIfNotRun };
+        let usual = self.settings.proxies.retry_policy.min(safe);
+        let retry_policy = if state.warming_limit < 1.0 { RetryPolicy::Never } else { usual };
+        Admission { quota: (quota * 100.0).round().max(1.0) / 100.0, retry_policy }
     }
 }
--- a/crates/shared/policy/src/health.rs
+++ b/crates/shared/policy/src/health.rs
@@ -1,94 +1,117 @@
-//! Health from the sums: an outlier goes out and comes back by the ramp, a straining host loses weight.
+//! Health from the reports: an outlier is ejected and comes back by slow start, a saturated host loses
+//! weight.
 
-use crate::{books::*, interface::*, state::*, tuned::*};
-use std::collections::BTreeMap;
+use crate::director::Director;
+use crate::interface::{ByHost, HostId, ZoneId};
+use crate::state::{AttemptTotals, Derating, Outlier, ZonePressure};
+use crate::tuned::{
+    BASE_EJECTION_TIME, CALM_DERATE_SATURATION, DERATE_ATTEMPTS, DERATE_RECOVERY_DELAYS, DERATE_SATURATION,
+    DERATE_STEP, EJECTION_ATTEMPTS, EJECTION_FAILURES, HEALTHY_SATURATION, MIN_DERATED_PART,
+    MIN_REMAINING_PART, OVERLOAD_FAILURES, REPRESENTATIVE_PART, SLOW_START_DURATION,
+};
 
 impl Director {
-    // ---- health: from the sums; an outlier goes out, and comes back by the ramp ----
-
-    pub(crate) fn fit(&self, zone: ZoneId, host: &HostId) -> f64 {
-        let grade = self.grades.get(host).map_or(1.0, |g| g.0);
-        let Some(h) = self.health.get(host).filter(|h| h.zones.contains(&zone)) else { return grade };
-        if self.now < h.until { 0.0 } else { grade * self.ramp(self.now - h.until) }
+    /// The part of its weight that a host's health leaves it in tables of a zone's proxies.
+    pub(crate) fn health_factor(&self, zone: ZoneId, host: &HostId) -> f64 {
+        let derated = self.verdicts.deratings.get(host).map_or(1.0, |derating| derating.part);
+        match self.verdicts.ejections.get(host).filter(|ejection| ejection.zones.contains(&zone)) {
+            None => derated,
+            Some(ejection) if self.clock.now < ejection.until => 0.0,
+            Some(ejection) => derated * self.slow_start_factor(self.clock.now - ejection.until),
+        }
     }
 
     /// Ejects hosts that answer (almost) nothing to a zone's proxies while the rest serve them well: hung,
     /// silent, refusing, or cut off. Slow ones still carry load. Harm: a good host may go out by chance.
-    pub(crate) fn judge(&mut self) {
-        let (now, over) = (self.now, RAMP_OVER.max(self.s.hosts.warm_up));
-        let mut notes = Vec::new();
-        for (host, h) in self.health.iter_mut().filter(|(_, h)| now >= h.until && !h.proved) {
-            let good = |z| self.sums.get(&(z, host.clone())).is_some_and(|s| s.tries - s.failed >= 0.5);
-            (h.proved, h.until) =
-                if h.zones.iter().any(|z| good(*z)) { (true, h.until) } else { (false, now) };
+    pub(crate) fn judge_hosts(&mut self) {
+        self.end_ejections();
+        for (host, outlier) in self.outliers() {
+            self.eject(host, outlier);
         }
-        self.health.retain(|_, h| now - h.until < over);
-        let mut bad: ByHost<(f64, Vec<ZoneId>)> = BTreeMap::new();
-        for zone in 0..self.s.fleet.zones.max(1) {
-            let seen = || self.sums.iter().filter(|((z, h), _)| *z == zone && self.judged(h));
-            let fails = |s: &Sums| s.tries > 0.0 && s.failed >= OUTLIER_FAILS * s.tries;
-            let well = total(seen().map(|(_, s)| s).filter(|s| !fails(s)));
-            let least = OUTLIER_TRIES.max(REST_PART * seen().map(|(_, s)| s.tries).sum::<f64>());
-            let carries = well.tries >= least && well.failed <= FAILS_DOWN * well.tries;
-            for ((_, host), s) in seen().filter(|(_, s)| carries && fails(s)) {
-                let of = bad.entry(host.clone()).or_default();
-                of.0 += s.tries;
-                of.1.push(zone);
+        self.derate_hosts();
+    }
+
+    /// A host that is back is eased in from its first good answer on; until then it stays at the first step.
+    fn end_ejections(&mut self) {
+        let now = self.clock.now;
+        let duration = SLOW_START_DURATION.max(self.settings.hosts.warm_up);
+        self.verdicts.ejections.retain(|host, ejection| {
+            if now >= ejection.until && !ejection.has_recovered {
+                let reports = ejection.zones.iter().filter_map(|zone| self.reports.get(*zone, host));
+                ejection.has_recovered = reports.into_iter().any(|met| met.attempts - met.failed >= 0.5);
+                ejection.until = if ejection.has_recovered { ejection.until } else { now };
             }
-        }
-        for (host, (tries, zones)) in bad {
-            let h = self.health.entry(host.clone()).or_default();
-            let fresh = zones.iter().any(|z| !h.zones.contains(z)) || now >= h.until;
-            if fresh && tries >= if h.strikes > 0 { OUTLIER_TRIES / 2.0 } else { OUTLIER_TRIES } {
-                self.sums.retain(|(z, other), _| *other != host || !zones.contains(z));
-                h.until = now + OUT_FOR * f64::from(1 << h.strikes.min(2));
-                notes.push(format!("{host} fails for zones {zones:?}: out of their tables"));
-                (h.proved, h.strikes) = (false, h.strikes + 1);
-                h.zones.extend(zones);
+            now - ejection.until < duration
+        });
+    }
+
+    /// Hosts that fail for proxies of some zones while others serve these well and can carry the load.
+    fn outliers(&self) -> ByHost<Outlier> {
+        let mut outliers: ByHost<Outlier> = ByHost::new();
+        let fails =
+            |met: &AttemptTotals| met.attempts > 0.0 && met.failed >= EJECTION_FAILURES * met.attempts;
+        for zone in self.zone_ids() {
+            let reports = || self.reports_of_zone(zone);
+            let well = AttemptTotals::sum(reports().map(|(_, met)| met).filter(|met| !fails(met)));
+            let attempts: f64 = reports().map(|(_, met)| met.attempts).sum();
+            let can_carry = well.attempts >= EJECTION_ATTEMPTS.max(MIN_REMAINING_PART * attempts)
+                && well.failed <= OVERLOAD_FAILURES * well.attempts;
+            for (host, met) in reports().filter(|(_, met)| can_carry && fails(met)) {
+                let outlier = outliers.entry(host.clone()).or_default();
+                outlier.attempts += met.attempts;
+                outlier.zones.insert(zone);
             }
         }
-        self.grade(&mut notes);
-        notes.into_iter().for_each(|text| self.log(text));
+        outliers
+    }
+
+    fn eject(&mut self, host: HostId, outlier: Outlier) {
+        let now = self.clock.now;
+        let ejection = self.verdicts.ejections.entry(host.clone()).or_default();
+        let is_new = now >= ejection.until || !outlier.zones.is_subset(&ejection.zones);
+        let needed = if ejection.count > 0 { EJECTION_ATTEMPTS / 2.0 } else { EJECTION_ATTEMPTS };
+        if is_new && outlier.attempts >= needed {
+            self.reports.forget_in(&outlier.zones, &host);
+            let duration = BASE_EJECTION_TIME * f64::from(1 << ejection.count.min(2));
+            self.outbox.log(format!("event=host_ejected host={host} {outlier}"));
+            ejection.begin(now + duration, outlier.zones);
+        }
     }
 
     /// Takes weight off a host that lags or fails while the rest are well, by steps: slower than listed,
     /// pausing, hampered in ways no list names, or dead before that is proved. Where all lag alike nobody is
     /// singled out. Harm: a host slow for good is tried again and again.
-    pub(crate) fn grade(&mut self, say: &mut Vec<String>) {
-        let (hosts, now) = (self.by_host(), self.now);
-        let all = total(hosts.values());
-        for (host, s) in hosts.iter().filter(|(_, s)| s.tries >= GRADE_TRIES) {
-            let (part, at) = self.grades.get(host).copied().unwrap_or((1.0, 0.0));
-            let (mine, rest) = (self.strain(s), self.strain(&both(&all, s, -1.0)));
-            let bar = if s.failed < FAILS_DOWN * s.tries { GRADE_CALM } else { GRADE_DOWN };
-            let lags = mine > bar && mine > 2.0 * rest;
-            let back = part < 1.0 && mine < FULL_UP && now - at >= GRADE_REST * self.pause;
-            let step = if back { (part / GRADE_STEP).min(1.0) } else { (part * GRADE_STEP).max(GRADE_LEAST) };
-            if back || lags && now - at >= self.pause {
-                say.push(format!("{host} to {step:.2} of its weight: strain {mine:.2}, the rest {rest:.2}"));
-                self.grades.insert(host.clone(), (step, now));
+    fn derate_hosts(&mut self) {
+        let (hosts, now, feedback_delay) = (self.met_by_host(), self.clock.now, self.reports.feedback_delay);
+        let all = AttemptTotals::sum(hosts.values());
+        for (host, met) in hosts.iter().filter(|(_, met)| met.attempts >= DERATE_ATTEMPTS) {
+            let Derating { part, changed_at } = self.verdicts.derating(host);
+            let (own, others) = (self.saturation(met), self.saturation(&all.minus(met)));
+            let hardly_fails = met.failed < OVERLOAD_FAILURES * met.attempts;
+            let threshold = if hardly_fails { CALM_DERATE_SATURATION } else { DERATE_SATURATION };
+            let lags = own > threshold && own > 2.0 * others;
+            let age = now - changed_at;
+            let is_well = own < HEALTHY_SATURATION && age >= DERATE_RECOVERY_DELAYS * feedback_delay;
+            let gains = part < 1.0 && is_well;
+            if gains || lags && age >= feedback_delay {
+                let lower = (part * DERATE_STEP).max(MIN_DERATED_PART);
+                let part = if gains { (part / DERATE_STEP).min(1.0) } else { lower };
+                self.verdicts.deratings.insert(host.clone(), Derating { part, changed_at: now });
+                self.outbox.log(format!(
+                    "event=host_derated host={host} part={part:.2} saturation={own:.2} others={others:.2}"
+                ));
             }
         }
     }
 
-    /// How far tries fall short: 1 is where answers begin to miss their aim; a failed one loses a whole aim.
-    pub(crate) fn strain(&self, s: &Sums) -> f64 {
-        let aim = self.aim();
-        (s.time + s.failed * aim) / (s.tries.max(1e-9) * FULL_LAG * aim)
-    }
-
-    /// Strain and failed part of the better hosts: what the fleet suffers as a whole.
-    pub(crate) fn middle(&self, zone: ZoneId) -> Option<(f64, f64)> {
-        let hosts = self.met(zone);
-        let mut seen: Vec<(f64, &Sums)> = hosts.values().map(|s| (self.strain(s), s)).collect();
-        seen.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let mut left = BETTER_PART * hosts.values().map(|s| s.tries).sum::<f64>();
-        seen.retain(|(_, s)| (left > 0.0, left -= s.tries).0);
-        let all = total(seen.iter().map(|x| x.1));
-        // Full hosts answer late. Where good answers are quick, failures are no matter of load.
-        let good = Sums { tries: all.tries - all.failed, failed: 0.0, ..all.clone() };
-        let quick = good.tries >= REST_PART * all.tries && self.strain(&good) < FULL_UP;
-        let all = if quick { good } else { all };
-        (all.tries >= 1.0).then(|| (self.strain(&all), all.failed / all.tries))
+    /// Saturation and failed part of the better hosts: what the fleet suffers as a whole.
+    pub(crate) fn zone_pressure(&self, zone: ZoneId) -> Option<ZonePressure> {
+        let all = self.met_at_least_saturated(zone, REPRESENTATIVE_PART);
+        // Saturated hosts answer late. Where good answers are quick, failures are no matter of load.
+        let good = all.successful();
+        let has_good = good.attempts >= MIN_REMAINING_PART * all.attempts;
+        let all = if has_good && self.saturation(&good) < HEALTHY_SATURATION { good } else { all };
+        let (saturation, failed) = (self.saturation(&all), all.failed / all.attempts);
+        (all.attempts >= 1.0).then_some(ZonePressure { saturation, failed })
     }
 }
--- a/crates/shared/policy/src/interface/events.rs
+++ b/crates/shared/policy/src/interface/events.rs
@@ -97,8 +97,8 @@
         /// The token that it was started with.
         token: String,
     },
-    /// A proxy with a dedicated channel does not hold what this number and those after it asked for: it rejected
-    /// that, or has not taken it yet.
+    /// A proxy with a dedicated channel does not hold what this number and those after it asked for: it
+    /// rejected that, or has not taken it yet.
     NotApplied {
         /// The proxy.
         proxy: ProxyId,
@@ -107,8 +107,8 @@
         /// One more message leaves for it now.
         is_resent: bool,
     },
-    /// The shared channel's call of this number, and all after it, are not known to be carried out: they go out
-    /// again.
+    /// The shared channel's call of this number, and all after it, are not known to be carried out: they go
+    /// out again.
     CallUnconfirmed {
         /// The earliest number of which this holds.
         ack_number: AckNumber,
@@ -116,3 +116,15 @@
         may_have_run: bool,
     },
 }
+
+impl Event {
+    /// Whether it is news of the list of hosts.
+    pub(crate) fn is_host_list(&self) -> bool {
+        matches!(self, Event::HostsListed { .. })
+    }
+
+    /// Whether it says who is joined.
+    pub(crate) fn is_membership(&self) -> bool {
+        matches!(self, Event::ProxyJoined { .. } | Event::ProxyLeft { .. })
+    }
+}
--- a/crates/shared/policy/src/interface/ids.rs
+++ b/crates/shared/policy/src/interface/ids.rs
@@ -1,6 +1,7 @@
 //! Names of hosts, proxies, tables and classes, and the channels that reach proxies.
 
 use std::collections::BTreeMap;
+use std::fmt;
 use std::sync::Arc;
 
 /// Milliseconds, with fractions: a span, or a moment on the front's clock.
@@ -25,11 +26,12 @@
 /// Tables from this number on serve proxies with a dedicated channel; those below, proxies of the shared one.
 pub const FIRST_DEDICATED_TABLE: TableId = 100_000;
 
-/// How a proxy is reached. Order, acknowledgements and capacity hold within one channel and prove nothing about
-/// another.
+/// How a proxy is reached. Order, acknowledgements and capacity hold within one channel and prove nothing
+/// about another.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Channel {
-    /// One ordered channel for all proxies that share it: an acknowledgement proves that all before it has left.
+    /// One ordered channel for all proxies that share it: an acknowledgement proves that all before it has
+    /// left.
     #[default]
     Shared,
     /// A stream of the proxy's own. Its front keeps the newest state for it and no queue.
@@ -45,3 +47,12 @@
         if table >= FIRST_DEDICATED_TABLE { Channel::Dedicated } else { Channel::Shared }
     }
 }
+
+impl fmt::Display for Channel {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            Channel::Shared => "shared",
+            Channel::Dedicated => "dedicated",
+        })
+    }
+}
--- a/crates/shared/policy/src/interface/settings.rs
+++ b/crates/shared/policy/src/interface/settings.rs
@@ -158,3 +158,11 @@
     /// The list of hosts comes only to directors that subscribe to it.
     pub must_subscribe: bool,
 }
+
+impl Settings {
+    /// Whether there are classes, and a channel that carries something.
+    pub(crate) fn is_usable(&self) -> bool {
+        let carries_nothing = self.channel.lines_per_second <= 0.0 || self.channel.max_queued_lines <= 0.0;
+        !self.classes.is_empty() && !carries_nothing
+    }
+}
--- a/crates/shared/policy/src/scheduler.rs
+++ b/crates/shared/policy/src/scheduler.rs
@@ -1,210 +1,222 @@
 //! The check (paper 4.4) and the scheduler: what differs between tables and targets, what of it is sent.
 
-use crate::{interface::*, state::*, tuned::*};
+use crate::director::Director;
+use crate::interface::{Channel, HostId, ProxyId, TableId};
+use crate::state::{ChannelHost, PlannedUpdate, ProxyLines, URGENT, Update, UpdatePlan, WithdrawalRepeat};
+use crate::tuned::{
+    HEALTHY_SATURATION, JOIN_QUIET_PERIOD, MAX_QUEUE_AHEAD_OF_DRAINS, MIN_LISTED_WEIGHT_CHANGE,
+    MIN_QUEUE_AHEAD_OF_DRAINS, MIN_WEIGHT_CHANGE, ORDINARY_MESSAGE_PART, ORDINARY_QUEUE_PART, ROUND_INTERVAL,
+    URGENT_QUEUE_PART,
+};
 use std::collections::BTreeSet;
 
 impl Director {
-    // ---- check (paper 4.4; design's invariant) ----
-
-    /// A change passes if each proxy it touches keeps a certain line that isn't being removed. A line comes
-    /// back only when its removal is certain, so that the two can't meet on the way (paper 2 and 6).
-    pub(crate) fn passes(&self, change: &Change) -> bool {
-        let keeps = |proxy: &ProxyId, group: usize, stays: &dyn Fn(&HostId) -> bool| {
-            let p = &self.proxies[proxy];
-            let mut lines = p.lines[group].iter();
-            lines.any(|(h, l)| l.standing == Certainty::Certain && self.live(h, p.channel) && stays(h))
-        };
-        match &change.1 {
-            Key::Line(table, host) => {
-                let group = self.tables[table].key.1;
-                let held = |p: &ProxyId| self.proxies[p].lines[group].get(host).map(|l| l.standing);
-                let returns = |p: &ProxyId| change.2 > 0.0 && held(p) != Some(Certainty::Removing);
-                self.users(*table).all(|p| returns(&p) || change.2 == 0.0 && keeps(&p, group, &|h| h != host))
+    /// The check (paper 4.4): an update passes if each proxy it touches keeps a certain endpoint that is not
+    /// being removed. One comes back only when its removal is certain: the two must not meet (paper 2, 6).
+    fn passes_check(&self, planned: &PlannedUpdate) -> bool {
+        match &planned.update {
+            Update::Endpoint { table, host } => {
+                let group = self.tables.by_id[table].key.group;
+                let may_add = |proxy| !self.is_being_removed(proxy, group, host);
+                let may_remove = |proxy| self.keeps_endpoint(proxy, group, |kept| kept != host);
+                let mut users = self.tables.users(*table);
+                if planned.value > 0.0 { users.all(may_add) } else { users.all(may_remove) }
             }
-            Key::Bind(proxy, group, table) => {
-                keeps(proxy, *group, &|h| self.tables[table].lines.contains_key(h))
+            Update::Bind { proxy, group, table } => {
+                self.keeps_endpoint(*proxy, *group, |kept| self.tables.has_endpoint(*table, kept))
             }
             _ => true,
         }
     }
 
-    // ---- scheduler (design: as many changes a round as the channel carries, largest first) ----
-
     /// Sends urgent differences between tables and targets at once, in a round the rest by size; what fails
-    /// the check stays in the buffer, and goes from there to the fallback. Between rounds and lists only who
-    /// came and tables that nobody uses want anything: a thousand may come within a second.
-    pub(crate) fn plan(&mut self, all: bool) {
-        // Who joins behind a withdrawal learns of it by a bind. Where thousands wait for theirs, either these
-        // are bound first, or it goes out again once all are here: what takes less of the channel. Harm: a
-        // line again at those who knew.
-        let crowd = if self.now - self.came_at < JOINING { Vec::new() } else { self.waiting() };
-        let fresh = |l: &Listed| l.withdrawn[0] && self.came_at - l.told.1 < self.s.hosts.drain_grace / 2.0;
-        let last = crowd.iter().copied().max().unwrap_or(0);
-        let late = |l: &Listed| fresh(l) && l.told.0 < last;
-        let told: Vec<usize> =
-            self.list.iter().filter(|(h, l)| !self.ready(h) && late(l)).map(|(_, l)| l.told.0).collect();
-        let since = told.iter().copied().min().unwrap_or(usize::MAX);
-        let behind = crowd.iter().filter(|joined| **joined > since).count() as f64;
-        let again = self.retelling(told.len()) * (crowd.len() as f64) < self.binding() * behind;
-        let every = || Channel::ALL.into_iter().flat_map(|c| self.list.iter().map(move |(h, l)| (c, h, l)));
-        let knows = |c: Channel, l: &Listed| c == Channel::Dedicated || !again || !late(l);
-        let out = |c: Channel, l: &Listed| l.withdrawn[c as usize] && knows(c, l);
-        let mut shut: Vec<_> = every().filter(|(c, h, l)| !out(*c, l) && !self.ready(h)).collect();
-        // What nobody was told yet goes first: behind fifty told again, ten came two seconds late.
-        shut.sort_by_key(|(c, _, l)| l.withdrawn[*c as usize]);
-        let shut = shut.into_iter().map(|(c, h, _)| Change(f64::INFINITY, Key::Withdraw(h.clone(), c), 0.0));
-        let mut changes: Vec<Change> = shut.collect();
-        self.send_all(&mut changes, true);
-        let mut binds = self.binds(all, since);
-        let mut heavy = BTreeSet::new();
-        for (table, _) in self.tables.iter().filter(|(_, t)| all || t.users.is_empty()) {
-            self.compare(*table, &mut changes, &mut heavy);
+    /// the check stays pending, and goes from there to the fallback. Between rounds and lists only who joined
+    /// and tables that nobody uses want anything: a thousand may join within a second.
+    pub(crate) fn send_updates(&mut self, is_complete: bool) {
+        let repeat = self.withdrawal_repeat();
+        let mut plan = UpdatePlan { updates: self.due_withdrawals(&repeat), ..UpdatePlan::default() };
+        self.send_eligible(&mut plan.updates, true);
+        let mut binds = self.due_binds(is_complete, repeat.first_join);
+        let tables = self.tables.by_id.iter();
+        for (table, _) in tables.filter(|(_, table)| is_complete || table.users.is_empty()) {
+            self.compare_weights(*table, &mut plan);
+            self.compare_admission(*table, &mut plan);
         }
-        self.looked += changes.len() as u64;
-        self.send_all(&mut changes, true);
-        self.send_all(&mut binds, true);
-        if self.now < self.next_round {
-            return;
+        self.examined += plan.updates.len() as u64;
+        self.send_eligible(&mut plan.updates, true);
+        self.send_eligible(&mut binds, true);
+        if self.clock.now >= self.clock.next_round {
+            self.clock.next_round = self.clock.now + ROUND_INTERVAL;
+            plan.updates.extend(self.due_restorations(&plan.overweight));
+            plan.updates.append(&mut binds);
+            self.send_round(plan.updates);
         }
-        self.next_round = self.now + ROUND;
-        let every = || Channel::ALL.into_iter().flat_map(|c| self.list.iter().map(move |(h, l)| (c, h, l)));
-        let light = |c: Channel, h: &HostId| self.ready(h) && !heavy.contains(&(h.clone(), c));
-        let back = every().filter(|(c, h, l)| l.withdrawn[*c as usize] && light(*c, h));
-        changes.extend(back.map(|(c, h, l)| Change(l.entry.weight, Key::Return(h.clone(), c), 0.0)));
-        changes.append(&mut binds);
-        changes.sort_by(|a, b| b.0.total_cmp(&a.0).then_with(|| a.1.cmp(&b.1)));
-        let open: BTreeSet<&Key> = changes.iter().map(|c| &c.1).collect();
-        self.buffer.retain(|k, _| open.contains(k));
-        self.send_all(&mut changes, false);
-        self.fall_back();
     }
 
-    /// Binds that proxies lack, first of those that joined behind so many. One whose proxy the model shows
-    /// without a line is urgent.
-    pub(crate) fn binds(&mut self, all: bool, since: usize) -> Vec<Change> {
-        let (mut binds, joined) = (Vec::new(), std::mem::take(&mut self.joined));
-        let mut ids: Vec<ProxyId> =
-            if all { self.proxies.keys().copied().collect() } else { joined.into_iter().collect() };
-        ids.sort_by_key(|p| self.proxies[p].nth <= since);
-        self.looked += ids.len() as u64;
-        for group in 0..self.groups.len() {
-            let closed = self.closed(group);
-            for proxy in &ids {
-                let (p, close) = (&self.proxies[proxy], closed.contains(proxy));
-                let table = self.table_for((p.zone, group, close, p.pool % self.pools.max(1), p.channel));
-                let p = &self.proxies[proxy];
-                if p.bound[group] != Some(table) {
-                    let may = |(h, l): (&HostId, &Held)| {
-                        l.standing != Certainty::Removing && self.live(h, p.channel)
-                    };
-                    let bare = close || !p.lines[group].iter().any(may);
-                    let size = if bare { f64::INFINITY } else { p.rate.max(1.0) };
-                    binds.push(Change(size, Key::Bind(*proxy, group, table), 0.0));
-                }
+    /// As many updates a round as the channel carries, the largest first (design's companion scheduler).
+    fn send_round(&mut self, mut updates: Vec<PlannedUpdate>) {
+        updates.sort_by(PlannedUpdate::sending_order);
+        let planned: BTreeSet<&Update> = updates.iter().map(|planned| &planned.update).collect();
+        self.pending.retain(|update, _| planned.contains(update));
+        self.send_eligible(&mut updates, false);
+        self.run_fallback();
+    }
+
+    /// Who joins behind a withdrawal learns of it by a bind. Where thousands wait for theirs, either these
+    /// are bound first, or it goes out again once all are here: what takes less of the channel. Harm: a line
+    /// again at those who knew.
+    fn withdrawal_repeat(&mut self) -> WithdrawalRepeat {
+        let (last_join_at, max_age) = (self.proxies.last_join_at, self.settings.hosts.drain_grace / 2.0);
+        let is_quiet = self.clock.now - last_join_at >= JOIN_QUIET_PERIOD;
+        let awaiting = if is_quiet { self.joins_awaiting_bind() } else { Vec::new() };
+        let mut repeat = self.hosts.missed_withdrawals(&awaiting, last_join_at, max_age);
+        let behind = awaiting.iter().filter(|join| **join > repeat.first_join).count() as f64;
+        let repeated_lines = self.withdrawals_lines(repeat.orders) * (awaiting.len() as f64);
+        repeat.is_due = repeated_lines < self.mean_bind_lines() * behind;
+        repeat
+    }
+
+    /// Withdrawals of hosts that take no requests, for the channels whose proxies were not told.
+    fn due_withdrawals(&self, repeat: &WithdrawalRepeat) -> Vec<PlannedUpdate> {
+        let is_told = |host: &ChannelHost<'_>| host.is_withdrawn() && !repeat.covers(host);
+        let hosts = self.hosts.by_channel().filter(|host| !host.listed.is_ready() && !is_told(host));
+        let mut due: Vec<ChannelHost<'_>> = hosts.collect();
+        // What nobody was told yet goes first: behind fifty told again, ten came two seconds late.
+        due.sort_by_key(ChannelHost::is_withdrawn);
+        due.into_iter().map(|host| PlannedUpdate::new(URGENT, Update::withdraw(&host))).collect()
+    }
+
+    /// Hosts that take requests again come back, unless a table has yet to be told of their smaller weight.
+    fn due_restorations(&self, overweight: &BTreeSet<(HostId, Channel)>) -> Vec<PlannedUpdate> {
+        let withdrawn = self.hosts.by_channel().filter(|host| host.listed.is_ready() && host.is_withdrawn());
+        let due = withdrawn.filter(|host| !overweight.contains(&(host.id.clone(), host.channel)));
+        due.map(|host| PlannedUpdate::new(host.listed.entry.weight, Update::restore(&host))).collect()
+    }
+
+    /// Binds that proxies lack, first of those that joined after a number of joins. One whose proxy the model
+    /// shows without an endpoint is urgent.
+    fn due_binds(&mut self, is_complete: bool, after: usize) -> Vec<PlannedUpdate> {
+        let mut ids = self.proxies.take_unplanned(is_complete);
+        ids.sort_by_key(|id| self.proxies.by_id[id].join_number <= after);
+        self.examined += ids.len() as u64;
+        let mut binds = Vec::new();
+        for group in 0..self.tables.groups.len() {
+            let beyond_capacity = self.proxies_beyond_capacity(group);
+            for id in &ids {
+                binds.extend(self.due_bind(*id, group, beyond_capacity.contains(id)));
             }
         }
         binds
     }
 
-    /// The changes that bring a table to its target. Filling an unused or empty table is urgent, so is taking
-    /// weight off a host that has started anew, also in a table that its proxies are to leave, which gets no
-    /// other change. `heavy` gathers hosts that weigh too much to be let back.
-    pub(crate) fn compare(
-        &self,
-        table: TableId,
-        to: &mut Vec<Change>,
-        heavy: &mut BTreeSet<(HostId, Channel)>,
-    ) {
-        let (t, key) = (&self.tables[&table], self.tables[&table].key);
-        let (target, old) = (self.target(key), self.current.get(&key) != Some(&table));
-        let free = self.users(table).next().is_none() || !t.lines.keys().any(|h| self.live(h, key.4));
-        let mut push = |size: f64, urgent: bool, key: Key, value: f64| {
-            let size = if free || urgent { f64::INFINITY } else { size };
-            to.extend((urgent || !old).then_some(Change(size, key, value)));
-        };
+    fn due_bind(&mut self, proxy: ProxyId, group: usize, is_closed: bool) -> Option<PlannedUpdate> {
+        let table = self.wanted_table(proxy, group, is_closed);
+        if self.proxies.by_id[&proxy].groups[group].table == Some(table) {
+            return None;
+        }
+        let is_urgent = is_closed || !self.has_endpoint_left(proxy, group);
+        let size = if is_urgent { URGENT } else { self.proxies.by_id[&proxy].rate.max(1.0) };
+        Some(PlannedUpdate::new(size, Update::Bind { proxy, group, table }))
+    }
+
+    /// The updates that bring a table to its target. Filling an unused or empty table is urgent, so is taking
+    /// weight off a host that has started anew; only that is done to a table that its proxies are to leave.
+    fn compare_weights(&self, id: TableId, plan: &mut UpdatePlan) {
+        let (table, status) = (&self.tables.by_id[&id], self.table_status(id));
+        let (key, target) = (table.key, self.target_weights(table.key));
         let total: f64 = target.values().sum::<f64>().max(1e-9);
-        for (host, want) in &target {
-            let have = t.lines.get(host).copied().unwrap_or(0.0);
-            let anew = have > 2.0 * want && self.live(host, key.4);
-            let well = have > 0.0 && self.gate(key.0).full < FULL_UP;
-            let least = if well { WORTH_OF_LISTED * self.list[host].entry.weight } else { 0.0 };
-            if anew || (want - have).abs() > least.max(WORTH_A_LINE * want) {
-                push((want - have).abs() / total, anew, Key::Line(table, host.clone()), *want);
-                heavy.extend((have > *want).then(|| (host.clone(), key.4)));
+        let set = |host: &HostId, size: f64, value: f64| PlannedUpdate {
+            size,
+            update: Update::Endpoint { table: id, host: host.clone() },
+            value,
+        };
+        for (host, &wanted) in &target {
+            let weight = table.weights.get(host).copied().unwrap_or(0.0);
+            let change = (wanted - weight).abs();
+            let is_restarted = weight > 2.0 * wanted && self.hosts.is_live(host, key.channel);
+            if is_restarted || change > self.least_change(key.zone, host, weight, wanted) {
+                plan.add(status, is_restarted, set(host, change / total, wanted));
+                plan.overweight.extend((weight > wanted).then(|| (host.clone(), key.channel)));
             }
         }
-        for host in t.lines.keys().filter(|h| !target.contains_key(*h)) {
-            push(t.lines[host] / total, false, Key::Line(table, host.clone()), 0.0);
-            heavy.insert((host.clone(), key.4));
+        for (host, weight) in table.weights.iter().filter(|(host, _)| !target.contains_key(*host)) {
+            plan.add(status, false, set(host, weight / total, 0.0));
+            plan.overweight.insert((host.clone(), key.channel));
         }
-        for class in self.classes(key.1) {
-            let have = t.levels.get(&class).copied().unwrap_or((1.0, self.s.proxies.retry_policy));
-            let want = self.level(key.0, class);
-            if want != have {
-                push((want.0 - have.0).abs() + 0.01, false, Key::Level(table, class), want.0);
+    }
+
+    /// Below this a change of weight is worth no order.
+    fn least_change(&self, zone: usize, host: &HostId, weight: f64, wanted: f64) -> f64 {
+        let is_healthy = weight > 0.0 && self.zone(zone).saturation < HEALTHY_SATURATION;
+        let part_of_listed = if is_healthy { MIN_LISTED_WEIGHT_CHANGE } else { 0.0 };
+        (part_of_listed * self.hosts.by_id[host].entry.weight).max(MIN_WEIGHT_CHANGE * wanted)
+    }
+
+    fn compare_admission(&self, id: TableId, plan: &mut UpdatePlan) {
+        let (table, status) = (&self.tables.by_id[&id], self.table_status(id));
+        for class in self.tables.group(&table.key).iter() {
+            let ordered = self.ordered_admission(table, class);
+            let wanted = self.admission(table.key.zone, class);
+            if wanted != ordered {
+                let size = (wanted.quota - ordered.quota).abs() + 0.01;
+                let update = Update::Admission { table: id, class };
+                plan.add(status, false, PlannedUpdate { size, update, value: wanted.quota });
             }
         }
     }
 
     /// Sends what passes the check and the budget, urgent or ordinary. What is sent leaves the list.
-    pub(crate) fn send_all(&mut self, changes: &mut Vec<Change>, urgent: bool) {
-        let (now, all) = (self.now, std::mem::take(changes));
-        for c in all {
-            let mine = urgent == c.0.is_infinite();
-            let safe = mine && (urgent || self.passes(&c));
-            if safe && self.send(&c.1, c.2, urgent) {
-                self.buffer.remove(&c.1);
+    fn send_eligible(&mut self, updates: &mut Vec<PlannedUpdate>, urgent: bool) {
+        for planned in std::mem::take(updates) {
+            let is_eligible = urgent == planned.is_urgent();
+            let is_safe = is_eligible && (urgent || self.passes_check(&planned));
+            if is_safe && self.try_send(&planned.update, planned.value, urgent) {
+                self.pending.remove(&planned.update);
                 continue;
             }
-            if mine && !safe {
-                self.buffer.entry(c.1.clone()).or_insert(now);
+            if is_eligible && !is_safe {
+                self.pending.entry(planned.update.clone()).or_insert(self.clock.now);
             }
-            changes.push(c);
+            updates.push(planned);
         }
     }
 
-    /// The one sender: counts the lines as the wire charges them and refuses what the budget can't hold.
-    /// Lines not yet answered bound what may still wait, at any pace of the channel.
-    pub(crate) fn send(&mut self, key: &Key, value: f64, urgent: bool) -> bool {
-        let (cost, flying) = (self.cost(key), self.flying());
-        // The window is the shared channel's. On its own one a proxy's front keeps no queue.
-        let on_it = cost.iter().filter(|(p, _)| self.by(p, Channel::Shared));
-        let new: f64 = on_it.map(|(p, l)| self.charged_more(p, *l)).sum();
-        let part = if urgent { URGENT_PART } else { ORDINARY_PART };
-        // What lies in the channel delays withdrawals: binds of thousands that joined filled nine seconds.
-        let ahead = self.s.channel.lines_per_second / 1000.0
-            * (self.s.hosts.drain_grace * AHEAD_OF_DRAINS).max(AHEAD_LEAST);
-        let first = matches!(key, Key::Withdraw(..)) || flying + self.sent <= 0.0;
-        let most = (part * self.s.channel.max_queued_lines).min(if first { f64::INFINITY } else { ahead });
-        // Half go out freely, urgent ones beyond it spaced, withdrawals but one left for a repeat.
-        let (over, half) =
-            (self.s.channel.message_window, ORDINARY_MESSAGES * self.s.channel.max_messages as f64);
-        let full = |p: &ProxyId| {
-            let written = || self.proxies[p].written.iter().filter(|at| self.now - **at <= over);
-            let (count, last) = (written().count() as f64 + 1.0, written().next_back().unwrap_or(&0.0));
-            let must = matches!(key, Key::Withdraw(..)) && count < self.s.channel.max_messages as f64;
-            let spaced = urgent && self.now - last > over / half;
-            self.s.channel.max_messages > 0 && !self.lines.contains_key(p) && count > half && !must && !spaced
-        };
-        let fits = new == 0.0 || flying + self.sent + new <= most;
-        let room = fits && !cost.iter().any(|(p, _)| full(p));
-        let fits = room || cost.is_empty();
-        if fits {
-            self.sent += new;
-            cost.iter().for_each(|(p, l)| *self.lines.entry(*p).or_insert(0.0) += l);
-            match key {
-                Key::Level(table, class) => {
-                    let level = self.level(self.tables[table].key.0, *class);
-                    self.apply_level(*table, *class, level);
-                }
-                _ => self.apply(key, value),
-            }
+    /// The one sender: counts the lines as the channel does and refuses what the budget can't hold.
+    pub(crate) fn try_send(&mut self, update: &Update, value: f64, is_urgent: bool) -> bool {
+        let cost = self.cost(update);
+        let added = cost.channel_lines;
+        let has_room = added == 0.0 || self.fits_window(update, added, is_urgent);
+        let is_capped = |lines: &ProxyLines| self.exceeds_message_cap(lines.proxy, update, is_urgent);
+        let is_sent = has_room && !cost.by_proxy.iter().any(is_capped);
+        if is_sent {
+            self.carry_out(update, value, cost);
         }
-        fits
+        is_sent
     }
 
-    /// A call of unknown outcome goes out again once its proxies have room under the cap for it.
-    pub fn may_resend(&self, ack_number: AckNumber, now: Ms) -> bool {
-        self.s.channel.max_messages == 0 || self.most_written(ack_number, now) <= self.s.channel.max_messages
+    /// Lines not yet acknowledged bound what may still wait in the shared channel, at any pace of it. What
+    /// lies there delays withdrawals: binds of thousands that joined filled nine seconds.
+    fn fits_window(&self, update: &Update, added: f64, is_urgent: bool) -> bool {
+        let (channel, grace) = (&self.settings.channel, self.settings.hosts.drain_grace);
+        let waiting = self.outbox.unacked_lines() + self.outbox.channel_lines;
+        let part = if is_urgent { URGENT_QUEUE_PART } else { ORDINARY_QUEUE_PART };
+        let span = (grace * MAX_QUEUE_AHEAD_OF_DRAINS).max(MIN_QUEUE_AHEAD_OF_DRAINS);
+        let is_first = matches!(update, Update::Withdraw { .. }) || waiting <= 0.0;
+        let ahead = if is_first { f64::INFINITY } else { channel.lines_per_second / 1000.0 * span };
+        waiting + added <= (part * channel.max_queued_lines).min(ahead)
+    }
+
+    /// Half of a proxy's messages go out freely, urgent ones beyond it spaced, withdrawals up to one short.
+    fn exceeds_message_cap(&self, id: ProxyId, update: &Update, is_urgent: bool) -> bool {
+        let (cap, window) = (self.settings.channel.max_messages, self.settings.channel.message_window);
+        if cap == 0 || self.outbox.lines.contains_key(&id) {
+            return false;
+        }
+        let half = ORDINARY_MESSAGE_PART * cap as f64;
+        let written = || self.proxies.by_id[&id].messages_within(window, self.clock.now);
+        let (count, last) = (written().count() as f64 + 1.0, written().next_back().unwrap_or(0.0));
+        let is_withdrawal = matches!(update, Update::Withdraw { .. }) && count < cap as f64;
+        let is_spaced = is_urgent && self.clock.now - last > window / half;
+        count > half && !is_withdrawal && !is_spaced
     }
 }
--- a/crates/shared/policy/tests/mechanism.rs
+++ b/crates/shared/policy/tests/mechanism.rs
@@ -103,7 +103,7 @@
     let old = stand.bound[&(1, 0)];
     stand.give(vec![list(HostListKind::Delta, &[with(host("a1", 0), Readiness::Gone, 0.0)])]);
     stand.pass(2600.0);
-    assert!(stand.logs.iter().any(|l| l.starts_with("fallback")), "{:?}", stand.logs);
+    assert!(stand.logs.iter().any(|l| l.starts_with("event=fallback")), "{:?}", stand.logs);
     stand.pass(1500.0);
     assert_ne!(stand.bound[&(1, 0)], old);
     assert_eq!(stand.lines(1).keys().collect::<Vec<_>>(), ["a2"]);
