--- a/crates/shared/policy/src/admission.rs
+++ b/crates/shared/policy/src/admission.rs
@@ -2,7 +2,7 @@
 
 use crate::director::Director;
 use crate::interface::{ClassId, Idempotency, RetryPolicy, ZoneId};
-use crate::state::{Admission, AttemptTotals, ZonePressure};
+use crate::state::{Admission, ZonePressure};
 use crate::tuned::{
     ADMISSION_DECREASE, ADMISSION_SEARCH_STEP, EASING_PART, HEALTHY_SATURATION, MAX_ADMISSION_INCREASE,
     MIN_ADMISSION, MIN_CAPACITY_PART, OPEN_ADMISSION, OVERLOAD_FAILURES, OVERLOAD_SATURATION,
@@ -43,26 +43,28 @@
     }
 
     /// An overload is cut to a part of what the hosts were seen to carry, never to nothing on late evidence.
-    fn step_admission(&mut self, zone: ZoneId, pressure: &ZonePressure) {
-        let (is_overloaded, saturation) = (pressure.is_overloaded(), pressure.saturation);
-        let met = AttemptTotals::sum(self.met_in_zone(zone).values());
-        let rate = self.proxies.rate_in_zone(zone);
+    fn step_capacity(&mut self, zone: ZoneId, pressure: &ZonePressure, carried: f64) {
         let state = &mut self.zones[zone];
-        let carried = (met.attempts - met.failed) / rate;
-        let keeps_peak = is_overloaded && state.peak_capacity > 0.0;
+        let keeps_peak = pressure.is_overloaded() && state.peak_capacity > 0.0;
         state.peak_capacity = if keeps_peak { state.peak_capacity } else { carried.max(state.peak_capacity) };
-        let slack = (HEALTHY_SATURATION / saturation).min(MAX_ADMISSION_INCREASE);
-        let is_easing = saturation < EASING_PART * state.saturation;
+        let is_easing = pressure.saturation < EASING_PART * state.saturation;
+        let slack = (HEALTHY_SATURATION / pressure.saturation).min(MAX_ADMISSION_INCREASE);
         let usual_step = if pressure.is_healthy() { slack } else { 1.0 };
-        let step = if is_overloaded && !is_easing { ADMISSION_DECREASE } else { usual_step };
+        let step = if pressure.is_overloaded() && !is_easing { ADMISSION_DECREASE } else { usual_step };
         state.capacity_part = (state.capacity_part * step).max(MIN_CAPACITY_PART);
-        state.saturation = saturation;
-        let (level, admitted_part) = (state.admission, state.capacity_part * state.peak_capacity);
+        state.saturation = pressure.saturation;
+    }
+
+    /// Sets the level at which what is admitted can be carried.
+    fn step_admission(&mut self, zone: ZoneId, pressure: &ZonePressure) {
+        let (totals, rate) = (self.totals_of_zone(zone), self.proxies.rate_in_zone(zone));
+        self.step_capacity(zone, pressure, totals.successes() / rate);
+        let (is_overloaded, level) = (pressure.is_overloaded(), self.zones[zone].admission);
+        let admitted = |level| self.admitted_demand(zone, level);
         // Who is rejected asks again: of those attempts less comes through than the level says, if at all.
         let is_reopening = level < REOPENED_ADMISSION && !is_overloaded;
-        let admitted = |level| self.admitted_demand(zone, level);
-        let through = if is_reopening { met.attempts / admitted(level).max(1e-9) } else { 1.0 };
-        let room = admitted_part * rate / through.clamp(MIN_CAPACITY_PART, 1.0);
+        let through = if is_reopening { totals.attempts / admitted(level).max(1e-9) } else { 1.0 };
+        let room = self.zones[zone].admitted_capacity() * rate / through.clamp(MIN_CAPACITY_PART, 1.0);
         let (mut admission, is_limited) = (1.0, is_overloaded || level < 1.0);
         while is_limited && admission > MIN_ADMISSION && admitted(admission) > room {
             admission *= ADMISSION_SEARCH_STEP;
--- a/crates/shared/policy/src/decide.rs
+++ b/crates/shared/policy/src/decide.rs
@@ -22,9 +22,9 @@
         }
         // Acknowledgements and reports wait for a round; what changes who holds what is acted on at once.
         let is_listed = events.iter().any(Event::is_host_list);
-        let has_news = is_listed || events.iter().any(Event::is_membership);
+        let has_changes = is_listed || events.iter().any(Event::is_membership);
         events.into_iter().for_each(|event| self.apply_event(event));
-        if now < self.clock.opens_at || now < self.clock.next_round && !has_news {
+        if now < self.clock.opens_at || now < self.clock.next_round && !has_changes {
             return self.close_batch();
         }
         let is_round = now >= self.clock.next_round;
--- a/crates/shared/policy/src/fleet.rs
+++ b/crates/shared/policy/src/fleet.rs
@@ -27,9 +27,9 @@
         for (host, listed) in self.hosts.by_id.iter_mut() {
             let Some(since) = listed.missing_since else { continue };
             let reports = zones.clone().filter_map(|zone| self.reports.get(zone, host));
-            let met = AttemptTotals::sum(reports.filter(|totals| totals.updated_at > since));
-            let is_silent = met.attempts == 0.0 && now - since > silence;
-            if met.failed > 0.5 * met.attempts || is_silent {
+            let totals = AttemptTotals::sum(reports.filter(|totals| totals.updated_at > since));
+            let is_silent = totals.attempts == 0.0 && now - since > silence;
+            if totals.failed > 0.5 * totals.attempts || is_silent {
                 listed.mark_gone();
             }
         }
--- a/crates/shared/policy/src/health.rs
+++ b/crates/shared/policy/src/health.rs
@@ -38,7 +38,7 @@
         self.verdicts.ejections.retain(|host, ejection| {
             if now >= ejection.until && !ejection.has_recovered {
                 let reports = ejection.zones.iter().filter_map(|zone| self.reports.get(*zone, host));
-                ejection.has_recovered = reports.into_iter().any(|met| met.attempts - met.failed >= 0.5);
+                ejection.has_recovered = reports.into_iter().any(|totals| totals.successes() >= 0.5);
                 ejection.until = if ejection.has_recovered { ejection.until } else { now };
             }
             now - ejection.until < duration
@@ -48,17 +48,17 @@
     /// Hosts that fail for proxies of some zones while others serve these well and can carry the load.
     fn outliers(&self) -> ByHost<Outlier> {
         let mut outliers: ByHost<Outlier> = ByHost::new();
-        let fails =
-            |met: &AttemptTotals| met.attempts > 0.0 && met.failed >= EJECTION_FAILURES * met.attempts;
+        let fails = |totals: &AttemptTotals| totals.has_failed(EJECTION_FAILURES);
         for zone in self.zone_ids() {
             let reports = || self.reports_of_zone(zone);
-            let well = AttemptTotals::sum(reports().map(|(_, met)| met).filter(|met| !fails(met)));
-            let attempts: f64 = reports().map(|(_, met)| met.attempts).sum();
+            let totals = || reports().map(|(_, totals)| totals);
+            let well = AttemptTotals::sum(totals().filter(|totals| !fails(totals)));
+            let attempts: f64 = totals().map(|totals| totals.attempts).sum();
             let can_carry = well.attempts >= EJECTION_ATTEMPTS.max(MIN_REMAINING_PART * attempts)
                 && well.failed <= OVERLOAD_FAILURES * well.attempts;
-            for (host, met) in reports().filter(|(_, met)| can_carry && fails(met)) {
+            for (host, totals) in reports().filter(|(_, totals)| can_carry && fails(totals)) {
                 let outlier = outliers.entry(host.clone()).or_default();
-                outlier.attempts += met.attempts;
+                outlier.attempts += totals.attempts;
                 outlier.zones.insert(zone);
             }
         }
@@ -82,18 +82,18 @@
     /// pausing, hampered in ways no list names, or dead before that is proved. Where all lag alike nobody is
     /// singled out. Harm: a host slow for good is tried again and again.
     fn derate_hosts(&mut self) {
-        let (hosts, now, feedback_delay) = (self.met_by_host(), self.clock.now, self.reports.feedback_delay);
+        let (hosts, now, delay) = (self.observed_by_host(), self.clock.now, self.reports.feedback_delay);
         let all = AttemptTotals::sum(hosts.values());
-        for (host, met) in hosts.iter().filter(|(_, met)| met.attempts >= DERATE_ATTEMPTS) {
+        for (host, totals) in hosts.iter().filter(|(_, totals)| totals.attempts >= DERATE_ATTEMPTS) {
             let Derating { part, changed_at } = self.verdicts.derating(host);
-            let (own, others) = (self.saturation(met), self.saturation(&all.minus(met)));
-            let hardly_fails = met.failed < OVERLOAD_FAILURES * met.attempts;
+            let (own, others) = (self.saturation(totals), self.saturation(&all.minus(totals)));
+            let hardly_fails = totals.failed < OVERLOAD_FAILURES * totals.attempts;
             let threshold = if hardly_fails { CALM_DERATE_SATURATION } else { DERATE_SATURATION };
             let lags = own > threshold && own > 2.0 * others;
             let age = now - changed_at;
-            let is_well = own < HEALTHY_SATURATION && age >= DERATE_RECOVERY_DELAYS * feedback_delay;
+            let is_well = own < HEALTHY_SATURATION && age >= DERATE_RECOVERY_DELAYS * delay;
             let gains = part < 1.0 && is_well;
-            if gains || lags && age >= feedback_delay {
+            if gains || lags && age >= delay {
                 let lower = (part * DERATE_STEP).max(MIN_DERATED_PART);
                 let part = if gains { (part / DERATE_STEP).min(1.0) } else { lower };
                 self.verdicts.deratings.insert(host.clone(), Derating { part, changed_at: now });
@@ -106,7 +106,7 @@
 
     /// Saturation and failed part of the better hosts: what the fleet suffers as a whole.
     pub(crate) fn zone_pressure(&self, zone: ZoneId) -> Option<ZonePressure> {
-        let all = self.met_at_least_saturated(zone, REPRESENTATIVE_PART);
+        let all = self.observed_at_least_saturated(zone, REPRESENTATIVE_PART);
         // Saturated hosts answer late. Where good answers are quick, failures are no matter of load.
         let good = all.successful();
         let has_good = good.attempts >= MIN_REMAINING_PART * all.attempts;
--- a/crates/shared/policy/src/interface/events.rs
+++ b/crates/shared/policy/src/interface/events.rs
@@ -44,7 +44,7 @@
         /// The channel of the acknowledgement.
         channel: Channel,
     },
-    /// What proxies of a zone met at a host.
+    /// What proxies of a zone observed at a host.
     HostReported {
         /// The zone of the proxies.
         zone: ZoneId,
--- a/crates/shared/policy/src/observations.rs
+++ b/crates/shared/policy/src/observations.rs
@@ -1,4 +1,4 @@
-//! What proxies met at hosts, and how far that falls short.
+//! What proxies observed at hosts, and how far that falls short.
 
 use crate::director::Director;
 use crate::interface::{ByHost, HostId, ZoneId};
@@ -6,15 +6,20 @@
 use crate::tuned::SATURATED_LATENCY;
 
 impl Director {
-    /// What proxies of a zone met at each live host, as far as the reports are recent.
-    pub(crate) fn met_in_zone(&self, zone: ZoneId) -> ByHost<AttemptTotals> {
+    /// What proxies of a zone observed at each live host, as far as the reports are recent.
+    pub(crate) fn observed_in_zone(&self, zone: ZoneId) -> ByHost<AttemptTotals> {
         let recent = self.reports.recent();
         let of_zone = recent.filter(|(reporting, host, _)| *reporting == zone && self.hosts.is_judged(host));
         of_zone.map(|(_, host, totals)| (host.clone(), totals.clone())).collect()
     }
 
-    /// What proxies of all zones met at each live host, as far as the reports are recent.
-    pub(crate) fn met_by_host(&self) -> ByHost<AttemptTotals> {
+    /// The same, all hosts together.
+    pub(crate) fn totals_of_zone(&self, zone: ZoneId) -> AttemptTotals {
+        AttemptTotals::sum(self.observed_in_zone(zone).values())
+    }
+
+    /// What proxies of all zones observed at each live host, as far as the reports are recent.
+    pub(crate) fn observed_by_host(&self) -> ByHost<AttemptTotals> {
         let mut hosts: ByHost<AttemptTotals> = ByHost::new();
         for (_, host, totals) in self.reports.recent().filter(|(_, host, _)| self.hosts.is_judged(host)) {
             let sum = hosts.entry(host.clone()).or_default();
@@ -25,29 +30,29 @@
 
     /// How far attempts fall short: 1 is where they begin to miss the target latency; a failed one loses all
     /// of it.
-    pub(crate) fn saturation(&self, met: &AttemptTotals) -> f64 {
+    pub(crate) fn saturation(&self, totals: &AttemptTotals) -> f64 {
         let target = self.mean_target_latency();
-        (met.latency + met.failed * target) / (met.attempts.max(1e-9) * SATURATED_LATENCY * target)
+        (totals.latency + totals.failed * target) / (totals.attempts.max(1e-9) * SATURATED_LATENCY * target)
     }
 
-    /// What proxies of a zone met at each live host, old reports included.
+    /// What proxies of a zone observed at each live host, old reports included.
     pub(crate) fn reports_of_zone(&self, zone: ZoneId) -> impl Iterator<Item = (&HostId, &AttemptTotals)> {
         let of_zone = self.reports.iter().filter(move |(reporting, _, _)| *reporting == zone);
-        of_zone.map(|(_, host, met)| (host, met)).filter(|(host, _)| self.hosts.is_judged(host))
+        of_zone.map(|(_, host, totals)| (host, totals)).filter(|(host, _)| self.hosts.is_judged(host))
     }
 
-    /// What proxies of a zone met at its least saturated hosts, as many as took a part of all attempts.
-    pub(crate) fn met_at_least_saturated(&self, zone: ZoneId, part: f64) -> AttemptTotals {
-        let hosts = self.met_in_zone(zone);
-        let mut left = part * hosts.values().map(|met| met.attempts).sum::<f64>();
-        let mut met: Vec<(f64, &AttemptTotals)> =
-            hosts.values().map(|met| (self.saturation(met), met)).collect();
-        met.sort_by(|a, b| a.0.total_cmp(&b.0));
-        met.retain(|(_, met)| {
+    /// What proxies of a zone observed at its least saturated hosts, as many as took a part of all attempts.
+    pub(crate) fn observed_at_least_saturated(&self, zone: ZoneId, part: f64) -> AttemptTotals {
+        let hosts = self.observed_in_zone(zone);
+        let mut left = part * hosts.values().map(|totals| totals.attempts).sum::<f64>();
+        let mut by_saturation: Vec<(f64, &AttemptTotals)> =
+            hosts.values().map(|totals| (self.saturation(totals), totals)).collect();
+        by_saturation.sort_by(|a, b| a.0.total_cmp(&b.0));
+        by_saturation.retain(|(_, totals)| {
             let is_counted = left > 0.0;
-            left -= met.attempts;
+            left -= totals.attempts;
             is_counted
         });
-        AttemptTotals::sum(met.into_iter().map(|(_, met)| met))
+        AttemptTotals::sum(by_saturation.into_iter().map(|(_, totals)| totals))
     }
 }
--- a/crates/shared/policy/src/scheduler.rs
+++ b/crates/shared/policy/src/scheduler.rs
@@ -78,8 +78,8 @@
 
     /// Withdrawals of hosts that take no requests, for the channels whose proxies were not told.
     fn due_withdrawals(&self, repeat: &WithdrawalRepeat) -> Vec<PlannedUpdate> {
-        let is_told = |host: &ChannelHost<'_>| host.is_withdrawn() && !repeat.covers(host);
-        let hosts = self.hosts.by_channel().filter(|host| !host.listed.is_ready() && !is_told(host));
+        let is_informed = |host: &ChannelHost<'_>| host.is_withdrawn() && !repeat.covers(host);
+        let hosts = self.hosts.by_channel().filter(|host| !host.listed.is_ready() && !is_informed(host));
         let mut due: Vec<ChannelHost<'_>> = hosts.collect();
         // What nobody was told yet goes first: behind fifty told again, ten came two seconds late.
         due.sort_by_key(ChannelHost::is_withdrawn);
--- a/crates/shared/policy/src/state/attempts.rs
+++ b/crates/shared/policy/src/state/attempts.rs
@@ -41,9 +41,19 @@
         }
     }
 
+    /// Whether there are attempts, and a part of them failed.
+    pub fn has_failed(&self, part: f64) -> bool {
+        self.attempts > 0.0 && self.failed >= part * self.attempts
+    }
+
+    /// Number of successful attempts.
+    pub fn successes(&self) -> f64 {
+        self.attempts - self.failed
+    }
+
     /// The successful attempts alone.
     pub fn successful(&self) -> AttemptTotals {
-        AttemptTotals { attempts: self.attempts - self.failed, failed: 0.0, ..self.clone() }
+        AttemptTotals { attempts: self.successes(), failed: 0.0, ..self.clone() }
     }
 
     /// Adds what was counted by `now`. What was there has decayed to a third after `decay` ms.
--- a/crates/shared/policy/src/state/reports.rs
+++ b/crates/shared/policy/src/state/reports.rs
@@ -11,7 +11,7 @@
     host: HostId,
 }
 
-/// Decayed totals of what proxies of each zone met at each host.
+/// Decayed totals of what proxies of each zone observed at each host.
 #[derive(Debug, Default)]
 pub(crate) struct HostReports {
     totals: BTreeMap<ZoneHost, AttemptTotals>,
@@ -27,12 +27,12 @@
         HostReports { feedback_delay, ..HostReports::default() }
     }
 
-    /// Adds what proxies of a zone met at a host.
+    /// Adds what proxies of a zone observed at a host.
     pub fn record(&mut self, zone: ZoneId, host: HostId, now: Ms, decay: Ms, counted: &AttemptTotals) {
         self.totals.entry(ZoneHost { zone, host }).or_default().record(now, decay, counted);
     }
 
-    /// What proxies of a zone met at a host, if anything.
+    /// What proxies of a zone observed at a host, if anything.
     pub fn get(&self, zone: ZoneId, host: &HostId) -> Option<&AttemptTotals> {
         self.totals.get(&ZoneHost { zone, host: host.clone() })
     }
@@ -47,12 +47,12 @@
         self.iter().filter(|(_, _, totals)| totals.updated_at >= self.valid_since)
     }
 
-    /// Forgets what all proxies met at a host.
+    /// Forgets what all proxies observed at a host.
     pub fn forget(&mut self, host: &HostId) {
         self.totals.retain(|key, _| key.host != *host);
     }
 
-    /// Forgets what proxies of some zones met at a host.
+    /// Forgets what proxies of some zones observed at a host.
     pub fn forget_in(&mut self, zones: &BTreeSet<ZoneId>, host: &HostId) {
         self.totals.retain(|key, _| key.host != *host || !zones.contains(&key.zone));
     }
--- a/crates/shared/policy/src/state/verdicts.rs
+++ b/crates/shared/policy/src/state/verdicts.rs
@@ -1,4 +1,4 @@
-//! What is held against hosts by what proxies met there.
+//! What is held against hosts by what proxies observed there.
 
 use crate::interface::{ByHost, HostId, Ms, ZoneId};
 use std::collections::BTreeSet;
--- a/crates/shared/policy/src/state/zones.rs
+++ b/crates/shared/policy/src/state/zones.rs
@@ -39,6 +39,11 @@
             ..ZoneState::default()
         }
     }
+
+    /// The successful attempts that are admitted, for each request a second that proxies were said to bring.
+    pub fn admitted_capacity(&self) -> f64 {
+        self.capacity_part * self.peak_capacity
+    }
 }
 
 /// What a zone's proxies suffer at the better of their hosts.
