--- a/crates/shared/policy/tests/channels.rs
+++ b/crates/shared/policy/tests/channels.rs
@@ -1,153 +1,125 @@
-//! Channels hold apart: what one does proves and holds up nothing on another.
+//! Channels hold apart: what happens on one proves nothing about another, and delays nothing on it.
 
 mod common;
 
-use common::*;
-use rushcourse_policy::Director;
-use rushcourse_policy::interface::*;
-
-/// A director with proxies on both channels, on a clock.
-struct Both {
-    director: Director,
-    now: Ms,
-    next: Ms,
-    mark: u16,
-}
+use common::{Harness, host, settings, settings_with, unconfirmed, withdraws};
+use rushcourse_policy::interface::{
+    Action, Certainty, Channel, Event, HostEntry, HostListKind, ProxyId, Readiness, Settings,
+};
 
 const SHARED: [ProxyId; 3] = [1, 2, 3];
-const OWN: [ProxyId; 3] = [11, 12, 13];
+const DEDICATED: [ProxyId; 3] = [11, 12, 13];
 
 fn join(proxy: ProxyId, channel: Channel) -> Event {
     Event::ProxyJoined { proxy, zone: 0, rate: 5.0, is_fresh: true, channel }
 }
 
-impl Both {
-    fn new(s: Settings) -> Both {
-        let mut both = Both { director: Director::new(s), now: 1e12, next: 0.0, mark: 0 };
-        let hosts: Vec<HostEntry> = (0..6).map(|k| host(&format!("a{k}"), 0)).collect();
-        both.give(vec![Event::HostsListed { kind: HostListKind::Full, entries: hosts }]);
-        both.pass(300.0);
-        let all = SHARED.map(|p| join(p, Channel::Shared)).into_iter();
-        both.give(all.chain(OWN.map(|p| join(p, Channel::Dedicated))).collect());
-        both.pass(300.0);
-        both
-    }
-
-    fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
-        let actions = self.director.handle(self.now, events);
-        for action in &actions {
-            match action {
-                Action::RequestAck { ack_number: number } => self.mark = *number,
-                Action::StartTimer { token, at } if token == "round" => self.next = *at,
-                _ => {}
-            }
-        }
-        actions
-    }
-
-    fn pass(&mut self, ms: Ms) -> Vec<Action> {
-        let (end, mut all) = (self.now + ms, Vec::new());
-        while self.next <= end {
-            self.now = self.next;
-            all.extend(self.give(vec![Event::TimerFired { token: "round".into() }]));
-        }
-        self.now = end;
-        all
-    }
-
-    fn applied(&mut self, proxies: &[ProxyId], channel: Channel) {
-        let mark = self.mark;
-        let of = |proxy: &ProxyId| Event::Acknowledged {
-            ack_number: mark,
-            proxy: *proxy,
-            elapsed: 200.0,
-            channel,
-        };
-        self.give(proxies.iter().map(of).collect());
-    }
+/// A director with proxies on both channels.
+fn on_both_channels(settings: Settings) -> Harness {
+    let mut harness = Harness::starting_at(settings, 1e12);
+    let entries: Vec<HostEntry> = (0..6).map(|k| host(&format!("a{k}"), 0)).collect();
+    harness.handle(vec![Event::HostsListed { kind: HostListKind::Full, entries }]);
+    harness.advance(300.0);
+    let shared = SHARED.map(|proxy| join(proxy, Channel::Shared)).into_iter();
+    harness.handle(shared.chain(DEDICATED.map(|proxy| join(proxy, Channel::Dedicated))).collect());
+    harness.advance(300.0);
+    harness
+}
 
-    fn drain(&mut self, id: &str) -> Vec<Action> {
-        let entry = HostEntry { readiness: Readiness::Draining, ..host(id, 0) };
-        self.give(vec![Event::HostsListed { kind: HostListKind::Delta, entries: vec![entry] }])
-    }
+fn drain(harness: &mut Harness, name: &str) -> Vec<Action> {
+    let entry = HostEntry { readiness: Readiness::Draining, ..host(name, 0) };
+    harness.handle(vec![Event::HostsListed { kind: HostListKind::Delta, entries: vec![entry] }])
+}
 
-    fn certain(&self, proxy: ProxyId) -> usize {
-        let view = self.director.view();
-        let p = view.proxies.into_iter().find(|p| p.proxy == proxy).expect("joined");
-        p.groups.iter().flat_map(|g| &g.endpoints).filter(|e| e.certainty == Certainty::Certain).count()
-    }
+/// How many endpoints of a proxy are certain.
+fn certain(harness: &Harness, proxy: ProxyId) -> usize {
+    let view = harness.director.view();
+    let proxy = view.proxies.into_iter().find(|p| p.proxy == proxy).expect("it is joined");
+    let endpoints = proxy.groups.iter().flat_map(|group| &group.endpoints);
+    endpoints.filter(|endpoint| endpoint.certainty == Certainty::Certain).count()
 }
 
-fn withdrawn(actions: &[Action], channel: Channel) -> bool {
-    actions
-        .iter()
-        .any(|a| matches!(a, Action::SetWithdrawn { is_withdrawn: true, channel: c, .. } if *c == channel))
+fn is_joined(harness: &Harness, proxy: ProxyId) -> bool {
+    harness.director.view().proxies.iter().any(|p| p.proxy == proxy)
 }
 
 #[test]
 fn tables_of_one_channel_serve_no_proxy_of_another() {
-    let both = Both::new(settings());
-    let view = both.director.view();
-    for p in &view.proxies {
-        let channel = if SHARED.contains(&p.proxy) { Channel::Shared } else { Channel::Dedicated };
-        for group in &p.groups {
-            assert_eq!(group.table.map(Channel::of), Some(channel), "proxy {}", p.proxy);
+    let harness = on_both_channels(settings());
+    let view = harness.director.view();
+    for proxy in &view.proxies {
+        let is_shared = SHARED.contains(&proxy.proxy);
+        let channel = if is_shared { Channel::Shared } else { Channel::Dedicated };
+        for group in &proxy.groups {
+            assert_eq!(group.table.map(Channel::of), Some(channel), "proxy {}", proxy.proxy);
         }
     }
-    let lines = |channel: Channel| {
-        let of = view.tables.iter().filter(|t| Channel::of(t.table) == channel);
-        of.map(|t| t.weights.clone()).collect::<Vec<_>>()
+    let weights = |channel: Channel| {
+        let tables = view.tables.iter().filter(|table| Channel::of(table.table) == channel);
+        tables.map(|table| table.weights.clone()).collect::<Vec<_>>()
     };
-    assert_eq!(lines(Channel::Shared), lines(Channel::Dedicated), "the same tables");
+    assert_eq!(weights(Channel::Shared), weights(Channel::Dedicated), "the same tables");
 }
 
 #[test]
-fn an_answer_on_one_stream_proves_nothing_about_another() {
-    let mut both = Both::new(settings());
-    both.applied(&[11], Channel::Dedicated);
-    assert!(both.certain(11) > 0);
+fn an_acknowledgement_on_one_stream_proves_nothing_about_another() {
+    let mut harness = on_both_channels(settings());
+
+    harness.acknowledge_on(Channel::Dedicated, &[11]);
+
+    assert!(certain(&harness, 11) > 0);
     for other in [12, 13, 1, 2, 3] {
-        assert_eq!(both.certain(other), 0, "proxy {other}");
+        assert_eq!(certain(&harness, other), 0, "proxy {other}");
     }
     // Nor does one that comes by a channel on which its proxy is not.
-    both.applied(&[12], Channel::Shared);
-    both.applied(&[1], Channel::Dedicated);
-    assert_eq!((both.certain(12), both.certain(1)), (0, 0));
+    harness.acknowledge_on(Channel::Shared, &[12]);
+    harness.acknowledge_on(Channel::Dedicated, &[1]);
+    assert_eq!((certain(&harness, 12), certain(&harness, 1)), (0, 0));
 }
 
 #[test]
-fn a_shared_channel_without_answers_does_not_hold_up_a_drain_for_streams() {
+fn a_shared_channel_without_acknowledgements_does_not_delay_a_drain_on_dedicated_ones() {
     // Its window is full after the first tables.
-    let mut both = Both::new(settings_with(|s| s.channel.max_queued_lines = 60.0));
-    both.applied(&OWN, Channel::Dedicated);
-    let mark = both.mark;
-    (0..9)
-        .for_each(|_| drop(both.give(vec![Event::CallUnconfirmed { ack_number: mark, may_have_run: true }])));
-    let drains = ["a0", "a1", "a2"].map(|id| both.drain(id));
-    assert!(drains.iter().all(|d| withdrawn(d, Channel::Dedicated)), "each goes out at once");
-    assert!(!drains.iter().all(|d| withdrawn(d, Channel::Shared)), "the shared one has no room");
+    let mut harness = on_both_channels(settings_with(|s| s.channel.max_queued_lines = 60.0));
+    harness.acknowledge_on(Channel::Dedicated, &DEDICATED);
+    let ack_number = harness.ack_number();
+    (0..9).for_each(|_| drop(harness.handle(vec![unconfirmed(ack_number, true)])));
+
+    let drains = ["a0", "a1", "a2"].map(|name| (name, drain(&mut harness, name)));
+
+    let dedicated = |(name, actions): &(&str, Vec<Action>)| withdraws(actions, name, Channel::Dedicated);
+    assert!(drains.iter().all(dedicated), "each goes out at once");
+    let is_shared = |action: &Action| {
+        matches!(action, Action::SetWithdrawn { is_withdrawn: true, channel: Channel::Shared, .. })
+    };
+    let shared = |(_, actions): &(&str, Vec<Action>)| actions.iter().any(is_shared);
+    assert!(!drains.iter().all(shared), "the shared one has no room");
 }
 
 #[test]
-fn what_a_stream_did_not_take_turns_certain_by_no_time() {
-    let mut both = Both::new(settings());
-    let mark = both.mark;
+fn what_a_stream_has_not_applied_does_not_turn_certain_by_time() {
+    let mut harness = on_both_channels(settings());
+    let ack_number = harness.ack_number();
+
     for _ in 0..8 {
-        both.give(vec![Event::NotApplied { proxy: 11, ack_number: mark, is_resent: false }]);
-        both.pass(1000.0);
+        harness.handle(vec![Event::NotApplied { proxy: 11, ack_number, is_resent: false }]);
+        harness.advance(1000.0);
     }
-    assert_eq!(both.certain(11), 0, "it holds nothing, as far as is known");
-    assert!(both.certain(12) > 0, "the others' lines settle by time");
-    both.pass(4000.0);
-    assert!(both.certain(11) > 0, "nothing was heard any more that it is behind");
+
+    assert_eq!(certain(&harness, 11), 0, "it holds nothing, as far as is known");
+    assert!(certain(&harness, 12) > 0, "the others' endpoints settle by time");
+    harness.advance(4000.0);
+    assert!(certain(&harness, 11) > 0, "nothing was reported any more that it has not applied");
 }
 
 #[test]
-fn what_an_earlier_channel_says_of_a_proxy_counts_no_more() {
-    let mut both = Both::new(settings());
-    both.give(vec![join(1, Channel::Dedicated)]);
-    both.give(vec![Event::ProxyLeft { proxy: 1, channel: Channel::Shared }]);
-    assert!(both.director.view().proxies.iter().any(|p| p.proxy == 1), "it is joined by its stream");
-    both.give(vec![Event::ProxyLeft { proxy: 1, channel: Channel::Dedicated }]);
-    assert!(both.director.view().proxies.iter().all(|p| p.proxy != 1));
+fn events_of_a_proxys_former_channel_are_ignored() {
+    let mut harness = on_both_channels(settings());
+    harness.handle(vec![join(1, Channel::Dedicated)]);
+
+    harness.handle(vec![Event::ProxyLeft { proxy: 1, channel: Channel::Shared }]);
+    assert!(is_joined(&harness, 1), "it is joined by its stream");
+
+    harness.handle(vec![Event::ProxyLeft { proxy: 1, channel: Channel::Dedicated }]);
+    assert!(!is_joined(&harness, 1));
 }
--- a/crates/shared/policy/tests/common/mod.rs
+++ b/crates/shared/policy/tests/common/mod.rs
@@ -1,10 +1,23 @@
-//! A small stand on which scripted events meet a director; it records orders, it simulates nothing.
-#![allow(dead_code)]
+//! A harness in which scripted events meet a director. It records what the actions leave; it simulates nothing.
+#![allow(dead_code)] // Each test file uses a part of it.
+
+pub mod load;
 
 use rushcourse_policy::Director;
-use rushcourse_policy::interface::*;
+use rushcourse_policy::interface::{
+    AckNumber, Action, AdmissionKind, Channel, ChannelSettings, ClassId, ClassMask, Event, FleetSettings,
+    HostEntry, HostListKind, HostLoad, HostSettings, Idempotency, Ms, ProxyId, ProxySettings, Readiness,
+    RequestClass, RetryPolicy, Settings, TableId, ZoneId,
+};
 use std::collections::BTreeMap;
 
+/// The span of each report.
+const REPORT_SPAN: Ms = 1000.0;
+/// The time that proxies take to apply a batch.
+const ACK_DELAY: Ms = 300.0;
+/// The timer of rounds.
+pub const ROUND_TIMER: &str = "round";
+
 pub fn class(idempotency: Idempotency, value: f64, is_zone_bound: bool) -> RequestClass {
     RequestClass {
         target_latency: 1000.0,
@@ -59,153 +72,238 @@
     settings
 }
 
+/// The usual settings with a second class that is bound to its zone.
+pub fn zone_bound_settings() -> Settings {
+    settings_with(|s| s.classes[1].is_zone_bound = true)
+}
+
+/// A warm host.
 pub fn host(name: &str, zone: ZoneId) -> HostEntry {
     let (host, cell, weight, started_at) = (name.into(), 0, 1.0, 0.0);
     HostEntry { host, zone, cell, readiness: Readiness::Ready, weight, started_at }
 }
 
-pub fn with(mut entry: HostEntry, readiness: Readiness, started_at: Ms) -> HostEntry {
+pub fn with_state(mut entry: HostEntry, readiness: Readiness, started_at: Ms) -> HostEntry {
     (entry.readiness, entry.started_at) = (readiness, started_at);
     entry
 }
 
-pub fn list(kind: HostListKind, entries: &[HostEntry]) -> Event {
-    Event::HostsListed { kind, entries: entries.to_vec() }
+pub fn draining(name: &str, zone: ZoneId) -> HostEntry {
+    with_state(host(name, zone), Readiness::Draining, 0.0)
+}
+
+pub fn gone(name: &str, zone: ZoneId) -> HostEntry {
+    with_state(host(name, zone), Readiness::Gone, 0.0)
+}
+
+pub fn started(name: &str, zone: ZoneId, at: Ms) -> HostEntry {
+    with_state(host(name, zone), Readiness::Ready, at)
+}
+
+pub fn delta(entries: &[HostEntry]) -> Event {
+    Event::HostsListed { kind: HostListKind::Delta, entries: entries.to_vec() }
+}
+
+pub fn full_list(entries: &[HostEntry]) -> Event {
+    Event::HostsListed { kind: HostListKind::Full, entries: entries.to_vec() }
+}
+
+pub fn cached_list(entries: &[HostEntry]) -> Event {
+    Event::HostsListed { kind: HostListKind::Cached, entries: entries.to_vec() }
 }
 
 pub fn join(proxy: ProxyId, zone: ZoneId) -> Event {
-    Event::ProxyJoined { proxy, zone, rate: 5.0, is_fresh: true, channel: Channel::Shared }
+    join_with_rate(proxy, zone, 5.0)
 }
 
-pub fn heard(zone: ZoneId, host: &str, tries: f64, failed: f64, mean: Ms) -> Event {
+pub fn join_with_rate(proxy: ProxyId, zone: ZoneId, rate: f64) -> Event {
+    Event::ProxyJoined { proxy, zone, rate, is_fresh: true, channel: Channel::Shared }
+}
+
+/// Proxies that join, by turns in each of the two zones.
+pub fn join_by_turns(proxies: std::ops::Range<ProxyId>) -> Vec<Event> {
+    proxies.map(|proxy| join(proxy, proxy as usize % 2)).collect()
+}
+
+pub fn left(proxy: ProxyId) -> Event {
+    Event::ProxyLeft { proxy, channel: Channel::Shared }
+}
+
+pub fn acknowledged(ack_number: AckNumber, proxy: ProxyId) -> Event {
+    Event::Acknowledged { ack_number, proxy, elapsed: ACK_DELAY, channel: Channel::Shared }
+}
+
+pub fn unconfirmed(ack_number: AckNumber, may_have_run: bool) -> Event {
+    Event::CallUnconfirmed { ack_number, may_have_run }
+}
+
+pub fn host_report(zone: ZoneId, host: &str, attempts: f64, failed: f64, mean_latency: Ms) -> Event {
     let load = HostLoad::default();
-    Event::HostReported {
-        zone,
-        host: host.into(),
-        attempts: tries,
-        failed,
-        mean_latency: mean,
-        span: 1000.0,
-        load,
-    }
+    Event::HostReported { zone, host: host.into(), attempts, failed, mean_latency, span: REPORT_SPAN, load }
+}
+
+pub fn traffic(proxy: ProxyId, class: ClassId, attempts: f64) -> Event {
+    Event::TrafficReported { proxy, class, attempts, failed: 0.0, span: REPORT_SPAN }
+}
+
+pub fn round_timer() -> Event {
+    Event::TimerFired { token: ROUND_TIMER.into() }
+}
+
+/// Whether a host is withdrawn from a channel's tables by one of these actions.
+pub fn withdraws(actions: &[Action], name: &str, channel: Channel) -> bool {
+    actions.contains(&Action::SetWithdrawn { host: name.into(), is_withdrawn: true, channel })
 }
 
-/// A director with its clock, its orders so far, and what they left in tables and at proxies.
-pub struct Stand {
+/// A director with its clock, and what its actions left in tables and at proxies.
+pub struct Harness {
     pub director: Director,
     pub now: Ms,
     pub tables: BTreeMap<TableId, BTreeMap<String, f64>>,
-    pub bound: BTreeMap<(ProxyId, u32), TableId>,
+    pub bindings: BTreeMap<(ProxyId, ClassMask), TableId>,
+    /// On the shared channel.
     pub withdrawn: BTreeMap<String, bool>,
-    pub levels: BTreeMap<(TableId, u32), (f64, RetryPolicy)>,
-    pub last_mark: Option<u16>,
+    pub admission: BTreeMap<(TableId, ClassMask), (f64, RetryPolicy)>,
+    pub last_ack_number: Option<AckNumber>,
     pub logs: Vec<String>,
-    next: Ms,
+    next_round: Ms,
 }
 
-impl Stand {
-    pub fn new(settings: Settings) -> Stand {
-        // The director has been up for a while: it opens a round after its start.
-        let mut director = Director::new(settings);
-        director.handle(500.0, vec![]);
-        Stand {
-            director,
-            now: 1000.0,
+impl Harness {
+    /// A director that has run for a while: it opens a round after its start.
+    pub fn new(settings: Settings) -> Harness {
+        let mut harness = Harness::starting_at(settings, 500.0);
+        harness.director.handle(500.0, vec![]);
+        harness.now = 1000.0;
+        harness
+    }
+
+    /// A director that has seen no event yet.
+    pub fn starting_at(settings: Settings, now: Ms) -> Harness {
+        Harness {
+            director: Director::new(settings),
+            now,
             tables: BTreeMap::new(),
-            bound: BTreeMap::new(),
+            bindings: BTreeMap::new(),
             withdrawn: BTreeMap::new(),
-            levels: BTreeMap::new(),
-            last_mark: None,
+            admission: BTreeMap::new(),
+            last_ack_number: None,
             logs: Vec::new(),
-            next: 0.0,
+            next_round: 0.0,
         }
     }
 
-    /// Hands events over now and records the orders.
-    pub fn give(&mut self, events: Vec<Event>) -> Vec<Action> {
+    /// Hands events over now and records what comes of them.
+    pub fn handle(&mut self, events: Vec<Event>) -> Vec<Action> {
         let actions = self.director.handle(self.now, events);
-        for action in &actions {
-            match action.clone() {
-                Action::SetEndpoint { table, host, weight } => {
-                    let lines = self.tables.entry(table).or_default();
-                    if weight > 0.0 {
-                        lines.insert(host.to_string(), weight);
-                    } else {
-                        lines.remove(&*host);
-                    }
-                }
-                Action::ClearTable { table } => drop(self.tables.remove(&table)),
-                Action::BindProxy { proxy, table, classes } => _ = self.bound.insert((proxy, classes), table),
-                Action::SetWithdrawn { host, is_withdrawn: out, channel: Channel::Shared } => {
-                    self.withdrawn.insert(host.to_string(), out);
-                }
-                Action::SetAdmission { table, classes, quota, retry_policy: again } => {
-                    self.levels.insert((table, classes), (quota, again));
+        actions.iter().cloned().for_each(|action| self.record(action));
+        actions
+    }
+
+    fn record(&mut self, action: Action) {
+        match action {
+            Action::SetEndpoint { table, host, weight } => {
+                let weights = self.tables.entry(table).or_default();
+                if weight > 0.0 {
+                    weights.insert(host.to_string(), weight);
+                } else {
+                    weights.remove(&*host);
                 }
-                Action::RequestAck { ack_number: number } => self.last_mark = Some(number),
-                Action::StartTimer { token, at } if token == "round" => self.next = at,
-                Action::Log { text } => self.logs.push(text),
-                _ => {}
             }
+            Action::ClearTable { table } => drop(self.tables.remove(&table)),
+            Action::BindProxy { proxy, table, classes } => {
+                self.bindings.insert((proxy, classes), table);
+            }
+            Action::SetWithdrawn { host, is_withdrawn, channel: Channel::Shared } => {
+                self.withdrawn.insert(host.to_string(), is_withdrawn);
+            }
+            Action::SetAdmission { table, classes, quota, retry_policy } => {
+                self.admission.insert((table, classes), (quota, retry_policy));
+            }
+            Action::RequestAck { ack_number } => self.last_ack_number = Some(ack_number),
+            Action::StartTimer { token, at } if token == ROUND_TIMER => self.next_round = at,
+            Action::Log { text } => self.logs.push(text),
+            _ => {}
         }
-        actions
     }
 
-    /// Lets time pass with nothing but the director's own round timer.
-    pub fn pass(&mut self, ms: Ms) -> Vec<Action> {
-        let end = self.now + ms;
+    /// Lets time pass with nothing but the director's own timer of rounds.
+    pub fn advance(&mut self, span: Ms) -> Vec<Action> {
+        let end = self.now + span;
         let mut all = Vec::new();
-        while self.next <= end {
-            self.now = self.now.max(self.next);
-            all.extend(self.give(vec![Event::TimerFired { token: "round".into() }]));
+        while self.next_round <= end {
+            self.now = self.now.max(self.next_round);
+            all.extend(self.handle(vec![round_timer()]));
         }
         self.now = end;
         all
     }
 
-    /// The named proxies answer the last mark.
-    pub fn answer(&mut self, proxies: &[ProxyId]) -> Vec<Action> {
-        let mark = self.last_mark.expect("a mark was set");
-        self.give(
-            proxies
-                .iter()
-                .map(|p| Event::Acknowledged {
-                    ack_number: mark,
-                    proxy: *p,
-                    elapsed: 300.0,
-                    channel: Channel::Shared,
-                })
-                .collect(),
-        )
+    /// The number of the last batch.
+    pub fn ack_number(&self) -> AckNumber {
+        self.last_ack_number.expect("a batch asked to be acknowledged")
     }
 
-    /// The lines of the table that a proxy is bound to.
-    pub fn lines(&self, proxy: ProxyId) -> BTreeMap<String, f64> {
-        self.tables[&self.bound[&(proxy, 0)]].clone()
+    /// Some proxies acknowledge the last batch.
+    pub fn acknowledge(&mut self, proxies: &[ProxyId]) -> Vec<Action> {
+        self.acknowledge_on(Channel::Shared, proxies)
+    }
+
+    pub fn acknowledge_on(&mut self, channel: Channel, proxies: &[ProxyId]) -> Vec<Action> {
+        let ack_number = self.ack_number();
+        let acknowledged =
+            |proxy: &ProxyId| Event::Acknowledged { ack_number, proxy: *proxy, elapsed: ACK_DELAY, channel };
+        self.handle(proxies.iter().map(acknowledged).collect())
+    }
+
+    /// The weights of the table that a proxy is bound to for all classes.
+    pub fn weights(&self, proxy: ProxyId) -> BTreeMap<String, f64> {
+        self.tables[&self.bindings[&(proxy, 0)]].clone()
     }
 }
 
 pub const HOSTS: [&str; 6] = ["a1", "a2", "a3", "b1", "b2", "b3"];
 
+/// The zone of one of `HOSTS`, by its first letter.
+pub fn zone_of(host: &str) -> ZoneId {
+    usize::from(host.starts_with('b'))
+}
+
 /// Two zones of three hosts, listed.
-pub fn listed(settings: Settings) -> Stand {
-    let mut stand = Stand::new(settings);
-    let hosts: Vec<HostEntry> = HOSTS.iter().map(|h| host(h, usize::from(h.starts_with('b')))).collect();
-    stand.give(vec![list(HostListKind::Cached, &hosts)]);
-    stand
+pub fn with_hosts(settings: Settings) -> Harness {
+    let mut harness = Harness::new(settings);
+    harness.handle(vec![cached_list(&HOSTS.map(|name| host(name, zone_of(name))))]);
+    harness
 }
 
 /// The same, and a proxy of each zone joined.
-pub fn joined(settings: Settings) -> Stand {
-    let mut stand = listed(settings);
-    stand.give(vec![join(1, 0), join(2, 1)]);
-    stand
-}
-
-/// The same with the usual settings, and the proxies have answered.
-pub fn usual() -> Stand {
-    let mut stand = joined(settings());
-    stand.now += 300.0;
-    stand.answer(&[1, 2]);
-    stand
+pub fn with_proxies(settings: Settings) -> Harness {
+    let mut harness = with_hosts(settings);
+    harness.handle(vec![join(1, 0), join(2, 1)]);
+    harness
+}
+
+/// The same, and the proxies have acknowledged their tables.
+pub fn settled_with(settings: Settings) -> Harness {
+    let mut harness = with_proxies(settings);
+    harness.now += ACK_DELAY;
+    harness.acknowledge(&[1, 2]);
+    harness
+}
+
+/// The same with the usual settings.
+pub fn settled() -> Harness {
+    settled_with(settings())
+}
+
+/// `count` hosts in the first two zones, by turns.
+pub fn fleet(count: usize) -> Vec<HostEntry> {
+    (0..count).map(|k| host(&format!("h{k:03}"), k % 2)).collect()
+}
+
+/// A director that knows a fleet of `count` hosts.
+pub fn with_fleet(settings: Settings, count: usize) -> Harness {
+    let mut harness = Harness::new(settings);
+    harness.handle(vec![cached_list(&fleet(count))]);
+    harness
 }
