--- a/crates/gateway/controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -8,13 +8,21 @@
 use error_stack::{Report, ResultExt};
 use rushcourse_cluster::{self as cluster, Cluster, Contact, Place, Rounds};
 use rushcourse_config::Boot;
-use rushcourse_consensus::{self as register, Op, Outcome, Register, Setup};
-use rushcourse_messages::{Handshake, HostState, Message, NodeId, PROTOCOL_VERSION, Role};
+use rushcourse_consensus::{
+    self as register, BatchId, ClaimAnswer, ClaimRequest, CommittedConfiguration, ConsensusNode,
+    Outcome, Setup, WriteOperation,
+};
+use rushcourse_messages::{HostState, Message, NodeId, Role};
 use rushcourse_storage::{Done, Health, Store};
-use rushcourse_transport::{Dialler, Office, SessionEvent, StartError, Times, listen, logs};
-use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, RequestToken, SessionId, Ticket};
+use rushcourse_transport::startup::{
+    listen, listen_for_sessions, local_handshake, reload_settings, required_address,
+    run_on_this_thread, seed_nodes,
+};
+use rushcourse_transport::{
+    Clock, Dialer, SessionEvent, SessionFactory, StartError, accept_sessions, logging,
+};
+use rushcourse_types::{ConfigurationVersion, Epoch, RequestToken, SessionId, Ticket};
 use std::collections::{BTreeMap, BTreeSet};
-use std::net::SocketAddrV4;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::time::Duration;
@@ -35,36 +43,18 @@
 /// # Errors
 /// Settings that name no address to listen at or no folder, an address that is taken, a state file that can't be used.
 pub fn serve(path: &Path, boot: Boot) -> Result<(), Report<StartError>> {
-    logs::set_up(&boot.log_level, &boot.node_name);
-    let unbound = |what: &str| Report::new(StartError::Unbound(what.into()));
-    let runtime = tokio::runtime::Builder::new_current_thread()
-        .enable_all()
-        .build()
-        .change_context(StartError::Unbound("runtime".into()))?;
-    let local = tokio::task::LocalSet::new();
+    logging::init(&boot.log_level, &boot.node_name);
     let path = path.to_path_buf();
-    local.block_on(&runtime, async move {
-        let control = boot
-            .control_plane
-            .ok_or_else(|| unbound("listen_addresses.control_plane: is missing"))?;
-        let control = bind(control).await?;
-        let internal = bind(SocketAddrV4::new(boot.ip, boot.internal_ports.0)).await?;
+    run_on_this_thread(async move {
+        let control = required_address(boot.control_plane, "listen_addresses.control_plane")?;
+        let control = listen(control).await?;
+        let internal = listen_for_sessions(&boot).await?;
         let owner = Owner::start(&boot)?;
         owner.run(path, boot, control, internal).await;
         Ok(())
     })
 }
 
-async fn bind(at: SocketAddrV4) -> Result<TcpListener, Report<StartError>> {
-    TcpListener::bind(at)
-        .await
-        .change_context_lazy(|| StartError::Unbound(at.to_string()))
-}
-
-pub(crate) fn node(at: &SocketAddrV4) -> NodeId {
-    NodeId(u32::from(*at.ip()))
-}
-
 /// What waits for an answer of a majority.
 enum Asking {
     /// Whether what is held here is current, after a stall.
@@ -76,25 +66,25 @@
 }
 
 struct Owner {
-    times: Times,
+    times: Clock,
     name: String,
     work: (mpsc::UnboundedSender<Work>, mpsc::UnboundedReceiver<Work>),
     sessions: (
         mpsc::UnboundedSender<SessionEvent>,
         mpsc::UnboundedReceiver<SessionEvent>,
     ),
-    disk: std::sync::mpsc::Sender<(u64, Vec<Op>)>,
+    disk: std::sync::mpsc::Sender<(u64, Vec<WriteOperation>)>,
     health: Arc<Health>,
     /// The state file.
     file: PathBuf,
-    register: Register,
+    register: ConsensusNode,
     party: Cluster,
     links: Links,
     tickets: BTreeMap<Ticket, oneshot::Sender<Reply>>,
     next_ticket: Ticket,
     contact: Contact,
     /// Sessions of frontend directors that were not told yet which configuration is in force.
-    untold: BTreeSet<u64>,
+    untold: BTreeSet<SessionId>,
     rounds: Rounds,
     /// What waits for the end of a round.
     asking: BTreeMap<RequestToken, Asking>,
@@ -110,7 +100,8 @@
 
 impl Owner {
     fn start(boot: &Boot) -> Result<Owner, Report<StartError>> {
-        let (times, me) = (Times::start(), u32::from(boot.ip));
+        let times = Clock::start();
+        let handshake = local_handshake(boot, Role::Controller);
         let folder = boot
             .data_directory
             .clone()
@@ -119,8 +110,8 @@
         let (store, stored) = Store::open(&file).change_context(StartError::Disk)?;
         log::info!(
             "event=start set={} remembers={} configuration={} claims={}",
-            stored.set.epoch,
-            stored.remembers,
+            stored.voting_set.epoch,
+            stored.has_complete_state,
             newest_version(&stored),
             stored.claims.len()
         );
@@ -138,41 +129,32 @@
             });
         });
         spawned.change_context(StartError::Disk)?;
-        let seeds: Vec<NodeId> = boot.seeds.iter().map(node).collect();
+        let seeds: Vec<NodeId> = seed_nodes(boot).collect();
         let setup = Setup {
-            me: NodeId(me),
+            node: handshake.node,
             zone: boot.zone.as_str().into(),
-            incarnation: Incarnation(times.lot()),
+            incarnation: handshake.incarnation,
             seeds: seeds.clone(),
-            first_start: boot.first_start && stored.set.epoch == Epoch(0),
-            tolerated: boot.tolerated,
-            catch_up_ms: (boot.bounds.catch_up_s * 1000.0) as u64,
-            key_window_ms: (boot.bounds.key_window_s * 1000.0) as u64,
+            is_first_start: boot.first_start && stored.voting_set.epoch == Epoch(0),
+            tolerated_losses: boot.tolerated,
+            catch_up: Duration::from_millis((boot.bounds.catch_up_s * 1000.0) as u64),
+            key_window: Duration::from_millis((boot.bounds.key_window_s * 1000.0) as u64),
         };
         let mut stored = stored;
         let hosts = std::mem::take(&mut stored.hosts);
-        let incarnation = setup.incarnation;
-        let register = Register::new(setup, stored);
+        let register = ConsensusNode::new(setup, stored);
         let party = Cluster::new(Place {
             zone: boot.zone.as_str().into(),
             zones: boot.zones.iter().map(|z| z.as_str().into()).collect(),
             beat_ms: (boot.beat_s * 1000.0) as u64,
             drain_ms: boot.bounds.drain_s * 1000.0,
         });
-        let hello = Handshake {
-            protocol_version: PROTOCOL_VERSION,
-            role: Role::Controller,
-            node: NodeId(me),
-            incarnation,
-            name: boot.node_name.clone(),
-            zone: boot.zone.clone(),
-        };
         let sessions = mpsc::unbounded_channel();
-        let office = Office::new(hello, sessions.0.clone());
-        office
+        let factory = SessionFactory::new(handshake, sessions.0.clone());
+        factory
             .set_keys(boot.keys.as_ref())
-            .map_err(|e| Report::new(StartError::Keys).attach(e))?;
-        let mut links = Links::new(Dialler::new(office, boot.internal_ports.0));
+            .change_context(StartError::Keys)?;
+        let mut links = Links::new(Dialer::new(factory, boot.internal_ports.0));
         links.know(seeds);
         let tickets = BTreeMap::new();
         let name = boot.node_name.clone();
@@ -213,7 +195,11 @@
     ) {
         let most = boot.descriptors.saturating_sub(264).max(16) / 2;
         tokio::task::spawn_local(calls::take(control, most, self.work.0.clone()));
-        tokio::task::spawn_local(listen(internal, most, self.links.office().clone()));
+        tokio::task::spawn_local(accept_sessions(
+            internal,
+            most,
+            self.links.factory().clone(),
+        ));
         tokio::task::spawn_local(hang_up(self.work.0.clone()));
         let Ok(mut term) =
             tokio::signal::unix::signal(tokio::signal::unix::SignalKind::terminate())
@@ -232,7 +218,7 @@
                 _ = self.work.1.recv_many(&mut work, TURN_MOST) => {}
                 _ = tick.tick() => due = true,
             }
-            if self.contact.turn(self.times.now()) {
+            if self.contact.turn(self.times.now().as_millis()) {
                 log::info!("event=stalled");
                 self.party(cluster::Input::Stalled);
                 self.ask_proof();
@@ -264,30 +250,19 @@
     /// The process is told to end: a spare may take its place among the voters first.
     fn leave(&mut self) {
         if self.leaves_by.is_none() {
-            self.leaves_by = Some(self.times.now() + self.leave_wait);
-            self.register(register::Input::Leave);
+            self.leaves_by = Some(self.times.now().as_millis() + self.leave_wait);
+            self.register(register::Input::ShutDown);
         }
     }
 
     fn may_end(&self) -> bool {
         self.leaves_by
-            .is_some_and(|by| self.register.may_end() || self.times.now() >= by)
+            .is_some_and(|by| self.register.may_shut_down() || self.times.now().as_millis() >= by)
     }
 
     fn reread(&mut self, path: &Path) {
-        match rushcourse_transport::start(path) {
-            Ok(boot) => {
-                self.links.know(boot.seeds.iter().map(node));
-                log::info!(
-                    "event=settings_read seeds={} keys={}",
-                    boot.seeds.len(),
-                    boot.keys.is_some()
-                );
-                if let Err(e) = self.links.office().set_keys(boot.keys.as_ref()) {
-                    log::error!("event=keys_unusable why={e:?}");
-                }
-            }
-            Err(report) => log::error!("event=settings_unusable why={:?}", format!("{report}")),
+        if let Some(settings) = reload_settings(path, self.links.factory()) {
+            self.links.know(seed_nodes(&settings));
         }
     }
 
@@ -296,14 +271,14 @@
         self.end_rounds();
         self.judge_contact();
         self.party(cluster::Input::Tick);
-        if let Some(line) = self.links.office().due(self.times.now()) {
+        if let Some(line) = self.links.factory().take_rejections_line(self.times.now()) {
             log::warn!("{line}");
         }
     }
 
     /// Looks whether this director is with a majority, and tells the cluster when that changes.
     fn judge_contact(&mut self) {
-        let company = self.register.in_company();
+        let company = self.register.has_quorum_contact();
         self.contact.majority(company);
         if company != self.company {
             self.company = company;
@@ -323,13 +298,17 @@
     /// may not hear of. Before the first voting set there is nothing to be out of contact with.
     fn may_acknowledge(&mut self) -> bool {
         self.judge_contact();
-        self.contact.is_recent() || self.first_start && self.register.set().epoch == Epoch(0)
+        self.contact.is_recent() || self.first_start && self.register.voting_set().epoch == Epoch(0)
     }
 
     /// The configuration in force, to frontend directors that came while it may have been an old one.
     fn tell_in_force(&mut self) {
         let untold = std::mem::take(&mut self.untold);
-        let Some((version, _)) = self.register.in_force().filter(|_| !untold.is_empty()) else {
+        let Some(CommittedConfiguration { version, .. }) = self
+            .register
+            .committed_configuration()
+            .filter(|_| !untold.is_empty())
+        else {
             return;
         };
         for session in untold {
@@ -340,28 +319,31 @@
 
     /// Asks all core directors, behind what was sent to them before.
     fn ask_round(&mut self, asking: Asking) {
-        let token = self.rounds.ask(self.times.now());
+        let token = self.rounds.ask(self.times.now().as_millis());
         self.asking.insert(token, asking);
-        let set = self.register.set().epoch;
+        let set = self.register.voting_set().epoch;
         self.links
             .to_peers(&Message::ReadRequest { token, epoch: set });
     }
 
     /// Ends an operator's call early where no majority answers. One that waits for the first voting set has its whole time.
     fn bound_order(&mut self, ticket: Ticket) {
-        if self.register.set().epoch > Epoch(0) {
+        if self.register.voting_set().epoch > Epoch(0) {
             self.ask_round(Asking::Order(ticket.0));
         }
     }
 
     fn ask_proof(&mut self) {
-        let asked_at = self.times.now();
+        let asked_at = self.times.now().as_millis();
         self.ask_round(Asking::Proof { asked_at });
     }
 
     fn end_rounds(&mut self) {
-        let me = self.links.office().me().node;
-        for (token, reached) in self.rounds.over(self.times.now(), me, self.register.set()) {
+        let me = self.links.factory().local_handshake().node;
+        for (token, reached) in
+            self.rounds
+                .over(self.times.now().as_millis(), me, self.register.voting_set())
+        {
             match self.asking.remove(&token) {
                 Some(Asking::Proof { asked_at }) if reached => self.contact.proven(asked_at),
                 Some(Asking::Proof { .. }) if self.contact.needs_proof() => self.ask_proof(),
@@ -373,7 +355,7 @@
                     });
                 }
                 Some(Asking::Order(ticket)) if !reached => {
-                    self.answer(Ticket(ticket), Outcome::Unclear)
+                    self.answer(Ticket(ticket), Outcome::Unknown)
                 }
                 Some(Asking::Proof { .. } | Asking::Order(_)) | None => {}
             }
@@ -383,24 +365,24 @@
     fn register(&mut self, input: register::Input) {
         let effects = self
             .register
-            .step(self.times.now(), self.times.wall(), input);
+            .step(self.times.now(), self.times.wall_time(), input);
         for effect in effects {
             match effect {
-                register::Effect::Write { batch, ops } => {
-                    if self.disk.send((batch, ops)).is_err() {
+                register::Effect::Write(batch) => {
+                    if self.disk.send((batch.id.0, batch.operations)).is_err() {
                         log::error!("event=disk_thread_gone");
                     }
                 }
                 register::Effect::Send { to, message } => self.links.to_peer(to, &message),
-                register::Effect::Vote {
+                register::Effect::AnswerClaim(ClaimAnswer {
                     session,
-                    set,
+                    epoch: set,
                     key,
                     claim,
                     verdict,
-                } => {
+                }) => {
                     self.links.to(
-                        session.0,
+                        session,
                         &Message::ClaimResponse {
                             epoch: set,
                             key,
@@ -410,27 +392,32 @@
                     );
                 }
                 register::Effect::Answer { ticket, outcome } => self.answer(ticket, outcome),
-                register::Effect::InForce { version, text } => {
+                register::Effect::ConfigurationCommitted(CommittedConfiguration {
+                    version,
+                    text,
+                }) => {
                     self.untold.clear();
                     self.tell_version(version, text);
                 }
-                register::Effect::Set(set) => self.links.to_fronts(&Message::VotingSet(set)),
-                register::Effect::Say(text) => log::info!("{text}"),
+                register::Effect::VotingSetAdopted(set) => {
+                    self.links.to_fronts(&Message::VotingSet(set))
+                }
+                register::Effect::Log(text) => log::info!("{text}"),
             }
         }
     }
 
     fn party(&mut self, input: cluster::Input) {
-        let effects = self.party.step(self.times.now(), input);
+        let effects = self.party.step(self.times.now().as_millis(), input);
         for effect in effects {
             match effect {
                 cluster::Effect::ToPeer(node, message) => self.links.to_peer(node, &message),
                 cluster::Effect::ToPeers(message) => self.links.to_peers(&message),
-                cluster::Effect::ToFront { session, message } => self.links.to(session.0, &message),
+                cluster::Effect::ToFront { session, message } => self.links.to(session, &message),
                 cluster::Effect::ToFronts(message) => self.links.to_fronts(&message),
                 cluster::Effect::Keep(news) => {
                     // Batch 0: nobody waits for it.
-                    let _ = self.disk.send((0, vec![Op::Host(news)]));
+                    let _ = self.disk.send((0, vec![WriteOperation::StoreHost(news)]));
                 }
                 cluster::Effect::Say(text) => log::info!("{text}"),
             }
@@ -442,7 +429,7 @@
         let in_force = Message::Configuration { version, text };
         let named = Message::CommittedVersion { version };
         for session in self.links.fronts() {
-            let message = if self.party.is_home(SessionId(session)) {
+            let message = if self.party.is_home(session) {
                 &in_force
             } else {
                 &named
@@ -453,13 +440,13 @@
 
     /// A gateway asks for the text in force.
     fn asked_for_version(&self, session: SessionId, above: ConfigurationVersion) {
-        if let Some((version, text)) = self
+        if let Some(CommittedConfiguration { version, text }) = self
             .register
-            .in_force()
-            .filter(|(version, _)| *version > above)
+            .committed_configuration()
+            .filter(|committed| committed.version > above)
         {
             self.links
-                .to(session.0, &Message::Configuration { version, text });
+                .to(session, &Message::Configuration { version, text });
         }
     }
 
@@ -468,10 +455,12 @@
             return;
         };
         let _ = reply.send(match outcome {
-            Outcome::Acknowledged { another } => Reply::Acknowledged { another },
-            Outcome::Whole { text, .. } => Reply::Text(text),
-            Outcome::Nothing => Reply::Nothing,
-            Outcome::Unclear => Reply::Unclear,
+            Outcome::Acknowledged {
+                is_other_text: another,
+            } => Reply::Acknowledged { another },
+            Outcome::Configuration(CommittedConfiguration { text, .. }) => Reply::Text(text),
+            Outcome::NoConfiguration => Reply::Nothing,
+            Outcome::Unknown => Reply::Unclear,
         });
     }
 
@@ -481,7 +470,7 @@
     fn answer_host(&mut self, leaves: bool, reply: oneshot::Sender<Reply>) {
         if !self.may_acknowledge() {
             let _ = reply.send(Reply::NoContact);
-        } else if leaves && self.register.set().epoch > Epoch(0) {
+        } else if leaves && self.register.voting_set().epoch > Epoch(0) {
             self.ask_round(Asking::Heard(reply));
         } else {
             let _ = reply.send(Reply::Done);
@@ -514,7 +503,7 @@
                 reply,
             } => {
                 let ticket = self.ticket(reply);
-                self.register(register::Input::Put {
+                self.register(register::Input::PutConfiguration {
                     ticket: Ticket(ticket),
                     version,
                     text,
@@ -523,7 +512,7 @@
             }
             Command::Get { reply } => {
                 let ticket = self.ticket(reply);
-                self.register(register::Input::Get {
+                self.register(register::Input::GetConfiguration {
                     ticket: Ticket(ticket),
                 });
                 self.bound_order(Ticket(ticket));
@@ -535,7 +524,7 @@
                 );
                 let page = pages::status(
                     &self.name,
-                    self.times.now(),
+                    self.times.now().as_millis(),
                     &self.register,
                     &self.party,
                     &self.links,
@@ -544,7 +533,7 @@
                 let _ = reply.send(Reply::Text(page.into_bytes().into()));
             }
             Command::Key { key, reply } => {
-                let page = pages::key(self.times.wall(), self.register.held(key));
+                let page = pages::key(self.times.wall_time().0, self.register.claim_holder(key));
                 let _ = reply.send(Reply::Text(page.into_bytes().into()));
             }
         }
@@ -553,15 +542,15 @@
     fn disk(&mut self, done: Vec<Done>) {
         for done in done {
             self.register(match done {
-                Done::Synced(batch) => register::Input::Synced(batch),
-                Done::Refused(batch) => register::Input::Refused(batch),
+                Done::Synced(batch) => register::Input::BatchSynced(BatchId(batch)),
+                Done::Refused(batch) => register::Input::BatchRefused(BatchId(batch)),
             });
         }
     }
 
     fn session(&mut self, event: SessionEvent) {
         match event {
-            SessionEvent::Up(session) => {
+            SessionEvent::Opened(session) => {
                 let (id, peer) = (session.id, session.peer.clone());
                 log::info!("event=session_up peer={} role={:?}", peer.name, peer.role);
                 for change in self.links.up(session) {
@@ -575,7 +564,7 @@
                     self.links.to_fronts(&cores);
                 }
             }
-            SessionEvent::Down(id) => {
+            SessionEvent::Closed(id) => {
                 if let Some(session) = self.links.session(id) {
                     log::info!("event=session_down peer={}", session.peer.name);
                 }
@@ -583,7 +572,10 @@
                     self.change(change);
                 }
             }
-            SessionEvent::Said(id, message) => self.said(id, message),
+            SessionEvent::Received {
+                session: id,
+                message,
+            } => self.said(id, message),
         }
     }
 
@@ -591,11 +583,11 @@
         match change {
             Change::PeerUp(node) => {
                 let zone = self.links.zone(node).unwrap_or_default();
-                self.register(register::Input::Up { peer: node, zone });
+                self.register(register::Input::PeerConnected { peer: node, zone });
                 self.party(cluster::Input::PeerUp(node));
             }
             Change::PeerDown(node) => {
-                self.register(register::Input::Down(node));
+                self.register(register::Input::PeerDisconnected(node));
                 self.party(cluster::Input::PeerDown(node));
             }
             Change::FrontUp(id) => {
@@ -604,25 +596,23 @@
                 };
                 let (node, zone) = (session.peer.node, session.peer.zone.as_str().into());
                 self.links
-                    .to(id, &Message::VotingSet(self.register.set().clone()));
+                    .to(id, &Message::VotingSet(self.register.voting_set().clone()));
                 self.untold.insert(id);
                 self.judge_contact();
                 self.party(cluster::Input::FrontUp {
-                    session: SessionId(id),
+                    session: id,
                     node,
                     zone,
                 });
             }
             Change::FrontDown(session) => {
                 self.untold.remove(&session);
-                self.party(cluster::Input::FrontDown {
-                    session: SessionId(session),
-                });
+                self.party(cluster::Input::FrontDown { session });
             }
         }
     }
 
-    fn said(&mut self, id: u64, message: Message) {
+    fn said(&mut self, id: SessionId, message: Message) {
         let Some(session) = self.links.session(id) else {
             return;
         };
@@ -645,7 +635,10 @@
                 | Message::ControllerStatus { .. } => {
                     self.party(cluster::Input::PeerSaid(node, message))
                 }
-                agreed => self.register(register::Input::Heard(node, agreed)),
+                agreed => self.register(register::Input::MessageReceived {
+                    from: node,
+                    message: agreed,
+                }),
             },
             (
                 Role::Gateway,
@@ -655,21 +648,21 @@
                     claim,
                 },
             ) => {
-                self.register(register::Input::Claim {
-                    session: SessionId(id),
-                    set,
+                self.register(register::Input::Claim(ClaimRequest {
+                    session: id,
+                    epoch: set,
                     key,
                     claim,
-                });
+                }));
             }
             (Role::Gateway, Message::ConfigurationRequest { newer_than: above }) => {
-                self.asked_for_version(SessionId(id), above)
+                self.asked_for_version(id, above)
             }
             (Role::Gateway, Message::ClaimWithdrawal { key, claim }) => {
-                self.register(register::Input::Withdraw { key, claim });
+                self.register(register::Input::WithdrawClaim { key, claim });
             }
             (Role::Gateway, message) => self.party(cluster::Input::FrontSaid {
-                session: SessionId(id),
+                session: id,
                 message,
             }),
         }
