--- a/crates/gateway/storage/src/store.rs
+++ b/crates/gateway/storage/src/store.rs
@@ -1,35 +1,35 @@
 //! The open file: it is made, read or upgraded at opening, and opened anew after a refused write.
 
-use crate::claims::ClaimPlaces;
-use crate::damage::Damaged;
-use crate::reading::{self, Contents};
+use crate::claim_positions::ClaimPositions;
+use crate::error::StorageError;
+use crate::reading::{Contents, read_contents, read_format};
 use crate::tables::FORMAT;
 use crate::{upgrade, writing};
 use error_stack::Report;
 use redb::{Database, StorageBackend};
-use rushcourse_consensus::{DurableState, WriteOperation};
+use rushcourse_consensus::{DurableState, WriteBatch};
 use std::path::Path;
 
 /// Bytes of pages that are kept in memory: a window's claims are some megabytes, and are read once (ours).
-const CACHE: usize = 4 << 20;
+const CACHE_BYTES: usize = 4 << 20;
 
-/// Opens the file: at its place, or over another backend, which a test may let fail.
+/// Opens the file: at its path, or over another backend, which a test may let fail.
 type Opener = Box<dyn Fn() -> Result<Database, redb::DatabaseError> + Send>;
 
 /// The state file of a controller.
 pub struct Store {
     opener: Opener,
-    /// None after a refused write, until the file is open again.
+    /// `None` after a refused write, until the file is open again.
     database: Option<Database>,
-    places: ClaimPlaces,
+    claim_positions: ClaimPositions,
 }
 
 impl Store {
-    /// Opens the file, or makes it, and reads what it holds. A file of an earlier form is upgraded first.
+    /// Opens the file, or makes it, and reads what it holds. A file of the format before is upgraded first.
     ///
     /// # Errors
-    /// A file that can't be read or has another form: it is left as it is. An upgrade that the disk refused.
-    pub fn open(path: &Path) -> Result<(Store, DurableState), Report<Damaged>> {
+    /// A file that can't be read or has another format: it is left as it is. An upgrade that the disk refused.
+    pub fn open(path: &Path) -> Result<(Store, DurableState), Report<StorageError>> {
         let path = path.to_path_buf();
         Store::open_by(Box::new(move || builder().create(&path)))
     }
@@ -40,70 +40,74 @@
     /// As `open`.
     pub fn open_over<B: StorageBackend>(
         make: impl Fn() -> B + Send + 'static,
-    ) -> Result<(Store, DurableState), Report<Damaged>> {
+    ) -> Result<(Store, DurableState), Report<StorageError>> {
         Store::open_by(Box::new(move || builder().create_with_backend(make())))
     }
 
-    fn open_by(opener: Opener) -> Result<(Store, DurableState), Report<Damaged>> {
-        let database = opener().map_err(Damaged::unreadable)?;
+    fn open_by(opener: Opener) -> Result<(Store, DurableState), Report<StorageError>> {
+        let database = opener().map_err(StorageError::unreadable)?;
         prepare(&database)?;
-        let Contents { stored, places } =
-            reading::contents(&database).map_err(Damaged::unreadable)?;
-        Ok((
-            Store {
-                opener,
-                database: Some(database),
-                places,
-            },
-            stored,
-        ))
+        let contents = contents_of(&database)?;
+        let store = Store {
+            opener,
+            database: Some(database),
+            claim_positions: contents.claim_positions,
+        };
+        Ok((store, contents.state))
     }
 
     /// Writes all operations of all batches together and syncs once.
     ///
     /// # Errors
     /// The disk refused; nothing of it counts. The file is opened anew for the next write.
-    pub fn write(&mut self, batches: &[(u64, Vec<WriteOperation>)]) -> Result<(), Report<Damaged>> {
+    pub fn write(&mut self, batches: &[WriteBatch]) -> Result<(), Report<StorageError>> {
         let database = match self.database.take() {
             Some(database) => database,
             None => self.reopen()?,
         };
-        // A transaction that failed leaves the file as it was; the handle may be spoilt, and is dropped.
-        writing::write(&database, batches, &mut self.places).map_err(Damaged::refused)?;
+        // A transaction that failed leaves the file as it was; the handle may be unusable, and is dropped.
+        writing::write(&database, batches, &mut self.claim_positions)
+            .map_err(StorageError::write_refused)?;
         self.database = Some(database);
         Ok(())
     }
 
     /// Opens the file again: what a failed transaction left behind in memory is read anew.
-    fn reopen(&mut self) -> Result<Database, Report<Damaged>> {
-        let database = (self.opener)().map_err(Damaged::unreadable)?;
-        match reading::format(&database).map_err(Damaged::unreadable)? {
+    fn reopen(&mut self) -> Result<Database, Report<StorageError>> {
+        let database = (self.opener)().map_err(StorageError::unreadable)?;
+        match format_of(&database)? {
             Some(FORMAT) => {}
-            Some(other) => return Err(Report::new(Damaged::Format(other))),
-            None => return Err(Damaged::unreadable("it was there and is empty now")),
+            Some(other) => return Err(Report::new(StorageError::UnknownFormat(other))),
+            None => return Err(StorageError::unreadable("it was there and is empty now")),
         }
-        self.places = reading::contents(&database)
-            .map_err(Damaged::unreadable)?
-            .places;
+        self.claim_positions = contents_of(&database)?.claim_positions;
         Ok(database)
     }
 }
 
-/// Brings a file to the present form.
-fn prepare(database: &Database) -> Result<(), Report<Damaged>> {
-    match reading::format(database).map_err(Damaged::unreadable)? {
+/// Brings a file to the present format.
+fn prepare(database: &Database) -> Result<(), Report<StorageError>> {
+    match format_of(database)? {
         Some(FORMAT) => Ok(()),
-        Some(upgrade::EARLIER) => {
-            let newest = upgrade::read_earlier(database).map_err(Damaged::unreadable)?;
-            upgrade::upgrade(database, newest).map_err(Damaged::refused)
+        Some(upgrade::PREVIOUS_FORMAT) => {
+            let newest = upgrade::read_previous(database).map_err(StorageError::unreadable)?;
+            upgrade::upgrade(database, newest).map_err(StorageError::write_refused)
         }
-        Some(other) => Err(Report::new(Damaged::Format(other))),
-        None => writing::begin(database).map_err(Damaged::refused),
+        Some(other) => Err(Report::new(StorageError::UnknownFormat(other))),
+        None => writing::initialize(database).map_err(StorageError::write_refused),
     }
 }
 
+fn format_of(database: &Database) -> Result<Option<u64>, Report<StorageError>> {
+    read_format(database).map_err(StorageError::unreadable)
+}
+
+fn contents_of(database: &Database) -> Result<Contents, Report<StorageError>> {
+    read_contents(database).map_err(StorageError::unreadable)
+}
+
 fn builder() -> redb::Builder {
     let mut builder = redb::Builder::new();
-    builder.set_cache_size(CACHE);
+    builder.set_cache_size(CACHE_BYTES);
     builder
 }
--- a/crates/gateway/storage/src/writing.rs
+++ b/crates/gateway/storage/src/writing.rs
@@ -1,25 +1,25 @@
 //! Writes to a state file: one transaction and one sync for all operations that are given.
 
-use crate::claims::ClaimPlaces;
+use crate::claim_positions::ClaimPositions;
 use crate::tables::{
-    CLAIMS, ClaimRow, FORMAT, HOSTS, META, META_FORMAT, META_REMEMBERS, META_SET, SET_RECORDS,
-    VERSION_RECORDS, encode, record_place,
+    CLAIMS, ClaimRow, FORMAT, HOSTS, META, META_COMPLETE_STATE, META_FORMAT, META_VOTING_SET,
+    VERSION_RECORDS, VOTING_SET_RECORDS, encode, record_key, row_of_claim,
 };
 use redb::{Database, Table, WriteTransaction};
-use rushcourse_consensus::{PruneBounds, StoredClaim, WriteOperation};
-use rushcourse_messages::{AcceptorRecord, HostRecord, HostState, Slot, SlotRecord};
+use rushcourse_consensus::{PruneBounds, StoredClaim, WriteBatch, WriteOperation};
+use rushcourse_messages::{HostRecord, HostState, Slot, SlotRecord};
 use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest};
 
 type ClaimTable<'t> = Table<'t, u64, ClaimRow>;
 
-/// Any value: the key alone says that the replica remembers.
-const REMEMBERS: &[u8] = &[1];
+/// Any value: the key alone says that the replica has complete state.
+const COMPLETE: &[u8] = &[1];
 
-/// Makes an empty state file of the present form.
-pub(crate) fn begin(database: &Database) -> Result<(), redb::Error> {
+/// Makes an empty state file of the present format.
+pub(crate) fn initialize(database: &Database) -> Result<(), redb::Error> {
     let writing = database.begin_write()?;
     mark_format(&writing)?;
-    writing.open_table(SET_RECORDS)?;
+    writing.open_table(VOTING_SET_RECORDS)?;
     writing.open_table(VERSION_RECORDS)?;
     writing.open_table(CLAIMS)?;
     writing.open_table(HOSTS)?;
@@ -27,36 +27,33 @@
     Ok(())
 }
 
-/// Marks the file as of the present form.
+/// Marks the file as of the present format.
 pub(crate) fn mark_format(writing: &WriteTransaction) -> Result<(), redb::Error> {
-    put_meta(writing, META_FORMAT, &FORMAT.to_be_bytes())
+    store_meta(writing, META_FORMAT, &FORMAT.to_be_bytes())
 }
 
 /// Writes an acceptor's record in place of an earlier one of its slot.
-pub(crate) fn put_record(
+pub(crate) fn store_record(
     writing: &WriteTransaction,
-    slot: Slot,
-    record: &AcceptorRecord,
+    stored: &SlotRecord,
 ) -> Result<(), redb::Error> {
-    let (table, number) = record_place(slot);
-    let bytes = encode(record)?;
-    writing
-        .open_table(table)?
-        .insert(number, bytes.as_slice())?;
+    let (table, key) = record_key(stored.slot);
+    let bytes = encode(&stored.record)?;
+    writing.open_table(table)?.insert(key, bytes.as_slice())?;
     Ok(())
 }
 
-/// Writes the operations of all batches, together or not at all. `places` is spoilt where this fails.
+/// Writes the operations of all batches, together or not at all. Where this fails, `positions` no longer fit the file.
 pub(crate) fn write(
     database: &Database,
-    batches: &[(u64, Vec<WriteOperation>)],
-    places: &mut ClaimPlaces,
+    batches: &[WriteBatch],
+    positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
     let writing = database.begin_write()?;
     // Most operations are claims: their table is opened once.
     let mut claims = writing.open_table(CLAIMS)?;
-    for op in batches.iter().flat_map(|b| &b.1) {
-        apply(&writing, &mut claims, op, places)?;
+    for operation in batches.iter().flat_map(|batch| &batch.operations) {
+        apply(&writing, &mut claims, operation, positions)?;
     }
     drop(claims);
     writing.commit()?;
@@ -66,24 +63,24 @@
 fn apply(
     writing: &WriteTransaction,
     claims: &mut ClaimTable,
-    op: &WriteOperation,
-    places: &mut ClaimPlaces,
+    operation: &WriteOperation,
+    positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
-    match op {
-        WriteOperation::StoreVotingSet(set) => put_meta(writing, META_SET, &encode(set)?),
-        WriteOperation::MarkStateComplete => put_meta(writing, META_REMEMBERS, REMEMBERS),
-        WriteOperation::MarkStateIncomplete => remove_meta(writing, META_REMEMBERS),
-        WriteOperation::StoreRecord(SlotRecord { slot, record }) => {
-            put_record(writing, *slot, record)
+    match operation {
+        WriteOperation::StoreVotingSet(voting_set) => {
+            store_meta(writing, META_VOTING_SET, &encode(voting_set)?)
         }
-        WriteOperation::PruneRecords(bounds) => prune(writing, *bounds),
-        WriteOperation::StoreClaim(claim) => put_claim(claims, claim, places),
-        WriteOperation::RemoveClaim(key) => remove_claim(claims, *key, places),
-        WriteOperation::StoreHost(news) => put_host(writing, news),
+        WriteOperation::MarkStateComplete => store_meta(writing, META_COMPLETE_STATE, COMPLETE),
+        WriteOperation::MarkStateIncomplete => remove_meta(writing, META_COMPLETE_STATE),
+        WriteOperation::StoreRecord(stored) => store_record(writing, stored),
+        WriteOperation::PruneRecords(bounds) => prune_records(writing, *bounds),
+        WriteOperation::StoreClaim(claim) => store_claim(claims, claim, positions),
+        WriteOperation::RemoveClaim(key) => remove_claim(claims, *key, positions),
+        WriteOperation::StoreHost(host) => store_host(writing, host),
     }
 }
 
-fn put_meta(writing: &WriteTransaction, key: &str, value: &[u8]) -> Result<(), redb::Error> {
+fn store_meta(writing: &WriteTransaction, key: &str, value: &[u8]) -> Result<(), redb::Error> {
     writing.open_table(META)?.insert(key, value)?;
     Ok(())
 }
@@ -93,40 +90,30 @@
     Ok(())
 }
 
-fn prune(writing: &WriteTransaction, bounds: PruneBounds) -> Result<(), redb::Error> {
+fn prune_records(writing: &WriteTransaction, bounds: PruneBounds) -> Result<(), redb::Error> {
     let is_kept = |slot: Slot| !bounds.contains(slot);
     writing
-        .open_table(SET_RECORDS)?
+        .open_table(VOTING_SET_RECORDS)?
         .retain_in(..=bounds.epochs_through.0, |number, _| {
             is_kept(Slot::VotingSet(Epoch(number)))
         })?;
     writing
         .open_table(VERSION_RECORDS)?
-        .retain_in(..bounds.versions_below.0, |version, _| {
-            is_kept(Slot::Configuration(ConfigurationVersion(version)))
+        .retain_in(..bounds.versions_below.0, |number, _| {
+            is_kept(Slot::Configuration(ConfigurationVersion(number)))
         })?;
     Ok(())
 }
 
-fn put_claim(
+fn store_claim(
     claims: &mut ClaimTable,
     claim: &StoredClaim,
-    places: &mut ClaimPlaces,
+    positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
-    let (place, earlier) = places.add(claim.key);
-    let id = claim.id;
-    claims.insert(
-        place,
-        (
-            claim.key.0,
-            id.node.0,
-            id.incarnation.0,
-            id.number,
-            claim.claimed_at.0,
-        ),
-    )?;
-    if let Some(earlier) = earlier {
-        claims.remove(earlier)?;
+    let appended = positions.append(claim.key);
+    claims.insert(appended.position, row_of_claim(claim))?;
+    if let Some(replaced) = appended.replaced {
+        claims.remove(replaced)?;
     }
     Ok(())
 }
@@ -134,21 +121,21 @@
 fn remove_claim(
     claims: &mut ClaimTable,
     key: KeyDigest,
-    places: &mut ClaimPlaces,
+    positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
-    if let Some(place) = places.remove(key) {
-        claims.remove(place)?;
+    if let Some(position) = positions.remove(key) {
+        claims.remove(position)?;
     }
     Ok(())
 }
 
-fn put_host(writing: &WriteTransaction, news: &HostRecord) -> Result<(), redb::Error> {
+fn store_host(writing: &WriteTransaction, host: &HostRecord) -> Result<(), redb::Error> {
     let mut hosts = writing.open_table(HOSTS)?;
-    if news.state == HostState::Gone {
-        hosts.remove(&*news.id)?;
+    if host.state == HostState::Gone {
+        hosts.remove(&*host.id)?;
         return Ok(());
     }
-    let bytes = encode(news)?;
-    hosts.insert(&*news.id, bytes.as_slice())?;
+    let bytes = encode(host)?;
+    hosts.insert(&*host.id, bytes.as_slice())?;
     Ok(())
 }
