--- a/crates/gateway/cluster/src/service_tables.rs
+++ b/crates/gateway/cluster/src/service_tables.rs
@@ -157,7 +157,7 @@
             }
             Action::SetWithdrawn {
                 host,
-                is_withdrawn: is_withdrawn,
+                is_withdrawn,
                 channel: Channel::Dedicated,
             } => self.set_withdrawn(host, is_withdrawn, pending),
             Action::RequestAck { ack_number } => self.revision = ack_number,
--- a/crates/tools/simulation/src/proxy/relay.rs
+++ b/crates/tools/simulation/src/proxy/relay.rs
@@ -1,6 +1,6 @@
 //! The platform's relay.
 
-use super::ProxyTable;
+use super::table::ProxyTable;
 use rushcourse_policy::interface::AckNumber;
 use rushcourse_xds::WEIGHT_SCALE;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/tools/simulation/src/proxy/stream.rs
+++ b/crates/tools/simulation/src/proxy/stream.rs
@@ -1,6 +1,6 @@
 //! Tables as a discovery stream brings them.
 
-use super::ProxyTable;
+use super::table::ProxyTable;
 use rushcourse_xds::{ClusterLoadAssignment, Response};
 use std::collections::BTreeMap;
 
--- a/crates/tools/simulation/src/world/events.rs
+++ b/crates/tools/simulation/src/world/events.rs
@@ -1,8 +1,9 @@
 //! What the script lets happen.
 
+use super::list::ListedHost;
 use super::queue::Pending;
 use super::setup;
-use super::state::{ListedHost, StandInProxy, World};
+use super::state::{StandInProxy, World};
 use super::times::START;
 use crate::script::{Phase, ScriptEvent};
 use rushcourse_xds as xds;
--- a/crates/tools/simulation/src/world/mod.rs
+++ b/crates/tools/simulation/src/world/mod.rs
@@ -3,6 +3,7 @@
 //! * `outcome.rs`: the ways to run a script, the faults put in on purpose, and what came of a run.
 //! * `times.rs`: times that all parts share.
 //! * `setup.rs`: settings, limits, list and session of the director.
+//! * `list.rs`: discovery's list of hosts.
 //! * `queue.rs`: what is on its way.
 //! * `state.rs`: the world's state.
 //! * `play.rs`: the loop over the fake clock.
@@ -17,6 +18,7 @@
 mod director;
 mod effects;
 mod events;
+mod list;
 mod outcome;
 mod play;
 mod queue;
--- a/crates/tools/simulation/src/world/setup.rs
+++ b/crates/tools/simulation/src/world/setup.rs
@@ -1,6 +1,6 @@
 //! Settings, limits, list and session of the director.
 
-use super::state::{HostList, ListedHost};
+use super::list::{HostList, ListedHost};
 use super::times::TRANSIT;
 use crate::check::Limits;
 use crate::proxy::PlatformRelay;
--- a/crates/tools/simulation/src/world/state.rs
+++ b/crates/tools/simulation/src/world/state.rs
@@ -1,11 +1,12 @@
 //! The world's state.
 
+use super::list::HostList;
 use super::outcome::{Flaw, Mode, ProxyClass, Tables};
 use super::queue::{Pending, PendingQueue};
 use super::setup;
 use crate::check::Checker;
 use crate::proxy::{PlatformRelay, Protocol, ProxyTable, StreamTables};
-use crate::script::{CLASSES, Phase, Script};
+use crate::script::{CLASSES, Script};
 use rushcourse_director_state::Session;
 use rushcourse_policy::interface::Ms;
 use rushcourse_xds as xds;
@@ -43,21 +44,6 @@
     pub(super) list_request: u64,
 }
 
-/// A host in discovery's list.
-#[derive(Clone, Copy)]
-pub(super) struct ListedHost {
-    pub(super) phase: Phase,
-    /// Time of day; 0: long ago.
-    pub(super) started_at: Ms,
-}
-
-/// Discovery's list.
-pub(super) struct HostList {
-    pub(super) revision: u64,
-    /// By index of the script; none before a host was listed.
-    pub(super) hosts: Vec<Option<ListedHost>>,
-}
-
 /// The platform's relay.
 pub(super) struct RelayState {
     pub(super) relay: PlatformRelay,
@@ -126,20 +112,6 @@
     }
 }
 
-impl HostList {
-    fn at_start(script: &Script) -> HostList {
-        let warm = ListedHost {
-            phase: Phase::Ready,
-            started_at: 0.0,
-        };
-        let listed = |host: usize| (host < script.listed_at_start).then_some(warm);
-        HostList {
-            revision: 1,
-            hosts: (0..script.hosts.len()).map(listed).collect(),
-        }
-    }
-}
-
 impl World<'_> {
     /// Puts something on its way: it arrives in so many ms.
     pub(super) fn after(&mut self, delay: Ms, pending: Pending) {
