--- a/crates/tools/modelcheck/src/play.rs
+++ b/crates/tools/modelcheck/src/play.rs
@@ -12,6 +12,7 @@
     Outcome, Setup, WriteBatch,
 };
 use rushcourse_messages::{Message, NodeId, VotingSet};
+use rushcourse_routing::ClaimResponse;
 use rushcourse_types::{
     ConfigurationVersion, Epoch, Incarnation, SessionId, Ticket, Timestamp, WallTime,
 };
@@ -282,8 +283,11 @@
                 if broken != Some(Broken::VotesWithoutEnd) {
                     for n in self.claimants.keys().copied().collect::<Vec<_>>() {
                         let claimant = self.claimants.get_mut(&n).expect("known");
-                        for decision in claimant.claims.over(self.now) {
-                            self.decided(n, decision.claim, decision.verdicts);
+                        for decision in claimant
+                            .claims
+                            .take_decided(Timestamp::from_millis(self.now))
+                        {
+                            self.decided(n, decision);
                         }
                     }
                 }
@@ -523,7 +527,7 @@
         let (from, message) = self.altered(scene, broken, from, to, message);
         match message {
             Message::ClaimResponse {
-                epoch: set,
+                epoch,
                 key,
                 claim,
                 verdict,
@@ -536,9 +540,15 @@
                 let Some(claimant) = self.claimants.get_mut(&to) else {
                     return;
                 };
-                let decided = claimant.claims.vote(now, from, set, key, claim, verdict);
-                if let Some(verdicts) = decided {
-                    self.decided(to, claim, verdicts);
+                let response = ClaimResponse {
+                    epoch,
+                    key,
+                    claim,
+                    verdict,
+                };
+                let now = Timestamp::from_millis(now);
+                if let Some(decision) = claimant.claims.record_response(now, from, response) {
+                    self.decided(to, decision);
                 }
             }
             Message::ClaimRequest {
@@ -563,7 +573,7 @@
                 self.step(scene, broken, to, Input::WithdrawClaim { key, claim })
             }
             Message::VotingSet(set) if to >= CLAIMANTS => {
-                if broken != Some(Broken::EpochUnchecked) || self.claimants[&to].claims.idle() {
+                if broken != Some(Broken::EpochUnchecked) || self.claimants[&to].claims.is_idle() {
                     self.renewed(from, to, set);
                 }
             }
