--- a/crates/gateway/cluster/src/cluster/gateway_sessions.rs
+++ b/crates/gateway/cluster/src/cluster/gateway_sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions of gateways, their messages, and the table updates that are sent to them.
 
 use crate::cluster::Cluster;
-use crate::distribution::Load;
+use crate::policy_adapter::Load;
 use crate::service_tables::{GatewayUpdate, TableEndpoint, Withdrawal};
 use rushcourse_messages::{EndpointWeight, HostRecord, HostState, Message};
 use rushcourse_types::{NodeId, SessionId, Timestamp};
--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -2,36 +2,25 @@
 //! gateway that takes its tables from this controller takes part in all of them.
 
 use crate::host_registry::HostEntry;
-use crate::service_tables::{GatewayUpdate, ServiceTables, TableView, policy_time};
-use rushcourse_messages::HostState;
-use rushcourse_policy::interface::{
-    Channel, ChannelSettings, Event, FleetSettings, HostEntry as PolicyHost, HostListKind,
-    HostSettings, Idempotency, Ms, Readiness, RequestClass, Settings,
+use crate::policy_adapter::{
+    Load, gateway_joined, gateway_left, load_reported, policy_host, policy_settings,
+    update_acknowledged,
 };
+use crate::service_tables::{GatewayUpdate, ServiceTables, TableView};
+use rushcourse_policy::interface::{Event, HostEntry as PolicyHost, HostListKind, ZoneId};
 use rushcourse_types::{NodeId, Timestamp};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A gateway's requests to a service during an interval.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Load {
-    /// Attempts at the service's hosts.
-    pub(crate) attempts: u32,
-    /// Those of them that failed.
-    pub(crate) failures: u32,
-    /// The span that was counted.
-    pub(crate) interval: Duration,
-}
-
 /// The tables of all services, and the gateways that take them from here.
 pub struct Distribution {
     zones: Vec<Arc<str>>,
-    local_zone: usize,
+    local_zone: ZoneId,
     drain_timeout: Duration,
     services: BTreeMap<Arc<str>, ServiceTables>,
     /// Each with the index of its zone in `zones`.
-    gateways: BTreeMap<NodeId, usize>,
+    gateways: BTreeMap<NodeId, ZoneId>,
 }
 
 impl Distribution {
@@ -66,7 +55,11 @@
         let mut entries: BTreeMap<Arc<str>, Vec<PolicyHost>> = BTreeMap::new();
         for host in changed {
             let service = host.record().service.clone();
-            entries.entry(service).or_default().push(self.entry(host));
+            let zone = zone_index(&self.zones, &host.record().zone);
+            entries
+                .entry(service)
+                .or_default()
+                .push(policy_host(host, zone));
         }
         let mut updates = Vec::new();
         for (service, entries) in entries {
@@ -76,11 +69,8 @@
             }];
             if !self.services.contains_key(&service) {
                 self.add_service(service.clone());
-                events.extend(
-                    self.gateways
-                        .iter()
-                        .map(|(node, zone)| joined(*node, *zone)),
-                );
+                let gateways = self.gateways.iter();
+                events.extend(gateways.map(|(node, zone)| gateway_joined(*node, *zone)));
             }
             if let Some(tables) = self.services.get_mut(&service) {
                 updates.extend(tables.handle(now, events));
@@ -98,10 +88,10 @@
     ) -> Vec<GatewayUpdate> {
         let zone = zone_index(&self.zones, zone);
         self.gateways.insert(gateway, zone);
-        self.handle_everywhere(now, |_| vec![joined(gateway, zone)])
+        self.handle_everywhere(now, |_| vec![gateway_joined(gateway, zone)])
     }
 
-    /// Removes a gateway that takes its tables from here no more.
+    /// Removes a gateway that no longer takes its tables from here.
     pub(crate) fn remove_gateway(&mut self, now: Timestamp, gateway: NodeId) -> Vec<GatewayUpdate> {
         if self.gateways.remove(&gateway).is_none() {
             return Vec::new();
@@ -109,7 +99,7 @@
         for tables in self.services.values_mut() {
             tables.unbind(gateway);
         }
-        self.handle_everywhere(now, |_| vec![left(gateway)])
+        self.handle_everywhere(now, |_| vec![gateway_left(gateway)])
     }
 
     /// A gateway has applied the update of a revision, and all updates before it.
@@ -120,12 +110,7 @@
         service: &str,
         revision: u16,
     ) -> Vec<GatewayUpdate> {
-        let event = Event::Acknowledged {
-            ack_number: revision,
-            proxy: gateway.0,
-            elapsed: 0.0,
-            channel: Channel::Dedicated,
-        };
+        let event = update_acknowledged(gateway, revision);
         self.handle_of_gateway(now, gateway, service, event)
     }
 
@@ -137,13 +122,7 @@
         service: &str,
         load: Load,
     ) -> Vec<GatewayUpdate> {
-        let event = Event::TrafficReported {
-            proxy: gateway.0,
-            class: 0,
-            attempts: f64::from(load.attempts),
-            failed: f64::from(load.failures),
-            span: policy_span(load.interval),
-        };
+        let event = load_reported(gateway, load);
         self.handle_of_gateway(now, gateway, service, event)
     }
 
@@ -184,90 +163,13 @@
     }
 
     fn add_service(&mut self, service: Arc<str>) {
-        let tables = ServiceTables::new(service.clone(), self.settings());
+        let settings = policy_settings(self.zones.len(), self.local_zone, self.drain_timeout);
+        let tables = ServiceTables::new(service.clone(), settings);
         self.services.insert(service, tables);
     }
-
-    fn entry(&self, host: &HostEntry) -> PolicyHost {
-        let record = host.record();
-        let readiness = match host.state() {
-            HostState::Ready => Readiness::Ready,
-            HostState::Draining => Readiness::Draining,
-            HostState::Gone => Readiness::Gone,
-        };
-        PolicyHost {
-            host: record.id.clone(),
-            zone: zone_index(&self.zones, &record.zone),
-            cell: 0,
-            readiness,
-            weight: f64::from(record.slots.max(1)),
-            started_at: host.warming_since().map_or(0.0, policy_time),
-        }
-    }
-
-    fn settings(&self) -> Settings {
-        let class = RequestClass {
-            target_latency: 500.0,
-            deadline: 2000.0,
-            value: 1.0,
-            idempotency: Idempotency::Idempotent,
-            is_zone_bound: false,
-            is_write: false,
-        };
-        Settings {
-            classes: vec![class],
-            fleet: FleetSettings {
-                zones: self.zones.len(),
-                own_zone: Some(self.local_zone),
-                directors: 1,
-                ..FleetSettings::default()
-            },
-            // The channel is a session: some thousand table entries a second, an answer within a few milliseconds.
-            channel: ChannelSettings {
-                max_queued_lines: 4000.0,
-                lines_per_second: 4000.0,
-                lines_per_message: 1.0,
-                message_window: 10_000.0,
-                mean_transit: 20.0,
-                max_transit: 500.0,
-                ..ChannelSettings::default()
-            },
-            // Slow start is the policy's: a tenth, rising over 10 s. Hosts say how long they warm up, not how much.
-            hosts: HostSettings {
-                drain_grace: policy_span(self.drain_timeout),
-                start_capacity: 1.0,
-                has_listed_weights: true,
-                ..HostSettings::default()
-            },
-            report_interval: 1000.0,
-            ..Settings::default()
-        }
-    }
 }
 
 /// The index of a zone in `zones`. A zone that is not known counts as the first.
-fn zone_index(zones: &[Arc<str>], zone: &str) -> usize {
+fn zone_index(zones: &[Arc<str>], zone: &str) -> ZoneId {
     zones.iter().position(|known| &**known == zone).unwrap_or(0)
 }
-
-/// A span in the policy's unit, milliseconds with fractions. Whole milliseconds are converted exactly.
-fn policy_span(span: Duration) -> Ms {
-    span.as_nanos() as Ms / 1e6
-}
-
-fn joined(gateway: NodeId, zone: usize) -> Event {
-    Event::ProxyJoined {
-        proxy: gateway.0,
-        zone,
-        rate: 1.0,
-        is_fresh: true,
-        channel: Channel::Dedicated,
-    }
-}
-
-fn left(gateway: NodeId) -> Event {
-    Event::ProxyLeft {
-        proxy: gateway.0,
-        channel: Channel::Dedicated,
-    }
-}
--- a/crates/gateway/cluster/src/lib.rs
+++ b/crates/gateway/cluster/src/lib.rs
@@ -5,7 +5,8 @@
 //! * [`cluster`]: the step; [`events`]: its inputs and effects.
 //! * [`host_registry`]: the hosts. Late records are recognized by their sequence.
 //! * [`gateway_membership`]: which gateways are in session with which controller.
-//! * [`distribution`]: the services, each with its policy; [`service_tables`]: the tables of one service.
+//! * [`distribution`]: the services, each with its policy; [`service_tables`]: the tables of one service;
+//!   `policy_adapter`: the gateway's events and settings in the policy's terms.
 //! * `initial_sync`, `failure_detection`: when this controller knows all hosts, and when a host may be taken for dead.
 //! * `heartbeat_batch`: heartbeats for the other controllers.
 //! * [`quorum_contact`]: whether a majority was in contact lately; [`contact_probes`]: the probes that prove it.
@@ -19,6 +20,7 @@
 mod heartbeat_batch;
 pub mod host_registry;
 mod initial_sync;
+mod policy_adapter;
 pub mod quorum_contact;
 pub mod service_tables;
 
--- a/crates/gateway/cluster/src/service_tables.rs
+++ b/crates/gateway/cluster/src/service_tables.rs
@@ -2,6 +2,7 @@
 //! table and with which weight; it sees gateways as its proxies, each with a channel of its own. This module stores the
 //! tables as the policy defines them, and turns the policy's actions into updates for gateways.
 
+use crate::policy_adapter::policy_time;
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{Action, Channel, Event, Ms, Settings, TableId};
 use rushcourse_types::{NodeId, Timestamp};
@@ -50,11 +51,6 @@
     pub(crate) withdrawals: Vec<Withdrawal>,
 }
 
-/// A moment in the policy's unit, milliseconds with fractions.
-pub(crate) fn policy_time(moment: Timestamp) -> Ms {
-    moment.as_millis() as Ms
-}
-
 /// The policy asked to be called at a later moment.
 #[derive(Clone, Debug)]
 struct PolicyTimer {
