--- a/crates/gateway/cli/src/views/controllers.rs
+++ b/crates/gateway/cli/src/views/controllers.rs
@@ -82,6 +82,6 @@
 /// [`CliError::InvalidPage`]: a page that can't be read.
 pub fn operation_key(pages: &[ControllerPage]) -> Result<String, CliError> {
     let headings = ["held", "by", "incarnation", "number", "age s", "on disk"];
-    let fields = ["held", "by", "life", "number", "age_s", "on_disk"];
+    let fields = ["held", "by", "incarnation", "number", "age_s", "on_disk"];
     table_of_each(pages, &headings, |page| Some(page.texts(&fields))).map(|table| table.to_string())
 }
--- a/crates/gateway/cli/src/views/endpoints.rs
+++ b/crates/gateway/cli/src/views/endpoints.rs
@@ -35,8 +35,8 @@
         .into_iter()
         .flat_map(|page| page.objects("tables"))
     {
-        let mut cells = shown.texts(&["service", "table", "fronts"]);
-        cells.push(shown.count("lines").to_string());
+        let mut cells = shown.texts(&["service", "table", "gateways"]);
+        cells.push(shown.count("endpoints").to_string());
         table.add_row(cells);
     }
     Ok(format!("as {} orders them\n{table}", answer.controller))
--- a/crates/gateway/cli/src/views/gateways.rs
+++ b/crates/gateway/cli/src/views/gateways.rs
@@ -29,7 +29,7 @@
         self.address = session.text("address");
         self.zone = session.text("zone");
         self.controllers.push(controller.into());
-        if session.text("home") == TRUE {
+        if session.text("primary") == TRUE {
             self.primaries.push(controller.into());
         }
     }
--- a/crates/gateway/cli/src/views/voters.rs
+++ b/crates/gateway/cli/src/views/voters.rs
@@ -57,7 +57,7 @@
     let is_reached = |member: &&String| peers.contains(member);
     // A controller is no peer of its own.
     let reached = set.members.iter().filter(is_reached).count() + 1;
-    let own = page.texts(&["remembers", "votes", "held"]);
+    let own = page.texts(&["complete_state", "votes", "held"]);
     let shared = vec![
         page.text("name"),
         set.epoch,
--- a/crates/gateway/controller/src/admin.rs
+++ b/crates/gateway/controller/src/admin.rs
@@ -16,7 +16,7 @@
         return "{\"held\":false}".into();
     };
     format!(
-        "{{\"held\":true,\"on_disk\":{},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
+        "{{\"held\":true,\"on_disk\":{},\"by\":{},\"incarnation\":{},\"number\":{},\"age_s\":{:.1}}}",
         claim.is_durable,
         node(claim.id.node),
         quoted(&claim.id.incarnation.to_string()),
@@ -38,7 +38,7 @@
     let name = &sessions.factory().local_handshake().name;
     let fields = [
         format!("\"name\":{}", quoted(name)),
-        format!("\"primed\":{}", cluster.is_synchronized()),
+        format!("\"synchronized\":{}", cluster.is_synchronized()),
         replica_fields(&consensus.summary()),
         disk_field(&storage.statistics(), storage.file_bytes()),
         format!("\"members\":{}", list(cluster.gateways().all(), node)),
@@ -61,7 +61,7 @@
 
 fn replica_fields(replica: &ReplicaSummary) -> String {
     format!(
-        "\"set\":{{\"number\":{},\"members\":{}}},\"remembers\":{},\"votes\":{},\"held\":{},\"in_force\":{},\
+        "\"set\":{{\"number\":{},\"members\":{}}},\"complete_state\":{},\"votes\":{},\"held\":{},\"in_force\":{},\
          \"claims\":{},\"peers\":{}",
         replica.voting_set.epoch,
         list(replica.voting_set.members.iter().copied(), node),
@@ -104,7 +104,7 @@
         let peer = &session.peer;
         let role = format!("{:?}", peer.role).to_lowercase();
         format!(
-            "{{\"id\":{},\"name\":{},\"address\":{},\"zone\":{},\"role\":{},\"home\":{}}}",
+            "{{\"id\":{},\"name\":{},\"address\":{},\"zone\":{},\"role\":{},\"primary\":{}}}",
             session.id,
             quoted(&peer.name),
             node(peer.node),
@@ -136,11 +136,13 @@
 
 fn tables_field(cluster: &Cluster) -> String {
     let table = |table: TableView| {
-        let lines = list(table.endpoints, |TableEndpoint { host, weight }| {
+        let endpoints = list(table.endpoints, |TableEndpoint { host, weight }| {
             format!("[{},{weight:.3}]", quoted(&host))
         });
         let (service, id, gateways) = (quoted(&table.service), table.table, table.gateways);
-        format!("{{\"service\":{service},\"table\":{id},\"fronts\":{gateways},\"lines\":{lines}}}")
+        format!(
+            "{{\"service\":{service},\"table\":{id},\"gateways\":{gateways},\"endpoints\":{endpoints}}}"
+        )
     };
     format!(
         "\"tables\":{}",
