--- a/crates/gateway/cluster/src/cluster/peer_messages.rs
+++ b/crates/gateway/cluster/src/cluster/peer_messages.rs
@@ -1,13 +1,13 @@
-//! What other controllers send, and what they get when a session with them begins.
+//! Messages of other controllers, and the messages that open a session with one.
 
 use crate::cluster::Cluster;
-use rushcourse_messages::{Heartbeat, HostRecord, Message, NodeId};
-use rushcourse_types::Timestamp;
+use rushcourse_messages::{Heartbeat, HostRecord, Message};
+use rushcourse_types::{NodeId, Timestamp};
 use std::sync::Arc;
 
 impl Cluster {
-    /// All that this controller knows goes to a peer whose session stands. The status comes last: it says that all hosts
-    /// were sent before it.
+    /// Sends all that this controller knows to a peer whose session was opened. The status is last, since it says that
+    /// all hosts were sent before it.
     pub(super) fn open_peer_session(&mut self, now: Timestamp, peer: NodeId) {
         self.send_to_peer(peer, Message::HostUpdates(self.hosts.records(now)));
         self.send_to_peer(
@@ -52,14 +52,14 @@
     }
 
     fn apply_heartbeats(&mut self, now: Timestamp, heartbeats: &[Heartbeat]) {
-        let mut heard_again: Vec<Arc<str>> = Vec::new();
+        let mut seen_again: Vec<Arc<str>> = Vec::new();
         for heartbeat in heartbeats {
             let (id, sequence) = (&heartbeat.host, heartbeat.sequence);
             if self.hosts.apply_heartbeat(now, id, sequence) {
-                heard_again.push(id.clone());
+                seen_again.push(id.clone());
             }
         }
-        self.publish_hosts(now, &heard_again);
+        self.publish_hosts(now, &seen_again);
     }
 
     /// Asks a peer for the ranges in which its hosts differ from the ones here (anti-entropy).
--- a/crates/gateway/controller/src/admin.rs
+++ b/crates/gateway/controller/src/admin.rs
@@ -127,8 +127,8 @@
             quoted(&record.address),
             quoted(&record.zone),
             quoted(&state),
-            host.is_silent(),
-            now.since(host.last_heard_at()).as_millis() as f64 / 1000.0
+            host.is_timed_out(),
+            now.since(host.last_seen_at()).as_millis() as f64 / 1000.0
         )
     };
     format!("\"hosts\":{}", list(cluster.hosts().iter(), host))
