--- a/crates/gateway/controller/src/peer_sessions.rs
+++ b/crates/gateway/controller/src/peer_sessions.rs
@@ -1,8 +1,8 @@
 //! Sessions by the node on the other side, and which controllers are to be dialed.
 
-use rushcourse_messages::{Incarnation, Message, NodeId, Role};
+use rushcourse_messages::{Message, Role};
 use rushcourse_transport::{Dialer, Session, SessionFactory};
-use rushcourse_types::SessionId;
+use rushcourse_types::{Incarnation, NodeId, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
--- a/crates/gateway/controller/src/probes.rs
+++ b/crates/gateway/controller/src/probes.rs
@@ -2,8 +2,8 @@
 
 use crate::control_request::Responder;
 use rushcourse_cluster::ContactProbes;
-use rushcourse_messages::{NodeId, VotingSet};
-use rushcourse_types::{RequestToken, Ticket, Timestamp};
+use rushcourse_messages::VotingSet;
+use rushcourse_types::{NodeId, RequestToken, Ticket, Timestamp};
 use std::collections::BTreeMap;
 
 /// Why a probe is sent, and what waits for its end.
--- a/crates/gateway/controller/src/session_events.rs
+++ b/crates/gateway/controller/src/session_events.rs
@@ -4,9 +4,9 @@
 use crate::peer_sessions::SessionChange;
 use rushcourse_cluster as cluster;
 use rushcourse_consensus::{self as consensus, ClaimRequest};
-use rushcourse_messages::{Message, NodeId, Role};
+use rushcourse_messages::{Message, Role};
 use rushcourse_transport::{Session, SessionEvent};
-use rushcourse_types::SessionId;
+use rushcourse_types::{NodeId, SessionId};
 
 impl Controller {
     /// One event of a session.
--- a/crates/gateway/transport/tests/common/node.rs
+++ b/crates/gateway/transport/tests/common/node.rs
@@ -1,9 +1,9 @@
 //! A node: an address of loopback, what its sessions start from, and what happens on them.
 
 use super::TEST_TIMEOUT;
-use rushcourse_messages::{Handshake, Message, NodeId, PROTOCOL_VERSION, Role, encode};
+use rushcourse_messages::{Handshake, Message, PROTOCOL_VERSION, Role, encode};
 use rushcourse_transport::{Dialer, Session, SessionEvent, SessionFactory, accept_sessions};
-use rushcourse_types::Incarnation;
+use rushcourse_types::{Incarnation, NodeId};
 use std::net::Ipv4Addr;
 use tokio::io::AsyncWriteExt;
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
