--- a/crates/shared/policy/src/state.rs
+++ b/crates/shared/policy/src/state.rs
@@ -2,6 +2,7 @@
 //! files.
 
 mod attempts;
+mod candidates;
 mod hosts;
 mod outbox;
 mod proxies;
@@ -12,11 +13,12 @@
 mod zones;
 
 pub(crate) use attempts::AttemptTotals;
+pub(crate) use candidates::{Candidate, WarmingLimits};
 pub(crate) use hosts::{ChannelHost, HostList, ListedHost, WithdrawalOrder, WithdrawalRepeat};
 pub(crate) use outbox::{Outbox, ProxyLines, UnackedBatch, UpdateCost};
 pub(crate) use proxies::{GroupBinding, ModeledEndpoint, Proxy, ProxyRegistry};
 pub(crate) use reports::HostReports;
 pub(crate) use table_set::{Admission, ClassGroup, Table, TableKey, TableSet};
 pub(crate) use updates::{PlannedUpdate, TableStatus, URGENT, Update, UpdatePlan};
-pub(crate) use verdicts::{Candidate, Derating, HostVerdicts, Outlier, WarmingLimits};
+pub(crate) use verdicts::{Derating, HostVerdicts, Outlier};
 pub(crate) use zones::{CrossZoneWeights, ZoneBalance, ZonePressure, ZoneState};
