--- a/crates/director/director-protocol/src/discovery.rs
+++ b/crates/director/director-protocol/src/discovery.rs
@@ -1,67 +1,109 @@
-//! Discovery's list of hosts. Every entry is read on its own: one that can't be read does not cost the others.
+//! Discovery's list of hosts. Each entry is read by itself: one that can't be read does not cost the others.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
+use std::fmt;
+use std::time::Duration;
 
-/// An answer of discovery, or the list in the configuration.
+/// The path of the complete list.
+pub const LIST_PATH: &str = "/v1/endpoints";
+
+/// The path of a watch, which is answered once there is something newer than a revision, or after `wait`.
+pub fn watch_path(revision: u64, wait: Duration) -> String {
+    format!("{LIST_PATH}?after={revision}&wait_ms={}", wait.as_millis())
+}
+
+/// An answer of discovery, or the list within a configuration.
 #[derive(Deserialize, Debug)]
-pub struct Listing<'a> {
+pub struct EndpointList<'a> {
+    /// Numbers the list's changes.
     pub revision: u64,
-    pub complete: bool,
+    /// Whether all hosts are in it, or only those that changed.
+    #[serde(rename = "complete")]
+    pub is_complete: bool,
     #[serde(borrow)]
     members: Vec<&'a RawValue>,
 }
 
-/// One host.
+/// A host as listed.
 #[derive(Deserialize, Debug, Clone)]
-pub struct Member<'a> {
+pub struct ListedHost<'a> {
+    /// Its name, the same for all directors.
     #[serde(borrow)]
     pub id: Cow<'a, str>,
-    #[serde(borrow, default)]
-    pub host_port: Cow<'a, str>,
-    #[serde(borrow, default)]
-    pub locality: Cow<'a, str>,
-    #[serde(default, deserialize_with = "figure")]
+    /// Where this director reaches it (`host_port`).
+    #[serde(borrow, default, rename = "host_port")]
+    pub address: Cow<'a, str>,
+    /// The name of its zone (`locality`).
+    #[serde(borrow, default, rename = "locality")]
+    pub zone: Cow<'a, str>,
+    /// The group of hosts that recognize each other's repeated requests.
+    #[serde(default, deserialize_with = "number_or_zero")]
     pub cell: f64,
+    /// `Ready`, `Terminating` or `Gone`.
     #[serde(borrow)]
     pub phase: Cow<'a, str>,
-    #[serde(default, deserialize_with = "figure")]
-    pub size: f64,
-    #[serde(default, deserialize_with = "figure")]
-    pub up_since_ms: f64,
+    /// Its weight beside other hosts (`size`).
+    #[serde(default, rename = "size", deserialize_with = "number_or_zero")]
+    pub weight: f64,
+    /// Its last start as Unix time in milliseconds (`up_since_ms`); 0 for long ago.
+    #[serde(default, rename = "up_since_ms", deserialize_with = "number_or_zero")]
+    pub started_at: f64,
 }
 
-/// A figure; 0 for anything else, as where it is null.
-fn figure<'de, D: serde::Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
-    Ok(serde_json::Value::deserialize(from)?
-        .as_f64()
-        .unwrap_or(0.0))
+/// A number; 0 for any other value, null included: an odd figure does not cost the entry.
+fn number_or_zero<'de, D: serde::Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
+    let value = serde_json::Value::deserialize(from)?;
+    Ok(value.as_f64().unwrap_or(0.0))
 }
 
-impl<'a> Listing<'a> {
-    /// The entries, or why one can't be used. An id must be a word that the relay can read back.
-    pub fn members(&self) -> impl Iterator<Item = Result<Member<'a>, String>> + '_ {
-        self.members.iter().map(|raw| {
-            let m: Member<'a> = serde_json::from_str(raw.get()).map_err(|e| e.to_string())?;
-            let odd = |c: char| c.is_whitespace() || c.is_control() || c == ',' || c == ';';
-            if m.id.is_empty() || m.id.contains(odd) {
-                Err(format!("id {:?} is no word", m.id))
-            } else {
-                Ok(m)
-            }
-        })
+/// Why an entry of a list can't be used.
+#[derive(Debug)]
+pub enum EntryError {
+    /// A field is missing or of another type.
+    Malformed(serde_json::Error),
+    /// The host's name is empty, or could not be read back by the relay.
+    InvalidId(String),
+}
+
+impl fmt::Display for EntryError {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            EntryError::Malformed(error) => error.fmt(f),
+            EntryError::InvalidId(id) => write!(f, "id {id:?} is no word"),
+        }
     }
 }
 
-pub fn decode(body: &[u8]) -> Result<Listing<'_>, serde_json::Error> {
-    serde_json::from_slice(body)
+impl std::error::Error for EntryError {
+    fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
+        match self {
+            EntryError::Malformed(error) => Some(error),
+            EntryError::InvalidId(_) => None,
+        }
+    }
 }
 
-/// The path of the whole list.
-pub const WHOLE: &str = "/v1/endpoints";
+impl<'a> EndpointList<'a> {
+    /// The entries, each by itself. A host's name has to be one word in the relay's orders.
+    pub fn hosts(&self) -> impl Iterator<Item = Result<ListedHost<'a>, EntryError>> + '_ {
+        let separates = |c: char| c.is_whitespace() || c.is_control() || c == ',' || c == ';';
+        self.members.iter().map(move |raw| {
+            let host: ListedHost<'a> =
+                serde_json::from_str(raw.get()).map_err(EntryError::Malformed)?;
+            if host.id.is_empty() || host.id.contains(separates) {
+                return Err(EntryError::InvalidId(host.id.into_owned()));
+            }
+            Ok(host)
+        })
+    }
+}
 
-/// The path of a watch for what is newer than a revision.
-pub fn watch(after: u64, wait_ms: u64) -> String {
-    format!("{WHOLE}?after={after}&wait_ms={wait_ms}")
+/// Reads a list.
+///
+/// # Errors
+/// The bytes are no JSON object with `revision`, `complete` and `members`.
+pub fn decode(body: &[u8]) -> Result<EndpointList<'_>, serde_json::Error> {
+    serde_json::from_slice(body)
 }
--- /dev/null
+++ b/crates/director/director-protocol/src/load_report.rs
@@ -0,0 +1,54 @@
+//! A host's load report: an object within what collectors forward, a line of text from the host itself. Values of
+//! unknown names are skipped; one value out of range, of a known name, makes the whole report invalid.
+
+use rushcourse_policy::interface::HostLoad;
+use serde_json::Value;
+use serde_json::value::RawValue;
+
+/// No host has more requests, or more load on its processors, than this.
+const MAX_VALUE: f64 = 1e6;
+
+/// Sets the value of a name; nothing if the value is out of range.
+fn set_value(load: &mut HostLoad, name: &str, value: Option<f64>) -> Option<()> {
+    let field = match name {
+        "util" => &mut load.cpu_utilization,
+        "queue" => &mut load.queued,
+        "inflight" => &mut load.in_flight,
+        _ => return Some(()),
+    };
+    *field = Some(value.filter(|value| (0.0..=MAX_VALUE).contains(value))?);
+    Some(())
+}
+
+/// The report within a collector's message, empty where there is none; nothing if it is invalid.
+pub fn from_json(raw: Option<&RawValue>) -> Option<HostLoad> {
+    let mut load = HostLoad::default();
+    match raw.map_or(Ok(Value::Null), |raw| serde_json::from_str(raw.get())) {
+        Ok(Value::Null) => {}
+        Ok(Value::Object(fields)) => {
+            for (name, value) in &fields {
+                set_value(&mut load, name, value.as_f64())?;
+            }
+        }
+        _ => return None,
+    }
+    Some(load)
+}
+
+/// The report in a host's answer, as `TEXT inflight=7, queue=2, util=0.61`; empty if it is invalid.
+pub fn from_text(body: &[u8]) -> HostLoad {
+    let text = String::from_utf8_lossy(body);
+    let pairs = text
+        .trim()
+        .strip_prefix("TEXT")
+        .unwrap_or("")
+        .split(',')
+        .filter_map(|pair| pair.split_once('='));
+    let mut load = HostLoad::default();
+    for (name, value) in pairs {
+        if set_value(&mut load, name.trim(), value.trim().parse().ok()).is_none() {
+            return HostLoad::default();
+        }
+    }
+    load
+}
--- a/crates/director/director-protocol/src/relay.rs
+++ b/crates/director/director-protocol/src/relay.rs
@@ -1,180 +1,237 @@
-//! The relay's lines of text: calls with orders, their answers, and news of proxies.
+//! The relay's lines of text: calls with orders, the replies to them, and notifications about proxies.
 
-use rushcourse_policy::interface::{Action, Channel, ClassId};
-use std::fmt::Write;
+use rushcourse_policy::interface::{AckNumber, Action, Channel, ClassMask, Ms, ProxyId, TableId};
+use std::fmt;
 
 /// A call carries at most so many bytes of orders.
-pub const ORDERS_MOST: usize = 60_000;
+pub const MAX_ORDER_BYTES: usize = 60_000;
 /// No line of the relay is longer.
-pub const LINE_MOST: usize = 64 * 1024;
-/// The table that stands for all of them in a level.
-const ALL_TABLES: u32 = 65_535;
-
-/// The classes that a mask names.
-pub fn named(mask: u32, classes: &[String]) -> Vec<&str> {
-    let in_mask = |k: &ClassId| mask >> k & 1 == 1;
-    (0..classes.len())
-        .filter(in_mask)
-        .map(|k| classes[k].as_str())
+pub const MAX_LINE_BYTES: usize = 64 * 1024;
+/// The line that asks for notifications.
+pub const WATCH_REQUEST: &str = "WATCH\r\n";
+
+/// The table that stands for all of them in an admission level.
+const ALL_TABLES: TableId = 65_535;
+/// How an order begins that asks proxies to acknowledge a call.
+const ACK_REQUEST: &str = "mark,";
+
+/// The classes of a mask, by their names.
+pub fn class_names(mask: ClassMask, classes: &[String]) -> Vec<&str> {
+    classes
+        .iter()
+        .enumerate()
+        .filter(|(class, _)| mask >> class & 1 == 1)
+        .map(|(_, name)| name.as_str())
         .collect()
 }
 
-/// Writes an action as an order; `None` for an action that is none of the relay's, which is the shared channel.
-pub fn order(action: &Action, classes: &[String]) -> Option<String> {
-    let own = |table: &u32| Channel::of(*table) == Channel::Dedicated;
-    let words = |mask: u32| match named(mask, classes) {
-        some if mask != 0 && some.len() < classes.len() => some.join("+"),
-        _ => "*".into(),
-    };
-    let mut out = String::new();
-    let written = match action {
-        Action::SetEndpoint { table, .. } | Action::ClearTable { table } if own(table) => {
-            return None;
-        }
-        Action::BindProxy { table, .. } | Action::SetAdmission { table, .. } if own(table) => {
+/// One order of a call, as the relay reads it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Order(String);
+
+impl Order {
+    /// Writes an action as an order. Nothing for an action that is not the relay's: it carries the shared channel alone.
+    pub fn encode(action: &Action, classes: &[String]) -> Option<Order> {
+        if channel(action)? == Channel::Dedicated {
             return None;
         }
-        Action::SetWithdrawn {
-            channel: Channel::Dedicated,
-            ..
-        } => return None,
-        Action::SetEndpoint {
-            table,
-            host,
-            weight,
-        } => write!(out, "share,{table},{host},{weight}"),
-        Action::ClearTable { table } => write!(out, "clear,{table}"),
-        Action::BindProxy {
-            proxy,
-            table,
-            classes,
-        } => write!(out, "bind,{proxy},{table},{}", words(*classes)),
-        Action::SetWithdrawn {
-            host,
-            is_withdrawn: true,
-            ..
-        } => write!(out, "withdraw,{host}"),
-        Action::SetWithdrawn {
-            host,
-            is_withdrawn: false,
-            ..
-        } => write!(out, "restore,{host}"),
-        Action::SetAdmission {
-            table,
-            classes,
-            quota,
-            retry_policy: again,
-        } => {
-            let table = if *table == ALL_TABLES {
-                "*".into()
-            } else {
-                table.to_string()
-            };
-            write!(
-                out,
-                "admit,{table},{},{quota},{}",
-                words(*classes),
-                *again as u8
-            )
-        }
-        Action::RequestAck { ack_number: number } => write!(out, "mark,{number},0"),
+        let order = match action {
+            Action::SetEndpoint {
+                table,
+                host,
+                weight,
+            } => format!("share,{table},{host},{weight}"),
+            Action::ClearTable { table } => format!("clear,{table}"),
+            Action::BindProxy {
+                proxy,
+                table,
+                classes: mask,
+            } => format!("bind,{proxy},{table},{}", class_list(*mask, classes)),
+            Action::SetWithdrawn {
+                host, is_withdrawn, ..
+            } => {
+                let verb = if *is_withdrawn { "withdraw" } else { "restore" };
+                format!("{verb},{host}")
+            }
+            Action::SetAdmission {
+                table,
+                classes: mask,
+                quota,
+                retry_policy,
+            } => format!(
+                "admit,{},{},{quota},{}",
+                table_word(*table),
+                class_list(*mask, classes),
+                *retry_policy as u8
+            ),
+            Action::RequestAck { ack_number } => format!("{ACK_REQUEST}{ack_number},0"),
+            Action::StartTimer { .. }
+            | Action::CheckHealth { .. }
+            | Action::BroadcastToPeers { .. }
+            | Action::SubscribeToHosts
+            | Action::Log { .. } => return None,
+        };
+        Some(Order(order))
+    }
+
+    /// The order's text.
+    pub fn as_str(&self) -> &str {
+        &self.0
+    }
+
+    /// Whether it asks the proxies that the call reaches to acknowledge it.
+    pub fn is_ack_request(&self) -> bool {
+        self.0.starts_with(ACK_REQUEST)
+    }
+}
+
+impl fmt::Display for Order {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(&self.0)
+    }
+}
+
+/// The channel whose proxies an action reaches; nothing for an action that reaches none.
+fn channel(action: &Action) -> Option<Channel> {
+    match action {
+        Action::SetEndpoint { table, .. }
+        | Action::ClearTable { table }
+        | Action::BindProxy { table, .. }
+        | Action::SetAdmission { table, .. } => Some(Channel::of(*table)),
+        Action::SetWithdrawn { channel, .. } => Some(*channel),
+        Action::RequestAck { .. } => Some(Channel::Shared),
         Action::StartTimer { .. }
         | Action::CheckHealth { .. }
         | Action::BroadcastToPeers { .. }
         | Action::SubscribeToHosts
-        | Action::Log { .. } => return None,
-    };
-    written.is_ok().then_some(out)
+        | Action::Log { .. } => None,
+    }
 }
 
-/// The line of a call.
-pub fn call(orders: &[String]) -> String {
-    format!("APPLY {}\r\n", orders.join(";"))
+/// Classes as an order names them.
+fn class_list(mask: ClassMask, classes: &[String]) -> String {
+    let names = class_names(mask, classes);
+    if mask != 0 && names.len() < classes.len() {
+        names.join("+")
+    } else {
+        "*".into()
+    }
+}
+
+/// A table as an admission level names it.
+fn table_word(table: TableId) -> String {
+    if table == ALL_TABLES {
+        "*".into()
+    } else {
+        table.to_string()
+    }
 }
 
-/// The line that asks for news.
-pub const WATCH: &str = "WATCH\r\n";
+/// The line of a call.
+pub fn encode_call(orders: &[Order]) -> String {
+    let texts: Vec<&str> = orders.iter().map(Order::as_str).collect();
+    format!("APPLY {}\r\n", texts.join(";"))
+}
 
-/// What the relay says to a call or to `WATCH`.
+/// What the relay replies to a call or to [`WATCH_REQUEST`].
 #[derive(Debug, PartialEq, Eq)]
-pub enum Answer {
-    /// It was carried out; so many orders, counted from the first, were taken.
-    Taken(usize),
-    /// `OK` with no number: news follows.
+pub enum Reply {
+    /// The call was carried out; so many orders, counted from the first, were accepted.
+    Accepted(usize),
+    /// `OK` without a number: notifications follow.
     Watching,
-    /// Turned away before the run: nothing was carried out.
+    /// Rejected before the run: nothing was carried out.
     Busy,
     /// The relay reads no call in it: nothing was carried out.
-    Refused,
+    SyntaxError,
+    /// None of these.
     Unreadable,
 }
 
-pub fn answer(line: &str) -> Answer {
+/// Reads the relay's reply to a call or to [`WATCH_REQUEST`].
+pub fn parse_reply(line: &str) -> Reply {
     let mut words = line.split_ascii_whitespace();
-    let first = words.next().unwrap_or("");
-    match (first.trim_start_matches('-'), words.next(), words.next()) {
-        ("OK", None, None) => Answer::Watching,
+    let first = words.next().unwrap_or("").trim_start_matches('-');
+    match (first, words.next(), words.next()) {
+        ("OK", None, None) => Reply::Watching,
         // A count is digits alone: a sign is as odd as a word.
-        ("OK", Some(n), None) if n.bytes().all(|b| b.is_ascii_digit()) => {
-            n.parse().map_or(Answer::Unreadable, Answer::Taken)
+        ("OK", Some(count), None) if count.bytes().all(|byte| byte.is_ascii_digit()) => {
+            count.parse().map_or(Reply::Unreadable, Reply::Accepted)
         }
-        ("BUSY", ..) | ("ERR" | "ERROR", Some("BUSY"), _) => Answer::Busy,
-        ("SYNTAX", ..) | ("ERR" | "ERROR", Some("SYNTAX"), _) => Answer::Refused,
-        _ => Answer::Unreadable,
+        ("BUSY", ..) | ("ERR" | "ERROR", Some("BUSY"), _) => Reply::Busy,
+        ("SYNTAX", ..) | ("ERR" | "ERROR", Some("SYNTAX"), _) => Reply::SyntaxError,
+        _ => Reply::Unreadable,
     }
 }
 
-/// A line of news.
+/// What the relay tells of proxies to whoever watches.
 #[derive(Debug, PartialEq)]
-pub enum News<'a> {
-    Joined {
-        proxy: u32,
+pub enum Notification<'a> {
+    /// A proxy is joined.
+    ProxyJoined {
+        /// Its number.
+        proxy: ProxyId,
+        /// The name of its zone.
         zone: &'a str,
+        /// A rough figure of its requests a second.
         rate: f64,
-        fresh: bool,
+        /// It holds no table that was ordered.
+        is_fresh: bool,
     },
-    Left {
-        proxy: u32,
+    /// A proxy has left.
+    ProxyLeft {
+        /// Its number.
+        proxy: ProxyId,
     },
+    /// A proxy has applied a call and all before it.
     Applied {
-        proxy: u32,
-        mark: u16,
-        took: f64,
+        /// Its number.
+        proxy: ProxyId,
+        /// The number that the call asked to be acknowledged by.
+        ack_number: AckNumber,
+        /// Time from the call to its taking effect.
+        elapsed: Ms,
     },
-    Alive,
-    /// News of a kind that this program does not know.
-    Other,
+    /// Sent each second, so that silence shows that the relay is out of reach.
+    KeepAlive,
+    /// A notification of a kind that directors don't know.
+    Unknown,
 }
 
-/// `None`: no news, or news that can't be read.
-pub fn news(line: &str) -> Option<News<'_>> {
+/// Reads a notification; nothing if the line is none, or lacks what its kind has.
+pub fn parse_notification(line: &str) -> Option<Notification<'_>> {
     let words: Vec<&str> = line.strip_prefix('*')?.split_ascii_whitespace().collect();
-    let number = |word: &str| {
-        word.parse::<f64>()
-            .ok()
-            .filter(|v| v.is_finite() && *v >= 0.0)
-    };
     Some(match words.as_slice() {
-        [] => News::Alive,
-        ["joined", proxy, zone, rate, fresh, ..] => News::Joined {
+        [] => Notification::KeepAlive,
+        ["joined", proxy, zone, rate, is_fresh, ..] => Notification::ProxyJoined {
             proxy: proxy.parse().ok()?,
             zone,
-            rate: number(rate)?,
-            fresh: match *fresh {
-                "1" | "true" => true,
-                "0" | "false" => false,
-                _ => return None,
-            },
+            rate: parse_number(rate)?,
+            is_fresh: parse_flag(is_fresh)?,
         },
-        ["left", proxy, ..] => News::Left {
+        ["left", proxy, ..] => Notification::ProxyLeft {
             proxy: proxy.parse().ok()?,
         },
-        ["applied", proxy, mark, took, ..] => News::Applied {
+        ["applied", proxy, ack_number, elapsed, ..] => Notification::Applied {
             proxy: proxy.parse().ok()?,
-            mark: mark.parse().ok()?,
-            took: number(took)?,
+            ack_number: ack_number.parse().ok()?,
+            elapsed: parse_number(elapsed)?,
         },
         ["joined" | "left" | "applied", ..] => return None,
-        _ => News::Other,
+        _ => Notification::Unknown,
     })
 }
+
+/// A number that is finite and not below 0.
+fn parse_number(word: &str) -> Option<f64> {
+    let number: f64 = word.parse().ok()?;
+    (number.is_finite() && number >= 0.0).then_some(number)
+}
+
+fn parse_flag(word: &str) -> Option<bool> {
+    match word {
+        "1" | "true" => Some(true),
+        "0" | "false" => Some(false),
+        _ => None,
+    }
+}
--- a/crates/director/director-protocol/tests/properties.rs
+++ b/crates/director/director-protocol/tests/properties.rs
@@ -5,18 +5,18 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rushcourse_director_protocol::frames::{self, Message};
-use rushcourse_director_protocol::relay::{self, News};
-use rushcourse_director_protocol::{discovery, load};
+use rushcourse_director_protocol::relay::{self, Notification};
+use rushcourse_director_protocol::{discovery, load_report};
 use tokio_util::codec::{Decoder, LinesCodec};
 
-fn bytes(rng: &mut ChaCha8Rng, most: usize) -> Vec<u8> {
-    let n = rng.random_range(0..most);
-    // Half of them out of the letters that messages are made of.
+/// Random bytes; half of the time of the letters that messages are made of.
+fn random_bytes(rng: &mut ChaCha8Rng, max_length: usize) -> Vec<u8> {
+    let length = rng.random_range(0..max_length);
     let letters = b"{}[]\":,*OK 0123456789.-joinedleftapplied@type\r\n\\u";
-    let plain = rng.random_bool(0.5);
-    (0..n)
+    let is_plain = rng.random_bool(0.5);
+    (0..length)
         .map(|_| {
-            if plain {
+            if is_plain {
                 letters[rng.random_range(0..letters.len())]
             } else {
                 rng.random()
@@ -33,21 +33,21 @@
 }
 
 /// Feeds a stream in pieces of random length and collects what comes out.
-fn cut<D: Decoder>(rng: &mut ChaCha8Rng, codec: &mut D, stream: &[u8]) -> Vec<D::Item>
+fn decode_in_pieces<D: Decoder>(rng: &mut ChaCha8Rng, codec: &mut D, stream: &[u8]) -> Vec<D::Item>
 where
     D::Error: std::fmt::Debug,
 {
-    let (mut buffer, mut out, mut at) = (BytesMut::new(), Vec::new(), 0);
-    while at < stream.len() {
-        let n = rng.random_range(1..40).min(stream.len() - at);
-        buffer.extend_from_slice(&stream[at..at + n]);
-        at += n;
+    let (mut buffer, mut items, mut position) = (BytesMut::new(), Vec::new(), 0);
+    while position < stream.len() {
+        let end = stream.len().min(position + rng.random_range(1..40));
+        buffer.extend_from_slice(&stream[position..end]);
+        position = end;
         while let Some(item) = codec.decode(&mut buffer).expect("a legal stream") {
-            out.push(item);
+            items.push(item);
         }
     }
     assert!(buffer.is_empty());
-    out
+    items
 }
 
 #[test]
@@ -59,9 +59,9 @@
             .collect();
         let stream: String = lines.iter().map(|l| format!("{l}\r\n")).collect();
         assert_eq!(
-            cut(
+            decode_in_pieces(
                 &mut rng,
-                &mut LinesCodec::new_with_max_length(relay::LINE_MOST),
+                &mut LinesCodec::new_with_max_length(relay::MAX_LINE_BYTES),
                 stream.as_bytes()
             ),
             lines
@@ -73,13 +73,13 @@
 fn arbitrary_bytes_never_panic() {
     let mut rng = ChaCha8Rng::seed_from_u64(13);
     for _ in 0..20_000 {
-        let raw = bytes(&mut rng, 200);
+        let raw = random_bytes(&mut rng, 200);
         _ = frames::decode(&raw);
-        _ = discovery::decode(&raw).map(|list| list.members().count());
-        _ = load::text(&raw);
+        _ = discovery::decode(&raw).map(|list| list.hosts().count());
+        _ = load_report::from_text(&raw);
         let text = String::from_utf8_lossy(&raw);
         for line in text.lines() {
-            _ = (relay::answer(line), relay::news(line));
+            _ = (relay::parse_reply(line), relay::parse_notification(line));
         }
     }
 }
@@ -100,60 +100,75 @@
             raw[at] = rng.random();
         }
         _ = frames::decode(&raw);
-        _ = discovery::decode(&raw).map(|list| list.members().filter(Result::is_ok).count());
+        _ = discovery::decode(&raw).map(|list| list.hosts().filter(Result::is_ok).count());
     }
 }
 
+/// A rate of requests: eighths are exact in any reader of decimal numbers.
+fn rate(rng: &mut ChaCha8Rng) -> f64 {
+    f64::from(rng.random_range(0..4000u32)) / 8.0
+}
+
 #[test]
-fn what_is_encoded_is_decoded_again() {
+fn notifications_are_read_back_as_they_were_written() {
     let mut rng = ChaCha8Rng::seed_from_u64(15);
     for _ in 0..2000 {
-        let (proxy, mark): (u32, u16) = (rng.random_range(0..65_535), rng.random());
-        let (zone, host, kind) = (word(&mut rng), word(&mut rng), word(&mut rng));
-        // Eighths are exact in any reader of decimal figures.
-        let (rate, n): (f64, u32) = (
-            f64::from(rng.random_range(0..4000u32)) / 8.0,
-            rng.random_range(0..10_000),
-        );
-        let fresh = rng.random_bool(0.5);
-        let line = format!("* joined {proxy} {zone} {rate} {}", u8::from(fresh));
+        let (proxy, ack_number): (u32, u16) = (rng.random_range(0..65_535), rng.random());
+        let (zone, rate, is_fresh) = (word(&mut rng), rate(&mut rng), rng.random_bool(0.5));
+        let line = format!("* joined {proxy} {zone} {rate} {}", u8::from(is_fresh));
         assert_eq!(
-            relay::news(&line),
-            Some(News::Joined {
+            relay::parse_notification(&line),
+            Some(Notification::ProxyJoined {
                 proxy,
                 zone: &zone,
                 rate,
-                fresh
+                is_fresh
             })
         );
-        let line = format!("* applied {proxy} {mark} {rate}");
+        let line = format!("* applied {proxy} {ack_number} {rate}");
         assert_eq!(
-            relay::news(&line),
-            Some(News::Applied {
+            relay::parse_notification(&line),
+            Some(Notification::Applied {
                 proxy,
-                mark,
-                took: rate
+                ack_number,
+                elapsed: rate
             })
         );
+    }
+}
+
+#[test]
+fn reports_are_read_back_as_they_were_written() {
+    let mut rng = ChaCha8Rng::seed_from_u64(16);
+    for _ in 0..2000 {
+        let (zone, host, class) = (word(&mut rng), word(&mut rng), word(&mut rng));
+        let (proxy, attempts): (u32, u32) =
+            (rng.random_range(0..65_535), rng.random_range(0..10_000));
+        let mean = rate(&mut rng);
         let json = format!(
-            r#"{{"@type":"heard","az":"{zone}","host":"{host}","n":{n},"bad":0,"avg":{rate},"window":1.0}}"#
+            r#"{{"@type":"heard","az":"{zone}","host":"{host}","n":{attempts},"bad":0,"avg":{mean},"window":1.0}}"#
         );
-        let Ok(Message::Heard(h)) = frames::decode(json.as_bytes()) else {
+        let Ok(Message::HostReport(report)) = frames::decode(json.as_bytes()) else {
             panic!("{json}")
         };
         assert_eq!(
-            (h.az.as_ref(), h.host.as_ref(), h.n, h.avg),
-            (&*zone, &*host, f64::from(n), Some(rate))
+            (
+                report.zone.as_ref(),
+                report.host.as_ref(),
+                report.attempts,
+                report.mean_latency
+            ),
+            (&*zone, &*host, f64::from(attempts), Some(mean))
         );
         let json = format!(
-            r#"{{"@type":"usage","sidecar":{proxy},"kind":"{kind}","n":{n},"bad":0,"window":1.0}}"#
+            r#"{{"@type":"usage","sidecar":{proxy},"kind":"{class}","n":{attempts},"bad":0,"window":1.0}}"#
         );
-        let Ok(Message::Usage(u)) = frames::decode(json.as_bytes()) else {
+        let Ok(Message::TrafficReport(report)) = frames::decode(json.as_bytes()) else {
             panic!("{json}")
         };
         assert_eq!(
-            (u.sidecar, u.kind.as_ref(), u.n),
-            (proxy, &*kind, f64::from(n))
+            (report.proxy, report.class.as_ref(), report.attempts),
+            (proxy, &*class, f64::from(attempts))
         );
     }
 }
--- a/crates/director/director-state/src/calls.rs
+++ b/crates/director/director-state/src/calls.rs
@@ -4,7 +4,7 @@
 use crate::boundary::{Link, Weight};
 use crate::relay_connection::{BUSY_WAIT, RelayConnection};
 use crate::step_context::StepContext;
-use rushcourse_director_protocol::relay::{self, Answer};
+use rushcourse_director_protocol::relay::{self, Order, Reply};
 use rushcourse_policy::interface::{Event, Ms};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
 
 #[derive(Debug)]
 struct Call {
-    orders: Vec<String>,
+    orders: Vec<Order>,
     /// The mark of its reply, also in the parts of a split one that don't bear it.
     mark: Option<u16>,
     /// When the first input that led to it came.
@@ -40,11 +40,7 @@
 impl Call {
     /// Whether it bears this mark: of the parts of a split reply only the last one does.
     fn bears(&self, mark: u16) -> bool {
-        self.mark == Some(mark)
-            && self
-                .orders
-                .last()
-                .is_some_and(|order| order.starts_with("mark,"))
+        self.mark == Some(mark) && self.orders.last().is_some_and(Order::is_ack_request)
     }
 }
 
@@ -137,7 +133,7 @@
             self.queue
                 .iter()
                 .flat_map(|c| &c.orders)
-                .map(String::len)
+                .map(|order| order.as_str().len())
                 .sum::<usize>()
         };
         let most = if others { OTHERS_FACTOR } else { 1 };
@@ -149,16 +145,16 @@
     pub fn push(
         &mut self,
         context: &mut StepContext,
-        orders: Vec<String>,
+        orders: Vec<Order>,
         mark: Option<u16>,
         born: Ms,
     ) {
-        let (mut parts, mut size): (Vec<Vec<String>>, usize) = (Vec::new(), 0);
+        let (mut parts, mut size): (Vec<Vec<Order>>, usize) = (Vec::new(), 0);
         for order in orders {
-            size += order.len() + 1;
+            size += order.as_str().len() + 1;
             match parts.last_mut() {
-                Some(part) if size <= relay::ORDERS_MOST => part.push(order),
-                _ => (size, _) = (order.len() + 1, parts.push(vec![order])),
+                Some(part) if size <= relay::MAX_ORDER_BYTES => part.push(order),
+                _ => (size, _) = (order.as_str().len() + 1, parts.push(vec![order])),
             }
         }
         let further = parts.len().saturating_sub(1);
@@ -278,8 +274,8 @@
             return;
         };
         let orders = self.queue.front().map_or(0, |c| c.orders.len());
-        match relay::answer(text) {
-            Answer::Taken(n) if n <= orders => {
+        match relay::parse_reply(text) {
+            Reply::Accepted(n) if n <= orders => {
                 context.counters.call_answer.add(context.now - sent);
                 self.connection.backoff.reset();
                 (self.unknown, self.taking) = (0, true);
@@ -288,7 +284,7 @@
             }
             // Once calls are taken, none is turned away, and ours can be read: such an answer is spoilt, and proves
             // nothing. Nothing is given up, so the model believes no line that was never sent to the end.
-            Answer::Busy | Answer::Refused if self.taking => {
+            Reply::Busy | Reply::SyntaxError if self.taking => {
                 context.counters.add("calls_refused", 1);
                 self.connection.drop(context);
                 self.unknown(
@@ -296,8 +292,8 @@
                     &format!("the relay takes calls, yet its answer is {text:.60?}"),
                 );
             }
-            answer @ (Answer::Busy | Answer::Refused) => {
-                let read = answer == Answer::Busy;
+            answer @ (Reply::Busy | Reply::SyntaxError) => {
+                let read = answer == Reply::Busy;
                 context
                     .counters
                     .add(if read { "calls_busy" } else { "calls_refused" }, 1);
@@ -311,7 +307,7 @@
                     });
                 }
             }
-            Answer::Taken(_) | Answer::Watching | Answer::Unreadable => {
+            Reply::Accepted(_) | Reply::Watching | Reply::Unreadable => {
                 self.connection.drop(context);
                 self.unknown(
                     context,
@@ -353,12 +349,15 @@
         if n < call.orders.len() {
             let rest = call.orders.split_off(n + 1);
             context.counters.add("orders_dropped", 1);
-            let bad = call.orders.pop().unwrap_or_default();
+            let bad = call
+                .orders
+                .pop()
+                .map_or_else(String::new, |order| order.to_string());
             context.note(Weight::Warning, "order dropped", || {
                 format!("the relay does not take {bad}")
             });
             // A mark alone reaches nobody.
-            if rest.iter().any(|order| !order.starts_with("mark,")) {
+            if rest.iter().any(|order| !order.is_ack_request()) {
                 self.queue.push_front(Call {
                     orders: rest,
                     sent: true,
@@ -429,7 +428,7 @@
                     } else {
                         context.counters.tick_to_call.add(now - call.born);
                     }
-                    let text = relay::call(&call.orders);
+                    let text = relay::encode_call(&call.orders);
                     self.connection.send(context, text);
                     self.state = waiting(now);
                 }
--- a/crates/director/director-state/src/listing.rs
+++ b/crates/director/director-state/src/listing.rs
@@ -3,13 +3,14 @@
 use crate::backoff::Backoff;
 use crate::boundary::{Effect, Weight};
 use crate::step_context::StepContext;
-use rushcourse_director_protocol::discovery::{self, Listing, Member};
+use rushcourse_director_protocol::discovery::{self, EndpointList, ListedHost};
 use rushcourse_policy::interface::{Event, HostEntry, HostId, HostListKind, Ms, Readiness};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// ms that a watch waits for something newer. What it has to tell counts as told 2 s later, come or not.
-const WAIT: u64 = 4000;
+const WAIT: Duration = Duration::from_millis(4000);
 /// ms beyond its wait after which a call is given up.
 const BEYOND: Ms = 700.0;
 /// ms between the end of a watch and the next for it to be continued.
@@ -112,7 +113,7 @@
         self.old_ask = None;
         match discovery::decode(body) {
             Ok(list) if list.revision > self.revision => {
-                let kind = if list.complete {
+                let kind = if list.is_complete {
                     HostListKind::Full
                 } else {
                     HostListKind::Delta
@@ -135,22 +136,22 @@
     }
 
     /// The list that the director had before its start: maybe old.
-    pub fn held(&mut self, context: &mut StepContext, list: &Listing, zones: &[String]) {
+    pub fn held(&mut self, context: &mut StepContext, list: &EndpointList, zones: &[String]) {
         self.give(context, list, HostListKind::Cached, zones);
     }
 
     fn give(
         &mut self,
         context: &mut StepContext,
-        list: &Listing,
+        list: &EndpointList,
         kind: HostListKind,
         zones: &[String],
     ) {
         let mut entries = Vec::new();
-        for member in list.members() {
+        for member in list.hosts() {
             let (read, id) = match member {
                 Ok(m) => (self.entry(&m, zones), m.id.to_string()),
-                Err(why) => (Err(why), String::new()),
+                Err(error) => (Err(error.to_string()), String::new()),
             };
             // An entry that can't be used leaves a host that is known as it was.
             let read = read.or_else(|why| {
@@ -174,7 +175,7 @@
         }
     }
 
-    fn entry(&self, m: &Member, zones: &[String]) -> Result<(HostEntry, String), String> {
+    fn entry(&self, m: &ListedHost, zones: &[String]) -> Result<(HostEntry, String), String> {
         let host: HostId = m.id.as_ref().into();
         let readiness = match m.phase.as_ref() {
             "Ready" => Some(Readiness::Ready),
@@ -182,26 +183,23 @@
             "Gone" => Some(Readiness::Gone),
             _ => None,
         };
-        let zone = zones.iter().position(|z| *z == m.locality);
+        let zone = zones.iter().position(|z| *z == m.zone);
         let before = self.known.get(&host);
         let zone = zone.or(before
             .filter(|_| readiness == Some(Readiness::Gone))
             .map(|k| k.0.zone));
         let (Some(readiness), Some(zone)) = (readiness, zone) else {
-            return Err(format!(
-                "{}: phase {:?}, zone {:?}",
-                m.id, m.phase, m.locality
-            ));
+            return Err(format!("{}: phase {:?}, zone {:?}", m.id, m.phase, m.zone));
         };
         let entry = HostEntry {
             host,
             zone,
             cell: m.cell as u32,
             readiness,
-            weight: m.size,
-            started_at: m.up_since_ms,
+            weight: m.weight,
+            started_at: m.started_at,
         };
-        Ok((entry, m.host_port.to_string()))
+        Ok((entry, m.address.to_string()))
     }
 
     pub fn listed(&mut self, context: &mut StepContext, ask: u64, body: &[u8], zones: &[String]) {
@@ -222,10 +220,10 @@
         self.backoff.reset();
         let (new, old) = (
             list.revision > self.revision,
-            list.revision < self.revision && !(self.moved && list.complete),
+            list.revision < self.revision && !(self.moved && list.is_complete),
         );
         self.old = if old { self.old + 1 } else { 0 };
-        if old && !(whole && list.complete && self.old >= OLD_MOST) {
+        if old && !(whole && list.is_complete && self.old >= OLD_MOST) {
             let held = self.revision;
             context.counters.add("lists_old", 1);
             context.note(Weight::Warning, "list old", || {
@@ -240,17 +238,17 @@
             return;
         }
         self.last = Some(context.now);
-        if list.complete {
+        if list.is_complete {
             (self.moved, self.old_ask) = (false, None);
         }
-        if list.complete && (new || whole) {
+        if list.is_complete && (new || whole) {
             self.give(context, &list, HostListKind::Full, zones);
         } else if new && !whole {
             self.give(context, &list, HostListKind::Delta, zones);
         } else if whole {
             return self.fail(context, "asked for the whole list, it told changes");
         }
-        (self.revision, self.whole) = (list.revision, self.whole && !list.complete);
+        (self.revision, self.whole) = (list.revision, self.whole && !list.is_complete);
         if !new && context.now - self.asked < EMPTY_WITHIN && !whole {
             self.state = State::Idle {
                 until: context.now + EMPTY_PAUSE,
@@ -284,11 +282,11 @@
                 self.whole |= self.last.is_none_or(|at| now - at > LATE);
                 (self.ask, self.asked) = (self.ask + 1, now);
                 let (path, wait) = if self.whole {
-                    (discovery::WHOLE.to_string(), 0)
+                    (discovery::LIST_PATH.to_string(), Duration::ZERO)
                 } else {
-                    (discovery::watch(self.revision, WAIT), WAIT)
+                    (discovery::watch_path(self.revision, WAIT), WAIT)
                 };
-                let within = wait as f64 + BEYOND;
+                let within = wait.as_millis() as f64 + BEYOND;
                 context.ask(Effect::List {
                     ask: self.ask,
                     at: self.at,
--- a/crates/director/director-state/src/news.rs
+++ b/crates/director/director-state/src/news.rs
@@ -3,7 +3,7 @@
 use crate::boundary::{Link, Weight};
 use crate::relay_connection::{BUSY_WAIT, RelayConnection};
 use crate::step_context::StepContext;
-use rushcourse_director_protocol::relay::{self, Answer, News};
+use rushcourse_director_protocol::relay::{self, Notification, Reply};
 use rushcourse_policy::interface::{Channel, Event, Ms, ProxyId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -142,9 +142,13 @@
     /// A line of the watch of before the reload.
     fn old_line(&mut self, context: &mut StepContext, text: &str, zones: &[String]) {
         let Some(old) = &mut self.old else { return };
-        let news = relay::news(text);
+        let news = relay::parse_notification(text);
         match news {
-            Some(News::Applied { proxy, mark, took }) => self.applied(context, proxy, mark, took),
+            Some(Notification::Applied {
+                proxy,
+                ack_number,
+                elapsed,
+            }) => self.applied(context, proxy, ack_number, elapsed),
             Some(_) if old.replaced => {}
             Some(news) => {
                 (old.until, self.last) = (context.now + SILENCE_MOST, context.now);
@@ -188,7 +192,7 @@
             self.state = State::Asked {
                 by: context.now + ANSWER_WITHIN,
             };
-            self.connection.send(context, relay::WATCH.into());
+            self.connection.send(context, relay::WATCH_REQUEST.into());
         }
     }
 
@@ -209,8 +213,8 @@
         }
         match self.state {
             State::Down { .. } | State::Connecting { .. } => {}
-            State::Asked { .. } => match relay::answer(text) {
-                Answer::Watching => {
+            State::Asked { .. } => match relay::parse_reply(text) {
+                Reply::Watching => {
                     (self.since, self.last) = (context.now, context.now);
                     self.named.clear();
                     // From here on who joined or left is told by this watch.
@@ -221,7 +225,7 @@
                         quiet: context.now + SILENCE_MOST,
                     };
                 }
-                Answer::Busy => {
+                Reply::Busy => {
                     self.connection.drop(context);
                     self.state = State::Down {
                         until: context.now + BUSY_WAIT,
@@ -229,7 +233,7 @@
                 }
                 _ => self.unreadable(context, text),
             },
-            State::Standing { .. } | State::Live { .. } => match relay::news(text) {
+            State::Standing { .. } | State::Live { .. } => match relay::parse_notification(text) {
                 Some(news) => self.take(context, news, zones),
                 None => self.unreadable(context, text),
             },
@@ -246,9 +250,9 @@
         );
     }
 
-    fn take(&mut self, context: &mut StepContext, news: News, zones: &[String]) {
+    fn take(&mut self, context: &mut StepContext, news: Notification, zones: &[String]) {
         let standing = matches!(self.state, State::Standing { .. });
-        if standing && !matches!(news, News::Joined { .. }) {
+        if standing && !matches!(news, Notification::ProxyJoined { .. }) {
             self.complete(context);
         }
         self.last = context.now;
@@ -276,13 +280,19 @@
         }
     }
 
-    fn live(&mut self, context: &mut StepContext, news: News, zones: &[String], standing: bool) {
+    fn live(
+        &mut self,
+        context: &mut StepContext,
+        news: Notification,
+        zones: &[String],
+        standing: bool,
+    ) {
         match news {
-            News::Joined {
+            Notification::ProxyJoined {
                 proxy,
                 zone,
                 rate,
-                fresh,
+                is_fresh,
             } => {
                 let Some(zone) = zones.iter().position(|z| z == zone) else {
                     context.counters.add("news_odd", 1);
@@ -291,9 +301,9 @@
                     });
                 };
                 self.named.insert(proxy);
-                self.join(context, standing, proxy, zone, rate, fresh);
+                self.join(context, standing, proxy, zone, rate, is_fresh);
             }
-            News::Left { proxy } => {
+            Notification::ProxyLeft { proxy } => {
                 if self.joined.remove(&proxy).is_some() {
                     context.event(Event::ProxyLeft {
                         proxy,
@@ -301,9 +311,13 @@
                     });
                 }
             }
-            News::Applied { proxy, mark, took } => self.applied(context, proxy, mark, took),
-            News::Alive => {}
-            News::Other => context.counters.add("news_odd", 1),
+            Notification::Applied {
+                proxy,
+                ack_number,
+                elapsed,
+            } => self.applied(context, proxy, ack_number, elapsed),
+            Notification::KeepAlive => {}
+            Notification::Unknown => context.counters.add("news_odd", 1),
         }
     }
 
--- a/crates/director/director-state/src/peers.rs
+++ b/crates/director/director-state/src/peers.rs
@@ -6,7 +6,7 @@
 use crate::reports::Known;
 use crate::step_context::StepContext;
 use bytes::Bytes;
-use rushcourse_director_protocol::frames::{self, Message};
+use rushcourse_director_protocol::frames::{self, Message, MessageError};
 use rushcourse_policy::interface::Ms;
 use std::collections::BTreeMap;
 
@@ -17,6 +17,9 @@
 /// ms of silence after which a collector may be closed for another one that joins: it reports each second.
 const SILENT: Ms = 5000.0;
 
+/// What a peer is told that says anything but a ping before it has joined.
+const NOT_SERVED: &str = "only a collector of a known zone is served";
+
 /// Where a peer stands. Who is closed is forgotten.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Standing {
@@ -135,11 +138,17 @@
         let joined = peer.standing == Standing::Collector;
         let message = match frames::decode(bytes) {
             Ok(message) => message,
-            Err(e) => {
+            Err(MessageError::NotAnObject(e)) => {
                 context.counters.add("frames_malformed", 1);
                 context.note(Weight::Info, "message", || format!("no JSON object ({e})"));
                 return self.refuse(context, conn, "a message can't be read");
             }
+            Err(MessageError::InvalidField(_)) if !joined => {
+                return self.refuse(context, conn, NOT_SERVED);
+            }
+            Err(MessageError::InvalidField(name)) => {
+                return Self::skipped(context, "fields_spoilt", name, bytes);
+            }
         };
         let event = match message {
             Message::Ping => {
@@ -148,30 +157,31 @@
                     bytes: frames::pong(),
                 });
             }
-            Message::Collector { zone } if known.zone(&zone).is_some() => {
+            Message::RegisterCollector { zone } if known.zone(&zone).is_some() => {
                 if !joined {
                     self.join(context, conn, &zone);
                 }
                 return;
             }
             _ if !joined => {
-                return self.refuse(context, conn, "only a collector of a known zone is served");
+                return self.refuse(context, conn, NOT_SERVED);
+            }
+            Message::RegisterCollector { .. } => {
+                Err(("messages_odd", "collector of an unknown zone"))
             }
-            Message::Collector { .. } => Err(("messages_odd", "collector of an unknown zone")),
             // Its last reports may come after the list has forgotten it.
-            Message::Heard(h) => match (known.host)(&h.host) {
+            Message::HostReport(h) => match (known.host)(&h.host) {
                 None => return context.counters.add("heard_unlisted", 1),
                 Some(host) => known
                     .heard(h, host)
                     .map(|e| ("reports_heard", e))
                     .map_err(|why| ("heard_spoilt", why)),
             },
-            Message::Usage(u) => known
+            Message::TrafficReport(u) => known
                 .usage(u)
                 .map(|e| ("reports_usage", e))
                 .map_err(|why| ("usage_spoilt", why)),
-            Message::Other(_) => Err(("messages_odd", "of a kind that is no report")),
-            Message::Spoilt(field) => Err(("fields_spoilt", field)),
+            Message::Unknown(_) => Err(("messages_odd", "of a kind that is no report")),
         };
         match event {
             Ok((count, event)) => {
@@ -179,15 +189,17 @@
                 context.event(event);
             }
             // The messages around it are good.
-            Err((count, why)) => {
-                context.counters.add(count, 1);
-                context.note(Weight::Info, "report skipped", || {
-                    format!("{why}: {}", String::from_utf8_lossy(bytes))
-                });
-            }
+            Err((count, why)) => Self::skipped(context, count, why, bytes),
         }
     }
 
+    fn skipped(context: &mut StepContext, count: &'static str, why: &str, bytes: &Bytes) {
+        context.counters.add(count, 1);
+        context.note(Weight::Info, "report skipped", || {
+            format!("{why}: {}", String::from_utf8_lossy(bytes))
+        });
+    }
+
     /// It becomes a collector. Where there are too many, it takes the place of one that is long silent.
     fn join(&mut self, context: &mut StepContext, conn: Conn, zone: &str) {
         let now = context.now;
--- a/crates/director/director-state/src/probes.rs
+++ b/crates/director/director-state/src/probes.rs
@@ -2,7 +2,7 @@
 
 use crate::boundary::{Effect, Weight};
 use crate::step_context::StepContext;
-use rushcourse_director_protocol::load;
+use rushcourse_director_protocol::load_report;
 use rushcourse_policy::interface::{Event, HostId, LoadSource, Ms, Settings};
 use std::collections::{BTreeSet, VecDeque};
 
@@ -62,7 +62,7 @@
                 host,
                 elapsed: took,
                 is_answered: ok,
-                load: load::text(body),
+                load: load_report::from_text(body),
             });
         }
         self.advance(context, s);
--- a/crates/director/director-state/src/reports.rs
+++ b/crates/director/director-state/src/reports.rs
@@ -1,6 +1,6 @@
 //! The one place that looks at reports: a report reaches the module whole or not at all, as it came.
 
-use rushcourse_director_protocol::frames::{Heard, Usage};
+use rushcourse_director_protocol::frames::{HostReport, TrafficReport};
 use rushcourse_director_settings::{Names, figures};
 use rushcourse_policy::interface::{Event, HostId, Settings};
 
@@ -18,50 +18,50 @@
     }
 
     /// What was met at a listed host.
-    pub fn heard(&self, h: Heard, host: HostId) -> Result<Event, &'static str> {
-        let zone = self.zone(&h.az).ok_or("az is no known zone")?;
-        if let Some(why) = figures::spoilt(h.n, h.bad, h.window) {
+    pub fn heard(&self, h: HostReport, host: HostId) -> Result<Event, &'static str> {
+        let zone = self.zone(&h.zone).ok_or("az is no known zone")?;
+        if let Some(why) = figures::spoilt(h.attempts, h.failed, h.span) {
             return Err(why);
         }
         // Of its tries; of a usage report it is not part of `n`: what fails was let in earlier, or not at all.
-        if h.bad > h.n {
+        if h.failed > h.attempts {
             return Err("bad is more than n");
         }
-        let mean = match h.avg {
+        let mean = match h.mean_latency {
             Some(avg) if figures::is_mean(avg, self.settings) => avg,
-            None if h.bad >= h.n => 0.0,
+            None if h.failed >= h.attempts => 0.0,
             _ => return Err("avg is out of range"),
         };
         Ok(Event::HostReported {
             zone,
             host,
-            attempts: h.n,
-            failed: h.bad,
+            attempts: h.attempts,
+            failed: h.failed,
             mean_latency: mean,
-            span: h.window,
+            span: h.span,
             load: h.load,
         })
     }
 
-    pub fn usage(&self, u: Usage) -> Result<Event, &'static str> {
+    pub fn usage(&self, u: TrafficReport) -> Result<Event, &'static str> {
         let class = self
             .names
             .classes
             .iter()
-            .position(|c| *c == u.kind)
+            .position(|c| *c == u.class)
             .ok_or("kind is no known class")?;
         let proxies = self.settings.fleet.proxies;
-        if proxies > 0 && u.sidecar as usize >= proxies {
+        if proxies > 0 && u.proxy as usize >= proxies {
             return Err("sidecar is no proxy");
         }
-        match figures::spoilt(u.n, u.bad, u.window) {
+        match figures::spoilt(u.attempts, u.failed, u.span) {
             Some(why) => Err(why),
             None => Ok(Event::TrafficReported {
-                proxy: u.sidecar,
+                proxy: u.proxy,
                 class,
-                attempts: u.n,
-                failed: u.bad,
-                span: u.window,
+                attempts: u.attempts,
+                failed: u.failed,
+                span: u.span,
             }),
         }
     }
--- a/crates/director/director-state/src/session.rs
+++ b/crates/director/director-state/src/session.rs
@@ -14,7 +14,7 @@
 use crate::step_context::{self, StepContext};
 use crate::streams;
 use bytes::Bytes;
-use rushcourse_director_protocol::{discovery, relay};
+use rushcourse_director_protocol::{discovery, relay::Order};
 use rushcourse_director_settings::Names;
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{Action, DirectorView, Event, Ms, Settings};
@@ -446,7 +446,7 @@
         let actions = self.director.handle(now, events);
         self.streams.iter_mut().for_each(|s| s.reply(now, &actions));
         for action in actions {
-            if let Some(order) = relay::order(&action, &self.names.classes) {
+            if let Some(order) = Order::encode(&action, &self.names.classes) {
                 orders.push(order);
             }
             match action {
@@ -472,13 +472,10 @@
             }
         }
         // An answer to the mark proves the whole call.
-        let ended = last.is_none()
-            || orders
-                .last()
-                .is_some_and(|order| order.starts_with("mark,"));
+        let ended = last.is_none() || orders.last().is_some_and(|order| order.is_ack_request());
         self.context.must(ended, "a mark ends its reply");
         // A mark alone reaches nobody.
-        let reaches = orders.iter().any(|order| !order.starts_with("mark,"));
+        let reaches = orders.iter().any(|order| !order.is_ack_request());
         if self.relay && reaches {
             self.calls.push(&mut self.context, orders, last, born);
         }
--- a/crates/director/director-state/tests/common/mod.rs
+++ b/crates/director/director-state/tests/common/mod.rs
@@ -242,7 +242,7 @@
                     turn,
                     text,
                 } => {
-                    assert_eq!(text, relay::WATCH);
+                    assert_eq!(text, relay::WATCH_REQUEST);
                     if self.relay_up {
                         let line = |text: String| Input::Line {
                             link: Link::News,
@@ -259,7 +259,7 @@
                     text,
                 } => {
                     assert!(!self.outstanding, "one call is in flight");
-                    assert!(text.ends_with("\r\n") && text.len() <= relay::ORDERS_MOST + 8);
+                    assert!(text.ends_with("\r\n") && text.len() <= relay::MAX_ORDER_BYTES + 8);
                     let text = text
                         .trim_end()
                         .strip_prefix("APPLY ")
--- a/crates/director/director/src/net/admin.rs
+++ b/crates/director/director/src/net/admin.rs
@@ -129,7 +129,7 @@
 fn tables(session: &Session) -> Value {
     let (view, names) = (session.view(), session.names());
     let zone = |z: usize| names.zones.get(z).cloned().unwrap_or_default();
-    let classes = |mask: u32| relay::named(mask, &names.classes);
+    let classes = |mask: u32| relay::class_names(mask, &names.classes);
     let proxies = view.proxies.iter().map(|p| {
         let lines = p.groups.iter().flat_map(|g| {
             g.endpoints.iter().map(move |e| {
--- a/crates/director/director/src/net/listener.rs
+++ b/crates/director/director/src/net/listener.rs
@@ -126,9 +126,9 @@
             return Ok(());
         }
         let most = if joined {
-            frames::MESSAGE_MOST
+            frames::MAX_MESSAGE_BYTES
         } else {
-            frames::FIRST_MOST
+            frames::MAX_UNREGISTERED_MESSAGE_BYTES
         };
         let message = async {
             read.read_exact(&mut head[1..]).await?;
--- a/crates/director/director/src/net/relay.rs
+++ b/crates/director/director/src/net/relay.rs
@@ -2,7 +2,7 @@
 
 use crate::events::{LoopEvent, LoopSender};
 use futures_util::StreamExt;
-use rushcourse_director_protocol::relay::LINE_MOST;
+use rushcourse_director_protocol::relay::MAX_LINE_BYTES;
 use rushcourse_director_state::{Input, Link};
 use std::net::SocketAddr;
 use tokio::io::AsyncWriteExt;
@@ -51,7 +51,7 @@
         return "the loop has ended".into();
     }
     let (read, mut write) = stream.split();
-    let mut lines = FramedRead::new(read, LinesCodec::new_with_max_length(LINE_MOST));
+    let mut lines = FramedRead::new(read, LinesCodec::new_with_max_length(MAX_LINE_BYTES));
     loop {
         tokio::select! {
             line = lines.next() => match line {
