--- a/crates/director/director-state/src/reports.rs
+++ b/crates/director/director-state/src/reports.rs
@@ -1,7 +1,7 @@
 //! The one place that looks at reports: a report reaches the module whole or not at all, as it came.
 
 use rushcourse_director_protocol::frames::{HostReport, TrafficReport};
-use rushcourse_director_settings::{Names, figures};
+use rushcourse_director_settings::{Names, report_limits};
 use rushcourse_policy::interface::{Event, HostId, Settings};
 
 /// What reports may speak of.
@@ -20,15 +20,13 @@
     /// What was met at a listed host.
     pub fn heard(&self, h: HostReport, host: HostId) -> Result<Event, &'static str> {
         let zone = self.zone(&h.zone).ok_or("az is no known zone")?;
-        if let Some(why) = figures::spoilt(h.attempts, h.failed, h.span) {
-            return Err(why);
-        }
+        report_limits::check_counts(h.attempts, h.failed, h.span).map_err(|e| e.reason())?;
         // Of its tries; of a usage report it is not part of `n`: what fails was let in earlier, or not at all.
         if h.failed > h.attempts {
             return Err("bad is more than n");
         }
         let mean = match h.mean_latency {
-            Some(avg) if figures::is_mean(avg, self.settings) => avg,
+            Some(avg) if report_limits::is_plausible_mean(avg, self.settings) => avg,
             None if h.failed >= h.attempts => 0.0,
             _ => return Err("avg is out of range"),
         };
@@ -54,9 +52,9 @@
         if proxies > 0 && u.proxy as usize >= proxies {
             return Err("sidecar is no proxy");
         }
-        match figures::spoilt(u.attempts, u.failed, u.span) {
-            Some(why) => Err(why),
-            None => Ok(Event::TrafficReported {
+        match report_limits::check_counts(u.attempts, u.failed, u.span) {
+            Err(error) => Err(error.reason()),
+            Ok(()) => Ok(Event::TrafficReported {
                 proxy: u.proxy,
                 class,
                 attempts: u.attempts,
--- a/crates/director/director-state/src/session.rs
+++ b/crates/director/director-state/src/session.rs
@@ -30,6 +30,8 @@
 pub struct Setup {
     pub settings: Settings,
     pub names: Names,
+    /// How long inputs are collected before the policy is asked.
+    pub batch_interval: Ms,
     pub places: Places,
     pub bounds: Bounds,
     /// Whether there is a relay: without one, proxies are reached by streams alone.
@@ -44,6 +46,7 @@
     director: Director,
     settings: Settings,
     names: Names,
+    batch_interval: Ms,
     known: Bytes,
     places: Places,
     reload: Reload,
@@ -80,6 +83,7 @@
             director: Director::new(setup.settings.clone()),
             settings: setup.settings,
             names: setup.names,
+            batch_interval: setup.batch_interval,
             known: setup.known,
             places: setup.places,
             reload: Reload::default(),
@@ -370,7 +374,7 @@
             self.status = now + STATUS_EVERY;
             self.say_status();
         }
-        let quantum = self.names.quantum;
+        let quantum = self.batch_interval;
         // While many calls wait, events wait too; but those that may not be dropped stay bounded as well.
         let others = !self.context.streamed.is_empty();
         let room = self.calls.has_room(others) || self.context.is_full();
--- a/crates/director/director-state/tests/common/mod.rs
+++ b/crates/director/director-state/tests/common/mod.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use rushcourse_director_protocol::relay;
-use rushcourse_director_settings::{Names, Options};
+use rushcourse_director_settings::{DeploymentSettings, Names};
 use rushcourse_director_state::{Bounds, Effect, Input, Link, Places, Reread, Session, Setup};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
     }
 }
 
-pub fn options() -> Options {
+pub fn options() -> DeploymentSettings {
     let text = r#"{
       "categories": [
         {"name": "look", "aim-ms": 1000.0, "deadline-ms": 3000.0, "worth": 2.0, "effect": "free"},
@@ -126,16 +126,16 @@
 }
 
 impl Stand {
-    pub fn with(options: Options) -> Stand {
+    pub fn with(options: DeploymentSettings) -> Stand {
         Stand::serving(options, None)
     }
 
-    pub fn serving(options: Options, streams: Option<rushcourse_xds::Rules>) -> Stand {
-        let names = Names::of(&options);
+    pub fn serving(options: DeploymentSettings, streams: Option<rushcourse_xds::Rules>) -> Stand {
         let known: Bytes = list(5, true, &fleet()).into();
         let setup = Setup {
-            names,
-            settings: rushcourse_director_settings::settings(options),
+            names: Names::from(&options),
+            batch_interval: options.batch_interval(),
+            settings: options.to_policy(),
             places: places(0),
             bounds: Bounds::of(32.0, 256),
             relay: true,
--- a/crates/director/director/src/config.rs
+++ b/crates/director/director/src/config.rs
@@ -3,7 +3,7 @@
 use crate::failure::Failure;
 use crate::fronts::{self, Opened};
 use bytes::Bytes;
-use rushcourse_director_settings::{Names, Options};
+use rushcourse_director_settings::{DeploymentSettings, Names};
 use rushcourse_director_state::{Places, Reread, Setup};
 use rushcourse_grpc::Serving;
 use serde::Deserialize;
@@ -124,11 +124,9 @@
         epoch: u64,
         opened: Opened,
     ) -> Result<Config, String> {
-        let settings: Options =
+        let settings: DeploymentSettings =
             serde_json::from_str(file.settings.get()).map_err(|e| format!("settings: {e}"))?;
-        if let Some(text) = rushcourse_director_settings::senseless(&settings) {
-            return Err(text);
-        }
+        settings.validate().map_err(|error| error.to_string())?;
         let address = |key: &str, value: &str| {
             value
                 .parse::<SocketAddr>()
@@ -160,8 +158,9 @@
             listen,
             name: file.name,
             setup: Setup {
-                names: Names::of(&settings),
-                settings: rushcourse_director_settings::settings(settings),
+                names: Names::from(&settings),
+                batch_interval: settings.batch_interval(),
+                settings: settings.to_policy(),
                 bounds: opened.bounds,
                 relay: opened.relay,
                 streams: opened.streams.map(|(rules, _)| rules),
--- a/crates/director/xds/src/loads.rs
+++ b/crates/director/xds/src/loads.rs
@@ -2,7 +2,7 @@
 
 use crate::boundary::LoadStats;
 use crate::resources::ResourceCache;
-use rushcourse_director_settings::figures;
+use rushcourse_director_settings::report_limits;
 use rushcourse_policy::interface::*;
 
 /// Report periods that a report may cover: what it tells of before is too old to judge anybody by.
@@ -93,7 +93,7 @@
         };
         let Some(span) = c
             .interval
-            .filter(|i| *i > 0.0 && *i <= figures::WINDOW_MOST)
+            .filter(|i| *i > 0.0 && *i <= report_limits::MAX_SPAN)
         else {
             return spoilt(
                 "loads_interval",
@@ -104,8 +104,8 @@
             return spoilt("loads_old", "it covers more than what is judged by");
         }
         let (let_in, failed) = (c.successes as f64 + c.errors as f64, c.errors as f64);
-        if let Some(why) = figures::spoilt(let_in, failed, span) {
-            return spoilt("loads_figures", why);
+        if let Err(error) = report_limits::check_counts(let_in, failed, span) {
+            return spoilt("loads_figures", error.reason());
         }
         events.push(Event::TrafficReported {
             proxy,
@@ -120,8 +120,8 @@
                 continue;
             };
             let (tries, failed) = (h.issued as f64, h.errors as f64);
-            if let Some(why) = figures::spoilt(tries, failed, span) {
-                return spoilt("loads_figures", &format!("{}: {why}", h.address));
+            if let Err(error) = report_limits::check_counts(tries, failed, span) {
+                return spoilt("loads_figures", &format!("{}: {error}", h.address));
             }
             if failed > tries {
                 return spoilt(
@@ -139,7 +139,7 @@
                     );
                 }
             };
-            if !figures::is_mean(mean, settings) {
+            if !report_limits::is_plausible_mean(mean, settings) {
                 return spoilt(
                     "loads_latency",
                     &format!("{}: {LATENCY} is out of range", h.address),
--- a/crates/director/xds/tests/common/mod.rs
+++ b/crates/director/xds/tests/common/mod.rs
@@ -50,7 +50,6 @@
     Names {
         zones: words(["east", "west"]),
         classes: words(["look", "pay"]),
-        quantum: 4.0,
     }
 }
 
--- a/crates/tools/bench-adapter/src/main.rs
+++ b/crates/tools/bench-adapter/src/main.rs
@@ -52,10 +52,7 @@
         directors.remove(&id);
     }
     if let Some(start) = part.start {
-        directors.insert(
-            id,
-            Director::new(rushcourse_director_settings::settings(start.options)),
-        );
+        directors.insert(id, Director::new(start.options.to_policy()));
     }
     match directors.get_mut(&id) {
         Some(director) => director.handle(now, part.events),
--- a/crates/tools/bench-adapter/src/wire.rs
+++ b/crates/tools/bench-adapter/src/wire.rs
@@ -1,6 +1,6 @@
 //! The wire's messages and their translation to the core's types. Names and units only.
 
-use rushcourse_director_settings::Options;
+use rushcourse_director_settings::DeploymentSettings;
 use rushcourse_policy::interface as core;
 use serde::{Deserialize, Serialize};
 
@@ -30,7 +30,7 @@
     /// Seeds random numbers. Decisions draw none, yet a start without it is malformed.
     #[serde(rename = "nonce64")]
     pub _seed: u64,
-    pub options: Options,
+    pub options: DeploymentSettings,
 }
 
 #[derive(Deserialize)]
--- a/crates/tools/bench-adapter/tests/fronts.rs
+++ b/crates/tools/bench-adapter/tests/fronts.rs
@@ -2,7 +2,7 @@
 //! through the protocol's codecs with the session of the real director, and the orders are compared.
 
 use bytes::Bytes;
-use rushcourse_director_settings::{Names, Options};
+use rushcourse_director_settings::{DeploymentSettings, Names};
 use rushcourse_director_state::{Bounds, Effect, Input, Link, Places, Session, Setup};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
@@ -337,7 +337,7 @@
 
 #[test]
 fn the_same_events_give_the_same_actions_through_both_fronts() {
-    let opts: Options = serde_json::from_value(options()).expect("options");
+    let opts: DeploymentSettings = serde_json::from_value(options()).expect("options");
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
     let setup = Setup {
         places: Places {
@@ -347,8 +347,9 @@
         bounds: Bounds::of(192.0, 1024),
         relay: true,
         streams: None,
-        names: Names::of(&opts),
-        settings: rushcourse_director_settings::settings(opts),
+        names: Names::from(&opts),
+        batch_interval: opts.batch_interval(),
+        settings: opts.to_policy(),
         known: Bytes::from(whole(1)),
     };
     let session = Session::new(setup);
--- a/crates/tools/simulation/src/world/setup.rs
+++ b/crates/tools/simulation/src/world/setup.rs
@@ -4,7 +4,7 @@
 use crate::check::Limits;
 use crate::proxy::Relay;
 use crate::script::{Phase, Proxy, Script};
-use rushcourse_director_settings::{Names, Options};
+use rushcourse_director_settings::{DeploymentSettings, Names};
 use rushcourse_director_state::{Bounds, Places, Session, Setup};
 use rushcourse_xds as xds;
 use serde_json::{Value, json};
@@ -16,7 +16,7 @@
     relay
 }
 
-fn options(script: &Script) -> Options {
+fn options(script: &Script) -> DeploymentSettings {
     let value = json!({
         "categories": [
             {"name": "look", "aim-ms": 1000.0, "deadline-ms": 3000.0, "worth": 2.0, "effect": "free"},
@@ -52,10 +52,10 @@
 pub(super) fn director(script: &Script, members: Vec<Value>, life: u64) -> Session {
     let options = options(script);
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let names = Names::of(&options);
     Session::new(Setup {
-        settings: rushcourse_director_settings::settings(options),
-        names,
+        settings: options.to_policy(),
+        names: Names::from(&options),
+        batch_interval: options.batch_interval(),
         places: Places {
             relay: at,
             discovery: at,
