--- a/crates/director/director/tests/common/mod.rs
+++ b/crates/director/director/tests/common/mod.rs
@@ -4,7 +4,7 @@
 use rushcourse_standin::collector::ping;
 use rushcourse_standin::discovery::Discovery;
 use rushcourse_standin::relay::Relay;
-use rushcourse_standin::story::until;
+use rushcourse_standin::wait::wait_until;
 use serde_json::Value;
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -133,7 +133,7 @@
         let discovery = Discovery::start(at("/discovery")).await.expect("discovery");
         ["h-1", "h-2"]
             .iter()
-            .for_each(|h| discovery.put(h, "east", "Ready", "127.0.0.1:1", 0.0));
+            .for_each(|h| discovery.set_host(h, "east", "Ready", "127.0.0.1:1", 0.0));
         let path = file("config.json", &config.to_string());
         let log = file("log", "");
         let fronts = fronts.map(|text| file("fronts.star", text));
@@ -155,7 +155,7 @@
             .as_ref()
             .is_some_and(|f| std::fs::read_to_string(f).is_ok_and(|t| t.contains("relay = False")));
         if relay {
-            until("it watches", || bench.relay.watchers() == 1)
+            wait_until("it watches", || bench.relay.watcher_count() == 1)
                 .await
                 .expect("a watch");
         }
@@ -173,8 +173,8 @@
     /// The same with proxy 0 joined and bound to both hosts.
     pub async fn bound() -> Bench {
         let bench = Bench::start().await;
-        bench.relay.join(0, "east", 5.0);
-        until("bound", || bench.relay.lines(0).len() == 2)
+        bench.relay.join_proxy(0, "east", 5.0);
+        wait_until("bound", || bench.relay.endpoints(0).len() == 2)
             .await
             .expect("bound");
         bench
@@ -202,13 +202,13 @@
     }
 
     pub async fn log_has(&self, text: &str) {
-        if let Err(e) = until(text, || self.logged().contains(text)).await {
+        if let Err(e) = wait_until(text, || self.logged().contains(text)).await {
             panic!("{e}; its log: {}", self.logged());
         }
     }
 
     pub async fn holds(&self, what: &str, holds: impl FnMut() -> bool) {
-        if let Err(e) = until(what, holds).await {
+        if let Err(e) = wait_until(what, holds).await {
             panic!("{e}; its log: {}", self.logged());
         }
     }
--- a/crates/director/director/tests/grpc.rs
+++ b/crates/director/director/tests/grpc.rs
@@ -67,7 +67,7 @@
         assert_eq!(relay.table("pay").again, "never");
         bench
             .discovery
-            .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+            .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
         bench
             .holds("withdrawn", || relay.lines("look").keys().eq(["h-1"]))
             .await;
@@ -91,14 +91,14 @@
         joined(&bench, at, start(3, false)).await,
         joined(&bench, at, start(4, true)).await,
     );
-    bench.relay.join(0, "east", 5.0);
+    bench.relay.join_proxy(0, "east", 5.0);
     bench
-        .holds("bound", || bench.relay.lines(0).len() == 2)
+        .holds("bound", || bench.relay.endpoints(0).len() == 2)
         .await;
     let scaled = || -> Vec<(String, u32)> {
         bench
             .relay
-            .lines(0)
+            .endpoints(0)
             .into_iter()
             .map(|(h, w)| (h, (w * 10_000.0).round() as u32))
             .collect()
@@ -116,10 +116,10 @@
         delta.lines("look")
     );
     // The relay is silent: nobody on a stream waits for it.
-    bench.relay.silence(true);
+    bench.relay.set_unreachable(true);
     bench
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
     bench
         .holds("withdrawn on streams", || {
             [&whole, &delta]
@@ -127,7 +127,7 @@
                 .all(|r| r.lines("look").keys().eq(["h-1"]))
         })
         .await;
-    bench.relay.silence(false);
+    bench.relay.set_unreachable(false);
     bench.holds("the same once it is back", same).await;
 }
 
@@ -162,7 +162,7 @@
         .await;
     bench
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
     bench
         .holds("the good one is served", || {
             good.table("look").lines.len() == 1
@@ -238,29 +238,29 @@
 #[tokio::test]
 async fn who_changes_protocol_without_leaving_is_reached_the_newest_way() {
     let (bench, at) = serving("").await;
-    bench.relay.join(3, "east", 5.0);
+    bench.relay.join_proxy(3, "east", 5.0);
     bench
-        .holds("bound", || bench.relay.lines(3).len() == 2)
+        .holds("bound", || bench.relay.endpoints(3).len() == 2)
         .await;
     let relay = joined(&bench, at, start(3, false)).await;
     bench
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
     bench
         .holds("by the stream", || relay.lines("look").keys().eq(["h-1"]))
         .await;
     bench
         .discovery
-        .put("h-2", "east", "Ready", "127.0.0.1:1", 0.0);
+        .set_host("h-2", "east", "Ready", "127.0.0.1:1", 0.0);
     bench
         .holds("let back", || relay.lines("look").len() == 2)
         .await;
     // The relay says that it has joined there: that is newer.
-    bench.relay.leave(3);
-    bench.relay.join(3, "east", 5.0);
+    bench.relay.remove_proxy(3);
+    bench.relay.join_proxy(3, "east", 5.0);
     status(&bench, &relay, Code::Aborted).await;
     bench
-        .holds("bound there", || bench.relay.lines(3).len() == 2)
+        .holds("bound there", || bench.relay.endpoints(3).len() == 2)
         .await;
 }
 
@@ -281,7 +281,7 @@
         bench.metric_reaches("rushcourse_streams_joined", 1.0).await;
         bench
             .discovery
-            .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+            .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
         bench
             .holds("served", || relay.lines("look").keys().eq(["h-1"]))
             .await;
@@ -387,7 +387,7 @@
     assert_ne!(ended, "0");
     bench
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
     bench
         .holds("served all the while", || {
             relay.lines("look").keys().eq(["h-1"])
@@ -406,7 +406,7 @@
     let host = Host::start(free()).await.expect("a host");
     bench
         .discovery
-        .put("h-1", "east", "Ready", &host.address.to_string(), 0.0);
+        .set_host("h-1", "east", "Ready", &host.address.to_string(), 0.0);
     bench
         .metric_reaches("rushcourse_node_reports_taken_total", 3.0)
         .await;
@@ -429,7 +429,7 @@
     let streams = host.streams();
     bench
         .discovery
-        .put("h-1", "east", "Ready", &host.address.to_string(), 1000.0);
+        .set_host("h-1", "east", "Ready", &host.address.to_string(), 1000.0);
     bench
         .metric_reaches("rushcourse_node_restarts_total", 1.0)
         .await;
@@ -455,11 +455,11 @@
     let relay = joined(&bench, at, start(3, true)).await;
     bench
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
     bench
         .holds("served", || relay.table("look").lines.len() == 1)
         .await;
-    assert_eq!(bench.relay.watched(), 0, "nobody asked the relay");
+    assert_eq!(bench.relay.watches_started(), 0, "nobody asked the relay");
 }
 
 #[tokio::test]
@@ -489,7 +489,7 @@
     assert!(relay.ended().is_none(), "who is joined stays");
     bench
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
     bench
         .holds("both are served", || {
             [&relay, &other]
@@ -501,9 +501,11 @@
     std::fs::write(&fronts, "# nothing").expect("a file");
     bench.signal("HUP");
     status(&bench, &relay, Code::Unavailable).await;
-    bench.relay.join(0, "east", 5.0);
+    bench.relay.join_proxy(0, "east", 5.0);
     bench
-        .holds("the relay is served on", || bench.relay.lines(0).len() == 1)
+        .holds("the relay is served on", || {
+            bench.relay.endpoints(0).len() == 1
+        })
         .await;
 }
 
--- a/crates/director/director/tests/sockets.rs
+++ b/crates/director/director/tests/sockets.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
-use rushcourse_standin::collector::{Collector, frame, read};
-use rushcourse_standin::discovery::{Discovery, Mood};
-use rushcourse_standin::relay::Fault;
+use rushcourse_standin::collector::{Collector, encode_frame, read_message};
+use rushcourse_standin::discovery::{Behavior, Discovery};
+use rushcourse_standin::relay::CallFault;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -21,12 +21,12 @@
     let bench = Bench::bound().await;
     bench
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
     bench
-        .holds("withdrawn", || bench.relay.lines(0).keys().eq(["h-1"]))
+        .holds("withdrawn", || bench.relay.endpoints(0).keys().eq(["h-1"]))
         .await;
     bench
-        .holds("removed", || !bench.relay.names(0, "h-2"))
+        .holds("removed", || !bench.relay.has_endpoint(0, "h-2"))
         .await;
     assert_eq!(
         bench.metric("rushcourse_invariant_failures_total").await,
@@ -39,31 +39,31 @@
     for done in [true, false] {
         let bench = Bench::bound().await;
         for fault in [
-            Fault::Break { done },
-            Fault::Silence { done },
-            Fault::Garble { done },
+            CallFault::Disconnect { is_applied: done },
+            CallFault::NoReply { is_applied: done },
+            CallFault::GarbledReply { is_applied: done },
         ] {
-            bench.relay.fault(fault);
+            bench.relay.inject_fault(fault);
         }
-        let before = bench.relay.calls().len();
+        let before = bench.relay.received_calls().len();
         bench
             .discovery
-            .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+            .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
         // One that was not carried out goes out until it is answered; one that was, until a proxy's answer shows
         // it. Nothing else goes out before.
         let least = if done { 2 } else { 4 };
         bench
             .holds("again and again", || {
-                bench.relay.calls().len() >= before + least
+                bench.relay.received_calls().len() >= before + least
             })
             .await;
-        let calls = bench.relay.calls();
+        let calls = bench.relay.received_calls();
         assert_eq!(
             calls[before..before + least],
             vec![calls[before].clone(); least]
         );
         bench
-            .holds("withdrawn", || bench.relay.lines(0).keys().eq(["h-1"]))
+            .holds("withdrawn", || bench.relay.endpoints(0).keys().eq(["h-1"]))
             .await;
         bench
             .metric_reaches("rushcourse_calls_unknown_total", 3.0)
@@ -75,68 +75,70 @@
 #[tokio::test]
 async fn busy_and_syntax_are_no_end() {
     let bench = Bench::start().await;
-    bench.relay.fault(Fault::Busy);
-    bench.relay.fault(Fault::Syntax);
-    bench.relay.fault(Fault::Busy);
-    bench.relay.join(0, "east", 5.0);
+    bench.relay.inject_fault(CallFault::Busy);
+    bench.relay.inject_fault(CallFault::SyntaxError);
+    bench.relay.inject_fault(CallFault::Busy);
+    bench.relay.join_proxy(0, "east", 5.0);
     bench
-        .holds("bound", || bench.relay.lines(0).len() == 2)
+        .holds("bound", || bench.relay.endpoints(0).len() == 2)
         .await;
 }
 
 #[tokio::test]
 async fn news_that_break_or_turn_to_nonsense_are_asked_for_again() {
     let bench = Bench::bound().await;
-    bench.relay.break_news();
+    bench.relay.disconnect_watchers();
     bench.log_has("news lost").await;
     bench
-        .holds("watched again", || bench.relay.watchers() == 1)
+        .holds("watched again", || bench.relay.watcher_count() == 1)
         .await;
-    bench.relay.join(1, "east", 5.0);
+    bench.relay.join_proxy(1, "east", 5.0);
     bench
-        .holds("bound", || bench.relay.lines(1).len() == 2)
+        .holds("bound", || bench.relay.endpoints(1).len() == 2)
         .await;
-    bench.relay.say("* joined nobody");
+    bench.relay.notify("* joined nobody");
     bench.log_has("can't be read").await;
-    bench.relay.join(2, "east", 5.0);
+    bench.relay.join_proxy(2, "east", 5.0);
     bench
-        .holds("bound", || bench.relay.lines(2).len() == 2)
+        .holds("bound", || bench.relay.endpoints(2).len() == 2)
         .await;
 }
 
 #[tokio::test]
 async fn a_relay_out_of_reach_comes_back() {
     let bench = Bench::bound().await;
-    bench.relay.silence(true);
+    bench.relay.set_unreachable(true);
     bench
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
     bench.log_has("no sign of life").await;
     bench
         .metric_reaches("rushcourse_calls_unknown_total", 2.0)
         .await;
-    bench.relay.silence(false);
+    bench.relay.set_unreachable(false);
     bench
-        .holds("withdrawn", || bench.relay.lines(0).keys().eq(["h-1"]))
+        .holds("withdrawn", || bench.relay.endpoints(0).keys().eq(["h-1"]))
         .await;
 }
 
 #[tokio::test]
 async fn discovery_that_is_silent_or_talks_nonsense_is_asked_again() {
     let bench = Bench::bound().await;
-    for mood in [Mood::Nonsense, Mood::Silent] {
-        bench.discovery.mood(mood);
-        let asked = bench.discovery.asked();
+    for mood in [Behavior::Garbled, Behavior::Silent] {
+        bench.discovery.set_behavior(mood);
+        let asked = bench.discovery.request_count();
         bench
-            .holds("asked again", || bench.discovery.asked() > asked + 2)
+            .holds("asked again", || {
+                bench.discovery.request_count() > asked + 2
+            })
             .await;
     }
     bench
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
-    bench.discovery.mood(Mood::Well);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+    bench.discovery.set_behavior(Behavior::Normal);
     bench
-        .holds("withdrawn", || bench.relay.lines(0).keys().eq(["h-1"]))
+        .holds("withdrawn", || bench.relay.endpoints(0).keys().eq(["h-1"]))
         .await;
 }
 
@@ -146,27 +148,37 @@
     let mut stream = TcpStream::connect(bench.address)
         .await
         .expect("a connection");
-    for byte in frame(r#"{"@type":"ping"}"#) {
+    for byte in encode_frame(r#"{"@type":"ping"}"#) {
         stream.write_all(&[byte]).await.expect("written");
         tokio::task::yield_now().await;
     }
-    assert!(read(&mut stream).await.expect("an answer").contains("pong"));
-    let mut burst = frame(r#"{"@type":"collector","az":"east"}"#);
+    assert!(
+        read_message(&mut stream)
+            .await
+            .expect("an answer")
+            .contains("pong")
+    );
+    let mut burst = encode_frame(r#"{"@type":"collector","az":"east"}"#);
     for _ in 0..500 {
-        burst.extend(frame(
+        burst.extend(encode_frame(
             r#"{"@type":"usage","sidecar":0,"kind":"look","n":3,"bad":0,"window":1000.0}"#,
         ));
     }
-    burst.extend(frame(r#"{"@type":"ping"}"#));
+    burst.extend(encode_frame(r#"{"@type":"ping"}"#));
     stream.write_all(&burst).await.expect("written");
-    assert!(read(&mut stream).await.expect("an answer").contains("pong"));
+    assert!(
+        read_message(&mut stream)
+            .await
+            .expect("an answer")
+            .contains("pong")
+    );
     bench
         .metric_reaches("rushcourse_reports_usage_total", 500.0)
         .await;
-    let mut two = Collector::start(bench.address, "east")
+    let mut two = Collector::connect(bench.address, "east")
         .await
         .expect("another of the zone");
-    two.heard("east", "h-1", 9).await.expect("said");
+    two.report_host("east", "h-1", 9).await.expect("said");
     bench
         .metric_reaches("rushcourse_reports_heard_total", 1.0)
         .await;
@@ -175,11 +187,11 @@
 #[tokio::test]
 async fn what_is_no_message_ends_that_connection_only() {
     let bench = Bench::start().await;
-    let mut good = Collector::start(bench.address, "east")
+    let mut good = Collector::connect(bench.address, "east")
         .await
         .expect("a collector");
     let over = ((1u32 << 20) + 1).to_le_bytes().to_vec();
-    let long = frame(&format!(
+    let long = encode_frame(&format!(
         r#"{{"@type":"collector","az":"{}"}}"#,
         "x".repeat(5000)
     ));
@@ -187,7 +199,7 @@
     for bytes in [
         over,
         vec![0xff; 4096],
-        frame("no json"),
+        encode_frame("no json"),
         b"PRI * HTTP/2.0\r\n\r\n".to_vec(),
         long,
         tls,
@@ -205,13 +217,13 @@
     while stream.write_all(&[b'x'; 65_536]).await.is_ok() {}
     // A collector that goes on with what is no message, or with a message that does not end.
     for bytes in [vec![b'x'; 64], vec![0, 2, 0, 0, b'{']] {
-        let mut odd = Collector::start(bench.address, "east")
+        let mut odd = Collector::connect(bench.address, "east")
             .await
             .expect("a collector");
         odd.stream.write_all(&bytes).await.expect("written");
         ended(&mut odd.stream).await;
     }
-    good.heard("east", "h-1", 9).await.expect("said");
+    good.report_host("east", "h-1", 9).await.expect("said");
     bench
         .metric_reaches("rushcourse_reports_heard_total", 1.0)
         .await;
@@ -221,10 +233,10 @@
 #[tokio::test]
 async fn strangers_in_numbers_leave_room_for_those_who_speak() {
     let bench = Bench::start().await;
-    let mut good = Collector::start(bench.address, "east")
+    let mut good = Collector::connect(bench.address, "east")
         .await
         .expect("a collector");
-    good.heard("east", "h-1", 9).await.expect("said");
+    good.report_host("east", "h-1", 9).await.expect("said");
     bench
         .metric_reaches("rushcourse_reports_heard_total", 1.0)
         .await;
@@ -248,7 +260,9 @@
     for stranger in &mut strangers {
         assert!(ended(stranger).await.is_empty(), "each sees its end");
     }
-    good.heard("east", "h-1", 9).await.expect("still there");
+    good.report_host("east", "h-1", 9)
+        .await
+        .expect("still there");
     bench
         .metric_reaches("rushcourse_reports_heard_total", 2.0)
         .await;
@@ -262,10 +276,15 @@
         .await
         .expect("a connection");
     holds
-        .write_all(&frame(r#"{"@type":"ping"}"#))
+        .write_all(&encode_frame(r#"{"@type":"ping"}"#))
         .await
         .expect("written");
-    assert!(read(&mut holds).await.expect("an answer").contains("pong"));
+    assert!(
+        read_message(&mut holds)
+            .await
+            .expect("an answer")
+            .contains("pong")
+    );
     assert!(ended(&mut holds).await.is_empty());
     for json in [
         r#"{"@type":"collector","az":"nowhere"}"#,
@@ -274,9 +293,12 @@
         let mut stream = TcpStream::connect(bench.address)
             .await
             .expect("a connection");
-        stream.write_all(&frame(json)).await.expect("written");
+        stream
+            .write_all(&encode_frame(json))
+            .await
+            .expect("written");
         assert!(
-            read(&mut stream)
+            read_message(&mut stream)
                 .await
                 .expect("a last word")
                 .contains("refused")
@@ -301,9 +323,9 @@
 #[tokio::test]
 async fn a_large_message_of_a_collector_is_read_at_once_after_its_joining() {
     let bench = Bench::start().await;
-    let mut burst = frame(r#"{"@type":"collector","az":"east"}"#);
+    let mut burst = encode_frame(r#"{"@type":"collector","az":"east"}"#);
     let pad = " ".repeat(200_000);
-    burst.extend(frame(&format!(
+    burst.extend(encode_frame(&format!(
         r#"{{"@type":"heard","az":"east","host":"h-1","n":3,"bad":0,"avg":40.0,"window":1000.0{pad}}}"#
     )));
     let mut stream = TcpStream::connect(bench.address)
@@ -366,11 +388,11 @@
 #[tokio::test]
 async fn told_to_end_it_exits_well_whatever_is_under_way() {
     let mut bench = Bench::bound().await;
-    bench.relay.silence(true);
-    bench.discovery.mood(Mood::Silent);
+    bench.relay.set_unreachable(true);
+    bench.discovery.set_behavior(Behavior::Silent);
     bench
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
     let _half = TcpStream::connect(bench.address)
         .await
         .expect("a connection");
@@ -396,11 +418,11 @@
     let discovery = Discovery::start(free()).await.expect("discovery elsewhere");
     ["h-1", "h-2"]
         .iter()
-        .for_each(|h| discovery.put(h, "east", "Ready", "127.0.0.1:1", 0.0));
+        .for_each(|h| discovery.set_host(h, "east", "Ready", "127.0.0.1:1", 0.0));
     let binds = || {
         bench
             .relay
-            .taken()
+            .accepted_orders()
             .iter()
             .filter(|o| o.starts_with("bind,0,"))
             .count()
@@ -418,21 +440,21 @@
         .await;
     bench
         .holds("a watch stands at the new place", || {
-            bench.relay.watched() >= 2
+            bench.relay.watches_started() >= 2
         })
         .await;
     bench
-        .holds("the old one ends", || bench.relay.watchers() == 1)
+        .holds("the old one ends", || bench.relay.watcher_count() == 1)
         .await;
     bench.relay.close();
-    bench.discovery.mood(Mood::Silent);
-    discovery.put("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
+    bench.discovery.set_behavior(Behavior::Silent);
+    discovery.set_host("h-2", "east", "Terminating", "127.0.0.1:1", 0.0);
     bench
-        .holds("withdrawn", || bench.relay.lines(0).keys().eq(["h-1"]))
+        .holds("withdrawn", || bench.relay.endpoints(0).keys().eq(["h-1"]))
         .await;
-    relay.join(1, "east", 5.0);
+    relay.join_proxy(1, "east", 5.0);
     bench
-        .holds("bound", || bench.relay.lines(1).keys().eq(["h-1"]))
+        .holds("bound", || bench.relay.endpoints(1).keys().eq(["h-1"]))
         .await;
     assert_eq!(binds(), before, "nobody is bound anew");
     assert_eq!(bench.metric("rushcourse_news_breaks_total").await, 0.0);
@@ -450,17 +472,17 @@
     let mut bench = Bench::bound().await;
     bench.child.kill().expect("killed");
     bench.ended().await;
-    let taken = bench.relay.taken().len();
+    let taken = bench.relay.accepted_orders().len();
     bench.child = spawn(&bench.path, &bench.log);
     bench.answers().await;
     bench
         .holds("bound", || {
-            bench.relay.taken()[taken..]
+            bench.relay.accepted_orders()[taken..]
                 .iter()
                 .any(|o| o.starts_with("bind,0,"))
         })
         .await;
-    assert_eq!(bench.relay.lines(0).len(), 2);
+    assert_eq!(bench.relay.endpoints(0).len(), 2);
 }
 
 #[tokio::test]
@@ -469,9 +491,10 @@
     let (path, log) = (file("config.json", &config.to_string()), file("log", ""));
     let mut child = spawn(&path, &log);
     let told = std::cell::RefCell::new(Vec::new());
-    let done =
-        rushcourse_standin::story::play(&config, |line| told.borrow_mut().push(line.to_string()))
-            .await;
+    let done = rushcourse_standin::scenario::play(&config, |line| {
+        told.borrow_mut().push(line.to_string())
+    })
+    .await;
     _ = child.kill();
     _ = child.wait();
     done.unwrap_or_else(|e| {
@@ -489,10 +512,10 @@
 #[tokio::test]
 async fn after_a_storm_the_relay_holds_what_the_model_holds() {
     let bench = Bench::bound().await;
-    (1..4).for_each(|proxy| bench.relay.join(proxy, "east", 5.0));
+    (1..4).for_each(|proxy| bench.relay.join_proxy(proxy, "east", 5.0));
     bench
         .holds("all are bound", || {
-            (0..4).all(|p| bench.relay.lines(p).len() == 2)
+            (0..4).all(|p| bench.relay.endpoints(p).len() == 2)
         })
         .await;
     let mut dice = 12_345u64;
@@ -505,32 +528,44 @@
     for k in 0..40 {
         let done = roll(2) == 0;
         match roll(5) {
-            0 => bench.relay.fault(Fault::Break { done }),
-            1 => bench.relay.fault(Fault::Silence { done }),
-            2 => bench.relay.fault(Fault::Garble { done }),
-            3 => bench.relay.break_news(),
-            _ => bench
-                .discovery
-                .mood(if done { Mood::Well } else { Mood::Nonsense }),
+            0 => bench
+                .relay
+                .inject_fault(CallFault::Disconnect { is_applied: done }),
+            1 => bench
+                .relay
+                .inject_fault(CallFault::NoReply { is_applied: done }),
+            2 => bench
+                .relay
+                .inject_fault(CallFault::GarbledReply { is_applied: done }),
+            3 => bench.relay.disconnect_watchers(),
+            _ => bench.discovery.set_behavior(if done {
+                Behavior::Normal
+            } else {
+                Behavior::Garbled
+            }),
         }
         let id = ["h-2", "h-3", "h-4"][roll(3) as usize];
         let phase = ["Ready", "Ready", "Terminating", "Gone"][roll(4) as usize];
-        bench.discovery.put(id, "east", phase, "127.0.0.1:1", 0.0);
+        bench
+            .discovery
+            .set_host(id, "east", phase, "127.0.0.1:1", 0.0);
         let ms = 20 + roll(300) + if k % 10 == 9 { 2500 } else { 0 };
         tokio::time::sleep(std::time::Duration::from_millis(ms)).await;
         assert!(
-            (0..4).all(|p| bench.relay.lines(p).contains_key("h-1")),
+            (0..4).all(|p| bench.relay.endpoints(p).contains_key("h-1")),
             "nobody is without the host that stays"
         );
     }
-    bench.discovery.mood(Mood::Well);
-    bench.relay.calm();
+    bench.discovery.set_behavior(Behavior::Normal);
+    bench.relay.clear_faults();
     for id in ["h-2", "h-3", "h-4"] {
-        bench.discovery.put(id, "east", "Ready", "127.0.0.1:1", 0.0);
+        bench
+            .discovery
+            .set_host(id, "east", "Ready", "127.0.0.1:1", 0.0);
     }
     bench
         .holds("all four hosts are back", || {
-            (0..4).all(|p| bench.relay.lines(p).len() == 4)
+            (0..4).all(|p| bench.relay.endpoints(p).len() == 4)
         })
         .await;
     bench
@@ -567,7 +602,7 @@
     );
     let most = bench
         .relay
-        .most_messages(std::time::Duration::from_secs(10));
+        .max_messages_within(std::time::Duration::from_secs(10));
     assert!(most <= 12, "{most} messages to one proxy in ten seconds");
 }
 
--- a/examples/grpc-standin/src/measure.rs
+++ b/examples/grpc-standin/src/measure.rs
@@ -3,7 +3,7 @@
 
 use crate::around::Around;
 use crate::relay::{Manner, Relay, Start};
-use rushcourse_standin::story::until;
+use rushcourse_standin::wait::wait_until;
 use serde_json::{Value, json};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -82,7 +82,7 @@
     let grpc = "127.0.0.1:7900".parse().map_err(|e| format!("{e}"))?;
     let around = Around::start(&config, grpc, program, ", take_within_ms = 600000").await?;
     let host = |k: usize, phase: &str| {
-        around.discovery.put(
+        around.discovery.set_host(
             &format!("h-{k}"),
             "east",
             phase,
@@ -91,13 +91,13 @@
         )
     };
     (0..HOSTS).for_each(|k| host(k, "Ready"));
-    until("the director watches", || around.relay.watchers() > 0).await?;
+    wait_until("the director watches", || around.relay.watcher_count() > 0).await?;
     let begun = Instant::now();
     let mut joined = Vec::new();
     if way == Way::Platform {
-        (0..relays).for_each(|k| around.relay.join(k as u32, "east", 5.0));
-        until("bound", || {
-            (0..relays).all(|k| around.relay.lines(k as u32).len() == HOSTS)
+        (0..relays).for_each(|k| around.relay.join_proxy(k as u32, "east", 5.0));
+        wait_until("bound", || {
+            (0..relays).all(|k| around.relay.endpoints(k as u32).len() == HOSTS)
         })
         .await?;
     } else {
@@ -120,7 +120,7 @@
                 .iter()
                 .all(|r| r.lines("look").len() == HOSTS)
         };
-        until("bound", good).await?;
+        wait_until("bound", good).await?;
     }
     let mut figures = Figures {
         relays,
@@ -142,7 +142,7 @@
         while !left.is_empty() {
             left.retain(|r| {
                 let has = match way {
-                    Way::Platform => around.relay.lines(*r as u32).contains_key(&id),
+                    Way::Platform => around.relay.endpoints(*r as u32).contains_key(&id),
                     _ => good[*r].lines("look").contains_key(&id),
                 };
                 if !has {
--- a/examples/grpc-standin/src/story.rs
+++ b/examples/grpc-standin/src/story.rs
@@ -3,7 +3,7 @@
 use crate::around::Around;
 use crate::host::Host;
 use crate::relay::{Relay, Start};
-use rushcourse_standin::story::until;
+use rushcourse_standin::wait::wait_until;
 use serde_json::Value;
 use std::path::Path;
 use std::time::Instant;
@@ -19,10 +19,10 @@
         .map_err(|e| e.to_string())?;
     around
         .discovery
-        .put("h-1", "east", "Ready", &host.address.to_string(), 0.0);
+        .set_host("h-1", "east", "Ready", &host.address.to_string(), 0.0);
     around
         .discovery
-        .put("h-2", "east", "Ready", "127.0.0.1:7802", 0.0);
+        .set_host("h-2", "east", "Ready", "127.0.0.1:7802", 0.0);
     tell(&format!(
         "relay, discovery and a host that reports its load stand in; a director serves gRPC at {grpc}"
     ));
@@ -37,7 +37,7 @@
         Err("the director does not answer".to_string())
     };
     let (whole, delta) = (join(3, false).await?, join(4, true).await?);
-    until("tables", || {
+    wait_until("tables", || {
         whole.lines("look").len() == 2 && delta.lines("look").len() == 2
     })
     .await?;
@@ -49,14 +49,14 @@
         "relay 4 (incremental) is bound: {:?}",
         delta.lines("look")
     ));
-    until("load reports", || host.streams() > 0).await?;
+    wait_until("load reports", || host.streams() > 0).await?;
     tell("the director asks h-1 for its load");
     let told = Instant::now();
     around
         .discovery
-        .put("h-2", "east", "Terminating", "127.0.0.1:7802", 0.0);
+        .set_host("h-2", "east", "Terminating", "127.0.0.1:7802", 0.0);
     tell("discovery says that h-2 is terminating");
-    until("the drain", || {
+    wait_until("the drain", || {
         [&whole, &delta]
             .iter()
             .all(|r| r.lines("look").keys().eq(["h-1"]))
--- a/examples/standin/src/hosts.rs
+++ b/examples/standin/src/host.rs
@@ -1,13 +1,17 @@
-//! A host as probes see it.
+//! A host as health checks see it.
 
 use axum::Router;
 use axum::http::StatusCode;
 use axum::routing::get;
+use std::io;
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// Starts a host that is well; says where it listens.
-pub async fn start(address: SocketAddr) -> std::io::Result<SocketAddr> {
+/// Starts a healthy host; returns where it listens.
+///
+/// # Errors
+/// The address can't be bound.
+pub async fn start(address: SocketAddr) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
     let load = || async { "TEXT inflight=7, queue=2, util=0.61" };
