--- a/crates/director/director-state/src/backoff.rs
+++ b/crates/director/director-state/src/backoff.rs
@@ -1,30 +1,34 @@
-//! Pauses between tries that come to nothing: each twice the one before, up to a longest.
+//! Delays between attempts that fail: each twice the one before, up to a longest.
 
-use rushcourse_policy::interface::Ms;
+use std::time::Duration;
 
-pub struct Backoff {
-    first: Ms,
-    most: Ms,
-    tries: u32,
+/// Doublings beyond which the delay is the longest in any case.
+const MAX_DOUBLINGS: u32 = 20;
+
+pub(crate) struct Backoff {
+    first: Duration,
+    longest: Duration,
+    failures: u32,
 }
 
 impl Backoff {
-    pub fn new(first: Ms, most: Ms) -> Backoff {
+    pub(crate) fn new(first: Duration, longest: Duration) -> Backoff {
         Backoff {
             first,
-            most,
-            tries: 0,
+            longest,
+            failures: 0,
         }
     }
 
-    /// The pause after one more try that came to nothing.
-    pub fn pause(&mut self) -> Ms {
-        let pause = self.first * f64::from(1u32 << self.tries.min(20));
-        self.tries += 1;
-        pause.min(self.most)
+    /// The delay after one more attempt that failed.
+    pub(crate) fn next_delay(&mut self) -> Duration {
+        let delay = self.first * (1 << self.failures.min(MAX_DOUBLINGS));
+        self.failures += 1;
+        delay.min(self.longest)
     }
 
-    pub fn reset(&mut self) {
-        self.tries = 0;
+    /// An attempt has succeeded: the next delay is the first again.
+    pub(crate) fn reset(&mut self) {
+        self.failures = 0;
     }
 }
--- a/crates/director/director-state/src/relay_connection.rs
+++ b/crates/director/director-state/src/relay_connection.rs
@@ -1,75 +1,70 @@
-//! What calls and news have in common: one connection to the relay at a time, told from earlier ones by its
-//! turn, and pauses between tries.
+//! What calls and notifications have in common: one connection to the relay at a time, told from earlier ones by its
+//! generation, and delays between attempts to connect.
 
 use crate::backoff::Backoff;
-use crate::boundary::{Effect, Link};
+use crate::effect::Effect;
+use crate::identifiers::{RelayConnectionId, RelayLink};
 use crate::step_context::StepContext;
 use rushcourse_policy::interface::Ms;
 use std::net::SocketAddr;
+use std::time::Duration;
 
-/// ms for a connection to come up.
-const CONNECT_WITHIN: Ms = 250.0;
-/// First and longest pause between tries to connect, in ms.
-const PAUSE: Ms = 10.0;
-const PAUSE_MOST: Ms = 400.0;
-/// ms until the relay, which has turned something away as the run has not begun, is asked again.
-pub const BUSY_WAIT: Ms = 100.0;
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+/// First and longest delay between attempts to connect.
+const FIRST_DELAY: Duration = Duration::from_millis(10);
+const MAX_DELAY: Duration = Duration::from_millis(400);
+/// How long to wait after the relay rejected something with `BUSY`, as its run has not begun.
+pub(crate) const BUSY_DELAY: Duration = Duration::from_millis(100);
 
-pub struct RelayConnection {
-    link: Link,
-    /// Where the relay is: holds from the next connection on.
-    pub relay: SocketAddr,
-    turn: u64,
-    pub backoff: Backoff,
+pub(crate) struct RelayConnection {
+    current: RelayConnectionId,
+    /// Where the relay is; holds from the next connection on.
+    pub(crate) address: SocketAddr,
+    pub(crate) backoff: Backoff,
 }
 
 impl RelayConnection {
-    pub fn new(link: Link, relay: SocketAddr) -> RelayConnection {
+    pub(crate) fn new(link: RelayLink, address: SocketAddr) -> RelayConnection {
         RelayConnection {
-            link,
-            relay,
-            turn: 0,
-            backoff: Backoff::new(PAUSE, PAUSE_MOST),
+            current: RelayConnectionId {
+                link,
+                generation: 0,
+            },
+            address,
+            backoff: Backoff::new(FIRST_DELAY, MAX_DELAY),
         }
     }
 
-    /// Whether something is of the connection that stands or is in the making, not of an earlier one.
-    pub fn is(&self, turn: u64) -> bool {
-        turn == self.turn
+    /// The connection that stands or is being established.
+    pub(crate) fn current(&self) -> RelayConnectionId {
+        self.current
     }
 
-    /// Connects anew; answers until when that may take.
-    pub fn connect(&mut self, context: &mut StepContext) -> Ms {
-        self.turn += 1;
-        context.ask(Effect::Connect {
-            link: self.link,
-            turn: self.turn,
-            to: self.relay,
-        });
-        context.now + CONNECT_WITHIN
-    }
-
-    pub fn turn(&self) -> u64 {
-        self.turn
+    /// Whether something belongs to the connection that stands or is being established, not to an earlier one.
+    pub(crate) fn is_current(&self, connection: RelayConnectionId) -> bool {
+        connection == self.current
     }
 
-    pub fn send(&self, context: &mut StepContext, text: String) {
-        context.ask(Effect::Send {
-            link: self.link,
-            turn: self.turn,
-            text,
+    /// Connects anew; returns the moment until which that may take.
+    pub(crate) fn connect(&mut self, context: &mut StepContext) -> Ms {
+        self.current.generation += 1;
+        context.request(Effect::ConnectRelay {
+            connection: self.current,
+            address: self.address,
         });
+        context.after(CONNECT_TIMEOUT)
     }
 
-    pub fn drop(&self, context: &mut StepContext) {
-        self.drop_turn(context, self.turn);
+    pub(crate) fn send(&self, context: &mut StepContext, line: String) {
+        context.request(Effect::SendRelay {
+            connection: self.current,
+            line,
+        });
     }
 
-    /// Ends an earlier connection that was kept.
-    pub fn drop_turn(&self, context: &mut StepContext, turn: u64) {
-        context.ask(Effect::Drop {
-            link: self.link,
-            turn,
+    pub(crate) fn disconnect(&self, context: &mut StepContext) {
+        context.request(Effect::DisconnectRelay {
+            connection: self.current,
         });
     }
 }
--- /dev/null
+++ b/crates/director/director-state/src/session/batch.rs
@@ -0,0 +1,94 @@
+//! The policy is asked what follows from the events that wait, and its actions are carried out.
+
+use super::Session;
+use crate::call_queue::Batch;
+use crate::counter::Counter;
+use crate::effect::Severity;
+use crate::log_limiter::POLICY_LOG;
+use rushcourse_director_protocol::relay::Order;
+use rushcourse_policy::interface::{Action, HostId, Ms};
+
+impl Session {
+    /// One decision of the policy on all that came in an interval.
+    pub(super) fn run_batch(&mut self) {
+        let now = self.context.now;
+        let (events, first_at) = self.context.events.take();
+        self.context.count(Counter::PolicyBatches);
+        self.context
+            .counters
+            .add(Counter::PolicyEvents, events.len() as u64);
+        let actions = self.policy.handle(now, events);
+        if let Some(streams) = &mut self.streams {
+            streams.reply(now, &actions);
+        }
+        let mut batch = Batch {
+            orders: Vec::new(),
+            ack_number: None,
+            caused_at: first_at.unwrap_or(now),
+        };
+        for action in actions {
+            let order = Order::encode(&action, &self.config.names.classes);
+            batch.orders.extend(order);
+            self.carry_out(action, &mut batch);
+        }
+        self.send(batch);
+    }
+
+    /// Carries out what is not the relay's alone.
+    fn carry_out(&mut self, action: Action, batch: &mut Batch) {
+        match action {
+            Action::RequestAck { ack_number } => batch.ack_number = Some(ack_number),
+            Action::StartTimer { token, at } => self.start_timer(at, token),
+            Action::CheckHealth { host } => self.check_health(host),
+            Action::SubscribeToHosts => self.discovery.request_full_list(),
+            Action::BroadcastToPeers { .. } => self.context.count(Counter::PeerMessagesNotSent),
+            Action::Log { text } => self.context.log(Severity::Info, POLICY_LOG, || text),
+            Action::SetEndpoint { .. }
+            | Action::ClearTable { .. }
+            | Action::BindProxy { .. }
+            | Action::SetWithdrawn { .. }
+            | Action::SetAdmission { .. } => {}
+        }
+    }
+
+    /// Sends a batch to the relay, if it reaches anybody there.
+    fn send(&mut self, batch: Batch) {
+        // An acknowledgement proves the whole call, as the request for it is the last of its orders.
+        let is_complete =
+            batch.ack_number.is_none() || batch.orders.last().is_some_and(Order::is_ack_request);
+        self.context
+            .check_invariant(is_complete, "a mark ends its reply");
+        if self.config.has_relay && batch.reaches_proxies() {
+            self.relay.calls.push(&mut self.context, batch);
+        }
+    }
+
+    fn start_timer(&mut self, at: Ms, token: String) {
+        self.timers.start(at, token);
+        let is_within_limit = self.timers.is_within_limit();
+        self.context
+            .check_invariant(is_within_limit, "few timers are pending");
+    }
+
+    fn check_health(&mut self, host: HostId) {
+        let address = self.discovery.table().address(&host);
+        let settings = &self.config.settings;
+        let not_sent = self.health_checks.request(settings, host.clone(), address);
+        if let Some(event) = not_sent {
+            self.context.count(Counter::HealthChecksNotSent);
+            self.context.log(Severity::Warning, "probe", || {
+                format!("{host} is not probed")
+            });
+            self.context.emit(event);
+        }
+        self.start_health_checks();
+    }
+
+    /// Starts health checks that wait, as far as they may be in flight together.
+    pub(super) fn start_health_checks(&mut self) {
+        while let Some(effect) = self.health_checks.start_next(&self.config.settings) {
+            self.context.count(Counter::HealthChecksSent);
+            self.context.request(effect);
+        }
+    }
+}
--- a/crates/director/director-state/src/step_context.rs
+++ b/crates/director/director-state/src/step_context.rs
@@ -1,112 +1,82 @@
-//! What one step works on: the time, the events gathered for the module, and the effects asked for.
+//! What one step works on: the time, events for the policy, effects, counters and the log.
 
-use crate::boundary::{Effect, Weight};
-use crate::counters::Counters;
-use rushcourse_policy::interface::{Channel, Event, Ms, ProxyId};
-use std::collections::{BTreeMap, BTreeSet};
-
-/// Events that may wait for a tick; beyond, reports are dropped.
-const EVENTS_MOST: usize = 8192;
-/// Letters of a log line: what others sent may be long.
-const LETTERS_MOST: usize = 400;
-/// Lines of one kind in a log within a second; the module speaks of many hosts at once.
-const LINES_MOST: u64 = 5;
-const MODULE_LINES_MOST: u64 = 50;
-
-/// The kind of the module's own lines.
-pub const MODULE: &str = "module";
+use crate::counter::{Counter, Counters};
+use crate::effect::{Effect, Severity};
+use crate::event_queue::EventQueue;
+use crate::log_limiter::LogLimiter;
+use crate::time::millis;
+use rushcourse_policy::interface::{AckNumber, Event, Ms};
+use std::time::Duration;
 
 #[derive(Default)]
-pub struct StepContext {
-    pub now: Ms,
-    pub events: Vec<Event>,
-    /// When the first of the events came.
-    pub since: Option<Ms>,
-    pub effects: Vec<Effect>,
-    /// Marks that a proxy has answered: their calls were carried out.
-    pub proved: Vec<u16>,
-    /// Proxies that are joined by a stream of their own, and those of them that the relay now says are joined there.
-    pub streamed: BTreeSet<ProxyId>,
-    pub superseded: Vec<ProxyId>,
-    pub counters: Counters,
-    /// By kind of log line: since when it is counted, lines, and those left out.
-    said: BTreeMap<&'static str, (Ms, u64, u64)>,
+pub(crate) struct StepContext {
+    /// The time of this step.
+    pub(crate) now: Ms,
+    pub(crate) events: EventQueue,
+    effects: Vec<Effect>,
+    /// Calls that proxies have acknowledged in this step: they were carried out.
+    acknowledged: Vec<AckNumber>,
+    pub(crate) counters: Counters,
+    log_limiter: LogLimiter,
 }
 
 impl StepContext {
-    /// An event for the module's next tick.
-    pub fn event(&mut self, event: Event) {
-        let report = matches!(
-            event,
-            Event::HostReported { .. } | Event::TrafficReported { .. }
-        );
-        if report && self.is_full() {
-            return self.counters.add("reports_dropped", 1);
-        }
-        // The newest joining counts, whichever way it came.
-        match &event {
-            Event::ProxyJoined {
-                proxy,
-                channel: Channel::Dedicated,
-                ..
-            } => _ = self.streamed.insert(*proxy),
-            Event::ProxyLeft {
-                proxy,
-                channel: Channel::Dedicated,
-            } => _ = self.streamed.remove(proxy),
-            Event::ProxyJoined { proxy, .. } if self.streamed.remove(proxy) => {
-                self.superseded.push(*proxy)
-            }
-            _ => {}
-        }
-        self.since.get_or_insert(self.now);
-        self.events.push(event);
+    /// The moment a span after this step.
+    pub(crate) fn after(&self, span: Duration) -> Ms {
+        self.now + millis(span)
     }
 
-    /// Whether as many events wait as may.
-    pub fn is_full(&self) -> bool {
-        self.events.len() >= EVENTS_MOST
+    /// An event for the policy, which is asked later.
+    pub(crate) fn emit(&mut self, event: Event) {
+        if self.events.push(self.now, event).is_err() {
+            self.count(Counter::ReportsDropped);
+        }
     }
 
-    pub fn ask(&mut self, effect: Effect) {
+    /// Asks for something to be done outside.
+    pub(crate) fn request(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    /// A log line; those of one kind are limited, and what was left out is said with the next.
-    pub fn note(&mut self, weight: Weight, kind: &'static str, text: impl FnOnce() -> String) {
-        let now = self.now;
-        let (since, lines, left) = self.said.entry(kind).or_insert((now, 0, 0));
-        if now - *since >= 1000.0 {
-            (*since, *lines) = (now, 0);
-        }
-        *lines += 1;
-        if *lines
-            > if kind == MODULE {
-                MODULE_LINES_MOST
-            } else {
-                LINES_MOST
-            }
-        {
-            *left += 1;
-            return self.counters.add("log_lines_limited", 1);
+    /// All that was asked for since the last call, in order.
+    pub(crate) fn take_effects(&mut self) -> Vec<Effect> {
+        std::mem::take(&mut self.effects)
+    }
+
+    /// A proxy has acknowledged a call.
+    pub(crate) fn acknowledge(&mut self, ack_number: AckNumber) {
+        self.acknowledged.push(ack_number);
+    }
+
+    pub(crate) fn take_acknowledged(&mut self) -> Vec<AckNumber> {
+        std::mem::take(&mut self.acknowledged)
+    }
+
+    /// Raises a counter by one.
+    pub(crate) fn count(&mut self, counter: Counter) {
+        self.counters.add(counter, 1);
+    }
+
+    /// Writes a line to the log that begins with its kind. Lines of one kind are limited; the text of one that is left
+    /// out is not made.
+    pub(crate) fn log(
+        &mut self,
+        severity: Severity,
+        kind: &'static str,
+        text: impl FnOnce() -> String,
+    ) {
+        match self.log_limiter.admit(self.now, kind, text) {
+            Some(text) => self.request(Effect::Log { severity, text }),
+            None => self.count(Counter::LogLinesLimited),
         }
-        let more = match std::mem::take(left) {
-            0 => String::new(),
-            n => format!(" ({n} more of this kind were left out)"),
-        };
-        let text: String = text().chars().take(LETTERS_MOST).collect();
-        self.effects.push(Effect::Log {
-            weight,
-            text: format!("{kind}: {text}{more}"),
-        });
     }
 
-    /// What must hold: asserted in debug builds, counted in release builds.
-    pub fn must(&mut self, holds: bool, what: &'static str) {
-        debug_assert!(holds, "{what}");
+    /// Checks an invariant: asserted in debug builds, counted and logged in release builds.
+    pub(crate) fn check_invariant(&mut self, holds: bool, invariant: &'static str) {
+        debug_assert!(holds, "{invariant}");
         if !holds {
-            self.counters.add("invariant_failures", 1);
-            self.note(Weight::Error, "invariant", || what.into());
+            self.count(Counter::InvariantFailures);
+            self.log(Severity::Error, "invariant", || invariant.into());
         }
     }
 }
--- /dev/null
+++ b/crates/director/director-state/tests/call_outcomes.rs
@@ -0,0 +1,246 @@
+//! Calls to the relay whose outcome is unknown, and what the policy is told of them.
+
+mod common;
+
+use common::harness::{CallOutcome, Harness};
+use rushcourse_director_state::{Input, RelayLink};
+
+/// A session whose next calls end like this, and the number of calls before them. Host a1 drains, so that a call goes out.
+fn with_outcomes(outcomes: Vec<CallOutcome>) -> (Harness, usize) {
+    let mut harness = Harness::with_bound_proxies();
+    let before = harness.relay.calls.len();
+    harness.relay.outcomes = outcomes.into();
+    harness.drain_host(6, "a1", "east");
+    (harness, before)
+}
+
+/// How often the first of these calls was sent.
+fn repeats(calls: &[String]) -> usize {
+    calls.iter().filter(|call| **call == calls[0]).count()
+}
+
+fn unknown_and_repeated(harness: &Harness) -> (u64, u64) {
+    (
+        harness.counter("calls_unknown"),
+        harness.counter("calls_repeated"),
+    )
+}
+
+/// Each kind of unknown outcome: the same call again, before any later one, and it counts as a repeat.
+#[test]
+fn a_call_of_unknown_outcome_is_repeated_before_any_later_one() {
+    for outcome in [
+        CallOutcome::Disconnect,
+        CallOutcome::Silence,
+        CallOutcome::reply("OK maybe"),
+        CallOutcome::reply("OK 9999"),
+        CallOutcome::reply("\u{fffd}"),
+        CallOutcome::reply("OK"),
+    ] {
+        // Given three calls of unknown outcome.
+        let (mut harness, before) = with_outcomes(vec![outcome.clone(); 3]);
+        harness.run_for(30.0);
+        // When something later wants to go out meanwhile.
+        harness.drain_host(7, "b1", "west");
+        harness.run_for(1000.0);
+        // Then the first call goes out until it is accepted, and the later one follows.
+        let calls = &harness.relay.calls[before..];
+        assert!(calls[0].contains("withdraw,a1"), "{outcome:?}");
+        assert_eq!(
+            calls[..4],
+            vec![calls[0].clone(); 4],
+            "{outcome:?}: the same bytes, three times more"
+        );
+        assert!(
+            calls[4..].iter().any(|call| call.contains("withdraw,b1")),
+            "{outcome:?}: {calls:?}"
+        );
+        assert_eq!(unknown_and_repeated(&harness), (3, 3), "{outcome:?}");
+        assert_eq!(harness.counter("invariant_failures"), 0);
+    }
+}
+
+#[test]
+fn a_reply_within_the_relays_time_is_waited_for() {
+    let (mut harness, call) = with_outcomes(vec![CallOutcome::Silence]);
+    harness.run_for(50.0);
+    harness.accept(call);
+    harness.run_for(200.0);
+    assert_eq!(unknown_and_repeated(&harness), (0, 0));
+}
+
+#[test]
+fn a_reply_that_came_counts_even_if_this_process_slept_past_the_deadline() {
+    let (mut harness, call) = with_outcomes(vec![CallOutcome::Silence]);
+    harness.run_for(10.0);
+    // Both are there at once: the line that was read, and the deadline.
+    harness.now += 500.0;
+    harness.accept(call);
+    assert_eq!(harness.counter("calls_unknown"), 0);
+}
+
+/// A spoilt reply proves nothing, whatever its words: the call is neither taken for undone nor given up.
+#[test]
+fn a_rejection_while_the_relay_accepts_calls_is_of_unknown_outcome() {
+    for reply in [
+        "SYNTAX", "BUSY", "OK +1", "OK -1", "OK 1.0", "OK 99", "OK", "", "OK 1 2",
+    ] {
+        // When the relay replies so again and again, then the call is repeated, and nothing else is sent.
+        let (mut harness, before) = with_outcomes(vec![CallOutcome::reply(reply); 4]);
+        harness.run_for(400.0);
+        let calls = &harness.relay.calls[before..];
+        let sent = calls.len();
+        assert!((2..=4).contains(&sent), "{reply:?}: {sent}");
+        assert_eq!(
+            *calls,
+            vec![calls[0].clone(); sent],
+            "{reply:?}: nothing else"
+        );
+        assert_eq!(harness.counter("calls_unknown"), sent as u64, "{reply:?}");
+        // When proxies acknowledge it, then it was carried out, and later calls go on.
+        harness.acknowledge(&[1, 2]);
+        harness.drain_host(7, "b1", "west");
+        harness.run_for(600.0);
+        assert_eq!(harness.counter("calls_proved"), 1, "{reply:?}");
+        let later = harness.relay.orders_from(before + sent);
+        assert!(
+            later.contains(&"withdraw,b1".into()),
+            "{reply:?}: {later:?}"
+        );
+        assert!(
+            !later.contains(&"withdraw,a1".into()),
+            "{reply:?}: not again"
+        );
+    }
+}
+
+/// Whether a host's endpoint is removed at once when it drains, after five seconds and a call that hung until now, or was
+/// accepted at once.
+fn is_removed_after(hangs: bool) -> bool {
+    let mut harness = Harness::started();
+    if hangs {
+        harness.relay.outcomes = vec![CallOutcome::Silence; 60].into();
+    }
+    harness.notify("* joined 1 east 5.0 1");
+    for _ in 0..5 {
+        harness.run_for(1000.0);
+        harness.notify("*");
+    }
+    let before = harness.relay.calls.len();
+    harness.relay.outcomes.clear();
+    harness.run_for(1200.0);
+    harness.notify("*");
+    harness.run_for(1000.0);
+    assert!(
+        !hangs || harness.relay.calls.len() > before,
+        "it goes out once more, and is accepted"
+    );
+    harness.drain_host(6, "a1", "east");
+    harness.run_for(600.0);
+    harness
+        .relay
+        .orders_from(before)
+        .iter()
+        .any(|order| order.starts_with("share,") && order.contains(",a1,0"))
+}
+
+/// The order that makes room for time to settle endpoints: a call that hangs for long keeps its endpoints uncertain.
+#[test]
+fn no_endpoint_of_a_call_that_hangs_turns_certain_by_time() {
+    assert!(
+        is_removed_after(false),
+        "the call was accepted five seconds ago: time has settled its endpoints"
+    );
+    assert!(
+        !is_removed_after(true),
+        "the call was accepted just now at the earliest"
+    );
+}
+
+/// Each repeat may be a message to a proxy, and a proxy gets twelve in ten seconds.
+#[test]
+fn a_call_that_never_gets_a_clear_reply_is_repeated_within_the_cap() {
+    let (mut harness, before) = with_outcomes(vec![CallOutcome::reply("?"); 1000]);
+    let mut sent_at = Vec::new();
+    for _ in 0..400 {
+        let calls = harness.relay.calls.len();
+        harness.run_for(100.0);
+        sent_at.extend((calls..harness.relay.calls.len()).map(|_| harness.now));
+        if harness.now as u64 % 1000 < 100 {
+            harness.notify("*");
+        }
+    }
+    let sent = sent_at.len();
+    assert!(sent > 30, "it goes on: {sent} times in forty seconds");
+    let within_window = |from: f64| {
+        sent_at
+            .iter()
+            .filter(|at| **at >= from && **at <= from + 10_000.0)
+            .count()
+    };
+    assert!(
+        sent_at.iter().all(|from| within_window(*from) <= 12),
+        "twelve in ten seconds at most"
+    );
+    assert!(harness.counter("repeats_held") > 0);
+    let calls = &harness.relay.calls[before..];
+    assert_eq!(*calls, vec![calls[0].clone(); sent]);
+}
+
+#[test]
+fn an_acknowledgement_shows_that_a_call_was_carried_out() {
+    // Given a call whose repeat is under way.
+    let (mut harness, before) = with_outcomes(vec![CallOutcome::Disconnect, CallOutcome::Silence]);
+    harness.run_for(10.0);
+    // When a proxy acknowledges the first one, and the repeat gets no reply.
+    harness.acknowledge(&[1]);
+    harness.run_for(300.0);
+    // Then it is not sent again.
+    assert_eq!(
+        (
+            repeats(&harness.relay.calls[before..]),
+            harness.counter("calls_proved")
+        ),
+        (2, 1)
+    );
+    assert!(harness.has_logged(&["a proxy has answered it already"]));
+}
+
+#[test]
+fn the_acknowledgement_of_an_earlier_call_shows_nothing() {
+    let earlier = Harness::with_bound_proxies().ack_number();
+    let (mut harness, before) = with_outcomes(vec![CallOutcome::Disconnect, CallOutcome::Silence]);
+    harness.run_for(10.0);
+    harness.notify(&format!("* applied 1 {earlier} 250.0"));
+    harness.run_for(300.0);
+    assert_eq!(
+        (
+            repeats(&harness.relay.calls[before..]),
+            harness.counter("calls_proved")
+        ),
+        (3, 0)
+    );
+}
+
+/// A step that ordered much took 57 of the 65 ms that the relay has: its reply was on the way, and the call, the largest
+/// of the day, went out twice (herd+mass 13: backlog).
+#[test]
+fn the_relays_time_runs_from_the_last_byte_not_from_the_step() {
+    // Given a call whose last byte is written 50 ms after the step.
+    let (mut harness, call) = with_outcomes(vec![CallOutcome::Silence]);
+    harness.run_for(8.0);
+    harness.now += 50.0;
+    let connection = harness.relay.current(RelayLink::Calls);
+    harness.handle(Input::RelayWritten { connection });
+    // When the reply comes 40 ms later, then it is in time.
+    harness.run_for(40.0);
+    harness.accept(call);
+    harness.run_for(200.0);
+    assert_eq!(unknown_and_repeated(&harness), (0, 0));
+    // It still ends: a relay that does not reply is given up.
+    harness.relay.outcomes = [CallOutcome::Silence].into();
+    harness.drain_host(7, "b1", "west");
+    harness.handle(Input::RelayWritten { connection });
+    harness.run_for(70.0);
+    assert_eq!(harness.counter("calls_unknown"), 1);
+}
--- /dev/null
+++ b/crates/director/director-state/tests/discovery.rs
@@ -0,0 +1,250 @@
+//! Discovery: order, gaps, silence, odd answers.
+
+mod common;
+
+use common::harness::Harness;
+use common::platform::{fleet, list, member};
+use rushcourse_director_state::Input;
+
+fn is_withdrawn(harness: &Harness, host: &str) -> bool {
+    harness
+        .relay
+        .orders_from(0)
+        .contains(&format!("withdraw,{host}"))
+}
+
+#[test]
+fn the_complete_list_first_then_watches_from_its_revision() {
+    let mut harness = Harness::with_bound_proxies();
+    let paths: Vec<&str> = harness
+        .discovery
+        .requests
+        .iter()
+        .map(|fetch| fetch.path.as_str())
+        .collect();
+    assert_eq!(
+        paths,
+        ["/v1/endpoints", "/v1/endpoints?after=5&wait_ms=4000"]
+    );
+    harness.drain_host(9, "a1", "east");
+    assert!(
+        harness.discovery.latest().path.contains("after=9"),
+        "the next watch follows at once"
+    );
+    harness.run_for(50.0);
+    assert!(is_withdrawn(&harness, "a1"));
+}
+
+#[test]
+fn an_empty_answer_is_no_change() {
+    let mut harness = Harness::with_bound_proxies();
+    let calls = harness.relay.calls.len();
+    harness.change_list(5, &[]);
+    assert!(harness.discovery.latest().path.contains("after=5"));
+    harness.run_for(50.0);
+    assert_eq!(harness.relay.calls.len(), calls);
+}
+
+#[test]
+fn the_cached_list_may_be_old() {
+    // Given a director that knew host a1 before its start, and a list that names a9 in its place.
+    let mut harness = Harness::new();
+    let mut members = fleet();
+    members[0] = member("a9", "east", "Ready", 0.0);
+    harness.discovery.list = list(40, true, &members);
+    harness.start();
+    // When a proxy joins, then its table holds what the list names.
+    harness.notify("* joined 1 east 5.0 1");
+    harness.run_for(100.0);
+    let orders = harness.relay.orders_from(0);
+    assert!(orders.iter().any(|order| order.contains(",a9,")));
+    assert!(!orders.iter().any(|order| order.contains(",a1,")));
+}
+
+#[test]
+fn a_revision_that_is_older_is_not_believed_and_the_complete_list_is_asked_for() {
+    let mut harness = Harness::with_bound_proxies();
+    harness.drain_host(9, "a1", "east");
+    harness.discovery.list = list(9, true, &fleet());
+    harness.drain_host(7, "b1", "west");
+    harness.run_for(1000.0);
+    assert!(!is_withdrawn(&harness, "b1"));
+    assert_eq!(harness.counter("lists_old"), 1);
+    assert_eq!(harness.discovery.full_list_count(), 2);
+}
+
+#[test]
+fn a_discovery_that_began_anew_is_believed_in_the_end() {
+    let mut harness = Harness::with_bound_proxies();
+    harness.drain_host(900, "a1", "east");
+    harness.discovery.list = list(3, true, &fleet()[..3]);
+    harness.change_list(2, &[]);
+    harness.run_for(4000.0);
+    assert!(
+        is_withdrawn(&harness, "b2"),
+        "its complete list says so again and again"
+    );
+}
+
+#[test]
+fn a_repeated_revision_changes_nothing() {
+    let mut harness = Harness::with_bound_proxies();
+    harness.drain_host(9, "a1", "east");
+    harness.change_list(9, &[member("b1", "west", "Gone", 0.0)]);
+    harness.run_for(100.0);
+    assert!(!is_withdrawn(&harness, "b1"));
+}
+
+#[test]
+fn silence_and_errors_lead_to_the_complete_list() {
+    // Given a discovery that does not answer.
+    let mut harness = Harness::with_bound_proxies();
+    harness.discovery.is_reachable = false;
+    harness.fail_fetch("no answer within 4700 ms");
+    harness.run_for(3000.0);
+    // Then the complete list is asked for again and again.
+    let requests = &harness.discovery.requests;
+    assert!(
+        requests[2..]
+            .iter()
+            .all(|fetch| fetch.path == "/v1/endpoints"),
+        "{requests:?}"
+    );
+    let attempts = requests.len();
+    assert!((2..20).contains(&attempts), "{attempts} attempts");
+    // When it answers again, then its changes hold, and watches go on from there.
+    harness.discovery.is_reachable = true;
+    let mut members = fleet();
+    members[3] = member("b2", "west", "Terminating", 0.0);
+    harness.discovery.list = list(12, true, &members);
+    harness.run_for(2000.0);
+    assert!(is_withdrawn(&harness, "b2"));
+    assert!(harness.discovery.latest().path.contains("after=12"));
+}
+
+#[test]
+fn a_deadline_is_kept_even_if_nothing_at_all_comes_back() {
+    let mut harness = Harness::with_bound_proxies();
+    harness.discovery.is_reachable = false;
+    let requests = harness.discovery.requests.len();
+    harness.run_for(12_000.0);
+    assert!(
+        harness.discovery.requests.len() > requests + 2,
+        "the watch was given up"
+    );
+}
+
+#[test]
+fn what_is_no_list_is_a_failure() {
+    for body in [
+        "",
+        "no json",
+        "[]",
+        "{\"revision\":-1,\"complete\":true,\"members\":[]}",
+        "{\"revision\":9",
+    ] {
+        let mut harness = Harness::with_bound_proxies();
+        harness.discovery.is_reachable = false;
+        harness.answer_fetch(body);
+        assert_eq!(harness.counter("lists_failed"), 1, "{body:?}");
+        harness.run_for(200.0);
+        assert_eq!(harness.discovery.latest().path, "/v1/endpoints", "{body:?}");
+    }
+}
+
+#[test]
+fn an_entry_that_can_not_be_used_does_not_cost_the_others() {
+    let mut harness = Harness::with_bound_proxies();
+    let members = [
+        member("b1", "west", "Resting", 0.0),
+        member("b2", "nowhere", "Ready", 0.0),
+        "{\"id\":7}".to_string(),
+        member("no,word", "west", "Ready", 0.0),
+        member("a1", "east", "Terminating", 0.0),
+    ];
+    harness.change_list(9, &members);
+    harness.run_for(100.0);
+    assert!(is_withdrawn(&harness, "a1"));
+    assert_eq!(harness.counter("list_entries_odd"), 4);
+    assert!(
+        !is_withdrawn(&harness, "b1") && !is_withdrawn(&harness, "b2"),
+        "what was known of them stands"
+    );
+}
+
+#[test]
+fn a_host_of_unknown_phase_in_a_complete_list_stays_as_it_was() {
+    let mut harness = Harness::with_bound_proxies();
+    let mut members = fleet();
+    members[2] = member("b1", "west", "Resting", 0.0);
+    harness.answer_fetch(&list(9, true, &members));
+    harness.run_for(100.0);
+    assert!(
+        !is_withdrawn(&harness, "b1"),
+        "it is listed, only its phase is not known"
+    );
+}
+
+#[test]
+fn a_late_watch_begins_with_the_complete_list() {
+    // Given a process that sleeps over the end of a watch, and then for longer.
+    let mut harness = Harness::with_bound_proxies();
+    harness.handle(Input::Wake);
+    harness.now += 30_000.0;
+    let request = harness.discovery.latest().request;
+    let body = list(9, false, &[]).into();
+    let effects = harness
+        .session
+        .step(harness.now, Input::EndpointsFetched { request, body });
+    assert!(effects.is_empty());
+    // When it wakes up, then it can't continue that watch.
+    harness.now += 500.0;
+    harness.handle(Input::Wake);
+    assert!(
+        harness.discovery.full_list_count() >= 2,
+        "{:?}",
+        harness.discovery.requests
+    );
+}
+
+#[test]
+fn times_of_starts_are_on_the_sessions_clock() {
+    let mut harness = Harness::with_bound_proxies();
+    let before = harness.relay.calls.len();
+    // When a1 says that it started two seconds ago, then it must not carry its full part.
+    let started_at = harness.now - 2000.0;
+    harness.change_list(9, &[member("a1", "east", "Ready", started_at)]);
+    harness.run_for(600.0);
+    let order = harness
+        .relay
+        .orders_from(before)
+        .into_iter()
+        .find(|order| order.starts_with("share,") && order.contains(",a1,"))
+        .expect("its weight is cut");
+    let weight: f64 = order
+        .rsplit(',')
+        .next()
+        .and_then(|weight| weight.parse().ok())
+        .expect("a weight");
+    assert!(weight > 0.0 && weight < 0.5, "{weight}");
+}
+
+#[test]
+fn a_discovery_that_does_not_wait_is_not_asked_in_a_loop() {
+    let mut harness = Harness::with_bound_proxies();
+    let before = harness.discovery.requests.len();
+    for _ in 0..1000 {
+        harness.change_list(5, &[]);
+        harness.run_for(1.0);
+    }
+    let requests = harness.discovery.requests.len() - before;
+    assert!(
+        (5..=20).contains(&requests),
+        "{requests} requests in a second"
+    );
+    assert_eq!(
+        harness.discovery.full_list_count(),
+        1,
+        "each continues the watch"
+    );
+}
--- /dev/null
+++ b/crates/director/director-state/tests/limits.rs
@@ -0,0 +1,87 @@
+//! Limits that follow from those of the process.
+
+use rushcourse_director_state::{
+    GRPC_CONNECTION_KIB, OWN_DESCRIPTORS, ProcessLimits, SessionLimits,
+};
+
+/// From the smallest process to the largest.
+const PROCESSES: [ProcessLimits; 4] = [
+    process(32.0, 256),
+    process(48.0, 384),
+    process(192.0, 1024),
+    process(2048.0, 65_536),
+];
+/// Bytes of an incomplete message of a collector, and of what a stranger sends.
+const COLLECTOR_BYTES: usize = 1 << 20;
+const STRANGER_BYTES: usize = 16 * 1024;
+
+const fn process(memory_mb: f64, descriptors: usize) -> ProcessLimits {
+    ProcessLimits {
+        memory_mb,
+        descriptors,
+    }
+}
+
+/// What a session takes at most.
+fn session_bytes(session: SessionLimits) -> usize {
+    session.max_buffered_kib * 1024
+        + session.max_collectors * COLLECTOR_BYTES
+        + session.max_list_bytes
+        + session.max_queued_call_bytes
+        + session.max_inbound * STRANGER_BYTES
+}
+
+#[test]
+fn all_together_stay_within_the_limits_of_the_process() {
+    for process in PROCESSES {
+        let session = process.session();
+        assert!(
+            session.max_inbound + OWN_DESCRIPTORS <= process.descriptors,
+            "{session:?}"
+        );
+        assert!(
+            session.max_collectors >= 8 && session.max_collectors < session.max_inbound,
+            "{session:?}"
+        );
+        let bytes = session_bytes(session);
+        assert!(
+            (bytes as f64) < 0.8 * process.memory_mb * 1024.0 * 1024.0,
+            "{process:?}: {bytes}"
+        );
+    }
+}
+
+#[test]
+fn with_grpc_all_together_stay_within_the_limits_of_the_process_too() {
+    for process in PROCESSES {
+        for asks_hosts in [false, true] {
+            let session = process.session_beside_grpc();
+            let grpc = process.grpc(None, asks_hosts);
+            let for_hosts = grpc.streams.nodes;
+            assert!(
+                session.max_inbound + grpc.max_connections + for_hosts + OWN_DESCRIPTORS
+                    <= process.descriptors,
+                "{session:?} {grpc:?}"
+            );
+            assert!(
+                session.max_collectors >= 4
+                    && grpc.max_connections >= 40
+                    && (for_hosts >= 16) == asks_hosts,
+                "{session:?} {grpc:?}"
+            );
+            let bytes = session_bytes(session)
+                + grpc.max_connections * GRPC_CONNECTION_KIB * 1024
+                + for_hosts * 32 * 1024;
+            assert!(
+                (bytes as f64) < 0.9 * process.memory_mb * 1024.0 * 1024.0,
+                "{process:?}: {bytes}"
+            );
+        }
+    }
+}
+
+#[test]
+fn an_operator_may_allow_fewer_streams() {
+    let grpc = process(192.0, 1024).grpc(Some(10), false);
+    assert_eq!(grpc.streams.streams, 10);
+}
--- /dev/null
+++ b/crates/director/director-state/tests/membership.rs
@@ -0,0 +1,203 @@
+//! The watch of the relay: breaks, silence, nonsense, and who stands after a gap.
+
+mod common;
+
+use common::harness::Harness;
+use rushcourse_director_state::RelayLink;
+
+/// Two bound proxies that hold what was ordered, as a new watch tells.
+const BOTH: [&str; 2] = ["* joined 1 east 5.0 0", "* joined 2 west 5.0 0"];
+
+/// A session with two bound proxies, whose relay names these lines to a new watch.
+fn with_joined(lines: &[&str]) -> Harness {
+    let mut harness = Harness::with_bound_proxies();
+    set_joined(&mut harness, lines);
+    harness
+}
+
+fn set_joined(harness: &mut Harness, lines: &[&str]) {
+    harness.relay.joined = lines.iter().map(|line| line.to_string()).collect();
+}
+
+/// How often proxies were bound, from a call on.
+fn bind_counts(harness: &Harness, first_call: usize, proxies: [u32; 2]) -> [usize; 2] {
+    proxies.map(|proxy| harness.relay.bind_count(first_call, proxy))
+}
+
+/// How often the session watched, and ended a watch.
+fn watches(harness: &Harness) -> (usize, usize) {
+    (
+        harness.relay.connect_count(RelayLink::Watch),
+        harness.relay.disconnect_count(RelayLink::Watch),
+    )
+}
+
+#[test]
+fn joined_proxies_are_bound_and_left_ones_are_not_ordered_for() {
+    let mut harness = Harness::with_bound_proxies();
+    assert_eq!(bind_counts(&harness, 0, [1, 2]), [1, 1]);
+    harness.notify("* left 1");
+    let before = harness.relay.calls.len();
+    harness.notify("* joined 1 east 5.0 0");
+    harness.run_for(100.0);
+    assert_eq!(
+        harness.relay.bind_count(before, 1),
+        1,
+        "a new stream is bound to nothing"
+    );
+}
+
+#[test]
+fn a_short_break_judges_nobody_anew() {
+    let mut harness = with_joined(&BOTH);
+    let before = harness.relay.calls.len();
+    harness.disconnect(RelayLink::Watch);
+    harness.run_for(1500.0);
+    assert_eq!(bind_counts(&harness, before, [1, 2]), [0, 0]);
+    assert_eq!(watches(&harness).0, 2, "it watches again at once");
+}
+
+#[test]
+fn after_a_gap_who_is_not_named_has_left_and_new_ones_are_bound() {
+    // Given a relay where proxy 1 has left and proxy 3 has joined.
+    let mut harness = with_joined(&["* joined 2 west 5.0 0", "* joined 3 east 5.0 1"]);
+    let before = harness.relay.calls.len();
+    // When the watch breaks and stands again.
+    harness.disconnect(RelayLink::Watch);
+    harness.run_for(50.0);
+    harness.notify("*");
+    harness.run_for(100.0);
+    // Then the session knows it.
+    assert_eq!(bind_counts(&harness, before, [2, 3]), [0, 1]);
+    assert_eq!(harness.gauge("proxies_joined"), 2.0, "1 has left");
+    // When 1 comes back, then it is bound as a new one.
+    harness.notify("* joined 1 east 5.0 0");
+    harness.run_for(100.0);
+    assert_eq!(harness.relay.bind_count(before, 1), 1);
+}
+
+#[test]
+fn one_that_started_anew_in_a_gap_is_bound() {
+    let mut harness = with_joined(&["* joined 1 east 5.0 1", "* joined 2 west 5.0 0"]);
+    let before = harness.relay.calls.len();
+    harness.disconnect(RelayLink::Watch);
+    harness.run_for(500.0);
+    assert_eq!(bind_counts(&harness, before, [1, 2]), [1, 0]);
+}
+
+#[test]
+fn after_a_long_gap_all_are_bound_anew_as_they_may_have_left_unseen() {
+    let mut harness = with_joined(&BOTH);
+    let before = harness.relay.calls.len();
+    harness.relay.is_reachable = false;
+    harness.disconnect(RelayLink::Watch);
+    harness.run_for(2000.0);
+    harness.relay.is_reachable = true;
+    harness.run_for(1500.0);
+    assert_eq!(bind_counts(&harness, before, [1, 2]), [1, 1]);
+    assert_eq!(harness.counter("proxies_bound_anew"), 2);
+}
+
+#[test]
+fn silence_ends_a_watch_and_signs_of_life_are_enough() {
+    let mut harness = Harness::with_bound_proxies();
+    for _ in 0..10 {
+        harness.run_for(1000.0);
+        harness.notify("*");
+    }
+    assert_eq!(watches(&harness).0, 1);
+    harness.run_for(2500.0);
+    assert_eq!(
+        watches(&harness),
+        (2, 1),
+        "a relay that is cut off is silent forever"
+    );
+    assert!(harness.has_logged(&["watch lost", "no sign of life"]));
+}
+
+#[test]
+fn a_notification_that_can_not_be_read_ends_the_watch_and_it_is_asked_for_again() {
+    for line in [
+        "garbage",
+        "* joined 1",
+        "* joined x east 5.0 1",
+        "* applied 1 70000 2.0",
+        "* left -3",
+        "",
+    ] {
+        let mut harness = Harness::with_bound_proxies();
+        harness.notify(line);
+        harness.run_for(10.0);
+        assert_eq!(watches(&harness), (2, 1), "{line:?}");
+    }
+}
+
+#[test]
+fn all_before_a_notification_that_can_not_be_read_is_known() {
+    let mut harness = Harness::with_bound_proxies();
+    harness.run_for(900.0);
+    set_joined(&mut harness, &BOTH);
+    harness.notify("* left ?");
+    harness.run_for(1000.0);
+    assert_eq!(
+        harness.counter("proxies_bound_anew"),
+        0,
+        "who stands again at once has stayed"
+    );
+}
+
+#[test]
+fn notifications_of_a_kind_or_zone_that_is_not_known_are_skipped() {
+    let mut harness = Harness::with_bound_proxies();
+    harness.notify("* moved 1 5");
+    harness.notify("* joined 9 nowhere 5.0 1");
+    harness.run_for(10.0);
+    assert_eq!(watches(&harness).0, 1);
+}
+
+#[test]
+fn a_watch_that_does_not_come_up_is_tried_again() {
+    let mut harness = Harness::new();
+    harness.relay.is_reachable = false;
+    harness.start();
+    harness.run_for(5000.0);
+    let attempts = watches(&harness).0;
+    assert!(
+        (8..40).contains(&attempts),
+        "{attempts} attempts in six seconds"
+    );
+    harness.relay.is_reachable = true;
+    set_joined(&mut harness, &["* joined 1 east 5.0 0"]);
+    harness.run_for(2000.0);
+    assert_eq!(harness.relay.bind_count(0, 1), 1);
+}
+
+#[test]
+fn a_set_of_proxies_in_pieces_is_complete_when_it_is_quiet() {
+    let mut harness = with_joined(&["* joined 1 east 5.0 0"]);
+    harness.disconnect(RelayLink::Watch);
+    harness.run_for(100.0);
+    harness.notify("* joined 2 west 5.0 0");
+    harness.run_for(1000.0);
+    assert_eq!(
+        harness.gauge("proxies_joined"),
+        2.0,
+        "the second line came 100 ms after the first"
+    );
+}
+
+#[test]
+fn a_watch_that_breaks_as_soon_as_it_stands_is_not_asked_for_in_a_loop() {
+    let mut harness = Harness::with_bound_proxies();
+    let before = watches(&harness).0;
+    for _ in 0..100 {
+        harness.notify("* left 7");
+        harness.disconnect(RelayLink::Watch);
+        harness.run_for(20.0);
+    }
+    let watches = watches(&harness).0 - before;
+    assert!(
+        (3..=20).contains(&watches),
+        "{watches} watches in two seconds"
+    );
+}
--- a/crates/director/director-state/tests/properties.rs
+++ b/crates/director/director-state/tests/properties.rs
@@ -1,178 +1,189 @@
-//! Random legal inputs with faults, fixed seeds: whatever comes, one call is in flight, order is kept, queues
-//! are bounded, and nothing that must hold fails. The stand asserts the first at every call.
+//! Random legal inputs with faults, fixed seeds: whatever comes, one call is in flight, order is kept, queues are bounded,
+//! and no invariant fails. The harness asserts the first at every call.
 
 mod common;
-use bytes::Bytes;
-use common::*;
+
+use common::harness::{CallOutcome, Harness, session_limits};
+use common::platform::{HOSTS, fleet, last_ack_number, list, member};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use rushcourse_director_state::{Bounds, Input, Link};
+use rushcourse_director_state::{InboundId, Input, RelayLink};
 use std::collections::BTreeSet;
 
-fn fault(rng: &mut ChaCha8Rng) -> Do {
+/// Proxies from 0 to this.
+const PROXIES: u32 = 8;
+
+fn random_outcome(rng: &mut ChaCha8Rng) -> CallOutcome {
     match rng.random_range(0..7) {
-        0 => Do::Break,
-        1 => Do::Silence,
-        2 => Do::Say("BUSY".into()),
-        3 => Do::Say(format!("OK {}", rng.random_range(0..4))),
-        4 => Do::Say("what?".into()),
-        _ => Do::Take,
+        0 => CallOutcome::Disconnect,
+        1 => CallOutcome::Silence,
+        2 => CallOutcome::reply("BUSY"),
+        3 => CallOutcome::Reply(format!("OK {}", rng.random_range(0..4))),
+        4 => CallOutcome::reply("what?"),
+        _ => CallOutcome::Accept,
     }
 }
 
+fn zone(proxy: u32) -> &'static str {
+    ["east", "west"][proxy as usize % 2]
+}
+
+/// A session, and what is true around it.
 struct World {
+    rng: ChaCha8Rng,
+    harness: Harness,
     joined: BTreeSet<u32>,
     revision: u64,
 }
 
-fn standing(w: &World) -> Vec<String> {
-    w.joined
-        .iter()
-        .map(|p| format!("* joined {p} {} 5.0 0", ["east", "west"][*p as usize % 2]))
-        .collect()
-}
-
-fn step(rng: &mut ChaCha8Rng, stand: &mut Stand, w: &mut World) {
-    let zone = |p: u32| ["east", "west"][p as usize % 2];
-    let proxy = rng.random_range(0..8u32);
-    match rng.random_range(0..14) {
-        0 | 1 if !w.joined.contains(&proxy) => {
-            w.joined.insert(proxy);
-            stand.news(&format!(
-                "* joined {proxy} {} 5.0 {}",
-                zone(proxy),
-                rng.random_range(0..2)
-            ));
-        }
-        2 if w.joined.remove(&proxy) => stand.news(&format!("* left {proxy}")),
-        3 if !stand.calls.is_empty() && stand.calls.iter().any(|c| c.contains("mark,")) => {
-            let mark = stand.mark();
-            stand.news(&format!("* applied {proxy} {mark} 200.0"));
-        }
-        4 | 5 => {
-            let ids = [
-                ("a1", "east"),
-                ("a2", "east"),
-                ("b1", "west"),
-                ("b2", "west"),
-            ];
-            let (id, zone) = ids[rng.random_range(0..4)];
-            let phase = ["Ready", "Ready", "Terminating", "Gone", "Odd"][rng.random_range(0..5)];
-            w.revision += 1;
-            let up = if rng.random_bool(0.3) {
-                stand.now - 500.0
-            } else {
-                0.0
-            };
-            stand.change(w.revision, &[member(id, zone, phase, up)]);
-        }
-        6 => stand.news("*"),
-        7 => {
-            stand.down(Link::News);
-        }
-        8 => {
-            stand.down(Link::Calls);
-        }
-        9 => {
-            let f = fault(rng);
-            stand.plan.push_back(f);
-        }
-        10 => {
-            let conn = rng.random_range(1..6);
-            stand.give(Input::Opened {
-                conn: conn + stand.closed.len() as u64 * 10,
-                peer: "x".into(),
-            });
-        }
-        11 => {
-            let text = format!(
-                r#"{{"@type":"heard","az":"{}","host":"a1","n":{},"bad":{},"avg":900}}"#,
-                zone(proxy),
-                rng.random_range(0..30),
-                rng.random_range(0..30)
-            );
-            let conn = rng.random_range(1..40);
-            stand.give(Input::Frame {
-                conn,
-                bytes: Bytes::from(text),
-            });
+impl World {
+    fn new(seed: u64) -> World {
+        World {
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            harness: Harness::started(),
+            joined: BTreeSet::new(),
+            revision: 10,
         }
-        12 => stand.relay_up = rng.random_bool(0.7),
-        _ => {
-            let ask = stand.asks.last().expect("an ask").0;
-            stand.give(Input::Unlisted {
-                ask,
-                why: "reset".into(),
-            });
+    }
+
+    /// Something happens.
+    fn step(&mut self) {
+        let proxy = self.rng.random_range(0..PROXIES);
+        match self.rng.random_range(0..14) {
+            0 | 1 if !self.joined.contains(&proxy) => self.join(proxy),
+            2 if self.joined.remove(&proxy) => self.harness.notify(&format!("* left {proxy}")),
+            3 if last_ack_number(&self.harness.relay.calls).is_some() => {
+                let ack_number = self.harness.ack_number();
+                let line = format!("* applied {proxy} {ack_number} 200.0");
+                self.harness.notify(&line);
+            }
+            4 | 5 => self.change_host(),
+            6 => self.harness.notify("*"),
+            7 => self.harness.disconnect(RelayLink::Watch),
+            8 => self.harness.disconnect(RelayLink::Calls),
+            9 => {
+                let outcome = random_outcome(&mut self.rng);
+                self.harness.relay.outcomes.push_back(outcome);
+            }
+            10 => self.connect_stranger(),
+            11 => self.report(proxy),
+            12 => self.harness.relay.is_reachable = self.rng.random_bool(0.7),
+            _ => self.harness.fail_fetch("reset"),
         }
+        self.harness.relay.joined = self
+            .joined
+            .iter()
+            .map(|proxy| format!("* joined {proxy} {} 5.0 0", zone(*proxy)))
+            .collect();
+    }
+
+    fn join(&mut self, proxy: u32) {
+        self.joined.insert(proxy);
+        let is_fresh = self.rng.random_range(0..2);
+        let line = format!("* joined {proxy} {} 5.0 {is_fresh}", zone(proxy));
+        self.harness.notify(&line);
+    }
+
+    fn change_host(&mut self) {
+        let (id, zone) = HOSTS[self.rng.random_range(0..4)];
+        let phases = ["Ready", "Ready", "Terminating", "Gone", "Odd"];
+        let phase = phases[self.rng.random_range(0..5)];
+        self.revision += 1;
+        let started_at = if self.rng.random_bool(0.3) {
+            self.harness.now - 500.0
+        } else {
+            0.0
+        };
+        let changed = member(id, zone, phase, started_at);
+        self.harness.change_list(self.revision, &[changed]);
+    }
+
+    fn connect_stranger(&mut self) {
+        let number = self.rng.random_range(1..6);
+        let closed = self.harness.inbound.closed.len() as u64;
+        self.harness.handle(Input::InboundOpened {
+            inbound: InboundId(number + closed * 10),
+            peer: "x".into(),
+        });
+    }
+
+    fn report(&mut self, proxy: u32) {
+        let (attempts, failed) = (self.rng.random_range(0..30), self.rng.random_range(0..30));
+        let report = format!(
+            r#"{{"@type":"heard","az":"{}","host":"a1","n":{attempts},"bad":{failed},"avg":900}}"#,
+            zone(proxy)
+        );
+        let inbound = self.rng.random_range(1..40);
+        self.harness.receive(inbound, &report);
+    }
+
+    fn assert_bounds(&self) {
+        assert!(self.harness.gauge("calls_waiting") <= 256.0);
+        assert!(self.harness.gauge("events_waiting") <= 8192.0);
+        let max_inbound = session_limits().max_inbound as f64;
+        assert!(self.harness.gauge("peers_open") <= max_inbound);
+        assert!(self.harness.gauge("timers_pending") <= 4096.0);
+    }
+
+    /// The relay is well again for a while.
+    fn calm_down(&mut self) {
+        self.harness.relay.is_reachable = true;
+        self.harness.relay.outcomes.clear();
+        self.harness.run_for(3000.0);
+        self.harness.notify("*");
+        self.harness.run_for(500.0);
     }
-    stand.standing = standing(w);
 }
 
 #[test]
 fn whatever_comes_order_and_bounds_are_kept() {
     for seed in 0..60 {
-        let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut stand = Stand::started();
-        let mut w = World {
-            joined: BTreeSet::new(),
-            revision: 10,
-        };
+        let mut world = World::new(seed);
         for _ in 0..400 {
-            step(&mut rng, &mut stand, &mut w);
-            stand.list = list(w.revision, true, &fleet());
-            let ms = rng.random_range(0.0..120.0);
-            stand.pass(ms);
-            assert!(stand.gauge("calls_waiting") <= 256.0);
-            assert!(stand.gauge("events_waiting") <= 8192.0);
-            assert!(stand.gauge("peers_open") <= Bounds::of(32.0, 256).peers as f64);
-            assert!(stand.gauge("timers_pending") <= 4096.0);
+            world.step();
+            world.harness.discovery.list = list(world.revision, true, &fleet());
+            let ms = world.rng.random_range(0.0..120.0);
+            world.harness.run_for(ms);
+            world.assert_bounds();
         }
         // Quiet again: everything that waited goes out, and who is joined is known.
-        stand.relay_up = true;
-        stand.plan.clear();
-        stand.pass(3000.0);
-        stand.news("*");
-        stand.pass(500.0);
-        assert_eq!(stand.gauge("calls_waiting"), 0.0, "seed {seed}");
+        world.calm_down();
+        let harness = &world.harness;
+        assert_eq!(harness.gauge("calls_waiting"), 0.0, "seed {seed}");
         assert_eq!(
-            stand.gauge("proxies_joined"),
-            w.joined.len() as f64,
+            harness.gauge("proxies_joined"),
+            world.joined.len() as f64,
             "seed {seed}"
         );
-        assert_eq!(stand.count("invariant_failures"), 0, "seed {seed}");
-        marks_in_order(&stand, seed);
+        assert_eq!(harness.counter("invariant_failures"), 0, "seed {seed}");
+        assert_ack_numbers_in_order(&harness.relay.calls, seed);
     }
 }
 
-/// Marks rise by one from reply to reply; a call that is repeated repeats its own.
-fn marks_in_order(stand: &Stand, seed: u64) {
-    let marks: Vec<u16> = stand
-        .calls
+/// The numbers of acknowledgements rise by one from batch to batch; a call that is repeated repeats its own.
+fn assert_ack_numbers_in_order(calls: &[String], seed: u64) {
+    let numbers: Vec<u16> = calls
         .iter()
-        .flat_map(|c| c.split(';'))
-        .filter_map(|o| o.strip_prefix("mark,")?.split(',').next()?.parse().ok())
+        .flat_map(|call| call.split(';'))
+        .filter_map(|order| order.strip_prefix("mark,")?.split(',').next()?.parse().ok())
         .collect();
     assert!(
-        marks.windows(2).all(|w| w[1] >= w[0]),
-        "seed {seed}: {marks:?}"
+        numbers.windows(2).all(|pair| pair[1] >= pair[0]),
+        "seed {seed}: {numbers:?}"
     );
 }
 
+/// All calls and log lines of a random run.
+fn play(seed: u64) -> (Vec<String>, Vec<String>) {
+    let mut world = World::new(seed);
+    for _ in 0..200 {
+        world.step();
+        world.harness.run_for(50.0);
+    }
+    (world.harness.relay.calls, world.harness.log)
+}
+
 #[test]
 fn the_same_inputs_give_the_same_calls() {
-    let play = |seed: u64| {
-        let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let mut stand = Stand::started();
-        let mut w = World {
-            joined: BTreeSet::new(),
-            revision: 10,
-        };
-        for _ in 0..200 {
-            step(&mut rng, &mut stand, &mut w);
-            stand.pass(50.0);
-        }
-        (stand.calls, stand.logs)
-    };
     assert_eq!(play(5), play(5));
 }
--- a/crates/director/director-state/tests/reload.rs
+++ b/crates/director/director-state/tests/reload.rs
@@ -1,315 +1,368 @@
 //! A configuration that is read again: what stands is kept until its successor does, and nothing is lost.
 
 mod common;
-use common::*;
-use rushcourse_director_state::{Input, Link};
 
-/// Two proxies that have applied their tables, and a relay that says so of who stands.
-fn usual() -> Stand {
-    let mut stand = Stand::usual();
-    stand.standing = vec![
+use common::harness::{CallOutcome, Harness};
+use common::platform::{addresses, fleet, list, member};
+use rushcourse_director_state::{Input, RelayConnectionId, RelayLink};
+use std::net::SocketAddr;
+
+/// Two proxies that have applied their tables, and a relay that says so to a new watch.
+fn with_applied_tables() -> Harness {
+    let mut harness = Harness::with_bound_proxies();
+    harness.relay.joined = vec![
         "* joined 1 east 5.0 0".into(),
         "* joined 2 west 5.0 0".into(),
     ];
-    stand
+    harness
 }
 
-/// Told to reload, with this in the file.
-fn reload(stand: &mut Stand, n: u16) {
-    stand.file = Ok(places(n));
-    stand.give(Input::Reload);
+/// An operator asks for a reload, with these addresses in the file.
+fn reload(harness: &mut Harness, index: u16) {
+    harness.config_file = Ok(addresses(index));
+    harness.handle(Input::ReloadRequested);
 }
 
-fn news_on(stand: &mut Stand, turn: u64, line: &str) {
-    stand.give(Input::Line {
-        link: Link::News,
-        turn,
-        text: line.into(),
-    });
+/// The relay can be reached again: the latest connections of both links are established.
+fn reach_relay(harness: &mut Harness) {
+    harness.relay.is_reachable = true;
+    for link in [RelayLink::Watch, RelayLink::Calls] {
+        let connection = harness.relay.current(link);
+        harness.handle(Input::RelayConnected { connection });
+    }
 }
 
-/// Brings up the last connections of both links.
-fn up(stand: &mut Stand) {
-    stand.relay_up = true;
-    for link in [Link::News, Link::Calls] {
-        let turn = stand.turns[link as usize];
-        stand.give(Input::Up { link, turn });
+/// A second passes, then the relay sends a sign of life; again and again.
+fn run_for_seconds(harness: &mut Harness, seconds: usize) {
+    for _ in 0..seconds {
+        harness.run_for(1000.0);
+        harness.notify("*");
     }
 }
 
-fn binds(stand: &Stand, proxy: u32) -> usize {
-    stand
-        .orders(0)
-        .iter()
-        .filter(|o| o.starts_with(&format!("bind,{proxy},")))
-        .count()
+/// Where the session connected last for a link.
+fn last_address(harness: &Harness, link: RelayLink) -> Option<SocketAddr> {
+    let latest = harness.relay.latest(link)?;
+    Some(latest.address)
+}
+
+fn bind_count(harness: &Harness, proxy: u32) -> usize {
+    harness.relay.bind_count(0, proxy)
+}
+
+/// Reloads that failed and that succeeded.
+fn reloads(harness: &Harness) -> (u64, u64) {
+    (
+        harness.counter("reloads_failed"),
+        harness.counter("reloads"),
+    )
+}
+
+/// A reload to a relay that can't be reached yet. Returns the watch of before.
+fn reload_out_of_reach(harness: &mut Harness) -> RelayConnectionId {
+    let former = harness.relay.current(RelayLink::Watch);
+    harness.relay.is_reachable = false;
+    reload(harness, 1);
+    former
 }
 
 #[test]
-fn the_old_news_are_read_until_the_new_ones_stand() {
-    let mut stand = usual();
-    let (old, before) = (stand.turns[Link::News as usize], binds(&stand, 1));
-    stand.relay_up = false;
-    reload(&mut stand, 1);
-    stand.pass(100.0);
+fn the_former_watch_is_read_until_the_new_one_stands() {
+    // Given a watch that is to move.
+    let mut harness = with_applied_tables();
+    let former = reload_out_of_reach(&mut harness);
+    harness.run_for(100.0);
+    let latest = harness.relay.connections.last().expect("a connection");
     assert_eq!(
-        stand.went.last().map(|w| (w.0, w.2)),
-        Some((Link::News, places(1).relay))
+        (latest.id.link, latest.address),
+        (RelayLink::Watch, addresses(1).relay)
     );
-    news_on(&mut stand, old, "* joined 3 east 5.0 1");
-    stand.pass(50.0);
+    // When a proxy joins meanwhile, then the former watch tells it.
+    harness.notify_by(former, "* joined 3 east 5.0 1");
+    harness.run_for(50.0);
     assert_eq!(
-        stand.gauge("proxies_joined"),
+        harness.gauge("proxies_joined"),
         3.0,
         "told where the relay was"
     );
-    stand.standing.push("* joined 3 east 5.0 1".into());
-    stand.drops = [0; 2];
-    up(&mut stand);
-    stand.pass(20.0);
+}
+
+#[test]
+fn once_the_new_watch_stands_it_alone_tells_who_joins_and_leaves() {
+    // Given a watch that has moved.
+    let mut harness = with_applied_tables();
+    let binds = bind_count(&harness, 1);
+    let former = reload_out_of_reach(&mut harness);
+    harness.run_for(100.0);
+    harness.notify_by(former, "* joined 3 east 5.0 1");
+    harness.run_for(50.0);
+    harness.relay.joined.push("* joined 3 east 5.0 1".into());
+    let disconnects = harness.relay.disconnect_count(RelayLink::Watch);
+    reach_relay(&mut harness);
+    harness.run_for(20.0);
+    assert_eq!(
+        harness.relay.disconnect_count(RelayLink::Watch),
+        disconnects,
+        "acknowledgements may still come"
+    );
+    // Whatever the former address still says of joins is told by the new one.
+    harness.notify_by(former, "* left 1");
+    harness.notify_by(former, "* joined 2 west 5.0 0");
+    assert_eq!(harness.gauge("proxies_joined"), 3.0);
+    harness.run_for(1500.0);
     assert_eq!(
-        stand.drops[Link::News as usize],
-        0,
-        "answers to marks may still come"
+        harness.relay.disconnect_count(RelayLink::Watch),
+        disconnects + 1,
+        "the former watch ends"
     );
-    // Whatever the old place still says of joins is told by the new one.
-    news_on(&mut stand, old, "* left 1");
-    news_on(&mut stand, old, "* joined 2 west 5.0 0");
-    assert_eq!(stand.gauge("proxies_joined"), 3.0);
-    stand.pass(1500.0);
-    assert_eq!(stand.drops[Link::News as usize], 1, "the old watch ends");
-    stand.news("*");
-    stand.pass(1000.0);
-    assert_eq!(binds(&stand, 1), before, "nobody is judged or bound anew");
+    harness.notify("*");
+    harness.run_for(1000.0);
     assert_eq!(
-        (
-            stand.count("proxies_bound_anew"),
-            stand.count("news_breaks")
-        ),
-        (0, 0)
+        bind_count(&harness, 1),
+        binds,
+        "nobody is judged or bound anew"
     );
-    assert!(binds(&stand, 3) >= 1, "who joined meanwhile is bound");
-    stand.news("* left 2");
-    assert_eq!(stand.gauge("proxies_joined"), 2.0);
+    assert_eq!(harness.counter("proxies_bound_anew"), 0);
+    assert_eq!(harness.counter("news_breaks"), 0);
+    assert!(
+        bind_count(&harness, 3) >= 1,
+        "who joined meanwhile is bound"
+    );
+    harness.notify("* left 2");
+    assert_eq!(harness.gauge("proxies_joined"), 2.0);
 }
 
 #[test]
-fn answers_to_marks_are_taken_from_either_place() {
-    let mut stand = usual();
-    let old = stand.turns[Link::News as usize];
-    stand.drain(6, "a1", "east");
-    stand.pass(20.0);
-    let (mark, flying) = (stand.mark(), stand.session.view().unacknowledged_lines);
-    assert!(flying > 0.0);
-    reload(&mut stand, 1);
-    stand.pass(20.0);
+fn acknowledgements_are_taken_from_either_address() {
+    // Given a call that no proxy has acknowledged.
+    let mut harness = with_applied_tables();
+    let former = harness.relay.current(RelayLink::Watch);
+    harness.drain_host(6, "a1", "east");
+    harness.run_for(20.0);
+    let ack_number = harness.ack_number();
+    assert!(harness.session.view().unacknowledged_lines > 0.0);
+    // When the relay moves, and acknowledgements come where it was.
+    reload(&mut harness, 1);
+    harness.run_for(20.0);
     for proxy in [1, 2] {
-        news_on(&mut stand, old, &format!("* applied {proxy} {mark} 200.0"));
+        harness.notify_by(former, &format!("* applied {proxy} {ack_number} 200.0"));
     }
-    stand.pass(20.0);
-    assert_eq!(
-        stand.session.view().unacknowledged_lines,
-        0.0,
-        "the mark was answered where the relay was"
-    );
+    harness.run_for(20.0);
+    // Then they count.
+    assert_eq!(harness.session.view().unacknowledged_lines, 0.0);
 }
 
 #[test]
 fn a_watch_that_breaks_before_its_successor_stands_leaves_a_gap() {
-    let mut stand = usual();
-    let old = stand.turns[Link::News as usize];
-    stand.relay_up = false;
-    reload(&mut stand, 1);
-    stand.pass(50.0);
-    stand.give(Input::Down {
-        link: Link::News,
-        turn: old,
-        why: "closed".into(),
+    // Given a watch that is to move and breaks.
+    let mut harness = with_applied_tables();
+    let former = reload_out_of_reach(&mut harness);
+    harness.run_for(50.0);
+    harness.handle(Input::RelayDisconnected {
+        connection: former,
+        reason: "closed".into(),
     });
-    assert_eq!(stand.count("news_breaks"), 1);
-    stand.pass(900.0);
-    stand.standing = vec!["* joined 1 east 5.0 0".into()];
-    stand.relay_up = true;
-    stand.pass(2000.0);
+    assert_eq!(harness.counter("news_breaks"), 1);
+    harness.run_for(900.0);
+    // When the new one stands, then who may have left unseen is bound anew.
+    harness.relay.joined = vec!["* joined 1 east 5.0 0".into()];
+    harness.relay.is_reachable = true;
+    harness.run_for(2000.0);
     assert_eq!(
-        stand.gauge("proxies_joined"),
+        harness.gauge("proxies_joined"),
         1.0,
         "who is not named has left"
     );
-    assert_eq!(stand.count("proxies_bound_anew"), 1);
+    assert_eq!(harness.counter("proxies_bound_anew"), 1);
 }
 
 #[test]
-fn a_call_in_flight_is_answered_where_it_was_sent() {
-    let mut stand = usual();
-    stand.plan = [Do::Silence].into();
-    stand.drain(6, "a1", "east");
-    stand.pass(5.0);
-    assert!(stand.outstanding);
-    let calls = stand.calls.len();
-    stand.drops = [0; 2];
-    reload(&mut stand, 1);
-    stand.pass(5.0);
+fn a_call_in_flight_gets_its_reply_where_it_was_sent() {
+    // Given a call in flight.
+    let mut harness = with_applied_tables();
+    harness.relay.outcomes = [CallOutcome::Silence].into();
+    harness.drain_host(6, "a1", "east");
+    harness.run_for(5.0);
+    assert!(harness.relay.is_call_open);
+    let calls = harness.relay.calls.len();
+    let disconnects = harness.relay.disconnect_count(RelayLink::Calls);
+    // When the relay moves, then the connection stays.
+    reload(&mut harness, 1);
+    harness.run_for(5.0);
     assert_eq!(
-        (stand.drops[Link::Calls as usize], stand.calls.len()),
-        (0, calls)
+        (
+            harness.relay.disconnect_count(RelayLink::Calls),
+            harness.relay.calls.len()
+        ),
+        (disconnects, calls)
+    );
+    // When the reply has come, then the next call goes to the new address.
+    harness.accept(calls - 1);
+    harness.drain_host(7, "b1", "west");
+    harness.run_for(300.0);
+    assert_eq!(
+        last_address(&harness, RelayLink::Calls),
+        Some(addresses(1).relay)
     );
-    let orders = stand.calls.last().expect("a call").split(';').count();
-    stand.answer(&format!("OK {orders}"));
-    stand.drain(7, "b1", "west");
-    stand.pass(300.0);
-    let went = stand
-        .went
-        .iter()
-        .rev()
-        .find(|w| w.0 == Link::Calls)
-        .map(|w| w.2);
-    assert_eq!(went, Some(places(1).relay));
     assert!(
-        stand.calls.len() > calls && stand.calls[calls] != stand.calls[calls - 1],
-        "told once"
+        harness.relay.calls.len() > calls
+            && harness.relay.calls[calls] != harness.relay.calls[calls - 1],
+        "sent once"
     );
-    assert_eq!(stand.count("calls_repeated"), 0);
+    assert_eq!(harness.counter("calls_repeated"), 0);
 }
 
 #[test]
-fn a_call_of_unknown_outcome_is_repeated_at_the_new_place_before_later_ones() {
-    let mut stand = usual();
-    stand.plan = [Do::Silence].into();
-    stand.drain(6, "a1", "east");
-    stand.pass(5.0);
-    let calls = stand.calls.len();
-    reload(&mut stand, 1);
-    stand.give(Input::Reload);
-    stand.drain(7, "b1", "west");
-    stand.down(Link::Calls);
-    stand.pass(200.0);
+fn a_call_of_unknown_outcome_is_repeated_at_the_new_address_before_later_ones() {
+    // Given a call in flight, and a relay that moves.
+    let mut harness = with_applied_tables();
+    harness.relay.outcomes = [CallOutcome::Silence].into();
+    harness.drain_host(6, "a1", "east");
+    harness.run_for(5.0);
+    let calls = harness.relay.calls.len();
+    reload(&mut harness, 1);
+    harness.handle(Input::ReloadRequested);
+    // When its connection breaks.
+    harness.drain_host(7, "b1", "west");
+    harness.disconnect(RelayLink::Calls);
+    harness.run_for(200.0);
+    // Then it is repeated where the relay is now.
     assert_eq!(
-        stand.calls[calls],
-        stand.calls[calls - 1],
+        harness.relay.calls[calls],
+        harness.relay.calls[calls - 1],
         "the same call first"
     );
     assert!(
-        stand.calls[calls + 1..]
+        harness.relay.calls[calls + 1..]
             .iter()
-            .any(|c| c.contains("withdraw,b1"))
+            .any(|call| call.contains("withdraw,b1"))
     );
     assert_eq!(
-        stand
-            .went
-            .iter()
-            .rev()
-            .find(|w| w.0 == Link::Calls)
-            .map(|w| w.2),
-        Some(places(1).relay)
+        last_address(&harness, RelayLink::Calls),
+        Some(addresses(1).relay)
     );
 }
 
 #[test]
 fn a_file_that_makes_no_sense_changes_nothing_and_is_looked_at_again() {
-    let mut stand = usual();
-    let (went, logs) = (stand.went.len(), stand.logs.len());
-    stand.file = Err("config.json: EOF while parsing".into());
-    stand.give(Input::Reload);
-    stand.pass(1000.0);
-    stand.news("*");
-    assert_eq!(stand.went.len(), went);
-    assert_eq!(
-        (stand.count("reloads_failed"), stand.count("reloads")),
-        (1, 0)
-    );
-    let said = |s: &Stand| {
-        s.logs[logs..]
-            .iter()
-            .filter(|l| l.contains("nothing is changed"))
-            .count()
-    };
-    assert_eq!(said(&stand), 1, "one line");
-    stand.file = Ok(places(1));
-    stand.pass(500.0);
-    assert_eq!(stand.count("reloads"), 1, "it was half written");
-    assert!(stand.went[went..].iter().all(|w| w.2 == places(1).relay) && stand.went.len() > went);
-    // For good, it waits for the next signal.
-    stand.file = Err("config.json: no such file".into());
-    stand.give(Input::Reload);
-    (0..20).for_each(|_| (stand.pass(1000.0), stand.news("*")).1);
-    stand.file = Ok(places(2));
-    (0..20).for_each(|_| (stand.pass(1000.0), stand.news("*")).1);
-    assert_eq!(
-        (stand.count("reloads_failed"), stand.count("reloads")),
-        (2, 1)
+    // Given a file that is half written.
+    let mut harness = with_applied_tables();
+    let (connections, lines) = (harness.relay.connections.len(), harness.log.len());
+    harness.config_file = Err("config.json: EOF while parsing".into());
+    harness.handle(Input::ReloadRequested);
+    run_for_seconds(&mut harness, 1);
+    assert_eq!(harness.relay.connections.len(), connections);
+    assert_eq!(reloads(&harness), (1, 0));
+    let logged = harness.log[lines..]
+        .iter()
+        .filter(|line| line.contains("nothing is changed"));
+    assert_eq!(logged.count(), 1, "one line");
+    // When it is complete, then it is used without another signal.
+    harness.config_file = Ok(addresses(1));
+    harness.run_for(500.0);
+    assert_eq!(reloads(&harness), (1, 1));
+    let new = &harness.relay.connections[connections..];
+    assert!(
+        !new.is_empty()
+            && new
+                .iter()
+                .all(|connection| connection.address == addresses(1).relay)
     );
-    stand.give(Input::Reload);
-    assert_eq!(stand.count("reloads"), 2);
 }
 
 #[test]
-fn a_reload_before_the_start_and_several_in_a_row_end_at_the_last_place() {
-    let mut stand = Stand::new();
-    reload(&mut stand, 1);
-    stand.start();
-    for n in [2, 3, 1, 2] {
-        reload(&mut stand, n);
-        stand.pass(3.0);
+fn a_file_that_makes_no_sense_for_good_waits_for_the_next_signal() {
+    let mut harness = with_applied_tables();
+    harness.config_file = Err("config.json: no such file".into());
+    harness.handle(Input::ReloadRequested);
+    run_for_seconds(&mut harness, 20);
+    harness.config_file = Ok(addresses(2));
+    run_for_seconds(&mut harness, 20);
+    assert_eq!(reloads(&harness), (1, 0));
+    harness.handle(Input::ReloadRequested);
+    assert_eq!(reloads(&harness), (1, 1));
+}
+
+#[test]
+fn a_reload_before_the_start_and_several_in_a_row_end_at_the_last_address() {
+    let mut harness = Harness::new();
+    reload(&mut harness, 1);
+    harness.start();
+    for index in [2, 3, 1, 2] {
+        reload(&mut harness, index);
+        harness.run_for(3.0);
     }
-    stand.pass(1200.0);
-    for link in [Link::News, Link::Calls] {
-        let last = stand.went.iter().rev().find(|w| w.0 == link);
-        assert!(last.is_none_or(|w| w.2 == places(2).relay), "{link:?}");
+    harness.run_for(1200.0);
+    for link in [RelayLink::Watch, RelayLink::Calls] {
+        let last = last_address(&harness, link);
+        assert!(
+            last.is_none_or(|address| address == addresses(2).relay),
+            "{link:?}"
+        );
     }
-    assert_eq!(stand.asked_at.last(), Some(&places(2).discovery));
-    stand.news("* joined 1 east 5.0 1");
-    stand.pass(300.0);
-    assert!(binds(&stand, 1) >= 1);
+    assert_eq!(harness.discovery.latest().address, addresses(2).discovery);
+    harness.notify("* joined 1 east 5.0 1");
+    harness.run_for(300.0);
+    assert!(bind_count(&harness, 1) >= 1);
 }
 
 #[test]
 fn a_reload_that_moves_nothing_does_nothing() {
-    let mut stand = usual();
-    let (went, asks) = (stand.went.len(), stand.asks.len());
-    reload(&mut stand, 0);
-    stand.pass(500.0);
-    assert_eq!((stand.went.len(), stand.asks.len()), (went, asks));
-    assert_eq!(stand.count("reloads"), 1);
+    let mut harness = with_applied_tables();
+    let count = |harness: &Harness| {
+        (
+            harness.relay.connections.len(),
+            harness.discovery.requests.len(),
+        )
+    };
+    let before = count(&harness);
+    reload(&mut harness, 0);
+    harness.run_for(500.0);
+    assert_eq!(count(&harness), before);
+    assert_eq!(harness.counter("reloads"), 1);
 }
 
 #[test]
 fn a_new_discovery_may_begin_below_the_revision_held() {
-    let mut stand = usual();
-    stand.drain(90, "a1", "east");
-    stand.pass(100.0);
-    assert_eq!(stand.gauge("list_revision"), 90.0);
-    let (open, asks) = (stand.asks.last().expect("a watch").0, stand.asks.len());
-    stand.discovery_up = false;
-    reload(&mut stand, 1);
-    assert_eq!(stand.asked_at[asks..], [places(1).discovery], "at once");
-    // The watch that was open still counts until the new place has answered.
-    let body = list(91, false, &[member("b1", "west", "Terminating", 0.0)]);
-    stand.give(Input::Listed {
-        ask: open,
-        body: body.into(),
-    });
-    stand.pass(20.0);
-    assert!(stand.orders(0).iter().any(|o| o == "withdraw,b1"));
-    let mut fleet = fleet();
-    fleet[2] = member("b1", "west", "Terminating", 0.0);
-    let ask = stand.asks.last().expect("an ask").0;
-    stand.give(Input::Listed {
-        ask,
-        body: list(3, true, &fleet).into(),
-    });
-    assert_eq!(stand.gauge("list_revision"), 3.0);
-    stand.pass(10.0);
-    assert!(stand.asks.last().expect("a watch").1.contains("after=3&"));
-    // What the old place says now is no news.
-    let body = list(92, false, &[member("a2", "east", "Terminating", 0.0)]);
-    stand.give(Input::Listed {
-        ask: open,
-        body: body.into(),
-    });
-    assert_eq!(stand.gauge("list_revision"), 3.0);
+    // Given a list of a high revision, and a watch that is open.
+    let mut harness = with_applied_tables();
+    harness.drain_host(90, "a1", "east");
+    harness.run_for(100.0);
+    assert_eq!(harness.gauge("list_revision"), 90.0);
+    let open = harness.discovery.latest().request;
+    let requests = harness.discovery.requests.len();
+    // When discovery moves, then the new address is asked at once.
+    harness.discovery.is_reachable = false;
+    reload(&mut harness, 1);
+    let asked: Vec<SocketAddr> = harness.discovery.requests[requests..]
+        .iter()
+        .map(|fetch| fetch.address)
+        .collect();
+    assert_eq!(asked, [addresses(1).discovery]);
+    // The watch that was open still counts until the new address has answered.
+    let answer = |revision: u64, host: &str, zone: &str| Input::EndpointsFetched {
+        request: open,
+        body: list(revision, false, &[member(host, zone, "Terminating", 0.0)]).into(),
+    };
+    harness.handle(answer(91, "b1", "west"));
+    harness.run_for(20.0);
+    let withdrawal = "withdraw,b1".to_string();
+    assert!(harness.relay.orders_from(0).contains(&withdrawal));
+    // When it answers with a low revision, then that is held.
+    let mut members = fleet();
+    members[2] = member("b1", "west", "Terminating", 0.0);
+    harness.answer_fetch(&list(3, true, &members));
+    assert_eq!(harness.gauge("list_revision"), 3.0);
+    harness.run_for(10.0);
+    assert!(harness.discovery.latest().path.contains("after=3&"));
+    // What the former address says now changes nothing.
+    harness.handle(answer(92, "a2", "east"));
+    assert_eq!(harness.gauge("list_revision"), 3.0);
     assert_eq!(
-        (stand.count("lists_old"), stand.count("lists_failed")),
+        (
+            harness.counter("lists_old"),
+            harness.counter("lists_failed")
+        ),
         (0, 0)
     );
 }
--- a/crates/director/director-state/tests/streams.rs
+++ b/crates/director/director-state/tests/streams.rs
@@ -1,168 +1,156 @@
-//! The session with both channels: a proxy is reached the newest way, and what one channel does is no news of another.
+//! The session with both channels: a proxy is reached the newest way, and what one channel does says nothing of another.
 
 mod common;
 
-use common::*;
-use rushcourse_director_state::{Input, Link};
+use common::harness::{Harness, stream_config};
+use common::platform::settings;
+use rushcourse_director_state::{Input, RelayLink};
 use rushcourse_xds::{Ask, Code, Effect, Node, Response, Said, Service, TABLE_TYPE};
 
-/// A proxy of each zone at the relay, with streams served beside.
-fn both() -> Stand {
-    let mut stand = Stand::serving(options(), Some(rules()));
-    stand.rules = Some(rules());
-    stand.start();
-    stand.standing = vec![
-        "* joined 1 east 5.0 1".into(),
-        "* joined 2 west 5.0 1".into(),
-    ];
-    let standing = stand.standing.clone();
-    standing.iter().for_each(|line| stand.news(line));
-    stand.pass(300.0);
-    stand.applied(&[1, 2]);
-    // From here on they hold what they were ordered there.
-    stand.standing = vec![
+/// A proxy of each zone at the relay, with streams served beside. They hold what they were ordered there.
+fn with_both_channels() -> Harness {
+    let mut harness = Harness::with(settings(), Some(stream_config()));
+    harness.stream_config = Some(stream_config());
+    harness.start();
+    harness.join_two_proxies();
+    harness.relay.joined = vec![
         "* joined 1 east 5.0 0".into(),
         "* joined 2 west 5.0 0".into(),
     ];
-    stand.pass(300.0);
-    stand
+    harness
 }
 
-/// A relay opens a stream, says who it is, and asks for a class.
-fn opens(stand: &mut Stand, stream: u64, number: u32) {
-    let (service, peer) = (Service::Whole, "127.0.0.1:9".to_string());
-    stand.give(Input::Stream(rushcourse_xds::Input::Opened {
+/// A proxy opens a stream, identifies itself, and asks for a class.
+fn open_stream(harness: &mut Harness, stream: u64, proxy: u32) {
+    harness.handle(Input::Stream(rushcourse_xds::Input::Opened {
         stream,
         connection: stream,
-        service,
-        peer,
+        service: Service::Whole,
+        peer: "127.0.0.1:9".to_string(),
     }));
     let node = Node {
-        id: format!("relay-{number}"),
+        id: format!("relay-{proxy}"),
         zone: "east".into(),
         rate: Some(5.0),
     };
-    let (names, type_url) = (vec!["look".into()], TABLE_TYPE.into());
     let ask = Ask {
         node: Some(node),
-        type_url,
-        names,
+        type_url: TABLE_TYPE.into(),
+        names: vec!["look".into()],
         ..Ask::default()
     };
-    stand.give(Input::Stream(rushcourse_xds::Input::Said {
+    harness.handle(Input::Stream(rushcourse_xds::Input::Said {
         stream,
         said: Said::Whole(ask),
     }));
 }
 
-/// The transport takes what was handed to it.
-fn takes(stand: &mut Stand, stream: u64) {
-    stand.give(Input::Stream(rushcourse_xds::Input::Taken { stream }));
+/// The transport accepts what was handed to it.
+fn accept_response(harness: &mut Harness, stream: u64) {
+    harness.handle(Input::Stream(rushcourse_xds::Input::Taken { stream }));
 }
 
-/// Responses to a stream since the last look: hosts that may be picked, by response.
-fn sent(stand: &mut Stand, to: u64) -> Vec<Vec<String>> {
-    let mut all = Vec::new();
-    for effect in std::mem::take(&mut stand.streamed) {
+/// Responses to a stream since the last look: the hosts that may be picked, by response.
+fn take_responses(harness: &mut Harness, to: u64) -> Vec<Vec<String>> {
+    let mut responses = Vec::new();
+    for effect in std::mem::take(&mut harness.stream_effects) {
         if let Effect::Respond {
             stream,
             response: Response::Whole { resources, .. },
         } = effect
             && stream == to
         {
-            let lines = resources
+            let endpoints = resources
                 .iter()
-                .flat_map(|r| &r.table.localities)
-                .flat_map(|l| &l.endpoints);
-            all.push(
-                lines
-                    .filter(|e| !e.draining)
-                    .map(|e| e.host.to_string())
+                .flat_map(|resource| &resource.table.localities)
+                .flat_map(|locality| &locality.endpoints);
+            responses.push(
+                endpoints
+                    .filter(|endpoint| !endpoint.draining)
+                    .map(|endpoint| endpoint.host.to_string())
                     .collect(),
             );
         }
     }
-    all
+    responses
 }
 
-fn binds(stand: &Stand, from: usize, proxy: u32) -> usize {
-    let word = format!("bind,{proxy},");
-    stand
-        .orders(from)
-        .iter()
-        .filter(|o| o.starts_with(&word))
-        .count()
+/// Whether a stream was ended with this status, or any.
+fn is_ended(harness: &Harness, ended: u64, status: Option<Code>) -> bool {
+    harness.stream_effects.iter().any(|effect| {
+        matches!(effect, Effect::End { stream, code, .. }
+            if *stream == ended && status.is_none_or(|status| status == *code))
+    })
 }
 
 #[test]
 fn who_joins_by_a_stream_is_served_there_and_no_more_by_the_relay() {
-    let mut stand = both();
-    opens(&mut stand, 7, 1);
-    stand.pass(300.0);
-    assert_eq!(sent(&mut stand, 7).len(), 1, "its tables");
-    takes(&mut stand, 7);
-    let from = stand.calls.len();
-    stand.drain(6, "a1", "east");
-    stand.pass(20.0);
-    assert_eq!(
-        sent(&mut stand, 7),
-        [["a2", "b1", "b2"]],
-        "the drain, at once"
-    );
-    stand.pass(3000.0);
-    assert_eq!(
-        binds(&stand, from, 1),
-        0,
-        "the relay hears nothing more of it"
-    );
-    // That the relay's old stream goes is no news of it.
-    stand.news("* left 1");
-    stand.pass(300.0);
-    assert_eq!(stand.gauge("streams_joined"), 1.0);
-    takes(&mut stand, 7);
-    stand.drain(7, "b1", "west");
-    stand.pass(20.0);
-    assert_eq!(
-        sent(&mut stand, 7).last().expect("served on"),
-        &["a2", "b2"]
-    );
+    // Given a proxy of the relay that opens a stream.
+    let mut harness = with_both_channels();
+    open_stream(&mut harness, 7, 1);
+    harness.run_for(300.0);
+    assert_eq!(take_responses(&mut harness, 7).len(), 1, "its tables");
+    accept_response(&mut harness, 7);
+    // When a host drains, then the stream is told at once, and the relay never.
+    let before = harness.relay.calls.len();
+    harness.drain_host(6, "a1", "east");
+    harness.run_for(20.0);
+    assert_eq!(take_responses(&mut harness, 7), [["a2", "b1", "b2"]]);
+    harness.run_for(3000.0);
+    assert_eq!(harness.relay.bind_count(before, 1), 0);
+    // That the relay's former stream ends says nothing of it.
+    harness.notify("* left 1");
+    harness.run_for(300.0);
+    assert_eq!(harness.gauge("streams_joined"), 1.0);
+    accept_response(&mut harness, 7);
+    harness.drain_host(7, "b1", "west");
+    harness.run_for(20.0);
+    let responses = take_responses(&mut harness, 7);
+    assert_eq!(responses.last().expect("served on"), &["a2", "b2"]);
 }
 
 #[test]
 fn who_leaves_a_stream_and_still_stands_at_the_relay_is_bound_there_anew() {
-    let mut stand = both();
-    opens(&mut stand, 7, 1);
-    stand.pass(300.0);
-    let from = stand.calls.len();
-    stand.give(Input::Stream(rushcourse_xds::Input::Closed {
+    let mut harness = with_both_channels();
+    open_stream(&mut harness, 7, 1);
+    harness.run_for(300.0);
+    let before = harness.relay.calls.len();
+    harness.handle(Input::Stream(rushcourse_xds::Input::Closed {
         stream: 7,
         why: "reset".into(),
     }));
-    stand.pass(300.0);
-    assert_eq!(binds(&stand, from, 1), 1, "{:?}", stand.orders(from));
+    harness.run_for(300.0);
+    assert_eq!(
+        harness.relay.bind_count(before, 1),
+        1,
+        "{:?}",
+        harness.relay.orders_from(before)
+    );
 }
 
 #[test]
-fn a_standing_set_that_is_told_again_takes_no_proxy_from_its_stream() {
-    let mut stand = both();
-    opens(&mut stand, 7, 1);
-    stand.pass(1000.0);
-    let from = stand.calls.len();
-    // The news break for a while; the relay still lists proxy 1.
-    stand.relay_up = false;
-    stand.down(Link::News);
-    stand.pass(2000.0);
-    stand.relay_up = true;
-    stand.pass(2000.0);
-    assert_eq!(stand.gauge("streams_joined"), 1.0);
+fn a_new_watch_that_names_a_proxy_takes_it_not_from_its_stream() {
+    // Given a proxy that has joined by a stream.
+    let mut harness = with_both_channels();
+    open_stream(&mut harness, 7, 1);
+    harness.run_for(1000.0);
+    let before = harness.relay.calls.len();
+    // When the watch breaks for a while; the relay still names proxy 1.
+    harness.relay.is_reachable = false;
+    harness.disconnect(RelayLink::Watch);
+    harness.run_for(2000.0);
+    harness.relay.is_reachable = true;
+    harness.run_for(2000.0);
+    // Then its stream keeps it.
+    assert_eq!(harness.gauge("streams_joined"), 1.0);
     assert_eq!(
-        binds(&stand, from, 1),
+        harness.relay.bind_count(before, 1),
         0,
         "it is its stream's: {:?}",
-        stand.orders(from)
+        harness.relay.orders_from(before)
     );
     assert_eq!(
-        binds(&stand, from, 2),
+        harness.relay.bind_count(before, 2),
         1,
         "who may have left unseen is bound anew"
     );
@@ -170,69 +158,50 @@
 
 #[test]
 fn who_joins_at_the_relay_anew_is_its_and_the_stream_ends() {
-    let mut stand = both();
-    opens(&mut stand, 7, 1);
-    stand.pass(300.0);
-    stand.news("* left 1");
-    stand.news("* joined 1 east 5.0 1");
-    let from = stand.calls.len();
-    stand.pass(300.0);
-    let ended = |e: &Effect| {
-        matches!(
-            e,
-            Effect::End {
-                stream: 7,
-                code: Code::Aborted,
-                ..
-            }
-        )
-    };
-    assert!(stand.streamed.iter().any(ended), "{:?}", stand.streamed);
-    assert_eq!(
-        (stand.gauge("streams_joined"), binds(&stand, from, 1)),
-        (0.0, 1)
+    let mut harness = with_both_channels();
+    open_stream(&mut harness, 7, 1);
+    harness.run_for(300.0);
+    harness.notify("* left 1");
+    harness.notify("* joined 1 east 5.0 1");
+    let before = harness.relay.calls.len();
+    harness.run_for(300.0);
+    assert!(
+        is_ended(&harness, 7, Some(Code::Aborted)),
+        "{:?}",
+        harness.stream_effects
     );
+    assert_eq!(harness.gauge("streams_joined"), 0.0);
+    assert_eq!(harness.relay.bind_count(before, 1), 1);
 }
 
 #[test]
 fn a_reload_opens_streams_and_ends_them() {
-    let mut stand = Stand::usual();
-    opens(&mut stand, 7, 3);
-    assert!(stand.streamed.is_empty(), "nobody serves streams");
-    stand.rules = Some(rules());
-    stand.give(Input::Reload);
-    opens(&mut stand, 8, 3);
-    stand.pass(300.0);
-    assert_eq!(sent(&mut stand, 8).len(), 1);
-    stand.rules = None;
-    stand.give(Input::Reload);
-    stand.pass(300.0);
-    assert!(
-        stand
-            .streamed
-            .iter()
-            .any(|e| matches!(e, Effect::End { stream: 8, .. }))
-    );
-    let from = stand.calls.len();
-    stand.news("* joined 3 east 5.0 1");
-    stand.pass(300.0);
-    assert_eq!(binds(&stand, from, 3), 1, "by the relay alone from now on");
+    // Given a session without streams.
+    let mut harness = Harness::with_bound_proxies();
+    open_stream(&mut harness, 7, 3);
+    assert!(harness.stream_effects.is_empty(), "nobody serves streams");
+    // When a reload asks for them, then they are served.
+    harness.stream_config = Some(stream_config());
+    harness.handle(Input::ReloadRequested);
+    open_stream(&mut harness, 8, 3);
+    harness.run_for(300.0);
+    assert_eq!(take_responses(&mut harness, 8).len(), 1);
+    // When a reload asks for none, then they end, and the relay alone is left.
+    harness.stream_config = None;
+    harness.handle(Input::ReloadRequested);
+    harness.run_for(300.0);
+    assert!(is_ended(&harness, 8, None));
+    let before = harness.relay.calls.len();
+    harness.notify("* joined 3 east 5.0 1");
+    harness.run_for(300.0);
+    assert_eq!(harness.relay.bind_count(before, 3), 1);
 }
 
 #[test]
-fn told_to_end_it_ends_all_streams_with_a_word() {
-    let mut stand = both();
-    opens(&mut stand, 7, 1);
-    stand.give(Input::Stop);
-    let ended = |e: &Effect| {
-        matches!(
-            e,
-            Effect::End {
-                stream: 7,
-                code: Code::Unavailable,
-                ..
-            }
-        )
-    };
-    assert!(stand.exit && stand.streamed.iter().any(ended));
+fn a_session_that_is_stopped_ends_all_streams_with_a_status() {
+    let mut harness = with_both_channels();
+    open_stream(&mut harness, 7, 1);
+    harness.handle(Input::Stop);
+    assert!(harness.has_exited);
+    assert!(is_ended(&harness, 7, Some(Code::Unavailable)));
 }
--- a/crates/director/director/src/config.rs
+++ b/crates/director/director/src/config.rs
@@ -4,7 +4,7 @@
 use crate::fronts::{self, Opened};
 use bytes::Bytes;
 use rushcourse_director_settings::{DeploymentSettings, Names};
-use rushcourse_director_state::{Places, Reread, Setup};
+use rushcourse_director_state::{ProcessLimits, ReloadedConfig, ServiceAddresses, SessionConfig};
 use rushcourse_grpc::Serving;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -38,6 +38,15 @@
     sockets: usize,
 }
 
+impl Limits {
+    fn process(&self) -> ProcessLimits {
+        ProcessLimits {
+            memory_mb: self.memory_mb,
+            descriptors: self.sockets,
+        }
+    }
+}
+
 impl Default for Limits {
     fn default() -> Limits {
         Limits {
@@ -55,7 +64,7 @@
 pub struct Config {
     pub name: String,
     pub listen: SocketAddr,
-    pub setup: Setup,
+    pub setup: SessionConfig,
     /// Where the environment says something else than the file.
     pub differs: Vec<String>,
     pub kept: Kept,
@@ -76,7 +85,7 @@
 
 impl Kept {
     /// Reads the file again. Only the addresses of others may change while a director runs.
-    pub fn read_again(&self) -> Result<(Reread, Option<Serving>), String> {
+    pub fn read_again(&self) -> Result<(ReloadedConfig, Option<Serving>), String> {
         let new = Config::read_with(&self.path, &self.fronts, self.epoch)?;
         let mut left = Vec::new();
         let mut kept =
@@ -88,12 +97,12 @@
         kept("name", new.name == self.name);
         kept("listen", new.listen == self.listen);
         kept("settings", new.kept.settings.get() == self.settings.get());
-        kept("platform(relay)", new.setup.relay == self.relay);
+        kept("platform(relay)", new.setup.has_relay == self.relay);
         Ok((
-            Reread {
-                places: new.setup.places,
+            ReloadedConfig {
+                addresses: new.setup.addresses,
                 streams: new.setup.streams,
-                left,
+                needs_restart: left,
             },
             new.grpc,
         ))
@@ -113,7 +122,7 @@
         let place = path.display();
         let text = std::fs::read(path).map_err(|e| format!("{place}: can't be read: {e}"))?;
         let file: File = serde_json::from_slice(&text).map_err(|e| format!("{place}: {e}"))?;
-        let opened = fronts.open(file.limits.memory_mb, file.limits.sockets, epoch)?;
+        let opened = fronts.open(file.limits.process(), epoch)?;
         Config::parse(path, file, fronts, epoch, opened).map_err(|e| format!("{place}: {e}"))
     }
 
@@ -157,18 +166,18 @@
             grpc: opened.streams.as_ref().map(|(_, options)| options.clone()),
             listen,
             name: file.name,
-            setup: Setup {
+            setup: SessionConfig {
                 names: Names::from(&settings),
                 batch_interval: settings.batch_interval(),
                 settings: settings.to_policy(),
-                bounds: opened.bounds,
-                relay: opened.relay,
+                limits: opened.limits,
+                has_relay: opened.relay,
                 streams: opened.streams.map(|(rules, _)| rules),
-                places: Places {
+                addresses: ServiceAddresses {
                     discovery: address("discovery", &file.discovery)?,
                     relay: address("store.address", &file.store.address)?,
                 },
-                known: Bytes::copy_from_slice(known),
+                cached_endpoints: Bytes::copy_from_slice(known),
             },
             differs: Vec::new(),
         })
@@ -184,7 +193,10 @@
     let said = [
         ("RELAY_NAME", config.name.clone()),
         ("RELAY_LISTEN", config.listen.to_string()),
-        ("RELAY_DISCOVERY", config.setup.places.discovery.to_string()),
+        (
+            "RELAY_DISCOVERY",
+            config.setup.addresses.discovery.to_string(),
+        ),
     ];
     for (variable, value) in said {
         if let Ok(other) = std::env::var(variable)
--- a/crates/director/director/src/effects.rs
+++ b/crates/director/director/src/effects.rs
@@ -7,7 +7,9 @@
 use crate::fronts::Place;
 use crate::log;
 use crate::net::{admin, discovery, listener, probe, relay};
-use rushcourse_director_state::{Conn, Effect, Input, Link, Reread, Session, Weight};
+use rushcourse_director_state::{
+    Effect, InboundId, Input, RelayConnectionId, ReloadedConfig, Session, Severity,
+};
 use rushcourse_grpc::{Front, Serving};
 use slog::{Logger, error, info, warn};
 use std::collections::BTreeMap;
@@ -34,8 +36,8 @@
     probe: probe::Client,
     /// gRPC, where it is served.
     front: Option<Front>,
-    links: BTreeMap<(Link, u64), (mpsc::Sender<String>, AbortHandle)>,
-    peers: BTreeMap<Conn, (mpsc::Sender<Out>, AbortHandle)>,
+    links: BTreeMap<RelayConnectionId, (mpsc::Sender<String>, AbortHandle)>,
+    peers: BTreeMap<InboundId, (mpsc::Sender<Out>, AbortHandle)>,
     wake: f64,
     read_again: bool,
     exit: bool,
@@ -44,87 +46,94 @@
 impl Runner {
     fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::Write { conn, bytes } => {
+            Effect::SendInbound { inbound, frame } => {
                 let full = self
                     .peers
-                    .get(&conn)
-                    .is_some_and(|(out, _)| out.try_send(Out::Answer(bytes)).is_err());
+                    .get(&inbound)
+                    .is_some_and(|(out, _)| out.try_send(Out::Answer(frame)).is_err());
                 if full {
                     // It does not read what it asked for.
-                    self.close(conn);
-                    let why = "it does not read its answers".into();
+                    self.close(inbound);
+                    let error = Some("it does not read its answers".into());
                     _ = self
                         .to
-                        .try_send(LoopEvent::Input(Input::Closed { conn, why }));
+                        .try_send(LoopEvent::Input(Input::InboundClosed { inbound, error }));
                 }
             }
-            Effect::Close { conn, last: None } => self.close(conn),
-            Effect::Close {
-                conn,
-                last: Some(bytes),
+            Effect::CloseInbound {
+                inbound,
+                last_frame: None,
+            } => self.close(inbound),
+            Effect::CloseInbound {
+                inbound,
+                last_frame: Some(bytes),
             } => {
                 // It ends by itself with its last word; if there is no room for that, at once.
-                if let Some((out, task)) = self.peers.remove(&conn)
+                if let Some((out, task)) = self.peers.remove(&inbound)
                     && out.try_send(Out::Last(bytes)).is_err()
                 {
                     task.abort();
                 }
             }
-            Effect::Connect { link, turn, to } => {
-                let connection = relay::connect(to, link, turn, self.to.clone());
-                self.links.insert((link, turn), connection);
+            Effect::ConnectRelay {
+                connection,
+                address,
+            } => {
+                let link = relay::connect(address, connection, self.to.clone());
+                self.links.insert(connection, link);
             }
-            Effect::Send { link, turn, text } => {
+            Effect::SendRelay { connection, line } => {
                 let sent = self
                     .links
-                    .get(&(link, turn))
-                    .map(|(out, _)| out.try_send(text));
+                    .get(&connection)
+                    .map(|(out, _)| out.try_send(line));
                 if sent.is_none_or(|s| s.is_err()) {
-                    let why = "it takes nothing".into();
-                    _ = self
-                        .to
-                        .try_send(LoopEvent::Input(Input::Down { link, turn, why }));
+                    let reason = "it takes nothing".into();
+                    _ = self.to.try_send(LoopEvent::Input(Input::RelayDisconnected {
+                        connection,
+                        reason,
+                    }));
                 }
             }
-            Effect::Drop { link, turn } => {
+            Effect::DisconnectRelay { connection } => {
                 self.links
-                    .remove(&(link, turn))
+                    .remove(&connection)
                     .into_iter()
                     .for_each(|(_, task)| task.abort());
             }
-            Effect::List {
-                ask,
-                at,
+            Effect::FetchEndpoints {
+                request,
+                address,
                 path,
-                within,
+                timeout,
             } => self
                 .discovery
-                .ask(ask, at, path, ms(within), self.to.clone()),
-            Effect::Probe {
+                .ask(request, address, path, timeout, self.to.clone()),
+            Effect::CheckHealth {
                 host,
                 address,
                 path,
-                within,
+                timeout,
             } => self
                 .probe
-                .ask(host, address, path, ms(within), self.to.clone()),
+                .ask(host, address, path, timeout, self.to.clone()),
             Effect::Stream(effect) => {
                 if let Some(front) = &mut self.front {
                     front.carry_out(effect);
                 }
             }
-            Effect::Reread => self.read_again = true,
-            Effect::Wake { at } => self.wake = at,
+            Effect::ReloadConfig => self.read_again = true,
+            Effect::ScheduleWake { at } => self.wake = at,
             Effect::Log {
-                weight: Weight::Info,
+                severity: Severity::Info,
                 text,
             } => info!(self.log, "{}", text),
             Effect::Log {
-                weight: Weight::Warning,
+                severity: Severity::Warning,
                 text,
             } => warn!(self.log, "{}", text),
             Effect::Log {
-                weight: Weight::Error,
+                severity: Severity::Error,
                 text,
             } => error!(self.log, "{}", text),
             Effect::Exit => self.exit = true,
@@ -149,7 +158,7 @@
     }
 
     /// Reads the configuration again. An address that can't be bound is a file that can't be used.
-    async fn read_again(&mut self) -> Result<Reread, String> {
+    async fn read_again(&mut self) -> Result<ReloadedConfig, String> {
         let (reread, grpc) = self.kept.read_again()?;
         match grpc {
             Some(options) => self.serve_grpc(&options).await?,
@@ -158,9 +167,9 @@
         Ok(reread)
     }
 
-    fn close(&mut self, conn: Conn) {
+    fn close(&mut self, inbound: InboundId) {
         self.peers
-            .remove(&conn)
+            .remove(&inbound)
             .into_iter()
             .for_each(|(_, task)| task.abort());
     }
@@ -176,10 +185,6 @@
     std::future::pending().await
 }
 
-fn ms(ms: f64) -> Duration {
-    Duration::from_secs_f64(ms.max(0.0) / 1000.0)
-}
-
 /// What the process is told from outside.
 struct Signals {
     terminate: Signal,
@@ -201,7 +206,7 @@
             biased;
             _ = self.terminate.recv() => Input::Stop,
             _ = self.interrupt.recv() => Input::Stop,
-            _ = self.hangup.recv() => Input::Reload,
+            _ = self.hangup.recv() => Input::ReloadRequested,
         }
     }
 }
@@ -235,13 +240,16 @@
     dropped: Arc<AtomicU64>,
 ) -> Result<(), String> {
     let (to, mut events) = mpsc::channel(INPUTS_MOST);
-    listener::start(config.listen, config.setup.bounds, to.clone())
+    listener::start(config.listen, config.setup.limits, to.clone())
         .await
         .map_err(|e| format!("listen: {} can't be bound: {e}", config.listen))?;
-    let places = config.setup.places;
+    let addresses = config.setup.addresses;
     info!(
         log,
-        "listening on {}; relay {}, discovery {}", config.listen, places.relay, places.discovery
+        "listening on {}; relay {}, discovery {}",
+        config.listen,
+        addresses.relay,
+        addresses.discovery
     );
     config
         .differs
@@ -251,7 +259,7 @@
         to,
         log: log.clone(),
         kept: config.kept,
-        discovery: discovery::Client::new(config.setup.bounds.list),
+        discovery: discovery::Client::new(config.setup.limits.max_list_bytes),
         probe: probe::Client::new(),
         front: None,
         links: BTreeMap::new(),
@@ -273,22 +281,22 @@
             let input = match event {
                 LoopEvent::Input(input) => input,
                 LoopEvent::Frame {
-                    conn,
-                    bytes,
+                    inbound,
+                    message,
                     verdict,
                     ..
                 } => {
-                    asks = verdict.map(|verdict| (conn, verdict));
-                    Input::Frame { conn, bytes }
+                    asks = verdict.map(|verdict| (inbound, verdict));
+                    Input::InboundMessage { inbound, message }
                 }
                 LoopEvent::Accepted {
-                    conn,
+                    inbound,
                     peer,
                     out,
                     task,
                 } => {
-                    runner.peers.insert(conn, (out, task));
-                    Input::Opened { conn, peer }
+                    runner.peers.insert(inbound, (out, task));
+                    Input::InboundOpened { inbound, peer }
                 }
                 LoopEvent::Page { what, to } => {
                     _ = to.send(admin::render(
@@ -300,16 +308,16 @@
                 }
             };
             match &input {
-                Input::Closed { conn, .. } => _ = runner.peers.remove(conn),
-                Input::Down { link, turn, .. } => _ = runner.links.remove(&(*link, *turn)),
+                Input::InboundClosed { inbound, .. } => _ = runner.peers.remove(inbound),
+                Input::RelayDisconnected { connection, .. } => _ = runner.links.remove(connection),
                 _ => {}
             }
             session
                 .step(now, input)
                 .into_iter()
                 .for_each(|effect| runner.carry_out(effect));
-            if let Some((conn, verdict)) = asks {
-                _ = verdict.send(session.has_joined(conn));
+            if let Some((inbound, verdict)) = asks {
+                _ = verdict.send(session.is_collector(inbound));
             }
         }
         session
@@ -321,7 +329,11 @@
         }
         if std::mem::take(&mut runner.read_again) {
             let reread = runner.read_again().await;
-            batch.push(LoopEvent::Input(Input::Reread(reread)));
+            let input = match reread {
+                Ok(reloaded) => Input::Reloaded(reloaded),
+                Err(reason) => Input::ReloadFailed { reason },
+            };
+            batch.push(LoopEvent::Input(input));
             continue;
         }
         let wake = tokio::time::Instant::from_std(clock.instant(runner.wake));
--- a/crates/director/director/src/events.rs
+++ b/crates/director/director/src/events.rs
@@ -1,7 +1,7 @@
 //! Messages between the network tasks and the loop.
 
 use bytes::Bytes;
-use rushcourse_director_state::{Conn, Input};
+use rushcourse_director_state::{InboundId, Input};
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::task::AbortHandle;
 
@@ -10,15 +10,15 @@
     Input(Input),
     /// A message of a peer; its bytes count against what may wait until this is dropped.
     Frame {
-        conn: Conn,
-        bytes: Bytes,
+        inbound: InboundId,
+        message: Bytes,
         /// Where to say whether it has joined.
         verdict: Option<oneshot::Sender<bool>>,
         _room: OwnedSemaphorePermit,
     },
     /// Somebody connected; how to write to them and how to end it.
     Accepted {
-        conn: Conn,
+        inbound: InboundId,
         peer: String,
         out: mpsc::Sender<Out>,
         task: AbortHandle,
--- a/crates/director/director/src/fronts.rs
+++ b/crates/director/director/src/fronts.rs
@@ -1,9 +1,9 @@
 //! The operators' file of fronts, and what follows from it and the process's limits.
 
-use rushcourse_director_state::{Bounds, StreamBounds};
+use rushcourse_director_state::{GrpcLimits, ProcessLimits, SessionLimits};
 use rushcourse_grpc::{Serving, Tls};
 use rushcourse_starlark::{Fronts, Grpc};
-use rushcourse_xds::{Identities, Limits, Rules};
+use rushcourse_xds::{Identities, Rules};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
@@ -23,7 +23,7 @@
 pub struct Opened {
     /// Whether there is the platform's relay.
     pub relay: bool,
-    pub bounds: Bounds,
+    pub limits: SessionLimits,
     pub streams: Option<(Rules, Serving)>,
 }
 
@@ -41,48 +41,44 @@
     }
 
     /// What the file says, within the limits of the process. `epoch` tells this life of the director from others.
-    pub fn open(&self, memory_mb: f64, sockets: usize, epoch: u64) -> Result<Opened, String> {
+    pub fn open(&self, process: ProcessLimits, epoch: u64) -> Result<Opened, String> {
         let Fronts { grpc, relay } = self.read()?;
         let Some(grpc) = grpc else {
             return Ok(Opened {
                 relay,
-                bounds: Bounds::of(memory_mb, sockets),
+                limits: process.session(),
                 streams: None,
             });
         };
-        let (bounds, most) = Bounds::with_streams(memory_mb, sockets, grpc.streams, grpc.ask_hosts);
+        let most = process.grpc(grpc.streams, grpc.ask_hosts);
         Ok(Opened {
             relay,
-            bounds,
+            limits: process.session_beside_grpc(),
             streams: Some((rules(&grpc, most, epoch), options(&grpc, most))),
         })
     }
 }
 
-fn rules(grpc: &Grpc, most: StreamBounds, epoch: u64) -> Rules {
+fn rules(grpc: &Grpc, most: GrpcLimits, epoch: u64) -> Rules {
     Rules {
         identities: Identities {
             prefix: grpc.prefix.clone(),
             names: grpc.names.clone(),
         },
         epoch,
-        limits: Limits {
-            streams: most.streams,
-            strangers: most.strangers,
-            nodes: most.nodes,
-        },
+        limits: most.streams,
         join_within: grpc.join_within,
         take_within: grpc.take_within,
         ask_hosts: grpc.ask_hosts,
     }
 }
 
-fn options(grpc: &Grpc, most: StreamBounds) -> Serving {
+fn options(grpc: &Grpc, most: GrpcLimits) -> Serving {
     let ms = |ms: f64| Duration::from_secs_f64(ms / 1000.0);
     Serving {
         listen: grpc.listen,
-        connections: most.connections,
-        message: most.message,
+        connections: most.max_connections,
+        message: most.max_message_bytes,
         ping_every: ms(grpc.ping_every),
         ping_within: ms(grpc.ping_within),
         idle: IDLE,
--- a/crates/director/director/src/net/admin.rs
+++ b/crates/director/director/src/net/admin.rs
@@ -9,7 +9,7 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use hyper_util::service::TowerToHyperService;
 use rushcourse_director_protocol::relay;
-use rushcourse_director_state::Session;
+use rushcourse_director_state::{CounterSample, GaugeSample, Session};
 use rushcourse_policy::interface::Channel;
 use serde_json::{Value, json};
 use std::io;
@@ -71,19 +71,19 @@
 fn metrics(session: &Session, log_dropped: u64) -> String {
     use std::fmt::Write;
     let mut out = String::new();
-    let dropped = (
-        "log_lines_dropped",
-        "Log lines that the log's own queue could not take.",
-        log_dropped,
-    );
-    for (name, help, n) in session.counters().all().chain([dropped]) {
+    let dropped = CounterSample {
+        name: "log_lines_dropped",
+        help: "Log lines that the log's own queue could not take.",
+        value: log_dropped,
+    };
+    for CounterSample { name, help, value } in session.counters().samples().chain([dropped]) {
         let name = format!("rushcourse_{name}_total");
         _ = writeln!(
             out,
-            "# HELP {name} {help}\n# TYPE {name} counter\n{name} {n}"
+            "# HELP {name} {help}\n# TYPE {name} counter\n{name} {value}"
         );
     }
-    for (name, help, value) in session.gauges() {
+    for GaugeSample { name, help, value } in session.gauges() {
         let name = format!("rushcourse_{name}");
         _ = writeln!(
             out,
@@ -94,12 +94,12 @@
         (
             "tick_to_call_seconds",
             "From the first input of a tick to its call.",
-            &session.counters().tick_to_call,
+            &session.counters().input_to_call,
         ),
         (
             "call_answer_seconds",
             "From a call to its answer.",
-            &session.counters().call_answer,
+            &session.counters().call_to_reply,
         ),
     ];
     for (name, help, h) in delays {
@@ -107,18 +107,19 @@
             out,
             "# HELP rushcourse_{name} {help}\n# TYPE rushcourse_{name} histogram"
         );
-        for (bound, n) in h.buckets() {
+        for bucket in h.buckets() {
             _ = writeln!(
                 out,
-                "rushcourse_{name}_bucket{{le=\"{}\"}} {n}",
-                bound / 1000.0
+                "rushcourse_{name}_bucket{{le=\"{}\"}} {}",
+                bucket.upper_bound / 1000.0,
+                bucket.count
             );
         }
         _ = writeln!(out, "rushcourse_{name}_bucket{{le=\"+Inf\"}} {}", h.count());
         _ = writeln!(
             out,
             "rushcourse_{name}_sum {}\nrushcourse_{name}_count {}",
-            h.sum / 1000.0,
+            h.sum() / 1000.0,
             h.count()
         );
     }
--- a/crates/director/director/src/net/discovery.rs
+++ b/crates/director/director/src/net/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::http::{self, Http};
 use crate::events::{LoopEvent, LoopSender};
-use rushcourse_director_state::Input;
+use rushcourse_director_state::{FetchId, Input};
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -20,16 +20,23 @@
         }
     }
 
-    pub fn ask(&self, ask: u64, at: SocketAddr, path: String, within: Duration, to: LoopSender) {
+    pub fn ask(
+        &self,
+        request: FetchId,
+        at: SocketAddr,
+        path: String,
+        within: Duration,
+        to: LoopSender,
+    ) {
         let (http, url, most) = (self.http.clone(), format!("http://{at}{path}"), self.most);
         tokio::spawn(async move {
             let input = match http::get(&http, &url, within, most).await {
-                Ok((200, body)) => Input::Listed { ask, body },
-                Ok((status, _)) => Input::Unlisted {
-                    ask,
-                    why: format!("status {status}"),
+                Ok((200, body)) => Input::EndpointsFetched { request, body },
+                Ok((status, _)) => Input::FetchFailed {
+                    request,
+                    reason: format!("status {status}"),
                 },
-                Err(why) => Input::Unlisted { ask, why },
+                Err(reason) => Input::FetchFailed { request, reason },
             };
             _ = to.send(LoopEvent::Input(input)).await;
         });
--- a/crates/director/director/src/net/listener.rs
+++ b/crates/director/director/src/net/listener.rs
@@ -4,7 +4,7 @@
 use crate::events::{LoopEvent, LoopSender, Out};
 use bytes::Bytes;
 use rushcourse_director_protocol::frames;
-use rushcourse_director_state::{Bounds, Conn, Input};
+use rushcourse_director_state::{InboundId, Input, SessionLimits};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -27,16 +27,16 @@
 const TAKEN_WITHIN: Duration = Duration::from_secs(1);
 
 /// Binds the address and accepts from then on.
-pub async fn start(address: SocketAddr, bounds: Bounds, to: LoopSender) -> io::Result<()> {
+pub async fn start(address: SocketAddr, limits: SessionLimits, to: LoopSender) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
-    tokio::spawn(accept(listener, bounds, to));
+    tokio::spawn(accept(listener, limits, to));
     Ok(())
 }
 
-async fn accept(listener: TcpListener, bounds: Bounds, to: LoopSender) {
-    let room = Arc::new(Semaphore::new(bounds.waiting_kib));
-    let seats = Arc::new(Semaphore::new(bounds.peers + SPARE_SEATS));
-    for conn in 1.. {
+async fn accept(listener: TcpListener, limits: SessionLimits, to: LoopSender) {
+    let room = Arc::new(Semaphore::new(limits.max_buffered_kib));
+    let seats = Arc::new(Semaphore::new(limits.max_inbound + SPARE_SEATS));
+    for inbound in (1..).map(InboundId) {
         // A burst of connections waits outside while the loop closes others, and costs no descriptor.
         let Ok(seat) = seats.clone().acquire_owned().await else {
             return;
@@ -54,10 +54,17 @@
             return;
         };
         let (out, answers) = mpsc::channel(ANSWERS_MOST);
-        let task = tokio::spawn(talk(stream, conn, answers, to.clone(), room.clone(), seat))
-            .abort_handle();
+        let task = tokio::spawn(talk(
+            stream,
+            inbound,
+            answers,
+            to.clone(),
+            room.clone(),
+            seat,
+        ))
+        .abort_handle();
         place.send(LoopEvent::Accepted {
-            conn,
+            inbound,
             peer: peer.to_string(),
             out,
             task,
@@ -67,25 +74,25 @@
 
 async fn talk(
     stream: TcpStream,
-    conn: Conn,
+    inbound: InboundId,
     answers: mpsc::Receiver<Out>,
     to: LoopSender,
     room: Arc<Semaphore>,
     seat: OwnedSemaphorePermit,
 ) {
-    let ended = match speak(stream, conn, answers, &to, room).await {
-        Ok(()) => String::new(),
-        Err(e) => e.to_string(),
-    };
+    let error = speak(stream, inbound, answers, &to, room)
+        .await
+        .err()
+        .map(|e| e.to_string());
     drop(seat);
     _ = to
-        .send(LoopEvent::Input(Input::Closed { conn, why: ended }))
+        .send(LoopEvent::Input(Input::InboundClosed { inbound, error }))
         .await;
 }
 
 async fn speak(
     mut stream: TcpStream,
-    conn: Conn,
+    inbound: InboundId,
     answers: mpsc::Receiver<Out>,
     to: &LoopSender,
     room: Arc<Semaphore>,
@@ -102,11 +109,13 @@
     let (read, write) = stream.into_split();
     let read = io::Cursor::new(first).chain(read);
     if frames::is_http(first) {
-        _ = to.send(LoopEvent::Input(Input::Http { conn })).await;
+        _ = to
+            .send(LoopEvent::Input(Input::InboundHttp { inbound }))
+            .await;
         return admin::serve(tokio::io::join(read, write), to.clone()).await;
     }
     tokio::select! {
-        ended = hear(BufReader::new(read), conn, to, room) => ended,
+        ended = hear(BufReader::new(read), inbound, to, room) => ended,
         ended = answer(write, answers) => ended,
     }
 }
@@ -115,7 +124,7 @@
 /// the loop's word on whether it has.
 async fn hear<R: AsyncRead + Unpin>(
     mut read: R,
-    conn: Conn,
+    inbound: InboundId,
     to: &LoopSender,
     room: Arc<Semaphore>,
 ) -> io::Result<()> {
@@ -157,8 +166,8 @@
         let waits = verdict.is_some();
         if to
             .send(LoopEvent::Frame {
-                conn,
-                bytes,
+                inbound,
+                message: bytes,
                 verdict,
                 _room: room,
             })
--- a/crates/director/director/src/net/probe.rs
+++ b/crates/director/director/src/net/probe.rs
@@ -36,9 +36,9 @@
             let took = start.elapsed().as_secs_f64() * 1000.0;
             let (status, body) = answer.map_or((None, Bytes::new()), |(s, b)| (Some(s), b));
             _ = to
-                .send(LoopEvent::Input(Input::Probed {
+                .send(LoopEvent::Input(Input::HealthChecked {
                     host,
-                    took,
+                    elapsed: took,
                     status,
                     body,
                 }))
@@ -83,7 +83,7 @@
             to,
         );
         match events.recv().await {
-            Some(LoopEvent::Input(Input::Probed { status, body, .. })) => (status, body),
+            Some(LoopEvent::Input(Input::HealthChecked { status, body, .. })) => (status, body),
             _ => panic!("a probe always ends with an answer"),
         }
     }
--- a/crates/director/director/src/net/relay.rs
+++ b/crates/director/director/src/net/relay.rs
@@ -3,7 +3,7 @@
 use crate::events::{LoopEvent, LoopSender};
 use futures_util::StreamExt;
 use rushcourse_director_protocol::relay::MAX_LINE_BYTES;
-use rushcourse_director_state::{Input, Link};
+use rushcourse_director_state::{Input, RelayConnectionId};
 use std::net::SocketAddr;
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
@@ -16,15 +16,17 @@
 
 pub fn connect(
     address: SocketAddr,
-    link: Link,
-    turn: u64,
+    connection: RelayConnectionId,
     to: LoopSender,
 ) -> (mpsc::Sender<String>, AbortHandle) {
     let (out, lines) = mpsc::channel(LINES_MOST);
     let task = tokio::spawn(async move {
-        let why = talk(address, link, turn, &to, lines).await;
+        let reason = talk(address, connection, &to, lines).await;
         _ = to
-            .send(LoopEvent::Input(Input::Down { link, turn, why }))
+            .send(LoopEvent::Input(Input::RelayDisconnected {
+                connection,
+                reason,
+            }))
             .await;
     });
     (out, task.abort_handle())
@@ -33,8 +35,7 @@
 /// Talks until the connection ends; says why it did.
 async fn talk(
     a: SocketAddr,
-    link: Link,
-    turn: u64,
+    connection: RelayConnectionId,
     to: &LoopSender,
     mut out: mpsc::Receiver<String>,
 ) -> String {
@@ -44,7 +45,7 @@
     };
     _ = stream.set_nodelay(true);
     if to
-        .send(LoopEvent::Input(Input::Up { link, turn }))
+        .send(LoopEvent::Input(Input::RelayConnected { connection }))
         .await
         .is_err()
     {
@@ -55,13 +56,13 @@
     loop {
         tokio::select! {
             line = lines.next() => match line {
-                Some(Ok(text)) => _ = to.send(LoopEvent::Input(Input::Line { link, turn, text })).await,
+                Some(Ok(line)) => _ = to.send(LoopEvent::Input(Input::RelayLine { connection, line })).await,
                 Some(Err(e)) => return e.to_string(),
                 None => return "closed".into(),
             },
             text = out.recv() => match text {
                 Some(text) => match write.write_all(text.as_bytes()).await {
-                    Ok(()) => _ = to.send(LoopEvent::Input(Input::Written { link, turn })).await,
+                    Ok(()) => _ = to.send(LoopEvent::Input(Input::RelayWritten { connection })).await,
                     Err(e) => return e.to_string(),
                 },
                 None => return "dropped".into(),
--- a/crates/director/director/tests/sockets.rs
+++ b/crates/director/director/tests/sockets.rs
@@ -88,7 +88,7 @@
 async fn news_that_break_or_turn_to_nonsense_are_asked_for_again() {
     let bench = Bench::bound().await;
     bench.relay.disconnect_watchers();
-    bench.log_has("news lost").await;
+    bench.log_has("watch lost").await;
     bench
         .holds("watched again", || bench.relay.watcher_count() == 1)
         .await;
--- a/crates/tools/bench-adapter/tests/fronts.rs
+++ b/crates/tools/bench-adapter/tests/fronts.rs
@@ -3,7 +3,10 @@
 
 use bytes::Bytes;
 use rushcourse_director_settings::{DeploymentSettings, Names};
-use rushcourse_director_state::{Bounds, Effect, Input, Link, Places, Session, Setup};
+use rushcourse_director_state::{
+    Effect, FetchId, InboundId, Input, ProcessLimits, RelayConnectionId, RelayLink,
+    ServiceAddresses, Session, SessionConfig,
+};
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{BufRead, BufReader, Write};
@@ -212,8 +215,8 @@
 struct Real {
     session: Session,
     wake: f64,
-    turn: u64,
-    ask: u64,
+    watch: RelayConnectionId,
+    request: FetchId,
     asked: f64,
     revision: u64,
     calls: BTreeMap<u64, Vec<String>>,
@@ -226,25 +229,20 @@
         while let Some(input) = inputs.pop_front() {
             for effect in self.session.step(now, input) {
                 match effect {
-                    Effect::Connect { link, turn, .. } => {
-                        if link == Link::News {
-                            self.turn = turn;
+                    Effect::ConnectRelay { connection, .. } => {
+                        if connection.link == RelayLink::Watch {
+                            self.watch = connection;
                         }
-                        inputs.extend([Input::Up { link, turn }, Input::Wake]);
+                        inputs.extend([Input::RelayConnected { connection }, Input::Wake]);
                     }
-                    Effect::Send {
-                        link: Link::News,
-                        turn,
-                        ..
-                    } => {
-                        inputs.push_back(Input::Line {
-                            link: Link::News,
-                            turn,
-                            text: "OK".into(),
+                    Effect::SendRelay { connection, .. } if connection.link == RelayLink::Watch => {
+                        inputs.push_back(Input::RelayLine {
+                            connection,
+                            line: "OK".into(),
                         });
                     }
-                    Effect::Send { link, turn, text } => {
-                        let orders: Vec<String> = text
+                    Effect::SendRelay { connection, line } => {
+                        let orders: Vec<String> = line
                             .trim_end()
                             .trim_start_matches("APPLY ")
                             .split(';')
@@ -256,18 +254,18 @@
                         self.mark = marks
                             .fold(None, |_, m| Some(m))
                             .map_or(self.mark, |m| m.parse().expect("a number"));
-                        let text = format!("OK {}", orders.len());
+                        let line = format!("OK {}", orders.len());
                         self.calls.insert(now as u64, orders);
-                        inputs.extend([Input::Line { link, turn, text }, Input::Wake]);
+                        inputs.extend([Input::RelayLine { connection, line }, Input::Wake]);
                     }
-                    Effect::List { ask, path, .. } => {
-                        (self.ask, self.asked) = (ask, now);
+                    Effect::FetchEndpoints { request, path, .. } => {
+                        (self.request, self.asked) = (request, now);
                         if !path.contains('?') {
                             let body = whole(self.revision).into();
-                            inputs.extend([Input::Listed { ask, body }, Input::Wake]);
+                            inputs.extend([Input::EndpointsFetched { request, body }, Input::Wake]);
                         }
                     }
-                    Effect::Wake { at } => self.wake = at,
+                    Effect::ScheduleWake { at } => self.wake = at,
                     _ => {}
                 }
             }
@@ -284,9 +282,9 @@
                     "avg": avg, "window": 1000.0});
                 return self.give(
                     now,
-                    Input::Frame {
-                        conn: 1,
-                        bytes: Bytes::from(json.to_string()),
+                    Input::InboundMessage {
+                        inbound: InboundId(1),
+                        message: Bytes::from(json.to_string()),
                     },
                 );
             }
@@ -295,9 +293,9 @@
                     "window": 1000.0});
                 return self.give(
                     now,
-                    Input::Frame {
-                        conn: 1,
-                        bytes: Bytes::from(json.to_string()),
+                    Input::InboundMessage {
+                        inbound: InboundId(1),
+                        message: Bytes::from(json.to_string()),
                     },
                 );
             }
@@ -306,11 +304,10 @@
                 let members = [member(host, *zone, phase, *age, now)];
                 let body =
                     json!({"revision": self.revision, "complete": false, "members": members});
-                let ask = self.ask;
                 return self.give(
                     now,
-                    Input::Listed {
-                        ask,
+                    Input::EndpointsFetched {
+                        request: self.request,
                         body: Bytes::from(body.to_string()),
                     },
                 );
@@ -318,10 +315,9 @@
         };
         self.give(
             now,
-            Input::Line {
-                link: Link::News,
-                turn: self.turn,
-                text,
+            Input::RelayLine {
+                connection: self.watch,
+                line: text,
             },
         );
     }
@@ -339,25 +335,32 @@
 fn the_same_events_give_the_same_actions_through_both_fronts() {
     let opts: DeploymentSettings = serde_json::from_value(options()).expect("options");
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    let setup = Setup {
-        places: Places {
+    let setup = SessionConfig {
+        addresses: ServiceAddresses {
             relay: at,
             discovery: at,
         },
-        bounds: Bounds::of(192.0, 1024),
-        relay: true,
+        limits: ProcessLimits {
+            memory_mb: 192.0,
+            descriptors: 1024,
+        }
+        .session(),
+        has_relay: true,
         streams: None,
         names: Names::from(&opts),
         batch_interval: opts.batch_interval(),
         settings: opts.to_policy(),
-        known: Bytes::from(whole(1)),
+        cached_endpoints: Bytes::from(whole(1)),
     };
     let session = Session::new(setup);
     let mut real = Real {
         session,
         wake: f64::INFINITY,
-        turn: 0,
-        ask: 0,
+        watch: RelayConnectionId {
+            link: RelayLink::Watch,
+            generation: 0,
+        },
+        request: FetchId::default(),
         asked: START,
         revision: 1,
         calls: BTreeMap::new(),
@@ -369,17 +372,17 @@
     real.give(START, Input::Start);
     real.give(
         START,
-        Input::Opened {
-            conn: 1,
+        Input::InboundOpened {
+            inbound: InboundId(1),
             peer: "collector".into(),
         },
     );
     let joins = Bytes::from_static(br#"{"@type":"collector","az":"east"}"#);
     real.give(
         START,
-        Input::Frame {
-            conn: 1,
-            bytes: joins,
+        Input::InboundMessage {
+            inbound: InboundId(1),
+            message: joins,
         },
     );
     // The adapter's first batch comes when the session's first quantum is over.
@@ -402,11 +405,10 @@
             // The wait of the watch is over: nothing is newer.
             let body =
                 json!({"revision": real.revision, "complete": false, "members": []}).to_string();
-            let ask = real.ask;
             real.give(
                 now,
-                Input::Listed {
-                    ask,
+                Input::EndpointsFetched {
+                    request: real.request,
                     body: Bytes::from(body),
                 },
             );
--- a/crates/tools/simulation/src/world/deliveries.rs
+++ b/crates/tools/simulation/src/world/deliveries.rs
@@ -6,7 +6,7 @@
 use super::times::TRANSIT;
 use crate::proxy::{Relay, Way};
 use crate::script::At;
-use rushcourse_director_state::{Input, Link};
+use rushcourse_director_state::{FetchId, Input, RelayConnectionId, RelayLink};
 use rushcourse_xds as xds;
 use serde_json::json;
 use std::rc::Rc;
@@ -21,11 +21,11 @@
                 let event = self.script.events[k].1.clone();
                 self.play_event(event);
             }
-            Pending::WatchEnds(ask) if ask == self.list_request => {
+            Pending::WatchEnds(request) if request == self.list_request => {
                 let body = json!({"revision": self.revision, "complete": false, "members": []})
                     .to_string();
-                self.give(Input::Listed {
-                    ask,
+                self.give(Input::EndpointsFetched {
+                    request: FetchId(request),
                     body: body.into(),
                 });
             }
@@ -114,11 +114,13 @@
 
     /// The relay tells a line of news.
     pub(super) fn news(&mut self, text: String) {
-        let turn = self.news_turn;
-        self.give(Input::Line {
-            link: Link::News,
-            turn,
-            text,
+        let connection = RelayConnectionId {
+            link: RelayLink::Watch,
+            generation: self.news_turn,
+        };
+        self.give(Input::RelayLine {
+            connection,
+            line: text,
         });
     }
 }
--- a/crates/tools/simulation/src/world/effects.rs
+++ b/crates/tools/simulation/src/world/effects.rs
@@ -5,7 +5,7 @@
 use super::state::{Pending, World};
 use super::times::{START, TRANSIT};
 use crate::script::{At, CLASSES};
-use rushcourse_director_state::{Effect, Input, Link};
+use rushcourse_director_state::{Effect, Input, RelayLink};
 use rushcourse_xds as xds;
 use serde_json::json;
 use std::collections::VecDeque;
@@ -31,59 +31,43 @@
 
     fn carry_out(&mut self, effect: Effect, inputs: &mut VecDeque<Input>) {
         match effect {
-            Effect::Connect { link, turn, .. } => {
-                if link == Link::News {
-                    self.news_turn = turn;
+            Effect::ConnectRelay { connection, .. } => {
+                if connection.link == RelayLink::Watch {
+                    self.news_turn = connection.generation;
                 }
-                inputs.extend([Input::Up { link, turn }, Input::Wake]);
+                inputs.extend([Input::RelayConnected { connection }, Input::Wake]);
             }
-            Effect::Send {
-                link: Link::News,
-                turn,
-                ..
-            } => {
-                inputs.push_back(Input::Line {
-                    link: Link::News,
-                    turn,
-                    text: "OK".into(),
+            Effect::SendRelay { connection, .. } if connection.link == RelayLink::Watch => {
+                inputs.push_back(Input::RelayLine {
+                    connection,
+                    line: "OK".into(),
                 });
                 inputs.push_back(Input::Wake);
             }
-            Effect::Send {
-                link: Link::Calls,
-                turn,
-                text,
-            } if !self.relay_stalls => {
-                let orders = text.trim_end().trim_start_matches("APPLY ").to_string();
+            Effect::SendRelay { connection, line } if !self.relay_stalls => {
+                let orders = line.trim_end().trim_start_matches("APPLY ").to_string();
                 self.relay_call(&orders);
-                let text = format!("OK {}", orders.split(';').count());
-                inputs.extend([
-                    Input::Line {
-                        link: Link::Calls,
-                        turn,
-                        text,
-                    },
-                    Input::Wake,
-                ]);
+                let line = format!("OK {}", orders.split(';').count());
+                inputs.extend([Input::RelayLine { connection, line }, Input::Wake]);
             }
-            Effect::List { ask, path, .. } => {
-                self.list_request = ask;
+            Effect::FetchEndpoints { request, path, .. } => {
+                self.list_request = request.0;
                 if path.contains('?') {
-                    self.after(WATCH, Pending::WatchEnds(ask));
+                    self.after(WATCH, Pending::WatchEnds(request.0));
                 } else {
                     let members = setup::members(self.script, &self.hosts);
                     let body =
                         json!({"revision": self.revision, "complete": true, "members": members});
                     inputs.extend([
-                        Input::Listed {
-                            ask,
+                        Input::EndpointsFetched {
+                            request,
                             body: body.to_string().into(),
                         },
                         Input::Wake,
                     ]);
                 }
             }
-            Effect::Wake { at } => self.wake = at,
+            Effect::ScheduleWake { at } => self.wake = at,
             Effect::Stream(xds::Effect::Respond { stream, response }) => {
                 self.respond(stream, response, inputs)
             }
--- a/crates/tools/simulation/src/world/events.rs
+++ b/crates/tools/simulation/src/world/events.rs
@@ -5,7 +5,7 @@
 use super::times::{REOPEN_DELAY, START};
 use crate::proxy::Way;
 use crate::script::{Happens, Phase};
-use rushcourse_director_state::Input;
+use rushcourse_director_state::{FetchId, Input};
 use rushcourse_xds as xds;
 use serde_json::json;
 
@@ -70,9 +70,8 @@
         self.revision += 1;
         let changed = setup::member(self.script, host, phase, up);
         let body = json!({"revision": self.revision, "complete": false, "members": [changed]});
-        let ask = self.list_request;
-        self.give(Input::Listed {
-            ask,
+        self.give(Input::EndpointsFetched {
+            request: FetchId(self.list_request),
             body: body.to_string().into(),
         });
     }
--- a/crates/tools/simulation/src/world/play.rs
+++ b/crates/tools/simulation/src/world/play.rs
@@ -6,7 +6,7 @@
 use super::times::START;
 use crate::check::Checker;
 use crate::script::{ANEW, At, LASTS};
-use rushcourse_director_state::{Conn, Input};
+use rushcourse_director_state::{InboundId, Input};
 use serde_json::json;
 
 /// ms between two looks of the checker.
@@ -14,7 +14,7 @@
 /// Steps that no run comes near: it would not end.
 const STEPS_MOST: u64 = 2_000_000;
 /// The collector's connection.
-pub(super) const COLLECTOR: Conn = 1;
+pub(super) const COLLECTOR: InboundId = InboundId(1);
 
 impl World<'_> {
     /// Plays the script to its end.
@@ -72,14 +72,14 @@
     /// A director starts: collectors dial in.
     pub(super) fn begin(&mut self) {
         self.give(Input::Start);
-        self.give(Input::Opened {
-            conn: COLLECTOR,
+        self.give(Input::InboundOpened {
+            inbound: COLLECTOR,
             peer: "collector".into(),
         });
         let joins = json!({"@type": "collector", "az": self.script.zones[0]}).to_string();
-        self.give(Input::Frame {
-            conn: COLLECTOR,
-            bytes: joins.into(),
+        self.give(Input::InboundMessage {
+            inbound: COLLECTOR,
+            message: joins.into(),
         });
     }
 
--- a/crates/tools/simulation/src/world/reports.rs
+++ b/crates/tools/simulation/src/world/reports.rs
@@ -54,9 +54,9 @@
             for (class, (n, bad)) in CLASSES.iter().zip(usage) {
                 let text = json!({"@type": "usage", "sidecar": p.number, "kind": class, "n": n, "bad": bad,
                     "window": WINDOW});
-                self.give(Input::Frame {
-                    conn: COLLECTOR,
-                    bytes: Bytes::from(text.to_string()),
+                self.give(Input::InboundMessage {
+                    inbound: COLLECTOR,
+                    message: Bytes::from(text.to_string()),
                 });
             }
         }
@@ -66,9 +66,9 @@
             if n > bad {
                 text["avg"] = json!(time / (n - bad) as f64);
             }
-            self.give(Input::Frame {
-                conn: COLLECTOR,
-                bytes: Bytes::from(text.to_string()),
+            self.give(Input::InboundMessage {
+                inbound: COLLECTOR,
+                message: Bytes::from(text.to_string()),
             });
         }
     }
--- a/crates/tools/simulation/src/world/setup.rs
+++ b/crates/tools/simulation/src/world/setup.rs
@@ -5,7 +5,7 @@
 use crate::proxy::Relay;
 use crate::script::{Phase, Proxy, Script};
 use rushcourse_director_settings::{DeploymentSettings, Names};
-use rushcourse_director_state::{Bounds, Places, Session, Setup};
+use rushcourse_director_state::{ProcessLimits, ServiceAddresses, Session, SessionConfig};
 use rushcourse_xds as xds;
 use serde_json::{Value, json};
 
@@ -52,16 +52,20 @@
 pub(super) fn director(script: &Script, members: Vec<Value>, life: u64) -> Session {
     let options = options(script);
     let at = std::net::SocketAddr::from(([127, 0, 0, 1], 1));
-    Session::new(Setup {
+    Session::new(SessionConfig {
         settings: options.to_policy(),
         names: Names::from(&options),
         batch_interval: options.batch_interval(),
-        places: Places {
+        addresses: ServiceAddresses {
             relay: at,
             discovery: at,
         },
-        bounds: Bounds::of(192.0, 1024),
-        relay: true,
+        limits: ProcessLimits {
+            memory_mb: 192.0,
+            descriptors: 1024,
+        }
+        .session(),
+        has_relay: true,
         streams: Some(xds::Rules {
             identities: xds::Identities::default(),
             epoch: life,
@@ -74,7 +78,7 @@
             take_within: 10_000.0,
             ask_hosts: false,
         }),
-        known: json!({"revision": 1, "complete": true, "members": members})
+        cached_endpoints: json!({"revision": 1, "complete": true, "members": members})
             .to_string()
             .into(),
     })
