--- a/crates/director/director-state/src/config.rs
+++ b/crates/director/director-state/src/config.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use rushcourse_director_settings::Names;
 use rushcourse_policy::interface::{Ms, Settings};
-use rushcourse_xds::Rules;
+use rushcourse_xds::StreamConfig;
 use std::net::SocketAddr;
 
 /// Where the services are that a director connects to.
@@ -31,7 +31,7 @@
     /// Whether there is a relay: without one, proxies are reached by streams alone.
     pub has_relay: bool,
     /// How streams of proxies and hosts are served, if they are.
-    pub streams: Option<Rules>,
+    pub streams: Option<StreamConfig>,
     /// Discovery's list as last known, in its own form.
     pub cached_endpoints: Bytes,
 }
@@ -42,7 +42,7 @@
     /// Where the services are from now on.
     pub addresses: ServiceAddresses,
     /// How streams of proxies and hosts are served from now on, if they are.
-    pub streams: Option<Rules>,
+    pub streams: Option<StreamConfig>,
     /// What differs and needs a restart, a line for the log each.
     pub needs_restart: Vec<String>,
 }
--- a/crates/director/director-state/src/counter.rs
+++ b/crates/director/director-state/src/counter.rs
@@ -104,7 +104,7 @@
     /// Raises one of the counters of streams, by its name.
     pub(crate) fn add_of_streams(&mut self, name: &'static str, count: u64) {
         debug_assert!(
-            rushcourse_xds::COUNTS
+            rushcourse_xds::COUNTERS
                 .iter()
                 .any(|counter| counter.0 == name),
             "{name} is no counter"
@@ -122,7 +122,7 @@
         let own = Counter::ALL
             .iter()
             .map(|counter| (counter.name(), counter.help()));
-        let of_streams = rushcourse_xds::COUNTS
+        let of_streams = rushcourse_xds::COUNTERS
             .iter()
             .copied()
             .filter(|(name, _)| self.get(name) > 0);
--- a/crates/director/director-state/src/limits.rs
+++ b/crates/director/director-state/src/limits.rs
@@ -39,7 +39,7 @@
     /// Bytes of a proxy's message.
     pub max_message_bytes: usize,
     /// Streams on these connections, and streams to hosts.
-    pub streams: rushcourse_xds::Limits,
+    pub streams: rushcourse_xds::StreamLimits,
 }
 
 /// Descriptors of the director's own: log, signals, timers, listener, relay, discovery, health checks; some to spare.
@@ -104,8 +104,8 @@
         }
     }
 
-    /// What gRPC may hold. `max_streams` is what an operator allows, `asks_hosts` whether hosts are asked for their load.
-    pub fn grpc(self, max_streams: Option<usize>, asks_hosts: bool) -> GrpcLimits {
+    /// What gRPC may hold. `allowed_streams` is what an operator allows, `asks_hosts` whether hosts are asked for their load.
+    pub fn grpc(self, allowed_streams: Option<usize>, asks_hosts: bool) -> GrpcLimits {
         // What proxies may take follows the whole limit: an install of thousands has it.
         let kib = self.memory_kib(MAX_GRPC_MEMORY_MB);
         let max_inbound = self.session_beside_grpc().max_inbound;
@@ -114,15 +114,15 @@
             .saturating_sub(self.own_descriptors() + max_inbound);
         let for_hosts = if asks_hosts { free / 4 } else { 0 };
         let max_connections = (kib / 4 / GRPC_CONNECTION_KIB).min(free - for_hosts).max(4);
-        let streams =
-            (STREAMS_PER_CONNECTION * max_connections).min(max_streams.unwrap_or(usize::MAX));
+        let max_streams =
+            (STREAMS_PER_CONNECTION * max_connections).min(allowed_streams.unwrap_or(usize::MAX));
         GrpcLimits {
             max_connections,
             max_message_bytes: GRPC_MESSAGE_KIB * 1024,
-            streams: rushcourse_xds::Limits {
-                streams,
-                strangers: (streams / 4).clamp(4, MAX_UNIDENTIFIED_STREAMS),
-                nodes: for_hosts,
+            streams: rushcourse_xds::StreamLimits {
+                max_streams,
+                max_unidentified: (max_streams / 4).clamp(4, MAX_UNIDENTIFIED_STREAMS),
+                max_report_streams: for_hosts,
             },
         }
     }
--- a/crates/director/director-state/src/session/batch.rs
+++ b/crates/director/director-state/src/session/batch.rs
@@ -19,7 +19,7 @@
             .add(Counter::PolicyEvents, events.len() as u64);
         let actions = self.policy.handle(now, events);
         if let Some(streams) = &mut self.streams {
-            streams.reply(now, &actions);
+            streams.apply_actions(now, &actions);
         }
         let mut batch = Batch {
             orders: Vec::new(),
--- a/crates/director/director-state/src/session/inputs.rs
+++ b/crates/director/director-state/src/session/inputs.rs
@@ -9,7 +9,7 @@
 use crate::stream_outbox;
 use bytes::Bytes;
 use rushcourse_director_protocol::discovery;
-use rushcourse_xds::{Rules, Streams};
+use rushcourse_xds::{StreamConfig, Streams};
 
 impl Session {
     pub(super) fn handle(&mut self, input: Input) {
@@ -103,7 +103,7 @@
     /// The list of hosts may have changed: streams learn where hosts are.
     fn update_stream_hosts(&mut self) {
         if let Some(streams) = &mut self.streams {
-            streams.listed(self.context.now, self.discovery.table().iter());
+            streams.update_hosts(self.context.now, self.discovery.table().iter());
         }
     }
 
@@ -126,9 +126,9 @@
     }
 
     /// Streams are served like this from now on, or not any more.
-    fn serve_streams(&mut self, config: Option<Rules>) {
+    fn serve_streams(&mut self, config: Option<StreamConfig>) {
         match (&mut self.streams, config) {
-            (Some(streams), Some(config)) => streams.rules_are(config),
+            (Some(streams), Some(config)) => streams.set_config(config),
             (Some(_), None) => {
                 self.shut_down_streams();
                 self.streams = None;
@@ -146,7 +146,7 @@
 
     fn shut_down_streams(&mut self) {
         if let Some(streams) = &mut self.streams {
-            streams.close(self.context.now);
+            streams.shut_down(self.context.now);
         }
         self.settle_channels();
     }
@@ -158,7 +158,7 @@
             return;
         };
         for proxy in self.context.events.take_superseded() {
-            streams.lost(self.context.now, proxy);
+            streams.supersede(self.context.now, proxy);
         }
         for proxy in stream_outbox::hand_over(streams, &mut self.context) {
             self.relay.watch.rejoin(&mut self.context, proxy);
--- a/crates/director/director-state/tests/common/harness.rs
+++ b/crates/director/director-state/tests/common/harness.rs
@@ -8,7 +8,7 @@
     Effect, FetchId, InboundId, Input, ProcessLimits, RelayConnectionId, RelayLink, ReloadedConfig,
     ServiceAddresses, Session, SessionConfig, SessionLimits,
 };
-use rushcourse_xds::Rules;
+use rushcourse_xds::{NodeIdentities, StreamConfig, StreamLimits};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -252,7 +252,7 @@
     /// What the configuration says when it is read again.
     pub config_file: Result<ServiceAddresses, String>,
     /// How streams are served, as the configuration says when it is read again.
-    pub stream_config: Option<Rules>,
+    pub stream_config: Option<StreamConfig>,
     /// What is to be done with streams.
     pub stream_effects: Vec<rushcourse_xds::Effect>,
     pub has_exited: bool,
@@ -268,18 +268,18 @@
 }
 
 /// How streams are served in these tests.
-pub fn stream_config() -> Rules {
-    Rules {
-        identities: rushcourse_xds::Identities::default(),
-        epoch: 1,
-        limits: rushcourse_xds::Limits {
-            streams: 16,
-            strangers: 4,
-            nodes: 0,
+pub fn stream_config() -> StreamConfig {
+    StreamConfig {
+        identities: NodeIdentities::default(),
+        incarnation: 1,
+        limits: StreamLimits {
+            max_streams: 16,
+            max_unidentified: 4,
+            max_report_streams: 0,
         },
-        join_within: 1200.0,
-        take_within: 10_000.0,
-        ask_hosts: false,
+        join_timeout: 1200.0,
+        accept_timeout: 10_000.0,
+        request_host_reports: false,
     }
 }
 
@@ -290,7 +290,7 @@
     }
 
     /// A session that has not started, with these settings and streams.
-    pub fn with(settings: DeploymentSettings, streams: Option<Rules>) -> Harness {
+    pub fn with(settings: DeploymentSettings, streams: Option<StreamConfig>) -> Harness {
         let session = Session::new(SessionConfig {
             names: Names::from(&settings),
             batch_interval: settings.batch_interval(),
--- a/crates/director/director-state/tests/limits.rs
+++ b/crates/director/director-state/tests/limits.rs
@@ -57,7 +57,7 @@
         for asks_hosts in [false, true] {
             let session = process.session_beside_grpc();
             let grpc = process.grpc(None, asks_hosts);
-            let for_hosts = grpc.streams.nodes;
+            let for_hosts = grpc.streams.max_report_streams;
             assert!(
                 session.max_inbound + grpc.max_connections + for_hosts + OWN_DESCRIPTORS
                     <= process.descriptors,
@@ -83,5 +83,5 @@
 #[test]
 fn an_operator_may_allow_fewer_streams() {
     let grpc = process(192.0, 1024).grpc(Some(10), false);
-    assert_eq!(grpc.streams.streams, 10);
+    assert_eq!(grpc.streams.max_streams, 10);
 }
--- a/crates/director/director-state/tests/streams.rs
+++ b/crates/director/director-state/tests/streams.rs
@@ -5,7 +5,10 @@
 use common::harness::{Harness, stream_config};
 use common::platform::settings;
 use rushcourse_director_state::{Input, RelayLink};
-use rushcourse_xds::{Ask, Code, Effect, Node, Response, Said, Service, TABLE_TYPE};
+use rushcourse_xds::{
+    CLUSTER_LOAD_ASSIGNMENT_TYPE_URL, ConnectionId, DiscoveryRequest, Effect, Node, Request,
+    Response, StatusCode, StreamId, StreamKind,
+};
 
 /// A proxy of each zone at the relay, with streams served beside. They hold what they were ordered there.
 fn with_both_channels() -> Harness {
@@ -22,10 +25,10 @@
 
 /// A proxy opens a stream, identifies itself, and asks for a class.
 fn open_stream(harness: &mut Harness, stream: u64, proxy: u32) {
-    harness.handle(Input::Stream(rushcourse_xds::Input::Opened {
-        stream,
-        connection: stream,
-        service: Service::Whole,
+    harness.handle(Input::Stream(rushcourse_xds::Input::StreamOpened {
+        stream: StreamId(stream),
+        connection: ConnectionId(stream),
+        kind: StreamKind::StateOfTheWorld,
         peer: "127.0.0.1:9".to_string(),
     }));
     let node = Node {
@@ -33,36 +36,39 @@
         zone: "east".into(),
         rate: Some(5.0),
     };
-    let ask = Ask {
+    let request = DiscoveryRequest {
         node: Some(node),
-        type_url: TABLE_TYPE.into(),
-        names: vec!["look".into()],
-        ..Ask::default()
+        type_url: CLUSTER_LOAD_ASSIGNMENT_TYPE_URL.into(),
+        resource_names: vec!["look".into()],
+        ..DiscoveryRequest::default()
     };
-    harness.handle(Input::Stream(rushcourse_xds::Input::Said {
-        stream,
-        said: Said::Whole(ask),
+    harness.handle(Input::Stream(rushcourse_xds::Input::RequestReceived {
+        stream: StreamId(stream),
+        request: Request::Discovery(request),
     }));
 }
 
 /// The transport accepts what was handed to it.
 fn accept_response(harness: &mut Harness, stream: u64) {
-    harness.handle(Input::Stream(rushcourse_xds::Input::Taken { stream }));
+    harness.handle(Input::Stream(rushcourse_xds::Input::ResponseAccepted {
+        stream: StreamId(stream),
+    }));
 }
 
 /// Responses to a stream since the last look: the hosts that may be picked, by response.
 fn take_responses(harness: &mut Harness, to: u64) -> Vec<Vec<String>> {
     let mut responses = Vec::new();
     for effect in std::mem::take(&mut harness.stream_effects) {
-        if let Effect::Respond {
+        if let Effect::SendResponse {
             stream,
-            response: Response::Whole { resources, .. },
+            response: Response::Discovery(response),
         } = effect
-            && stream == to
+            && stream == StreamId(to)
         {
-            let endpoints = resources
+            let endpoints = response
+                .resources
                 .iter()
-                .flat_map(|resource| &resource.table.localities)
+                .flat_map(|resource| &resource.assignment.localities)
                 .flat_map(|locality| &locality.endpoints);
             responses.push(
                 endpoints
@@ -76,10 +82,10 @@
 }
 
 /// Whether a stream was ended with this status, or any.
-fn is_ended(harness: &Harness, ended: u64, status: Option<Code>) -> bool {
+fn is_ended(harness: &Harness, ended: u64, status: Option<StatusCode>) -> bool {
     harness.stream_effects.iter().any(|effect| {
-        matches!(effect, Effect::End { stream, code, .. }
-            if *stream == ended && status.is_none_or(|status| status == *code))
+        matches!(effect, Effect::EndStream { stream, status: code, .. }
+            if *stream == StreamId(ended) && status.is_none_or(|status| status == *code))
     })
 }
 
@@ -115,9 +121,9 @@
     open_stream(&mut harness, 7, 1);
     harness.run_for(300.0);
     let before = harness.relay.calls.len();
-    harness.handle(Input::Stream(rushcourse_xds::Input::Closed {
-        stream: 7,
-        why: "reset".into(),
+    harness.handle(Input::Stream(rushcourse_xds::Input::StreamClosed {
+        stream: StreamId(7),
+        reason: "reset".into(),
     }));
     harness.run_for(300.0);
     assert_eq!(
@@ -166,7 +172,7 @@
     let before = harness.relay.calls.len();
     harness.run_for(300.0);
     assert!(
-        is_ended(&harness, 7, Some(Code::Aborted)),
+        is_ended(&harness, 7, Some(StatusCode::Aborted)),
         "{:?}",
         harness.stream_effects
     );
@@ -203,5 +209,5 @@
     open_stream(&mut harness, 7, 1);
     harness.handle(Input::Stop);
     assert!(harness.has_exited);
-    assert!(is_ended(&harness, 7, Some(Code::Unavailable)));
+    assert!(is_ended(&harness, 7, Some(StatusCode::Unavailable)));
 }
--- a/crates/tools/simulation/src/world/setup.rs
+++ b/crates/tools/simulation/src/world/setup.rs
@@ -66,17 +66,17 @@
         }
         .session(),
         has_relay: true,
-        streams: Some(xds::Rules {
-            identities: xds::Identities::default(),
-            epoch: life,
-            limits: xds::Limits {
-                streams: 64,
-                strangers: 16,
-                nodes: 0,
+        streams: Some(xds::StreamConfig {
+            identities: xds::NodeIdentities::default(),
+            incarnation: life,
+            limits: xds::StreamLimits {
+                max_streams: 64,
+                max_unidentified: 16,
+                max_report_streams: 0,
             },
-            join_within: 1200.0,
-            take_within: 10_000.0,
-            ask_hosts: false,
+            join_timeout: 1200.0,
+            accept_timeout: 10_000.0,
+            request_host_reports: false,
         }),
         cached_endpoints: json!({"revision": 1, "complete": true, "members": members})
             .to_string()
