--- a/crates/director/xds/src/loads.rs
+++ b/crates/director/xds/src/loads.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::LoadStatsRequest;
 use crate::resources::ResourceCache;
-use rushcourse_director_settings::figures;
+use rushcourse_director_settings::report_limits;
 use rushcourse_policy::interface::*;
 
 /// Report periods that a report may cover: what it tells of before is too old to judge anybody by.
@@ -94,7 +94,7 @@
         };
         let Some(span) = c
             .load_report_interval
-            .filter(|i| *i > 0.0 && *i <= figures::WINDOW_MOST)
+            .filter(|i| *i > 0.0 && *i <= report_limits::MAX_SPAN)
         else {
             return spoilt(
                 "loads_interval",
@@ -108,8 +108,8 @@
             c.successful_requests as f64 + c.error_requests as f64,
             c.error_requests as f64,
         );
-        if let Some(why) = figures::spoilt(let_in, failed, span) {
-            return spoilt("loads_figures", why);
+        if let Err(error) = report_limits::check_counts(let_in, failed, span) {
+            return spoilt("loads_figures", error.reason());
         }
         events.push(Event::TrafficReported {
             proxy,
@@ -124,8 +124,8 @@
                 continue;
             };
             let (tries, failed) = (h.issued_requests as f64, h.error_requests as f64);
-            if let Some(why) = figures::spoilt(tries, failed, span) {
-                return spoilt("loads_figures", &format!("{}: {why}", h.address));
+            if let Err(error) = report_limits::check_counts(tries, failed, span) {
+                return spoilt("loads_figures", &format!("{}: {error}", h.address));
             }
             if failed > tries {
                 return spoilt(
@@ -143,7 +143,7 @@
                     );
                 }
             };
-            if !figures::is_mean(mean, settings) {
+            if !report_limits::is_plausible_mean(mean, settings) {
                 return spoilt(
                     "loads_latency",
                     &format!("{}: {LATENCY} is out of range", h.address),
--- a/crates/tools/bench-adapter/src/instances.rs
+++ b/crates/tools/bench-adapter/src/instances.rs
@@ -2,7 +2,6 @@
 
 use crate::batch::{Batch, InstanceEvents, InstanceId};
 use crate::wire::{self, Order};
-use rushcourse_director_settings::settings;
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{Action, Ms};
 use std::any::Any;
@@ -42,7 +41,7 @@
             self.0.remove(&id);
         }
         if let Some(start) = events.start {
-            self.0.insert(id, Director::new(settings(start.options)));
+            self.0.insert(id, Director::new(start.options.to_policy()));
         }
         match self.0.get_mut(&id) {
             Some(director) => director.handle(now, events.events),
--- a/crates/tools/bench-adapter/src/wire/incoming.rs
+++ b/crates/tools/bench-adapter/src/wire/incoming.rs
@@ -1,7 +1,7 @@
 //! What comes in.
 
 use super::hex;
-use rushcourse_director_settings::Options;
+use rushcourse_director_settings::DeploymentSettings;
 use rushcourse_policy::interface::{
     Channel, Event, HostEntry, HostListKind, HostLoad, Ms, Readiness,
 };
@@ -37,7 +37,7 @@
     #[serde(rename = "nonce64")]
     _seed: u64,
     /// The settings.
-    pub options: Options,
+    pub options: DeploymentSettings,
 }
 
 /// The list of hosts, or a change to it.
--- a/crates/tools/bench-adapter/tests/fronts/session.rs
+++ b/crates/tools/bench-adapter/tests/fronts/session.rs
@@ -3,14 +3,17 @@
 use crate::script::{CLASSES, HOSTS, Listed, ScriptEvent, ZONES, options};
 use crate::{Batches, START};
 use bytes::Bytes;
-use rushcourse_director_settings::{Names, Options, settings};
-use rushcourse_director_state::{Bounds, Conn, Effect, Input, Link, Places, Session, Setup};
+use rushcourse_director_settings::{DeploymentSettings, Names};
+use rushcourse_director_state::{
+    Effect, FetchId, InboundId, Input, ProcessLimits, RelayConnectionId, RelayLink,
+    ServiceAddresses, Session, SessionConfig,
+};
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
 /// The collector's connection.
-const COLLECTOR: Conn = 1;
+const COLLECTOR: InboundId = InboundId(1);
 /// Time after which a watch of the list ends without a change, in ms.
 const WATCH_TIMEOUT: f64 = 3900.0;
 
@@ -20,7 +23,7 @@
     wake_at: f64,
     /// The generation of its connection to the relay's watch.
     watch_generation: u64,
-    list_request: u64,
+    list_request: FetchId,
     list_requested_at: f64,
     list_revision: u64,
     /// The number of its last call that asked to be acknowledged.
@@ -36,19 +39,18 @@
             session: session(),
             wake_at: f64::INFINITY,
             watch_generation: 0,
-            list_request: 0,
+            list_request: FetchId(0),
             list_requested_at: START,
             list_revision: 1,
             ack_number: 0,
             calls: Batches::new(),
         };
         director.give(START, Input::Start);
-        let peer = "collector".into();
         director.give(
             START,
-            Input::Opened {
-                conn: COLLECTOR,
-                peer,
+            Input::InboundOpened {
+                inbound: COLLECTOR,
+                peer: "collector".into(),
             },
         );
         director.collector_message(START, &json!({"@type": "collector", "az": "east"}));
@@ -104,25 +106,20 @@
         }
     }
 
-    fn watch_line(&mut self, now: f64, text: String) {
-        let turn = self.watch_generation;
-        self.give(
-            now,
-            Input::Line {
-                link: Link::News,
-                turn,
-                text,
-            },
-        );
+    fn watch_line(&mut self, now: f64, line: String) {
+        let connection = RelayConnectionId {
+            link: RelayLink::Watch,
+            generation: self.watch_generation,
+        };
+        self.give(now, Input::RelayLine { connection, line });
     }
 
     fn collector_message(&mut self, now: f64, message: &Value) {
-        let bytes = Bytes::from(message.to_string());
         self.give(
             now,
-            Input::Frame {
-                conn: COLLECTOR,
-                bytes,
+            Input::InboundMessage {
+                inbound: COLLECTOR,
+                message: Bytes::from(message.to_string()),
             },
         );
     }
@@ -130,8 +127,8 @@
     /// Discovery answers the last request with changes of the list.
     fn list_changes(&mut self, now: f64, members: &[Value]) {
         let body = json!({"revision": self.list_revision, "complete": false, "members": members});
-        let (ask, body) = (self.list_request, Bytes::from(body.to_string()));
-        self.give(now, Input::Listed { ask, body });
+        let (request, body) = (self.list_request, Bytes::from(body.to_string()));
+        self.give(now, Input::EndpointsFetched { request, body });
     }
 
     fn give(&mut self, now: f64, input: Input) {
@@ -145,32 +142,28 @@
 
     fn carry_out(&mut self, now: f64, effect: Effect, inputs: &mut VecDeque<Input>) {
         match effect {
-            Effect::Connect { link, turn, .. } => {
-                if link == Link::News {
-                    self.watch_generation = turn;
+            Effect::ConnectRelay { connection, .. } => {
+                if connection.link == RelayLink::Watch {
+                    self.watch_generation = connection.generation;
                 }
-                inputs.extend([Input::Up { link, turn }, Input::Wake]);
+                inputs.extend([Input::RelayConnected { connection }, Input::Wake]);
             }
-            Effect::Send {
-                link: Link::News,
-                turn,
-                ..
-            } => {
-                let (link, text) = (Link::News, "OK".into());
-                inputs.push_back(Input::Line { link, turn, text });
+            Effect::SendRelay { connection, .. } if connection.link == RelayLink::Watch => {
+                let line = "OK".into();
+                inputs.push_back(Input::RelayLine { connection, line });
             }
-            Effect::Send { link, turn, text } => {
-                let text = self.relay_call(now, &text);
-                inputs.extend([Input::Line { link, turn, text }, Input::Wake]);
+            Effect::SendRelay { connection, line } => {
+                let line = self.relay_call(now, &line);
+                inputs.extend([Input::RelayLine { connection, line }, Input::Wake]);
             }
-            Effect::List { ask, path, .. } => {
-                (self.list_request, self.list_requested_at) = (ask, now);
+            Effect::FetchEndpoints { request, path, .. } => {
+                (self.list_request, self.list_requested_at) = (request, now);
                 if !path.contains('?') {
                     let body = complete_list(self.list_revision).into();
-                    inputs.extend([Input::Listed { ask, body }, Input::Wake]);
+                    inputs.extend([Input::EndpointsFetched { request, body }, Input::Wake]);
                 }
             }
-            Effect::Wake { at } => self.wake_at = at,
+            Effect::ScheduleWake { at } => self.wake_at = at,
             _ => {}
         }
     }
@@ -192,19 +185,24 @@
 }
 
 fn session() -> Session {
-    let options: Options = serde_json::from_value(options()).expect("options");
+    let settings: DeploymentSettings = serde_json::from_value(options()).expect("options");
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    Session::new(Setup {
-        places: Places {
+    let limits = ProcessLimits {
+        memory_mb: 192.0,
+        descriptors: 1024,
+    };
+    Session::new(SessionConfig {
+        addresses: ServiceAddresses {
             relay: nowhere,
             discovery: nowhere,
         },
-        bounds: Bounds::of(192.0, 1024),
-        relay: true,
+        limits: limits.session(),
+        has_relay: true,
         streams: None,
-        names: Names::of(&options),
-        settings: settings(options),
-        known: Bytes::from(complete_list(1)),
+        names: Names::from(&settings),
+        batch_interval: settings.batch_interval(),
+        settings: settings.to_policy(),
+        cached_endpoints: Bytes::from(complete_list(1)),
     })
 }
 
--- a/crates/tools/simulation/src/world/queue.rs
+++ b/crates/tools/simulation/src/world/queue.rs
@@ -2,6 +2,7 @@
 
 use crate::proxy::PlatformRelay;
 use crate::script::ProxyReport;
+use rushcourse_director_state::FetchId;
 use rushcourse_policy::interface::{AckNumber, Ms};
 use rushcourse_xds as xds;
 use std::collections::BTreeMap;
@@ -12,7 +13,7 @@
     /// The script's event of this index.
     Event(usize),
     /// A watch of the list comes to its end, by the number of its request.
-    WatchEnds(u64),
+    WatchEnds(FetchId),
     /// The relay says on its watch that it is there.
     Keepalive,
     /// The platform's tables reach proxies, as they stood then.
