--- a/crates/tools/simulation/src/world/director.rs
+++ b/crates/tools/simulation/src/world/director.rs
@@ -5,13 +5,13 @@
 use super::state::World;
 use super::times::{REOPEN_DELAY, START};
 use bytes::Bytes;
-use rushcourse_director_state::{Conn, Input, Link};
+use rushcourse_director_state::{InboundId, Input, RelayConnectionId, RelayLink};
 use rushcourse_xds as xds;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 
 /// The collector's connection.
-const COLLECTOR: Conn = 1;
+const COLLECTOR: InboundId = InboundId(1);
 
 impl World<'_> {
     /// Hands an input over and does what comes of it.
@@ -30,28 +30,27 @@
     }
 
     /// The relay writes a line on its watch.
-    pub(super) fn watch_line(&mut self, text: String) {
-        let turn = self.director.watch_generation;
-        self.give(Input::Line {
-            link: Link::News,
-            turn,
-            text,
-        });
+    pub(super) fn watch_line(&mut self, line: String) {
+        let connection = RelayConnectionId {
+            link: RelayLink::Watch,
+            generation: self.director.watch_generation,
+        };
+        self.give(Input::RelayLine { connection, line });
     }
 
     /// The collector writes a message.
     pub(super) fn collector_message(&mut self, message: &Value) {
-        self.give(Input::Frame {
-            conn: COLLECTOR,
-            bytes: Bytes::from(message.to_string()),
+        self.give(Input::InboundMessage {
+            inbound: COLLECTOR,
+            message: Bytes::from(message.to_string()),
         });
     }
 
     /// Discovery answers the last request with changes of the list.
     pub(super) fn list_changes(&mut self, members: &[Value]) {
         let body = json!({"revision": self.list.revision, "complete": false, "members": members});
-        self.give(Input::Listed {
-            ask: self.director.list_request,
+        self.give(Input::EndpointsFetched {
+            request: self.director.list_request,
             body: body.to_string().into(),
         });
     }
@@ -59,8 +58,8 @@
     /// A director starts: collectors dial in.
     pub(super) fn start_director(&mut self) {
         self.give(Input::Start);
-        self.give(Input::Opened {
-            conn: COLLECTOR,
+        self.give(Input::InboundOpened {
+            inbound: COLLECTOR,
             peer: "collector".into(),
         });
         let joins = json!({"@type": "collector", "az": self.script.zones[0]});
--- a/crates/tools/simulation/src/world/effects.rs
+++ b/crates/tools/simulation/src/world/effects.rs
@@ -6,7 +6,7 @@
 use super::state::World;
 use super::times::TRANSIT;
 use crate::script::CLASSES;
-use rushcourse_director_state::{Effect, Input, Link};
+use rushcourse_director_state::{Effect, Input, RelayLink};
 use rushcourse_policy::interface::{Ms, RetryPolicy};
 use rushcourse_xds as xds;
 use serde_json::json;
@@ -27,27 +27,27 @@
     /// Carries an effect out; what answers it at once goes to the inputs.
     pub(super) fn carry_out(&mut self, effect: Effect, inputs: &mut VecDeque<Input>) {
         match effect {
-            Effect::Connect { link, turn, .. } => {
-                if link == Link::News {
-                    self.director.watch_generation = turn;
+            Effect::ConnectRelay { connection, .. } => {
+                if connection.link == RelayLink::Watch {
+                    self.director.watch_generation = connection.generation;
                 }
-                inputs.extend([Input::Up { link, turn }, Input::Wake]);
+                inputs.extend([Input::RelayConnected { connection }, Input::Wake]);
             }
-            Effect::Send { link, turn, text } => {
-                if let Some(text) = self.answer_line(link, &text) {
-                    inputs.extend([Input::Line { link, turn, text }, Input::Wake]);
+            Effect::SendRelay { connection, line } => {
+                if let Some(line) = self.answer_line(connection.link, &line) {
+                    inputs.extend([Input::RelayLine { connection, line }, Input::Wake]);
                 }
             }
-            Effect::List { ask, path, .. } => {
-                self.director.list_request = ask;
+            Effect::FetchEndpoints { request, path, .. } => {
+                self.director.list_request = request;
                 if path.contains('?') {
-                    self.after(WATCH_TIMEOUT, Pending::WatchEnds(ask));
+                    self.after(WATCH_TIMEOUT, Pending::WatchEnds(request));
                 } else {
                     let body = self.complete_list().into();
-                    inputs.extend([Input::Listed { ask, body }, Input::Wake]);
+                    inputs.extend([Input::EndpointsFetched { request, body }, Input::Wake]);
                 }
             }
-            Effect::Wake { at } => self.director.wake_at = at,
+            Effect::ScheduleWake { at } => self.director.wake_at = at,
             Effect::Stream(xds::Effect::SendResponse { stream, response }) => {
                 self.respond(stream, response, inputs);
             }
@@ -57,8 +57,8 @@
     }
 
     /// What the relay answers to a line; nothing to a call while it stalls.
-    fn answer_line(&mut self, link: Link, text: &str) -> Option<String> {
-        if link == Link::News {
+    fn answer_line(&mut self, link: RelayLink, text: &str) -> Option<String> {
+        if link == RelayLink::Watch {
             return Some("OK".into());
         }
         if self.relay.is_stalled {
--- a/crates/tools/simulation/src/world/setup.rs
+++ b/crates/tools/simulation/src/world/setup.rs
@@ -5,8 +5,8 @@
 use crate::check::Limits;
 use crate::proxy::PlatformRelay;
 use crate::script::{Phase, Proxy, Script};
-use rushcourse_director_settings::{Names, Options};
-use rushcourse_director_state::{Bounds, Places, Session, Setup};
+use rushcourse_director_settings::{DeploymentSettings, Names};
+use rushcourse_director_state::{ProcessLimits, ServiceAddresses, Session, SessionConfig};
 use rushcourse_policy::interface::{Ms, RetryPolicy};
 use rushcourse_xds as xds;
 use serde_json::{Value, json};
@@ -25,9 +25,10 @@
 };
 /// When proxies retry where no order says otherwise.
 const DEFAULT_RETRY_POLICY: u8 = RetryPolicy::OnceIfNotRun as u8;
-/// Memory of the director's machine, in MiB, and file descriptors.
-const MEMORY: f64 = 192.0;
-const DESCRIPTORS: usize = 1024;
+const PROCESS_LIMITS: ProcessLimits = ProcessLimits {
+    memory_mb: 192.0,
+    descriptors: 1024,
+};
 /// Ports of a host, and how many addresses a third byte has.
 const HOST_PORT: u16 = 8000;
 const HOSTS_PER_BYTE: usize = 200;
@@ -42,7 +43,7 @@
     LIMITS
 }
 
-fn options(script: &Script) -> Options {
+fn settings(script: &Script) -> DeploymentSettings {
     let value = json!({
         "categories": [
             {"name": "look", "aim-ms": 1000.0, "deadline-ms": 3000.0, "worth": 2.0, "effect": "free"},
@@ -56,7 +57,7 @@
             "overload-for-ms": LIMITS.overload_duration},
         "penalties": {"cross-zone": 0.12}, "reporting": {"source": "inline"}, "zones": script.zones,
         "balancers": 1, "quantum-ms": 4.0, "weight-source": "rough"});
-    serde_json::from_value(value).expect("the options are complete")
+    serde_json::from_value(value).expect("the settings are complete")
 }
 
 /// The address of a host, by its index.
@@ -67,21 +68,21 @@
 
 /// A director that has been started so often and knows a list.
 pub(super) fn director(script: &Script, list: &HostList, starts: u64) -> Session {
-    let options = options(script);
+    let settings = settings(script);
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
-    let names = Names::of(&options);
     let known = json!({"revision": 1, "complete": true, "members": members(script, list)});
-    Session::new(Setup {
-        settings: rushcourse_director_settings::settings(options),
-        names,
-        places: Places {
+    Session::new(SessionConfig {
+        settings: settings.to_policy(),
+        names: Names::from(&settings),
+        batch_interval: settings.batch_interval(),
+        addresses: ServiceAddresses {
             relay: nowhere,
             discovery: nowhere,
         },
-        bounds: Bounds::of(MEMORY, DESCRIPTORS),
-        relay: true,
+        limits: PROCESS_LIMITS.session(),
+        has_relay: true,
         streams: Some(stream_config(starts)),
-        known: known.to_string().into(),
+        cached_endpoints: known.to_string().into(),
     })
 }
 
--- a/crates/tools/simulation/src/world/state.rs
+++ b/crates/tools/simulation/src/world/state.rs
@@ -7,7 +7,7 @@
 use crate::check::Checker;
 use crate::proxy::{PlatformRelay, Protocol, ProxyTable, StreamTables};
 use crate::script::{CLASSES, Script};
-use rushcourse_director_state::Session;
+use rushcourse_director_state::{FetchId, Session};
 use rushcourse_policy::interface::Ms;
 use rushcourse_xds as xds;
 use std::collections::BTreeMap;
@@ -41,7 +41,7 @@
     /// The generation of its connection to the relay's watch.
     pub(super) watch_generation: u64,
     /// The number of its last request for the list.
-    pub(super) list_request: u64,
+    pub(super) list_request: FetchId,
 }
 
 /// The platform's relay.
@@ -87,7 +87,7 @@
                 wake_at: f64::INFINITY,
                 starts: 1,
                 watch_generation: 0,
-                list_request: 0,
+                list_request: FetchId(0),
             },
             script,
             mode,
