--- a/crates/gateway/gateway/src/board.rs
+++ b/crates/gateway/gateway/src/board.rs
@@ -2,6 +2,7 @@
 
 use crate::links::Links;
 use crate::pools::Pools;
+use crate::random_source::RandomSource;
 use rushcourse_config::{Boot, Configuration};
 use rushcourse_messages::{ClaimId, Message, NodeId, OperationState, Role, VotingSet};
 use rushcourse_routing::{
@@ -29,7 +30,7 @@
     /// Told to end: no new requests are asked for.
     pub ending: Cell<bool>,
     pub busy: Cell<usize>,
-    lot: Cell<u64>,
+    pub random: RandomSource,
 }
 
 pub struct State {
@@ -80,20 +81,10 @@
             state: RefCell::new(state),
             ending: Cell::new(false),
             busy: Cell::new(0),
-            lot: Cell::new(incarnation.0 | 1),
+            random: RandomSource::new(incarnation),
         }
     }
 
-    /// A number by lot from 0 up to 1: xorshift.
-    pub fn chance(&self) -> f64 {
-        let mut x = self.lot.get();
-        x ^= x << 13;
-        x ^= x >> 7;
-        x ^= x << 17;
-        self.lot.set(x);
-        (x >> 11) as f64 / (1u64 << 53) as f64
-    }
-
     pub fn count(&self, what: &'static str) {
         self.state.borrow_mut().tally.count(what);
     }
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -8,6 +8,7 @@
 mod keyed;
 mod links;
 mod pools;
+mod random_source;
 mod requests;
 mod server;
 
--- a/crates/gateway/gateway/src/requests.rs
+++ b/crates/gateway/gateway/src/requests.rs
@@ -49,7 +49,7 @@
     } else {
         (BACK_FIRST, BACK_SPREAD)
     };
-    own(what, first + board.chance() * spread)
+    own(what, first + board.random.fraction() * spread)
 }
 
 fn single<'a>(
@@ -200,7 +200,9 @@
             .state
             .borrow_mut()
             .tables
-            .pick(board.times.now(), service, &tried, || board.chance());
+            .pick(board.times.now(), service, &tried, || {
+                board.random.fraction()
+            });
         let Some(host) = pick else {
             return Carried::Own(last);
         };
