--- a/crates/gateway/gateway/src/board.rs
+++ b/crates/gateway/gateway/src/board.rs
@@ -74,7 +74,7 @@
             asked: BTreeMap::new(),
             next_token: RequestToken(0),
             usage_at: 0,
-            tally: Tally::new("own_answers"),
+            tally: Tally::new("local_responses"),
         };
         Board {
             times,
--- a/crates/gateway/gateway/src/hosts.rs
+++ b/crates/gateway/gateway/src/hosts.rs
@@ -1,7 +1,11 @@
 //! Connections to hosts: kept while they are good, shared out among all directors, and one try of a request.
 
-use crate::answers::{ATTEMPT, Answer, KEEP_ALIVE, NOT_EXECUTED, SEAL, strip};
 use crate::board::Shared;
+use crate::headers::{
+    ATTEMPT_ID, DEADLINE_MILLISECONDS, EXPECTED_INSTANCE, KEEP_ALIVE, NOT_EXECUTED, RESPONSE_SEAL,
+    remove_hop_by_hop,
+};
+use crate::response_body::ResponseBody;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
@@ -28,7 +32,7 @@
 
 /// What came of one try.
 pub enum Tried {
-    Answered(Response<Answer>),
+    Answered(Response<ResponseBody>),
     /// It has not run there and never will: what was met.
     NotRun(Met),
     /// It may have run.
@@ -53,9 +57,9 @@
         *request.uri_mut() = self.head.uri.clone();
         *request.headers_mut() = self.head.headers.clone();
         let headers = request.headers_mut();
-        headers.insert(crate::answers::DEADLINE, HeaderValue::from(left_ms));
+        headers.insert(DEADLINE_MILLISECONDS, HeaderValue::from(left_ms));
         if let Ok(value) = HeaderValue::from_str(&host.id) {
-            headers.insert(crate::answers::EXPECTED, value);
+            headers.insert(EXPECTED_INSTANCE, value);
         }
         request
     }
@@ -226,7 +230,7 @@
 
 /// Whether an answer is that of the request with this id: it names it, and no other.
 fn names(head: &Parts, attempt: &HeaderValue) -> bool {
-    let mut ids = head.headers.get_all(ATTEMPT).iter();
+    let mut ids = head.headers.get_all(ATTEMPT_ID).iter();
     ids.next() == Some(attempt) && ids.next().is_none()
 }
 
@@ -247,7 +251,7 @@
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::REQUEST_TIMEOUT,
     ];
-    let unsealed = head.status.is_success() && !head.headers.contains_key(SEAL);
+    let unsealed = head.status.is_success() && !head.headers.contains_key(RESPONSE_SEAL);
     !head.status.is_informational() && !promise.contains(&head.status) && !unsealed
 }
 
@@ -276,7 +280,7 @@
     // An answer with another id, or none, belongs to no request here: what follows on this connection can't be
     // trusted either. Only where nothing else was ever asked is a refusal without an id this request's.
     if !names(&head, &out.attempt) {
-        let only_one = !line.reused && !head.headers.contains_key(ATTEMPT);
+        let only_one = !line.reused && !head.headers.contains_key(ATTEMPT_ID);
         return not_run
             .filter(|_| only_one)
             .map_or(Tried::Broke, Tried::NotRun);
@@ -291,12 +295,12 @@
         Ok(Ok(held)) => held,
     };
     let now = board.times.now();
-    strip(&mut head.headers);
+    remove_hop_by_hop(&mut head.headers);
     if let Some(rest) = rest {
         return Tried::Answered(Response::from_parts(
             head,
-            Answer::Passing {
-                first: held,
+            ResponseBody::Streaming {
+                buffered: held,
                 rest: Box::new(rest),
             },
         ));
@@ -320,7 +324,10 @@
             })
             .into(),
     };
-    Tried::Answered(Response::from_parts(head, Answer::Whole(Full::new(whole))))
+    Tried::Answered(Response::from_parts(
+        head,
+        ResponseBody::Complete(Full::new(whole)),
+    ))
 }
 
 /// `Keep-Alive: timeout=8`, in ms.
--- a/crates/gateway/gateway/src/keyed.rs
+++ b/crates/gateway/gateway/src/keyed.rs
@@ -1,9 +1,11 @@
 //! Requests that bind: one run for each operation key. A claim is held by a majority of disks before anything leaves;
 //! the run goes on if its client goes, so that repeats get its answer.
 
-use crate::answers::{ATTEMPT, Answer, Own};
 use crate::board::Shared;
-use crate::requests::{Call, Carried, NO_MAJORITY, carry, refuse};
+use crate::headers::ATTEMPT_ID;
+use crate::local_response::{InvalidRequest, LocalResponse, Rejection};
+use crate::requests::{Call, Carried, carry, refuse};
+use crate::response_body::ResponseBody;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::header::{HeaderName, HeaderValue};
@@ -19,8 +21,6 @@
 
 /// How long the claimant of a key is waited for.
 const ASK_WAIT: Duration = Duration::from_millis(400);
-/// Voters still hold a claim under which nothing was sent.
-const CLAIMS_MET: &str = "claims met";
 /// Bytes of an answer that is kept for repeats; a longer one is passed on and its repeats get 409 (ours).
 const KEPT_MOST: usize = 1 << 20;
 
@@ -29,7 +29,7 @@
     call: Call,
     key: KeyDigest,
     claim: ClaimId,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     // The run goes on without its client: whoever asks again gets its answer.
     let (tell, told) = oneshot::channel();
     let running = board.clone();
@@ -39,14 +39,20 @@
         running.busy.set(running.busy.get() - 1);
         let _ = tell.send(response);
     });
-    told.await.unwrap_or_else(|_| refuse(board, Own::Broke))
+    told.await
+        .unwrap_or_else(|_| refuse(board, LocalResponse::NoValidResponse))
 }
 
-async fn run(board: &Shared, call: &Call, key: KeyDigest, claim: ClaimId) -> Response<Answer> {
+async fn run(
+    board: &Shared,
+    call: &Call,
+    key: KeyDigest,
+    claim: ClaimId,
+) -> Response<ResponseBody> {
     match carry(board, call).await {
         Carried::Answered(response) => {
             let (head, body) = response.into_parts();
-            let Answer::Whole(body) = body else {
+            let ResponseBody::Complete(body) = body else {
                 board
                     .state
                     .borrow_mut()
@@ -64,7 +70,7 @@
                 headers: head
                     .headers
                     .iter()
-                    .filter(|h| *h.0 != ATTEMPT)
+                    .filter(|h| *h.0 != ATTEMPT_ID)
                     .map(|h| (h.0.as_str().to_string(), h.1.as_bytes().to_vec()))
                     .collect(),
                 body: bytes.to_vec(),
@@ -75,9 +81,9 @@
                 State::Unknown
             };
             board.state.borrow_mut().operations.end(key, claim, state);
-            Response::from_parts(head, Answer::Whole(Full::new(bytes)))
+            Response::from_parts(head, ResponseBody::Complete(Full::new(bytes)))
         }
-        Carried::Own(what) => {
+        Carried::Local(what) => {
             let mut state = board.state.borrow_mut();
             if what.status() == StatusCode::SERVICE_UNAVAILABLE {
                 // Nothing ran and nothing will: the key is free for the next try.
@@ -92,8 +98,10 @@
 }
 
 /// A kept answer as the answer of a repeat.
-fn repeat(call: &Call, kept: &StoredResponse) -> Response<Answer> {
-    let mut response = Response::new(Answer::Whole(Full::new(Bytes::copy_from_slice(&kept.body))));
+fn repeat(call: &Call, kept: &StoredResponse) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::Complete(Full::new(Bytes::copy_from_slice(
+        &kept.body,
+    ))));
     *response.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in &kept.headers {
         if let (Ok(name), Ok(value)) = (name.parse::<HeaderName>(), HeaderValue::from_bytes(value))
@@ -103,19 +111,21 @@
     }
     response
         .headers_mut()
-        .insert(ATTEMPT, call.out.attempt.clone());
+        .insert(ATTEMPT_ID, call.out.attempt.clone());
     response
 }
 
 /// Takes a request with a key through: its first try runs, repeats get what became of it.
-pub async fn take(board: &Shared, call: Call) -> Response<Answer> {
+pub async fn take(board: &Shared, call: Call) -> Response<ResponseBody> {
     let Some(key) = call.key.as_deref().map(key_digest) else {
-        return refuse(board, Own::Bad("no operation key"));
+        return refuse(board, InvalidRequest::MissingOperationKey.into());
     };
     let known = board.state.borrow().operations.state(key).cloned();
     match known {
         Some(State::Answered(kept)) => return repeat(&call, &kept),
-        Some(State::Running | State::Unknown) => return refuse(board, Own::AtWork),
+        Some(State::Running | State::Unknown) => {
+            return refuse(board, LocalResponse::OperationInProgress);
+        }
         None => {}
     }
     let now = board.times.now();
@@ -138,7 +148,7 @@
         })
     };
     let Some((claim, told)) = begun else {
-        return refuse(board, Own::Refused(NO_MAJORITY));
+        return refuse(board, LocalResponse::Rejected(Rejection::NoQuorum));
     };
     // From here to the end of this block nothing may be dropped with its client: a claim is won, lost or withdrawn.
     let (board, waiting) = (board.clone(), oneshot::channel());
@@ -152,7 +162,7 @@
                     .state
                     .borrow_mut()
                     .withdraw(board.times.now(), key, claim);
-                refuse(&board, Own::Refused(NO_MAJORITY))
+                refuse(&board, LocalResponse::Rejected(Rejection::NoQuorum))
             }
         };
         let _ = waiting.0.send(response);
@@ -160,7 +170,7 @@
     waiting
         .1
         .await
-        .unwrap_or_else(|_| refuse(&outer, Own::Broke))
+        .unwrap_or_else(|_| refuse(&outer, LocalResponse::NoValidResponse))
 }
 
 /// Another claim holds the key: its claimant knows what became of it.
@@ -170,7 +180,7 @@
     key: KeyDigest,
     claim: ClaimId,
     holder: ClaimId,
-) -> Response<Answer> {
+) -> Response<ResponseBody> {
     let (token, told) = {
         let now = board.times.now();
         let mut state = board.state.borrow_mut();
@@ -182,9 +192,9 @@
             return refuse(
                 board,
                 if withdrawn {
-                    Own::Refused(CLAIMS_MET)
+                    LocalResponse::Rejected(Rejection::ConflictingClaims)
                 } else {
-                    Own::AtWork
+                    LocalResponse::OperationInProgress
                 },
             );
         }
@@ -194,7 +204,9 @@
     board.state.borrow_mut().asked.remove(&token);
     match progress {
         Ok(Ok(OperationState::Completed(kept))) => repeat(call, &kept),
-        Ok(Ok(OperationState::NotFound)) => refuse(board, Own::Refused(CLAIMS_MET)),
-        _ => refuse(board, Own::AtWork),
+        Ok(Ok(OperationState::NotFound)) => {
+            refuse(board, LocalResponse::Rejected(Rejection::ConflictingClaims))
+        }
+        _ => refuse(board, LocalResponse::OperationInProgress),
     }
 }
--- a/crates/gateway/gateway/src/requests.rs
+++ b/crates/gateway/gateway/src/requests.rs
@@ -1,8 +1,10 @@
 //! A request on its way: checked, routed, sent to one host or a second one, answered.
 
-use crate::answers::{ATTEMPT, Answer, DEADLINE, KEY, Own, own, strip};
 use crate::board::Shared;
+use crate::headers::{ATTEMPT_ID, DEADLINE_MILLISECONDS, OPERATION_KEY, remove_hop_by_hop};
 use crate::hosts::{Outgoing, Tried, try_at};
+use crate::local_response::{InvalidRequest, LocalResponse, Rejection};
+use crate::response_body::ResponseBody;
 use bytes::Bytes;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
@@ -20,16 +22,6 @@
 const BEFORE_DEADLINE: u64 = 8;
 /// Hosts that may turn out not to be reached before a request is given up (ours); they saw nothing of it.
 const UNREACHED_MOST: u32 = 3;
-/// s after which a refused client is told to come back, and how far that is spread (ours).
-const BACK_FIRST: f64 = 0.03;
-const BACK_SPREAD: f64 = 0.09;
-
-/// The same where this director can't yet, or no longer, send anything anywhere.
-const BACK_UNPREPARED: f64 = 0.35;
-pub const UNPREPARED: &str = "no configuration yet";
-pub const NO_HOST: &str = "no host";
-pub const NO_MAJORITY: &str = "no majority of voters";
-
 /// A request that is checked and routed.
 pub struct Call {
     pub out: Outgoing,
@@ -41,59 +33,53 @@
 }
 
 /// This director's own answer, counted by its reason.
-pub fn refuse(board: &Shared, what: Own) -> Response<Answer> {
-    board.count(what.why());
-    // Who comes back before there is a configuration or a host is refused again.
-    let (first, spread) = if matches!(what, Own::Refused(UNPREPARED | NO_HOST | NO_MAJORITY)) {
-        (BACK_UNPREPARED, BACK_UNPREPARED)
-    } else {
-        (BACK_FIRST, BACK_SPREAD)
-    };
-    own(what, first + board.random.fraction() * spread)
+pub fn refuse(board: &Shared, what: LocalResponse) -> Response<ResponseBody> {
+    board.count(what.reason());
+    what.into_response(board.random.fraction())
 }
 
 fn single<'a>(
     head: &'a hyper::http::request::Parts,
     name: &header::HeaderName,
-) -> Result<Option<&'a HeaderValue>, Own> {
+) -> Result<Option<&'a HeaderValue>, LocalResponse> {
     let mut all = head.headers.get_all(name).iter();
     let first = all.next();
     if all.next().is_some() {
-        Err(Own::Bad("a header stands twice"))
+        Err(InvalidRequest::DuplicateHeader.into())
     } else {
         Ok(first)
     }
 }
 
 /// Checks a request and reads its body.
-pub async fn take(board: &Shared, request: Request<Incoming>) -> Result<Call, Own> {
+pub async fn take(board: &Shared, request: Request<Incoming>) -> Result<Call, LocalResponse> {
     let arrived = Instant::now();
     let (mut head, body) = request.into_parts();
     let configuration = board.state.borrow().configuration.clone();
-    let configuration = configuration.ok_or(Own::Refused(UNPREPARED))?;
+    let configuration = configuration.ok_or(LocalResponse::Rejected(Rejection::NoConfiguration))?;
     if head.method == Method::CONNECT
         || head.uri.authority().is_some()
         || !head.uri.path().starts_with('/')
     {
-        return Err(Own::Bad("not a path of this host"));
+        return Err(InvalidRequest::Target.into());
     }
     // A length beside chunks is how requests are smuggled; the library went by the chunks.
     if head.headers.contains_key(header::TRANSFER_ENCODING)
         && head.headers.contains_key(header::CONTENT_LENGTH)
     {
-        return Err(Own::Bad("a length beside chunks"));
+        return Err(InvalidRequest::LengthWithChunks.into());
     }
     let host = single(&head, &header::HOST)?
         .and_then(|h| h.to_str().ok())
-        .ok_or(Own::Bad("no host"))?
+        .ok_or(InvalidRequest::MissingHost)?
         .to_string();
-    let attempt = single(&head, &ATTEMPT)?
+    let attempt = single(&head, &ATTEMPT_ID)?
         .cloned()
-        .ok_or(Own::Bad("no attempt id"))?;
+        .ok_or(InvalidRequest::MissingAttemptId)?;
     if attempt.is_empty() || attempt.len() > 128 || attempt.to_str().is_err() {
-        return Err(Own::Bad("an attempt id that can't be"));
+        return Err(InvalidRequest::AttemptId.into());
     }
-    let deadline = match single(&head, &DEADLINE)? {
+    let deadline = match single(&head, &DEADLINE_MILLISECONDS)? {
         None => None,
         Some(value) => {
             let ms = value
@@ -102,17 +88,17 @@
                 .and_then(|v| v.trim().parse::<u64>().ok());
             Some(
                 ms.filter(|ms| *ms > 0 && *ms <= 3_600_000)
-                    .ok_or(Own::Bad("a deadline that can't be"))?,
+                    .ok_or(InvalidRequest::Deadline)?,
             )
         }
     };
     let route = configuration
         .route(&host, head.uri.path())
-        .ok_or(Own::NoRoute)?;
-    let key = match (route.kind, single(&head, &KEY)?) {
-        (RouteKind::Idempotent, None) => return Err(Own::Bad("no operation key")),
+        .ok_or(LocalResponse::NoRoute)?;
+    let key = match (route.kind, single(&head, &OPERATION_KEY)?) {
+        (RouteKind::Idempotent, None) => return Err(InvalidRequest::MissingOperationKey.into()),
         (RouteKind::Idempotent, Some(key)) if key.is_empty() || key.len() > 512 => {
-            return Err(Own::Bad("an operation key that can't be"));
+            return Err(InvalidRequest::OperationKey.into());
         }
         (RouteKind::Idempotent, Some(key)) => Some(Bytes::copy_from_slice(key.as_bytes())),
         _ => None,
@@ -127,7 +113,7 @@
     let until = arrived + waits;
     let (kind, attempts) = (route.kind, route.attempts);
     let body = read(&configuration, body, until).await?;
-    strip(&mut head.headers);
+    remove_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
     if body.is_empty() && [Method::POST, Method::PUT, Method::PATCH].contains(&head.method) {
         head.headers
@@ -152,39 +138,43 @@
     })
 }
 
-async fn read(configuration: &Configuration, body: Incoming, until: Instant) -> Result<Bytes, Own> {
+async fn read(
+    configuration: &Configuration,
+    body: Incoming,
+    until: Instant,
+) -> Result<Bytes, LocalResponse> {
     use hyper::body::Body;
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
     let most = usize::try_from(configuration.limits.body_bytes).unwrap_or(usize::MAX);
     if body.size_hint().lower() > most as u64 {
-        return Err(Own::TooLarge);
+        return Err(LocalResponse::BodyTooLarge);
     }
     match timeout_at(until, Limited::new(body, most).collect()).await {
         Ok(Ok(all)) => Ok(all.to_bytes()),
-        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(Own::TooLarge),
-        Ok(Err(_)) => Err(Own::Bad("the body breaks off")),
-        Err(_) => Err(Own::TooSlow),
+        Ok(Err(e)) if e.is::<LengthLimitError>() => Err(LocalResponse::BodyTooLarge),
+        Ok(Err(_)) => Err(InvalidRequest::IncompleteBody.into()),
+        Err(_) => Err(LocalResponse::BodyTimeout),
     }
 }
 
 pub enum Carried {
-    Answered(Response<Answer>),
-    Own(Own),
+    Answered(Response<ResponseBody>),
+    Local(LocalResponse),
 }
 
 /// Sends a request to a host, and to a second one where it cannot run twice and the budget allows.
 pub async fn carry(board: &Shared, call: &Call) -> Carried {
     let service = &call.out.service;
     let (mut tried, mut reached, mut unreached, mut last) =
-        (Vec::new(), 0, 0, Own::Refused(NO_HOST));
+        (Vec::new(), 0, 0, LocalResponse::Rejected(Rejection::NoHost));
     loop {
         if Instant::now() >= call.until {
-            return Carried::Own(if matches!(last, Own::Broke) {
+            return Carried::Local(if matches!(last, LocalResponse::NoValidResponse) {
                 last
             } else {
-                Own::Refused("time is over")
+                LocalResponse::Rejected(Rejection::DeadlineExceeded)
             });
         }
         if reached > 0
@@ -194,7 +184,7 @@
                 .budget
                 .take(board.times.now(), service)
         {
-            return Carried::Own(last);
+            return Carried::Local(last);
         }
         let pick = board
             .state
@@ -204,7 +194,7 @@
                 board.random.fraction()
             });
         let Some(host) = pick else {
-            return Carried::Own(last);
+            return Carried::Local(last);
         };
         tried.push(host.id.clone());
         let came = try_at(board, &call.out, &host, call.until).await;
@@ -214,23 +204,23 @@
                 let seen = !matches!(met, Met::Unreached);
                 reached += u32::from(seen);
                 unreached += u32::from(!seen);
-                last = Own::Refused(if seen {
-                    "hosts are full"
+                last = LocalResponse::Rejected(if seen {
+                    Rejection::HostsAtCapacity
                 } else {
-                    "hosts are not reached"
+                    Rejection::HostsUnreachable
                 });
             }
             Tried::Broke => {
                 reached += 1;
-                last = Own::Broke;
+                last = LocalResponse::NoValidResponse;
             }
-            Tried::Late => return Carried::Own(Own::Late),
+            Tried::Late => return Carried::Local(LocalResponse::DeadlineExceeded),
         }
         log::debug!(
             "event=try_failed attempt={:?} service={service} host={} why={:?} tries={}",
             call.out.attempt,
             host.id,
-            last.why(),
+            last.reason(),
             tried.len()
         );
         let may_have_run = last.status() == StatusCode::BAD_GATEWAY;
@@ -240,7 +230,7 @@
             true
         };
         if !again || reached >= call.attempts.max(1) || unreached >= UNREACHED_MOST {
-            return Carried::Own(last);
+            return Carried::Local(last);
         }
     }
 }
--- a/crates/gateway/gateway/src/server.rs
+++ b/crates/gateway/gateway/src/server.rs
@@ -1,9 +1,9 @@
 //! The program: connections of clients, readiness, signals.
 
-use crate::answers::Answer;
 use crate::board::{Board, Shared};
 use crate::front;
 use crate::links::Links;
+use crate::response_body::ResponseBody;
 use rushcourse_types::{Incarnation, NodeId};
 
 use axum::http::StatusCode;
@@ -205,7 +205,7 @@
 
 /// The body of an answer on its way to a client, which rests once this is gone.
 struct Leaving {
-    body: Answer,
+    body: ResponseBody,
     client: Rc<Client>,
     board: Shared,
 }
