--- a/crates/gateway/gateway/src/keyed.rs
+++ b/crates/gateway/gateway/src/keyed.rs
@@ -87,7 +87,7 @@
             let mut state = board.state.borrow_mut();
             if what.status() == StatusCode::SERVICE_UNAVAILABLE {
                 // Nothing ran and nothing will: the key is free for the next try.
-                state.withdraw(board.times.now(), key, claim);
+                state.withdraw(board.times.now().as_millis(), key, claim);
             } else {
                 state.operations.end(key, claim, State::Unknown);
             }
@@ -128,7 +128,7 @@
         }
         None => {}
     }
-    let now = board.times.now();
+    let now = board.times.now().as_millis();
     let begun = {
         let mut state = board.state.borrow_mut();
         let state = &mut *state;
@@ -161,7 +161,7 @@
                 board
                     .state
                     .borrow_mut()
-                    .withdraw(board.times.now(), key, claim);
+                    .withdraw(board.times.now().as_millis(), key, claim);
                 refuse(&board, LocalResponse::Rejected(Rejection::NoQuorum))
             }
         };
@@ -182,7 +182,7 @@
     holder: ClaimId,
 ) -> Response<ResponseBody> {
     let (token, told) = {
-        let now = board.times.now();
+        let now = board.times.now().as_millis();
         let mut state = board.state.borrow_mut();
         state.withdraw(now, key, claim);
         if holder.node == claim.node {
