--- /dev/null
+++ b/crates/gateway/gateway/src/request_body.rs
@@ -0,0 +1,31 @@
+//! The body of a client's request: read whole, within its limit and the request's time, before anything is forwarded.
+
+use crate::local_response::{InvalidRequest, LocalResponse};
+use bytes::Bytes;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use tokio::time::{Instant, timeout_at};
+
+/// Reads a body of at most `max_bytes`, which has to be here at `expires_at`.
+///
+/// # Errors
+/// 413 if it is longer, 408 if it takes longer, 400 if it breaks off.
+pub(crate) async fn read_body(
+    body: Incoming,
+    max_bytes: u64,
+    expires_at: Instant,
+) -> Result<Bytes, LocalResponse> {
+    if body.is_end_stream() {
+        return Ok(Bytes::new());
+    }
+    if body.size_hint().lower() > max_bytes {
+        return Err(LocalResponse::BodyTooLarge);
+    }
+    let max_bytes = usize::try_from(max_bytes).unwrap_or(usize::MAX);
+    match timeout_at(expires_at, Limited::new(body, max_bytes).collect()).await {
+        Ok(Ok(collected)) => Ok(collected.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(LocalResponse::BodyTooLarge),
+        Ok(Err(_)) => Err(InvalidRequest::IncompleteBody.into()),
+        Err(_) => Err(LocalResponse::BodyTimeout),
+    }
+}
--- /dev/null
+++ b/crates/gateway/gateway/src/state/upkeep.rs
@@ -0,0 +1,57 @@
+//! What is done at each tick of the process.
+
+use super::GatewayState;
+use rushcourse_messages::Message;
+use rushcourse_types::Timestamp;
+use std::time::Duration;
+
+/// Between two reports of what arrived for each service.
+const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// The longest interval that a report names: the first one, or one after the process stood still.
+const MAX_REPORTED_INTERVAL: Duration = Duration::from_secs(10);
+
+impl GatewayState {
+    /// Ends what is over by now, and does what is due.
+    pub(crate) fn tick(&self, now: Timestamp) {
+        if let Some(line) = self.local_responses.borrow_mut().take_log_line(now) {
+            log::info!("{line}");
+        }
+        self.operations.borrow_mut().decide_due_claims(now);
+        self.control_plane.borrow_mut().request_configuration(now);
+        self.operations.borrow_mut().expire(now);
+        self.maintain_sessions(now);
+        self.pools.borrow_mut().sweep(now);
+        self.report_load(now);
+    }
+
+    fn maintain_sessions(&self, now: Timestamp) {
+        let mut control_plane = self.control_plane.borrow_mut();
+        let sessions = control_plane.sessions_mut();
+        sessions.dial_missing_controllers();
+        sessions.close_unused(now);
+    }
+
+    /// Reports attempts and failures to the primary controller. What was counted while there was none is dropped.
+    fn report_load(&self, now: Timestamp) {
+        let last_report = self.last_load_report.get();
+        if now < last_report + LOAD_REPORT_INTERVAL {
+            return;
+        }
+        self.last_load_report.set(now);
+        let interval = (now - last_report).min(MAX_REPORTED_INTERVAL);
+        let usages = self.endpoints.borrow_mut().take_usage();
+        let control_plane = self.control_plane.borrow();
+        let Some(primary) = control_plane.primary() else {
+            return;
+        };
+        for usage in usages {
+            let report = Message::LoadReport {
+                service: usage.service,
+                attempts: usage.attempts,
+                failures: usage.failures,
+                interval_ms: interval.as_millis() as u32,
+            };
+            control_plane.sessions().send(primary, &report);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/gateway/src/upstream_connection.rs
@@ -0,0 +1,75 @@
+//! A connection to a host for one attempt: an idle one from the pool, or a new one.
+
+use crate::connection_pool::UpstreamSender;
+use crate::state::GatewayState;
+use hyper::client::conn::http1;
+use hyper_util::rt::TokioIo;
+use rushcourse_routing::{HostChoice, Observed};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::time::{Instant, timeout_at};
+
+/// A connection to a host is made in this time, or the host counts as not reached (ours: a way takes a few ms).
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
+/// What is buffered of a host's head, and of each part of its body.
+const MAX_BUFFER_BYTES: usize = 64 << 10;
+
+/// A connection to a host, ready for a request.
+pub(crate) struct UpstreamConnection {
+    /// Its sending side.
+    pub(crate) sender: UpstreamSender,
+    /// Other requests went by it before.
+    pub(crate) is_reused: bool,
+}
+
+/// An idle connection to a host, or else a new one, made by `expires_at`.
+///
+/// # Errors
+/// [`Observed::Rejected`] where no further connection may be opened, [`Observed::ConnectFailed`] where none was made: the
+/// host saw nothing of the request.
+pub(crate) async fn acquire(
+    gateway: &Rc<GatewayState>,
+    service: &str,
+    host: &HostChoice,
+    expires_at: Instant,
+) -> Result<UpstreamConnection, Observed> {
+    if let Some(sender) = gateway.take_idle_connection(&host.id) {
+        return Ok(UpstreamConnection {
+            sender,
+            is_reused: true,
+        });
+    }
+    let sender = connect(gateway, service, host, expires_at).await?;
+    Ok(UpstreamConnection {
+        sender,
+        is_reused: false,
+    })
+}
+
+async fn connect(
+    gateway: &Rc<GatewayState>,
+    service: &str,
+    host: &HostChoice,
+    expires_at: Instant,
+) -> Result<UpstreamSender, Observed> {
+    let slot = gateway
+        .reserve_connection(service, &host.id)
+        .ok_or(Observed::Rejected)?;
+    let connect_by = expires_at.min(Instant::now() + CONNECT_TIMEOUT);
+    let connecting = TcpStream::connect(&*host.address);
+    let Ok(Ok(stream)) = timeout_at(connect_by, connecting).await else {
+        return Err(Observed::ConnectFailed);
+    };
+    let _ = stream.set_nodelay(true);
+    let (sender, connection) = http1::Builder::new()
+        .max_buf_size(MAX_BUFFER_BYTES)
+        .handshake(TokioIo::new(stream))
+        .await
+        .map_err(|_| Observed::ConnectFailed)?;
+    tokio::task::spawn_local(async move {
+        let _slot = slot;
+        let _ = connection.await;
+    });
+    Ok(sender)
+}
