--- a/crates/gateway/gateway/tests/world/client.rs
+++ b/crates/gateway/gateway/tests/world/client.rs
@@ -1,15 +1,15 @@
-//! A client that writes what it is told and reads answers strictly by their length.
+//! A client that writes what it is told and reads responses strictly by their length.
 
-use super::MOST;
+use super::waiting::TIMEOUT;
 use std::io;
 use std::net::SocketAddrV4;
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// An answer as it came.
+/// A response as the client received it.
 #[derive(Debug)]
-pub struct Come {
+pub struct ClientResponse {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
@@ -17,13 +17,15 @@
     pub whole: bool,
 }
 
-impl Come {
+impl ClientResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
-        let mut lines = self.head.lines().filter_map(|l| l.split_once(": "));
-        lines.find(|l| l.0.eq_ignore_ascii_case(name)).map(|l| l.1)
+        let mut headers = self.head.lines().filter_map(|line| line.split_once(": "));
+        headers
+            .find(|(header, _)| header.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value)
     }
 
-    /// It is the answer that hosts give to this request, and all of it.
+    /// It is the response that hosts give to this request, and all of it.
     pub fn answers(&self, id: &str) -> bool {
         self.status == 200
             && self.whole
@@ -33,11 +35,20 @@
     }
 }
 
+/// Whether a response has a body beside its head.
+#[derive(Clone, Copy, PartialEq)]
+enum ExpectedBody {
+    ByItsHead,
+    /// None, whatever the head says: the request was a HEAD.
+    None,
+}
+
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    pub async fn connect(at: SocketAddrV4) -> io::Result<Client> {
-        Ok(Client(BufReader::new(TcpStream::connect(at).await?)))
+    pub async fn connect(address: SocketAddrV4) -> io::Result<Client> {
+        let stream = TcpStream::connect(address).await?;
+        Ok(Client(BufReader::new(stream)))
     }
 
     pub async fn write(&mut self, bytes: &[u8]) {
@@ -48,7 +59,7 @@
             .expect("the gateway reads");
     }
 
-    pub async fn request(
+    pub async fn send_request(
         &mut self,
         method: &str,
         path: &str,
@@ -69,88 +80,101 @@
         self.write(&bytes).await;
     }
 
-    /// The next answer. None: the connection ended before one began.
-    pub async fn come(&mut self) -> Option<Come> {
-        timeout(2 * MOST, self.read(false))
+    /// The next response. `None`: the connection ended before one began.
+    pub async fn next_response(&mut self) -> Option<ClientResponse> {
+        timeout(2 * TIMEOUT, self.read_response(ExpectedBody::ByItsHead))
             .await
             .expect("an answer or an end in time")
     }
 
-    /// The next answer, to a HEAD.
-    pub async fn come_without_body(&mut self) -> Option<Come> {
-        timeout(2 * MOST, self.read(true))
+    /// The next response, which has to begin.
+    pub async fn expect_response(&mut self) -> ClientResponse {
+        self.next_response().await.expect("an answer")
+    }
+
+    /// The next response, to a HEAD.
+    pub async fn expect_response_to_head(&mut self) -> ClientResponse {
+        timeout(2 * TIMEOUT, self.read_response(ExpectedBody::None))
             .await
             .expect("an answer or an end in time")
+            .expect("an answer")
     }
 
     /// Whether the gateway ends this connection without a further byte.
-    pub async fn ends(&mut self) -> bool {
+    pub async fn is_closed_by_gateway(&mut self) -> bool {
         let mut byte = [0];
-        let read = timeout(2 * MOST, self.0.read(&mut byte))
+        let read = timeout(2 * TIMEOUT, self.0.read(&mut byte))
             .await
             .expect("an end in time");
         !matches!(read, Ok(1))
     }
 
-    async fn line(&mut self) -> Option<String> {
+    async fn read_line(&mut self) -> Option<String> {
         let mut line = String::new();
         match self.0.read_line(&mut line).await {
-            Ok(n) if n > 0 && line.ends_with('\n') => Some(line.trim_end().to_string()),
+            Ok(bytes) if bytes > 0 && line.ends_with('\n') => Some(line.trim_end().to_string()),
             _ => None,
         }
     }
 
-    async fn read(&mut self, without_body: bool) -> Option<Come> {
-        let first = self.line().await?;
-        let status = first
+    async fn read_response(&mut self, expected_body: ExpectedBody) -> Option<ClientResponse> {
+        let status_line = self.read_line().await?;
+        let status = status_line
             .split(' ')
             .nth(1)
-            .and_then(|s| s.parse().ok())
+            .and_then(|status| status.parse().ok())
             .expect("a status line");
-        let mut come = Come {
+        let mut response = ClientResponse {
             status,
             head: String::new(),
             body: Vec::new(),
             whole: false,
         };
+        if self.read_headers(&mut response.head).await.is_none() {
+            return Some(response);
+        }
+        response.whole =
+            expected_body == ExpectedBody::None || self.read_body(&mut response).await.is_some();
+        Some(response)
+    }
+
+    async fn read_headers(&mut self, head: &mut String) -> Option<()> {
         loop {
-            let Some(line) = self.line().await else {
-                return Some(come);
-            };
+            let line = self.read_line().await?;
             if line.is_empty() {
-                break;
+                return Some(());
             }
-            come.head.push_str(&line);
-            come.head.push('\n');
+            head.push_str(&line);
+            head.push('\n');
         }
-        if without_body {
-            come.whole = true;
-        } else if come.header("transfer-encoding") == Some("chunked") {
-            come.whole = self.chunks(&mut come.body).await.is_some();
-        } else {
-            let length: usize = come
-                .header("content-length")
-                .map_or(0, |l| l.parse().expect("a length"));
-            come.whole = self.bytes(length, &mut come.body).await.is_some();
+    }
+
+    async fn read_body(&mut self, response: &mut ClientResponse) -> Option<()> {
+        if response.header("transfer-encoding") == Some("chunked") {
+            return self.read_chunks(&mut response.body).await;
         }
-        Some(come)
+        let length: usize = response
+            .header("content-length")
+            .map_or(0, |length| length.parse().expect("a length"));
+        self.read_bytes(length, &mut response.body).await
     }
 
-    async fn bytes(&mut self, mut left: usize, body: &mut Vec<u8>) -> Option<()> {
+    async fn read_bytes(&mut self, mut left: usize, body: &mut Vec<u8>) -> Option<()> {
         while left > 0 {
             let mut part = vec![0; left.min(16_384)];
-            let read = self.0.read(&mut part).await.ok().filter(|n| *n > 0)?;
+            let read = self.0.read(&mut part).await.ok().filter(|read| *read > 0)?;
             body.extend_from_slice(&part[..read]);
             left -= read;
         }
         Some(())
     }
 
-    async fn chunks(&mut self, body: &mut Vec<u8>) -> Option<()> {
+    async fn read_chunks(&mut self, body: &mut Vec<u8>) -> Option<()> {
         loop {
-            let length = usize::from_str_radix(&self.line().await?, 16).expect("a chunk's length");
-            self.bytes(length, body).await?;
-            self.line().await?;
+            let line = self.read_line().await?;
+            let length = usize::from_str_radix(&line, 16).expect("a chunk's length");
+            self.read_bytes(length, body).await?;
+            self.read_line().await?;
             if length == 0 {
                 return Some(());
             }
--- /dev/null
+++ b/crates/gateway/gateway/tests/world/controllers.rs
@@ -0,0 +1,277 @@
+//! Stand-in controllers: they send the gateway one configuration, one table and a voting set, and answer claims as the
+//! test says. Controllers are named by their number in the world, from 0 on.
+
+use super::SERVICE;
+use rushcourse_messages::{
+    ClaimId, ClaimVerdict, EndpointWeight, Handshake, Message, PROTOCOL_VERSION, Role, VotingSet,
+};
+use rushcourse_transport::{Session, SessionEvent, SessionFactory, accept_sessions};
+use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, SessionId};
+use std::cell::{Cell, RefCell};
+use std::net::Ipv4Addr;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
+
+/// Sessions that a controller of a test takes at most.
+const MAX_SESSIONS: usize = 8;
+const FIRST_EPOCH: Epoch = Epoch(1);
+
+struct ControllerSession {
+    controller: usize,
+    session: Session,
+}
+
+struct ReceivedMessage {
+    controller: usize,
+    message: Message,
+}
+
+struct Shared {
+    nodes: Vec<NodeId>,
+    configuration: Rc<[u8]>,
+    endpoints: Vec<EndpointWeight>,
+    /// How claims are answered as they come; `None`: they wait for the test.
+    verdict: Cell<Option<ClaimVerdict>>,
+    sessions: RefCell<Vec<ControllerSession>>,
+    received: RefCell<Vec<ReceivedMessage>>,
+}
+
+/// All controllers of a world.
+#[derive(Clone)]
+pub struct Controllers(Rc<Shared>);
+
+impl Controllers {
+    pub async fn start(
+        addresses: &[Ipv4Addr],
+        port: u16,
+        configuration: String,
+        endpoints: Vec<EndpointWeight>,
+    ) -> Controllers {
+        let shared = Rc::new(Shared {
+            nodes: addresses.iter().copied().map(NodeId::from).collect(),
+            configuration: configuration.into_bytes().into(),
+            endpoints,
+            verdict: Cell::new(Some(ClaimVerdict::Granted)),
+            sessions: RefCell::default(),
+            received: RefCell::default(),
+        });
+        for (controller, address) in addresses.iter().enumerate() {
+            let (event_sender, events) = unbounded_channel();
+            let factory = SessionFactory::new(handshake(controller, *address), event_sender);
+            let listener = TcpListener::bind((*address, port))
+                .await
+                .expect("the internal port is free");
+            tokio::task::spawn_local(accept_sessions(listener, MAX_SESSIONS, factory));
+            tokio::task::spawn_local(run_controller(controller, events, shared.clone()));
+        }
+        Controllers(shared)
+    }
+
+    /// Claims are granted as they come, or wait for the test.
+    pub fn grant_claims(&self, grants: bool) {
+        let verdict = grants.then_some(ClaimVerdict::Granted);
+        self.0.verdict.set(verdict);
+    }
+
+    /// Another claim holds whatever is claimed.
+    pub fn report_held_by(&self, holder: ClaimId) {
+        self.0.verdict.set(Some(ClaimVerdict::HeldBy(holder)));
+    }
+
+    /// A controller reports a voting set of these members.
+    pub fn report_voting_set(&self, controller: usize, epoch: Epoch, members: &[usize]) {
+        let members = members.iter().map(|member| self.0.nodes[*member]).collect();
+        let message = Message::VotingSet(voting_set(epoch, members));
+        self.send(controller, &message);
+    }
+
+    /// A controller's answer to the newest claim that it received.
+    pub fn answer_newest_claim(&self, controller: usize, verdict: ClaimVerdict) {
+        let request = self.claim_requests(controller).pop().expect("a claim");
+        self.send(controller, &claim_response(request, verdict));
+    }
+
+    /// The newest claim that a controller received.
+    pub fn newest_claim(&self, controller: usize) -> (KeyDigest, ClaimId) {
+        let request = self.claim_requests(controller).pop().expect("a claim");
+        (request.key, request.claim)
+    }
+
+    /// The epochs under which claims came to a controller.
+    pub fn claim_epochs(&self, controller: usize) -> Vec<Epoch> {
+        let requests = self.claim_requests(controller);
+        requests.iter().map(|request| request.epoch).collect()
+    }
+
+    /// How often a controller was told of any claim that nothing was sent under it.
+    pub fn withdrawals(&self, controller: usize) -> usize {
+        self.withdrawn_claims(controller).len()
+    }
+
+    /// How often a controller was told that nothing was sent under this claim.
+    pub fn withdrawals_of(&self, controller: usize, claim: ClaimId) -> usize {
+        let withdrawn = self.withdrawn_claims(controller);
+        withdrawn.iter().filter(|other| **other == claim).count()
+    }
+
+    fn send(&self, controller: usize, message: &Message) {
+        let sessions = self.0.sessions.borrow();
+        let newest = sessions
+            .iter()
+            .rev()
+            .find(|session| session.controller == controller);
+        newest.expect("a session").session.send(message);
+    }
+
+    fn claim_requests(&self, controller: usize) -> Vec<ClaimRequest> {
+        let request = |message: &Message| match message {
+            Message::ClaimRequest { epoch, key, claim } => Some(ClaimRequest {
+                epoch: *epoch,
+                key: *key,
+                claim: *claim,
+            }),
+            _ => None,
+        };
+        self.select_received(controller, request)
+    }
+
+    fn withdrawn_claims(&self, controller: usize) -> Vec<ClaimId> {
+        self.select_received(controller, |message| match message {
+            Message::ClaimWithdrawal { claim, .. } => Some(*claim),
+            _ => None,
+        })
+    }
+
+    fn select_received<T>(
+        &self,
+        controller: usize,
+        select: impl Fn(&Message) -> Option<T>,
+    ) -> Vec<T> {
+        let received = self.0.received.borrow();
+        received
+            .iter()
+            .filter(|received| received.controller == controller)
+            .filter_map(|received| select(&received.message))
+            .collect()
+    }
+}
+
+/// A claim as it came to a controller.
+struct ClaimRequest {
+    epoch: Epoch,
+    key: KeyDigest,
+    claim: ClaimId,
+}
+
+fn claim_response(request: ClaimRequest, verdict: ClaimVerdict) -> Message {
+    Message::ClaimResponse {
+        epoch: request.epoch,
+        key: request.key,
+        claim: request.claim,
+        verdict,
+    }
+}
+
+fn handshake(controller: usize, address: Ipv4Addr) -> Handshake {
+    Handshake {
+        protocol_version: PROTOCOL_VERSION,
+        role: Role::Controller,
+        node: NodeId::from(address),
+        incarnation: Incarnation(1),
+        name: format!("core-{controller}"),
+        zone: "z".into(),
+    }
+}
+
+#[allow(
+    clippy::needless_update,
+    reason = "the set gains fields that don't matter here"
+)]
+fn voting_set(epoch: Epoch, members: Vec<NodeId>) -> VotingSet {
+    VotingSet {
+        epoch,
+        members,
+        ..Default::default()
+    }
+}
+
+/// Works through one controller's sessions.
+async fn run_controller(
+    controller: usize,
+    mut events: UnboundedReceiver<SessionEvent>,
+    shared: Rc<Shared>,
+) {
+    while let Some(event) = events.recv().await {
+        match event {
+            SessionEvent::Opened(session) => {
+                for message in initial_messages(&shared) {
+                    session.send(&message);
+                }
+                shared.sessions.borrow_mut().push(ControllerSession {
+                    controller,
+                    session,
+                });
+            }
+            SessionEvent::Received { session, message } => {
+                message_received(&shared, controller, session, message);
+            }
+            SessionEvent::Closed(id) => shared
+                .sessions
+                .borrow_mut()
+                .retain(|open| open.controller != controller || open.session.id != id),
+        }
+    }
+}
+
+fn message_received(shared: &Shared, controller: usize, id: SessionId, message: Message) {
+    let sessions = shared.sessions.borrow();
+    let Some(open) = sessions
+        .iter()
+        .find(|open| open.controller == controller && open.session.id == id)
+    else {
+        return;
+    };
+    if let Some(reply) = reply(shared, &message) {
+        open.session.send(&reply);
+    }
+    shared.received.borrow_mut().push(ReceivedMessage {
+        controller,
+        message,
+    });
+}
+
+fn initial_messages(shared: &Shared) -> [Message; 4] {
+    [
+        Message::Controllers(shared.nodes.clone()),
+        Message::VotingSet(voting_set(FIRST_EPOCH, shared.nodes.clone())),
+        Message::Configuration {
+            version: ConfigurationVersion(1),
+            text: shared.configuration.as_ref().into(),
+        },
+        Message::ControllerStatus {
+            is_synchronized: true,
+            gateways: 1,
+        },
+    ]
+}
+
+fn reply(shared: &Shared, message: &Message) -> Option<Message> {
+    match message {
+        Message::PrimarySelected(true) => Some(Message::TableReplacement {
+            service: SERVICE.into(),
+            revision: 1,
+            endpoints: shared.endpoints.clone(),
+        }),
+        Message::ClaimRequest { epoch, key, claim } => {
+            let request = ClaimRequest {
+                epoch: *epoch,
+                key: *key,
+                claim: *claim,
+            };
+            let verdict = shared.verdict.get()?;
+            Some(claim_response(request, verdict))
+        }
+        _ => None,
+    }
+}
