--- a/crates/gateway/gateway/src/downstream.rs
+++ b/crates/gateway/gateway/src/downstream.rs
@@ -21,8 +21,10 @@
 /// So long after the last sweep this process, or its machine, stood still (ours).
 const STANDSTILL: Duration = Duration::from_secs(1);
 /// Time-outs and size of the head as long as there is no configuration: those that one without limits has.
-const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
-const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const DEFAULT_TIMEOUTS: Timeouts = Timeouts {
+    head: Duration::from_secs(3),
+    idle: Duration::from_secs(15),
+};
 const DEFAULT_HEAD_BYTES: u64 = 16_384;
 /// What hyper's buffer may be set to, whatever the configuration says of the head.
 const MIN_BUFFER_BYTES: usize = 8_192;
@@ -53,11 +55,11 @@
         if now > last_sweep + STANDSTILL {
             return;
         }
-        let (head_timeout, idle_timeout) = timeouts(limits);
+        let timeouts = Timeouts::new(limits);
         for connection in self.open.borrow().values() {
             let (timeout, closing) = match connection.activity() {
-                Activity::Idle => (idle_timeout, Closing::Graceful),
-                Activity::ReceivingHead => (head_timeout, Closing::Immediate),
+                Activity::Idle => (timeouts.idle, Closing::Graceful),
+                Activity::ReceivingHead => (timeouts.head, Closing::Immediate),
                 Activity::Serving => continue,
             };
             if now - connection.since() > timeout {
@@ -88,12 +90,20 @@
     }
 }
 
-/// The head and idle time-outs.
-fn timeouts(limits: Option<Limits>) -> (Duration, Duration) {
-    let seconds = |seconds: f64| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX);
-    limits.map_or((DEFAULT_HEAD_TIMEOUT, DEFAULT_IDLE_TIMEOUT), |limits| {
-        (seconds(limits.head_timeout), seconds(limits.idle_timeout))
-    })
+/// How long a connection may take for a request's head, and how long it may be idle.
+struct Timeouts {
+    head: Duration,
+    idle: Duration,
+}
+
+impl Timeouts {
+    fn new(limits: Option<Limits>) -> Timeouts {
+        let duration = |seconds| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX);
+        limits.map_or(DEFAULT_TIMEOUTS, |limits| Timeouts {
+            head: duration(limits.head_timeout),
+            idle: duration(limits.idle_timeout),
+        })
+    }
 }
 
 /// Accepts connections of clients, `max_connections` at a time, and serves each in a task of its own.
--- a/crates/gateway/gateway/src/forward.rs
+++ b/crates/gateway/gateway/src/forward.rs
@@ -8,6 +8,7 @@
 use hyper::Response;
 use rushcourse_config::RouteKind;
 use rushcourse_routing::{HostChoice, Observed};
+use rushcourse_types::KeyDigest;
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::time::Instant;
@@ -21,6 +22,8 @@
 
 /// A request that is checked, matched to a route, and read whole.
 pub(crate) struct RoutedRequest {
+    /// The digest of its idempotency key, on an idempotent route.
+    pub(crate) operation_key: Option<KeyDigest>,
     /// What goes to a host.
     pub(crate) upstream: UpstreamRequest,
     /// What may be repeated.
--- a/crates/gateway/gateway/src/request.rs
+++ b/crates/gateway/gateway/src/request.rs
@@ -31,7 +31,6 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response};
 use rushcourse_config::{Configuration, Route, RouteKind};
-use rushcourse_types::KeyDigest;
 use rushcourse_types::hash::key_digest;
 use std::rc::Rc;
 use std::time::Duration;
@@ -50,19 +49,23 @@
     gateway: &Rc<GatewayState>,
     request: Request<Incoming>,
 ) -> Response<ResponseBody> {
-    let outcome = match route(gateway, request).await {
-        Ok((request, Some(key))) => return idempotency::run_once(gateway, request, key).await,
-        Ok((request, None)) => forward(gateway, &request).await,
-        Err(local) => Err(local),
+    let request = match route(gateway, request).await {
+        Ok(request) => request,
+        Err(local) => return gateway.respond_locally(local),
     };
-    outcome.unwrap_or_else(|local| gateway.respond_locally(local))
+    match request.operation_key {
+        Some(key) => idempotency::run_once(gateway, request, key).await,
+        None => forward(gateway, &request)
+            .await
+            .unwrap_or_else(|local| gateway.respond_locally(local)),
+    }
 }
 
-/// Parses a request, matches its route and reads its body. The key is that of an operation on an idempotent route.
+/// Parses a request, matches its route and reads its body.
 async fn route(
     gateway: &GatewayState,
     request: Request<Incoming>,
-) -> Result<(RoutedRequest, Option<KeyDigest>), LocalResponse> {
+) -> Result<RoutedRequest, LocalResponse> {
     let arrived_at = Instant::now();
     let (mut head, body) = request.into_parts();
     let configuration = gateway.configuration().ok_or(Rejection::NoConfiguration)?;
@@ -73,13 +76,14 @@
     let service = route
         .service(key.unwrap_or(parsed.attempt_id).as_bytes())
         .into();
-    let key = key.map(|key| key_digest(key.as_bytes()));
+    let operation_key = key.map(|key| key_digest(key.as_bytes()));
     let attempt_id = parsed.attempt_id.clone();
     let expires_at = arrived_at + time_allowed(route, parsed.deadline);
     let body = read_body(body, configuration.limits.body_bytes, expires_at).await?;
     prepare_for_upstream(&mut head, body.is_empty());
     gateway.count_request(&service);
-    let request = RoutedRequest {
+    Ok(RoutedRequest {
+        operation_key,
         upstream: UpstreamRequest {
             service,
             head,
@@ -89,8 +93,7 @@
         route_kind: route.kind,
         max_attempts: route.attempts,
         expires_at,
-    };
-    Ok((request, key))
+    })
 }
 
 /// The route of a request by its host and path.
--- a/crates/gateway/gateway/tests/connection_reuse.rs
+++ b/crates/gateway/gateway/tests/connection_reuse.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_request_goes_on_where_its_pooled_connection_was_closed() {
+fn a_request_is_sent_again_where_its_pooled_connection_was_closed() {
     run_scenario(Setup::DEFAULT, async |world| {
         world.hosts.script_next(|request| {
             vec![
--- a/crates/gateway/gateway/tests/downstream.rs
+++ b/crates/gateway/gateway/tests/downstream.rs
@@ -66,7 +66,9 @@
 fn a_request_whose_client_disconnects_is_cancelled_and_not_retried() {
     run_scenario(Setup::TWO_HOSTS, async |world| {
         let mut client = world.connect_client().await;
-        world.hosts.script_next(|_| vec![HostAction::Silence]);
+        world
+            .hosts
+            .script_next(|_| vec![HostAction::StopResponding]);
         client.send_request("POST", "/m/x", "a1", "", b"").await;
         wait_until("it came", || world.hosts.arrivals("a1") == 1).await;
 
@@ -123,7 +125,7 @@
 }
 
 #[test]
-fn a_frozen_gateway_takes_what_came_meanwhile() {
+fn a_frozen_gateway_serves_a_request_that_arrived_meanwhile() {
     let setup = Setup {
         idle_timeout: Duration::from_secs(1),
         ..Setup::DEFAULT
--- a/crates/gateway/gateway/tests/idempotency.rs
+++ b/crates/gateway/gateway/tests/idempotency.rs
@@ -30,9 +30,9 @@
     controllers: usize,
 ) -> JoinHandle<ClientResponse> {
     world.controllers.grant_claims(false);
-    let asking = world.clone();
+    let asking_world = world.clone();
     let operation =
-        tokio::task::spawn_local(async move { asking.request_operation("k1", "a1").await });
+        tokio::task::spawn_local(async move { asking_world.request_operation("k1", "a1").await });
     wait_until("all are asked", || {
         (0..controllers).all(|controller| world.controllers.claim_epochs(controller) == [Epoch(1)])
     })
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn an_operation_is_not_retried_after_a_reset_or_a_silence() {
+fn an_operation_is_not_retried_after_a_reset_or_a_timeout() {
     run_scenario(Setup::TWO_HOSTS, async |world| {
         world.hosts.script_next(|_| vec![HostAction::Reset]);
         assert_eq!(world.request_operation("k1", "a1").await.status, 502);
@@ -95,7 +95,9 @@
             "whether it ran is not known"
         );
 
-        world.hosts.script_next(|_| vec![HostAction::Silence]);
+        world
+            .hosts
+            .script_next(|_| vec![HostAction::StopResponding]);
         let mut client = world.connect_client().await;
         let headers = "Operation-Key: k2\r\nDeadline-Milliseconds: 300\r\n";
         client
--- a/crates/gateway/gateway/tests/retries.rs
+++ b/crates/gateway/gateway/tests/retries.rs
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_request_is_not_retried_after_a_silence_and_its_late_response_reaches_nobody() {
+fn a_request_is_not_retried_after_a_timeout_and_its_late_response_reaches_nobody() {
     run_scenario(Setup::TWO_HOSTS, async |world| {
         let late = Signal::default();
         let waits = late.clone();
@@ -155,7 +155,7 @@
             vec![
                 HostAction::Wait(waits),
                 HostAction::Write(valid_response(request.id())),
-                HostAction::Silence,
+                HostAction::StopResponding,
             ]
         });
         let mut client = world.connect_client().await;
--- a/crates/gateway/gateway/tests/world/hosts.rs
+++ b/crates/gateway/gateway/tests/world/hosts.rs
@@ -43,7 +43,7 @@
     Close,
     Reset,
     /// Sends nothing any more, until the other side closes.
-    Silence,
+    StopResponding,
 }
 
 type Script = Box<dyn FnOnce(&HostRequest) -> Vec<HostAction>>;
@@ -230,7 +230,7 @@
                 HostAction::Wait(signal) => signal.given().await,
                 HostAction::Close => return,
                 HostAction::Reset => return reset(&stream),
-                HostAction::Silence => {
+                HostAction::StopResponding => {
                     while stream.read(&mut [0; 64]).await.is_ok_and(|read| read > 0) {}
                     return;
                 }
