--- a/crates/gateway/controller/src/owner.rs
+++ b/crates/gateway/controller/src/owner.rs
@@ -6,11 +6,14 @@
 use crate::state_file::{newest_version, state_file};
 use crate::work::{Command, Reply, Work};
 use error_stack::{Report, ResultExt};
-use rushcourse_cluster::{self as cluster, Cluster, Contact, Place, Rounds};
-use rushcourse_config::Boot;
-use rushcourse_consensus::{self as register, Op, Outcome, Register, Setup};
+use rushcourse_cluster::{self as cluster, Cluster, ContactProbes, QuorumContact, Topology};
+use rushcourse_config::NodeSettings;
+use rushcourse_consensus::{
+    self as register, BatchId, ClaimAnswer, ClaimRequest, CommittedConfiguration, ConsensusNode,
+    Outcome, Setup, WriteBatch, WriteOperation,
+};
 use rushcourse_messages::{HostState, Message, NodeId, Role};
-use rushcourse_storage::{Done, Health, Store};
+use rushcourse_storage::{DiskHealth, Store, WriteOutcome};
 use rushcourse_transport::startup::{
     listen, listen_for_sessions, local_handshake, reload_settings, required_address,
     run_on_this_thread, seed_nodes,
@@ -18,7 +21,7 @@
 use rushcourse_transport::{
     Clock, Dialer, SessionEvent, SessionFactory, StartError, accept_sessions, logging,
 };
-use rushcourse_types::{ConfigurationVersion, Epoch, RequestToken, SessionId, Ticket};
+use rushcourse_types::{ConfigurationVersion, Epoch, RequestToken, SessionId, Ticket, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -39,11 +42,14 @@
 ///
 /// # Errors
 /// Settings that name no address to listen at or no folder, an address that is taken, a state file that can't be used.
-pub fn serve(path: &Path, boot: Boot) -> Result<(), Report<StartError>> {
-    logging::init(&boot.log_level, &boot.node_name);
+pub fn serve(path: &Path, boot: NodeSettings) -> Result<(), Report<StartError>> {
+    logging::init(&boot.log_level, &boot.node.name);
     let path = path.to_path_buf();
     run_on_this_thread(async move {
-        let control = required_address(boot.control_plane, "listen_addresses.control_plane")?;
+        let control = required_address(
+            boot.listen_addresses.control_plane,
+            "listen_addresses.control_plane",
+        )?;
         let control = listen(control).await?;
         let internal = listen_for_sessions(&boot).await?;
         let owner = Owner::start(&boot)?;
@@ -55,7 +61,7 @@
 /// What waits for an answer of a majority.
 enum Asking {
     /// Whether what is held here is current, after a stall.
-    Proof { asked_at: u64 },
+    Proof { asked_at: Timestamp },
     /// The answer to a host that leaves.
     Heard(oneshot::Sender<Reply>),
     /// An operator's call, by its ticket: it need not wait for a majority that is not there.
@@ -70,19 +76,19 @@
         mpsc::UnboundedSender<SessionEvent>,
         mpsc::UnboundedReceiver<SessionEvent>,
     ),
-    disk: std::sync::mpsc::Sender<(u64, Vec<Op>)>,
-    health: Arc<Health>,
+    disk: std::sync::mpsc::Sender<WriteBatch>,
+    health: Arc<DiskHealth>,
     /// The state file.
     file: PathBuf,
-    register: Register,
+    register: ConsensusNode,
     party: Cluster,
     links: Links,
     tickets: BTreeMap<Ticket, oneshot::Sender<Reply>>,
     next_ticket: Ticket,
-    contact: Contact,
+    contact: QuorumContact,
     /// Sessions of frontend directors that were not told yet which configuration is in force.
     untold: BTreeSet<SessionId>,
-    rounds: Rounds,
+    probes: ContactProbes,
     /// What waits for the end of a round.
     asking: BTreeMap<RequestToken, Asking>,
     /// What the cluster was told of its contact.
@@ -96,7 +102,7 @@
 }
 
 impl Owner {
-    fn start(boot: &Boot) -> Result<Owner, Report<StartError>> {
+    fn start(boot: &NodeSettings) -> Result<Owner, Report<StartError>> {
         let times = Clock::start();
         let handshake = local_handshake(boot, Role::Controller);
         let folder = boot
@@ -107,54 +113,54 @@
         let (store, stored) = Store::open(&file).change_context(StartError::Disk)?;
         log::info!(
             "event=start set={} remembers={} configuration={} claims={}",
-            stored.set.epoch,
-            stored.remembers,
+            stored.voting_set.epoch,
+            stored.has_complete_state,
             newest_version(&stored),
             stored.claims.len()
         );
         let work = mpsc::unbounded_channel();
         let (disk, batches) = std::sync::mpsc::channel();
         let tell: mpsc::UnboundedSender<Work> = work.0.clone();
-        let health = Arc::new(Health::default());
+        let health = Arc::new(DiskHealth::default());
         let beside = health.clone();
         let thread = std::thread::Builder::new()
             .name("storage".into())
             .stack_size(512 << 10);
         let spawned = thread.spawn(move || {
-            rushcourse_storage::run(store, &batches, &beside, |done| {
+            rushcourse_storage::run_writer(store, &batches, &beside, |done| {
                 let _ = tell.send(Work::Disk(done));
             });
         });
         spawned.change_context(StartError::Disk)?;
         let seeds: Vec<NodeId> = seed_nodes(boot).collect();
         let setup = Setup {
-            me: handshake.node,
-            zone: boot.zone.as_str().into(),
+            node: handshake.node,
+            zone: boot.node.zone.as_str().into(),
             incarnation: handshake.incarnation,
             seeds: seeds.clone(),
-            first_start: boot.first_start && stored.set.epoch == Epoch(0),
-            tolerated: boot.tolerated,
-            catch_up_ms: (boot.bounds.catch_up_s * 1000.0) as u64,
-            key_window_ms: (boot.bounds.key_window_s * 1000.0) as u64,
+            is_first_start: boot.is_first_start && stored.voting_set.epoch == Epoch(0),
+            tolerated_losses: boot.tolerated_losses,
+            catch_up: boot.bounds.catch_up,
+            key_window: boot.bounds.key_window,
         };
         let mut stored = stored;
         let hosts = std::mem::take(&mut stored.hosts);
-        let register = Register::new(setup, stored);
-        let party = Cluster::new(Place {
-            zone: boot.zone.as_str().into(),
+        let register = ConsensusNode::new(setup, stored);
+        let party = Cluster::new(Topology {
+            zone: boot.node.zone.as_str().into(),
             zones: boot.zones.iter().map(|z| z.as_str().into()).collect(),
-            beat_ms: (boot.beat_s * 1000.0) as u64,
-            drain_ms: boot.bounds.drain_s * 1000.0,
+            heartbeat_interval: boot.heartbeat_interval,
+            drain_timeout: boot.bounds.drain,
         });
         let sessions = mpsc::unbounded_channel();
         let factory = SessionFactory::new(handshake, sessions.0.clone());
         factory
-            .set_keys(boot.keys.as_ref())
+            .set_keys(boot.peers.keys.as_ref())
             .change_context(StartError::Keys)?;
-        let mut links = Links::new(Dialer::new(factory, boot.internal_ports.0));
+        let mut links = Links::new(Dialer::new(factory, boot.peers.ports.first));
         links.know(seeds);
         let tickets = BTreeMap::new();
-        let name = boot.node_name.clone();
+        let name = boot.node.name.clone();
         let mut owner = Owner {
             times,
             name,
@@ -168,17 +174,17 @@
             links,
             tickets,
             next_ticket: Ticket(0),
-            contact: Contact::default(),
+            contact: QuorumContact::default(),
             untold: BTreeSet::new(),
-            rounds: Rounds::default(),
+            probes: ContactProbes::default(),
             asking: BTreeMap::new(),
             company: false,
-            leave_wait: (boot.bounds.grace_period_s * 1000.0 * LEAVE_SHARE) as u64,
+            leave_wait: (boot.bounds.grace_period.as_secs_f64() * 1000.0 * LEAVE_SHARE) as u64,
             leaves_by: None,
-            first_start: boot.first_start,
+            first_start: boot.is_first_start,
         };
         if !hosts.is_empty() {
-            owner.party(cluster::Input::Held(hosts));
+            owner.party(cluster::Input::HostsRestored(hosts));
         }
         Ok(owner)
     }
@@ -186,11 +192,11 @@
     async fn run(
         mut self,
         path: std::path::PathBuf,
-        boot: Boot,
+        boot: NodeSettings,
         control: TcpListener,
         internal: TcpListener,
     ) {
-        let most = boot.descriptors.saturating_sub(264).max(16) / 2;
+        let most = boot.limits.file_descriptors.saturating_sub(264).max(16) / 2;
         tokio::task::spawn_local(calls::take(control, most, self.work.0.clone()));
         tokio::task::spawn_local(accept_sessions(
             internal,
@@ -215,7 +221,7 @@
                 _ = self.work.1.recv_many(&mut work, TURN_MOST) => {}
                 _ = tick.tick() => due = true,
             }
-            if self.contact.turn(self.times.now().as_millis()) {
+            if self.contact.record_turn(self.times.now()) {
                 log::info!("event=stalled");
                 self.party(cluster::Input::Stalled);
                 self.ask_proof();
@@ -248,13 +254,13 @@
     fn leave(&mut self) {
         if self.leaves_by.is_none() {
             self.leaves_by = Some(self.times.now().as_millis() + self.leave_wait);
-            self.register(register::Input::Leave);
+            self.register(register::Input::ShutDown);
         }
     }
 
     fn may_end(&self) -> bool {
         self.leaves_by
-            .is_some_and(|by| self.register.may_end() || self.times.now().as_millis() >= by)
+            .is_some_and(|by| self.register.may_shut_down() || self.times.now().as_millis() >= by)
     }
 
     fn reread(&mut self, path: &Path) {
@@ -275,18 +281,18 @@
 
     /// Looks whether this director is with a majority, and tells the cluster when that changes.
     fn judge_contact(&mut self) {
-        let company = self.register.in_company();
-        self.contact.majority(company);
+        let company = self.register.has_quorum_contact();
+        self.contact.record_quorum_sessions(company);
         if company != self.company {
             self.company = company;
             log::info!("event=company with_majority={company}");
-            self.party(cluster::Input::Company(company));
-            if company && self.contact.needs_proof() {
+            self.party(cluster::Input::QuorumContactChanged(company));
+            if company && self.contact.needs_confirmation() {
                 // The question of the stall may have gone to sessions that were dead.
                 self.ask_proof();
             }
         }
-        if self.contact.is_recent() {
+        if self.contact.is_current() {
             self.tell_in_force();
         }
     }
@@ -295,13 +301,18 @@
     /// may not hear of. Before the first voting set there is nothing to be out of contact with.
     fn may_acknowledge(&mut self) -> bool {
         self.judge_contact();
-        self.contact.is_recent() || self.first_start && self.register.set().epoch == Epoch(0)
+        self.contact.is_current()
+            || self.first_start && self.register.voting_set().epoch == Epoch(0)
     }
 
     /// The configuration in force, to frontend directors that came while it may have been an old one.
     fn tell_in_force(&mut self) {
         let untold = std::mem::take(&mut self.untold);
-        let Some((version, _)) = self.register.in_force().filter(|_| !untold.is_empty()) else {
+        let Some(CommittedConfiguration { version, .. }) = self
+            .register
+            .committed_configuration()
+            .filter(|_| !untold.is_empty())
+        else {
             return;
         };
         for session in untold {
@@ -312,34 +323,33 @@
 
     /// Asks all core directors, behind what was sent to them before.
     fn ask_round(&mut self, asking: Asking) {
-        let token = self.rounds.ask(self.times.now().as_millis());
+        let token = self.probes.start(self.times.now());
         self.asking.insert(token, asking);
-        let set = self.register.set().epoch;
+        let set = self.register.voting_set().epoch;
         self.links
             .to_peers(&Message::ReadRequest { token, epoch: set });
     }
 
     /// Ends an operator's call early where no majority answers. One that waits for the first voting set has its whole time.
     fn bound_order(&mut self, ticket: Ticket) {
-        if self.register.set().epoch > Epoch(0) {
+        if self.register.voting_set().epoch > Epoch(0) {
             self.ask_round(Asking::Order(ticket.0));
         }
     }
 
     fn ask_proof(&mut self) {
-        let asked_at = self.times.now().as_millis();
+        let asked_at = self.times.now();
         self.ask_round(Asking::Proof { asked_at });
     }
 
     fn end_rounds(&mut self) {
         let me = self.links.factory().local_handshake().node;
-        for (token, reached) in
-            self.rounds
-                .over(self.times.now().as_millis(), me, self.register.set())
-        {
-            match self.asking.remove(&token) {
-                Some(Asking::Proof { asked_at }) if reached => self.contact.proven(asked_at),
-                Some(Asking::Proof { .. }) if self.contact.needs_proof() => self.ask_proof(),
+        let now = self.times.now();
+        for probe in self.probes.finish(now, me, self.register.voting_set()) {
+            let reached = probe.is_confirmed;
+            match self.asking.remove(&probe.token) {
+                Some(Asking::Proof { asked_at }) if reached => self.contact.confirm(asked_at),
+                Some(Asking::Proof { .. }) if self.contact.needs_confirmation() => self.ask_proof(),
                 Some(Asking::Heard(reply)) => {
                     let _ = reply.send(if reached {
                         Reply::Done
@@ -348,7 +358,7 @@
                     });
                 }
                 Some(Asking::Order(ticket)) if !reached => {
-                    self.answer(Ticket(ticket), Outcome::Unclear)
+                    self.answer(Ticket(ticket), Outcome::Unknown)
                 }
                 Some(Asking::Proof { .. } | Asking::Order(_)) | None => {}
             }
@@ -356,26 +366,24 @@
     }
 
     fn register(&mut self, input: register::Input) {
-        let effects = self.register.step(
-            self.times.now().as_millis(),
-            self.times.wall_time().0,
-            input,
-        );
+        let effects = self
+            .register
+            .step(self.times.now(), self.times.wall_time(), input);
         for effect in effects {
             match effect {
-                register::Effect::Write { batch, ops } => {
-                    if self.disk.send((batch, ops)).is_err() {
+                register::Effect::Write(batch) => {
+                    if self.disk.send(batch).is_err() {
                         log::error!("event=disk_thread_gone");
                     }
                 }
                 register::Effect::Send { to, message } => self.links.to_peer(to, &message),
-                register::Effect::Vote {
+                register::Effect::AnswerClaim(ClaimAnswer {
                     session,
-                    set,
+                    epoch: set,
                     key,
                     claim,
                     verdict,
-                } => {
+                }) => {
                     self.links.to(
                         session,
                         &Message::ClaimResponse {
@@ -387,29 +395,38 @@
                     );
                 }
                 register::Effect::Answer { ticket, outcome } => self.answer(ticket, outcome),
-                register::Effect::InForce { version, text } => {
+                register::Effect::ConfigurationCommitted(CommittedConfiguration {
+                    version,
+                    text,
+                }) => {
                     self.untold.clear();
                     self.tell_version(version, text);
                 }
-                register::Effect::Set(set) => self.links.to_fronts(&Message::VotingSet(set)),
-                register::Effect::Say(text) => log::info!("{text}"),
+                register::Effect::VotingSetAdopted(set) => {
+                    self.links.to_fronts(&Message::VotingSet(set))
+                }
+                register::Effect::Log(text) => log::info!("{text}"),
             }
         }
     }
 
     fn party(&mut self, input: cluster::Input) {
-        let effects = self.party.step(self.times.now().as_millis(), input);
+        let effects = self.party.step(self.times.now(), input);
         for effect in effects {
             match effect {
-                cluster::Effect::ToPeer(node, message) => self.links.to_peer(node, &message),
-                cluster::Effect::ToPeers(message) => self.links.to_peers(&message),
-                cluster::Effect::ToFront { session, message } => self.links.to(session, &message),
-                cluster::Effect::ToFronts(message) => self.links.to_fronts(&message),
-                cluster::Effect::Keep(news) => {
-                    // Batch 0: nobody waits for it.
-                    let _ = self.disk.send((0, vec![Op::Host(news)]));
+                cluster::Effect::SendToPeer { peer, message } => self.links.to_peer(peer, &message),
+                cluster::Effect::BroadcastToPeers(message) => self.links.to_peers(&message),
+                cluster::Effect::SendToGateway { session, message } => {
+                    self.links.to(session, &message)
+                }
+                cluster::Effect::BroadcastToGateways(message) => self.links.to_fronts(&message),
+                cluster::Effect::PersistHost(record) => {
+                    let _ = self.disk.send(WriteBatch {
+                        id: BatchId::NONE,
+                        operations: vec![WriteOperation::StoreHost(record)],
+                    });
                 }
-                cluster::Effect::Say(text) => log::info!("{text}"),
+                cluster::Effect::Log(text) => log::info!("{text}"),
             }
         }
     }
@@ -419,7 +436,7 @@
         let in_force = Message::Configuration { version, text };
         let named = Message::CommittedVersion { version };
         for session in self.links.fronts() {
-            let message = if self.party.is_home(session) {
+            let message = if self.party.is_primary_for(session) {
                 &in_force
             } else {
                 &named
@@ -430,10 +447,10 @@
 
     /// A gateway asks for the text in force.
     fn asked_for_version(&self, session: SessionId, above: ConfigurationVersion) {
-        if let Some((version, text)) = self
+        if let Some(CommittedConfiguration { version, text }) = self
             .register
-            .in_force()
-            .filter(|(version, _)| *version > above)
+            .committed_configuration()
+            .filter(|committed| committed.version > above)
         {
             self.links
                 .to(session, &Message::Configuration { version, text });
@@ -445,10 +462,12 @@
             return;
         };
         let _ = reply.send(match outcome {
-            Outcome::Acknowledged { another } => Reply::Acknowledged { another },
-            Outcome::Whole { text, .. } => Reply::Text(text),
-            Outcome::Nothing => Reply::Nothing,
-            Outcome::Unclear => Reply::Unclear,
+            Outcome::Acknowledged {
+                is_other_text: another,
+            } => Reply::Acknowledged { another },
+            Outcome::Configuration(CommittedConfiguration { text, .. }) => Reply::Text(text),
+            Outcome::NoConfiguration => Reply::Nothing,
+            Outcome::Unknown => Reply::Unclear,
         });
     }
 
@@ -458,7 +477,7 @@
     fn answer_host(&mut self, leaves: bool, reply: oneshot::Sender<Reply>) {
         if !self.may_acknowledge() {
             let _ = reply.send(Reply::NoContact);
-        } else if leaves && self.register.set().epoch > Epoch(0) {
+        } else if leaves && self.register.voting_set().epoch > Epoch(0) {
             self.ask_round(Asking::Heard(reply));
         } else {
             let _ = reply.send(Reply::Done);
@@ -475,11 +494,11 @@
         match command {
             Command::Register { news, reply } => {
                 let leaves = news.state != HostState::Ready;
-                self.party(cluster::Input::Call(news));
+                self.party(cluster::Input::HostRequest(news));
                 self.answer_host(leaves, reply);
             }
             Command::SignOff { id, reply } => {
-                self.party(cluster::Input::SignOff(id));
+                self.party(cluster::Input::Deregister(id));
                 self.answer_host(true, reply);
             }
             Command::Put { reply, .. } | Command::Get { reply } if !self.may_acknowledge() => {
@@ -491,7 +510,7 @@
                 reply,
             } => {
                 let ticket = self.ticket(reply);
-                self.register(register::Input::Put {
+                self.register(register::Input::PutConfiguration {
                     ticket: Ticket(ticket),
                     version,
                     text,
@@ -500,19 +519,19 @@
             }
             Command::Get { reply } => {
                 let ticket = self.ticket(reply);
-                self.register(register::Input::Get {
+                self.register(register::Input::GetConfiguration {
                     ticket: Ticket(ticket),
                 });
                 self.bound_order(Ticket(ticket));
             }
             Command::Status { reply } => {
                 let disk = (
-                    self.health.doing(),
+                    self.health.statistics(),
                     std::fs::metadata(&self.file).map_or(0, |m| m.len()),
                 );
                 let page = pages::status(
                     &self.name,
-                    self.times.now().as_millis(),
+                    self.times.now(),
                     &self.register,
                     &self.party,
                     &self.links,
@@ -521,17 +540,17 @@
                 let _ = reply.send(Reply::Text(page.into_bytes().into()));
             }
             Command::Key { key, reply } => {
-                let page = pages::key(self.times.wall_time().0, self.register.held(key));
+                let page = pages::key(self.times.wall_time().0, self.register.claim_holder(key));
                 let _ = reply.send(Reply::Text(page.into_bytes().into()));
             }
         }
     }
 
-    fn disk(&mut self, done: Vec<Done>) {
+    fn disk(&mut self, done: Vec<WriteOutcome>) {
         for done in done {
             self.register(match done {
-                Done::Synced(batch) => register::Input::Synced(batch),
-                Done::Refused(batch) => register::Input::Refused(batch),
+                WriteOutcome::Synced(batch) => register::Input::BatchSynced(batch),
+                WriteOutcome::Refused(batch) => register::Input::BatchRefused(batch),
             });
         }
     }
@@ -571,12 +590,12 @@
         match change {
             Change::PeerUp(node) => {
                 let zone = self.links.zone(node).unwrap_or_default();
-                self.register(register::Input::Up { peer: node, zone });
-                self.party(cluster::Input::PeerUp(node));
+                self.register(register::Input::PeerConnected { peer: node, zone });
+                self.party(cluster::Input::PeerSessionOpened(node));
             }
             Change::PeerDown(node) => {
-                self.register(register::Input::Down(node));
-                self.party(cluster::Input::PeerDown(node));
+                self.register(register::Input::PeerDisconnected(node));
+                self.party(cluster::Input::PeerSessionClosed(node));
             }
             Change::FrontUp(id) => {
                 let Some(session) = self.links.session(id) else {
@@ -584,10 +603,10 @@
                 };
                 let (node, zone) = (session.peer.node, session.peer.zone.as_str().into());
                 self.links
-                    .to(id, &Message::VotingSet(self.register.set().clone()));
+                    .to(id, &Message::VotingSet(self.register.voting_set().clone()));
                 self.untold.insert(id);
                 self.judge_contact();
-                self.party(cluster::Input::FrontUp {
+                self.party(cluster::Input::GatewaySessionOpened {
                     session: id,
                     node,
                     zone,
@@ -595,7 +614,7 @@
             }
             Change::FrontDown(session) => {
                 self.untold.remove(&session);
-                self.party(cluster::Input::FrontDown { session });
+                self.party(cluster::Input::GatewaySessionClosed(session));
             }
         }
     }
@@ -610,7 +629,7 @@
                 self.links.know(nodes);
             }
             (Role::Controller, Message::ReadResponse { token, .. })
-                if self.rounds.told(node, token) =>
+                if self.probes.record_response(node, token) =>
             {
                 self.end_rounds();
             }
@@ -620,10 +639,14 @@
                 | Message::Heartbeats(_)
                 | Message::HostDigests(_)
                 | Message::HostRangeRequest(_)
-                | Message::ControllerStatus { .. } => {
-                    self.party(cluster::Input::PeerSaid(node, message))
-                }
-                agreed => self.register(register::Input::Heard(node, agreed)),
+                | Message::ControllerStatus { .. } => self.party(cluster::Input::PeerMessage {
+                    peer: node,
+                    message,
+                }),
+                agreed => self.register(register::Input::MessageReceived {
+                    from: node,
+                    message: agreed,
+                }),
             },
             (
                 Role::Gateway,
@@ -633,20 +656,20 @@
                     claim,
                 },
             ) => {
-                self.register(register::Input::Claim {
+                self.register(register::Input::Claim(ClaimRequest {
                     session: id,
-                    set,
+                    epoch: set,
                     key,
                     claim,
-                });
+                }));
             }
             (Role::Gateway, Message::ConfigurationRequest { newer_than: above }) => {
                 self.asked_for_version(id, above)
             }
             (Role::Gateway, Message::ClaimWithdrawal { key, claim }) => {
-                self.register(register::Input::Withdraw { key, claim });
+                self.register(register::Input::WithdrawClaim { key, claim });
             }
-            (Role::Gateway, message) => self.party(cluster::Input::FrontSaid {
+            (Role::Gateway, message) => self.party(cluster::Input::GatewayMessage {
                 session: id,
                 message,
             }),
--- a/crates/gateway/gateway/src/connection_pool.rs
+++ b/crates/gateway/gateway/src/connection_pool.rs
@@ -57,7 +57,7 @@
     pub(crate) fn set_capacities(&mut self, services: &IndexMap<String, Service>) {
         self.capacities = services
             .iter()
-            .map(|(name, service)| (name.clone(), service.connections))
+            .map(|(name, service)| (name.clone(), service.connection_capacity))
             .collect();
     }
 
--- a/crates/gateway/gateway/src/control_plane.rs
+++ b/crates/gateway/gateway/src/control_plane.rs
@@ -122,7 +122,7 @@
         if current.is_some_and(|current| current.version >= version) {
             return None;
         }
-        match Configuration::read(text) {
+        match Configuration::parse(text) {
             Ok(configuration) => {
                 let routes = configuration.routes.len();
                 log::info!("event=configuration_applied version={version} routes={routes}");
--- a/crates/gateway/gateway/src/downstream.rs
+++ b/crates/gateway/gateway/src/downstream.rs
@@ -55,7 +55,7 @@
         if now > last_sweep + STANDSTILL {
             return;
         }
-        let timeouts = Timeouts::new(limits);
+        let timeouts = limits.map_or(DEFAULT_TIMEOUTS, Timeouts::from);
         for connection in self.open.borrow().values() {
             let (timeout, closing) = match connection.activity() {
                 Activity::Idle => (timeouts.idle, Closing::Graceful),
@@ -96,13 +96,12 @@
     idle: Duration,
 }
 
-impl Timeouts {
-    fn new(limits: Option<Limits>) -> Timeouts {
-        let duration = |seconds| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX);
-        limits.map_or(DEFAULT_TIMEOUTS, |limits| Timeouts {
-            head: duration(limits.head_timeout),
-            idle: duration(limits.idle_timeout),
-        })
+impl From<Limits> for Timeouts {
+    fn from(limits: Limits) -> Timeouts {
+        Timeouts {
+            head: limits.header_timeout,
+            idle: limits.idle_timeout,
+        }
     }
 }
 
@@ -140,7 +139,7 @@
 ) {
     let head_bytes = gateway
         .limits()
-        .map_or(DEFAULT_HEAD_BYTES, |limits| limits.head_bytes);
+        .map_or(DEFAULT_HEAD_BYTES, |limits| limits.max_header_bytes);
     let service = service_fn(|request| {
         connection.request_started();
         let connection = connection.clone();
--- a/crates/gateway/gateway/src/request.rs
+++ b/crates/gateway/gateway/src/request.rs
@@ -74,12 +74,12 @@
     let key = operation_key(&head, route)?;
     // One operation goes to one side of a weighted split, whichever attempt it is.
     let service = route
-        .service(key.unwrap_or(parsed.attempt_id).as_bytes())
+        .choose_service(key.unwrap_or(parsed.attempt_id).as_bytes())
         .into();
     let operation_key = key.map(|key| key_digest(key.as_bytes()));
     let attempt_id = parsed.attempt_id.clone();
     let expires_at = arrived_at + time_allowed(route, parsed.deadline);
-    let body = read_body(body, configuration.limits.body_bytes, expires_at).await?;
+    let body = read_body(body, configuration.limits.max_body_bytes, expires_at).await?;
     prepare_for_upstream(&mut head, body.is_empty());
     gateway.count_request(&service);
     Ok(RoutedRequest {
@@ -91,7 +91,7 @@
             attempt_id,
         },
         route_kind: route.kind,
-        max_attempts: route.attempts,
+        max_attempts: route.max_attempts,
         expires_at,
     })
 }
@@ -103,7 +103,7 @@
     parsed: &RequestHead<'_>,
 ) -> Result<&'a Route, LocalResponse> {
     configuration
-        .route(parsed.host, head.uri.path())
+        .find_route(parsed.host, head.uri.path())
         .ok_or(LocalResponse::NoRoute)
 }
 
@@ -125,9 +125,7 @@
 
 /// How long a request may take from its arrival on.
 fn time_allowed(route: &Route, deadline: Option<Duration>) -> Duration {
-    let timeout = route
-        .timeout
-        .map_or(DEFAULT_TIMEOUT, Duration::from_secs_f64);
+    let timeout = route.timeout.unwrap_or(DEFAULT_TIMEOUT);
     match deadline {
         Some(deadline) => deadline
             .saturating_sub(RETURN_TIME)
--- a/crates/gateway/gateway/src/server.rs
+++ b/crates/gateway/gateway/src/server.rs
@@ -5,7 +5,7 @@
 use crate::readiness::{Readiness, serve_readiness};
 use crate::state::GatewayState;
 use error_stack::{Report, ResultExt};
-use rushcourse_config::Boot;
+use rushcourse_config::NodeSettings;
 use rushcourse_messages::Role;
 use rushcourse_transport::startup::{
     listen, listen_for_sessions, local_handshake, reload_settings, required_address,
@@ -42,12 +42,12 @@
 ///
 /// # Errors
 /// Settings that name no address to listen at, an address that is taken, or keys that can't be used.
-pub fn serve(settings_path: &Path, settings: Boot) -> Result<(), Report<StartError>> {
-    logging::init(&settings.log_level, &settings.node_name);
+pub fn serve(settings_path: &Path, settings: NodeSettings) -> Result<(), Report<StartError>> {
+    logging::init(&settings.log_level, &settings.node.name);
     run_on_this_thread(run(settings_path.to_path_buf(), settings))
 }
 
-async fn run(settings_path: PathBuf, settings: Boot) -> Result<(), Report<StartError>> {
+async fn run(settings_path: PathBuf, settings: NodeSettings) -> Result<(), Report<StartError>> {
     let listeners = Listeners::bind(&settings).await?;
     let clock = Clock::start();
     let handshake = local_handshake(&settings, Role::Gateway);
@@ -55,9 +55,9 @@
     let (event_sender, events) = unbounded_channel();
     let sessions = SessionFactory::new(handshake, event_sender);
     sessions
-        .set_keys(settings.keys.as_ref())
+        .set_keys(settings.peers.keys.as_ref())
         .change_context(StartError::Keys)?;
-    let dialer = Dialer::new(sessions.clone(), settings.internal_ports.0);
+    let dialer = Dialer::new(sessions.clone(), settings.peers.ports.first);
     let peers = PeerSessions::new(dialer);
     let gateway = Rc::new(GatewayState::new(&settings, clock, incarnation, peers));
     gateway.add_controllers(seed_nodes(&settings));
@@ -68,9 +68,9 @@
         sessions,
         connections: Rc::default(),
         readiness: Readiness::default(),
-        drain: Drain::new(settings.bounds.grace_period_s),
+        drain: Drain::new(settings.bounds.grace_period),
     };
-    server.start_listening(listeners, settings.descriptors);
+    server.start_listening(listeners, settings.limits.file_descriptors);
     server.run(events, Signals::register()?).await;
     Ok(())
 }
@@ -83,10 +83,11 @@
 }
 
 impl Listeners {
-    async fn bind(settings: &Boot) -> Result<Listeners, Report<StartError>> {
-        let clients = required_address(settings.front_http, "listen_addresses.front_http")?;
+    async fn bind(settings: &NodeSettings) -> Result<Listeners, Report<StartError>> {
+        let addresses = &settings.listen_addresses;
+        let clients = required_address(addresses.front_http, "listen_addresses.front_http")?;
         let clients = listen(clients).await?;
-        let readiness = required_address(settings.readiness, "listen_addresses.readiness")?;
+        let readiness = required_address(addresses.readiness, "listen_addresses.readiness")?;
         Ok(Listeners {
             clients,
             readiness: listen(readiness).await?,
@@ -123,8 +124,8 @@
 }
 
 impl Drain {
-    fn new(grace_period_s: f64) -> Drain {
-        let grace_ms = grace_period_s * GRACE_PERIOD_PART * 1000.0;
+    fn new(grace_period: Duration) -> Drain {
+        let grace_ms = grace_period.as_secs_f64() * GRACE_PERIOD_PART * 1000.0;
         let grace = Duration::from_millis(grace_ms as u64);
         Drain {
             started_at: None,
--- a/crates/gateway/gateway/src/state.rs
+++ b/crates/gateway/gateway/src/state.rs
@@ -19,13 +19,12 @@
 use crate::random_source::RandomSource;
 use crate::response_body::ResponseBody;
 use hyper::Response;
-use rushcourse_config::{Boot, Configuration, Limits};
+use rushcourse_config::{Configuration, Limits, NodeSettings};
 use rushcourse_routing::{Claims, ControllerSelection, EndpointTables, Operations, RetryBudget};
 use rushcourse_transport::{Clock, Counters};
 use rushcourse_types::{Incarnation, NodeId, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
-use std::time::Duration;
 
 /// Part of the machine's memory that stored responses of operations may take (ours).
 const STORED_RESPONSES_PART: f64 = 0.15;
@@ -52,28 +51,28 @@
 impl GatewayState {
     /// The state at the start of an incarnation: no tables, no configuration.
     pub(crate) fn new(
-        settings: &Boot,
+        settings: &NodeSettings,
         clock: Clock,
         incarnation: Incarnation,
         sessions: PeerSessions,
     ) -> GatewayState {
-        let node = NodeId::from(settings.ip);
-        let controllers = ControllerSelection::new(node, &settings.zone);
+        let node = NodeId::from(settings.node.ip_address);
+        let controllers = ControllerSelection::new(node, &settings.node.zone);
         let claims = Claims::new(node, incarnation);
         let operations = Operations::new(
-            whole_millis(settings.bounds.key_window_s),
-            (settings.memory_mb * STORED_RESPONSES_PART * BYTES_PER_MEGABYTE) as usize,
+            settings.bounds.key_window,
+            (settings.limits.memory_mb * STORED_RESPONSES_PART * BYTES_PER_MEGABYTE) as usize,
         );
         let retry_budget = RetryBudget::new(
             settings.bounds.retry_budget_ratio,
             settings.bounds.retry_budget_slack,
-            whole_millis(settings.bounds.budget_window_s),
+            settings.bounds.budget_window,
         );
         GatewayState {
             clock,
             random: RandomSource::new(incarnation),
             control_plane: RefCell::new(ControlPlane::new(sessions, controllers)),
-            endpoints: RefCell::new(EndpointTables::new(&settings.zone)),
+            endpoints: RefCell::new(EndpointTables::new(&settings.node.zone)),
             retry_budget: RefCell::new(retry_budget),
             pools: RefCell::default(),
             operations: RefCell::new(KeyedOperations::new(claims, operations)),
@@ -127,8 +126,9 @@
 
     fn has_host_of_a_route(&self, configuration: &Configuration) -> bool {
         let is_routed = |service: &str| {
-            let mut splits = configuration.routes.iter().flat_map(|route| &route.split);
-            splits.any(|(name, _)| name == service)
+            let routes = configuration.routes.iter();
+            let mut parts = routes.flat_map(|route| &route.services);
+            parts.any(|part| part.service == service)
         };
         let endpoints = self.endpoints.borrow();
         let mut services = configuration.services.keys();
@@ -146,8 +146,3 @@
         local.into_response(self.random.fraction())
     }
 }
-
-/// A setting in seconds as a span of whole milliseconds.
-fn whole_millis(seconds: f64) -> Duration {
-    Duration::from_millis((seconds * 1000.0) as u64)
-}
--- a/crates/gateway/storage/tests/disk.rs
+++ b/crates/gateway/storage/tests/disk.rs
@@ -1,14 +1,17 @@
 //! The state file: what is synced is there again, a file of another form is left alone.
 
+mod common;
+
+use common::batch;
 use redb::StorageBackend;
 use redb::backends::InMemoryBackend;
-use rushcourse_consensus::{Claim, Op};
+use rushcourse_consensus::{BatchId, PruneBounds, StoredClaim, WriteOperation};
 use rushcourse_messages::{
-    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, VotingSet,
+    AcceptorRecord, Ballot, ClaimId, HostRecord, HostState, Proposal, Slot, SlotRecord, VotingSet,
 };
-use rushcourse_storage::{Damaged, Done, Health, Store};
+use rushcourse_storage::{DiskHealth, StorageError, Store, WriteOutcome};
 use rushcourse_types::{
-    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId,
+    CallSequence, ConfigurationVersion, Epoch, Incarnation, KeyDigest, Millis, NodeId, WallTime,
 };
 use std::path::PathBuf;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -72,15 +75,16 @@
     folder.join("controller.redb")
 }
 
-fn claim(number: u64) -> Claim {
-    Claim {
+fn claim(key: u64) -> WriteOperation {
+    WriteOperation::StoreClaim(StoredClaim {
+        key: KeyDigest(u128::from(key)),
         id: ClaimId {
             node: NodeId(1),
             incarnation: Incarnation(2),
-            number,
+            number: key,
         },
-        at: 1_000 + number,
-    }
+        claimed_at: WallTime(1_000 + key),
+    })
 }
 
 fn record(round: u64, text: &str) -> AcceptorRecord {
@@ -126,86 +130,80 @@
     {
         let (mut store, stored) = Store::open(&file).expect("a new file");
         assert_eq!(
-            (stored.set.epoch, stored.remembers, stored.claims.len()),
+            (
+                stored.voting_set.epoch,
+                stored.has_complete_state,
+                stored.claims.len()
+            ),
             (Epoch::NONE, false, 0)
         );
         let ops = vec![
-            Op::Set(set.clone()),
-            Op::Remember,
-            Op::Host(host(HostState::Ready)),
+            WriteOperation::StoreVotingSet(set.clone()),
+            WriteOperation::MarkStateComplete,
+            WriteOperation::StoreHost(host(HostState::Ready)),
         ];
-        store.write(&[(1, ops)]).expect("room");
+        store.write(&[batch(1, ops)]).expect("room");
         let slots = [
             Slot::Configuration(ConfigurationVersion(3)),
             Slot::VotingSet(Epoch(2)),
             Slot::Configuration(ConfigurationVersion(5)),
             Slot::Configuration(ConfigurationVersion(4)),
         ];
-        let records = slots.map(|slot| Op::Record {
-            slot,
-            record: record(1, "earlier"),
+        let records = slots.map(|slot| {
+            WriteOperation::StoreRecord(SlotRecord {
+                slot,
+                record: record(1, "earlier"),
+            })
         });
-        store.write(&[(2, records.to_vec())]).expect("room");
+        store.write(&[batch(2, records.to_vec())]).expect("room");
         let slot = Slot::Configuration(ConfigurationVersion(5));
         store
-            .write(&[(
+            .write(&[batch(
                 2,
-                vec![Op::Record {
+                vec![WriteOperation::StoreRecord(SlotRecord {
                     slot,
                     record: record(2, "later"),
-                }],
+                })],
             )])
             .expect("room");
-        let claims: Vec<Op> = (0..100)
-            .map(|k| Op::Claim {
-                key: KeyDigest(k),
-                claim: claim(k as u64),
-            })
-            .collect();
-        store.write(&[(3, claims)]).expect("room");
+        let claims: Vec<WriteOperation> = (0..100).map(claim).collect();
+        store.write(&[batch(3, claims)]).expect("room");
         store
-            .write(&[(
+            .write(&[batch(
                 4,
                 (0..90)
-                    .map(|key| Op::Release {
-                        key: KeyDigest(key),
-                    })
+                    .map(|key| WriteOperation::RemoveClaim(KeyDigest(key)))
                     .collect(),
             )])
             .expect("room");
     }
     let (mut store, stored) = Store::open(&file).expect("the same file");
-    assert_eq!((stored.set, stored.remembers), (set, true));
+    assert_eq!((stored.voting_set, stored.has_complete_state), (set, true));
     let expected = [
-        (Slot::VotingSet(Epoch(2)), record(1, "earlier")),
-        (
-            Slot::Configuration(ConfigurationVersion(3)),
-            record(1, "earlier"),
-        ),
-        (
-            Slot::Configuration(ConfigurationVersion(4)),
-            record(1, "earlier"),
-        ),
-        (
-            Slot::Configuration(ConfigurationVersion(5)),
-            record(2, "later"),
-        ),
-    ];
+        (Slot::VotingSet(Epoch(2)), "earlier", 1),
+        (Slot::Configuration(ConfigurationVersion(3)), "earlier", 1),
+        (Slot::Configuration(ConfigurationVersion(4)), "earlier", 1),
+        (Slot::Configuration(ConfigurationVersion(5)), "later", 2),
+    ]
+    .map(|(slot, text, round)| SlotRecord {
+        slot,
+        record: record(round, text),
+    });
     assert_eq!(
         stored.records, expected,
         "in the order of slots, the last one of each"
     );
-    let mut keys: Vec<KeyDigest> = stored.claims.iter().map(|c| c.0).collect();
+    let mut keys: Vec<KeyDigest> = stored.claims.iter().map(|claim| claim.key).collect();
     keys.sort_unstable();
     assert_eq!(keys, (90..100).map(KeyDigest).collect::<Vec<KeyDigest>>());
     assert_eq!(stored.hosts, vec![host(HostState::Ready)]);
     // Released by a later life of the program, which never saw it written.
     store
-        .write(&[(
+        .write(&[batch(
             5,
             vec![
-                Op::Release { key: KeyDigest(95) },
-                Op::Host(host(HostState::Gone)),
+                WriteOperation::RemoveClaim(KeyDigest(95)),
+                WriteOperation::StoreHost(host(HostState::Gone)),
             ],
         )])
         .expect("room");
@@ -222,10 +220,12 @@
     }]
     .into_iter()
     .flat_map(|kind| (0..10).map(kind));
-    let records: Vec<Op> = slots
-        .map(|slot| Op::Record {
-            slot,
-            record: record(1, "text"),
+    let records: Vec<WriteOperation> = slots
+        .map(|slot| {
+            WriteOperation::StoreRecord(SlotRecord {
+                slot,
+                record: record(1, "text"),
+            })
         })
         .collect();
     let set = VotingSet {
@@ -235,16 +235,25 @@
     {
         let (mut store, _) = Store::open(&file).expect("a new file");
         store
-            .write(&[(1, vec![Op::Set(set.clone()), Op::Remember]), (2, records)])
+            .write(&[
+                batch(
+                    1,
+                    vec![
+                        WriteOperation::StoreVotingSet(set.clone()),
+                        WriteOperation::MarkStateComplete,
+                    ],
+                ),
+                batch(2, records),
+            ])
             .expect("room");
         // Bounds that leave all of one kind: none is below version 0.
         store
-            .write(&[(
+            .write(&[batch(
                 3,
-                vec![Op::Prune {
+                vec![WriteOperation::PruneRecords(PruneBounds {
                     versions_below: ConfigurationVersion(0),
-                    sets_through: Epoch(3),
-                }],
+                    epochs_through: Epoch(3),
+                })],
             )])
             .expect("room");
     }
@@ -254,55 +263,63 @@
         .chain((0..10).map(|n| Slot::Configuration(ConfigurationVersion(n))))
         .collect();
     assert_eq!(
-        stored.records.iter().map(|r| r.0).collect::<Vec<Slot>>(),
+        stored
+            .records
+            .iter()
+            .map(|stored| stored.slot)
+            .collect::<Vec<Slot>>(),
         expected
     );
-    assert!(stored.remembers);
+    assert!(stored.has_complete_state);
     let slot = Slot::Configuration(ConfigurationVersion(2));
     let ops = vec![
-        Op::Prune {
+        WriteOperation::PruneRecords(PruneBounds {
             versions_below: ConfigurationVersion(7),
-            sets_through: Epoch(0),
-        },
+            epochs_through: Epoch(0),
+        }),
         // What is written after it in the same batch stays.
-        Op::Record {
+        WriteOperation::StoreRecord(SlotRecord {
             slot,
             record: record(3, "again"),
-        },
-        Op::Forget,
+        }),
+        WriteOperation::MarkStateIncomplete,
     ];
-    store.write(&[(4, ops)]).expect("room");
+    store.write(&[batch(4, ops)]).expect("room");
     drop(store);
     let (mut store, stored) = Store::open(&file).expect("the same file");
     expected
         .retain(|s| *s == slot || !matches!(s, Slot::Configuration(ConfigurationVersion(0..7))));
     assert_eq!(
-        stored.records.iter().map(|r| r.0).collect::<Vec<Slot>>(),
+        stored
+            .records
+            .iter()
+            .map(|stored| stored.slot)
+            .collect::<Vec<Slot>>(),
         expected
     );
     let again = stored
         .records
         .iter()
-        .find(|r| r.0 == slot)
-        .map(|r| r.1.clone());
+        .find(|stored| stored.slot == slot)
+        .map(|stored| stored.record.clone());
     assert_eq!(again, Some(record(3, "again")));
     assert_eq!(
-        (stored.set, stored.remembers),
+        (stored.voting_set, stored.has_complete_state),
         (set, false),
         "it forgot, and counts in its set still"
     );
     let ops = vec![
-        Op::Forget,
-        Op::Prune {
+        WriteOperation::MarkStateIncomplete,
+        WriteOperation::PruneRecords(PruneBounds {
             versions_below: ConfigurationVersion(u64::MAX),
-            sets_through: Epoch(u64::MAX),
-        },
-        Op::Remember,
+            epochs_through: Epoch(u64::MAX),
+        }),
+        WriteOperation::MarkStateComplete,
     ];
-    store.write(&[(5, ops)]).expect("room");
+    store.write(&[batch(5, ops)]).expect("room");
     drop(store);
     let (_, stored) = Store::open(&file).expect("the same file");
-    assert_eq!((stored.records, stored.remembers), (vec![], true));
+    assert_eq!((stored.records, stored.has_complete_state), (vec![], true));
 }
 
 #[test]
@@ -318,7 +335,7 @@
         panic!("it was taken")
     };
     assert!(
-        matches!(report.current_context(), Damaged::Unreadable),
+        matches!(report.current_context(), StorageError::Unreadable),
         "{report:?}"
     );
     assert_eq!(std::fs::read(&file).expect("there"), before);
@@ -340,24 +357,25 @@
         .expect("a disk");
     let (send, batches) = std::sync::mpsc::channel();
     let (tell, told) = std::sync::mpsc::channel();
-    let health = Arc::new(Health::default());
+    let health = Arc::new(DiskHealth::default());
     let beside = health.clone();
     stall.armed.store(true, Ordering::SeqCst);
     let storage = std::thread::spawn(move || {
-        rushcourse_storage::run(store, &batches, &beside, |done| {
+        rushcourse_storage::run_writer(store, &batches, &beside, |done| {
             tell.send(done).expect("it listens")
         });
     });
-    let op = |key: u128| {
-        vec![Op::Claim {
-            key: KeyDigest(key),
-            claim: claim(key as u64),
-        }]
-    };
-    send.send((1, op(1))).expect("it works");
+    let operations = |key: u64| vec![claim(key)];
+    send.send(batch(1, operations(1))).expect("it works");
     stalls.recv_timeout(MOST).expect("the sync has begun");
-    (2..50).for_each(|batch| send.send((batch, op(u128::from(batch)))).expect("it works"));
-    assert!(health.doing().writing_ms.is_some(), "a write is under way");
+    (2..50).for_each(|number| {
+        let waiting = batch(number, operations(number));
+        send.send(waiting).expect("it works");
+    });
+    assert!(
+        health.statistics().current_write.is_some(),
+        "a write is under way"
+    );
     assert!(
         told.try_recv().is_err(),
         "nothing is held that is not synced"
@@ -365,16 +383,19 @@
     go_on.send(()).expect("it waits");
     assert_eq!(
         told.recv_timeout(MOST).expect("the first"),
-        [Done::Synced(1)]
+        [WriteOutcome::Synced(BatchId(1))]
     );
-    let rest: Vec<Done> = (2..50).map(Done::Synced).collect();
+    let rest: Vec<WriteOutcome> = (2..50).map(BatchId).map(WriteOutcome::Synced).collect();
     assert_eq!(
         told.recv_timeout(MOST).expect("all others in one sync"),
         rest
     );
     drop(send);
     storage.join().expect("it ends with its sender");
-    let doing = health.doing();
-    assert_eq!((doing.syncs, doing.refused, doing.writing_ms), (2, 0, None));
-    assert!(doing.most_ms >= doing.last_ms);
+    let doing = health.statistics();
+    assert_eq!(
+        (doing.syncs, doing.refused_syncs, doing.current_write),
+        (2, 0, None)
+    );
+    assert!(doing.longest_sync >= doing.last_sync);
 }
--- a/crates/gateway/transport/src/startup.rs
+++ b/crates/gateway/transport/src/startup.rs
@@ -3,7 +3,7 @@
 
 use crate::session_factory::SessionFactory;
 use error_stack::{Report, ResultExt};
-use rushcourse_config::Boot;
+use rushcourse_config::NodeSettings;
 use rushcourse_messages::{Handshake, PROTOCOL_VERSION, Role};
 use rushcourse_types::{Incarnation, NodeId};
 use std::fmt;
@@ -79,15 +79,15 @@
 ///
 /// # Errors
 /// A file that can't be read, or its first line or field that can't be used.
-pub fn read_settings(path: &Path) -> Result<Boot, Report<StartError>> {
+pub fn read_settings(path: &Path) -> Result<NodeSettings, Report<StartError>> {
     let text = std::fs::read_to_string(path)
         .change_context_lazy(|| StartError::SettingsUnreadable(path.into()))?;
-    Boot::read(&text).change_context_lazy(|| StartError::SettingsInvalid(path.into()))
+    NodeSettings::parse(&text).change_context_lazy(|| StartError::SettingsInvalid(path.into()))
 }
 
 /// Reads the settings file of a running program again; its new sessions get the file's keys from now on. What can't be
 /// used is logged and changes nothing. `None`: the file as a whole.
-pub fn reload_settings(path: &Path, factory: &SessionFactory) -> Option<Boot> {
+pub fn reload_settings(path: &Path, factory: &SessionFactory) -> Option<NodeSettings> {
     let settings = match read_settings(path) {
         Ok(settings) => settings,
         Err(report) => {
@@ -97,29 +97,33 @@
     };
     log::info!(
         "event=settings_read seeds={} keys={}",
-        settings.seeds.len(),
-        settings.keys.is_some()
+        settings.peers.seeds.len(),
+        settings.peers.keys.is_some()
     );
-    if let Err(error) = factory.set_keys(settings.keys.as_ref()) {
+    if let Err(error) = factory.set_keys(settings.peers.keys.as_ref()) {
         log::error!("event=keys_unusable why={:?}", error.to_string());
     }
     Some(settings)
 }
 
 /// The nodes that a settings file names as seeds.
-pub fn seed_nodes(settings: &Boot) -> impl Iterator<Item = NodeId> {
-    settings.seeds.iter().map(|seed| NodeId::from(*seed.ip()))
+pub fn seed_nodes(settings: &NodeSettings) -> impl Iterator<Item = NodeId> {
+    settings
+        .peers
+        .seeds
+        .iter()
+        .map(|seed| NodeId::from(*seed.ip()))
 }
 
 /// The handshake of this process: its node by the settings, in an incarnation of its own.
-pub fn local_handshake(settings: &Boot, role: Role) -> Handshake {
+pub fn local_handshake(settings: &NodeSettings, role: Role) -> Handshake {
     Handshake {
         protocol_version: PROTOCOL_VERSION,
         role,
-        node: NodeId::from(settings.ip),
+        node: NodeId::from(settings.node.ip_address),
         incarnation: draw_incarnation(),
-        name: settings.node_name.clone(),
-        zone: settings.zone.clone(),
+        name: settings.node.name.clone(),
+        zone: settings.node.zone.clone(),
     }
 }
 
@@ -156,8 +160,14 @@
 ///
 /// # Errors
 /// [`StartError::Listen`] where that can't be.
-pub async fn listen_for_sessions(settings: &Boot) -> Result<TcpListener, Report<StartError>> {
-    listen(SocketAddrV4::new(settings.ip, settings.internal_ports.0)).await
+pub async fn listen_for_sessions(
+    settings: &NodeSettings,
+) -> Result<TcpListener, Report<StartError>> {
+    listen(SocketAddrV4::new(
+        settings.node.ip_address,
+        settings.peers.ports.first,
+    ))
+    .await
 }
 
 /// The address that a setting of this name holds.
