--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -1,19 +1,19 @@
-//! Which gateway gets which hosts: one policy for each service ([`crate::service_tables`]). Gateways that take their
-//! tables from this controller take part in all of them.
+//! Which gateway gets which hosts. Each service has a policy and tables of its own ([`crate::service_tables`]); every
+//! gateway that takes its tables from this controller takes part in all of them.
 
 use crate::host_registry::HostEntry;
 use crate::service_tables::{GatewayUpdate, ServiceTables, TableView, policy_time};
-use rushcourse_messages::{HostState, NodeId};
+use rushcourse_messages::HostState;
 use rushcourse_policy::interface::{
-    Again, Channel, Class, Effect, Entry, Event, KeyScope, LevelKind, ListKind, Ms, Readiness,
-    Settings,
+    Channel, ChannelSettings, Event, FleetSettings, HostEntry as PolicyHost, HostListKind,
+    HostSettings, Idempotency, Ms, Readiness, RequestClass, Settings,
 };
-use rushcourse_types::Timestamp;
+use rushcourse_types::{NodeId, Timestamp};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the policy of a service is told of a gateway's requests.
+/// A gateway's requests to a service during an interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Load {
     /// Attempts at the service's hosts.
@@ -30,7 +30,7 @@
     local_zone: usize,
     drain_timeout: Duration,
     services: BTreeMap<Arc<str>, ServiceTables>,
-    /// Each with the place of its zone among `zones`.
+    /// Each with the index of its zone in `zones`.
     gateways: BTreeMap<NodeId, usize>,
 }
 
@@ -41,7 +41,7 @@
         drain_timeout: Duration,
     ) -> Distribution {
         Distribution {
-            local_zone: position(&zones, local_zone),
+            local_zone: zone_index(&zones, local_zone),
             zones,
             drain_timeout,
             services: BTreeMap::new(),
@@ -49,7 +49,7 @@
         }
     }
 
-    /// All tables, for pages that people look at.
+    /// All tables, for status pages.
     pub fn tables(&self) -> Vec<TableView> {
         self.services
             .values()
@@ -63,15 +63,15 @@
         now: Timestamp,
         changed: impl Iterator<Item = &'a HostEntry>,
     ) -> Vec<GatewayUpdate> {
-        let mut entries: BTreeMap<Arc<str>, Vec<Entry>> = BTreeMap::new();
+        let mut entries: BTreeMap<Arc<str>, Vec<PolicyHost>> = BTreeMap::new();
         for host in changed {
             let service = host.record().service.clone();
             entries.entry(service).or_default().push(self.entry(host));
         }
         let mut updates = Vec::new();
         for (service, entries) in entries {
-            let mut events = vec![Event::List {
-                kind: ListKind::Delta,
+            let mut events = vec![Event::HostsListed {
+                kind: HostListKind::Delta,
                 entries,
             }];
             if !self.services.contains_key(&service) {
@@ -96,7 +96,7 @@
         gateway: NodeId,
         zone: &str,
     ) -> Vec<GatewayUpdate> {
-        let zone = position(&self.zones, zone);
+        let zone = zone_index(&self.zones, zone);
         self.gateways.insert(gateway, zone);
         self.handle_everywhere(now, |_| vec![joined(gateway, zone)])
     }
@@ -112,7 +112,7 @@
         self.handle_everywhere(now, |_| vec![left(gateway)])
     }
 
-    /// A gateway holds the update of a revision, and all before it.
+    /// A gateway has applied the update of a revision, and all updates before it.
     pub(crate) fn acknowledge(
         &mut self,
         now: Timestamp,
@@ -120,11 +120,11 @@
         service: &str,
         revision: u16,
     ) -> Vec<GatewayUpdate> {
-        let event = Event::Applied {
-            mark: revision,
+        let event = Event::Acknowledged {
+            ack_number: revision,
             proxy: gateway.0,
-            took: 0.0,
-            channel: Channel::Own,
+            elapsed: 0.0,
+            channel: Channel::Dedicated,
         };
         self.handle_of_gateway(now, gateway, service, event)
     }
@@ -137,10 +137,10 @@
         service: &str,
         load: Load,
     ) -> Vec<GatewayUpdate> {
-        let event = Event::Usage {
+        let event = Event::TrafficReported {
             proxy: gateway.0,
             class: 0,
-            tries: f64::from(load.attempts),
+            attempts: f64::from(load.attempts),
             failed: f64::from(load.failures),
             span: policy_span(load.interval),
         };
@@ -152,7 +152,7 @@
         self.handle_everywhere(now, |tables| tables.take_due_timers(now))
     }
 
-    /// Hands events to the policy of each service for which there are any.
+    /// Passes events to the policies of all services that have any.
     fn handle_everywhere(
         &mut self,
         now: Timestamp,
@@ -168,7 +168,7 @@
         updates
     }
 
-    /// Hands an event of a gateway to a service's policy, if both are known here.
+    /// Passes an event of a gateway to a service's policy, if both are known here.
     fn handle_of_gateway(
         &mut self,
         now: Timestamp,
@@ -188,82 +188,86 @@
         self.services.insert(service, tables);
     }
 
-    fn entry(&self, host: &HostEntry) -> Entry {
+    fn entry(&self, host: &HostEntry) -> PolicyHost {
         let record = host.record();
         let readiness = match host.state() {
             HostState::Ready => Readiness::Ready,
             HostState::Draining => Readiness::Draining,
             HostState::Gone => Readiness::Gone,
         };
-        Entry {
+        PolicyHost {
             host: record.id.clone(),
-            zone: position(&self.zones, &record.zone),
+            zone: zone_index(&self.zones, &record.zone),
             cell: 0,
             readiness,
             weight: f64::from(record.slots.max(1)),
-            up_since: host.warming_since().map_or(0.0, policy_time),
+            started_at: host.warming_since().map_or(0.0, policy_time),
         }
     }
 
     fn settings(&self) -> Settings {
-        let class = Class {
-            aim: 500.0,
+        let class = RequestClass {
+            target_latency: 500.0,
             deadline: 2000.0,
-            worth: 1.0,
-            effect: Effect::Free,
-            key_scope: KeyScope::All,
-            key_ttl: 0.0,
-            zone_bound: false,
-            writes: false,
+            value: 1.0,
+            idempotency: Idempotency::Idempotent,
+            is_zone_bound: false,
+            is_write: false,
         };
         Settings {
             classes: vec![class],
-            zones: self.zones.len(),
-            my_zone: Some(self.local_zone),
-            directors: 1,
-            // The channel is a session: lines of some thousand a second, an answer within a few milliseconds.
-            backlog: 4000.0,
-            push_rate: 4000.0,
-            per_message: 1.0,
-            counted_over: 10_000.0,
-            late: 20.0,
-            transit_max: 500.0,
-            unserved_max: 1000.0,
-            report_every: 1000.0,
-            level_kind: LevelKind::Off,
-            base_again: Again::Never,
-            drain_grace: policy_span(self.drain_timeout),
+            fleet: FleetSettings {
+                zones: self.zones.len(),
+                own_zone: Some(self.local_zone),
+                directors: 1,
+                ..FleetSettings::default()
+            },
+            // The channel is a session: some thousand table entries a second, an answer within a few milliseconds.
+            channel: ChannelSettings {
+                max_queued_lines: 4000.0,
+                lines_per_second: 4000.0,
+                lines_per_message: 1.0,
+                message_window: 10_000.0,
+                mean_transit: 20.0,
+                max_transit: 500.0,
+                ..ChannelSettings::default()
+            },
             // Slow start is the policy's: a tenth, rising over 10 s. Hosts say how long they warm up, not how much.
-            start_capacity: 1.0,
-            listed_weights: true,
+            hosts: HostSettings {
+                drain_grace: policy_span(self.drain_timeout),
+                start_capacity: 1.0,
+                has_listed_weights: true,
+                ..HostSettings::default()
+            },
+            report_interval: 1000.0,
             ..Settings::default()
         }
     }
 }
 
-/// The place of a zone among all zones. One that is not known counts as the first.
-fn position(zones: &[Arc<str>], zone: &str) -> usize {
+/// The index of a zone in `zones`. A zone that is not known counts as the first.
+fn zone_index(zones: &[Arc<str>], zone: &str) -> usize {
     zones.iter().position(|known| &**known == zone).unwrap_or(0)
 }
 
-/// A span as the policy counts it. Whole milliseconds come out exactly.
+/// A span in the policy's unit, milliseconds with fractions. Whole milliseconds are converted exactly.
 fn policy_span(span: Duration) -> Ms {
     span.as_nanos() as Ms / 1e6
 }
 
 fn joined(gateway: NodeId, zone: usize) -> Event {
-    Event::Joined {
+    Event::ProxyJoined {
         proxy: gateway.0,
         zone,
         rate: 1.0,
-        fresh: true,
-        channel: Channel::Own,
+        is_fresh: true,
+        channel: Channel::Dedicated,
     }
 }
 
 fn left(gateway: NodeId) -> Event {
-    Event::Left {
+    Event::ProxyLeft {
         proxy: gateway.0,
-        channel: Channel::Own,
+        channel: Channel::Dedicated,
     }
 }
--- /dev/null
+++ b/crates/gateway/controller/src/pending_requests.rs
@@ -0,0 +1,40 @@
+//! Requests of operators that wait for their answer.
+
+use crate::control_request::{ControlResponse, Responder};
+use rushcourse_consensus::Outcome;
+use rushcourse_types::Ticket;
+use std::collections::BTreeMap;
+
+/// Requests that wait, by their tickets.
+#[derive(Default)]
+pub(crate) struct PendingRequests {
+    responders: BTreeMap<Ticket, Responder>,
+    last_ticket: Ticket,
+}
+
+impl PendingRequests {
+    /// A request that waits from now on.
+    pub(crate) fn add(&mut self, responder: Responder) -> Ticket {
+        self.last_ticket = self.last_ticket.next();
+        self.responders.insert(self.last_ticket, responder);
+        self.last_ticket
+    }
+
+    /// Answers a request, unless it has been.
+    pub(crate) fn respond(&mut self, ticket: Ticket, outcome: Outcome) {
+        let Some(responder) = self.responders.remove(&ticket) else {
+            return;
+        };
+        let _ = responder.send(match outcome {
+            Outcome::Acknowledged {
+                is_other_text: false,
+            } => ControlResponse::Acknowledged,
+            Outcome::Acknowledged {
+                is_other_text: true,
+            } => ControlResponse::OtherTextCommitted,
+            Outcome::Configuration(committed) => ControlResponse::Text(committed.text),
+            Outcome::NoConfiguration => ControlResponse::NoConfiguration,
+            Outcome::Unknown => ControlResponse::Unknown,
+        });
+    }
+}
--- a/crates/shared/policy/src/decide.rs
+++ b/crates/shared/policy/src/decide.rs
@@ -1,159 +1,73 @@
-//! A director's step: events in, orders out; the model of what each proxy may hold; the fallback.
+//! A director's step: events in, actions out; what time resolves in the model; the fallback.
 //! `docs/design.md` tells what was kept of the design page and of CCG's paper, and what changed.
 
-use crate::{books::*, interface::*, state::*, tuned::*};
-use std::collections::BTreeMap;
+use crate::director::Director;
+use crate::interface::{Action, Event, Ms};
+use crate::state::Update;
+use crate::tuned::{ACK_TIMEOUT, FALLBACK_DELAY, GONE_HOST_RETENTION, MAX_REPORT_AGE, REMOVAL_DELAY};
 
 impl Director {
-    pub fn new(s: Settings, _seed: u64) -> Director {
-        let mask = |bound: bool| {
-            let of = s.classes.iter().enumerate().filter(|(_, c)| c.zone_bound == bound);
-            of.fold(0u32, |m, (k, _)| m | 1 << k)
-        };
-        let groups = [(mask(false), false), (mask(true), true)].into_iter().filter(|g| g.0 > 0).collect();
-        let usage = vec![Sums::default(); s.classes.len()];
-        let well = Gate { hold: 1.0, flees: true, admit: 1.0, part: 1.0, usage, ..Gate::default() };
-        let gates = vec![well; s.zones.max(1)];
-        Director { groups, reply: 1, gates, pause: 2.0 * (s.report_every + s.late), s, ..Director::default() }
-    }
-
+    /// Handles all events since the last call; answers what is to be done, in order. `now` never falls.
     pub fn handle(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
-        // Silence of the reports says nothing of the hosts: older sums judge nobody.
-        (self.now, self.heard_from) = (now, now - STALE * self.s.report_every);
-        let first = !std::mem::replace(&mut self.started, true);
-        if self.s.classes.is_empty() || self.s.push_rate <= 0.0 || self.s.backlog <= 0.0 {
-            let text = "settings make no sense (no classes, or a channel that carries nothing): no orders";
-            return first.then(|| Action::Log { text: text.into() }).into_iter().collect();
+        self.clock.now = now;
+        // Silence of the reports says nothing of the hosts: older totals judge nobody.
+        self.reports.valid_since = now - MAX_REPORT_AGE * self.settings.report_interval;
+        let is_first = !std::mem::replace(&mut self.clock.is_started, true);
+        if !self.settings.is_usable() {
+            let text = "event=settings_unusable reason=\"no classes, or a channel that carries nothing\"";
+            return is_first.then(|| Action::Log { text: text.into() }).into_iter().collect();
         }
-        self.out.extend(first.then(|| Action::Timer { token: "round".into(), at: now + ROUND }));
-        self.out.extend((first && self.s.must_subscribe).then_some(Action::Subscribe));
-        // Answers and sums wait for a round; what changes who holds what is acted on at once.
-        let listed = events.iter().any(|e| matches!(e, Event::List { .. }));
-        let who = |e: &Event| matches!(e, Event::Joined { .. } | Event::Left { .. });
-        let news = listed || events.iter().any(who);
-        events.into_iter().for_each(|event| self.take(event));
-        // It opens a round after its start: by then it knows who joins, and fills tables once.
-        self.opens = if first { now + ROUND } else { self.opens };
-        if now < self.opens || now < self.next_round && !news {
-            return self.close();
+        if is_first {
+            self.start();
         }
-        let round = now >= self.next_round;
-        if round {
-            self.reach();
-            self.believe();
-            self.judge();
-            (0..self.gates.len()).for_each(|zone| self.steer(zone));
-            self.even_out();
+        // Acknowledgements and reports wait for a round; what changes who holds what is acted on at once.
+        let is_listed = events.iter().any(Event::is_host_list);
+        let has_changes = is_listed || events.iter().any(Event::is_membership);
+        events.into_iter().for_each(|event| self.apply_event(event));
+        if now < self.clock.opens_at || now < self.clock.next_round && !has_changes {
+            return self.close_batch();
         }
-        self.settle(round);
-        self.plan(round || listed);
-        self.close()
-    }
-
-    pub(crate) fn take(&mut self, event: Event) {
-        let (now, memory) = (self.now, MEMORY * self.s.report_every);
-        match event {
-            Event::List { kind, entries } => self.listed(kind, entries),
-            // It joins with lines that we don't know: bare to the model, bound at once. Messages count on.
-            Event::Joined { proxy, zone, rate, channel, .. } => {
-                let old = self.unbound(proxy).unwrap_or_default();
-                (self.came_at, self.joins) = (now, self.joins + usize::from(self.joined.insert(proxy)));
-                let (bound, lines) = self.groups.iter().map(|_| (None, BTreeMap::new())).unzip();
-                self.reach();
-                let came = Sums { tries: rate * RATE_HOLDS / 1000.0, at: now, ..Sums::default() };
-                let load: Vec<f64> = self.burden(zone).iter().map(|x| (x.0 + came.tries) / x.1).collect();
-                let pool = lowest(&load, 1.0);
-                let nth = self.joins;
-                self.proxies
-                    .insert(proxy, Proxy { zone, rate, pool, came, bound, lines, channel, nth, ..old });
-            }
-            // What a channel says of a proxy that has joined by another one is of before.
-            Event::Left { proxy, channel } if self.by(&proxy, channel) => drop(self.unbound(proxy)),
-            Event::Applied { mark, proxy, took, channel } if self.by(&proxy, channel) => {
-                self.answered(mark, proxy, took)
-            }
-            Event::Delayed { mark, twice } => self.delayed(mark, twice),
-            Event::Behind { proxy, mark, again } => self.behind(proxy, mark, again),
-            Event::Heard { zone, host, tries, failed, mean, .. } if self.list.contains_key(&host) => {
-                let sums = self.sums.entry((zone, host)).or_default();
-                add(sums, now, memory, tries, failed, mean * (tries - failed));
-            }
-            Event::Usage { proxy, class, tries, failed, .. } => {
-                let Some(p) = self.proxies.get_mut(&proxy) else { return };
-                add(&mut p.came, now, RATE_HOLDS, tries, failed, 0.0);
-                let gate = self.gates.get_mut(p.zone).and_then(|g| g.usage.get_mut(class));
-                gate.into_iter().for_each(|sums| add(sums, now, memory, tries, failed, 0.0));
-            }
-            Event::Timer { token } if token == "round" => {
-                self.out.push(Action::Timer { token, at: now + ROUND })
-            }
-            Event::Timer { .. } => self.out.extend(self.s.must_subscribe.then_some(Action::Subscribe)),
-            Event::Heard { .. } | Event::Probed { .. } | Event::Told { .. } => {}
-            Event::Left { .. } | Event::Applied { .. } => {}
+        let is_round = now >= self.clock.next_round;
+        if is_round {
+            self.update_cross_zone_weights();
+            self.confirm_missing_hosts();
+            self.judge_hosts();
+            self.zone_ids().for_each(|zone| self.adjust_admission(zone));
+            self.rebalance_pools();
         }
+        self.resolve_by_time(is_round);
+        self.send_updates(is_round || is_listed);
+        self.close_batch()
     }
 
-    // ---- model (paper 4.2, 4.3): what each proxy may hold ----
-
-    /// An answer makes additions certain at once, removals late. Its channel is in order: all before it left;
-    /// it shows nothing of other channels.
-    pub(crate) fn answered(&mut self, mark: u16, proxy: ProxyId, took: Ms) {
-        let shared = self.by(&proxy, Channel::Shared);
-        let reply = if shared { self.marked(mark) } else { self.recent(mark) };
-        let (Some(reply), Some(p)) = (reply, self.proxies.get_mut(&proxy)) else { return };
-        let slowest = if shared { &mut self.slowest } else { &mut p.slowest };
-        *slowest = took.max(*slowest * 0.95);
-        for held in p.lines.iter_mut().flat_map(|g| g.values_mut()).filter(|h| h.reply <= reply) {
-            match held.standing {
-                Standing::Removing => held.answered = held.answered.or(Some(self.now)),
-                _ => held.standing = Standing::Certain,
-            }
-        }
-        if shared {
-            self.flights.retain(|r, _| *r >= reply);
-            let flight = self.flights.get_mut(&reply);
-            flight.into_iter().for_each(|f| f.waiting -= f.lines.remove(&proxy).unwrap_or(0.0));
-        }
-    }
-
-    /// Time settles what no answer did; later on a slow channel, where lines may still wait (extension).
-    /// The room of the channel at once, the lines of all proxies once a round.
-    pub(crate) fn settle(&mut self, lines: bool) {
-        let after = |slowest: Ms| ANSWER_TIMEOUT.max(2.0 * slowest).max(2.0 * self.s.transit_max);
-        let (now, shared) = (self.now, after(self.slowest));
-        let timeout = |p: &Proxy| if p.channel == Channel::Own { after(p.slowest) } else { shared };
-        for p in self.proxies.values_mut().filter(|_| lines) {
-            let timeout = timeout(p);
-            p.lines.iter_mut().for_each(|group| {
-                group.retain(|_, l| {
-                    if l.standing == Standing::Adding && now - l.since >= timeout {
-                        l.standing = Standing::Certain;
-                    }
-                    let gone = l.answered.unwrap_or(l.since + timeout) + REMOVAL_DELAY;
-                    l.standing != Standing::Removing || now < gone
-                })
-            });
-        }
-        self.flights.retain(|_, f| !f.lines.is_empty() && now - f.at < 4.0 * shared);
-        if lines {
-            self.looked += self.proxies.len() as u64;
-            self.clear_idle(FORGOTTEN_AFTER);
+    /// Time resolves what no acknowledgement did in the model (paper 4.3); later on a slow channel, where
+    /// lines may still wait (extension). The window of the channel at once, the endpoints of all proxies once
+    /// a round.
+    fn resolve_by_time(&mut self, is_round: bool) {
+        let (now, max_transit) = (self.clock.now, self.settings.channel.max_transit);
+        let timeout = |slowest_ack: Ms| ACK_TIMEOUT.max(2.0 * slowest_ack).max(2.0 * max_transit);
+        let shared_timeout = timeout(self.outbox.slowest_ack);
+        self.outbox.expire(now, 4.0 * shared_timeout);
+        if is_round {
+            self.examined += self.proxies.by_id.len() as u64;
+            self.proxies.expire(now, timeout, shared_timeout, REMOVAL_DELAY);
+            self.remove_idle(GONE_HOST_RETENTION);
         }
     }
 
-    // ---- fallback (paper 5.3; design: a fresh target table) ----
-
-    /// A change failed the check for too long: the next round binds proxies to a fresh table.
-    pub(crate) fn fall_back(&mut self) {
-        let due = self.buffer.iter().filter(|(_, since)| self.now - **since >= FALLBACK_AFTER);
-        for key in due.map(|(k, _)| k.clone()).collect::<Vec<_>>() {
-            self.buffer.remove(&key);
-            if let Key::Line(table, _) = key {
-                self.current.retain(|_, t| *t != table);
-                self.log(format!("fallback: table {table} is replaced by a fresh one"));
+    /// An update failed the check for too long: the next round binds the proxies of its table to a fresh one,
+    /// a two-phase swap (paper 5.3; design: a fresh target table).
+    pub(crate) fn run_fallback(&mut self) {
+        let now = self.clock.now;
+        let due = self.pending.iter().filter(|(_, since)| now - **since >= FALLBACK_DELAY);
+        for update in due.map(|(update, _)| update.clone()).collect::<Vec<_>>() {
+            self.pending.remove(&update);
+            if let Update::Endpoint { table, .. } = update {
+                self.tables.current.retain(|_, current| *current != table);
+                self.outbox.log(format!("event=fallback_table_replaced table={table}"));
             } else {
-                let sent = self.send(&key, 0.0, true);
-                self.log(format!("fallback: outside the check, sent {sent}: {key:?}"));
+                let is_sent = self.try_send(&update, 0.0, true);
+                self.outbox.log(format!("event=fallback_unchecked sent={is_sent} {update}"));
             }
         }
     }
