--- /dev/null
+++ b/crates/gateway/consensus/src/configuration/operator_calls.rs
@@ -0,0 +1,238 @@
+//! Operators' calls that wait for a majority: new configurations, and reads of the committed one.
+
+use crate::context::Context;
+use crate::effect::{Effect, Outcome};
+use crate::paxos::Paxos;
+use crate::paxos::acceptor::Acceptor;
+use crate::paxos::proposer::ProposalRequest;
+use rushcourse_messages::{Message, Slot, VotingSet};
+use rushcourse_types::{ConfigurationVersion, NodeId, RequestToken, Ticket, Timestamp};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Within which an operator's call ends: a caller moves on after a second of silence (PROTOCOL.md).
+const CALL_TIMEOUT: Duration = Duration::from_millis(850);
+
+/// A new configuration that waits for its outcome.
+#[derive(Clone, Debug)]
+struct PutCall {
+    version: ConfigurationVersion,
+    text: Arc<[u8]>,
+    expires_at: Timestamp,
+}
+
+/// A read that waits for what a majority has accepted.
+#[derive(Clone, Debug)]
+struct GetCall {
+    token: RequestToken,
+    expires_at: Timestamp,
+    /// Voters that have answered.
+    responders: BTreeSet<NodeId>,
+    /// The highest version that any of them has accepted.
+    highest_accepted: ConfigurationVersion,
+}
+
+impl PutCall {
+    /// How the call ends; `None`: not yet.
+    fn outcome(
+        &self,
+        now: Timestamp,
+        committed: ConfigurationVersion,
+        committed_text: Option<&Arc<[u8]>>,
+    ) -> Option<Outcome> {
+        if self.version <= committed {
+            let is_other_text = self.version == committed && committed_text != Some(&self.text);
+            return Some(Outcome::Acknowledged { is_other_text });
+        }
+        (now >= self.expires_at).then_some(Outcome::Unknown)
+    }
+}
+
+impl GetCall {
+    fn has_majority(&self, voting_set: &VotingSet) -> bool {
+        let members = voting_set.members.iter();
+        let responders = members.filter(|member| self.responders.contains(member));
+        !voting_set.epoch.is_none() && responders.count() >= voting_set.majority()
+    }
+}
+
+/// Operators' calls that wait for their outcomes.
+#[derive(Clone, Debug, Default)]
+pub(super) struct OperatorCalls {
+    puts: BTreeMap<Ticket, PutCall>,
+    gets: BTreeMap<Ticket, GetCall>,
+    last_token: RequestToken,
+}
+
+impl OperatorCalls {
+    /// Takes in a new configuration and proposes it.
+    pub(super) fn put(
+        &mut self,
+        context: &mut Context,
+        paxos: &mut Paxos,
+        ticket: Ticket,
+        version: ConfigurationVersion,
+        text: Arc<[u8]>,
+        committed: ConfigurationVersion,
+    ) {
+        let membership = &paxos.membership;
+        let has_set = !membership.voting_set().epoch.is_none();
+        if version > committed && has_set && !membership.has_quorum_contact() {
+            return answer(context, ticket, Outcome::Unknown);
+        }
+        let call = PutCall {
+            version,
+            text,
+            expires_at: context.now + CALL_TIMEOUT,
+        };
+        propose(context, paxos, &call, committed);
+        self.puts.insert(ticket, call);
+    }
+
+    /// Takes in a read and asks voters what they have accepted.
+    pub(super) fn get(
+        &mut self,
+        context: &mut Context,
+        paxos: &Paxos,
+        ticket: Ticket,
+        committed: ConfigurationVersion,
+    ) {
+        let membership = &paxos.membership;
+        if !membership.has_quorum_contact() {
+            return answer(context, ticket, Outcome::Unknown);
+        }
+        self.last_token = self.last_token.next();
+        let own_response = membership.is_voter().then_some(context.node);
+        let call = GetCall {
+            token: self.last_token,
+            expires_at: context.now + CALL_TIMEOUT,
+            responders: own_response.into_iter().collect(),
+            highest_accepted: paxos.acceptor.highest_version(committed),
+        };
+        self.gets.insert(ticket, call);
+        for member in membership.reached_members() {
+            if member != context.node {
+                let request = Message::ReadRequest {
+                    token: self.last_token,
+                    epoch: membership.voting_set().epoch,
+                };
+                context.send(member, request);
+            }
+        }
+    }
+
+    /// A replica's answer to a read; it counts towards the majority if the replica votes.
+    pub(super) fn read_response(
+        &mut self,
+        from: NodeId,
+        token: RequestToken,
+        is_voter: bool,
+        highest_accepted: ConfigurationVersion,
+    ) {
+        let Some(call) = self.gets.values_mut().find(|call| call.token == token) else {
+            return;
+        };
+        call.highest_accepted = call.highest_accepted.max(highest_accepted);
+        if is_voter {
+            call.responders.insert(from);
+        }
+    }
+
+    /// Another voting set is adopted: answers of the old one's voters no longer count. Configurations are proposed to
+    /// the new one, reads begin anew.
+    pub(super) fn voting_set_changed(
+        &mut self,
+        context: &mut Context,
+        paxos: &mut Paxos,
+        committed: ConfigurationVersion,
+    ) {
+        for call in self.puts.values() {
+            propose(context, paxos, call, committed);
+        }
+        for ticket in std::mem::take(&mut self.gets).into_keys() {
+            self.get(context, paxos, ticket, committed);
+        }
+    }
+
+    /// Answers the calls whose outcome is known, and those whose time is over.
+    pub(super) fn answer_ended(
+        &mut self,
+        context: &mut Context,
+        paxos: &Paxos,
+        committed: ConfigurationVersion,
+    ) {
+        self.answer_puts(context, &paxos.acceptor, committed);
+        self.answer_gets(context, paxos, committed);
+    }
+
+    fn answer_puts(
+        &mut self,
+        context: &mut Context,
+        acceptor: &Acceptor,
+        committed: ConfigurationVersion,
+    ) {
+        let text = acceptor.configuration_text(committed);
+        let outcome = |(ticket, call): (&Ticket, &PutCall)| {
+            Some((*ticket, call.outcome(context.now, committed, text)?))
+        };
+        let ended: Vec<(Ticket, Outcome)> = self.puts.iter().filter_map(outcome).collect();
+        for (ticket, outcome) in ended {
+            self.puts.remove(&ticket);
+            answer(context, ticket, outcome);
+        }
+    }
+
+    fn answer_gets(
+        &mut self,
+        context: &mut Context,
+        paxos: &Paxos,
+        committed: ConfigurationVersion,
+    ) {
+        let voting_set = paxos.membership.voting_set();
+        let outcome = |call: &GetCall| {
+            if call.has_majority(voting_set) && committed >= call.highest_accepted {
+                return Some(read_outcome(&paxos.acceptor, committed));
+            }
+            (context.now >= call.expires_at).then_some(Outcome::Unknown)
+        };
+        let ended = self.gets.iter();
+        let ended: Vec<(Ticket, Outcome)> = ended
+            .filter_map(|(ticket, call)| Some((*ticket, outcome(call)?)))
+            .collect();
+        for (ticket, outcome) in ended {
+            self.gets.remove(&ticket);
+            answer(context, ticket, outcome);
+        }
+    }
+}
+
+/// Proposes a call's configuration, unless there is no voting set yet: then it waits for that.
+fn propose(
+    context: &mut Context,
+    paxos: &mut Paxos,
+    call: &PutCall,
+    committed: ConfigurationVersion,
+) {
+    if call.version <= committed || paxos.membership.voting_set().epoch.is_none() {
+        return;
+    }
+    let request = ProposalRequest {
+        slot: Slot::Configuration(call.version),
+        value: call.text.clone(),
+        removed: None,
+        expires_at: call.expires_at,
+    };
+    paxos.propose(context, request);
+}
+
+fn read_outcome(acceptor: &Acceptor, committed: ConfigurationVersion) -> Outcome {
+    match acceptor.committed_configuration(committed) {
+        Some(configuration) => Outcome::Configuration(configuration),
+        None => Outcome::NoConfiguration,
+    }
+}
+
+fn answer(context: &mut Context, ticket: Ticket, outcome: Outcome) {
+    context.push(Effect::Answer { ticket, outcome });
+}
--- a/crates/gateway/consensus/src/lib.rs
+++ b/crates/gateway/consensus/src/lib.rs
@@ -2,15 +2,14 @@
 //! one [`ConsensusNode`] a controller: [`ConsensusNode::step`] is the only place where it changes, and gives back what
 //! is to be written, sent and answered. It reads no clock and does no I/O.
 //!
-//! * `membership.rs`: the voting set that a majority is counted of, who of it has complete state, how it changes.
-//! * `acceptor.rs`, `proposer.rs`, `replicas.rs`: ballots: what this replica promised and voted for, what it has
-//!   proposed, and what others reported of their votes.
-//! * `configuration.rs`: the configuration; the highest committed version holds.
+//! * `node/`: the step, and where each input goes.
+//! * `membership/`: the voting set that a majority is counted of, who of it has complete state, how it changes.
+//! * `paxos/`: ballots: what this replica promised, voted for and proposes, and what others reported of their votes.
+//! * `configuration/`: the configuration; the highest committed version holds.
 //! * `claims.rs`: claims of operation keys; the first claim holds for the whole window.
 //! * `snapshot.rs`: how a replica without complete state is brought up to date.
+//! * `input.rs`, `effect.rs`, `log_event.rs`: what goes in and what comes out; `durable_state.rs`: what the disk holds.
 
-mod acceptor;
-mod agreement;
 mod claims;
 mod configuration;
 mod context;
@@ -20,8 +19,7 @@
 mod log_event;
 mod membership;
 mod node;
-mod proposer;
-mod replicas;
+mod paxos;
 mod setup;
 mod snapshot;
 
--- /dev/null
+++ b/crates/gateway/consensus/src/membership/learning.rs
@@ -0,0 +1,91 @@
+//! How this replica, where it lacks state, is brought up to date by snapshots: a member that does not have complete
+//! state, or a standby that was invited.
+
+use super::Membership;
+use crate::context::Context;
+use crate::log_event::LogEvent;
+use rushcourse_messages::Message;
+use rushcourse_types::{Epoch, NodeId, Timestamp};
+use std::time::Duration;
+
+/// After its start, when a member without complete state first asks for snapshots: longer than votes and promises that
+/// it may have given before the loss are counted (votes on claims in `rushcourse-routing`, 450 ms;
+/// `proposer::PROMISE_TIMEOUT`, 800 ms; `peer_reports::REPORT_TIMEOUT`, 1,700 ms), so that each has come to something or
+/// to nothing by then.
+const SNAPSHOT_REQUEST_DELAY: Duration = Duration::from_millis(2_200);
+/// Between two requests for snapshots.
+const SNAPSHOT_REQUEST_INTERVAL: Duration = Duration::from_millis(400);
+/// For how long a standby goes on asking after it was invited.
+const INVITATION_TIMEOUT: Duration = Duration::from_millis(3_000);
+
+impl Membership {
+    /// This standby is asked to become a learner.
+    pub fn accept_invitation(&mut self, context: &mut Context, from: NodeId, epoch: Epoch) {
+        if epoch != self.voting_set.epoch || self.is_member() {
+            return;
+        }
+        if self.progress.ready_for == epoch {
+            context.send(from, Message::LearnerReady { epoch });
+        } else {
+            self.progress.invited_until = context.now + INVITATION_TIMEOUT;
+        }
+    }
+
+    /// Whether snapshots of voters of the set are wanted now.
+    pub fn is_learning(&self, now: Timestamp) -> bool {
+        if self.progress.is_installing || self.voting_set.epoch.is_none() {
+            return false;
+        }
+        if self.is_member() {
+            !self.has_complete_state && self.uptime(now) >= SNAPSHOT_REQUEST_DELAY
+        } else {
+            now < self.progress.invited_until && self.progress.ready_for != self.voting_set.epoch
+        }
+    }
+
+    /// The voters to ask for snapshots now.
+    pub fn snapshot_sources(&mut self, now: Timestamp) -> Vec<NodeId> {
+        if !self.is_learning(now) || now < self.progress.requested_at + SNAPSHOT_REQUEST_INTERVAL {
+            return Vec::new();
+        }
+        self.progress.requested_at = now;
+        let members = self.voting_set.members.iter().copied();
+        members
+            .filter(|member| self.peers.is_connected(*member))
+            .collect()
+    }
+
+    /// The whole snapshot of one more voter is here. The set's epoch once they are enough.
+    pub fn snapshot_received(&mut self, from: NodeId) -> Option<Epoch> {
+        self.progress.senders.insert(from);
+        let is_enough = self.progress.senders.len() >= self.voting_set.snapshot_quorum();
+        self.progress.is_installing = is_enough;
+        is_enough.then_some(self.voting_set.epoch)
+    }
+
+    /// The disk refused what snapshots brought.
+    pub fn install_refused(&mut self) {
+        self.progress.abort();
+    }
+
+    /// The disk holds all that voters of a set sent.
+    pub fn install_synced(&mut self, context: &mut Context, epoch: Epoch) {
+        if epoch != self.voting_set.epoch || !self.progress.is_installing {
+            return;
+        }
+        self.progress.is_installing = false;
+        if self.is_member() {
+            self.has_complete_state = true;
+            context.log(LogEvent::SnapshotInstalled {
+                epoch,
+                senders: self.progress.senders.len(),
+            });
+        } else {
+            self.progress.ready_for = epoch;
+            for peer in self.connected_peers() {
+                context.send(peer, Message::LearnerReady { epoch });
+            }
+        }
+        self.progress.senders.clear();
+    }
+}
--- /dev/null
+++ b/crates/gateway/consensus/src/node/mod.rs
@@ -0,0 +1,203 @@
+//! The node: inputs go to the part that they concern, and all that follows from them is done before the step ends.
+//!
+//! * `peer_messages.rs`: messages of other controllers.
+//! * `writes.rs`: what the disk holds, or refused.
+//! * `voting_set_changes.rs`: proposes and adopts the next voting set.
+
+mod peer_messages;
+mod voting_set_changes;
+mod writes;
+
+use crate::claims::{ClaimRegistry, HeldClaim};
+use crate::configuration::ConfigurationReplica;
+use crate::context::Context;
+use crate::durable_state::DurableState;
+use crate::effect::{CommittedConfiguration, Effect};
+use crate::input::Input;
+use crate::membership::Membership;
+use crate::paxos::Paxos;
+use crate::paxos::acceptor::Acceptor;
+use crate::paxos::peer_reports::PeerReports;
+use crate::paxos::proposer::Proposer;
+use crate::setup::Setup;
+use crate::snapshot::SnapshotTransfer;
+use rushcourse_messages::VotingSet;
+use rushcourse_types::{ConfigurationVersion, KeyDigest, NodeId, Timestamp, WallTime};
+use std::sync::Arc;
+
+/// How far a replica has come, for its status page.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ReplicaSummary {
+    /// The voting set that it counts in.
+    pub voting_set: VotingSet,
+    /// Whether it holds what a voter of its set has to hold.
+    pub has_complete_state: bool,
+    /// Whether it votes in its set.
+    pub is_voter: bool,
+    /// The highest version that it has accepted.
+    pub highest_accepted: ConfigurationVersion,
+    /// The version that it knows to be committed.
+    pub committed: ConfigurationVersion,
+    /// Claims of operation keys that it holds.
+    pub claim_count: usize,
+    /// Controllers in session with it.
+    pub peers: Vec<NodeId>,
+}
+
+/// One replica of the control state.
+#[derive(Clone, Debug)]
+pub struct ConsensusNode {
+    context: Context,
+    paxos: Paxos,
+    configuration: ConfigurationReplica,
+    claims: ClaimRegistry,
+    snapshots: SnapshotTransfer,
+    is_started: bool,
+}
+
+impl ConsensusNode {
+    /// A replica at its start, with what its state file holds.
+    pub fn new(setup: Setup, durable: DurableState) -> ConsensusNode {
+        let DurableState {
+            voting_set,
+            has_complete_state,
+            records,
+            claims,
+            hosts: _,
+        } = durable;
+        ConsensusNode {
+            context: Context::new(setup.node),
+            snapshots: SnapshotTransfer::new(setup.incarnation),
+            claims: ClaimRegistry::new(setup.key_window, claims),
+            paxos: Paxos {
+                proposer: Proposer::new(setup.incarnation),
+                membership: Membership::new(setup, voting_set, has_complete_state),
+                acceptor: Acceptor::new(records),
+                reports: PeerReports::default(),
+            },
+            configuration: ConfigurationReplica::default(),
+            is_started: false,
+        }
+    }
+
+    /// One input at a moment of the steady clock. `wall` is the time of day, which is only shown to people.
+    pub fn step(&mut self, now: Timestamp, wall: WallTime, input: Input) -> Vec<Effect> {
+        self.context.now = now;
+        self.context.wall = wall;
+        if !self.is_started {
+            self.is_started = true;
+            self.claims.start(now);
+        }
+        self.handle_input(input);
+        while let Some(message) = self.context.next_loopback() {
+            self.handle_message(self.context.node, message);
+        }
+        self.adopt_chosen_voting_set();
+        self.configuration
+            .update(&mut self.context, &mut self.paxos);
+        self.context.take_effects()
+    }
+
+    fn handle_input(&mut self, input: Input) {
+        let context = &mut self.context;
+        match input {
+            Input::PeerConnected { peer, zone } => self.peer_connected(peer, zone),
+            Input::PeerDisconnected(peer) => self.peer_disconnected(peer),
+            Input::MessageReceived { from, message } => self.handle_message(from, message),
+            Input::BatchSynced(batch) => self.batch_synced(batch),
+            Input::BatchRefused(batch) => self.batch_refused(batch),
+            Input::PutConfiguration {
+                ticket,
+                version,
+                text,
+            } => {
+                let configuration = &mut self.configuration;
+                configuration.put(context, &mut self.paxos, ticket, version, text);
+            }
+            Input::GetConfiguration { ticket } => {
+                self.configuration.get(context, &self.paxos, ticket);
+            }
+            Input::Claim(request) => {
+                let is_voter = self.paxos.membership.voting_epoch() == Some(request.epoch);
+                self.claims.claim(context, is_voter, request);
+            }
+            Input::WithdrawClaim { key, claim } => self.claims.withdraw(context, key, claim),
+            Input::ShutDown => self.paxos.membership.shut_down(context),
+            Input::Tick => self.tick(),
+        }
+    }
+
+    fn peer_connected(&mut self, peer: NodeId, zone: Arc<str>) {
+        let context = &mut self.context;
+        self.paxos.membership.peer_connected(context, peer, zone);
+        self.configuration.report_to(context, peer, &self.paxos);
+    }
+
+    fn peer_disconnected(&mut self, peer: NodeId) {
+        let now = self.context.now;
+        self.paxos.membership.peer_disconnected(now, peer);
+        self.paxos.reports.forget(peer);
+        self.configuration.peer_disconnected(peer);
+        self.snapshots.peer_disconnected(peer);
+    }
+
+    fn tick(&mut self) {
+        self.paxos.membership.tick(&mut self.context);
+        self.propose_due_change();
+        self.request_snapshots();
+        let Paxos {
+            membership,
+            proposer,
+            ..
+        } = &mut self.paxos;
+        proposer.tick(&mut self.context, membership);
+        self.configuration.tick(&mut self.context, &mut self.paxos);
+        self.claims.tick(&mut self.context);
+    }
+
+    fn request_snapshots(&mut self) {
+        let membership = &mut self.paxos.membership;
+        let sources = membership.snapshot_sources(self.context.now);
+        let epoch = membership.voting_set().epoch;
+        self.snapshots.request(&mut self.context, epoch, sources);
+    }
+
+    /// The configuration that this replica knows to be committed.
+    pub fn committed_configuration(&self) -> Option<CommittedConfiguration> {
+        self.configuration.committed(&self.paxos.acceptor)
+    }
+
+    /// The voting set that this replica counts in.
+    pub fn voting_set(&self) -> &VotingSet {
+        self.paxos.membership.voting_set()
+    }
+
+    /// Whether a majority of the set is in session with this replica, itself counted.
+    pub fn has_quorum_contact(&self) -> bool {
+        self.paxos.membership.has_quorum_contact()
+    }
+
+    /// Whether a process that is to end may do so now: no standby could take its place in the set, or one has.
+    pub fn may_shut_down(&self) -> bool {
+        self.paxos.membership.may_shut_down()
+    }
+
+    /// Who holds an operation key at this replica.
+    pub fn claim_holder(&self, key: KeyDigest) -> Option<HeldClaim> {
+        self.claims.holder(key)
+    }
+
+    /// How far this replica has come.
+    pub fn summary(&self) -> ReplicaSummary {
+        let membership = &self.paxos.membership;
+        ReplicaSummary {
+            voting_set: membership.voting_set().clone(),
+            has_complete_state: membership.has_complete_state(),
+            is_voter: membership.is_voter(),
+            highest_accepted: self.configuration.highest_accepted(&self.paxos.acceptor),
+            committed: self.configuration.committed_version(),
+            claim_count: self.claims.len(),
+            peers: membership.connected_peers(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/consensus/src/node/peer_messages.rs
@@ -0,0 +1,188 @@
+//! Messages of other controllers, and of this replica to itself.
+
+use super::ConsensusNode;
+use crate::paxos::acceptor::AcceptRole;
+use crate::paxos::peer_reports::ReplicaStatus;
+use rushcourse_messages::{Ballot, Message, Proposal, Slot, SnapshotCursor};
+use rushcourse_types::{Epoch, NodeId, RequestToken, Timestamp};
+
+impl ConsensusNode {
+    /// A message of another controller. What is of no concern here is passed over.
+    pub(super) fn handle_message(&mut self, peer: NodeId, message: Message) {
+        let context = &mut self.context;
+        let membership = &mut self.paxos.membership;
+        match message {
+            Message::Prepare { epoch, .. }
+            | Message::Promise { epoch, .. }
+            | Message::Accept { epoch, .. }
+            | Message::Reject { epoch, .. } => {
+                if epoch == membership.voting_set().epoch {
+                    self.handle_ballot_message(peer, message);
+                } else {
+                    self.other_epoch(peer, epoch);
+                }
+            }
+            Message::ReplicaStatus { .. } => self.handle_replica_status(peer, message),
+            Message::ReadRequest { token, .. } => self.answer_read(peer, token),
+            Message::ReadResponse { .. } => self.handle_read_response(peer, message),
+            Message::SnapshotRequest { epoch, after } => self.send_snapshot(peer, epoch, after),
+            Message::SnapshotChunk(chunk) => {
+                let committed = self.configuration.committed_version();
+                let (claims, paxos) = (&mut self.claims, &mut self.paxos);
+                self.snapshots
+                    .receive(context, peer, chunk, claims, paxos, committed);
+            }
+            Message::VotingSet(voting_set) => membership.learn_of(context, voting_set),
+            Message::LearnerInvitation { epoch } => {
+                membership.accept_invitation(context, peer, epoch);
+            }
+            Message::LearnerReady { epoch } => membership.standby_ready(peer, epoch),
+            Message::ShuttingDown => membership.peer_shutting_down(peer),
+            _ => {}
+        }
+    }
+
+    /// A message of a ballot in this replica's voting set.
+    fn handle_ballot_message(&mut self, peer: NodeId, message: Message) {
+        let context = &mut self.context;
+        let (membership, proposer) = (&self.paxos.membership, &mut self.paxos.proposer);
+        match message {
+            Message::Prepare {
+                slot,
+                ballot,
+                removed,
+                ..
+            } => self.prepare(peer, slot, ballot, removed),
+            Message::Promise {
+                slot,
+                ballot,
+                accepted,
+                ..
+            } => proposer.promise_received(context, membership, peer, slot, ballot, accepted),
+            Message::Accept { slot, proposal, .. } => self.accept(peer, slot, proposal),
+            Message::Reject { slot, promised, .. } => {
+                proposer.rejected(context.now, membership, slot, promised);
+            }
+            _ => {}
+        }
+    }
+
+    /// A message of another epoch counts for nothing; who lags is told of the newer set.
+    fn other_epoch(&mut self, peer: NodeId, epoch: Epoch) {
+        let voting_set = self.paxos.membership.voting_set();
+        if epoch < voting_set.epoch {
+            let newer = Message::VotingSet(voting_set.clone());
+            self.context.send(peer, newer);
+        }
+    }
+
+    /// Promises a ballot, if this replica votes, agrees that the member goes, and has the slot open.
+    fn prepare(&mut self, proposer: NodeId, slot: Slot, ballot: Ballot, removed: Option<NodeId>) {
+        let membership = &self.paxos.membership;
+        let epoch = membership.voting_set().epoch;
+        if !membership.is_voter() || !membership.may_remove(removed) {
+            return;
+        }
+        if !self.is_open(slot) {
+            // Who proposes for a settled slot is told what is committed here.
+            let context = &mut self.context;
+            return self.configuration.report_to(context, proposer, &self.paxos);
+        }
+        let acceptor = &mut self.paxos.acceptor;
+        acceptor.prepare(&mut self.context, proposer, epoch, slot, ballot);
+    }
+
+    /// Whether a value may still be chosen for a slot, or is the one that is committed here.
+    fn is_open(&self, slot: Slot) -> bool {
+        match slot {
+            Slot::Configuration(version) => version >= self.configuration.committed_version(),
+            Slot::VotingSet(epoch) => epoch == self.voting_set().epoch.next(),
+        }
+    }
+
+    /// Accepts a proposal, if its slot is open: with a vote, or as a copy.
+    fn accept(&mut self, proposer: NodeId, slot: Slot, proposal: Proposal) {
+        let is_voter = self.paxos.membership.is_voter();
+        let is_wanted = is_voter || matches!(slot, Slot::Configuration(_));
+        if !is_wanted || !self.is_open(slot) {
+            return;
+        }
+        let ballot = proposal.ballot;
+        let now = self.context.now;
+        let is_chosen = self.paxos.is_chosen_by_others(now, slot, ballot);
+        let has_promised_higher = self.paxos.acceptor.promised(slot) > ballot;
+        let role = match (is_voter, is_chosen) {
+            (true, true) if has_promised_higher => AcceptRole::Chosen,
+            (true, _) => AcceptRole::Voter,
+            (false, true) => AcceptRole::Chosen,
+            (false, false) => AcceptRole::Copy,
+        };
+        let epoch = self.paxos.membership.voting_set().epoch;
+        let (context, acceptor) = (&mut self.context, &mut self.paxos.acceptor);
+        acceptor.accept(context, proposer, epoch, slot, proposal, role);
+    }
+
+    fn handle_replica_status(&mut self, peer: NodeId, message: Message) {
+        let Message::ReplicaStatus {
+            sent_at,
+            echoed,
+            epoch,
+            is_voter,
+            committed,
+            votes,
+        } = message
+        else {
+            return;
+        };
+        let status = ReplicaStatus {
+            sent_at,
+            echoed,
+            epoch,
+            is_voter,
+            committed,
+            votes,
+        };
+        self.paxos.reports.insert(peer, status);
+        // It has read nothing from here yet: with this replica's time to echo, its next report will count.
+        if echoed == Timestamp::ZERO {
+            let context = &mut self.context;
+            self.configuration.report_to(context, peer, &self.paxos);
+        }
+    }
+
+    fn answer_read(&mut self, peer: NodeId, token: RequestToken) {
+        let membership = &self.paxos.membership;
+        let response = Message::ReadResponse {
+            token,
+            epoch: membership.voting_set().epoch,
+            is_voter: membership.is_voter(),
+            highest_accepted: self.configuration.highest_accepted(&self.paxos.acceptor),
+        };
+        self.context.send(peer, response);
+    }
+
+    fn handle_read_response(&mut self, peer: NodeId, message: Message) {
+        let Message::ReadResponse {
+            token,
+            epoch,
+            is_voter,
+            highest_accepted,
+        } = message
+        else {
+            return;
+        };
+        if epoch == self.paxos.membership.voting_set().epoch {
+            self.configuration
+                .read_response(peer, token, is_voter, highest_accepted);
+        }
+    }
+
+    /// Sends a replica what this one holds, if it votes in the set that the replica learns from.
+    fn send_snapshot(&mut self, peer: NodeId, epoch: Epoch, after: Option<SnapshotCursor>) {
+        if self.paxos.membership.voting_epoch() == Some(epoch) {
+            let context = &mut self.context;
+            self.snapshots
+                .send(context, peer, after, &self.claims, &self.paxos);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/consensus/src/node/writes.rs
@@ -0,0 +1,99 @@
+//! What the disk holds, or refused, goes to where it was waited for.
+
+use super::ConsensusNode;
+use crate::context::PendingWrite;
+use crate::durable_state::{BatchId, PruneBounds};
+use rushcourse_messages::VotingSet;
+use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest};
+
+impl ConsensusNode {
+    pub(super) fn batch_synced(&mut self, batch: BatchId) {
+        let Some(pending) = self.context.end_write(batch) else {
+            return;
+        };
+        let context = &mut self.context;
+        let membership = &self.paxos.membership;
+        match pending {
+            PendingWrite::VotingSet(voting_set) => self.voting_set_synced(voting_set),
+            PendingWrite::Promise {
+                proposer,
+                slot,
+                ballot,
+            } => {
+                if let Some(epoch) = membership.voting_epoch() {
+                    let acceptor = &mut self.paxos.acceptor;
+                    acceptor.promise_synced(context, proposer, epoch, slot, ballot);
+                }
+            }
+            PendingWrite::Accepted { slot, ballot } => {
+                if self.paxos.acceptor.accept_synced(slot, ballot) {
+                    self.configuration.report_to_all(context, &self.paxos);
+                }
+            }
+            PendingWrite::Claim { key, claim } => {
+                let voting_epoch = membership.voting_epoch();
+                self.claims.claim_synced(context, voting_epoch, key, claim);
+            }
+            PendingWrite::Snapshot {
+                keys,
+                completed_epoch,
+            } => self.snapshot_synced(&keys, completed_epoch),
+            PendingWrite::Untracked => {}
+        }
+    }
+
+    /// The disk holds a voting set: this replica counts in it from now on, if it is newer than its present one.
+    fn voting_set_synced(&mut self, voting_set: VotingSet) {
+        let context = &mut self.context;
+        if !self.paxos.membership.adopt(context, voting_set) {
+            return;
+        }
+        if !self.paxos.membership.has_complete_state() {
+            self.paxos.acceptor.stop_voting();
+        }
+        let settled = PruneBounds {
+            versions_below: ConfigurationVersion::NONE,
+            epochs_through: self.paxos.membership.voting_set().epoch,
+        };
+        self.paxos.acceptor.prune(context, settled);
+        self.paxos.proposer.voting_set_changed(context.now);
+        self.configuration
+            .voting_set_changed(context, &mut self.paxos);
+    }
+
+    /// The disk holds a part of a voter's snapshot. `completed_epoch`: the set whose voters have sent enough by it.
+    fn snapshot_synced(&mut self, keys: &[KeyDigest], completed_epoch: Option<Epoch>) {
+        self.claims.install_synced(keys);
+        let Some(epoch) = completed_epoch else {
+            return;
+        };
+        let context = &mut self.context;
+        self.paxos.membership.install_synced(context, epoch);
+        if self.paxos.membership.is_voter() {
+            self.paxos.acceptor.start_voting_synced();
+            self.configuration.report_to_all(context, &self.paxos);
+        }
+    }
+
+    /// A write that the disk refused is no vote and no copy: it is taken back, and tried again where it must be.
+    pub(super) fn batch_refused(&mut self, batch: BatchId) {
+        let Some(pending) = self.context.end_write(batch) else {
+            return;
+        };
+        match pending {
+            PendingWrite::VotingSet(_) => self.paxos.membership.write_refused(),
+            PendingWrite::Promise { slot, .. } | PendingWrite::Accepted { slot, .. } => {
+                self.paxos.acceptor.write_refused(slot);
+            }
+            PendingWrite::Claim { key, claim } => {
+                self.claims.claim_refused(&mut self.context, key, claim);
+            }
+            PendingWrite::Snapshot { keys, .. } => {
+                self.claims.install_refused(&keys);
+                self.paxos.membership.install_refused();
+                self.snapshots.install_refused();
+            }
+            PendingWrite::Untracked => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/gateway/consensus/src/paxos/peer_reports.rs
@@ -0,0 +1,136 @@
+//! What other replicas reported that their disks hold.
+
+use rushcourse_messages::{Ballot, DurableVote, Message, Slot, VotingSet};
+use rushcourse_types::{ConfigurationVersion, Epoch, NodeId, Timestamp};
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// For how long a replica's report counts, from the time of this replica that it echoed: however long a message lay on
+/// its way, or here while this process stood still. Shorter than the wait of a voter that lost its disk
+/// (`learning::SNAPSHOT_REQUEST_DELAY`): whoever counts a vote of before the loss does so before that voter is brought
+/// up to date.
+pub(crate) const REPORT_TIMEOUT: Duration = Duration::from_millis(1_700);
+
+/// The content of `Message::ReplicaStatus`.
+#[derive(Clone, Debug)]
+pub(crate) struct ReplicaStatus {
+    /// The sender's steady clock.
+    pub sent_at: Timestamp,
+    /// The last `sent_at` that the sender got from the receiver in this session; `Timestamp::ZERO`: none.
+    pub echoed: Timestamp,
+    /// The voting set that the sender knows.
+    pub epoch: Epoch,
+    /// Whether the sender votes in that set.
+    pub is_voter: bool,
+    /// The version that the sender knows to be committed.
+    pub committed: ConfigurationVersion,
+    /// Votes that the sender's disk holds.
+    pub votes: Vec<DurableVote>,
+}
+
+impl From<ReplicaStatus> for Message {
+    fn from(status: ReplicaStatus) -> Message {
+        Message::ReplicaStatus {
+            sent_at: status.sent_at,
+            echoed: status.echoed,
+            epoch: status.epoch,
+            is_voter: status.is_voter,
+            committed: status.committed,
+            votes: status.votes,
+        }
+    }
+}
+
+/// What one replica reported last.
+#[derive(Clone, Debug)]
+pub(crate) struct PeerReport {
+    /// This replica's clock when it sent what the peer had read before its report; `Timestamp::ZERO`: the peer had read
+    /// nothing.
+    echoed: Timestamp,
+    /// The peer's clock when it sent the report.
+    sent_at: Timestamp,
+    epoch: Epoch,
+    is_voter: bool,
+    committed: ConfigurationVersion,
+    votes: BTreeMap<Slot, Ballot>,
+}
+
+impl PeerReport {
+    /// The version that the peer knows to be committed.
+    pub fn committed(&self) -> ConfigurationVersion {
+        self.committed
+    }
+
+    /// Whether the peer's disk holds this vote.
+    pub fn has_vote(&self, slot: Slot, ballot: Ballot) -> bool {
+        self.votes.get(&slot) == Some(&ballot)
+    }
+
+    fn is_recent(&self, now: Timestamp) -> bool {
+        self.echoed > Timestamp::ZERO && now < self.echoed + REPORT_TIMEOUT
+    }
+}
+
+/// The last reports of the replicas in session.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PeerReports {
+    reports: BTreeMap<NodeId, PeerReport>,
+}
+
+impl PeerReports {
+    /// Takes in a report, in place of the last one of its sender.
+    pub fn insert(&mut self, from: NodeId, status: ReplicaStatus) {
+        let votes = status.votes.iter().map(|vote| (vote.slot, vote.ballot));
+        let report = PeerReport {
+            echoed: status.echoed,
+            sent_at: status.sent_at,
+            epoch: status.epoch,
+            is_voter: status.is_voter,
+            committed: status.committed,
+            votes: votes.collect(),
+        };
+        self.reports.insert(from, report);
+    }
+
+    /// Its session broke: it may come back with less.
+    pub fn forget(&mut self, peer: NodeId) {
+        self.reports.remove(&peer);
+    }
+
+    /// The peer's clock in its last report of this session, to be echoed; `Timestamp::ZERO`: there was none.
+    pub fn last_sent_at(&self, peer: NodeId) -> Timestamp {
+        let report = self.reports.get(&peer);
+        report.map_or(Timestamp::ZERO, |report| report.sent_at)
+    }
+
+    pub fn iter(&self) -> impl Iterator<Item = (NodeId, &PeerReport)> {
+        self.reports.iter().map(|(peer, report)| (*peer, report))
+    }
+
+    /// The recent report of another member that votes in this set.
+    fn voter_report(&self, now: Timestamp, set: &VotingSet, peer: NodeId) -> Option<&PeerReport> {
+        let report = self.reports.get(&peer)?;
+        let counts = report.is_recent(now) && report.is_voter && report.epoch == set.epoch;
+        counts.then_some(report)
+    }
+
+    /// Whether another member reported lately that it votes in this set.
+    pub fn is_voter(&self, now: Timestamp, set: &VotingSet, peer: NodeId) -> bool {
+        self.voter_report(now, set, peer).is_some()
+    }
+
+    /// How many other members of the set have this vote on their disks, as far as they reported lately.
+    pub fn count_votes(
+        &self,
+        now: Timestamp,
+        set: &VotingSet,
+        slot: Slot,
+        ballot: Ballot,
+    ) -> usize {
+        let members = set.members.iter();
+        let reports = members.filter_map(|member| self.voter_report(now, set, *member));
+        reports
+            .filter(|report| report.has_vote(slot, ballot))
+            .count()
+    }
+}
--- a/crates/gateway/consensus/src/snapshot.rs
+++ b/crates/gateway/consensus/src/snapshot.rs
@@ -1,172 +1,202 @@
-//! Lessons: a voter tells a replica that doesn't remember what it holds, in parts of bounded size. The first lesson is
-//! a snapshot; later ones carry what came since. The learner checks that the parts add up before it counts them.
+//! Snapshots: a voter sends a replica without complete state what it holds, in chunks of bounded size. The first
+//! snapshot has all; later ones of the same voter carry what came since. The receiver checks that the chunks add up
+//! before it counts them.
 
-use crate::acceptor::Acceptor;
 use crate::claims::ClaimRegistry;
 use crate::context::{Context, PendingWrite};
 use crate::durable_state::WriteOperation;
 use crate::log_event::LogEvent;
-use crate::membership::Membership;
+use crate::paxos::Paxos;
 use rushcourse_messages::{
-    ClaimRecord, Incarnation, Message, NodeId, Slot, SlotRecord, SnapshotChunk, SnapshotCursor,
-    SnapshotTrailer,
+    ClaimRecord, Message, Slot, SlotRecord, SnapshotChunk, SnapshotCursor, SnapshotTrailer,
 };
 use rushcourse_types::hash::hash64;
-use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest};
+use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId};
 use std::collections::BTreeMap;
 
-/// Claims in one part (ours): some 180 KB, which a voter encodes in about a millisecond.
-const PART_MOST: usize = 4_096;
-
+/// Claims in one chunk (ours): some 180 KB, which a voter encodes in about a millisecond.
+const MAX_CLAIMS_PER_CHUNK: usize = 4_096;
 /// Seed of a claim's digest, apart from those of other uses.
 const CLAIM_DIGEST_SEED: u64 = 17;
 
-/// What came of a lesson so far.
-#[derive(Clone, Copy, Debug, Default)]
-struct Receiving {
-    claims: u64,
+/// What the claims of a snapshot add up to.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+struct ClaimSums {
+    count: u64,
+    /// Exclusive or of the claims' digests.
     digest: u64,
 }
 
+impl ClaimSums {
+    fn add(&mut self, claims: &[ClaimRecord]) {
+        self.count += claims.len() as u64;
+        for claim in claims {
+            self.digest ^= claim_digest(claim);
+        }
+    }
+
+    fn of_trailer(trailer: &SnapshotTrailer) -> ClaimSums {
+        ClaimSums {
+            count: trailer.claim_count,
+            digest: trailer.claims_digest,
+        }
+    }
+}
+
+/// Snapshots that this replica sends and receives.
 #[derive(Clone, Debug)]
-pub(crate) struct Lessons {
+pub(crate) struct SnapshotTransfer {
     incarnation: Incarnation,
     /// How far each voter's claims were read.
     cursors: BTreeMap<NodeId, SnapshotCursor>,
-    receiving: BTreeMap<NodeId, Receiving>,
+    /// What came of snapshots that are not complete yet.
+    receiving: BTreeMap<NodeId, ClaimSums>,
 }
 
-impl Lessons {
-    pub fn new(incarnation: Incarnation) -> Lessons {
-        Lessons {
+impl SnapshotTransfer {
+    pub fn new(incarnation: Incarnation) -> SnapshotTransfer {
+        SnapshotTransfer {
             incarnation,
             cursors: BTreeMap::new(),
             receiving: BTreeMap::new(),
         }
     }
 
-    /// A session broke: a lesson that was under way is not finished.
-    pub fn down(&mut self, peer: NodeId) {
+    /// A session broke: a snapshot that was under way is not completed.
+    pub fn peer_disconnected(&mut self, peer: NodeId) {
         self.receiving.remove(&peer);
     }
 
-    /// What was taught did not get to the disk: all is asked for again.
-    pub fn refused(&mut self) {
+    /// What snapshots brought did not get to the disk: all is asked for again.
+    pub fn install_refused(&mut self) {
         self.cursors.clear();
         self.receiving.clear();
     }
 
-    /// Asks voters for what they hold, or for what came since they told it.
-    pub fn ask(&mut self, context: &mut Context, set: Epoch, voters: Vec<NodeId>) {
+    /// Asks voters for what they hold, or for what came since their last snapshot.
+    pub fn request(&mut self, context: &mut Context, epoch: Epoch, voters: Vec<NodeId>) {
         for voter in voters {
             self.receiving.remove(&voter);
             let after = self.cursors.get(&voter).copied();
-            context.send(voter, Message::SnapshotRequest { epoch: set, after });
+            context.send(voter, Message::SnapshotRequest { epoch, after });
         }
     }
 
-    /// Tells a learner what this voter holds.
-    pub fn teach(
+    /// Sends a replica what this voter holds.
+    pub fn send(
         &self,
         context: &mut Context,
         to: NodeId,
-        set: Epoch,
         after: Option<SnapshotCursor>,
-        (keys, acceptor): (&ClaimRegistry, &Acceptor),
+        claims: &ClaimRegistry,
+        paxos: &Paxos,
     ) {
-        let from = after
-            .filter(|c| c.incarnation == self.incarnation)
-            .map(|c| c.position);
-        let claims = keys.snapshot(context.now, from);
-        let end = SnapshotTrailer {
-            cursor: SnapshotCursor {
-                incarnation: self.incarnation,
-                position: keys.position(),
-            },
-            claim_count: claims.len() as u64,
-            claims_digest: claims.iter().fold(0, |sum, claim| sum ^ digest(claim)),
-            records: acceptor.records(),
-        };
-        for part in claims.chunks(PART_MOST) {
-            let lesson = SnapshotChunk {
-                epoch: set,
+        let epoch = paxos.membership.voting_set().epoch;
+        let position = after
+            .filter(|cursor| cursor.incarnation == self.incarnation)
+            .map(|cursor| cursor.position);
+        let records = claims.snapshot(context.now, position);
+        let mut sums = ClaimSums::default();
+        sums.add(&records);
+        for part in records.chunks(MAX_CLAIMS_PER_CHUNK) {
+            let chunk = SnapshotChunk {
+                epoch,
                 claims: part.to_vec(),
                 trailer: None,
             };
-            context.send(to, Message::SnapshotChunk(lesson));
+            context.send(to, Message::SnapshotChunk(chunk));
         }
-        context.send(
-            to,
-            Message::SnapshotChunk(SnapshotChunk {
-                epoch: set,
-                claims: Vec::new(),
-                trailer: Some(end),
-            }),
-        );
+        let trailer = SnapshotTrailer {
+            cursor: SnapshotCursor {
+                incarnation: self.incarnation,
+                position: claims.position(),
+            },
+            claim_count: sums.count,
+            claims_digest: sums.digest,
+            records: paxos.acceptor.records(),
+        };
+        let last_chunk = SnapshotChunk {
+            epoch,
+            claims: Vec::new(),
+            trailer: Some(trailer),
+        };
+        context.send(to, Message::SnapshotChunk(last_chunk));
     }
 
-    /// Takes a part of a lesson. `in_force`: the version in force here; records of lower ones are settled.
-    pub fn take(
+    /// Takes in a chunk, if it is wanted. `committed`: the version that is committed here; records of lower ones are
+    /// settled.
+    pub fn receive(
         &mut self,
         context: &mut Context,
         from: NodeId,
-        lesson: SnapshotChunk,
-        membership: &mut Membership,
-        (keys, acceptor): (&mut ClaimRegistry, &mut Acceptor),
-        in_force: ConfigurationVersion,
+        chunk: SnapshotChunk,
+        claims: &mut ClaimRegistry,
+        paxos: &mut Paxos,
+        committed: ConfigurationVersion,
     ) {
-        let set = membership.set().epoch;
-        if lesson.epoch != set || !membership.is_learning(context.now.as_millis()) {
+        let epoch = paxos.membership.voting_set().epoch;
+        if chunk.epoch != epoch || !paxos.membership.is_learning(context.now) {
             return;
         }
-        let receiving = self.receiving.entry(from).or_default();
-        receiving.claims += lesson.claims.len() as u64;
-        receiving.digest ^= lesson
-            .claims
-            .iter()
-            .fold(0, |sum, claim| sum ^ digest(claim));
-        let mut ops = keys.install(context, &lesson.claims);
-        let taught: Vec<KeyDigest> = lesson
-            .claims
-            .iter()
-            .map(|claim: &ClaimRecord| claim.key)
-            .collect();
-        let complete = lesson.trailer.and_then(|end| {
-            let whole = self.receiving.remove(&from)?;
-            if whole.claims != end.claim_count || whole.digest != end.claims_digest {
-                context.log(LogEvent::SnapshotDamaged {
-                    claims: whole.claims,
-                    expected: end.claim_count,
-                });
-                return None;
-            }
-            self.cursors.insert(from, end.cursor);
-            let open = |r: &SlotRecord| match r.slot {
-                Slot::VotingSet(number) => number > set,
-                Slot::Configuration(version) => version >= in_force,
-            };
-            let records: Vec<SlotRecord> = end.records.into_iter().filter(open).collect();
-            ops.extend(acceptor.merge(&records));
-            membership.lesson(from)
+        self.receiving.entry(from).or_default().add(&chunk.claims);
+        let keys: Vec<KeyDigest> = chunk.claims.iter().map(|claim| claim.key).collect();
+        let mut operations = claims.install(context, &chunk.claims);
+        let trailer = chunk
+            .trailer
+            .and_then(|trailer| self.check(context, from, trailer));
+        let completed_epoch = trailer.and_then(|trailer| {
+            let records = open_records(trailer.records, epoch, committed);
+            operations.extend(paxos.acceptor.merge(&records));
+            paxos.membership.snapshot_received(from)
         });
-        if complete.is_some() && membership.is_member() {
-            ops.extend(acceptor.begin_to_count());
-            ops.push(WriteOperation::MarkStateComplete);
+        if completed_epoch.is_some() && paxos.membership.is_member() {
+            operations.extend(paxos.acceptor.start_voting());
+            operations.push(WriteOperation::MarkStateComplete);
         }
-        if !ops.is_empty() || complete.is_some() {
-            context.write(
-                ops,
-                PendingWrite::Snapshot {
-                    keys: taught,
-                    completed_epoch: complete.map(Epoch),
-                },
-            );
+        if !operations.is_empty() || completed_epoch.is_some() {
+            let pending = PendingWrite::Snapshot {
+                keys,
+                completed_epoch,
+            };
+            context.write(operations, pending);
         }
     }
+
+    /// A snapshot ends: its trailer, if the chunks add up to what it says.
+    fn check(
+        &mut self,
+        context: &mut Context,
+        from: NodeId,
+        trailer: SnapshotTrailer,
+    ) -> Option<SnapshotTrailer> {
+        let received = self.receiving.remove(&from)?;
+        if received != ClaimSums::of_trailer(&trailer) {
+            context.log(LogEvent::SnapshotDamaged {
+                claims: received.count,
+                expected: trailer.claim_count,
+            });
+            return None;
+        }
+        self.cursors.insert(from, trailer.cursor);
+        Some(trailer)
+    }
+}
+
+/// The records of slots that are not settled here.
+fn open_records(
+    records: Vec<SlotRecord>,
+    epoch: Epoch,
+    committed: ConfigurationVersion,
+) -> Vec<SlotRecord> {
+    let is_open = |record: &SlotRecord| match record.slot {
+        Slot::VotingSet(next) => next > epoch,
+        Slot::Configuration(version) => version >= committed,
+    };
+    records.into_iter().filter(is_open).collect()
 }
 
-/// Digest of a claim, for the check of a lesson.
-fn digest(claim: &ClaimRecord) -> u64 {
+/// Digest of a claim, for the check of a snapshot.
+fn claim_digest(claim: &ClaimRecord) -> u64 {
     let mut bytes = Vec::with_capacity(36);
     bytes.extend(claim.key.0.to_be_bytes());
     bytes.extend(claim.claim.node.0.to_be_bytes());
