--- a/crates/tools/modelcheck/src/lib.rs
+++ b/crates/tools/modelcheck/src/lib.rs
@@ -1,21 +1,40 @@
-//! Model checking of the consensus state: takes the pure steps that keep what a majority of disks holds
-//! (`ConsensusNode` of the core directors, `Claims` of the frontend ones) through all orders of delivery, loss, crash and
-//! wipe on a small world, and looks at each state for a broken rule. It imports no clock, disk or network.
+//! Model checking of the control state: takes the pure steps that keep what a majority of disks holds (`ConsensusNode`
+//! of controllers, `Claims` of gateways) through all orders of delivery, loss, crash and wipe on a small world, and
+//! looks at each state for a broken rule. It imports no clock, disk or network.
 //!
-//! * `moves.rs`: what may happen next; `world.rs`: what there is, and which moves it has; `play.rs`: what a move does; `claimants.rs`: claims.
-//! * `variants.rs`: what is altered on the way where a defence is taken out.
-//! * `scenes.rs`: which world is explored, and the variants broken on purpose that have to be caught.
-//! * `explore.rs`: breadth first with states counted, then long walks by lot; the way to a violation.
+//! * `scene.rs`, `scenes.rs`, `openings.rs`: which worlds are explored.
+//! * [`moves`]: what may happen next; `world/`: what there is, and what each move does to it; `checker.rs`: the rules.
+//! * `mutation.rs`: defences that are taken out on purpose, which have to be caught.
+//! * `explore.rs`: breadth first with states counted; `walks.rs`: long random walks behind that.
+//! * [`simulation`]: a controller with a disk in memory, also for the timelines of `rushcourse-consensus`.
 
-mod claimants;
+mod checker;
+mod draft;
 mod explore;
-mod moves;
-mod play;
+pub mod moves;
+mod mutation;
+mod openings;
+mod random;
+mod scene;
 mod scenes;
-mod variants;
+pub mod simulation;
+mod walks;
 mod world;
 
-pub use explore::{Bounds, Found, explore};
+pub use checker::Violation;
+pub use draft::Draft;
+pub use explore::{Bounds, Counterexample, Findings};
 pub use moves::Move;
-pub use scenes::{Broken, SCENES, Scene};
+pub use mutation::Mutation;
+pub use scene::{Budget, Clients, Scene};
+pub use scenes::SCENES;
 pub use world::World;
+
+/// Explores one scene, with all defences or one taken out. The same bounds give the same figures.
+pub fn explore(scene: &Scene, mutation: Option<Mutation>, bounds: Bounds) -> Findings {
+    let mut findings = explore::breadth_first(scene, mutation, bounds.states);
+    if findings.counterexample.is_none() && !findings.is_complete {
+        walks::walk(scene, mutation, bounds, &mut findings);
+    }
+    findings
+}
--- a/crates/tools/modelcheck/src/main.rs
+++ b/crates/tools/modelcheck/src/main.rs
@@ -1,15 +1,17 @@
-//! modelcheck: explores the gateway's agreement. Ends with 0 when no sound scene breaks a rule and each broken variant is
-//! caught, with 1 otherwise, with 2 when the command line is wrong.
+//! modelcheck: explores the control state of the gateway. Ends with 0 when no sound scene breaks a rule and each
+//! mutation is caught, with 1 otherwise, with 2 when the command line is wrong.
 
 use gumdrop::Options;
-use rushcourse_modelcheck::{Bounds, Broken, Found, SCENES, Scene, explore};
+use rushcourse_modelcheck::{
+    Bounds, Counterexample, Findings, Move, Mutation, SCENES, Scene, explore,
+};
 use std::process::ExitCode;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 /// modelcheck: takes what a majority of disks holds through all orders of delivery, loss, crash and wipe.
 #[derive(Options)]
-struct Line {
+struct Arguments {
     #[options(help = "print this help")]
     help: bool,
     #[options(help = "only the scene of this name", meta = "NAME")]
@@ -20,88 +22,140 @@
         default = "60000"
     )]
     states: usize,
-    #[options(help = "walks by lot behind that, for what the scene has", meta = "N")]
+    #[options(help = "random walks behind that, for what the scene has", meta = "N")]
     walks: Option<usize>,
     #[options(help = "longest walk", meta = "N", default = "120")]
     steps: usize,
     #[options(help = "other walks than the usual ones", meta = "N", default = "0")]
     seed: u64,
     #[options(
-        help = "scenes and variants explored at once; all processors if not given",
+        help = "scenes and mutations explored at once; all processors if not given",
         meta = "N"
     )]
     jobs: Option<usize>,
 }
 
-/// The next one of a list, for whoever asks first.
-fn claim<'a, T>(next: &AtomicUsize, list: &'a [T]) -> Option<(usize, &'a T)> {
-    let at = next.fetch_add(1, Ordering::Relaxed);
-    Some((at, list.get(at)?))
+impl Arguments {
+    fn scenes(&self) -> Vec<&'static Scene> {
+        let is_wanted = |scene: &&Scene| match &self.scene {
+            Some(name) => scene.name == name,
+            None => true,
+        };
+        SCENES.iter().filter(is_wanted).collect()
+    }
+
+    fn bounds(&self, scene: &Scene) -> Bounds {
+        Bounds {
+            states: self.states,
+            walks: self.walks.unwrap_or(scene.walks),
+            steps: self.steps,
+            seed: self.seed,
+        }
+    }
+
+    fn threads(&self) -> usize {
+        let processors = || std::thread::available_parallelism().map_or(1, usize::from);
+        self.jobs.unwrap_or_else(processors).max(1)
+    }
 }
 
-fn main() -> ExitCode {
-    let line = Line::parse_args_default_or_exit();
-    let wanted = |name: &str| line.scene.as_deref().is_none_or(|w| w == name);
-    let scenes: Vec<&'static Scene> = SCENES.iter().filter(|s| wanted(s.name)).collect();
-    if scenes.is_empty() {
-        let names: Vec<&str> = SCENES.iter().map(|s| s.name).collect();
-        eprintln!("modelcheck: no such scene; there are {}", names.join(", "));
-        return ExitCode::from(2);
+/// A scene to explore, with all defences or one taken out.
+struct Job {
+    scene: &'static Scene,
+    mutation: Option<Mutation>,
+    findings: Mutex<Findings>,
+}
+
+impl Job {
+    fn new(scene: &'static Scene, mutation: Option<Mutation>) -> Job {
+        Job {
+            scene,
+            mutation,
+            findings: Mutex::default(),
+        }
+    }
+
+    fn run(&self, arguments: &Arguments) {
+        let bounds = arguments.bounds(self.scene);
+        let findings = explore(self.scene, self.mutation, bounds);
+        *self.findings.lock().expect("a scene does not panic") = findings;
+    }
+
+    /// Prints what was found. Whether it is as it should be: a counterexample for each mutation, and none without.
+    fn report(self) -> bool {
+        let findings = self.findings.into_inner().expect("a scene does not panic");
+        let is_as_wanted = findings.counterexample.is_some() == self.mutation.is_some();
+        println!(
+            "scene={} variant={} states={} depth={} whole={} walked={} longest={} violations={} {}",
+            self.scene.name,
+            self.mutation.map_or("sound", Mutation::name),
+            findings.states,
+            findings.depth,
+            findings.is_complete,
+            findings.walked,
+            findings.longest_walk,
+            usize::from(findings.counterexample.is_some()),
+            if is_as_wanted { "ok" } else { "SHORTFALL" }
+        );
+        if let Some(counterexample) = findings.counterexample {
+            print_counterexample(&counterexample);
+        }
+        is_as_wanted
     }
-    // Each scene and variant by itself: the same figures on any number of processors.
-    let jobs: Vec<(&'static Scene, Option<Broken>)> = scenes
-        .iter()
-        .flat_map(|s| {
-            std::iter::once(None)
-                .chain(s.catches.iter().copied().map(Some))
-                .map(move |b| (*s, b))
-        })
-        .collect();
-    let processors = std::thread::available_parallelism().map_or(1, usize::from);
+}
+
+fn print_counterexample(counterexample: &Counterexample) {
+    let moves: Vec<String> = counterexample.way.iter().map(Move::to_string).collect();
+    let closed = if counterexample.is_closed {
+        ", and faults end"
+    } else {
+        ""
+    };
+    println!("  {}", counterexample.violation);
+    println!("  {}{closed}", moves.join(", "));
+}
+
+/// Each scene without mutations, and with each that it has to catch.
+fn jobs(scenes: &[&'static Scene]) -> Vec<Job> {
+    let mut jobs = Vec::new();
+    for scene in scenes {
+        jobs.push(Job::new(scene, None));
+        let mutations = scene.catches.iter();
+        jobs.extend(mutations.map(|mutation| Job::new(scene, Some(*mutation))));
+    }
+    jobs
+}
+
+/// Runs all jobs. Each is explored by itself: the figures are the same on any number of processors.
+fn run_all(jobs: &[Job], arguments: &Arguments) {
     let next = AtomicUsize::new(0);
-    let all: Vec<Mutex<Found>> = jobs.iter().map(|_| Mutex::default()).collect();
+    let work = || {
+        while let Some(job) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
+            job.run(arguments);
+        }
+    };
     std::thread::scope(|scope| {
-        let work = || {
-            while let Some((at, (scene, broken))) = claim(&next, &jobs) {
-                let walks = line.walks.unwrap_or(scene.walks);
-                let bounds = Bounds {
-                    states: line.states,
-                    walks,
-                    steps: line.steps,
-                    seed: line.seed,
-                };
-                *all[at].lock().expect("a scene does not panic") = explore(scene, *broken, bounds);
-            }
-        };
-        for _ in 0..line.jobs.unwrap_or(processors).max(1) {
+        for _ in 0..arguments.threads() {
             scope.spawn(work);
         }
     });
-    let all = all
-        .into_iter()
-        .map(|found| found.into_inner().expect("a scene does not panic"));
-    let mut well = true;
-    for ((scene, broken), found) in jobs.iter().zip(all) {
-        let (caught, wanted) = (found.violation.is_some(), broken.is_some());
-        well &= caught == wanted;
-        println!(
-            "scene={} text={} states={} depth={} whole={} walked={} longest={} violations={} {}",
-            scene.name,
-            broken.map_or("sound", Broken::name),
-            found.states,
-            found.depth,
-            found.whole,
-            found.walked,
-            found.longest,
-            usize::from(caught),
-            if caught == wanted { "ok" } else { "SHORTFALL" }
-        );
-        if let Some((rule, way)) = found.violation {
-            let moves: Vec<String> = way.iter().map(|m| format!("{m:?}")).collect();
-            println!("  {rule}\n  {}", moves.join(" "));
-        }
+}
+
+fn main() -> ExitCode {
+    let arguments = Arguments::parse_args_default_or_exit();
+    let scenes = arguments.scenes();
+    if scenes.is_empty() {
+        let names: Vec<&str> = SCENES.iter().map(|scene| scene.name).collect();
+        eprintln!("modelcheck: no such scene; there are {}", names.join(", "));
+        return ExitCode::from(2);
+    }
+    let jobs = jobs(&scenes);
+    run_all(&jobs, &arguments);
+    let mut is_all_as_wanted = true;
+    for job in jobs {
+        is_all_as_wanted &= job.report();
     }
-    if well {
+    if is_all_as_wanted {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- /dev/null
+++ b/crates/tools/modelcheck/src/mutation.rs
@@ -0,0 +1,44 @@
+//! Defences that are taken out on purpose.
+
+/// A defence taken out on purpose: exploring has to find the rule that it keeps.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Mutation {
+    /// A disk that was emptied votes as if it had lost nothing (TWICE).
+    VoteAfterWipe,
+    /// An operator is answered once half of the disks hold a version (LOST).
+    AcknowledgeAtHalf,
+    /// The disk says that it holds a batch before it does (TWICE, LOST).
+    AnswerBeforeSync,
+    /// Votes on a claim count however late they are looked at (TWICE).
+    VotesNeverExpire,
+    /// Disks that hold another text under the same version count for one's own (CONFIG).
+    RivalTextsCount,
+    /// Votes of different voting sets add up (TWICE).
+    EpochUnchecked,
+    /// A newcomer is taken in without snapshots, and votes at once (TWICE).
+    LearnerCounts,
+    /// The vote of one whose place was taken counts for its successor's (TWICE).
+    RemovedCounts,
+    /// What others reported of their votes counts without end (CONFIG).
+    ReportsNeverExpire,
+    /// A proposer brings its text without promises (CONFIG).
+    PromisesSkipped,
+}
+
+impl Mutation {
+    /// As it is printed.
+    pub fn name(self) -> &'static str {
+        match self {
+            Mutation::VoteAfterWipe => "vote-after-wipe",
+            Mutation::AcknowledgeAtHalf => "acknowledge-at-half",
+            Mutation::AnswerBeforeSync => "answer-before-sync",
+            Mutation::VotesNeverExpire => "votes-never-expire",
+            Mutation::RivalTextsCount => "rival-texts-count",
+            Mutation::EpochUnchecked => "epoch-unchecked",
+            Mutation::LearnerCounts => "learner-counts",
+            Mutation::RemovedCounts => "removed-counts",
+            Mutation::ReportsNeverExpire => "reports-never-expire",
+            Mutation::PromisesSkipped => "promises-skipped",
+        }
+    }
+}
--- /dev/null
+++ b/crates/tools/modelcheck/src/openings.rs
@@ -0,0 +1,44 @@
+//! What happens in some scenes before the exploring begins.
+
+use crate::moves::{
+    Move::{self, DeliverAll, Wait},
+    break_session, deliver, isolate, pause, put, sync_batch, wipe_disk,
+};
+
+/// All have been up for longer than one that lost its disk is silent.
+#[rustfmt::skip]
+pub(crate) const LONG_UP: [Move; 10] = [
+    Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
+];
+
+/// Member 3 is cut off, and standby 4 has been brought up to date: at the next wait the change is proposed.
+#[rustfmt::skip]
+pub(crate) const CHANGE_DUE: [Move; 17] = [
+    Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
+    isolate(3), Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
+];
+
+/// The change has just been proposed: what asks for promises is on the way.
+#[rustfmt::skip]
+pub(crate) const CHANGE_PROPOSED: [Move; 18] = [
+    Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
+    isolate(3), Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait,
+];
+
+/// The change is made, and the newcomer votes; gateways haven't heard of it.
+#[rustfmt::skip]
+pub(crate) const CHANGE_MADE: [Move; 21] = [
+    Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
+    isolate(3), Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
+    Wait, DeliverAll, Wait, DeliverAll,
+];
+
+/// Text 5 has its promises; members 1 and 2 voted for it and know so of each other, 4 and 5 were cut off from it, and
+/// what 1 sent to 3 is on the way. Then 1 stands still, and 2 loses its disk and is brought up to date by the others.
+#[rustfmt::skip]
+pub(crate) const MEMBER_PAUSED: [Move; 27] = [
+    put(5), deliver(1, 2), deliver(1, 3), sync_batch(1), sync_batch(2), sync_batch(3),
+    deliver(2, 1), deliver(3, 1), sync_batch(1), deliver(1, 2), sync_batch(2), deliver(2, 1),
+    break_session(1, 4), break_session(1, 5), pause(1), wipe_disk(2),
+    DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
+];
--- /dev/null
+++ b/crates/tools/modelcheck/src/world/controllers.rs
@@ -0,0 +1,248 @@
+//! Starts, stops and steps of controllers, and what comes of their effects.
+
+use super::World;
+use super::network::{Link, Parcel};
+use crate::mutation::Mutation;
+use crate::simulation::Unsynced;
+use rushcourse_consensus::{
+    ClaimAnswer, CommittedConfiguration, Effect, Input, WriteBatch, WriteOperation,
+};
+use rushcourse_messages::{Message, VotingSet};
+use rushcourse_types::{ConfigurationVersion, NodeId, SessionId};
+
+impl World<'_> {
+    /// An input to a controller, and all that it does.
+    pub(super) fn step(&mut self, node: NodeId, input: Input) {
+        let (now, wall) = (self.now, self.wall());
+        let inputs = self.with_stale_reports(node, input);
+        let Some(controller) = self.controllers.get_mut(&node) else {
+            return;
+        };
+        let steps = inputs.into_iter();
+        let effects: Vec<Effect> = steps
+            .flat_map(|input| controller.simulated.step(now, wall, input))
+            .collect();
+        for effect in effects {
+            self.carry_out(node, effect);
+        }
+    }
+
+    fn carry_out(&mut self, node: NodeId, effect: Effect) {
+        match effect {
+            Effect::Write(batch) => self.write(node, batch),
+            Effect::Send { to, message } => match self.unasked_promise(&message) {
+                Some(promise) => self.receive(to, node, promise),
+                None => self.post(node, to, message),
+            },
+            Effect::AnswerClaim(answer) => self.answer_claim(node, answer),
+            Effect::Answer { ticket, outcome } => self.checker.answered(ticket, &outcome),
+            Effect::ConfigurationCommitted(configuration) => {
+                self.configuration_committed(node, &configuration);
+            }
+            Effect::VotingSetAdopted(voting_set) => {
+                self.checker.voting_set_adopted(&voting_set);
+                self.tell_gateways(node, voting_set);
+            }
+            Effect::Log(_) => {}
+        }
+    }
+
+    fn write(&mut self, node: NodeId, batch: WriteBatch) {
+        let id = batch.id;
+        self.controller_mut(node).simulated.disk.write(batch);
+        if self.has_mutation(Mutation::AnswerBeforeSync) {
+            self.step(node, Input::BatchSynced(id));
+        }
+    }
+
+    /// A message of another controller reaches a node.
+    pub(super) fn receive(&mut self, from: NodeId, to: NodeId, message: Message) {
+        self.step(to, Input::MessageReceived { from, message });
+    }
+
+    fn answer_claim(&mut self, node: NodeId, answer: ClaimAnswer) {
+        let response = Message::ClaimResponse {
+            epoch: answer.epoch,
+            key: answer.key,
+            claim: answer.claim,
+            verdict: answer.verdict,
+        };
+        self.post(node, gateway_of(answer.session), response);
+    }
+
+    fn configuration_committed(&mut self, node: NodeId, committed: &CommittedConfiguration) {
+        let earlier = self.controller(node).committed;
+        self.checker
+            .configuration_committed(node, earlier, committed);
+        self.controller_mut(node).committed = committed.version;
+    }
+
+    /// Gateways hear of the voting set, where it can change.
+    fn tell_gateways(&mut self, node: NodeId, voting_set: VotingSet) {
+        if self.scene.has_standbys() && !voting_set.epoch.is_none() {
+            let gateways: Vec<NodeId> = self.gateways.keys().copied().collect();
+            for gateway in gateways {
+                self.post(node, gateway, Message::VotingSet(voting_set.clone()));
+            }
+        }
+    }
+
+    /// Syncs the oldest batch of a disk.
+    pub(super) fn sync_batch(&mut self, node: NodeId) {
+        let Some(controller) = self.controllers.get_mut(&node) else {
+            return;
+        };
+        let disk = &mut controller.simulated.disk;
+        let batch = disk.oldest_unsynced();
+        let is_joining = batch.is_some_and(|batch| joins(node, batch));
+        let Some(id) = disk.sync() else {
+            return;
+        };
+        if !self.has_mutation(Mutation::AnswerBeforeSync) {
+            self.step(node, Input::BatchSynced(id));
+        }
+        if is_joining && self.has_mutation(Mutation::LearnerCounts) {
+            self.count_at_once(node);
+        }
+    }
+
+    pub(super) fn start(&mut self, node: NodeId) {
+        let deployment = self.deployment();
+        let controller = self.controller_mut(node);
+        controller.committed = ConfigurationVersion::NONE;
+        controller.simulated.start(&deployment);
+        self.step(node, Input::Tick);
+        let durable = self.controller(node).simulated.disk.durable();
+        let voting_set = durable.voting_set.clone();
+        self.tell_gateways(node, voting_set);
+        self.connect_to_peers(node);
+    }
+
+    pub(super) fn stop(&mut self, node: NodeId, unsynced: Unsynced) {
+        for peer in self.reachable_peers(node) {
+            self.disconnect(node, peer);
+        }
+        self.network.drop_all_to(node);
+        let controller = self.controller_mut(node);
+        controller.simulated.stop(unsynced);
+        controller.is_paused = false;
+        controller.sessions.clear();
+        self.last_reports.retain(|link, _| link.to != node);
+        self.checker.controller_stopped(node);
+    }
+
+    pub(super) fn reconnect(&mut self, node: NodeId) {
+        self.controller_mut(node).is_isolated = false;
+        if self.controller(node).is_running() {
+            self.connect_to_peers(node);
+        }
+    }
+
+    fn connect_to_peers(&mut self, node: NodeId) {
+        for peer in self.reachable_peers(node) {
+            self.connect(node, peer);
+        }
+    }
+
+    /// Controllers that this one has or may have sessions with.
+    pub(super) fn reachable_peers(&self, node: NodeId) -> Vec<NodeId> {
+        if self.controller(node).is_isolated {
+            return Vec::new();
+        }
+        let peers = self.controllers.iter().filter(|(peer, controller)| {
+            **peer != node && controller.is_running() && !controller.is_isolated
+        });
+        peers.map(|(peer, _)| *peer).collect()
+    }
+
+    /// A session comes to stand between two controllers.
+    pub(super) fn connect(&mut self, one: NodeId, other: NodeId) {
+        let link = Link {
+            from: one,
+            to: other,
+        };
+        let session = self.network.connect(link);
+        self.notify_ends(link, Some(session));
+    }
+
+    /// The session of two controllers breaks.
+    fn disconnect(&mut self, one: NodeId, other: NodeId) {
+        let link = Link {
+            from: one,
+            to: other,
+        };
+        self.network.disconnect(link);
+        if !self.scene.is_disconnect_late {
+            self.network.drop_between(link);
+        }
+        self.notify_ends(link, None);
+    }
+
+    /// The session of two controllers breaks, and what is on the way is lost.
+    pub(super) fn cut(&mut self, one: NodeId, other: NodeId) {
+        self.network.drop_between(Link {
+            from: one,
+            to: other,
+        });
+        self.disconnect(one, other);
+    }
+
+    /// Both ends learn that a session stands, or broke: at once, or as each end reads it.
+    fn notify_ends(&mut self, link: Link, session: Option<SessionId>) {
+        for end in [link.reversed(), link] {
+            if self.scene.is_disconnect_late {
+                let parcel = session.map_or(Parcel::Disconnected, Parcel::Connected);
+                self.network.push(end, parcel);
+            } else {
+                self.session_changed(end.to, end.from, session);
+            }
+        }
+    }
+
+    /// One end of a session learns that it stands, or broke.
+    pub(super) fn session_changed(
+        &mut self,
+        node: NodeId,
+        peer: NodeId,
+        session: Option<SessionId>,
+    ) {
+        let zone = self.deployment().zone(peer);
+        let Some(controller) = self.controllers.get_mut(&node) else {
+            return;
+        };
+        let input = match session {
+            Some(session) => {
+                controller.sessions.insert(peer, session);
+                Input::PeerConnected { peer, zone }
+            }
+            None => {
+                controller.sessions.remove(&peer);
+                Input::PeerDisconnected(peer)
+            }
+        };
+        self.last_reports.remove(&Link {
+            from: peer,
+            to: node,
+        });
+        self.step(node, input);
+    }
+}
+
+/// Claims come by a session that has the number of their gateway.
+pub(super) fn session_of(gateway: NodeId) -> SessionId {
+    SessionId(u64::from(gateway.0))
+}
+
+fn gateway_of(session: SessionId) -> NodeId {
+    NodeId(session.0 as u32)
+}
+
+/// Whether a batch makes a controller a member without complete state.
+fn joins(node: NodeId, batch: &WriteBatch) -> bool {
+    let operations = &batch.operations;
+    let is_member = |operation: &WriteOperation| match operation {
+        WriteOperation::StoreVotingSet(set) => set.contains(node),
+        _ => false,
+    };
+    operations.iter().any(is_member) && operations.contains(&WriteOperation::MarkStateIncomplete)
+}
--- /dev/null
+++ b/crates/tools/modelcheck/src/world/delivery.rs
@@ -0,0 +1,116 @@
+//! What is on the way, and what it does where it arrives.
+
+use super::controllers::session_of;
+use super::network::{Link, Parcel};
+use super::{FIRST_GATEWAY, World};
+use crate::mutation::Mutation;
+use rushcourse_consensus::{ClaimRequest, Input};
+use rushcourse_messages::Message;
+use rushcourse_types::NodeId;
+
+impl World<'_> {
+    /// Sends a message. What a scene is not about may be lost on the way, as any message may.
+    pub(super) fn post(&mut self, from: NodeId, to: NodeId, message: Message) {
+        let link = Link { from, to };
+        let is_carried = self.is_of_concern(&message) && self.is_in_session(link);
+        self.network.push_message(link, message, is_carried);
+    }
+
+    /// Whether a message can change what the scene is about.
+    fn is_of_concern(&self, message: &Message) -> bool {
+        let scene = self.scene;
+        let is_set_changing = scene.has_standbys();
+        match message {
+            Message::ClaimResponse { .. }
+            | Message::ClaimRequest { .. }
+            | Message::ClaimWithdrawal { .. } => true,
+            Message::SnapshotRequest { .. } | Message::SnapshotChunk { .. } => {
+                is_set_changing || scene.has_wipes()
+            }
+            Message::VotingSet(_) => is_set_changing || scene.is_first_start || scene.has_wipes(),
+            _ => is_set_changing || !scene.clients.drafts.is_empty(),
+        }
+    }
+
+    /// Whether what one node sends goes to a session that both ends have. Gateways are always in session.
+    fn is_in_session(&self, link: Link) -> bool {
+        let sender = self.controllers.get(&link.from);
+        let Some(sender) = sender.filter(|_| self.controllers.contains_key(&link.to)) else {
+            return true;
+        };
+        let session = self.network.session(link);
+        session.is_some() && sender.sessions.get(&link.to).copied() == session
+    }
+
+    /// The oldest parcel of a link arrives.
+    pub(super) fn deliver_next(&mut self, from: NodeId, to: NodeId) {
+        match self.network.pop(Link { from, to }) {
+            Some(Parcel::Message(message)) => self.message_arrives(from, to, message),
+            Some(Parcel::Disconnected) => self.session_changed(to, from, None),
+            Some(Parcel::Connected(session)) => self.session_changed(to, from, Some(session)),
+            None => {}
+        }
+    }
+
+    fn message_arrives(&mut self, from: NodeId, to: NodeId, message: Message) {
+        let (from, message) = self.altered(from, to, message);
+        match message {
+            Message::ClaimResponse {
+                epoch,
+                key,
+                claim,
+                verdict,
+            } => self.vote_arrives(from, to, epoch, key, claim, verdict),
+            Message::ClaimRequest { epoch, key, claim } => {
+                let request = ClaimRequest {
+                    session: session_of(from),
+                    epoch,
+                    key,
+                    claim,
+                };
+                self.step(to, Input::Claim(request));
+            }
+            Message::ClaimWithdrawal { key, claim } => {
+                self.step(to, Input::WithdrawClaim { key, claim });
+            }
+            Message::VotingSet(voting_set) if to >= FIRST_GATEWAY => {
+                let is_idle = self.gateways[&to].claims.idle();
+                if is_idle || !self.has_mutation(Mutation::EpochUnchecked) {
+                    self.voting_set_arrives(from, to, voting_set);
+                }
+            }
+            other => self.receive(from, to, other),
+        }
+    }
+
+    /// All messages between controllers arrive, in the order of their sessions; what one that stands still sent stays on
+    /// the way.
+    pub(super) fn deliver_between_controllers(&mut self) {
+        while let Some(link) = self.next_between_controllers() {
+            self.deliver_next(link.from, link.to);
+        }
+    }
+
+    fn next_between_controllers(&self) -> Option<Link> {
+        let is_awake = |node: NodeId| {
+            let controller = self.controllers.get(&node);
+            controller.is_some_and(|controller| !controller.is_paused)
+        };
+        let mut links = self.network.busy_links();
+        links.find(|link| is_awake(link.from) && is_awake(link.to))
+    }
+
+    /// Messages arrive and disks sync, until nothing is under way between controllers.
+    pub(super) fn deliver_all(&mut self) {
+        loop {
+            self.deliver_between_controllers();
+            let mut controllers = self.controllers.iter();
+            let writing = controllers
+                .find(|(_, controller)| !controller.is_paused && controller.has_unsynced());
+            let Some((node, _)) = writing else {
+                return;
+            };
+            self.sync_batch(*node);
+        }
+    }
+}
--- /dev/null
+++ b/crates/tools/modelcheck/tests/mutations.rs
@@ -0,0 +1,244 @@
+//! The ways on which mutations were found: each leads to a violation with the defence taken out, and to none with it.
+
+mod common;
+
+use common::scene;
+use rushcourse_modelcheck::moves::{
+    Move::{self, DeliverAll, Wait},
+    begin_claim, break_session, deliver, get, lose_power, pause, put, resume, send_request, start,
+    sync_batch, wipe_disk,
+};
+use rushcourse_modelcheck::{Bounds, Budget, Mutation, Scene, World, explore};
+
+/// What rule is broken on a way, if one is.
+fn violation_on(way: &[Move], scene: &Scene, mutation: Option<Mutation>) -> Option<String> {
+    let mut world = World::opened(scene, mutation);
+    for what in way {
+        world.play(*what);
+    }
+    world.violation().map(ToString::to_string)
+}
+
+/// The way breaks a rule with the defence taken out, and none with it.
+fn assert_caught(name: &str, mutation: Mutation, rule: &str, way: &[Move]) {
+    let found = violation_on(way, scene(name), Some(mutation));
+    let found = found.unwrap_or_else(|| panic!("{name}: nothing found"));
+    assert!(found.starts_with(rule), "{found}");
+    assert_eq!(
+        violation_on(way, scene(name), None),
+        None,
+        "{name}: with the defence"
+    );
+}
+
+#[test]
+fn an_operator_answered_at_half_of_the_disks_reads_back_nothing() {
+    #[rustfmt::skip]
+    let way = [
+        put(5), sync_batch(3), deliver(3, 1), sync_batch(1), deliver(1, 3), sync_batch(3), get(1),
+        deliver(1, 2), deliver(3, 2), deliver(2, 1),
+    ];
+    assert_caught(
+        "configuration-wiped",
+        Mutation::AcknowledgeAtHalf,
+        "LOST",
+        &way,
+    );
+}
+
+/// A ballot takes more moves than a copy did: breadth first gets there where nothing but orders of delivery is open.
+#[test]
+fn breadth_first_finds_an_acknowledgement_at_half_of_the_disks() {
+    let wiped = scene("configuration-wiped");
+    let without_faults = Scene {
+        budget: Budget {
+            power_losses: 0,
+            disk_wipes: 0,
+            waits: 0,
+            ..wiped.budget
+        },
+        ..*wiped
+    };
+    let bounds = Bounds {
+        states: 8_000,
+        walks: 0,
+        steps: 0,
+        seed: 0,
+    };
+    let findings = explore(&without_faults, Some(Mutation::AcknowledgeAtHalf), bounds);
+    assert!(findings.counterexample.is_some(), "{findings:?}");
+}
+
+#[test]
+fn a_disk_that_votes_after_a_wipe_lets_a_key_run_twice() {
+    #[rustfmt::skip]
+    let way = [
+        begin_claim(100), deliver(100, 2), deliver(100, 3), sync_batch(3), sync_batch(2),
+        deliver(3, 100), deliver(2, 100), send_request(100), Wait, wipe_disk(3), begin_claim(101),
+        deliver(101, 3), deliver(101, 1), sync_batch(1), deliver(1, 101), sync_batch(3),
+        deliver(101, 2), deliver(100, 1), deliver(1, 100), deliver(3, 101), send_request(101),
+    ];
+    assert_caught("keys-wiped", Mutation::VoteAfterWipe, "TWICE", &way);
+}
+
+#[test]
+fn a_vote_of_before_a_wipe_that_still_counts_lets_a_key_run_twice() {
+    #[rustfmt::skip]
+    let way = [
+        begin_claim(101), deliver(101, 2), deliver(101, 3), sync_batch(2), sync_batch(3), Wait,
+        wipe_disk(3), deliver(3, 101), begin_claim(100), sync_batch(3), deliver(100, 1),
+        sync_batch(1), deliver(2, 101), Wait, deliver(101, 1), deliver(100, 2), deliver(2, 100),
+        Wait, Wait, Wait, Wait, send_request(101), sync_batch(3), sync_batch(3), deliver(100, 3),
+        deliver(3, 100), deliver(1, 101), deliver(1, 100), send_request(100),
+    ];
+    assert_caught("keys-wiped", Mutation::VotesNeverExpire, "TWICE", &way);
+}
+
+#[test]
+fn a_disk_that_answers_before_it_synced_loses_what_was_acknowledged() {
+    #[rustfmt::skip]
+    let way = [
+        put(5), deliver(3, 1), deliver(1, 3), deliver(3, 1), deliver(1, 3), lose_power(1),
+        lose_power(3), start(3), start(1), deliver(1, 3), deliver(3, 1), get(1), deliver(3, 1),
+        deliver(1, 3), deliver(1, 3), deliver(3, 1),
+    ];
+    assert_caught(
+        "configuration-power",
+        Mutation::AnswerBeforeSync,
+        "LOST",
+        &way,
+    );
+}
+
+/// Two operators, one version, two texts: counted by the version alone, each text found its majority.
+#[test]
+fn two_texts_of_one_version_are_both_committed_where_they_count_for_each_other() {
+    #[rustfmt::skip]
+    let way = [
+        lose_power(3), start(3), deliver(3, 4), deliver(4, 3), deliver(4, 3), deliver(3, 4),
+        lose_power(2), start(2), deliver(2, 1), Wait, deliver(3, 2), deliver(4, 2), deliver(1, 2),
+        deliver(2, 1), deliver(2, 4), deliver(2, 3), deliver(3, 2), deliver(2, 3), deliver(1, 2),
+        deliver(4, 2), deliver(2, 4), Wait, deliver(2, 4), deliver(4, 3), deliver(4, 2),
+        deliver(2, 3), deliver(4, 1), deliver(1, 2), deliver(3, 2), deliver(2, 1), put(106),
+        sync_batch(3), put(5), deliver(2, 1), sync_batch(2), deliver(2, 4), deliver(3, 2),
+        deliver(3, 4), sync_batch(4), deliver(2, 3), deliver(3, 4), sync_batch(4), sync_batch(1),
+        deliver(3, 2), sync_batch(2), deliver(4, 3), deliver(1, 2), deliver(2, 3), deliver(4, 2),
+        deliver(2, 1), deliver(3, 2), sync_batch(1), sync_batch(2), sync_batch(3), deliver(2, 3),
+        deliver(2, 1), deliver(2, 3), deliver(3, 4), sync_batch(4), deliver(4, 3), deliver(4, 1),
+    ];
+    assert_caught(
+        "configuration-rivals",
+        Mutation::RivalTextsCount,
+        "CONFIG",
+        &way,
+    );
+}
+
+/// Gateway 101 has heard of the new voting set, 100 has not, and its claim goes on with what the removed member granted.
+#[test]
+fn votes_of_two_voting_sets_that_add_up_let_a_key_run_twice() {
+    #[rustfmt::skip]
+    let way = [
+        deliver(1, 101), deliver(2, 101), deliver(1, 101), deliver(2, 101), deliver(1, 101),
+        deliver(2, 101), begin_claim(100), begin_claim(101), deliver(100, 3), sync_batch(3),
+        deliver(100, 1), sync_batch(1), deliver(3, 100), deliver(3, 100), deliver(1, 100),
+        deliver(1, 100), deliver(1, 100), deliver(101, 2), sync_batch(2), deliver(101, 4),
+        sync_batch(4), deliver(2, 101), deliver(2, 101), deliver(4, 101), deliver(4, 101),
+        deliver(4, 101), send_request(100), send_request(101),
+    ];
+    assert_caught("replaced-votes", Mutation::EpochUnchecked, "TWICE", &way);
+}
+
+#[test]
+fn a_removed_voter_that_counts_for_its_successor_lets_a_key_run_twice() {
+    #[rustfmt::skip]
+    let way = [
+        deliver(1, 101), deliver(2, 101), deliver(1, 101), deliver(2, 101), deliver(1, 101),
+        deliver(2, 101), deliver(1, 100), deliver(2, 100), deliver(1, 100), deliver(2, 100),
+        deliver(1, 100), deliver(2, 100), begin_claim(100), begin_claim(101), deliver(100, 2),
+        sync_batch(2), deliver(100, 4), sync_batch(4), deliver(2, 100), deliver(4, 100),
+        deliver(4, 100), deliver(4, 100), deliver(101, 1), sync_batch(1), deliver(101, 4),
+        deliver(101, 3), sync_batch(3), deliver(1, 101), deliver(3, 101), deliver(3, 101),
+        deliver(3, 101), send_request(100), send_request(101),
+    ];
+    assert_caught("replaced-votes", Mutation::RemovedCounts, "TWICE", &way);
+}
+
+/// Gateway 100 wins by the member that is removed and another one; the newcomer hasn't heard of it.
+#[test]
+fn a_learner_that_counts_without_snapshots_lets_a_key_run_twice() {
+    #[rustfmt::skip]
+    let way = [
+        begin_claim(100), deliver(100, 3), sync_batch(3), deliver(100, 1), sync_batch(1),
+        deliver(1, 100), deliver(1, 100), deliver(3, 100), deliver(3, 100), Wait, DeliverAll,
+        deliver(1, 101), deliver(2, 101), deliver(1, 101), deliver(2, 101), deliver(1, 101),
+        deliver(2, 101), begin_claim(101), deliver(101, 2), sync_batch(2), deliver(101, 4),
+        sync_batch(4), deliver(2, 101), deliver(4, 101), deliver(4, 101), deliver(4, 101),
+        deliver(4, 101), send_request(100), send_request(101),
+    ];
+    assert_caught("replaced-keys", Mutation::LearnerCounts, "TWICE", &way);
+}
+
+#[test]
+fn a_text_that_is_brought_without_promises_replaces_a_committed_one() {
+    #[rustfmt::skip]
+    let way = [
+        put(106), sync_batch(2), sync_batch(2), put(5), deliver(2, 1), deliver(2, 3),
+        deliver(2, 1), sync_batch(3), sync_batch(3), deliver(3, 2), sync_batch(2), deliver(3, 2),
+        deliver(3, 2), sync_batch(1),
+    ];
+    assert_caught(
+        "rivals-unprepared",
+        Mutation::PromisesSkipped,
+        "CONFIG",
+        &way,
+    );
+}
+
+/// The rival text is chosen by 2, 4 and 5; then 3 votes for the first text, and 1 still counts what 2 reported before its
+/// loss.
+#[rustfmt::skip]
+const LATE_REPORT: [Move; 39] = [
+    put(106), deliver(2, 4), deliver(2, 5), deliver(2, 4), deliver(2, 5), sync_batch(2),
+    sync_batch(4), sync_batch(5), deliver(4, 2), deliver(5, 2), deliver(4, 2), deliver(5, 2),
+    sync_batch(2), deliver(2, 4), deliver(2, 5), deliver(2, 4), deliver(2, 5), sync_batch(2),
+    sync_batch(4), sync_batch(5), deliver(2, 4), deliver(2, 5), deliver(2, 4), deliver(2, 5),
+    deliver(5, 4), deliver(5, 4), deliver(4, 5), deliver(1, 3), deliver(1, 3), deliver(1, 3),
+    deliver(1, 3), deliver(1, 3), sync_batch(3), resume(1), deliver(3, 1), deliver(3, 1),
+    deliver(3, 1), deliver(3, 1), deliver(3, 1),
+];
+
+#[test]
+fn a_report_that_never_expires_counts_a_vote_of_before_a_wipe() {
+    assert_caught(
+        "reported-late",
+        Mutation::ReportsNeverExpire,
+        "CONFIG",
+        &LATE_REPORT,
+    );
+}
+
+/// As in `reported-late`, but what 2 reported lies unread at 1 when it is paused: it is read only after 2 has lost its
+/// disk, was brought up to date, and has voted for the other text.
+#[test]
+fn a_vote_of_before_a_wipe_that_lay_unread_does_not_count() {
+    #[rustfmt::skip]
+    const UNREAD_REPORT: [Move; 26] = [
+        put(5), deliver(1, 2), deliver(1, 3), sync_batch(1), sync_batch(2), sync_batch(3),
+        deliver(2, 1), deliver(3, 1), sync_batch(1), deliver(1, 2), sync_batch(2),
+        break_session(1, 4), break_session(1, 5), pause(1), wipe_disk(2), DeliverAll, Wait,
+        DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
+    ];
+    let scene = Scene {
+        opening: &UNREAD_REPORT,
+        ..*scene("reported-late")
+    };
+    let mut world = World::opened(&scene, None);
+    for what in LATE_REPORT {
+        world.play(what);
+        if what == resume(1) {
+            world.play(deliver(2, 1));
+        }
+    }
+    assert_eq!(world.violation(), None);
+}
