--- a/crates/gateway/cli/src/show.rs
+++ b/crates/gateway/cli/src/show.rs
@@ -1,7 +1,7 @@
 //! Pages of core directors as tables.
 
 use facet_value::{VObject, Value};
-use rushcourse_admission::Order;
+use rushcourse_admission::{Rank, RankedRoutes, SheddingOrder};
 use rushcourse_config::Configuration;
 use std::fmt::Write;
 
@@ -340,19 +340,19 @@
         "aim s",
     ])];
     for service in configuration.services.keys() {
-        let order = Order::at(configuration, service);
-        for (k, (rank, routes)) in order.ranks().iter().enumerate().rev() {
+        let order = SheddingOrder::for_service(configuration, service);
+        for (k, RankedRoutes { rank, routes }) in order.ranks().iter().enumerate().rev() {
             let place = match order.ranks().len() - k {
                 1 => "first".to_string(),
                 n if k == 0 => format!("last ({n})"),
                 n => n.to_string(),
             };
-            let aim = if rank.aim_ms == u64::MAX {
+            let aim = if rank.target_latency == Rank::NO_TARGET {
                 "-".into()
             } else {
-                format!("{:.3}", rank.aim_ms as f64 / 1000.0)
+                format!("{:.3}", rank.target_latency.as_secs_f64())
             };
-            let kind = if rank.read_only { "reads" } else { "binds" }.to_string();
+            let kind = if rank.is_read_only { "reads" } else { "binds" }.to_string();
             rows.push(vec![
                 service.clone(),
                 place,
@@ -372,19 +372,19 @@
 /// What differs between two configurations, a line each.
 pub fn diff(old: &Configuration, new: &Configuration) -> String {
     let mut out = format!("version {} to {}\n", old.version, new.version);
-    let place = |r: &rushcourse_config::Route| (r.host.clone(), r.prefix.clone());
+    let place = |r: &rushcourse_config::Route| (r.host.clone(), r.path_prefix.clone());
     for route in &new.routes {
         match old.routes.iter().find(|r| place(r) == place(route)) {
             None => say(writeln!(
                 out,
                 "+ route {} {} {}",
-                route.name, route.host, route.prefix
+                route.name, route.host, route.path_prefix
             )),
             Some(before) if before != route => {
                 let _ = writeln!(
                     out,
                     "~ route {} {} {}: {before:?} to {route:?}",
-                    route.name, route.host, route.prefix
+                    route.name, route.host, route.path_prefix
                 );
             }
             Some(_) => {}
@@ -398,7 +398,7 @@
         let _ = writeln!(
             out,
             "- route {} {} {}",
-            route.name, route.host, route.prefix
+            route.name, route.host, route.path_prefix
         );
     }
     for (name, service) in &new.services {
--- a/crates/gateway/gateway/src/server.rs
+++ b/crates/gateway/gateway/src/server.rs
@@ -11,7 +11,7 @@
 use hyper::body::{Body, Frame, SizeHint};
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
-use rushcourse_config::Boot;
+use rushcourse_config::NodeSettings;
 use rushcourse_messages::Role;
 use rushcourse_transport::startup::{
     listen, listen_for_sessions, local_handshake, reload_settings, required_address,
@@ -41,6 +41,9 @@
 const STANDSTILL: u64 = 1_000;
 /// Part of the grace period after which a process that was told to end does so, finished or not (ours).
 const GRACE_PART: f64 = 0.85;
+/// Limits of clients' connections before there is a configuration: as its defaults.
+const DEFAULT_HEAD_TIMEOUT: Duration = Duration::from_secs(3);
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
 /// ms for which a process that was told to end goes on taking connections: the platform asks once a second.
 const LINGER: u64 = 2_300;
 
@@ -48,15 +51,21 @@
 ///
 /// # Errors
 /// Settings that name no address to listen at, or an address that is taken.
-pub fn serve(path: &Path, boot: Boot) -> Result<(), Report<StartError>> {
-    logging::init(&boot.log_level, &boot.node_name);
+pub fn serve(path: &Path, boot: NodeSettings) -> Result<(), Report<StartError>> {
+    logging::init(&boot.log_level, &boot.node.name);
     run_on_this_thread(run(path.to_path_buf(), boot))
 }
 
-async fn run(path: std::path::PathBuf, boot: Boot) -> Result<(), Report<StartError>> {
-    let front = required_address(boot.front_http, "listen_addresses.front_http")?;
+async fn run(path: std::path::PathBuf, boot: NodeSettings) -> Result<(), Report<StartError>> {
+    let front = required_address(
+        boot.listen_addresses.front_http,
+        "listen_addresses.front_http",
+    )?;
     let front = listen(front).await?;
-    let readiness = required_address(boot.readiness, "listen_addresses.readiness")?;
+    let readiness = required_address(
+        boot.listen_addresses.readiness,
+        "listen_addresses.readiness",
+    )?;
     let readiness = listen(readiness).await?;
     let internal = listen_for_sessions(&boot).await?;
     let times = Clock::start();
@@ -65,12 +74,12 @@
     let (event_sender, mut events) = mpsc::unbounded_channel();
     let factory = SessionFactory::new(handshake, event_sender);
     factory
-        .set_keys(boot.keys.as_ref())
+        .set_keys(boot.peers.keys.as_ref())
         .change_context(StartError::Keys)?;
-    let mut links = Links::new(Dialer::new(factory.clone(), boot.internal_ports.0));
+    let mut links = Links::new(Dialer::new(factory.clone(), boot.peers.ports.first));
     links.know(seed_nodes(&boot));
     let board: Shared = Rc::new(Board::new(&boot, times, incarnation, links));
-    let descriptors = boot.descriptors.saturating_sub(264).max(32);
+    let descriptors = boot.limits.file_descriptors.saturating_sub(264).max(32);
     let ready = Arc::new(AtomicBool::new(false));
     log::info!("event=start incarnation={incarnation}");
     tokio::task::spawn_local(accept_sessions(internal, descriptors / 8, factory.clone()));
@@ -103,7 +112,7 @@
                 clients.sweep(&board);
                 if let Some(at) = ended_at {
                     let now = board.times.now().as_millis();
-                    let grace = (boot.bounds.grace_period_s * GRACE_PART * 1000.0) as u64;
+                    let grace = (boot.bounds.grace_period.as_secs_f64() * GRACE_PART * 1000.0) as u64;
                     if now >= at + LINGER.min(grace / 2) {
                         clients.end();
                     }
@@ -241,7 +250,9 @@
             .configuration
             .as_ref()
             .map(|c| c.limits);
-        let (head, idle) = limits.map_or((3.0, 15.0), |l| (l.head_timeout, l.idle_timeout));
+        let (head, idle) = limits.map_or((DEFAULT_HEAD_TIMEOUT, DEFAULT_IDLE_TIMEOUT), |l| {
+            (l.header_timeout, l.idle_timeout)
+        });
         for client in self.open.borrow().values() {
             let (doing, since) = client.doing.get();
             let most = match doing {
@@ -249,7 +260,7 @@
                 Doing::Sending => head,
                 Doing::Served => continue,
             };
-            if now as f64 > since as f64 + most * 1000.0 {
+            if Duration::from_millis(now.saturating_sub(since)) > most {
                 client.at_once.set(doing == Doing::Sending);
                 client.wake.notify_one();
             }
@@ -360,7 +371,7 @@
         .borrow()
         .configuration
         .as_ref()
-        .map_or(16_384, |c| c.limits.head_bytes);
+        .map_or(16_384, |c| c.limits.max_header_bytes);
     let service = {
         let (board, client) = (board.clone(), client.clone());
         service_fn(move |request| {
--- a/crates/gateway/transport/src/program.rs
+++ b/crates/gateway/transport/src/program.rs
@@ -3,7 +3,7 @@
 use crate::startup::{StartError, read_settings, settings_path};
 use error_stack::Report;
 use gumdrop::Options;
-use rushcourse_config::Boot;
+use rushcourse_config::NodeSettings;
 use std::path::Path;
 use std::process;
 
@@ -25,7 +25,7 @@
 
 /// Starts a program by its command line, or only checks its settings file. Ends the process with code 2 where it can't.
 /// `about` stands at the head of its help.
-pub fn run(about: &str, serve: impl FnOnce(&Path, Boot) -> Result<(), Report<StartError>>) {
+pub fn run(about: &str, serve: impl FnOnce(&Path, NodeSettings) -> Result<(), Report<StartError>>) {
     let arguments = parse_arguments(about);
     if let Err(report) = start(&arguments, serve) {
         eprintln!("{report:?}");
@@ -54,7 +54,7 @@
 
 fn start(
     arguments: &Arguments,
-    serve: impl FnOnce(&Path, Boot) -> Result<(), Report<StartError>>,
+    serve: impl FnOnce(&Path, NodeSettings) -> Result<(), Report<StartError>>,
 ) -> Result<(), Report<StartError>> {
     let path = settings_path(arguments.settings.as_deref())?;
     let settings = read_settings(&path)?;
