--- a/crates/gateway/consensus/tests/timelines.rs
+++ b/crates/gateway/consensus/tests/timelines.rs
@@ -1,17 +1,18 @@
-//! Timelines of core directors, one column each. The words of a cell stand in `world/mod.rs`.
+//! Timelines of controllers, one column each. The words of a cell stand in `timeline/words.rs`.
 
-mod world;
-use world::play;
+mod timeline;
+
+use timeline::play;
 
 #[test]
-fn a_configuration_is_acknowledged_and_read_back_at_any_director() {
+fn a_configuration_is_acknowledged_and_read_back_at_any_controller() {
     play(
         "
-        0     start    start    start    start
-        1500  put5     votes    votes    votes
-        1600  acked=5  force=5  force=5  force=5
-        1700  .        .        .        get
-        1800  .        .        .        read=5
+        0     start    start        start        start
+        1500  put5     votes        votes        votes
+        1600  acked=5  committed=5  committed=5  committed=5
+        1700  .        .            .            get
+        1800  .        .            .            read=5
     ",
     );
 }
@@ -20,30 +21,30 @@
 fn nothing_is_acknowledged_by_half_of_the_disks() {
     play(
         "
-        0     start    start    start    start
-        1500  .        .        cut      cut
-        1600  put5     .        put5     .
-        1610  open=5   .        open=5   .
-        2700  force=0  force=0  force=0  force=0
-        2800  get      .        .        get
-        3900  unclear  .        .        unclear
-        4000  .        .        join     .
-        4500  force=0  force=0  force=0  force=0
-        4600  put5     .        .        .
-        4700  acked=5  force=5  force=5  force=0
+        0     start         start        start        start
+        1500  .             .            isolate      isolate
+        1600  put5          .            put5         .
+        1610  unknown=5     .            unknown=5    .
+        2700  committed=0   committed=0  committed=0  committed=0
+        2800  get           .            .            get
+        3900  read=unknown  .            .            read=unknown
+        4000  .             .            reconnect    .
+        4500  committed=0   committed=0  committed=0  committed=0
+        4600  put5          .            .            .
+        4700  acked=5       committed=5  committed=5  committed=0
     ",
     );
 }
 
 #[test]
-fn the_higher_of_two_at_once_holds_and_the_lower_is_acknowledged_too() {
+fn the_higher_of_two_versions_at_once_holds_and_the_lower_is_acknowledged_too() {
     play(
         "
-        0     start    start    start    start
-        1500  put5     put7     .        .
-        1700  acked=5  acked=7  force=7  force=7
-        1800  .        .        put6     .
-        1900  force=7  force=7  acked=6  force=7
+        0     start        start        start        start
+        1500  put5         put7         .            .
+        1700  acked=5      acked=7      committed=7  committed=7
+        1800  .            .            put6         .
+        1900  committed=7  committed=7  acked=6      committed=7
     ",
     );
 }
@@ -52,33 +53,33 @@
 fn what_was_acknowledged_outlives_power_and_a_wiped_disk() {
     play(
         "
-        0     start    start    start    start
-        1500  put5     .        .        .
-        1520  acked=5  .        .        .
-        1521  wipe     power    power    power
-        2500  start    start    start    start
-        2900  mute     votes    votes    votes
-        3000  get      .        .        .
-        3500  read=5   .        .        .
-        5500  votes    force=5  .        .
+        0     start    start        start  start
+        1500  put5     .            .      .
+        1520  acked=5  .            .      .
+        1521  wipe     power        power  power
+        2500  start    start        start  start
+        2900  silent   votes        votes  votes
+        3000  get      .            .      .
+        3500  read=5   .            .      .
+        5500  votes    committed=5  .      .
     ",
     );
 }
 
 #[test]
-fn a_stalled_disk_is_not_on_the_way_and_a_full_one_casts_no_vote() {
+fn a_stalled_disk_delays_nobody_and_a_full_one_casts_no_vote() {
     play(
         "
-        0     start    start    start       start
-        1500  .        .        .           stall
-        1600  put5     .        .           .
-        1700  acked=5  force=5  force=5     .
-        1800  .        .        refuse      flow
-        1900  put6     .        claim:k:1   .
-        2000  acked=6  force=6  no:k:1      .
-        2100  .        .        flow        .
-        3000  .        .        claim:k:2   .
-        3100  .        .        yes:k:2     .
+        0     start    start        start        start
+        1500  .        .            .            stall
+        1600  put5     .            .            .
+        1700  acked=5  committed=5  committed=5  .
+        1800  .        .            refuse       recover
+        1900  put6     .            claim:k:1    .
+        2000  acked=6  committed=6  denied:k:1   .
+        2100  .        .            recover      .
+        3000  .        .            claim:k:2    .
+        3100  .        .            granted:k:2  .
     ",
     );
 }
@@ -87,13 +88,13 @@
 fn a_key_goes_to_its_first_claimant_and_to_no_other() {
     play(
         "
-        0     start      start      start      start
-        1500  claim:k:1  claim:k:1  claim:k:1  claim:k:1
-        1600  won:k:1    .          .          .
-        1700  claim:k:2  claim:k:2  claim:k:2  claim:k:2
-        1800  no:k:2     no:k:2     no:k:2     lost:k:2
-        1900  claim:k:1  .          .          .
-        2000  yes:k:1    .          .          .
+        0     start        start       start       start
+        1500  claim:k:1    claim:k:1   claim:k:1   claim:k:1
+        1600  won:k:1      .           .           .
+        1700  claim:k:2    claim:k:2   claim:k:2   claim:k:2
+        1800  denied:k:2   denied:k:2  denied:k:2  lost:k:2
+        1900  claim:k:1    .           .           .
+        2000  granted:k:1  .           .           .
     ",
     );
 }
@@ -102,13 +103,13 @@
 fn two_at_once_split_the_votes_and_neither_wins_until_both_withdraw() {
     play(
         "
-        0     start              start              start              start
-        1500  claim:k:1          claim:k:1          claim:k:2          claim:k:2
-        1501  claim:k:2          claim:k:2          claim:k:1          claim:k:1
-        1600  lost:k:1+lost:k:2  .                  .                  .
-        1700  drop:k:1+drop:k:2  drop:k:1+drop:k:2  drop:k:1+drop:k:2  drop:k:1+drop:k:2
-        1800  claim:k:3          claim:k:3          claim:k:3          claim:k:3
-        1900  won:k:3            .                  .                  .
+        0     start                      start                      start                      start
+        1500  claim:k:1                  claim:k:1                  claim:k:2                  claim:k:2
+        1501  claim:k:2                  claim:k:2                  claim:k:1                  claim:k:1
+        1600  lost:k:1+lost:k:2          .                          .                          .
+        1700  withdraw:k:1+withdraw:k:2  withdraw:k:1+withdraw:k:2  withdraw:k:1+withdraw:k:2  withdraw:k:1+withdraw:k:2
+        1800  claim:k:3                  claim:k:3                  claim:k:3                  claim:k:3
+        1900  won:k:3                    .                          .                          .
     ",
     );
 }
@@ -117,32 +118,32 @@
 fn no_answer_leaves_before_its_claim_is_synced() {
     play(
         "
-        0     start      start      start      start
-        1500  stall      .          .          .
-        1600  claim:k:1  .          .          .
-        1800  none:k:1   .          .          .
-        1900  power      .          .          .
-        2500  start      .          .          .
-        3000  claim:k:2  claim:k:2  claim:k:2  claim:k:2
-        3100  yes:k:2    won:k:2    .          .
+        0     start        start      start      start
+        1500  stall        .          .          .
+        1600  claim:k:1    .          .          .
+        1800  pending:k:1  .          .          .
+        1900  power        .          .          .
+        2500  start        .          .          .
+        3000  claim:k:2    claim:k:2  claim:k:2  claim:k:2
+        3100  granted:k:2  won:k:2    .          .
     ",
     );
 }
 
 #[test]
-fn a_voter_that_forgot_is_mute_until_the_others_have_taught_it() {
+fn a_voter_that_lost_its_disk_is_silent_until_it_has_snapshots() {
     play(
         "
-        0     start      start      start      start
-        1500  claim:k:1  claim:k:1  claim:k:1  .
-        1600  won:k:1    .          .          .
-        1700  wipe       .          .          .
-        1800  start      .          .          .
-        2000  claim:k:2  .          .          claim:k:2
-        2100  no:k:2     .          .          yes:k:2
-        4500  votes      .          .          .
-        4600  claim:k:3  claim:k:3  claim:k:3  .
-        4700  no:k:3     no:k:3     no:k:3     lost:k:3
+        0     start       start       start       start
+        1500  claim:k:1   claim:k:1   claim:k:1   .
+        1600  won:k:1     .           .           .
+        1700  wipe        .           .           .
+        1800  start       .           .           .
+        2000  claim:k:2   .           .           claim:k:2
+        2100  denied:k:2  .           .           granted:k:2
+        4500  votes       .           .           .
+        4600  claim:k:3   claim:k:3   claim:k:3   .
+        4700  denied:k:3  denied:k:3  denied:k:3  lost:k:3
     ",
     );
 }
@@ -151,17 +152,17 @@
 fn one_wipe_after_the_other_lets_no_second_run() {
     play(
         "
-        0      start      start      start      start
-        1500   claim:k:1  claim:k:1  claim:k:1  .
-        1600   won:k:1    .          .          .
-        1700   wipe       .          .          .
-        1800   start      .          .          .
-        5000   votes      wipe       .          .
-        5100   .          start      .          .
-        8500   .          votes      wipe       .
-        8600   .          .          start      .
-        12000  claim:k:2  claim:k:2  claim:k:2  claim:k:2
-        12100  no:k:2     no:k:2     no:k:2     lost:k:2
+        0      start       start       start       start
+        1500   claim:k:1   claim:k:1   claim:k:1   .
+        1600   won:k:1     .           .           .
+        1700   wipe        .           .           .
+        1800   start       .           .           .
+        5000   votes       wipe        .           .
+        5100   .           start       .           .
+        8500   .           votes       wipe        .
+        8600   .           .           start       .
+        12000  claim:k:2   claim:k:2   claim:k:2   claim:k:2
+        12100  denied:k:2  denied:k:2  denied:k:2  lost:k:2
     ",
     );
 }
@@ -171,10 +172,10 @@
     play(
         "
         0     start      start      start      start
-        1500  .          .          .          cut
+        1500  .          .          .          isolate
         1600  claim:k:1  claim:k:1  claim:k:1  claim:k:2
-        1700  won:k:1    .          .          yes:k:2
-        1800  lost:k:2   .          .          join
+        1700  won:k:1    .          .          granted:k:2
+        1800  lost:k:2   .          .          reconnect
         2000  claim:k:2  claim:k:2  claim:k:2  .
         2100  lost:k:2   .          .          .
     ",
@@ -185,19 +186,19 @@
 fn all_killed_at_once_come_back_with_their_claims() {
     play(
         "
-        0     start      start      start      start
-        1500  claim:k:1  claim:k:1  claim:k:1  claim:k:1
-        1600  kill       kill       kill       kill
-        2000  start      start      start      start
-        2100  votes      votes      votes      votes
-        2200  claim:k:2  claim:k:2  claim:k:2  claim:k:2
-        2300  no:k:2     no:k:2     no:k:2     no:k:2
+        0     start       start       start       start
+        1500  claim:k:1   claim:k:1   claim:k:1   claim:k:1
+        1600  kill        kill        kill        kill
+        2000  start       start       start       start
+        2100  votes       votes       votes       votes
+        2200  claim:k:2   claim:k:2   claim:k:2   claim:k:2
+        2300  denied:k:2  denied:k:2  denied:k:2  denied:k:2
     ",
     );
 }
 
 #[test]
-fn a_claim_is_over_after_its_window() {
+fn a_claim_expires_after_its_window() {
     play(
         "
         0      start      start      start      start
@@ -210,52 +211,52 @@
     );
 }
 
-/// Two operators put different texts under one number at the same time. One of them is in force at all directors, or
-/// neither is until a higher number comes; both are acknowledged only if the other changed nothing.
+/// Two operators put different texts under one version at the same time. One of them is committed at all controllers,
+/// or neither is until a higher version comes; both are acknowledged only if the other changed nothing.
 #[test]
-fn of_two_texts_under_one_number_one_is_in_force_everywhere() {
+fn of_two_texts_of_one_version_one_is_committed_everywhere() {
     play(
         "
-        0     start    start    start    start
-        1500  put5     twin5    .        .
-        2300  force=5  force=5  force=5  force=5
-        2400  acked=5  acked=5  .        .
-        2600  .        .        .        put6
-        2900  force=6  force=6  force=6  acked=6
-        3000  get      .        .        .
-        3100  read=6   .        .        .
+        0     start        start        start        start
+        1500  put5         rival5       .            .
+        2300  committed=5  committed=5  committed=5  committed=5
+        2400  acked=5      acked=5      .            .
+        2600  .            .            .            put6
+        2900  committed=6  committed=6  committed=6  acked=6
+        3000  get          .            .            .
+        3100  read=6       .            .            .
     ",
     );
     play(
         "
-        0     start    start    start    start
-        1500  .        cut      .        .
-        1600  put5     twin5    .        .
-        1800  acked=5  force=0  force=5  force=5
-        2000  .        join     .        .
-        2600  .        force=5  .        .
-        2700  .        get      .        .
-        2900  .        read=5   .        .
-        3000  .        twin5    .        .
-        3200  .        acked=5  .        .
+        0     start    start        start        start
+        1500  .        isolate      .            .
+        1600  put5     rival5       .            .
+        1800  acked=5  committed=0  committed=5  committed=5
+        2000  .        reconnect    .            .
+        2600  .        committed=5  .            .
+        2700  .        get          .            .
+        2900  .        read=5       .            .
+        3000  .        rival5       .            .
+        3200  .        acked=5      .            .
     ",
     );
 }
 
-/// The minority's text does not come back after a loss of power: its disk holds the one that is in force.
+/// The minority's text does not come back after a loss of power: its disk holds the one that is committed.
 #[test]
-fn the_text_of_a_minority_under_the_same_number_is_gone_for_good() {
+fn the_text_of_a_minority_under_the_same_version_is_gone_for_good() {
     play(
         "
-        0     start    start    start    start
-        1500  .        cut      .        .
-        1600  put5     twin5    .        .
-        2000  .        join     .        .
-        2600  power    power    power    power
-        2700  start    start    start    start
-        3400  force=5  force=5  force=5  force=5
-        3500  .        get      .        .
-        3700  .        read=5   .        .
+        0     start        start        start        start
+        1500  .            isolate      .            .
+        1600  put5         rival5       .            .
+        2000  .            reconnect    .            .
+        2600  power        power        power        power
+        2700  start        start        start        start
+        3400  committed=5  committed=5  committed=5  committed=5
+        3500  .            get          .            .
+        3700  .            read=5       .            .
     ",
     );
 }
@@ -269,14 +270,14 @@
         1500  claim:k:1    claim:k:1    claim:k:1    claim:k:1
         2000  ahead=90000  ahead=90000  ahead=90000  ahead=90000
         2500  claim:k:2    claim:k:2    claim:k:2    claim:k:2
-        2600  no:k:2       no:k:2       no:k:2       no:k:2
+        2600  denied:k:2   denied:k:2   denied:k:2   denied:k:2
         2700  claim:m:1    claim:m:1    claim:m:1    claim:m:1
         3000  back=90000   back=90000   back=90000   back=90000
         3100  back=90000   back=90000   back=90000   back=90000
         3200  claim:n:1    claim:n:1    claim:n:1    claim:n:1
         4000  ahead=90000  ahead=90000  ahead=90000  ahead=90000
         4500  claim:n:2    claim:m:2    claim:n:2    claim:n:2
-        4600  no:n:2       no:m:2       no:n:2       no:n:2
+        4600  denied:n:2   denied:m:2   denied:n:2   denied:n:2
     ",
     );
 }
@@ -286,19 +287,19 @@
 fn a_claim_outlives_a_restart_under_a_wrong_time_of_day() {
     play(
         "
-        0     start        start        start        start
-        1500  claim:k:1    claim:k:1    claim:k:1    claim:k:1
+        0     start             start             start             start
+        1500  claim:k:1         claim:k:1         claim:k:1         claim:k:1
         1600  kill+ahead=90000  kill+ahead=90000  kill+ahead=90000  wipe+ahead=90000
-        2000  start        start        start        start
-        6000  votes        votes        votes        votes
-        6100  claim:k:2    claim:k:2    claim:k:2    claim:k:2
-        6200  no:k:2       no:k:2       no:k:2       no:k:2
+        2000  start             start             start             start
+        6000  votes             votes             votes             votes
+        6100  claim:k:2         claim:k:2         claim:k:2         claim:k:2
+        6200  denied:k:2        denied:k:2        denied:k:2        denied:k:2
     ",
     );
 }
 
-/// Two texts under one number at the same moment, and a voter is lost just then: one of them is in force everywhere, and both
-/// operators have their answer inside a second.
+/// Two texts of one version at the same moment, and a voter is lost just then: one of them is committed everywhere, and
+/// both operators have their answer inside a second.
 #[test]
 fn a_race_that_splits_evenly_ends_though_a_voter_is_lost() {
     for lost_at in 15_000..15_015 {
@@ -312,27 +313,27 @@
                 0          start  start  start  start
                 1500       .      put5   put7   .
                 1700       {}
-                15000      put9   twin9  put9   twin9
+                15000      put9   rival9 put9   rival9
                 {lost_at}  {}
                 15900      {}
                 15901      {}",
-                row("force=7", "force=7"),
+                row("committed=7", "committed=7"),
                 row(".", "kill"),
-                row("force=9", "."),
+                row("committed=9", "."),
                 row("acked=9", "."),
             ));
         }
     }
 }
 
-/// An order that was taken is acknowledged again at any director, however many versions came since.
+/// A put that was acknowledged is acknowledged again at any controller, however many versions came since.
 #[test]
-fn an_old_order_is_acknowledged_again_after_hundreds_of_versions() {
+fn an_old_put_is_acknowledged_again_after_hundreds_of_versions() {
     let mut timeline = String::from(
         "
-        0     start  start  start  start
-        1500  put5   .      .      .
-        1600  acked=5  .    .      .
+        0     start    start  start  start
+        1500  put5     .      .      .
+        1600  acked=5  .      .      .
         ",
     );
     for version in 6..=300 {
@@ -341,25 +342,25 @@
         timeline += &format!("{}  {}\n", 1_600 + version * 20, row.join("  "));
     }
     timeline += "
-        7800  acked=300  .  .  force=300
-        7900  put5  put5  put5  put5
-        7910  acked=5  acked=5  acked=5  acked=5
-        8000  .  .  .  kill
-        8100  .  .  .  start
-        8101  .  .  .  put5
-        8300  .  .  .  acked=5
+        7800  acked=300  .        .        committed=300
+        7900  put5       put5     put5     put5
+        7910  acked=5    acked=5  acked=5  acked=5
+        8000  .          .        .        kill
+        8100  .          .        .        start
+        8101  .          .        .        put5
+        8300  .          .        .        acked=5
     ";
     play(&timeline);
 }
 
 /// A replica that was away for a thousand changes has the newest a moment after its return, and serves no read before.
 #[test]
-fn a_replica_that_slept_through_a_thousand_changes_catches_up_at_once() {
+fn a_replica_that_missed_a_thousand_changes_catches_up_at_once() {
     let mut timeline = String::from(
         "
-        0     start  start  start  start
-        1500  put5   .      .      .
-        1600  acked=5  .    .      kill
+        0     start    start  start  start
+        1500  put5     .      .      .
+        1600  acked=5  .      .      kill
         ",
     );
     for version in 6..=1_005 {
@@ -368,13 +369,13 @@
         timeline += &format!("{}  {}\n", 1_600 + version * 20, row.join("  "));
     }
     timeline += "
-        22000  .  force=1005  .  start
-        22001  .  .  .  get
-        22300  .  .  .  force=1005+read=1005
-        22400  .  .  cut  .
-        22500  .  put1006  .  .
-        22600  .  acked=1006  get  .
-        23600  .  .  unclear+force=1005  .
+        22000  .  committed=1005  .                            start
+        22001  .  .               .                            get
+        22300  .  .               .                            committed=1005+read=1005
+        22400  .  .               isolate                      .
+        22500  .  put1006         .                            .
+        22600  .  acked=1006      get                          .
+        23600  .  .               read=unknown+committed=1005  .
     ";
     play(&timeline);
 }
