--- a/crates/gateway/consensus/src/claims.rs
+++ b/crates/gateway/consensus/src/claims.rs
@@ -1,9 +1,9 @@
 //! Claims of operation keys. A voter grants a key to the first claim and to no other until the window is over, or until
-//! that claimant itself says that nothing was sent. It answers only once its disk holds the claim. A claim that a
+//! that claimant itself withdraws its claim. It answers only once its disk holds the claim. A claim that a
 //! majority granted is the only one that can be: two majorities share a voter, also where a voting set follows another
 //! (`membership/mod.rs` states why).
 //!
-//! How long a claim is kept is measured by the steady clock alone. The time of day may step, and no clock tells how long
+//! How long a claim is kept is measured by the steady clock alone. The time of day may step, and no clock knows how long
 //! a machine was off: claims that the disk held count as new at the start.
 
 use crate::context::{Context, PendingWrite};
@@ -22,8 +22,8 @@
 const MAX_CLAIMS: usize = 200_000;
 /// Claims that expire in one tick at most, so that no tick is long (ours).
 const MAX_EXPIRED_PER_TICK: usize = 2_000;
-/// Claims whose order of coming is remembered, for snapshots that go on where the last one ended (ours: some seconds'
-/// worth at 2,000 a second).
+/// Claims whose order of arrival is kept, for snapshots that go on where the last one ended (ours: some seconds' worth at
+/// 2,000 a second).
 const MAX_RECENT_CLAIMS: usize = 8_192;
 
 /// A claim that holds its key at this replica.
@@ -61,7 +61,7 @@
     key: KeyDigest,
 }
 
-/// The last keys in the order in which their claims came.
+/// The last keys in the order in which their claims arrived.
 #[derive(Clone, Debug, Default)]
 struct RecentKeys {
     keys: VecDeque<KeyDigest>,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// The first step of this incarnation: what the disk held counts as new.
+    /// The first step of this incarnation: claims that the disk held count as new.
     pub(crate) fn start(&mut self, now: Timestamp) {
         let expires_at = now + self.retention;
         for entry in self.claims.values_mut() {
@@ -142,7 +142,7 @@
         }
     }
 
-    /// Who holds a key here.
+    /// The claim that holds a key.
     pub(crate) fn holder(&self, key: KeyDigest) -> Option<HeldClaim> {
         let entry = self.claims.get(&key)?;
         Some(HeldClaim {
@@ -165,8 +165,8 @@
         });
     }
 
-    /// Answers a claim, or takes it in and answers once it is durable. `is_voter`: this replica votes in the set that
-    /// the claim names.
+    /// Answers a claim, or stores it and answers once it is durable. `is_voter`: this replica votes in the set that the
+    /// claim names.
     pub(crate) fn claim(&mut self, context: &mut Context, is_voter: bool, request: ClaimRequest) {
         let is_full = self.claims.len() >= MAX_CLAIMS;
         let entry = self.claims.get_mut(&request.key);
@@ -247,8 +247,8 @@
         self.claims.remove(&key);
     }
 
-    /// The claimant sent nothing under its claim. The record on disk may go later: a claim that comes back after a loss
-    /// of power blocks its key for a window, and breaks nothing.
+    /// Removes a claim that its claimant withdraws. The record on disk may go later: a claim that is back after a loss of
+    /// power blocks its key for a window, and breaks nothing.
     pub(crate) fn withdraw(&mut self, context: &mut Context, key: KeyDigest, claim: ClaimId) {
         if self.claims.get(&key).is_some_and(|entry| entry.id == claim) {
             self.claims.remove(&key);
@@ -259,12 +259,12 @@
         }
     }
 
-    /// The position behind the last claim that came: the next snapshot for the same receiver begins there.
+    /// The position behind the last claim that arrived: the next snapshot for the same receiver begins there.
     pub(crate) fn position(&self) -> u64 {
         self.recent.end()
     }
 
-    /// All claims, or those that came from a position on, where that is still known.
+    /// All claims, or those that arrived from a position on, where that is still known.
     pub(crate) fn snapshot(&self, now: Timestamp, from: Option<u64>) -> Vec<ClaimRecord> {
         let record = |key: &KeyDigest, entry: &Entry| {
             let remaining = entry.expires_at.since(now);
@@ -286,8 +286,8 @@
         }
     }
 
-    /// Takes in what another voter holds, and gives back what is to be written; what is here already stays. The claims
-    /// are durable once [`ClaimRegistry::install_synced`] says so.
+    /// Adds the claims of another voter's snapshot, and returns what is to be written. A claim that is held already
+    /// stays. The new ones are durable from [`ClaimRegistry::install_synced`] on.
     pub(crate) fn install(
         &mut self,
         context: &Context,
@@ -335,7 +335,7 @@
         }
     }
 
-    /// Forgets claims that have expired, some of them in each tick.
+    /// Removes claims that have expired, a bounded number in each tick.
     pub(crate) fn tick(&mut self, context: &mut Context) {
         let mut operations = Vec::new();
         for _ in 0..MAX_EXPIRED_PER_TICK {
--- a/crates/gateway/consensus/src/configuration/lagging_peers.rs
+++ b/crates/gateway/consensus/src/configuration/lagging_peers.rs
@@ -1,4 +1,4 @@
-//! Brings the committed configuration to replicas that lack it.
+//! Sends the committed configuration to replicas that lack it.
 
 use crate::context::Context;
 use crate::paxos::Paxos;
@@ -10,7 +10,7 @@
 
 /// Between two sendings of one version to one peer that has not reported that it holds it.
 const PUSH_INTERVAL: Duration = Duration::from_millis(400);
-/// After which any replica brings a version to one that lacks it, not only the first of those that have it.
+/// After which any replica sends a version to one that lacks it, not only the first of those that have it.
 const PUSH_BY_ANY_DELAY: Duration = Duration::from_millis(1_200);
 
 /// A peer that was found to lack a version.
--- a/crates/gateway/consensus/src/configuration/mod.rs
+++ b/crates/gateway/consensus/src/configuration/mod.rs
@@ -1,12 +1,12 @@
 //! The configuration: the highest version that was chosen holds.
 //!
 //! Each version is a slot, and its text is chosen by ballots: so however operators race, and whatever is lost, one text
-//! at most is committed under a number, and the slot is settled once a majority can talk. A replica sees that a version
-//! is committed by what the voters report of their disks; nothing that could still vanish is ever served. Replicas that
-//! lag get the newest version only.
+//! at most is committed under a version, and the slot is decided once a majority is connected. A replica learns that a
+//! version is committed from what the voters report of their disks; nothing that could still be lost is ever served.
+//! Replicas that lag get the newest version only.
 //!
 //! * `operator_calls.rs`: operators' calls that wait for a majority.
-//! * `lagging_peers.rs`: brings the committed version to replicas that lack it.
+//! * `lagging_peers.rs`: sends the committed version to replicas that lack it.
 
 mod lagging_peers;
 mod operator_calls;
@@ -29,11 +29,11 @@
 /// Between two reports of what is held, when nothing changed. Two of them are shorter than
 /// `peer_reports::REPORT_TIMEOUT`, as a report is echoed up to this time after it was read.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
-/// For how long an accepted version may stay open before a voter has it chosen, and what each rank adds: its proposer
-/// may be gone.
+/// For how long an accepted version may stay open before a voter proposes it again, and what each rank adds: its
+/// proposer may be gone.
 const COMPLETION_DELAY: Duration = Duration::from_millis(400);
 const COMPLETION_DELAY_PER_RANK: Duration = Duration::from_millis(150);
-/// For how long a voter tries to have such a version chosen before it looks again.
+/// For how long a voter tries to get such a version chosen before it looks again.
 const COMPLETION_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 /// A version that is accepted here and not committed.
@@ -70,6 +70,7 @@
         acceptor.highest_version(self.committed)
     }
 
+    /// The session with a peer broke.
     pub fn peer_disconnected(&mut self, peer: NodeId) {
         self.lagging.forget(peer);
     }
@@ -126,7 +127,7 @@
             .read_response(from, token, is_voter, highest_accepted);
     }
 
-    /// Looks at what follows from all that is known: what is committed, which calls have their answer.
+    /// Commits what is chosen, and answers calls whose outcome is known.
     pub fn update(&mut self, context: &mut Context, paxos: &mut Paxos) {
         self.commit_chosen(context, paxos);
         self.calls.answer_ended(context, paxos, self.committed);
@@ -146,11 +147,11 @@
         self.committed = version;
         self.open = None;
         paxos.proposer.configuration_committed(version);
-        let settled = PruneBounds {
+        let decided = PruneBounds {
             versions_below: version,
             epochs_through: Epoch::NONE,
         };
-        paxos.acceptor.prune(context, settled);
+        paxos.acceptor.prune(context, decided);
         context.log(LogEvent::ConfigurationCommitted {
             version,
             epoch: paxos.membership.voting_set().epoch,
@@ -169,6 +170,7 @@
         self.report_to_all(context, paxos);
     }
 
+    /// Does what is due.
     pub fn tick(&mut self, context: &mut Context, paxos: &mut Paxos) {
         paxos.acceptor.retry_writes(context);
         if context.now >= self.reported_at + REPORT_INTERVAL {
@@ -178,7 +180,7 @@
         self.lagging.push(context, paxos, self.committed);
     }
 
-    /// Has the highest accepted version chosen if nobody did so in time.
+    /// Proposes the highest accepted version again if it has not been committed in time.
     fn complete_open_version(&mut self, context: &mut Context, paxos: &mut Paxos) {
         let highest = paxos.acceptor.configurations_above(self.committed).next();
         let Some((version, proposal)) = highest else {
--- a/crates/gateway/consensus/src/configuration/operator_calls.rs
+++ b/crates/gateway/consensus/src/configuration/operator_calls.rs
@@ -66,7 +66,7 @@
 }
 
 impl OperatorCalls {
-    /// Takes in a new configuration and proposes it.
+    /// Proposes a new configuration.
     pub(super) fn put(
         &mut self,
         context: &mut Context,
@@ -90,7 +90,7 @@
         self.puts.insert(ticket, call);
     }
 
-    /// Takes in a read and asks voters what they have accepted.
+    /// Begins a read: asks voters what they have accepted.
     pub(super) fn get(
         &mut self,
         context: &mut Context,
@@ -111,7 +111,7 @@
             highest_accepted: paxos.acceptor.highest_version(committed),
         };
         self.gets.insert(ticket, call);
-        for member in membership.reached_members() {
+        for member in membership.reachable_members() {
             if member != context.node {
                 let request = Message::ReadRequest {
                     token: self.last_token,
@@ -140,7 +140,7 @@
     }
 
     /// Another voting set is adopted: answers of the old one's voters no longer count. Configurations are proposed to
-    /// the new one, reads begin anew.
+    /// the new one, reads are restarted.
     pub(super) fn voting_set_changed(
         &mut self,
         context: &mut Context,
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Answers the calls whose outcome is known, and those whose time is over.
+    /// Answers the calls whose outcome is known, and those that time out.
     pub(super) fn answer_ended(
         &mut self,
         context: &mut Context,
--- a/crates/gateway/consensus/src/context.rs
+++ b/crates/gateway/consensus/src/context.rs
@@ -33,14 +33,14 @@
     Untracked,
 }
 
-/// Everything that the parts read and write in a step.
+/// The time and the effects of the current step, and what waits for the disk.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
     /// This replica.
     pub node: NodeId,
-    /// When this step is, by the steady clock.
+    /// The time of this step, by the steady clock.
     pub now: Timestamp,
-    /// When this step is, by the time of day; only for pages.
+    /// The time of this step, by the time of day; only for status pages.
     pub wall: WallTime,
     last_batch: BatchId,
     pending_writes: BTreeMap<BatchId, PendingWrite>,
@@ -50,6 +50,7 @@
 }
 
 impl Context {
+    /// The context before the first step.
     pub fn new(node: NodeId) -> Context {
         Context {
             node,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Has a batch written; `pending` comes back by [`Context::end_write`] once the disk has answered.
+    /// Writes a batch. [`Context::end_write`] gives `pending` back once the disk has synced or refused it.
     pub fn write(&mut self, operations: Vec<WriteOperation>, pending: PendingWrite) {
         self.last_batch = self.last_batch.next();
         self.pending_writes.insert(self.last_batch, pending);
@@ -72,11 +73,12 @@
         }));
     }
 
-    /// The disk has answered: what waited for the batch.
+    /// What waited for a batch that the disk has synced or refused.
     pub fn end_write(&mut self, batch: BatchId) -> Option<PendingWrite> {
         self.pending_writes.remove(&batch)
     }
 
+    /// Sends a message to another replica, or to this one itself.
     pub fn send(&mut self, to: NodeId, message: Message) {
         if to == self.node {
             self.loopback.push_back(message);
@@ -90,15 +92,17 @@
         self.loopback.pop_front()
     }
 
+    /// Adds a line to the log.
     pub fn log(&mut self, event: LogEvent) {
         self.push(Effect::Log(event));
     }
 
+    /// Adds an effect to this step.
     pub fn push(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    /// The effects of the step, which ends.
+    /// Ends the step: its effects.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
--- a/crates/gateway/consensus/src/durable_state.rs
+++ b/crates/gateway/consensus/src/durable_state.rs
@@ -10,7 +10,7 @@
     pub key: KeyDigest,
     /// Who holds it.
     pub id: ClaimId,
-    /// When this machine took the claim in, by its time of day. Shown to people; nothing is decided by it.
+    /// When this machine received the claim, by its time of day. Shown to people; nothing is decided by it.
     pub claimed_at: WallTime,
 }
 
@@ -50,7 +50,7 @@
     StoreClaim(StoredClaim),
     /// Removes the claim of a key.
     RemoveClaim(KeyDigest),
-    /// One run of a host, as last heard of; one that is gone is removed. Nothing waits for these.
+    /// The last record of one run of a host; that of a host that is gone is removed. Nothing waits for these.
     StoreHost(HostRecord),
 }
 
@@ -72,7 +72,7 @@
 /// Operations that are written together or not at all.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WriteBatch {
-    /// Names the batch once it is synced, or was refused.
+    /// Names the batch when it is synced or refused.
     pub id: BatchId,
     /// In the order in which they take effect.
     pub operations: Vec<WriteOperation>,
@@ -89,7 +89,7 @@
     pub records: Vec<SlotRecord>,
     /// Claims of operation keys.
     pub claims: Vec<StoredClaim>,
-    /// Hosts as last heard of.
+    /// The last records of hosts.
     pub hosts: Vec<HostRecord>,
 }
 
--- a/crates/gateway/consensus/src/effect.rs
+++ b/crates/gateway/consensus/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a step asks its owner to do, and how calls of operators end.
+//! The effects of a step, which its caller carries out.
 
 use crate::durable_state::WriteBatch;
 use crate::log_event::LogEvent;
@@ -48,10 +48,10 @@
     pub verdict: ClaimVerdict,
 }
 
-/// What the owner of a node is to do, in this order.
+/// What the caller of a step is to do. The order of effects matters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write a batch and sync it; then give back [`crate::Input::BatchSynced`] or [`crate::Input::BatchRefused`].
+    /// Write a batch and sync it; then report [`crate::Input::BatchSynced`] or [`crate::Input::BatchRefused`].
     Write(WriteBatch),
     /// Send a message to another controller.
     Send {
--- a/crates/gateway/consensus/src/input.rs
+++ b/crates/gateway/consensus/src/input.rs
@@ -1,4 +1,4 @@
-//! What comes to a node from its owner.
+//! The inputs of a node.
 
 use crate::durable_state::BatchId;
 use rushcourse_messages::Message;
@@ -20,7 +20,7 @@
     pub claim: ClaimId,
 }
 
-/// What happened to a node.
+/// What a node is to handle in one step.
 #[derive(Clone, Debug)]
 pub enum Input {
     /// A session with another controller stands.
@@ -41,7 +41,7 @@
     },
     /// The disk holds a batch.
     BatchSynced(BatchId),
-    /// The disk refused a batch: nothing of it is written.
+    /// The disk refused a batch: none of it is written.
     BatchRefused(BatchId),
     /// An operator's new configuration; it was checked before.
     PutConfiguration {
@@ -59,7 +59,7 @@
     },
     /// A gateway claims an operation key.
     Claim(ClaimRequest),
-    /// A gateway sent nothing under its claim, and will not.
+    /// A gateway withdraws its claim: it sent no request under it, and will not.
     WithdrawClaim {
         /// The operation key.
         key: KeyDigest,
@@ -68,6 +68,6 @@
     },
     /// The process is to end: a standby may take its place in the voting set.
     ShutDown,
-    /// Time passes: comes every 50 ms or so.
+    /// Time passes. Comes about every 50 ms.
     Tick,
 }
--- a/crates/gateway/consensus/src/lib.rs
+++ b/crates/gateway/consensus/src/lib.rs
@@ -7,7 +7,7 @@
 //! * `paxos/`: ballots: what this replica promised, voted for and proposes, and what others reported of their votes.
 //! * `configuration/`: the configuration; the highest committed version holds.
 //! * `claims.rs`: claims of operation keys; the first claim holds for the whole window.
-//! * `snapshot.rs`: how a replica without complete state is brought up to date.
+//! * `snapshot.rs`: how a replica gets complete state from others.
 //! * `input.rs`, `effect.rs`, `log_event.rs`: what goes in and what comes out; `durable_state.rs`: what the disk holds.
 
 mod claims;
--- a/crates/gateway/consensus/src/log_event.rs
+++ b/crates/gateway/consensus/src/log_event.rs
@@ -1,4 +1,4 @@
-//! The lines that this package has for the log, one an event: `key=value` pairs, `event` first.
+//! Log lines of this package, one an event: `key=value` pairs, `event` first.
 
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId};
@@ -36,9 +36,9 @@
         /// How many did.
         senders: usize,
     },
-    /// The chunks of a snapshot do not add up to what its trailer says; it is asked for again.
+    /// The chunks of a snapshot do not add up to its trailer; it is requested again.
     SnapshotDamaged {
-        /// Claims that came.
+        /// Claims that arrived.
         claims: u64,
         /// Claims that its sender counted.
         expected: u64,
--- a/crates/gateway/consensus/src/membership/first_set.rs
+++ b/crates/gateway/consensus/src/membership/first_set.rs
@@ -11,23 +11,23 @@
 /// After its start, when the first set is proposed at the earliest (ours: sessions of machines that start together
 /// stand within some hundred ms; the operator's first configuration waits for it).
 const FIRST_SET_DELAY: Duration = Duration::from_millis(900);
-/// For how long no further controller must have come.
+/// For how long no further controller must have connected.
 const FIRST_SET_QUIET_PERIOD: Duration = Duration::from_millis(300);
 /// Voters of the first set at most, where `fault_tolerance` doesn't want more (ours): each claim costs a vote of each.
 const MAX_FIRST_VOTERS: usize = 5;
 
 /// Whether this replica is to propose the first set now: at the first start of the whole system, the seed with the
-/// lowest address does once all seeds are there and no further controller comes.
+/// lowest address does once all seeds are connected and no further controller connects.
 pub(super) fn is_due(setup: &Setup, peers: &Peers, now: Timestamp, uptime: Duration) -> bool {
-    let is_here = |seed: &NodeId| *seed == setup.node || peers.is_connected(*seed);
+    let is_reachable = |seed: &NodeId| *seed == setup.node || peers.is_connected(*seed);
     setup.is_first_start
         && setup.seeds.iter().min() == Some(&setup.node)
-        && setup.seeds.iter().all(is_here)
+        && setup.seeds.iter().all(is_reachable)
         && uptime >= FIRST_SET_DELAY
         && now >= peers.last_connected_at() + FIRST_SET_QUIET_PERIOD
 }
 
-/// All controllers that are here, or as many as are to vote, spread over zones.
+/// The set of all connected controllers, or of as many as are to vote, spread over zones.
 pub(super) fn propose(setup: &Setup, peers: &Peers) -> VotingSet {
     let mut candidates: BTreeMap<NodeId, Arc<str>> = peers.zones().clone();
     candidates.insert(setup.node, setup.zone.clone());
--- a/crates/gateway/consensus/src/membership/learning.rs
+++ b/crates/gateway/consensus/src/membership/learning.rs
@@ -1,5 +1,4 @@
-//! How this replica, where it lacks state, is brought up to date by snapshots: a member that does not have complete
-//! state, or a standby that was invited.
+//! How this replica gets complete state by snapshots, as a member that lacks it or as a standby that was invited.
 
 use super::Membership;
 use crate::context::Context;
@@ -8,14 +7,14 @@
 use rushcourse_types::{Epoch, NodeId, Timestamp};
 use std::time::Duration;
 
-/// After its start, when a member without complete state first asks for snapshots: longer than votes and promises that
+/// After its start, when a member without complete state first requests snapshots: longer than votes and promises that
 /// it may have given before the loss are counted (votes on claims in `rushcourse-routing`, 450 ms;
-/// `proposer::PROMISE_TIMEOUT`, 800 ms; `peer_reports::REPORT_TIMEOUT`, 1,700 ms), so that each has come to something or
-/// to nothing by then.
+/// `proposer::PROMISE_TIMEOUT`, 800 ms; `peer_reports::REPORT_TIMEOUT`, 1,700 ms), so that each has taken effect or
+/// expired by then.
 const SNAPSHOT_REQUEST_DELAY: Duration = Duration::from_millis(2_200);
 /// Between two requests for snapshots.
 const SNAPSHOT_REQUEST_INTERVAL: Duration = Duration::from_millis(400);
-/// For how long a standby goes on asking after it was invited.
+/// For how long a standby goes on requesting snapshots after it was invited.
 const INVITATION_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 impl Membership {
@@ -27,7 +26,7 @@
         if self.progress.ready_for == epoch {
             context.send(from, Message::LearnerReady { epoch });
         } else {
-            self.progress.invited_until = context.now + INVITATION_TIMEOUT;
+            self.progress.invitation_expires_at = context.now + INVITATION_TIMEOUT;
         }
     }
 
@@ -39,11 +38,12 @@
         if self.is_member() {
             !self.has_complete_state && self.uptime(now) >= SNAPSHOT_REQUEST_DELAY
         } else {
-            now < self.progress.invited_until && self.progress.ready_for != self.voting_set.epoch
+            now < self.progress.invitation_expires_at
+                && self.progress.ready_for != self.voting_set.epoch
         }
     }
 
-    /// The voters to ask for snapshots now.
+    /// The voters to request snapshots from now.
     pub fn snapshot_sources(&mut self, now: Timestamp) -> Vec<NodeId> {
         if !self.is_learning(now) || now < self.progress.requested_at + SNAPSHOT_REQUEST_INTERVAL {
             return Vec::new();
@@ -55,7 +55,7 @@
             .collect()
     }
 
-    /// The whole snapshot of one more voter is here. The set's epoch once they are enough.
+    /// The whole snapshot of one more voter has arrived. Returns the set's epoch once they are enough.
     pub fn snapshot_received(&mut self, from: NodeId) -> Option<Epoch> {
         self.progress.senders.insert(from);
         let is_enough = self.progress.senders.len() >= self.voting_set.snapshot_quorum();
@@ -63,12 +63,12 @@
         is_enough.then_some(self.voting_set.epoch)
     }
 
-    /// The disk refused what snapshots brought.
+    /// The disk refused what snapshots contained.
     pub fn install_refused(&mut self) {
         self.progress.abort();
     }
 
-    /// The disk holds all that voters of a set sent.
+    /// The disk holds all that enough voters of a set sent.
     pub fn install_synced(&mut self, context: &mut Context, epoch: Epoch) {
         if epoch != self.voting_set.epoch || !self.progress.is_installing {
             return;
--- a/crates/gateway/consensus/src/membership/mod.rs
+++ b/crates/gateway/consensus/src/membership/mod.rs
@@ -1,20 +1,21 @@
 //! The voting set, who of it has complete state, and how it changes.
 //!
-//! Nobody is told how many controllers there are. At the first start the seed with the lowest address gathers who is
-//! there and proposes the set of epoch 1 once; it holds it on its own disk before it sends it, so there is one epoch 1.
+//! The settings do not say how many controllers there are. At the first start the seed with the lowest address proposes
+//! the set of epoch 1, once, of the controllers that are connected; its own disk holds it before it is sent, so there is
+//! one epoch 1.
 //! From then on the set of epoch n + 1 is chosen by a majority of that of epoch n, by ballots, and differs from it by
 //! one member that takes the place of another, or is added. Votes, promises and claims carry the epoch, and a replica
 //! that has adopted a set refuses those of an earlier one.
 //!
-//! A member *has complete state* if it has been a member without a gap since it last had, with its disk; or was brought
-//! up to date by snapshots. One without (a newcomer, one that lost its disk, one that was out of the set for a while)
+//! A member *has complete state* if it has been a member without a gap since it last had, with its disk; or has
+//! installed snapshots. One without (a newcomer, one that lost its disk, one that was out of the set for a while)
 //! casts no vote until `VotingSet::snapshot_quorum` other members with complete state, which have adopted this very set,
 //! have sent it their snapshots.
 //!
 //! **Invariant.** With `f` members that lack state: each claim that was won, and each proposal that was chosen, in this
 //! set or an earlier one, is held by at least `majority - f` of the members with complete state.
 //! - Winning or choosing: a majority votes, and only members with complete state do.
-//! - A disk lost: one holder less, `f` one more. One brought up to date: it asked `size - majority + 1` members with
+//! - A disk lost: one holder less, `f` one more. Snapshots installed: they are of `size - majority + 1` members with
 //!   complete state; of these `size - f` at least `majority - f` hold it; so one of the senders does, and `f` is one
 //!   less.
 //! - A member replaced: one holder less at most, and the newcomer lacks state: `f` one more. One added: the majority
@@ -25,10 +26,10 @@
 //! So two claims of one key can't both be won, within a set or across sets: the second one needs a majority of members
 //! with complete state, `size - f` of them, and shares one with the holders of the first.
 //!
-//! * `peers.rs`: the other controllers, as this replica sees them by its sessions.
+//! * `peers.rs`: the other controllers, by this replica's sessions with them.
 //! * `first_set.rs`: the set of epoch 1.
 //! * `replacement.rs`, `standbys.rs`: how one set follows another.
-//! * `learning.rs`, `progress.rs`: how this replica is brought up to date where it lacks state.
+//! * `learning.rs`, `progress.rs`: how this replica gets complete state where it lacks it.
 
 mod first_set;
 mod learning;
@@ -67,6 +68,7 @@
 }
 
 impl Membership {
+    /// Membership at the start, with what the state file holds.
     pub fn new(setup: Setup, voting_set: VotingSet, has_complete_state: bool) -> Membership {
         Membership {
             setup,
@@ -81,14 +83,17 @@
         }
     }
 
+    /// The voting set that this replica counts in.
     pub fn voting_set(&self) -> &VotingSet {
         &self.voting_set
     }
 
+    /// Whether this replica holds what a voter of its set has to hold.
     pub fn has_complete_state(&self) -> bool {
         self.has_complete_state
     }
 
+    /// Whether this replica is a member of its set.
     pub fn is_member(&self) -> bool {
         self.voting_set.contains(self.setup.node)
     }
@@ -108,25 +113,27 @@
         self.peers.connected().collect()
     }
 
-    fn is_here(&self, node: NodeId) -> bool {
+    fn is_reachable(&self, node: NodeId) -> bool {
         node == self.setup.node || self.peers.is_connected(node)
     }
 
     /// Members of the set that are in session with this replica, itself counted.
-    pub fn reached_members(&self) -> Vec<NodeId> {
+    pub fn reachable_members(&self) -> Vec<NodeId> {
         let members = self.voting_set.members.iter().copied();
-        members.filter(|member| self.is_here(*member)).collect()
+        members
+            .filter(|member| self.is_reachable(*member))
+            .collect()
     }
 
     /// Whether a majority of the set is in session with this replica, itself counted.
     pub fn has_quorum_contact(&self) -> bool {
         !self.voting_set.epoch.is_none()
-            && self.reached_members().len() >= self.voting_set.majority()
+            && self.reachable_members().len() >= self.voting_set.majority()
     }
 
     /// This replica's place among the members that are in session; standbys come last.
     pub fn rank(&self) -> u32 {
-        let reached = self.reached_members();
+        let reached = self.reachable_members();
         let place = reached.iter().position(|node| *node == self.setup.node);
         place.unwrap_or(reached.len()) as u32
     }
@@ -136,13 +143,14 @@
         now.since(self.started_at.unwrap_or(now))
     }
 
-    /// Controllers in session that are no members, and stay.
+    /// Connected controllers that are no members and do not shut down.
     fn standbys(&self) -> impl Iterator<Item = NodeId> {
         self.peers
             .connected()
             .filter(|node| !self.voting_set.contains(*node) && !self.peers.is_shutting_down(*node))
     }
 
+    /// A session with another controller stands: it gets this replica's voting set.
     pub fn peer_connected(&mut self, context: &mut Context, peer: NodeId, zone: Arc<str>) {
         self.peers.connect(context.now, peer, zone);
         if !self.voting_set.epoch.is_none() {
@@ -153,17 +161,19 @@
         }
     }
 
+    /// The session with another controller broke.
     pub fn peer_disconnected(&mut self, now: Timestamp, peer: NodeId) {
         self.standbys.forget(peer);
         self.peers
             .disconnect(now, peer, self.voting_set.contains(peer));
     }
 
+    /// Another controller announces its shutdown.
     pub fn peer_shutting_down(&mut self, peer: NodeId) {
         self.peers.mark_shutting_down(peer);
     }
 
-    /// This replica is about to end: the others may put a standby in its place.
+    /// Announces that this replica is about to end: the others may put a standby in its place.
     pub fn shut_down(&mut self, context: &mut Context) {
         self.is_shutting_down = true;
         for peer in self.connected_peers() {
@@ -176,8 +186,8 @@
         !self.is_member() || self.standbys().next().is_none()
     }
 
-    /// A set that another replica has adopted, or that is chosen: it is adopted once the disk holds it.
-    pub fn learn_of(&mut self, context: &mut Context, voting_set: VotingSet) {
+    /// Writes a set that another replica has adopted, or that is chosen: it is adopted once the disk holds it.
+    pub fn learn_voting_set(&mut self, context: &mut Context, voting_set: VotingSet) {
         if voting_set.epoch > self.voting_set.epoch && voting_set.epoch > self.written_epoch {
             self.write(context, voting_set);
         }
@@ -200,7 +210,7 @@
         } else {
             WriteOperation::MarkStateIncomplete
         };
-        let settled = PruneBounds {
+        let decided = PruneBounds {
             versions_below: ConfigurationVersion::NONE,
             epochs_through: voting_set.epoch,
         };
@@ -208,18 +218,18 @@
             vec![
                 WriteOperation::StoreVotingSet(voting_set.clone()),
                 mark,
-                WriteOperation::PruneRecords(settled),
+                WriteOperation::PruneRecords(decided),
             ],
             PendingWrite::VotingSet(voting_set),
         );
     }
 
-    /// The disk refused a set: it is written once it is heard of again.
+    /// The disk refused a set: it is written again when the next message names it.
     pub fn write_refused(&mut self) {
         self.written_epoch = self.voting_set.epoch;
     }
 
-    /// The disk holds a set. True if this replica counts in it from now on.
+    /// The disk holds a set. Whether this replica counts in it from now on.
     pub fn adopt(&mut self, context: &mut Context, voting_set: VotingSet) -> bool {
         if voting_set.epoch <= self.voting_set.epoch {
             return false;
@@ -229,7 +239,7 @@
         self.progress.restart();
         self.standbys.forget_all();
         self.peers.forget_absent_but(&self.voting_set);
-        // Gateways hear of it before any claim is refused for its sake.
+        // Gateways get it before any of their claims is answered with an abstention for its sake.
         context.push(Effect::VotingSetAdopted(self.voting_set.clone()));
         for peer in self.connected_peers() {
             context.send(peer, Message::VotingSet(self.voting_set.clone()));
--- a/crates/gateway/consensus/src/membership/peers.rs
+++ b/crates/gateway/consensus/src/membership/peers.rs
@@ -1,11 +1,11 @@
-//! The other controllers, as this replica sees them by its sessions.
+//! The other controllers, by this replica's sessions with them.
 
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{NodeId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The other controllers, as this replica sees them by its sessions.
+/// The other controllers, by this replica's sessions with them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peers {
     /// Controllers in session, and their zones.
@@ -13,7 +13,7 @@
     last_connected_at: Timestamp,
     /// Members of the voting set that have lost their session.
     absent_since: BTreeMap<NodeId, Timestamp>,
-    /// Controllers that said that they end.
+    /// Controllers that have announced their shutdown.
     shutting_down: BTreeSet<NodeId>,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// A controller in session says that it ends.
+    /// A controller in session announces its shutdown.
     pub(super) fn mark_shutting_down(&mut self, peer: NodeId) {
         if self.is_connected(peer) {
             self.shutting_down.insert(peer);
--- a/crates/gateway/consensus/src/membership/progress.rs
+++ b/crates/gateway/consensus/src/membership/progress.rs
@@ -6,15 +6,15 @@
 /// How far a replica without complete state has come in getting it.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SnapshotProgress {
-    /// Members whose snapshots came since this replica adopted its voting set.
+    /// Members whose snapshots have arrived since this replica adopted its voting set.
     pub senders: BTreeSet<NodeId>,
     /// Snapshots of enough members are being written.
     pub is_installing: bool,
-    /// When snapshots were last asked for; `Timestamp::ZERO`: not since the set was adopted.
+    /// When snapshots were last requested; `Timestamp::ZERO`: not since the set was adopted.
     pub requested_at: Timestamp,
-    /// A standby asks for snapshots until then.
-    pub invited_until: Timestamp,
-    /// The set whose voters have brought this standby up to date.
+    /// Until when a standby that was invited requests snapshots.
+    pub invitation_expires_at: Timestamp,
+    /// The set whose voters' snapshots this standby holds.
     pub ready_for: Epoch,
 }
 
@@ -25,7 +25,7 @@
         self.requested_at = Timestamp::ZERO;
     }
 
-    /// What came did not get to the disk: all of it is wanted again.
+    /// The disk refused what arrived: all of it is wanted again.
     pub(super) fn abort(&mut self) {
         self.is_installing = false;
         self.senders.clear();
--- a/crates/gateway/consensus/src/membership/replacement.rs
+++ b/crates/gateway/consensus/src/membership/replacement.rs
@@ -11,7 +11,7 @@
 /// What each rank adds before a change is proposed, so that one proposer begins.
 const CHANGE_DELAY_PER_RANK: Duration = Duration::from_millis(300);
 /// Share of `catch_up_s`, in tenths, for which a voter is missed before a standby takes its place. The rest is left for
-/// snapshots, so that the next loss is borne `catch_up_s` after the first; a shorter absence (a restart, a freeze, a
+/// snapshots, so that the next loss is tolerated `catch_up_s` after the first; a shorter absence (a restart, a freeze, a
 /// short partition) changes nothing.
 const ABSENCE_TENTHS_OF_CATCH_UP: u32 = 6;
 /// Voters that are wanted at least: fewer can't lose one.
@@ -29,7 +29,7 @@
 }
 
 impl Membership {
-    /// The change that this replica is to bring about now, if there is one.
+    /// The change that this replica is to make now, if there is one.
     pub fn due_change(&self, now: Timestamp) -> Option<VotingSetChange> {
         if !self.is_voter() || !self.has_quorum_contact() || self.is_shutting_down {
             return None;
@@ -54,7 +54,7 @@
         })
     }
 
-    /// The member whose place has been due for longest.
+    /// The member whose removal has been due for longest.
     fn overdue_member(&self, now: Timestamp) -> Option<NodeId> {
         let due = |member: &NodeId| Some((self.removal_due_at(*member)?, *member));
         let members = self.voting_set.members.iter();
@@ -62,13 +62,13 @@
         overdue.min().map(|(_, member)| member)
     }
 
-    /// When a member's place is to be taken by this replica's proposal; `None`: it is here, and stays.
+    /// When this replica is to propose the removal of a member; `None`: it is reachable, and stays.
     fn removal_due_at(&self, member: NodeId) -> Option<Timestamp> {
         let delay = CHANGE_DELAY_PER_RANK * self.rank();
         if self.peers.is_shutting_down(member) {
             return Some(Timestamp::ZERO + delay);
         }
-        if self.is_here(member) {
+        if self.is_reachable(member) {
             return None;
         }
         let absent_since = self.peers.absent_since(member).or(self.started_at);
@@ -79,7 +79,7 @@
         self.setup.catch_up * ABSENCE_TENTHS_OF_CATCH_UP / 10
     }
 
-    /// The standby that is taken first: of a zone with the fewest voters.
+    /// The standby to add first: of a zone with the fewest voters.
     fn best_standby(&self, removed: Option<NodeId>) -> Option<NodeId> {
         let members = self.voting_set.members.iter();
         let staying = members.filter(|member| Some(**member) != removed);
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Whether this replica, asked for a promise, agrees that a member is removed. Who is in session with a member that
-    /// stays does not.
+    /// Whether this replica, asked for a promise, agrees to the removal of a member: not while it is in session with a
+    /// member that does not shut down.
     pub fn may_remove(&self, member: Option<NodeId>) -> bool {
         match member {
             None => true,
@@ -115,13 +115,13 @@
         self.standbys.is_ready(standby, self.voting_set.epoch)
     }
 
-    /// Asks a standby to become a learner, now and then.
+    /// Asks a standby to become a learner, at intervals.
     pub fn invite(&mut self, context: &mut Context, standby: NodeId) {
         self.standbys
             .invite(context, standby, self.voting_set.epoch);
     }
 
-    /// A standby says that it holds what voters of a set hold.
+    /// A standby reports that it holds what voters of a set hold.
     pub fn standby_ready(&mut self, standby: NodeId, epoch: Epoch) {
         self.standbys.mark_ready(standby, epoch);
     }
--- a/crates/gateway/consensus/src/membership/standbys.rs
+++ b/crates/gateway/consensus/src/membership/standbys.rs
@@ -1,4 +1,4 @@
-//! Standbys that are being brought up to date so that one of them can become a member.
+//! Standbys that learn, so that one of them can become a member.
 
 use crate::context::Context;
 use rushcourse_messages::Message;
@@ -14,19 +14,19 @@
 pub(super) struct Standbys {
     /// Standbys that hold what voters hold, and by the voters of which set.
     ready: BTreeMap<NodeId, Epoch>,
-    invited_at: Timestamp,
+    last_invitation_at: Timestamp,
 }
 
 impl Standbys {
-    /// Asks a standby to become a learner, now and then.
+    /// Asks a standby to become a learner, at intervals.
     pub(super) fn invite(&mut self, context: &mut Context, standby: NodeId, epoch: Epoch) {
-        if context.now >= self.invited_at + INVITATION_INTERVAL {
-            self.invited_at = context.now;
+        if context.now >= self.last_invitation_at + INVITATION_INTERVAL {
+            self.last_invitation_at = context.now;
             context.send(standby, Message::LearnerInvitation { epoch });
         }
     }
 
-    /// A standby says that it holds what voters of a set hold.
+    /// A standby reports that it holds what voters of a set hold.
     pub(super) fn mark_ready(&mut self, standby: NodeId, epoch: Epoch) {
         self.ready.insert(standby, epoch);
     }
@@ -40,7 +40,7 @@
         self.ready.remove(&standby);
     }
 
-    /// Another set is adopted: what standbys hold was of another one.
+    /// Another set is adopted: what standbys hold is of the one before.
     pub(super) fn forget_all(&mut self) {
         self.ready.clear();
     }
--- a/crates/gateway/consensus/src/node/mod.rs
+++ b/crates/gateway/consensus/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! The node: inputs go to the part that they concern, and all that follows from them is done before the step ends.
+//! The node: dispatches inputs to the parts, and derives all that follows from them before the step ends.
 //!
 //! * `peer_messages.rs`: messages of other controllers.
-//! * `writes.rs`: what the disk holds, or refused.
+//! * `writes.rs`: batches that the disk has synced or refused.
 //! * `voting_set_changes.rs`: proposes and adopts the next voting set.
 
 mod peer_messages;
@@ -80,7 +80,8 @@
         }
     }
 
-    /// One input at a moment of the steady clock. `wall` is the time of day, which is only shown to people.
+    /// Handles one input. `now` is the steady clock, which must not go back; `wall` is the time of day, which is only
+    /// shown to people.
     pub fn step(&mut self, now: Timestamp, wall: WallTime, input: Input) -> Vec<Effect> {
         self.context.now = now;
         self.context.wall = wall;
@@ -182,7 +183,7 @@
         self.paxos.membership.may_shut_down()
     }
 
-    /// Who holds an operation key at this replica.
+    /// The claim that holds an operation key at this replica.
     pub fn claim_holder(&self, key: KeyDigest) -> Option<HeldClaim> {
         self.claims.holder(key)
     }
--- a/crates/gateway/consensus/src/node/peer_messages.rs
+++ b/crates/gateway/consensus/src/node/peer_messages.rs
@@ -7,7 +7,7 @@
 use rushcourse_types::{Epoch, NodeId, RequestToken, Timestamp};
 
 impl ConsensusNode {
-    /// A message of another controller. What is of no concern here is passed over.
+    /// Handles a message of another controller; messages that concern other parts of the program are ignored.
     pub(super) fn handle_message(&mut self, peer: NodeId, message: Message) {
         let context = &mut self.context;
         let membership = &mut self.paxos.membership;
@@ -19,7 +19,7 @@
                 if epoch == membership.voting_set().epoch {
                     self.handle_ballot_message(peer, message);
                 } else {
-                    self.other_epoch(peer, epoch);
+                    self.handle_other_epoch(peer, epoch);
                 }
             }
             Message::ReplicaStatus { .. } => self.handle_replica_status(peer, message),
@@ -32,7 +32,7 @@
                 self.snapshots
                     .receive(context, peer, chunk, claims, paxos, committed);
             }
-            Message::VotingSet(voting_set) => membership.learn_of(context, voting_set),
+            Message::VotingSet(voting_set) => membership.learn_voting_set(context, voting_set),
             Message::LearnerInvitation { epoch } => {
                 membership.accept_invitation(context, peer, epoch);
             }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A message of a ballot in this replica's voting set.
+    /// Handles a ballot's message of this replica's own epoch.
     fn handle_ballot_message(&mut self, peer: NodeId, message: Message) {
         let context = &mut self.context;
         let (membership, proposer) = (&self.paxos.membership, &mut self.paxos.proposer);
@@ -67,8 +67,8 @@
         }
     }
 
-    /// A message of another epoch counts for nothing; who lags is told of the newer set.
-    fn other_epoch(&mut self, peer: NodeId, epoch: Epoch) {
+    /// Ignores a ballot's message of another epoch. A sender that lags is sent the newer voting set.
+    fn handle_other_epoch(&mut self, peer: NodeId, epoch: Epoch) {
         let voting_set = self.paxos.membership.voting_set();
         if epoch < voting_set.epoch {
             let newer = Message::VotingSet(voting_set.clone());
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Promises a ballot, if this replica votes, agrees that the member goes, and has the slot open.
+    /// Promises a ballot if this replica votes, agrees to the removal of the member, and has the slot open.
     fn prepare(&mut self, proposer: NodeId, slot: Slot, ballot: Ballot, removed: Option<NodeId>) {
         let membership = &self.paxos.membership;
         let epoch = membership.voting_set().epoch;
@@ -84,7 +84,7 @@
             return;
         }
         if !self.is_open(slot) {
-            // Who proposes for a settled slot is told what is committed here.
+            // The proposer lags: the slot is decided.
             let context = &mut self.context;
             return self.configuration.report_to(context, proposer, &self.paxos);
         }
@@ -92,7 +92,7 @@
         acceptor.prepare(&mut self.context, proposer, epoch, slot, ballot);
     }
 
-    /// Whether a value may still be chosen for a slot, or is the one that is committed here.
+    /// Whether a proposal for a slot can still be of use: the slot is not decided, or it is that of the committed version.
     fn is_open(&self, slot: Slot) -> bool {
         match slot {
             Slot::Configuration(version) => version >= self.configuration.committed_version(),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Accepts a proposal, if its slot is open: with a vote, or as a copy.
+    /// Accepts a proposal if its slot is open: with a vote, or as a copy.
     fn accept(&mut self, proposer: NodeId, slot: Slot, proposal: Proposal) {
         let is_voter = self.paxos.membership.is_voter();
         let is_wanted = is_voter || matches!(slot, Slot::Configuration(_));
@@ -143,7 +143,7 @@
             votes,
         };
         self.paxos.reports.insert(peer, status);
-        // It has read nothing from here yet: with this replica's time to echo, its next report will count.
+        // The peer has not received a report of this replica yet. Its own next report counts only if it echoes one.
         if echoed == Timestamp::ZERO {
             let context = &mut self.context;
             self.configuration.report_to(context, peer, &self.paxos);
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Sends a replica what this one holds, if it votes in the set that the replica learns from.
+    /// Sends a learner a snapshot if this replica votes in the set that it learns from.
     fn send_snapshot(&mut self, peer: NodeId, epoch: Epoch, after: Option<SnapshotCursor>) {
         if self.paxos.membership.voting_epoch() == Some(epoch) {
             let context = &mut self.context;
--- a/crates/gateway/consensus/src/node/voting_set_changes.rs
+++ b/crates/gateway/consensus/src/node/voting_set_changes.rs
@@ -12,14 +12,13 @@
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl ConsensusNode {
-    /// Brings about a change of the set that is due: the standby is brought up to date first, then the change is
-    /// proposed.
+    /// Makes a change of the voting set that is due: invites the standby to learn first, then proposes the change.
     pub(super) fn propose_due_change(&mut self) {
         let Some(change) = self.paxos.membership.due_change(self.context.now) else {
             return;
         };
         let slot = Slot::VotingSet(change.next.epoch);
-        if self.paxos.proposer.is_proposing(slot) || !self.is_quorum_left_by(&change) {
+        if self.paxos.proposer.is_proposing(slot) || !self.leaves_quorum(&change) {
             return;
         }
         let membership = &mut self.paxos.membership;
@@ -39,9 +38,9 @@
         self.paxos.propose(&mut self.context, request);
     }
 
-    /// Whether those that stay are enough to vote in the next set and to send its newcomer their snapshots: a member
-    /// without complete state does neither yet.
-    fn is_quorum_left_by(&self, change: &VotingSetChange) -> bool {
+    /// Whether the members that stay are enough to vote in the next set and to send its new member their snapshots. A
+    /// member without complete state can do neither.
+    fn leaves_quorum(&self, change: &VotingSetChange) -> bool {
         let set = self.paxos.membership.voting_set();
         let votes = |member: NodeId| {
             member == self.context.node
@@ -64,7 +63,9 @@
             return;
         }
         if let Some(next) = VotingSet::from_value(&proposal.value) {
-            self.paxos.membership.learn_of(&mut self.context, next);
+            self.paxos
+                .membership
+                .learn_voting_set(&mut self.context, next);
         }
     }
 }
--- a/crates/gateway/consensus/src/node/writes.rs
+++ b/crates/gateway/consensus/src/node/writes.rs
@@ -1,4 +1,4 @@
-//! What the disk holds, or refused, goes to where it was waited for.
+//! Completes writes: tells the part that waited for a batch that the disk has synced or refused it.
 
 use super::ConsensusNode;
 use crate::context::PendingWrite;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The disk holds a voting set: this replica counts in it from now on, if it is newer than its present one.
+    /// The disk holds a voting set: this replica adopts it if it is newer than its present one.
     fn voting_set_synced(&mut self, voting_set: VotingSet) {
         let context = &mut self.context;
         if !self.paxos.membership.adopt(context, voting_set) {
@@ -51,17 +51,17 @@
         if !self.paxos.membership.has_complete_state() {
             self.paxos.acceptor.stop_voting();
         }
-        let settled = PruneBounds {
+        let decided = PruneBounds {
             versions_below: ConfigurationVersion::NONE,
             epochs_through: self.paxos.membership.voting_set().epoch,
         };
-        self.paxos.acceptor.prune(context, settled);
+        self.paxos.acceptor.prune(context, decided);
         self.paxos.proposer.voting_set_changed(context.now);
         self.configuration
             .voting_set_changed(context, &mut self.paxos);
     }
 
-    /// The disk holds a part of a voter's snapshot. `completed_epoch`: the set whose voters have sent enough by it.
+    /// The disk holds a chunk of a snapshot. `completed_epoch`: the set whose voters have sent enough snapshots with it.
     fn snapshot_synced(&mut self, keys: &[KeyDigest], completed_epoch: Option<Epoch>) {
         self.claims.install_synced(keys);
         let Some(epoch) = completed_epoch else {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A write that the disk refused is no vote and no copy: it is taken back, and tried again where it must be.
+    /// The disk refused a batch: it is undone in memory, and retried where it must not be lost.
     pub(super) fn batch_refused(&mut self, batch: BatchId) {
         let Some(pending) = self.context.end_write(batch) else {
             return;
--- a/crates/gateway/consensus/src/paxos/acceptor.rs
+++ b/crates/gateway/consensus/src/paxos/acceptor.rs
@@ -20,7 +20,7 @@
 pub(crate) enum AcceptRole {
     /// As a voter of the set.
     Voter,
-    /// A majority is known to have voted for it: it is taken in whatever was promised, without a vote.
+    /// A majority is known to have voted for it: it is accepted whatever was promised, without a vote.
     Chosen,
     /// A replica that casts no vote keeps a copy.
     Copy,
@@ -63,6 +63,7 @@
 }
 
 impl Acceptor {
+    /// The acceptor at the start, with the records of the state file.
     pub fn new(stored: Vec<SlotRecord>) -> Acceptor {
         let entry = |SlotRecord { slot, record }: SlotRecord| {
             let durable_vote = accepted_ballot(&record).filter(|_| record.is_vote);
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The proposal under the highest ballot that came here for a slot.
+    /// The accepted proposal of a slot: the one under the highest ballot.
     pub fn accepted(&self, slot: Slot) -> Option<&Proposal> {
         self.entries.get(&slot)?.record.accepted.as_ref()
     }
@@ -149,7 +150,7 @@
             .collect()
     }
 
-    /// The entry of a slot, made if there is room for one more.
+    /// The entry of a slot, created if there is room for one more.
     fn open_entry(&mut self, slot: Slot) -> Option<&mut Entry> {
         if !self.entries.contains_key(&slot) && self.entries.len() >= MAX_OPEN_SLOTS {
             return None;
@@ -157,7 +158,8 @@
         Some(self.entries.entry(slot).or_default())
     }
 
-    /// A proposer asks for a promise. The caller has checked that this replica votes and that the slot is open.
+    /// Phase 1: promises a ballot, unless as high a one was promised. The caller has checked that this replica votes and
+    /// that the slot is open.
     pub fn prepare(
         &mut self,
         context: &mut Context,
@@ -185,7 +187,7 @@
         context.write(vec![entry.store(slot)], pending);
     }
 
-    /// The disk holds a promise: it is given, unless a higher one was given since.
+    /// The disk holds a promise: it is sent, unless a higher one was given since.
     pub fn promise_synced(
         &mut self,
         context: &mut Context,
@@ -207,7 +209,7 @@
         context.send(proposer, promise);
     }
 
-    /// A proposal is brought. It is written unless it is here already, or a higher ballot was promised.
+    /// Phase 2: accepts a proposal, unless it is accepted already or a higher ballot was promised.
     pub fn accept(
         &mut self,
         context: &mut Context,
@@ -244,7 +246,7 @@
         );
     }
 
-    /// The disk holds an accepted proposal. Whether a vote became durable by it.
+    /// The disk holds an accepted proposal. Returns whether a vote became durable by it.
     pub fn accept_synced(&mut self, slot: Slot, ballot: Ballot) -> bool {
         let Some(entry) = self.entries.get_mut(&slot) else {
             return false;
@@ -280,8 +282,8 @@
         }
     }
 
-    /// Takes in what a voter holds: promises and proposals, the higher of both. None of it is a vote yet. Gives back
-    /// what is to be written.
+    /// Merges the records of a voter's snapshot: the higher promise and the higher proposal hold. None of it is a vote
+    /// yet. Returns what is to be written.
     pub fn merge(&mut self, records: &[SlotRecord]) -> Vec<WriteOperation> {
         let mut operations = Vec::new();
         for SlotRecord { slot, record } in records {
@@ -296,8 +298,8 @@
         operations
     }
 
-    /// This replica is to vote from now on: what it accepted counts where no higher ballot was promised. Gives back what
-    /// is to be written.
+    /// This replica is to vote from now on: what it accepted becomes a vote where no higher ballot was promised. Returns
+    /// what is to be written.
     pub fn start_voting(&mut self) -> Vec<WriteOperation> {
         let mut operations = Vec::new();
         for (slot, entry) in &mut self.entries {
@@ -307,7 +309,7 @@
         operations
     }
 
-    /// The disk holds what `start_voting` gave.
+    /// The disk holds what `start_voting` returned.
     pub fn start_voting_synced(&mut self) {
         for entry in self.entries.values_mut() {
             if entry.record.is_vote {
@@ -324,13 +326,13 @@
         }
     }
 
-    /// Forgets slots that are settled.
-    pub fn prune(&mut self, context: &mut Context, settled: PruneBounds) {
+    /// Removes the records of slots that are decided.
+    pub fn prune(&mut self, context: &mut Context, decided: PruneBounds) {
         let count_before = self.entries.len();
-        self.entries.retain(|slot, _| !settled.contains(*slot));
+        self.entries.retain(|slot, _| !decided.contains(*slot));
         if self.entries.len() < count_before {
             context.write(
-                vec![WriteOperation::PruneRecords(settled)],
+                vec![WriteOperation::PruneRecords(decided)],
                 PendingWrite::Untracked,
             );
         }
--- a/crates/gateway/consensus/src/paxos/mod.rs
+++ b/crates/gateway/consensus/src/paxos/mod.rs
@@ -1,7 +1,7 @@
 //! Single-decree Paxos, one instance a slot: one value is chosen for the voting set of an epoch, or the configuration of
 //! a version. There is no leader; any replica may propose.
 //!
-//! * `proposer.rs`: has a value chosen.
+//! * `proposer.rs`: gets a value chosen.
 //! * `acceptor.rs`: promises and votes of this replica.
 //! * `peer_reports.rs`: which votes the others' disks hold, so that every replica sees a choice, not only its proposer.
 
@@ -27,7 +27,7 @@
 }
 
 impl Paxos {
-    /// Proposes a value, or goes on for longer with what is proposed for this slot already.
+    /// Proposes a value, or extends the proposal that is under way for its slot.
     pub fn propose(&mut self, context: &mut Context, request: ProposalRequest) {
         self.proposer.propose(context, &self.membership, request);
     }
--- a/crates/gateway/consensus/src/paxos/peer_reports.rs
+++ b/crates/gateway/consensus/src/paxos/peer_reports.rs
@@ -1,14 +1,14 @@
-//! What other replicas reported that their disks hold.
+//! What other replicas have reported of their disks.
 
 use rushcourse_messages::{Ballot, DurableVote, Message, Slot, VotingSet};
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// For how long a replica's report counts, from the time of this replica that it echoed: however long a message lay on
-/// its way, or here while this process stood still. Shorter than the wait of a voter that lost its disk
-/// (`learning::SNAPSHOT_REQUEST_DELAY`): whoever counts a vote of before the loss does so before that voter is brought
-/// up to date.
+/// For how long a peer's report counts, from the timestamp of this replica that it echoes: so its age is bounded however
+/// long it was on its way, or waited here while this process stood still. Shorter than the wait of a voter that lost its disk
+/// (`learning::SNAPSHOT_REQUEST_DELAY`): a vote of before the loss is counted only before that voter has
+/// installed snapshots.
 pub(crate) const REPORT_TIMEOUT: Duration = Duration::from_millis(1_700);
 
 /// The content of `Message::ReplicaStatus`.
@@ -44,8 +44,7 @@
 /// What one replica reported last.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerReport {
-    /// This replica's clock when it sent what the peer had read before its report; `Timestamp::ZERO`: the peer had read
-    /// nothing.
+    /// The timestamp of this replica's last report that the peer had received; `Timestamp::ZERO`: it had received none.
     echoed: Timestamp,
     /// The peer's clock when it sent the report.
     sent_at: Timestamp,
@@ -78,7 +77,7 @@
 }
 
 impl PeerReports {
-    /// Takes in a report, in place of the last one of its sender.
+    /// Stores a report in place of the last one of its sender.
     pub fn insert(&mut self, from: NodeId, status: ReplicaStatus) {
         let votes = status.votes.iter().map(|vote| (vote.slot, vote.ballot));
         let report = PeerReport {
@@ -92,7 +91,7 @@
         self.reports.insert(from, report);
     }
 
-    /// Its session broke: it may come back with less.
+    /// The peer's session broke: it may come back without its disk.
     pub fn forget(&mut self, peer: NodeId) {
         self.reports.remove(&peer);
     }
@@ -103,6 +102,7 @@
         report.map_or(Timestamp::ZERO, |report| report.sent_at)
     }
 
+    /// All reports, by peers in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = (NodeId, &PeerReport)> {
         self.reports.iter().map(|(peer, report)| (*peer, report))
     }
@@ -114,12 +114,12 @@
         counts.then_some(report)
     }
 
-    /// Whether another member reported lately that it votes in this set.
+    /// Whether another member has reported lately that it votes in this set.
     pub fn is_voter(&self, now: Timestamp, set: &VotingSet, peer: NodeId) -> bool {
         self.voter_report(now, set, peer).is_some()
     }
 
-    /// How many other members of the set have this vote on their disks, as far as they reported lately.
+    /// How many other members of the set have this vote on their disks, by their recent reports.
     pub fn count_votes(
         &self,
         now: Timestamp,
--- a/crates/gateway/consensus/src/paxos/proposer.rs
+++ b/crates/gateway/consensus/src/paxos/proposer.rs
@@ -1,5 +1,5 @@
-//! The proposer: has a value chosen for a slot, by a promise and then a vote of a majority of the set. Proposers of one
-//! slot may meet; the higher ballot goes on, and takes up what the lower one may have had chosen.
+//! The proposer: gets a value chosen for a slot, by promises and then votes of a majority of the set. Proposers of one
+//! slot may compete; the higher ballot wins, and adopts the value that a lower one may have got chosen.
 
 use crate::context::Context;
 use crate::membership::Membership;
@@ -11,15 +11,15 @@
 
 /// For how long promises count after a ballot's start; shorter than `learning::SNAPSHOT_REQUEST_DELAY`, as for votes.
 const PROMISE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Until a ballot that came to nothing is followed by the next one, and what each rank adds, so that proposers that met
-/// go on one after the other.
+/// Until a ballot that failed is followed by the next one, and what each rank adds, so that proposers that compete retry
+/// one after the other.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 const RETRY_DELAY_PER_RANK: Duration = Duration::from_millis(60);
 /// The same after a rejection.
 const REJECTED_RETRY_DELAY: Duration = Duration::from_millis(20);
 const REJECTED_RETRY_DELAY_PER_RANK: Duration = Duration::from_millis(40);
 
-/// What is to be proposed.
+/// A value to propose.
 pub(crate) struct ProposalRequest {
     /// What the value is for.
     pub slot: Slot,
@@ -27,7 +27,7 @@
     pub value: Arc<[u8]>,
     /// The member that a proposed set leaves out.
     pub removed: Option<NodeId>,
-    /// When it is given up.
+    /// When the proposer gives up.
     pub expires_at: Timestamp,
 }
 
@@ -53,8 +53,8 @@
 }
 
 impl OpenProposal {
-    /// Counts a promise of phase 1. With a majority of them phase 2 begins, with the value that is given back: the one
-    /// that was accepted under the highest ballot, or this proposal's own.
+    /// Counts a promise of phase 1. With a majority of them, returns the value of phase 2: the one that was accepted
+    /// under the highest ballot, or this proposal's own.
     fn add_promise(
         &mut self,
         from: NodeId,
@@ -84,7 +84,7 @@
     }
 }
 
-/// What this replica is having chosen.
+/// The proposals of this replica that are under way.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposer {
     incarnation: Incarnation,
@@ -93,6 +93,7 @@
 }
 
 impl Proposer {
+    /// A proposer whose ballots are of this incarnation.
     pub fn new(incarnation: Incarnation) -> Proposer {
         Proposer {
             incarnation,
@@ -101,11 +102,12 @@
         }
     }
 
+    /// Whether a proposal for a slot is under way.
     pub fn is_proposing(&self, slot: Slot) -> bool {
         self.proposals.contains_key(&slot)
     }
 
-    /// Proposes a value, or goes on for longer with what is proposed for this slot already.
+    /// Proposes a value, or extends the proposal that is under way for this slot.
     pub fn propose(
         &mut self,
         context: &mut Context,
@@ -147,7 +149,7 @@
         };
         proposal.started_at = context.now;
         proposal.retry_at = context.now + RETRY_DELAY + RETRY_DELAY_PER_RANK * membership.rank();
-        for member in membership.reached_members() {
+        for member in membership.reachable_members() {
             let prepare = Message::Prepare {
                 epoch: membership.voting_set().epoch,
                 slot,
@@ -158,7 +160,7 @@
         }
     }
 
-    /// A voter's promise; with a majority of them the proposal is brought to the voters.
+    /// A voter has promised; with a majority of promises phase 2 begins: voters are asked to accept.
     pub fn promise_received(
         &mut self,
         context: &mut Context,
@@ -180,7 +182,7 @@
             Some(value) => value,
             None => return,
         };
-        for member in membership.reached_members() {
+        for member in membership.reachable_members() {
             let accept = Message::Accept {
                 epoch: membership.voting_set().epoch,
                 slot,
@@ -193,7 +195,7 @@
         }
     }
 
-    /// A voter has promised a higher ballot: the next one of this proposer is higher still, and comes soon.
+    /// A voter has promised a higher ballot: the next one of this proposer is higher still, and begins soon.
     pub fn rejected(
         &mut self,
         now: Timestamp,
@@ -209,7 +211,7 @@
         }
     }
 
-    /// Another voting set is adopted: configurations are proposed to its voters, under a new ballot.
+    /// Another voting set is adopted: configurations are proposed to its voters, under new ballots.
     pub fn voting_set_changed(&mut self, now: Timestamp) {
         self.proposals
             .retain(|slot, _| matches!(slot, Slot::Configuration(_)));
@@ -218,7 +220,7 @@
         }
     }
 
-    /// A version is committed: nothing is left to propose for it, nor for lower ones.
+    /// A version is committed: proposals for it and for lower ones end.
     pub fn configuration_committed(&mut self, version: ConfigurationVersion) {
         self.proposals.retain(|slot, _| match slot {
             Slot::Configuration(proposed) => *proposed > version,
@@ -226,7 +228,7 @@
         });
     }
 
-    /// Gives up what expires, and begins the next ballot of what came to nothing.
+    /// Gives up proposals that expire, and begins the next ballots of those that failed.
     pub fn tick(&mut self, context: &mut Context, membership: &Membership) {
         let now = context.now;
         self.proposals
--- a/crates/gateway/consensus/src/setup.rs
+++ b/crates/gateway/consensus/src/setup.rs
@@ -1,10 +1,10 @@
-//! What a replica is told of itself and its deployment.
+//! What a replica has to know of itself and its deployment.
 
 use rushcourse_types::{Incarnation, NodeId};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a replica is told of itself and its deployment at its start.
+/// What a replica has to know of itself and its deployment at its start.
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// This replica.
@@ -19,7 +19,7 @@
     pub is_first_start: bool,
     /// Machines that may be lost at once (`fault_tolerance.machines`).
     pub tolerated_losses: usize,
-    /// A machine that came back, or is new, must bear the next loss within this time (`catch_up_s`).
+    /// Within this time after a machine came back, or joined, the next loss must be tolerated (`catch_up_s`).
     pub catch_up: Duration,
     /// For how long an operation key binds (`key_window_s`).
     pub key_window: Duration,
--- a/crates/gateway/consensus/src/snapshot.rs
+++ b/crates/gateway/consensus/src/snapshot.rs
@@ -1,6 +1,6 @@
 //! Snapshots: a voter sends a replica without complete state what it holds, in chunks of bounded size. The first
-//! snapshot has all; later ones of the same voter carry what came since. The receiver checks that the chunks add up
-//! before it counts them.
+//! snapshot contains everything; later ones of the same voter contain what was added since. The receiver checks that the
+//! chunks add up before it counts the snapshot.
 
 use crate::claims::ClaimRegistry;
 use crate::context::{Context, PendingWrite};
@@ -49,11 +49,12 @@
     incarnation: Incarnation,
     /// How far each voter's claims were read.
     cursors: BTreeMap<NodeId, SnapshotCursor>,
-    /// What came of snapshots that are not complete yet.
+    /// What has arrived of snapshots that are not complete yet.
     receiving: BTreeMap<NodeId, ClaimSums>,
 }
 
 impl SnapshotTransfer {
+    /// No snapshot is under way. Cursors that this replica hands out are of its incarnation.
     pub fn new(incarnation: Incarnation) -> SnapshotTransfer {
         SnapshotTransfer {
             incarnation,
@@ -62,18 +63,18 @@
         }
     }
 
-    /// A session broke: a snapshot that was under way is not completed.
+    /// A session broke: a snapshot that was under way will not be completed.
     pub fn peer_disconnected(&mut self, peer: NodeId) {
         self.receiving.remove(&peer);
     }
 
-    /// What snapshots brought did not get to the disk: all is asked for again.
+    /// The disk refused what snapshots contained: all of it is requested again.
     pub fn install_refused(&mut self) {
         self.cursors.clear();
         self.receiving.clear();
     }
 
-    /// Asks voters for what they hold, or for what came since their last snapshot.
+    /// Asks voters for snapshots, or for what was added since their last ones.
     pub fn request(&mut self, context: &mut Context, epoch: Epoch, voters: Vec<NodeId>) {
         for voter in voters {
             self.receiving.remove(&voter);
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Sends a replica what this voter holds.
+    /// Sends a replica a snapshot of this voter's state.
     pub fn send(
         &self,
         context: &mut Context,
@@ -123,8 +124,8 @@
         context.send(to, Message::SnapshotChunk(last_chunk));
     }
 
-    /// Takes in a chunk, if it is wanted. `committed`: the version that is committed here; records of lower ones are
-    /// settled.
+    /// Installs a chunk, if snapshots are wanted. `committed`: the version that is committed here; lower ones are
+    /// decided.
     pub fn receive(
         &mut self,
         context: &mut Context,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// A snapshot ends: its trailer, if the chunks add up to what it says.
+    /// A snapshot ends: returns its trailer if its chunks add up.
     fn check(
         &mut self,
         context: &mut Context,
@@ -182,7 +183,7 @@
     }
 }
 
-/// The records of slots that are not settled here.
+/// The records of slots that are not decided here.
 fn open_records(
     records: Vec<SlotRecord>,
     epoch: Epoch,
--- a/crates/gateway/consensus/tests/membership.rs
+++ b/crates/gateway/consensus/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Timelines of a voting set that changes, one column a replica. The words of a cell stand in `timeline/words.rs`.
+//! Timelines of a voting set that changes, one column a replica. The steps of a cell stand in `timeline/steps.rs`.
 
 mod timeline;
 
--- a/crates/gateway/consensus/tests/timeline/cluster.rs
+++ b/crates/gateway/consensus/tests/timeline/cluster.rs
@@ -4,7 +4,7 @@
 use super::observations::{
     Acknowledgement, Observations, ReadResult, claim_id, read_ticket, rival_text, text,
 };
-use super::words::{Action, Claimed, DiskMode, Expectation};
+use super::steps::{Action, Claimed, DiskMode, Expectation};
 use rushcourse_consensus::{
     ClaimRequest, ConsensusNode, DurableState, Effect, Input, ReplicaSummary,
 };
--- a/crates/gateway/consensus/tests/timeline/mod.rs
+++ b/crates/gateway/consensus/tests/timeline/mod.rs
@@ -1,13 +1,13 @@
-//! Tests that are drawn as timelines: times in ms on the left, one column a controller. A cell is `.` or words with `+`
-//! between them; `words.rs` lists them. The controllers run on a deterministic network and on disks in memory.
+//! Tests that are drawn as timelines: times in ms on the left, one column a controller. A cell is `.` or steps with `+`
+//! between them; `steps.rs` lists them. The controllers run on a deterministic network and on disks in memory.
 
 mod cluster;
 mod observations;
-mod words;
+mod steps;
 
 use cluster::Cluster;
 use rushcourse_types::{NodeId, Timestamp};
-use words::Word;
+use steps::Step;
 
 /// A row of a timeline.
 struct Row<'a> {
@@ -25,11 +25,11 @@
         })
     }
 
-    /// The words of the row, and whose they are.
-    fn words(&self) -> impl Iterator<Item = (NodeId, &str)> {
+    /// The steps of the row, and whose they are.
+    fn steps(&self) -> impl Iterator<Item = (NodeId, &str)> {
         let cells = (1..).map(NodeId).zip(&self.cells);
         let cells = cells.filter(|(_, cell)| **cell != ".");
-        cells.flat_map(|(node, cell)| cell.split('+').map(move |word| (node, word)))
+        cells.flat_map(|(node, cell)| cell.split('+').map(move |step| (node, step)))
     }
 }
 
@@ -39,14 +39,14 @@
     let mut cluster = Cluster::new(rows[0].cells.len() as u32);
     for row in rows {
         cluster.run_until(Timestamp::from_millis(row.at));
-        for (node, word) in row.words() {
-            let place = format!("{} ms, controller {}: {word}", row.at, node.0);
-            match word
+        for (node, step) in row.steps() {
+            let place = format!("{} ms, controller {}: {step}", row.at, node.0);
+            match step
                 .parse()
                 .unwrap_or_else(|error| panic!("{place}: {error}"))
             {
-                Word::Do(action) => cluster.act(node, action),
-                Word::Expect(expectation) => cluster.check(node, &expectation, &place),
+                Step::Do(action) => cluster.act(node, action),
+                Step::Expect(expectation) => cluster.check(node, &expectation, &place),
             }
         }
     }
--- a/crates/gateway/consensus/tests/timeline/observations.rs
+++ b/crates/gateway/consensus/tests/timeline/observations.rs
@@ -1,6 +1,6 @@
 //! What operators and gateways saw, and what must hold of it at any time.
 
-use super::words::Claimed;
+use super::steps::Claimed;
 use rushcourse_consensus::{ClaimAnswer, CommittedConfiguration, Outcome};
 use rushcourse_messages::{ClaimVerdict, VotingSet};
 use rushcourse_types::{
--- a/crates/gateway/consensus/tests/timeline/words.rs
+++ b/crates/gateway/consensus/tests/timeline/steps.rs
@@ -1,6 +1,6 @@
-//! The words of a timeline's cells.
+//! The steps that the cells of a timeline are made of.
 //!
-//! | word | what happens |
+//! | step | what happens |
 //! | --- | --- |
 //! | `start` | the controller starts; its first start is the whole system's |
 //! | `new` | an empty controller starts that comes later |
@@ -13,7 +13,7 @@
 //! | `stall`, `recover`, `refuse` | its disk holds batches back, syncs them, or refuses them |
 //! | `isolate`, `reconnect` | it is cut off from all others, or in session with them again |
 //!
-//! | word | what is checked |
+//! | step | what is checked |
 //! | --- | --- |
 //! | `committed=5` | version 5 is committed here |
 //! | `acked=5`, `other=5` | the last put that was acknowledged here is 5; and another text is committed under 5 |
@@ -84,53 +84,53 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Word {
+pub enum Step {
     Do(Action),
     Expect(Expectation),
 }
 
-/// Why a word is none.
+/// Why a text is no step.
 #[derive(Debug)]
-pub enum WordError {
+pub enum StepError {
     Unknown,
     Number(ParseIntError),
 }
 
-impl std::fmt::Display for WordError {
+impl std::fmt::Display for StepError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            WordError::Unknown => f.write_str("no word of a timeline"),
-            WordError::Number(error) => write!(f, "not a number: {error}"),
+            StepError::Unknown => f.write_str("no step of a timeline"),
+            StepError::Number(error) => write!(f, "not a number: {error}"),
         }
     }
 }
 
-impl From<ParseIntError> for WordError {
-    fn from(error: ParseIntError) -> WordError {
-        WordError::Number(error)
+impl From<ParseIntError> for StepError {
+    fn from(error: ParseIntError) -> StepError {
+        StepError::Number(error)
     }
 }
 
-impl FromStr for Word {
-    type Err = WordError;
+impl FromStr for Step {
+    type Err = StepError;
 
-    fn from_str(word: &str) -> Result<Word, WordError> {
-        if let Some((name, claimed)) = word.split_once(':') {
-            return claim_word(name, claimed.parse()?);
+    fn from_str(step: &str) -> Result<Step, StepError> {
+        if let Some((name, claimed)) = step.split_once(':') {
+            return claim_step(name, claimed.parse()?);
         }
-        if let Some((name, value)) = word.split_once('=') {
-            return value_word(name, value);
+        if let Some((name, value)) = step.split_once('=') {
+            return value_step(name, value);
         }
-        plain_word(word)
+        plain_step(step)
     }
 }
 
 impl FromStr for Claimed {
-    type Err = WordError;
+    type Err = StepError;
 
     /// A key's letters and a gateway's number.
-    fn from_str(claimed: &str) -> Result<Claimed, WordError> {
-        let (key, gateway) = claimed.split_once(':').ok_or(WordError::Unknown)?;
+    fn from_str(claimed: &str) -> Result<Claimed, StepError> {
+        let (key, gateway) = claimed.split_once(':').ok_or(StepError::Unknown)?;
         let digest = key.bytes().fold(0, |k, byte| k << 8 | u128::from(byte));
         Ok(Claimed {
             key: KeyDigest(digest),
@@ -139,63 +139,63 @@
     }
 }
 
-fn claim_word(name: &str, claimed: Claimed) -> Result<Word, WordError> {
+fn claim_step(name: &str, claimed: Claimed) -> Result<Step, StepError> {
     Ok(match name {
-        "claim" => Word::Do(Action::Claim(claimed)),
-        "withdraw" => Word::Do(Action::Withdraw(claimed)),
-        "granted" => Word::Expect(Expectation::Granted(claimed)),
-        "denied" => Word::Expect(Expectation::Denied(claimed)),
-        "pending" => Word::Expect(Expectation::Pending(claimed)),
-        "won" => Word::Expect(Expectation::Won(claimed)),
-        "lost" => Word::Expect(Expectation::Lost(claimed)),
-        _ => return Err(WordError::Unknown),
+        "claim" => Step::Do(Action::Claim(claimed)),
+        "withdraw" => Step::Do(Action::Withdraw(claimed)),
+        "granted" => Step::Expect(Expectation::Granted(claimed)),
+        "denied" => Step::Expect(Expectation::Denied(claimed)),
+        "pending" => Step::Expect(Expectation::Pending(claimed)),
+        "won" => Step::Expect(Expectation::Won(claimed)),
+        "lost" => Step::Expect(Expectation::Lost(claimed)),
+        _ => return Err(StepError::Unknown),
     })
 }
 
-fn value_word(name: &str, value: &str) -> Result<Word, WordError> {
+fn value_step(name: &str, value: &str) -> Result<Step, StepError> {
     let version = || value.parse().map(ConfigurationVersion);
     Ok(match (name, value) {
-        ("ahead", ms) => Word::Do(Action::StepTimeOfDay(ms.parse()?)),
-        ("back", ms) => Word::Do(Action::StepTimeOfDay(-ms.parse::<i64>()?)),
-        ("committed", _) => Word::Expect(Expectation::Committed(version()?)),
-        ("acked", _) => Word::Expect(Expectation::Acknowledged(version()?)),
-        ("other", _) => Word::Expect(Expectation::AcknowledgedOther(version()?)),
-        ("unknown", _) => Word::Expect(Expectation::UnknownPut(version()?)),
-        ("read", "unknown") => Word::Expect(Expectation::UnknownRead),
-        ("read", _) => Word::Expect(Expectation::Read(version()?)),
-        ("epoch", number) => Word::Expect(Expectation::Epoch(Epoch(number.parse()?))),
+        ("ahead", ms) => Step::Do(Action::StepTimeOfDay(ms.parse()?)),
+        ("back", ms) => Step::Do(Action::StepTimeOfDay(-ms.parse::<i64>()?)),
+        ("committed", _) => Step::Expect(Expectation::Committed(version()?)),
+        ("acked", _) => Step::Expect(Expectation::Acknowledged(version()?)),
+        ("other", _) => Step::Expect(Expectation::AcknowledgedOther(version()?)),
+        ("unknown", _) => Step::Expect(Expectation::UnknownPut(version()?)),
+        ("read", "unknown") => Step::Expect(Expectation::UnknownRead),
+        ("read", _) => Step::Expect(Expectation::Read(version()?)),
+        ("epoch", number) => Step::Expect(Expectation::Epoch(Epoch(number.parse()?))),
         ("voters", list) => {
             let members = list.split(',').map(|number| number.parse().map(NodeId));
-            Word::Expect(Expectation::Voters(members.collect::<Result<_, _>>()?))
+            Step::Expect(Expectation::Voters(members.collect::<Result<_, _>>()?))
         }
-        _ => return Err(WordError::Unknown),
+        _ => return Err(StepError::Unknown),
     })
 }
 
-fn plain_word(word: &str) -> Result<Word, WordError> {
-    if let Some(version) = word.strip_prefix("put") {
+fn plain_step(step: &str) -> Result<Step, StepError> {
+    if let Some(version) = step.strip_prefix("put") {
         let version = ConfigurationVersion(version.parse()?);
-        return Ok(Word::Do(Action::Put(version)));
+        return Ok(Step::Do(Action::Put(version)));
     }
-    if let Some(version) = word.strip_prefix("rival") {
+    if let Some(version) = step.strip_prefix("rival") {
         let version = ConfigurationVersion(version.parse()?);
-        return Ok(Word::Do(Action::PutRival(version)));
+        return Ok(Step::Do(Action::PutRival(version)));
     }
-    Ok(match word {
-        "start" => Word::Do(Action::Start),
-        "new" => Word::Do(Action::StartLater),
-        "shutdown" => Word::Do(Action::ShutDown),
-        "kill" => Word::Do(Action::Kill),
-        "power" => Word::Do(Action::LosePower),
-        "wipe" => Word::Do(Action::WipeDisk),
-        "get" => Word::Do(Action::Get),
-        "stall" => Word::Do(Action::SetDisk(DiskMode::Stalls)),
-        "recover" => Word::Do(Action::SetDisk(DiskMode::Syncs)),
-        "refuse" => Word::Do(Action::SetDisk(DiskMode::Refuses)),
-        "isolate" => Word::Do(Action::Isolate),
-        "reconnect" => Word::Do(Action::Reconnect),
-        "votes" => Word::Expect(Expectation::Votes),
-        "silent" => Word::Expect(Expectation::Silent),
-        _ => return Err(WordError::Unknown),
+    Ok(match step {
+        "start" => Step::Do(Action::Start),
+        "new" => Step::Do(Action::StartLater),
+        "shutdown" => Step::Do(Action::ShutDown),
+        "kill" => Step::Do(Action::Kill),
+        "power" => Step::Do(Action::LosePower),
+        "wipe" => Step::Do(Action::WipeDisk),
+        "get" => Step::Do(Action::Get),
+        "stall" => Step::Do(Action::SetDisk(DiskMode::Stalls)),
+        "recover" => Step::Do(Action::SetDisk(DiskMode::Syncs)),
+        "refuse" => Step::Do(Action::SetDisk(DiskMode::Refuses)),
+        "isolate" => Step::Do(Action::Isolate),
+        "reconnect" => Step::Do(Action::Reconnect),
+        "votes" => Step::Expect(Expectation::Votes),
+        "silent" => Step::Expect(Expectation::Silent),
+        _ => return Err(StepError::Unknown),
     })
 }
--- a/crates/gateway/consensus/tests/timelines.rs
+++ b/crates/gateway/consensus/tests/timelines.rs
@@ -1,4 +1,4 @@
-//! Timelines of controllers, one column each. The words of a cell stand in `timeline/words.rs`.
+//! Timelines of controllers, one column each. The steps of a cell stand in `timeline/steps.rs`.
 
 mod timeline;
 
--- a/crates/tools/modelcheck/src/checker.rs
+++ b/crates/tools/modelcheck/src/checker.rs
@@ -1,130 +1,13 @@
 //! What has been seen in a world, and the rules that it must keep.
 
 use crate::draft::Draft;
+use crate::violation::{Unsettled, Violation};
 use rushcourse_consensus::{CommittedConfiguration, Outcome, ReplicaSummary};
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId, Ticket};
 use std::collections::BTreeMap;
-use std::fmt;
 use std::sync::Arc;
 
-/// A rule that is broken. Each begins with the rule's name in the users' pages; STUCK is this project's own.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Violation {
-    /// Two requests of one key were sent.
-    KeySentTwice,
-    /// A controller went back to a lower version, or to a text that nobody put.
-    ConfigurationChanged {
-        /// The controller.
-        node: NodeId,
-        /// What was committed there.
-        from: ConfigurationVersion,
-        /// What is now.
-        to: ConfigurationVersion,
-    },
-    /// Two texts are committed under one version.
-    TwoTexts(ConfigurationVersion),
-    /// An operator was told that another text is committed, or that its own is, and it isn't.
-    WrongAcknowledgement {
-        /// What it put.
-        draft: Draft,
-        /// What it was told.
-        is_other_text: bool,
-    },
-    /// Two operators were told that their texts are committed under one version.
-    BothAcknowledged(Draft, Draft),
-    /// A read gave less than was acknowledged or committed before.
-    OldRead {
-        /// What it gave.
-        read: ConfigurationVersion,
-        /// What it had to give at least.
-        floor: ConfigurationVersion,
-    },
-    /// A read gave nothing where something was acknowledged or committed before.
-    EmptyRead {
-        /// What it had to give at least.
-        floor: ConfigurationVersion,
-    },
-    /// There are two voting sets of one epoch.
-    TwoVotingSets(Epoch),
-    /// Faults have ended, and an operator's call has no answer.
-    UnansweredCall(Ticket),
-    /// Faults have ended and a standby is there, and a member is gone.
-    MemberNotReplaced(NodeId),
-    /// Faults have ended, and a member does not vote.
-    MemberSilent(NodeId),
-    /// Faults have ended, and an accepted version is not committed.
-    OpenVersion {
-        /// The member that accepted it.
-        node: NodeId,
-        /// The version.
-        version: ConfigurationVersion,
-    },
-    /// Faults have ended, and a controller lags.
-    Lagging {
-        /// The controller.
-        node: NodeId,
-        /// What is committed there, and anywhere.
-        committed: (ConfigurationVersion, ConfigurationVersion),
-        /// The epoch that it is in, and the newest one.
-        epoch: (Epoch, Epoch),
-    },
-}
-
-impl fmt::Display for Violation {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Violation::KeySentTwice => f.write_str("TWICE: two requests of one key were sent"),
-            Violation::ConfigurationChanged { node, from, to } => {
-                write!(f, "CONFIG: {node} goes from {from} to {to}")
-            }
-            Violation::TwoTexts(version) => {
-                write!(f, "CONFIG: two texts are committed under {version}")
-            }
-            Violation::WrongAcknowledgement {
-                draft,
-                is_other_text,
-            } => write!(
-                f,
-                "CONFIG: {draft} is acknowledged with is_other_text={is_other_text}, which is wrong"
-            ),
-            Violation::BothAcknowledged(one, other) => {
-                write!(f, "CONFIG: {one} and {other} are both acknowledged")
-            }
-            Violation::OldRead { read, floor } => {
-                write!(
-                    f,
-                    "LOST: read {read} where {floor} was acknowledged or committed"
-                )
-            }
-            Violation::EmptyRead { floor } => {
-                write!(
-                    f,
-                    "LOST: nothing is there where {floor} was acknowledged or committed"
-                )
-            }
-            Violation::TwoVotingSets(epoch) => write!(f, "LOST: two voting sets of epoch {epoch}"),
-            Violation::UnansweredCall(ticket) => write!(f, "STUCK: call {ticket} is not answered"),
-            Violation::MemberNotReplaced(node) => {
-                write!(f, "STUCK: {node} is gone and a standby is there")
-            }
-            Violation::MemberSilent(node) => write!(f, "STUCK: {node} does not vote"),
-            Violation::OpenVersion { node, version } => {
-                write!(f, "STUCK: {version} stays open at {node}")
-            }
-            Violation::Lagging {
-                node,
-                committed,
-                epoch,
-            } => write!(
-                f,
-                "STUCK: {node} has version {} of {}, in epoch {} of {}",
-                committed.0, committed.1, epoch.0, epoch.1
-            ),
-        }
-    }
-}
-
 /// A member whose place was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Replacement {
@@ -132,7 +15,7 @@
     pub removed: NodeId,
 }
 
-/// What has been seen in a world, and the first rule that was broken in the last move.
+/// What has been seen in a world, and the rule that the last move broke.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Checker {
     requests_sent: u32,
@@ -142,7 +25,7 @@
     committed: ConfigurationVersion,
     /// The committed text of each version, at whichever controller.
     texts: BTreeMap<ConfigurationVersion, Arc<[u8]>>,
-    /// Whose text each acknowledged version is, where no other was said to be committed.
+    /// The draft that each version was acknowledged for, where its operator was not told that another text is committed.
     acknowledged_drafts: BTreeMap<ConfigurationVersion, Draft>,
     /// What a read has to give at least.
     read_floors: BTreeMap<Ticket, ConfigurationVersion>,
@@ -238,7 +121,7 @@
         }
     }
 
-    /// Under one version there is one text, and `is_other_text` says whether it is not this draft's.
+    /// `is_other_text` must be true exactly where the version's one committed text is not the draft's.
     fn put_acknowledged(&mut self, draft: Draft, is_other_text: bool) {
         let version = draft.version();
         self.acknowledged = self.acknowledged.max(version);
@@ -259,7 +142,7 @@
         }
     }
 
-    /// A version counts as acknowledged, whatever operators were told.
+    /// Counts a version as acknowledged without an answer to an operator.
     pub(crate) fn assume_acknowledged(&mut self, version: ConfigurationVersion) {
         self.acknowledged = self.acknowledged.max(version);
     }
@@ -303,13 +186,13 @@
     /// its answer. `summaries`: of the controllers that run.
     pub(crate) fn check_settled(&mut self, summaries: &BTreeMap<NodeId, ReplicaSummary>) {
         if self.violation.is_none() {
-            self.violation = self.unsettled(summaries);
+            self.violation = self.unsettled(summaries).map(Violation::Unsettled);
         }
     }
 
-    fn unsettled(&self, summaries: &BTreeMap<NodeId, ReplicaSummary>) -> Option<Violation> {
+    fn unsettled(&self, summaries: &BTreeMap<NodeId, ReplicaSummary>) -> Option<Unsettled> {
         if let Some(ticket) = self.open_puts.keys().next() {
-            return Some(Violation::UnansweredCall(*ticket));
+            return Some(Unsettled::UnansweredCall(*ticket));
         }
         let has_standby = summaries
             .keys()
@@ -321,15 +204,17 @@
         unsettled.unwrap_or_else(|| self.lagging(summaries))
     }
 
-    fn lagging(&self, summaries: &BTreeMap<NodeId, ReplicaSummary>) -> Option<Violation> {
+    fn lagging(&self, summaries: &BTreeMap<NodeId, ReplicaSummary>) -> Option<Unsettled> {
         let is_lagging = |summary: &ReplicaSummary| {
             summary.committed != self.committed || summary.voting_set != self.newest_set
         };
         let (node, summary) = summaries.iter().find(|(_, summary)| is_lagging(summary))?;
-        Some(Violation::Lagging {
+        Some(Unsettled::Lagging {
             node: *node,
-            committed: (summary.committed, self.committed),
-            epoch: (summary.voting_set.epoch, self.newest_set.epoch),
+            committed: summary.committed,
+            highest_committed: self.committed,
+            epoch: summary.voting_set.epoch,
+            newest_epoch: self.newest_set.epoch,
         })
     }
 }
@@ -348,13 +233,13 @@
     node: NodeId,
     summary: Option<&ReplicaSummary>,
     has_standby: bool,
-) -> Option<Violation> {
+) -> Option<Unsettled> {
     let Some(summary) = summary else {
-        return has_standby.then_some(Violation::MemberNotReplaced(node));
+        return has_standby.then_some(Unsettled::MemberNotReplaced(node));
     };
     if !summary.is_voter {
-        return Some(Violation::MemberSilent(node));
+        return Some(Unsettled::MemberSilent(node));
     }
     let version = summary.highest_accepted;
-    (version > summary.committed).then_some(Violation::OpenVersion { node, version })
+    (version > summary.committed).then_some(Unsettled::OpenVersion { node, version })
 }
--- a/crates/tools/modelcheck/src/explore.rs
+++ b/crates/tools/modelcheck/src/explore.rs
@@ -1,9 +1,9 @@
 //! Breadth first over all orders, each state once; then random walks behind it.
 
-use crate::checker::Violation;
 use crate::moves::Move;
 use crate::mutation::Mutation;
 use crate::scene::Scene;
+use crate::violation::Violation;
 use crate::world::World;
 use std::collections::BTreeSet;
 
--- a/crates/tools/modelcheck/src/lib.rs
+++ b/crates/tools/modelcheck/src/lib.rs
@@ -3,7 +3,8 @@
 //! looks at each state for a broken rule. It imports no clock, disk or network.
 //!
 //! * `scene.rs`, `scenes.rs`, `openings.rs`: which worlds are explored.
-//! * [`moves`]: what may happen next; `world/`: what there is, and what each move does to it; `checker.rs`: the rules.
+//! * [`moves`]: what may happen next; `world/`: what there is, and what each move does to it; `checker.rs`,
+//!   `violation.rs`: the rules.
 //! * `mutation.rs`: defences that are taken out on purpose, which have to be caught.
 //! * `explore.rs`: breadth first with states counted; `walks.rs`: long random walks behind that.
 //! * [`simulation`]: a controller with a disk in memory, also for the timelines of `rushcourse-consensus`.
@@ -18,16 +19,17 @@
 mod scene;
 mod scenes;
 pub mod simulation;
+mod violation;
 mod walks;
 mod world;
 
-pub use checker::Violation;
 pub use draft::Draft;
 pub use explore::{Bounds, Counterexample, Findings};
 pub use moves::Move;
 pub use mutation::Mutation;
 pub use scene::{Budget, Clients, Scene};
 pub use scenes::SCENES;
+pub use violation::{Unsettled, Violation};
 pub use world::World;
 
 /// Explores one scene, with all defences or one taken out. The same bounds give the same figures.
--- a/crates/tools/modelcheck/src/moves.rs
+++ b/crates/tools/modelcheck/src/moves.rs
@@ -17,7 +17,7 @@
         /// The receiver.
         to: NodeId,
     },
-    /// The oldest batch of a disk is synced, and its controller is told.
+    /// The oldest batch of a disk is synced.
     SyncBatch(NodeId),
     /// A controller ends; what was not synced is lost.
     LosePower(NodeId),
@@ -31,7 +31,7 @@
     LoseMachine(NodeId),
     /// A controller ends, and comes back with the disk that it had at the start of this world.
     RestoreOldDisk(NodeId),
-    /// A controller is told to end, and goes on until a standby has its place.
+    /// A controller gets SIGTERM: it goes on until a standby has its place.
     ShutDown(NodeId),
     /// The session of two controllers breaks and stands anew: what was on the way is lost.
     BreakSession(NodeId, NodeId),
@@ -39,7 +39,7 @@
     Isolate(NodeId),
     /// A controller that was isolated is in session with the others again.
     Reconnect(NodeId),
-    /// A controller's process stands still: it takes nothing in and no time passes for it, until it is resumed.
+    /// A controller's process stands still: it receives nothing and no time passes for it, until it is resumed.
     Pause(NodeId),
     /// A paused process goes on.
     Resume(NodeId),
@@ -58,7 +58,7 @@
 }
 
 impl Move {
-    /// Whether it carries on what is under way, and is no fault, no new call and no passing of time.
+    /// Whether it continues what is under way: no fault, no new call and no passing of time.
     pub fn is_progress(&self) -> bool {
         matches!(
             self,
--- a/crates/tools/modelcheck/src/mutation.rs
+++ b/crates/tools/modelcheck/src/mutation.rs
@@ -7,21 +7,21 @@
     VoteAfterWipe,
     /// An operator is answered once half of the disks hold a version (LOST).
     AcknowledgeAtHalf,
-    /// The disk says that it holds a batch before it does (TWICE, LOST).
+    /// A batch is reported as synced before it is (TWICE, LOST).
     AnswerBeforeSync,
-    /// Votes on a claim count however late they are looked at (TWICE).
+    /// Votes on a claim count however late they are processed (TWICE).
     VotesNeverExpire,
     /// Disks that hold another text under the same version count for one's own (CONFIG).
     RivalTextsCount,
     /// Votes of different voting sets add up (TWICE).
     EpochUnchecked,
-    /// A newcomer is taken in without snapshots, and votes at once (TWICE).
+    /// A new member joins without snapshots, and votes at once (TWICE).
     LearnerCounts,
     /// The vote of one whose place was taken counts for its successor's (TWICE).
     RemovedCounts,
     /// What others reported of their votes counts without end (CONFIG).
     ReportsNeverExpire,
-    /// A proposer brings its text without promises (CONFIG).
+    /// A proposer asks for votes without promises (CONFIG).
     PromisesSkipped,
 }
 
--- a/crates/tools/modelcheck/src/openings.rs
+++ b/crates/tools/modelcheck/src/openings.rs
@@ -5,13 +5,13 @@
     break_session, deliver, isolate, pause, put, sync_batch, wipe_disk,
 };
 
-/// All have been up for longer than one that lost its disk is silent.
+/// All controllers have been up for longer than one that lost its disk stays silent.
 #[rustfmt::skip]
 pub(crate) const LONG_UP: [Move; 10] = [
     Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
 ];
 
-/// Member 3 is cut off, and standby 4 has been brought up to date: at the next wait the change is proposed.
+/// Member 3 is cut off, and standby 4 has its snapshots: at the next wait the change is proposed.
 #[rustfmt::skip]
 pub(crate) const CHANGE_DUE: [Move; 17] = [
     Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
@@ -25,7 +25,7 @@
     isolate(3), Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait,
 ];
 
-/// The change is made, and the newcomer votes; gateways haven't heard of it.
+/// The change is made, and the new member votes; gateways do not know of it yet.
 #[rustfmt::skip]
 pub(crate) const CHANGE_MADE: [Move; 21] = [
     Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
@@ -34,7 +34,7 @@
 ];
 
 /// Text 5 has its promises; members 1 and 2 voted for it and know so of each other, 4 and 5 were cut off from it, and
-/// what 1 sent to 3 is on the way. Then 1 stands still, and 2 loses its disk and is brought up to date by the others.
+/// what 1 sent to 3 is on the way. Then 1 stands still, and 2 loses its disk and installs the others' snapshots.
 #[rustfmt::skip]
 pub(crate) const MEMBER_PAUSED: [Move; 27] = [
     put(5), deliver(1, 2), deliver(1, 3), sync_batch(1), sync_batch(2), sync_batch(3),
--- a/crates/tools/modelcheck/src/scene.rs
+++ b/crates/tools/modelcheck/src/scene.rs
@@ -26,7 +26,7 @@
     pub machine_losses: u32,
     /// Older disks that are put back.
     pub old_disks: u32,
-    /// Controllers that are told to end.
+    /// Controllers that get SIGTERM.
     pub shutdowns: u32,
     /// Sessions that break.
     pub session_breaks: u32,
@@ -57,13 +57,13 @@
     pub is_first_start: bool,
     /// Whether messages between controllers arrive at once: fewer orders, seen deeper.
     pub is_delivery_eager: bool,
-    /// Whether an end of a session learns of its break only once it has read all that came before.
+    /// Whether an end of a session notices its break only once it has read all that was sent before.
     pub is_disconnect_late: bool,
     /// What happens before the exploring begins; its faults and waits are not counted.
     pub opening: &'static [Move],
-    /// Each of how many walks is closed at its end, 0 for none: faults end, and all must come to rest.
+    /// One walk in so many is closed at its end, 0 for none: faults end, and the world must recover.
     pub closed_each: usize,
-    /// Random walks behind the breadth: as many as its mutations want, and some more.
+    /// Random walks behind the breadth-first exploration: as many as it takes to catch its mutations, and some more.
     pub walks: usize,
     /// Which mutations it has to catch.
     pub catches: &'static [Mutation],
--- a/crates/tools/modelcheck/src/scenes.rs
+++ b/crates/tools/modelcheck/src/scenes.rs
@@ -11,6 +11,13 @@
     drafts: &[],
 };
 
+/// One key, claimed once by each of two gateways.
+const TWO_GATEWAYS: Clients = Clients {
+    gateways: 2,
+    claims: 1,
+    ..NO_CLIENTS
+};
+
 const NOTHING: Budget = Budget {
     power_losses: 0,
     disk_wipes: 0,
@@ -40,15 +47,20 @@
     catches: &[],
 };
 
+/// A member may be replaced while two gateways claim the key; in the end all must have recovered.
+const REPLACEMENT: Scene = Scene {
+    standbys: 1,
+    clients: TWO_GATEWAYS,
+    is_delivery_eager: true,
+    closed_each: 50,
+    ..BASE
+};
+
 /// All scenes.
 pub const SCENES: [Scene; 23] = [
     Scene {
         name: "keys-power",
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
+        clients: TWO_GATEWAYS,
         budget: Budget {
             power_losses: 1,
             waits: 1,
@@ -59,11 +71,7 @@
     },
     Scene {
         name: "keys-wiped",
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
+        clients: TWO_GATEWAYS,
         budget: Budget {
             disk_wipes: 1,
             waits: 6,
@@ -76,11 +84,7 @@
     },
     Scene {
         name: "keys-snapshots",
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
+        clients: TWO_GATEWAYS,
         budget: Budget {
             disk_wipes: 2,
             waits: 8,
@@ -92,9 +96,8 @@
         name: "keys-retried",
         members: 4,
         clients: Clients {
-            gateways: 2,
             claims: 2,
-            ..NO_CLIENTS
+            ..TWO_GATEWAYS
         },
         budget: Budget {
             power_losses: 1,
@@ -184,30 +187,18 @@
     },
     Scene {
         name: "replaced-keys",
-        standbys: 1,
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
         budget: Budget {
             waits: 3,
             ..NOTHING
         },
-        is_delivery_eager: true,
         opening: &CHANGE_DUE,
-        closed_each: 50,
         catches: &[Mutation::LearnerCounts],
-        ..BASE
+        ..REPLACEMENT
     },
     Scene {
         name: "replaced-votes",
         standbys: 1,
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
+        clients: TWO_GATEWAYS,
         budget: Budget {
             waits: 1,
             ..NOTHING
@@ -220,99 +211,60 @@
     Scene {
         name: "replaced-twice",
         standbys: 2,
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
         budget: Budget {
             machine_losses: 2,
             waits: 14,
             ..NOTHING
         },
-        is_delivery_eager: true,
         opening: &LONG_UP,
-        closed_each: 50,
-        ..BASE
+        ..REPLACEMENT
     },
     Scene {
         name: "replaced-in-partition",
         members: 5,
-        standbys: 1,
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
         budget: Budget {
             machine_losses: 1,
             isolations: 2,
             waits: 8,
             ..NOTHING
         },
-        is_delivery_eager: true,
         opening: &LONG_UP,
-        closed_each: 50,
         walks: 10_000,
-        ..BASE
+        ..REPLACEMENT
     },
     Scene {
         name: "replaced-wiped",
         members: 5,
-        standbys: 1,
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
         budget: Budget {
             disk_wipes: 2,
             machine_losses: 1,
             waits: 10,
             ..NOTHING
         },
-        is_delivery_eager: true,
         opening: &LONG_UP,
-        closed_each: 50,
         walks: 10_000,
-        ..BASE
+        ..REPLACEMENT
     },
     Scene {
         name: "replaced-old-disk",
-        standbys: 1,
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
         budget: Budget {
             power_losses: 1,
             old_disks: 1,
             waits: 8,
             ..NOTHING
         },
-        is_delivery_eager: true,
         opening: &CHANGE_DUE,
-        closed_each: 50,
-        ..BASE
+        ..REPLACEMENT
     },
     Scene {
         name: "replaced-power",
-        standbys: 1,
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
         budget: Budget {
             power_losses: 4,
             waits: 4,
             ..NOTHING
         },
-        is_delivery_eager: true,
         opening: &CHANGE_DUE,
-        closed_each: 50,
-        ..BASE
+        ..REPLACEMENT
     },
     Scene {
         name: "replaced-configuration",
@@ -335,21 +287,14 @@
     Scene {
         name: "replaced-second",
         standbys: 2,
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
         budget: Budget {
             machine_losses: 1,
             waits: 8,
             ..NOTHING
         },
-        is_delivery_eager: true,
         opening: &CHANGE_MADE,
-        closed_each: 50,
         walks: 10_000,
-        ..BASE
+        ..REPLACEMENT
     },
     Scene {
         name: "replaced-proposed",
@@ -372,22 +317,15 @@
     Scene {
         name: "replaced-shutting-down",
         standbys: 2,
-        clients: Clients {
-            gateways: 2,
-            claims: 1,
-            ..NO_CLIENTS
-        },
         budget: Budget {
             power_losses: 1,
             shutdowns: 2,
             waits: 8,
             ..NOTHING
         },
-        is_delivery_eager: true,
         opening: &LONG_UP,
-        closed_each: 50,
         walks: 10_000,
-        ..BASE
+        ..REPLACEMENT
     },
     Scene {
         name: "rivals-split",
--- a/crates/tools/modelcheck/src/simulation.rs
+++ b/crates/tools/modelcheck/src/simulation.rs
@@ -1,5 +1,5 @@
-//! A controller without clock, network and disk: its consensus node, and a disk in memory that syncs when it is told
-//! to. The worlds of this package and the timelines of `rushcourse-consensus` are made of it.
+//! A controller without clock, network and disk: its consensus node, and a disk in memory that syncs on demand. The
+//! worlds of this package and the timelines of `rushcourse-consensus` are made of it.
 
 use rushcourse_consensus::{
     BatchId, ConsensusNode, DurableState, Effect, Input, Setup, WriteBatch,
@@ -14,7 +14,7 @@
 /// Starts of one controller are fewer than this; each has an incarnation of its own.
 const MAX_STARTS: u64 = 1_000;
 
-/// What all controllers of a world are told of their deployment.
+/// What all controllers of a world have to know of their deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     /// Controllers that are there from the start, with the numbers from 1 on.
@@ -23,7 +23,7 @@
     pub zones: u32,
     /// Machines that may be lost at once.
     pub tolerated_losses: usize,
-    /// A machine that is new must bear the next loss within this time.
+    /// Within this time after a machine joined, the next loss must be tolerated.
     pub catch_up: Duration,
     /// For how long an operation key binds.
     pub key_window: Duration,
@@ -77,7 +77,7 @@
         self.unsynced.clear();
     }
 
-    /// Takes in a batch, to be synced later.
+    /// Queues a batch, to be synced later.
     pub fn write(&mut self, batch: WriteBatch) {
         self.unsynced.push_back(batch);
     }
--- a/crates/tools/modelcheck/src/walks.rs
+++ b/crates/tools/modelcheck/src/walks.rs
@@ -47,8 +47,8 @@
             Gait::ProgressFirst => {
                 let progress = moves.iter().copied().filter(Move::is_progress);
                 let progress: Vec<Move> = progress.collect();
-                let goes_on = !progress.is_empty() && random.below(ANY_MOVE_EACH) != 0;
-                random.choose(if goes_on { &progress } else { moves })
+                let is_progress_taken = !progress.is_empty() && random.below(ANY_MOVE_EACH) != 0;
+                random.choose(if is_progress_taken { &progress } else { moves })
             }
             Gait::Speeds { seed } => choose_by_speed(random, moves, seed),
         }
--- a/crates/tools/modelcheck/src/world/available_moves.rs
+++ b/crates/tools/modelcheck/src/world/available_moves.rs
@@ -95,7 +95,8 @@
         !newest.epoch.is_none() && !newest.contains(node)
     }
 
-    /// A minority of disks may be lost at once; each is until its controller was brought up to date or replaced.
+    /// A minority of disks may be lost at once. A disk counts as lost until its controller has complete state again or
+    /// is replaced.
     fn may_lose_disk(&self, node: NodeId) -> bool {
         if self.is_removed(node) {
             return true;
--- a/crates/tools/modelcheck/src/world/closing.rs
+++ b/crates/tools/modelcheck/src/world/closing.rs
@@ -1,4 +1,4 @@
-//! How a world comes to rest once faults have ended.
+//! How a world recovers once faults have ended.
 
 use super::World;
 use rushcourse_consensus::{Input, ReplicaSummary};
@@ -6,9 +6,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// For how long a world is looked at once faults have ended, and its steps: over two changes of the set, each with a
-/// newcomer's silence.
+/// The time that a world has to recover: over two changes of the set, each with a new member's silence.
 const CLOSING_TIME: Duration = Duration::from_millis(16_000);
+/// Between two ticks of the controllers meanwhile.
 const CLOSING_TICK: Duration = Duration::from_millis(50);
 
 impl World<'_> {
--- a/crates/tools/modelcheck/src/world/controllers.rs
+++ b/crates/tools/modelcheck/src/world/controllers.rs
@@ -1,7 +1,7 @@
 //! Starts, stops and steps of controllers, and what comes of their effects.
 
 use super::World;
-use super::network::{Link, Parcel};
+use super::network::{Link, Packet};
 use crate::mutation::Mutation;
 use crate::simulation::Unsynced;
 use rushcourse_consensus::{
@@ -11,7 +11,7 @@
 use rushcourse_types::{ConfigurationVersion, NodeId, SessionId};
 
 impl World<'_> {
-    /// An input to a controller, and all that it does.
+    /// Gives a controller an input and carries out its effects.
     pub(super) fn step(&mut self, node: NodeId, input: Input) {
         let (now, wall) = (self.now, self.wall());
         let inputs = self.with_stale_reports(node, input);
@@ -41,7 +41,7 @@
             }
             Effect::VotingSetAdopted(voting_set) => {
                 self.checker.voting_set_adopted(&voting_set);
-                self.tell_gateways(node, voting_set);
+                self.announce_to_gateways(node, voting_set);
             }
             Effect::Log(_) => {}
         }
@@ -77,8 +77,8 @@
         self.controller_mut(node).committed = committed.version;
     }
 
-    /// Gateways hear of the voting set, where it can change.
-    fn tell_gateways(&mut self, node: NodeId, voting_set: VotingSet) {
+    /// Sends gateways the voting set, where it can change.
+    fn announce_to_gateways(&mut self, node: NodeId, voting_set: VotingSet) {
         if self.scene.has_standbys() && !voting_set.epoch.is_none() {
             let gateways: Vec<NodeId> = self.gateways.keys().copied().collect();
             for gateway in gateways {
@@ -106,6 +106,7 @@
         }
     }
 
+    /// Starts a controller.
     pub(super) fn start(&mut self, node: NodeId) {
         let deployment = self.deployment();
         let controller = self.controller_mut(node);
@@ -114,10 +115,11 @@
         self.step(node, Input::Tick);
         let durable = self.controller(node).simulated.disk.durable();
         let voting_set = durable.voting_set.clone();
-        self.tell_gateways(node, voting_set);
+        self.announce_to_gateways(node, voting_set);
         self.connect_to_peers(node);
     }
 
+    /// Stops a controller.
     pub(super) fn stop(&mut self, node: NodeId, unsynced: Unsynced) {
         for peer in self.reachable_peers(node) {
             self.disconnect(node, peer);
@@ -155,7 +157,7 @@
         peers.map(|(peer, _)| *peer).collect()
     }
 
-    /// A session comes to stand between two controllers.
+    /// Two controllers get a session.
     pub(super) fn connect(&mut self, one: NodeId, other: NodeId) {
         let link = Link {
             from: one,
@@ -187,19 +189,19 @@
         self.disconnect(one, other);
     }
 
-    /// Both ends learn that a session stands, or broke: at once, or as each end reads it.
+    /// Both ends notice that a session stands, or broke: at once, or in the order of what they read.
     fn notify_ends(&mut self, link: Link, session: Option<SessionId>) {
         for end in [link.reversed(), link] {
             if self.scene.is_disconnect_late {
-                let parcel = session.map_or(Parcel::Disconnected, Parcel::Connected);
-                self.network.push(end, parcel);
+                let packet = session.map_or(Packet::Disconnected, Packet::Connected);
+                self.network.push(end, packet);
             } else {
                 self.session_changed(end.to, end.from, session);
             }
         }
     }
 
-    /// One end of a session learns that it stands, or broke.
+    /// One end of a session notices that it stands, or broke.
     pub(super) fn session_changed(
         &mut self,
         node: NodeId,
--- a/crates/tools/modelcheck/src/world/delivery.rs
+++ b/crates/tools/modelcheck/src/world/delivery.rs
@@ -1,7 +1,7 @@
 //! What is on the way, and what it does where it arrives.
 
 use super::controllers::session_of;
-use super::network::{Link, Parcel};
+use super::network::{Link, Packet};
 use super::{FIRST_GATEWAY, World};
 use crate::mutation::Mutation;
 use rushcourse_consensus::{ClaimRequest, Input};
@@ -42,12 +42,12 @@
         session.is_some() && sender.sessions.get(&link.to).copied() == session
     }
 
-    /// The oldest parcel of a link arrives.
+    /// The oldest packet of a link arrives.
     pub(super) fn deliver_next(&mut self, from: NodeId, to: NodeId) {
         match self.network.pop(Link { from, to }) {
-            Some(Parcel::Message(message)) => self.message_arrives(from, to, message),
-            Some(Parcel::Disconnected) => self.session_changed(to, from, None),
-            Some(Parcel::Connected(session)) => self.session_changed(to, from, Some(session)),
+            Some(Packet::Message(message)) => self.message_arrives(from, to, message),
+            Some(Packet::Disconnected) => self.session_changed(to, from, None),
+            Some(Packet::Connected(session)) => self.session_changed(to, from, Some(session)),
             None => {}
         }
     }
--- a/crates/tools/modelcheck/src/world/gateways.rs
+++ b/crates/tools/modelcheck/src/world/gateways.rs
@@ -1,6 +1,6 @@
 //! What gateways do with their claims.
 
-use super::network::{Link, Parcel};
+use super::network::{Link, Packet};
 use super::{Gateway, KEY, World};
 use crate::mutation::Mutation;
 use rushcourse_messages::{ClaimVerdict, Message, VotingSet};
@@ -63,11 +63,11 @@
                 from: node,
                 to: voter,
             };
-            self.network.push(link, Parcel::Message(message.clone()));
+            self.network.push(link, Packet::Message(message.clone()));
         }
     }
 
-    /// A gateway hears of a voting set: claims that are under way are asked for again under it.
+    /// A gateway receives a voting set: claims that are under way are requested again under it.
     pub(super) fn voting_set_arrives(&mut self, from: NodeId, node: NodeId, voting_set: VotingSet) {
         let running = self.running_controllers();
         let now = self.now.as_millis();
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Won: the request may leave. Else nothing was sent, and the claim is withdrawn at all that were asked.
+    /// Won: the request may be sent. Else nothing was sent, and the claim is withdrawn at all voters that were asked.
     fn claim_decided(&mut self, node: NodeId, claim: ClaimId, verdicts: Verdicts) {
         let now = self.now.as_millis();
         let gateway = self.gateway_mut(node);
--- a/crates/tools/modelcheck/src/world/mod.rs
+++ b/crates/tools/modelcheck/src/world/mod.rs
@@ -5,7 +5,7 @@
 //! * `network.rs`: links and sessions; `delivery.rs`: what a message does at its receiver.
 //! * `controllers.rs`: steps of controllers and what comes of their effects; `gateways.rs`: the same for claims.
 //! * `mutations.rs`: what is altered on the way where a defence is taken out.
-//! * `closing.rs`: how a world comes to rest once faults have ended.
+//! * `closing.rs`: how a world recovers once faults have ended.
 
 mod available_moves;
 mod closing;
@@ -16,11 +16,12 @@
 mod network;
 mod play;
 
-use crate::checker::{Checker, Violation};
+use crate::checker::Checker;
 use crate::draft::Draft;
 use crate::mutation::Mutation;
 use crate::scene::{Budget, Scene};
 use crate::simulation::{Deployment, SimulatedController};
+use crate::violation::Violation;
 use network::{Link, Network};
 use rushcourse_consensus::{DurableState, ReplicaSummary};
 use rushcourse_messages::{Message, VotingSet};
@@ -34,12 +35,12 @@
 use std::hash::{DefaultHasher, Hasher};
 use std::time::Duration;
 
-/// One wait: the time for which votes on claims count, so that five are longer than the silence of a voter that lost
-/// its disk.
+/// One wait: the time for which votes on claims count, so that five of them are longer than a voter that lost its disk
+/// stays silent.
 const WAIT: Duration = Duration::from_millis(450);
 /// `catch_up_s` of these worlds: a member is missed for 0.6 of it, so that one wait is longer.
 const CATCH_UP: Duration = Duration::from_millis(700);
-/// Machines that these worlds are to bear the loss of.
+/// Machines whose loss these worlds are to tolerate.
 const TOLERATED_LOSSES: usize = 1;
 /// Operation keys bind longer than any world lasts.
 const KEY_WINDOW: Duration = Duration::from_millis(60_000);
--- a/crates/tools/modelcheck/src/world/mutations.rs
+++ b/crates/tools/modelcheck/src/world/mutations.rs
@@ -1,7 +1,7 @@
 //! What a mutation alters on the way: effects, inputs and messages. The steps themselves are the product's own.
 
 use super::World;
-use super::network::{Link, Parcel};
+use super::network::{Link, Packet};
 use crate::mutation::Mutation;
 use crate::simulation::Unsynced;
 use rushcourse_consensus::{DurableState, Input};
@@ -111,7 +111,7 @@
                     from,
                     to: replacement.removed,
                 };
-                self.network.push(link, Parcel::Message(message.clone()));
+                self.network.push(link, Packet::Message(message.clone()));
             }
             Message::ClaimRequest { epoch, .. } if to == replacement.removed => {
                 *epoch = epoch_of_receiver;
--- a/crates/tools/modelcheck/src/world/network.rs
+++ b/crates/tools/modelcheck/src/world/network.rs
@@ -30,7 +30,7 @@
 
 /// What is on the way from one node to another.
 #[derive(Clone, Debug, PartialEq)]
-pub(super) enum Parcel {
+pub(super) enum Packet {
     Message(Message),
     /// The end of a session, as the receiver will read it.
     Disconnected,
@@ -41,7 +41,7 @@
 /// What is on the way, and the sessions that stand.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Network {
-    links: BTreeMap<Link, VecDeque<Parcel>>,
+    links: BTreeMap<Link, VecDeque<Packet>>,
     /// By both ends, the lower one first.
     sessions: BTreeMap<Link, SessionId>,
     last_session: SessionId,
@@ -54,21 +54,21 @@
         busy.map(|(link, _)| *link)
     }
 
-    pub(super) fn push(&mut self, link: Link, parcel: Parcel) {
-        self.links.entry(link).or_default().push_back(parcel);
+    pub(super) fn push(&mut self, link: Link, packet: Packet) {
+        self.links.entry(link).or_default().push_back(packet);
     }
 
     /// Adds a message, unless the last one on the way is the same. `is_carried`: it is not lost at once.
     pub(super) fn push_message(&mut self, link: Link, message: Message, is_carried: bool) {
-        let parcel = Parcel::Message(message);
+        let packet = Packet::Message(message);
         let queue = self.links.entry(link).or_default();
-        if is_carried && queue.back() != Some(&parcel) {
-            queue.push_back(parcel);
+        if is_carried && queue.back() != Some(&packet) {
+            queue.push_back(packet);
         }
     }
 
-    /// Takes the oldest parcel off a link.
-    pub(super) fn pop(&mut self, link: Link) -> Option<Parcel> {
+    /// Takes the oldest packet off a link.
+    pub(super) fn pop(&mut self, link: Link) -> Option<Packet> {
         self.links.get_mut(&link)?.pop_front()
     }
 
--- a/crates/tools/modelcheck/tests/mutations.rs
+++ b/crates/tools/modelcheck/tests/mutations.rs
@@ -134,7 +134,7 @@
     );
 }
 
-/// Gateway 101 has heard of the new voting set, 100 has not, and its claim goes on with what the removed member granted.
+/// Gateway 101 has the new voting set, 100 does not, and its claim continues with what the removed member granted.
 #[test]
 fn votes_of_two_voting_sets_that_add_up_let_a_key_run_twice() {
     #[rustfmt::skip]
@@ -164,7 +164,7 @@
     assert_caught("replaced-votes", Mutation::RemovedCounts, "TWICE", &way);
 }
 
-/// Gateway 100 wins by the member that is removed and another one; the newcomer hasn't heard of it.
+/// Gateway 100 wins by the member that is removed and another one; the new member does not know of it.
 #[test]
 fn a_learner_that_counts_without_snapshots_lets_a_key_run_twice() {
     #[rustfmt::skip]
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_text_that_is_brought_without_promises_replaces_a_committed_one() {
+fn a_text_that_is_voted_for_without_promises_replaces_a_committed_one() {
     #[rustfmt::skip]
     let way = [
         put(106), sync_batch(2), sync_batch(2), put(5), deliver(2, 1), deliver(2, 3),
@@ -219,7 +219,7 @@
 }
 
 /// As in `reported-late`, but what 2 reported lies unread at 1 when it is paused: it is read only after 2 has lost its
-/// disk, was brought up to date, and has voted for the other text.
+/// disk, has installed snapshots, and has voted for the other text.
 #[test]
 fn a_vote_of_before_a_wipe_that_lay_unread_does_not_count() {
     #[rustfmt::skip]
--- a/crates/tools/modelcheck/tests/scenes.rs
+++ b/crates/tools/modelcheck/tests/scenes.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_removed_member_that_has_not_heard_of_it_votes_in_its_old_set() {
+fn a_removed_member_that_lacks_the_new_set_votes_in_the_old_one() {
     for name in ["replaced-votes", "replaced-second"] {
         let world = World::opened(scene(name), None);
         assert_eq!(
@@ -90,7 +90,7 @@
     assert_eq!(
         [1, 2, 3, 4, 5].map(|node| voting_epoch(&world, node)),
         [Some(Epoch(1)); 5],
-        "2 has been brought up to date"
+        "2 has complete state again"
     );
     let highest_accepted = |node| Some(world.summary(NodeId(node))?.highest_accepted);
     assert_eq!(
