--- /dev/null
+++ b/crates/gateway/controller/src/admin.rs
@@ -0,0 +1,149 @@
+//! The state of a controller as pages of JSON, which `rushctl` reads.
+
+use crate::controller::Controller;
+use crate::json::{list, quoted};
+use crate::peer_sessions::PeerSessions;
+use rushcourse_cluster::{Cluster, HostEntry, TableEndpoint, TableView};
+use rushcourse_consensus::{HeldClaim, ReplicaSummary};
+use rushcourse_storage::DiskStatistics;
+use rushcourse_transport::Session;
+use rushcourse_types::{NodeId, Timestamp, WallTime};
+use std::time::Duration;
+
+/// Who holds an operation key, as far as this controller has it.
+pub(crate) fn key_page(now: WallTime, holder: Option<HeldClaim>) -> String {
+    let Some(claim) = holder else {
+        return "{\"held\":false}".into();
+    };
+    format!(
+        "{{\"held\":true,\"on_disk\":{},\"by\":{},\"life\":{},\"number\":{},\"age_s\":{:.1}}}",
+        claim.is_durable,
+        node(claim.id.node),
+        quoted(&claim.id.incarnation.to_string()),
+        claim.id.number,
+        now.0.saturating_sub(claim.claimed_at.0) as f64 / 1000.0
+    )
+}
+
+/// All that this controller knows of itself and of the others.
+pub(crate) fn status_page(controller: &Controller) -> String {
+    let Controller {
+        clock,
+        storage,
+        consensus,
+        cluster,
+        sessions,
+        ..
+    } = controller;
+    let name = &sessions.factory().local_handshake().name;
+    let fields = [
+        format!("\"name\":{}", quoted(name)),
+        format!("\"primed\":{}", cluster.is_synchronized()),
+        replica_fields(&consensus.summary()),
+        disk_field(&storage.statistics(), storage.file_bytes()),
+        format!("\"members\":{}", list(cluster.gateways().all(), node)),
+        rejections_field(sessions),
+        sessions_field(sessions, cluster),
+        hosts_field(cluster, clock.now()),
+        tables_field(cluster),
+    ];
+    format!("{{{}}}", fields.join(","))
+}
+
+fn node(node: NodeId) -> String {
+    quoted(&node.to_string())
+}
+
+/// Milliseconds with fractions, from whole microseconds.
+fn millis(span: Duration) -> f64 {
+    span.as_micros() as f64 / 1000.0
+}
+
+fn replica_fields(replica: &ReplicaSummary) -> String {
+    format!(
+        "\"set\":{{\"number\":{},\"members\":{}}},\"remembers\":{},\"votes\":{},\"held\":{},\"in_force\":{},\
+         \"claims\":{},\"peers\":{}",
+        replica.voting_set.epoch,
+        list(replica.voting_set.members.iter().copied(), node),
+        replica.has_complete_state,
+        replica.is_voter,
+        replica.highest_accepted,
+        replica.committed,
+        replica.claim_count,
+        list(replica.peers.iter().copied(), node),
+    )
+}
+
+/// `file_bytes`: of the state file.
+fn disk_field(disk: &DiskStatistics, file_bytes: u64) -> String {
+    let writing_ms = match disk.current_write {
+        Some(span) => format!("{:.1}", millis(span)),
+        None => "null".into(),
+    };
+    format!(
+        "\"disk\":{{\"bytes\":{file_bytes},\"syncs\":{},\"refused\":{},\"last_ms\":{:.1},\"most_ms\":{:.1},\
+         \"writing_ms\":{writing_ms}}}",
+        disk.syncs,
+        disk.refused_syncs,
+        millis(disk.last_sync),
+        millis(disk.longest_sync),
+    )
+}
+
+fn rejections_field(sessions: &PeerSessions) -> String {
+    let rejections = sessions.factory().rejections();
+    let counts: Vec<String> = rejections
+        .iter()
+        .map(|(reason, count)| format!("{}:{count}", quoted(reason)))
+        .collect();
+    format!("\"refused\":{{{}}}", counts.join(","))
+}
+
+fn sessions_field(sessions: &PeerSessions, cluster: &Cluster) -> String {
+    let session = |session: &Session| {
+        let peer = &session.peer;
+        let role = format!("{:?}", peer.role).to_lowercase();
+        format!(
+            "{{\"id\":{},\"name\":{},\"address\":{},\"zone\":{},\"role\":{},\"home\":{}}}",
+            session.id,
+            quoted(&peer.name),
+            node(peer.node),
+            quoted(&peer.zone),
+            quoted(&role),
+            cluster.is_primary_for(session.id),
+        )
+    };
+    format!("\"sessions\":{}", list(sessions.iter(), session))
+}
+
+fn hosts_field(cluster: &Cluster, now: Timestamp) -> String {
+    let host = |host: &HostEntry| {
+        let record = host.record();
+        let state = format!("{:?}", host.state()).to_lowercase();
+        format!(
+            "{{\"id\":{},\"service\":{},\"address\":{},\"zone\":{},\"state\":{},\"silent\":{},\"age_s\":{:.1}}}",
+            quoted(&record.id),
+            quoted(&record.service),
+            quoted(&record.address),
+            quoted(&record.zone),
+            quoted(&state),
+            host.is_timed_out(),
+            now.since(host.last_seen_at()).as_millis() as f64 / 1000.0
+        )
+    };
+    format!("\"hosts\":{}", list(cluster.hosts().iter(), host))
+}
+
+fn tables_field(cluster: &Cluster) -> String {
+    let table = |table: TableView| {
+        let lines = list(table.endpoints, |TableEndpoint { host, weight }| {
+            format!("[{},{weight:.3}]", quoted(&host))
+        });
+        let (service, id, gateways) = (quoted(&table.service), table.table, table.gateways);
+        format!("{{\"service\":{service},\"table\":{id},\"fronts\":{gateways},\"lines\":{lines}}}")
+    };
+    format!(
+        "\"tables\":{}",
+        list(cluster.distribution().tables(), table)
+    )
+}
--- a/crates/tools/modelcheck/src/world/available_moves.rs
+++ b/crates/tools/modelcheck/src/world/available_moves.rs
@@ -42,7 +42,7 @@
         for (node, gateway) in &self.gateways {
             if gateway.won.is_some() {
                 moves.push(Move::SendRequest(*node));
-            } else if gateway.claims.idle() && gateway.begun < self.scene.clients.claims {
+            } else if gateway.claims.is_idle() && gateway.begun < self.scene.clients.claims {
                 moves.push(Move::BeginClaim(*node));
             }
         }
--- a/crates/tools/modelcheck/src/world/delivery.rs
+++ b/crates/tools/modelcheck/src/world/delivery.rs
@@ -6,6 +6,7 @@
 use crate::mutation::Mutation;
 use rushcourse_consensus::{ClaimRequest, Input};
 use rushcourse_messages::Message;
+use rushcourse_routing::ClaimResponse;
 use rushcourse_types::NodeId;
 
 impl World<'_> {
@@ -60,7 +61,15 @@
                 key,
                 claim,
                 verdict,
-            } => self.vote_arrives(from, to, epoch, key, claim, verdict),
+            } => {
+                let response = ClaimResponse {
+                    epoch,
+                    key,
+                    claim,
+                    verdict,
+                };
+                self.response_arrives(from, to, response);
+            }
             Message::ClaimRequest { epoch, key, claim } => {
                 let request = ClaimRequest {
                     session: session_of(from),
@@ -74,7 +83,7 @@
                 self.step(to, Input::WithdrawClaim { key, claim });
             }
             Message::VotingSet(voting_set) if to >= FIRST_GATEWAY => {
-                let is_idle = self.gateways[&to].claims.idle();
+                let is_idle = self.gateways[&to].claims.is_idle();
                 if is_idle || !self.has_mutation(Mutation::EpochUnchecked) {
                     self.voting_set_arrives(from, to, voting_set);
                 }
--- a/crates/tools/modelcheck/src/world/gateways.rs
+++ b/crates/tools/modelcheck/src/world/gateways.rs
@@ -3,9 +3,11 @@
 use super::network::{Link, Packet};
 use super::{Gateway, KEY, World};
 use crate::mutation::Mutation;
-use rushcourse_messages::{ClaimVerdict, Message, VotingSet};
-use rushcourse_routing::{Decision, Verdicts, VoteRequest, Withdrawal};
-use rushcourse_types::{ClaimId, Epoch, KeyDigest, NodeId};
+use rushcourse_messages::{Message, VotingSet};
+use rushcourse_routing::{
+    ClaimDecision, ClaimOutcome, ClaimRequest, ClaimResponse, ClaimWithdrawal,
+};
+use rushcourse_types::{NodeId, Timestamp};
 
 impl World<'_> {
     fn gateway_mut(&mut self, node: NodeId) -> &mut Gateway {
@@ -21,35 +23,25 @@
 
     pub(super) fn begin_claim(&mut self, node: NodeId) {
         let running = self.running_controllers();
-        let now = self.now.as_millis();
+        let now = self.now;
         let gateway = self.gateway_mut(node);
         gateway.begun += 1;
-        let set = gateway.claims.voting_set().epoch;
-        let begun = gateway
-            .claims
-            .begin(now, KEY, |voter| running.contains(&voter));
-        let Some((claim, voters)) = begun else {
-            return;
-        };
-        let request = VoteRequest {
-            set,
-            key: KEY,
-            claim,
-            voters,
-        };
-        self.request_votes(node, request);
+        let claims = &mut gateway.claims;
+        if let Some(request) = claims.start(now, KEY, |voter| running.contains(&voter)) {
+            self.request_votes(node, request);
+        }
     }
 
-    fn request_votes(&mut self, node: NodeId, request: VoteRequest) {
+    fn request_votes(&mut self, node: NodeId, request: ClaimRequest) {
         let message = Message::ClaimRequest {
-            epoch: request.set,
+            epoch: request.epoch,
             key: request.key,
             claim: request.claim,
         };
         self.send_to_voters(node, request.voters, &message);
     }
 
-    fn withdraw(&mut self, node: NodeId, withdrawal: Withdrawal) {
+    fn withdraw(&mut self, node: NodeId, withdrawal: ClaimWithdrawal) {
         let message = Message::ClaimWithdrawal {
             key: withdrawal.key,
             claim: withdrawal.claim,
@@ -70,68 +62,56 @@
     /// A gateway receives a voting set: claims that are under way are requested again under it.
     pub(super) fn voting_set_arrives(&mut self, from: NodeId, node: NodeId, voting_set: VotingSet) {
         let running = self.running_controllers();
-        let now = self.now.as_millis();
+        let now = self.now;
         let claims = &mut self.gateway_mut(node).claims;
-        let renewal = claims.set(now, from, voting_set, |voter| running.contains(&voter));
-        for request in renewal.requests {
+        let is_running = |voter| running.contains(&voter);
+        let actions = claims.voting_set_reported(now, from, voting_set, is_running);
+        for request in actions.requests {
             self.request_votes(node, request);
         }
-        for withdrawal in renewal.withdrawals {
+        for withdrawal in actions.withdrawals {
             self.withdraw(node, withdrawal);
         }
-        for Decision {
-            claim, verdicts, ..
-        } in renewal.decided
-        {
-            self.claim_decided(node, claim, verdicts);
+        for decision in actions.decisions {
+            self.claim_decided(node, &decision);
         }
     }
 
     /// A voter's answer reaches a gateway.
-    pub(super) fn vote_arrives(
-        &mut self,
-        from: NodeId,
-        node: NodeId,
-        epoch: Epoch,
-        key: KeyDigest,
-        claim: ClaimId,
-        verdict: ClaimVerdict,
-    ) {
+    pub(super) fn response_arrives(&mut self, from: NodeId, node: NodeId, response: ClaimResponse) {
         let now = if self.has_mutation(Mutation::VotesNeverExpire) {
-            0
+            Timestamp::ZERO
         } else {
-            self.now.as_millis()
+            self.now
         };
         let Some(gateway) = self.gateways.get_mut(&node) else {
             return;
         };
-        let claims = &mut gateway.claims;
-        let decided = claims.vote(now, from, epoch, key, claim, verdict);
-        if let Some(verdicts) = decided {
-            self.claim_decided(node, claim, verdicts);
+        if let Some(decision) = gateway.claims.record_response(now, from, response) {
+            self.claim_decided(node, &decision);
         }
     }
 
     /// Claims whose votes no longer count are decided.
     pub(super) fn expire_claims(&mut self) {
-        let now = self.now.as_millis();
+        let now = self.now;
         let gateways: Vec<NodeId> = self.gateways.keys().copied().collect();
         for node in gateways {
-            for decision in self.gateway_mut(node).claims.over(now) {
-                self.claim_decided(node, decision.claim, decision.verdicts);
+            for decision in self.gateway_mut(node).claims.take_decided(now) {
+                self.claim_decided(node, &decision);
             }
         }
     }
 
     /// Won: the request may be sent. Else nothing was sent, and the claim is withdrawn at all voters that were asked.
-    fn claim_decided(&mut self, node: NodeId, claim: ClaimId, verdicts: Verdicts) {
-        let now = self.now.as_millis();
+    fn claim_decided(&mut self, node: NodeId, decision: &ClaimDecision) {
+        let now = self.now;
         let gateway = self.gateway_mut(node);
-        if verdicts == Verdicts::Won {
-            gateway.won = Some(claim);
+        if decision.outcome == ClaimOutcome::Won {
+            gateway.won = Some(decision.claim);
             return;
         }
-        let withdrawal = gateway.claims.withdraw(now, KEY, claim);
+        let withdrawal = gateway.claims.withdraw(now, decision.key, decision.claim);
         self.withdraw(node, withdrawal);
     }
 
--- a/crates/tools/modelcheck/src/world/mod.rs
+++ b/crates/tools/modelcheck/src/world/mod.rs
@@ -265,7 +265,7 @@
 
 fn gateway(node: NodeId, voting_set: &VotingSet) -> Gateway {
     let mut claims = Claims::new(node, Incarnation(1));
-    claims.set(0, NodeId(1), voting_set.clone(), |_| true);
+    claims.voting_set_reported(Timestamp::ZERO, NodeId(1), voting_set.clone(), |_| true);
     Gateway {
         claims,
         begun: 0,
