--- a/crates/director/xds/src/messages.rs
+++ b/crates/director/xds/src/messages.rs
@@ -2,7 +2,7 @@
 //! world and delta), load reporting (LRS) and out-of-band load reports of hosts (ORCA). Types and fields carry the
 //! names of the published messages; what `rushcourse-grpc` doesn't read of a message is not here.
 
-use rushcourse_policy::interface::{Again, HostId, Ms};
+use rushcourse_policy::interface::{HostId, Ms, RetryPolicy};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -168,7 +168,7 @@
     /// Requests to reject, in millionths (`policy.drop_overloads`, category `admission`).
     pub drop_per_million: u32,
     /// Which failed requests a proxy may send to another host.
-    pub retry_policy: Again,
+    pub retry_policy: RetryPolicy,
 }
 
 /// An assignment with its version.
--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -5,8 +5,8 @@
 use crate::service_tables::{GatewayUpdate, ServiceTables, TableView, policy_time};
 use rushcourse_messages::HostState;
 use rushcourse_policy::interface::{
-    Again, Channel, Class, Effect, Entry, Event, KeyScope, LevelKind, ListKind, Ms, Readiness,
-    Settings,
+    Channel, ChannelSettings, Event, FleetSettings, HostEntry as PolicyHost, HostListKind,
+    HostSettings, Idempotency, Ms, Readiness, RequestClass, Settings,
 };
 use rushcourse_types::{NodeId, Timestamp};
 use std::collections::BTreeMap;
@@ -63,15 +63,15 @@
         now: Timestamp,
         changed: impl Iterator<Item = &'a HostEntry>,
     ) -> Vec<GatewayUpdate> {
-        let mut entries: BTreeMap<Arc<str>, Vec<Entry>> = BTreeMap::new();
+        let mut entries: BTreeMap<Arc<str>, Vec<PolicyHost>> = BTreeMap::new();
         for host in changed {
             let service = host.record().service.clone();
             entries.entry(service).or_default().push(self.entry(host));
         }
         let mut updates = Vec::new();
         for (service, entries) in entries {
-            let mut events = vec![Event::List {
-                kind: ListKind::Delta,
+            let mut events = vec![Event::HostsListed {
+                kind: HostListKind::Delta,
                 entries,
             }];
             if !self.services.contains_key(&service) {
@@ -120,11 +120,11 @@
         service: &str,
         revision: u16,
     ) -> Vec<GatewayUpdate> {
-        let event = Event::Applied {
-            mark: revision,
+        let event = Event::Acknowledged {
+            ack_number: revision,
             proxy: gateway.0,
-            took: 0.0,
-            channel: Channel::Own,
+            elapsed: 0.0,
+            channel: Channel::Dedicated,
         };
         self.handle_of_gateway(now, gateway, service, event)
     }
@@ -137,10 +137,10 @@
         service: &str,
         load: Load,
     ) -> Vec<GatewayUpdate> {
-        let event = Event::Usage {
+        let event = Event::TrafficReported {
             proxy: gateway.0,
             class: 0,
-            tries: f64::from(load.attempts),
+            attempts: f64::from(load.attempts),
             failed: f64::from(load.failures),
             span: policy_span(load.interval),
         };
@@ -188,54 +188,58 @@
         self.services.insert(service, tables);
     }
 
-    fn entry(&self, host: &HostEntry) -> Entry {
+    fn entry(&self, host: &HostEntry) -> PolicyHost {
         let record = host.record();
         let readiness = match host.state() {
             HostState::Ready => Readiness::Ready,
             HostState::Draining => Readiness::Draining,
             HostState::Gone => Readiness::Gone,
         };
-        Entry {
+        PolicyHost {
             host: record.id.clone(),
             zone: zone_index(&self.zones, &record.zone),
             cell: 0,
             readiness,
             weight: f64::from(record.slots.max(1)),
-            up_since: host.warming_since().map_or(0.0, policy_time),
+            started_at: host.warming_since().map_or(0.0, policy_time),
         }
     }
 
     fn settings(&self) -> Settings {
-        let class = Class {
-            aim: 500.0,
+        let class = RequestClass {
+            target_latency: 500.0,
             deadline: 2000.0,
-            worth: 1.0,
-            effect: Effect::Free,
-            key_scope: KeyScope::All,
-            key_ttl: 0.0,
-            zone_bound: false,
-            writes: false,
+            value: 1.0,
+            idempotency: Idempotency::Idempotent,
+            is_zone_bound: false,
+            is_write: false,
         };
         Settings {
             classes: vec![class],
-            zones: self.zones.len(),
-            my_zone: Some(self.local_zone),
-            directors: 1,
+            fleet: FleetSettings {
+                zones: self.zones.len(),
+                own_zone: Some(self.local_zone),
+                directors: 1,
+                ..FleetSettings::default()
+            },
             // The channel is a session: some thousand table entries a second, an answer within a few milliseconds.
-            backlog: 4000.0,
-            push_rate: 4000.0,
-            per_message: 1.0,
-            counted_over: 10_000.0,
-            late: 20.0,
-            transit_max: 500.0,
-            unserved_max: 1000.0,
-            report_every: 1000.0,
-            level_kind: LevelKind::Off,
-            base_again: Again::Never,
-            drain_grace: policy_span(self.drain_timeout),
+            channel: ChannelSettings {
+                max_queued_lines: 4000.0,
+                lines_per_second: 4000.0,
+                lines_per_message: 1.0,
+                message_window: 10_000.0,
+                mean_transit: 20.0,
+                max_transit: 500.0,
+                ..ChannelSettings::default()
+            },
             // Slow start is the policy's: a tenth, rising over 10 s. Hosts say how long they warm up, not how much.
-            start_capacity: 1.0,
-            listed_weights: true,
+            hosts: HostSettings {
+                drain_grace: policy_span(self.drain_timeout),
+                start_capacity: 1.0,
+                has_listed_weights: true,
+                ..HostSettings::default()
+            },
+            report_interval: 1000.0,
             ..Settings::default()
         }
     }
@@ -252,18 +256,18 @@
 }
 
 fn joined(gateway: NodeId, zone: usize) -> Event {
-    Event::Joined {
+    Event::ProxyJoined {
         proxy: gateway.0,
         zone,
         rate: 1.0,
-        fresh: true,
-        channel: Channel::Own,
+        is_fresh: true,
+        channel: Channel::Dedicated,
     }
 }
 
 fn left(gateway: NodeId) -> Event {
-    Event::Left {
+    Event::ProxyLeft {
         proxy: gateway.0,
-        channel: Channel::Own,
+        channel: Channel::Dedicated,
     }
 }
--- a/crates/gateway/cluster/src/service_tables.rs
+++ b/crates/gateway/cluster/src/service_tables.rs
@@ -97,7 +97,7 @@
     pub(crate) fn new(service: Arc<str>, settings: Settings) -> ServiceTables {
         ServiceTables {
             service,
-            policy: Director::new(settings, 0),
+            policy: Director::new(settings),
             tables: BTreeMap::new(),
             bindings: BTreeMap::new(),
             withdrawn: BTreeSet::new(),
@@ -123,7 +123,7 @@
         let (due, later): (Vec<_>, Vec<_>) = self.timers.drain(..).partition(is_due);
         self.timers = later;
         due.into_iter()
-            .map(|timer| Event::Timer { token: timer.token })
+            .map(|timer| Event::TimerFired { token: timer.token })
             .collect()
     }
 
@@ -144,23 +144,23 @@
 
     fn apply(&mut self, action: Action, pending: &mut PendingUpdates) {
         match action {
-            Action::Line {
+            Action::SetEndpoint {
                 table,
                 host,
                 weight,
             } => self.set_weight(table, &host, weight, pending),
-            Action::Clear { table } => self.clear(table, pending),
-            Action::Bind { proxy, table, .. } => {
+            Action::ClearTable { table } => self.clear(table, pending),
+            Action::BindProxy { proxy, table, .. } => {
                 self.bindings.insert(NodeId(proxy), table);
                 pending.batch(NodeId(proxy)).is_replacement = true;
             }
-            Action::Withdraw {
+            Action::SetWithdrawn {
                 host,
-                out: is_withdrawn,
-                channel: Channel::Own,
+                is_withdrawn,
+                channel: Channel::Dedicated,
             } => self.set_withdrawn(host, is_withdrawn, pending),
-            Action::Mark { number } => self.revision = number,
-            Action::Timer { token, at } => self.timers.push(PolicyTimer { due_at: at, token }),
+            Action::RequestAck { ack_number } => self.revision = ack_number,
+            Action::StartTimer { token, at } => self.timers.push(PolicyTimer { due_at: at, token }),
             _ => {}
         }
     }
