--- a/crates/gateway/consensus/src/log_event.rs
+++ b/crates/gateway/consensus/src/log_event.rs
@@ -3,7 +3,6 @@
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId};
 use std::fmt;
-use std::net::Ipv4Addr;
 
 /// An event for the log; its `Display` is the line.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -92,7 +91,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, member) in self.0.iter().enumerate() {
             let separator = if index == 0 { "" } else { "," };
-            write!(f, "{separator}{}", Ipv4Addr::from(*member))?;
+            write!(f, "{separator}{member}")?;
         }
         Ok(())
     }
