--- a/crates/gateway/consensus/src/log_event.rs
+++ b/crates/gateway/consensus/src/log_event.rs
@@ -1,9 +1,8 @@
-//! The lines that this package has for the log, one an event: `key=value` pairs, `event` first.
+//! Log lines of this package, one an event: `key=value` pairs, `event` first.
 
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId};
 use std::fmt;
-use std::net::Ipv4Addr;
 
 /// An event for the log; its `Display` is the line.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -36,9 +35,9 @@
         /// How many did.
         senders: usize,
     },
-    /// The chunks of a snapshot do not add up to what its trailer says; it is asked for again.
+    /// The chunks of a snapshot do not add up to its trailer; it is requested again.
     SnapshotDamaged {
-        /// Claims that came.
+        /// Claims that arrived.
         claims: u64,
         /// Claims that its sender counted.
         expected: u64,
@@ -92,7 +91,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, member) in self.0.iter().enumerate() {
             let separator = if index == 0 { "" } else { "," };
-            write!(f, "{separator}{}", Ipv4Addr::from(*member))?;
+            write!(f, "{separator}{member}")?;
         }
         Ok(())
     }
--- /dev/null
+++ b/crates/tools/modelcheck/src/world/gateways.rs
@@ -0,0 +1,128 @@
+//! What gateways do with their claims.
+
+use super::network::{Link, Packet};
+use super::{Gateway, KEY, World};
+use crate::mutation::Mutation;
+use rushcourse_messages::{Message, VotingSet};
+use rushcourse_routing::{
+    ClaimDecision, ClaimOutcome, ClaimRequest, ClaimResponse, ClaimWithdrawal,
+};
+use rushcourse_types::{NodeId, Timestamp};
+
+impl World<'_> {
+    fn gateway_mut(&mut self, node: NodeId) -> &mut Gateway {
+        self.gateways.get_mut(&node).expect("a gateway")
+    }
+
+    /// Gateways ask controllers that run.
+    fn running_controllers(&self) -> Vec<NodeId> {
+        let controllers = self.controllers.iter();
+        let running = controllers.filter(|(_, controller)| controller.is_running());
+        running.map(|(node, _)| *node).collect()
+    }
+
+    pub(super) fn begin_claim(&mut self, node: NodeId) {
+        let running = self.running_controllers();
+        let now = self.now;
+        let gateway = self.gateway_mut(node);
+        gateway.begun += 1;
+        let claims = &mut gateway.claims;
+        if let Some(request) = claims.start(now, KEY, |voter| running.contains(&voter)) {
+            self.request_votes(node, request);
+        }
+    }
+
+    fn request_votes(&mut self, node: NodeId, request: ClaimRequest) {
+        let message = Message::ClaimRequest {
+            epoch: request.epoch,
+            key: request.key,
+            claim: request.claim,
+        };
+        self.send_to_voters(node, request.voters, &message);
+    }
+
+    fn withdraw(&mut self, node: NodeId, withdrawal: ClaimWithdrawal) {
+        let message = Message::ClaimWithdrawal {
+            key: withdrawal.key,
+            claim: withdrawal.claim,
+        };
+        self.send_to_voters(node, withdrawal.voters, &message);
+    }
+
+    fn send_to_voters(&mut self, node: NodeId, voters: Vec<NodeId>, message: &Message) {
+        for voter in voters {
+            let link = Link {
+                from: node,
+                to: voter,
+            };
+            self.network.push(link, Packet::Message(message.clone()));
+        }
+    }
+
+    /// A gateway receives a voting set: claims that are under way are requested again under it.
+    pub(super) fn voting_set_arrives(&mut self, from: NodeId, node: NodeId, voting_set: VotingSet) {
+        let running = self.running_controllers();
+        let now = self.now;
+        let claims = &mut self.gateway_mut(node).claims;
+        let is_running = |voter| running.contains(&voter);
+        let actions = claims.voting_set_reported(now, from, voting_set, is_running);
+        for request in actions.requests {
+            self.request_votes(node, request);
+        }
+        for withdrawal in actions.withdrawals {
+            self.withdraw(node, withdrawal);
+        }
+        for decision in actions.decisions {
+            self.claim_decided(node, &decision);
+        }
+    }
+
+    /// A voter's answer reaches a gateway.
+    pub(super) fn response_arrives(&mut self, from: NodeId, node: NodeId, response: ClaimResponse) {
+        let now = if self.has_mutation(Mutation::VotesNeverExpire) {
+            Timestamp::ZERO
+        } else {
+            self.now
+        };
+        let Some(gateway) = self.gateways.get_mut(&node) else {
+            return;
+        };
+        if let Some(decision) = gateway.claims.record_response(now, from, response) {
+            self.claim_decided(node, &decision);
+        }
+    }
+
+    /// Claims whose votes no longer count are decided.
+    pub(super) fn expire_claims(&mut self) {
+        let now = self.now;
+        let gateways: Vec<NodeId> = self.gateways.keys().copied().collect();
+        for node in gateways {
+            for decision in self.gateway_mut(node).claims.take_decided(now) {
+                self.claim_decided(node, &decision);
+            }
+        }
+    }
+
+    /// Won: the request may be sent. Else nothing was sent, and the claim is withdrawn at all voters that were asked.
+    fn claim_decided(&mut self, node: NodeId, decision: &ClaimDecision) {
+        let now = self.now;
+        let gateway = self.gateway_mut(node);
+        if decision.outcome == ClaimOutcome::Won {
+            gateway.won = Some(decision.claim);
+            return;
+        }
+        let withdrawal = gateway.claims.withdraw(now, decision.key, decision.claim);
+        self.withdraw(node, withdrawal);
+    }
+
+    /// A gateway sends the request that its claim was won for, and claims the key no more.
+    pub(super) fn send_request(&mut self, node: NodeId) {
+        let most_claims = self.scene.clients.claims;
+        let gateway = self.gateway_mut(node);
+        if gateway.won.take().is_some() {
+            gateway.begun = most_claims;
+            self.checker.request_sent();
+        }
+        self.checker.check_requests();
+    }
+}
