--- a/crates/gateway/admission/src/shedding_order.rs
+++ b/crates/gateway/admission/src/shedding_order.rs
@@ -25,13 +25,13 @@
     pub is_read_only: bool,
     /// As in the configuration: 0 is the highest.
     pub priority: u32,
-    /// In whole milliseconds; [`Rank::NO_TARGET`] where the route names none.
+    /// In whole milliseconds; [`Rank::NO_TARGET_LATENCY`] where the route names none.
     pub target_latency: Duration,
 }
 
 impl Rank {
     /// Stands for no target latency: it is shed as one that waits the longest.
-    pub const NO_TARGET: Duration = Duration::from_millis(u64::MAX);
+    pub const NO_TARGET_LATENCY: Duration = Duration::from_millis(u64::MAX);
 
     /// The rank of a route.
     pub fn of(route: &Route) -> Rank {
@@ -39,7 +39,9 @@
         Rank {
             is_read_only: route.kind == RouteKind::ReadOnly,
             priority: route.priority,
-            target_latency: route.target_latency.map_or(Rank::NO_TARGET, whole_millis),
+            target_latency: route
+                .target_latency
+                .map_or(Rank::NO_TARGET_LATENCY, whole_millis),
         }
     }
 }
@@ -85,7 +87,7 @@
     }
 
     /// The lowest level that admits all requests that bind.
-    pub fn level_for_binding(&self) -> f64 {
+    pub fn level_for_writes(&self) -> f64 {
         let binding = self.ranks.iter().filter(|ranked| !ranked.rank.is_read_only);
         binding.count() as f64
     }
--- a/crates/gateway/admission/tests/shedding_order.rs
+++ b/crates/gateway/admission/tests/shedding_order.rs
@@ -77,7 +77,7 @@
 fn what_binds_is_shed_last_then_the_highest_priority_then_the_shortest_target() {
     let at_a = SheddingOrder::for_service(&shop(), "a");
     assert_eq!(ranked_names(&at_a), ROUTES_OF_A.map(|name| [name]));
-    assert_eq!((at_a.level_for_all(), at_a.level_for_binding()), (5.0, 2.0));
+    assert_eq!((at_a.level_for_all(), at_a.level_for_writes()), (5.0, 2.0));
 
     let at_b = SheddingOrder::for_service(&shop(), "b");
     assert_eq!(
@@ -144,7 +144,7 @@
     let shop = shop();
     let order = SheddingOrder::for_service(&shop, "a");
     let admits = |name: &str, key: u32| {
-        let level = order.level_for_binding();
+        let level = order.level_for_writes();
         order.admits(level, route(&shop, name), &key.to_be_bytes())
     };
     assert!((0..100).all(|key| admits("orders", key)));
--- a/crates/gateway/cli/src/shedding_order.rs
+++ b/crates/gateway/cli/src/shedding_order.rs
@@ -40,7 +40,7 @@
 fn row(service: &str, place: String, ranked: &RankedRoutes) -> Vec<String> {
     let RankedRoutes { rank, routes } = ranked;
     let kind = if rank.is_read_only { "reads" } else { "binds" };
-    let target_latency = if rank.target_latency == Rank::NO_TARGET {
+    let target_latency = if rank.target_latency == Rank::NO_TARGET_LATENCY {
         ABSENT.into()
     } else {
         format!("{:.3}", rank.target_latency.as_secs_f64())
--- a/crates/gateway/cluster/src/quorum_contact.rs
+++ b/crates/gateway/cluster/src/quorum_contact.rs
@@ -25,7 +25,7 @@
 impl QuorumContact {
     /// Records a turn of the loop, before anything that waited is handled. True if the process stalled since the last
     /// one: a majority has to be probed anew.
-    pub fn record_turn(&mut self, now: Timestamp) -> bool {
+    pub fn record_iteration(&mut self, now: Timestamp) -> bool {
         let last_turn_at = self.last_turn_at.replace(now);
         let has_stalled = last_turn_at.is_some_and(|last| now >= last + STALL_THRESHOLD);
         if has_stalled {
--- a/crates/gateway/controller/src/contact.rs
+++ b/crates/gateway/controller/src/contact.rs
@@ -18,7 +18,7 @@
     /// A turn of the event loop, before anything that waited is handled. A process that stood still may not know what
     /// became of its sessions, so a majority is asked anew.
     pub(crate) fn check_for_stall(&mut self) {
-        if self.contact.record_turn(self.clock.now()) {
+        if self.contact.record_iteration(self.clock.now()) {
             log::info!("event=stalled");
             self.step_cluster(cluster::Input::Stalled);
             self.confirm_contact();
--- a/crates/gateway/controller/src/contact_state.rs
+++ b/crates/gateway/controller/src/contact_state.rs
@@ -27,8 +27,8 @@
 
     /// A turn of the event loop, before anything that waited is handled. True if the process stood still since the last
     /// one: a majority has to be asked anew.
-    pub(crate) fn record_turn(&mut self, now: Timestamp) -> bool {
-        self.quorum.record_turn(now)
+    pub(crate) fn record_iteration(&mut self, now: Timestamp) -> bool {
+        self.quorum.record_iteration(now)
     }
 
     /// Whether sessions with a majority of the voting set are open. True if that has changed.
--- a/crates/gateway/gateway/src/forward.rs
+++ b/crates/gateway/gateway/src/forward.rs
@@ -7,7 +7,7 @@
 use crate::upstream::{AttemptOutcome, UpstreamRequest, attempt};
 use hyper::Response;
 use rushcourse_config::RouteKind;
-use rushcourse_routing::{HostChoice, Observed};
+use rushcourse_routing::{HostChoice, HostObservation};
 use rushcourse_types::KeyDigest;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -102,8 +102,8 @@
         }
     }
 
-    fn record_not_executed(&mut self, observed: Observed) {
-        let rejection = if observed == Observed::ConnectFailed {
+    fn record_not_executed(&mut self, observed: HostObservation) {
+        let rejection = if observed == HostObservation::ConnectFailed {
             self.connect_failures += 1;
             Rejection::HostsUnreachable
         } else {
--- a/crates/gateway/gateway/src/response_check.rs
+++ b/crates/gateway/gateway/src/response_check.rs
@@ -6,7 +6,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
-use rushcourse_routing::Observed;
+use rushcourse_routing::HostObservation;
 use std::time::Duration;
 
 /// Part of a host's idle limit for which a connection is kept: beyond it, the host's closing could cross a request (ours).
@@ -21,7 +21,7 @@
     /// It is the response to the request.
     Response,
     /// The host says that it did not run the request, and never will.
-    NotExecuted(Observed),
+    NotExecuted(HostObservation),
     /// It is not a response to the request, or not one that may be passed on: the request may have run.
     Invalid,
 }
@@ -50,11 +50,11 @@
 }
 
 /// How a host says that it did not run a request, if it does.
-fn refusal(head: &Parts) -> Option<Observed> {
+fn refusal(head: &Parts) -> Option<HostObservation> {
     if head.headers.contains_key(NOT_EXECUTED) {
-        Some(Observed::Rejected)
+        Some(HostObservation::Rejected)
     } else if head.status == StatusCode::MISDIRECTED_REQUEST {
-        Some(Observed::WrongInstance)
+        Some(HostObservation::WrongInstance)
     } else {
         None
     }
--- a/crates/gateway/gateway/src/state/upstreams.rs
+++ b/crates/gateway/gateway/src/state/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::GatewayState;
 use crate::connection_pool::UpstreamSender;
-use rushcourse_routing::{HostChoice, Observed};
+use rushcourse_routing::{HostChoice, HostObservation};
 use rushcourse_types::Timestamp;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -35,7 +35,7 @@
     }
 
     /// An attempt at a chosen host ended.
-    pub(crate) fn record_attempt(&self, service: &str, host: &Arc<str>, observed: Observed) {
+    pub(crate) fn record_attempt(&self, service: &str, host: &Arc<str>, observed: HostObservation) {
         let now = self.now();
         self.endpoints
             .borrow_mut()
--- a/crates/gateway/gateway/src/upstream.rs
+++ b/crates/gateway/gateway/src/upstream.rs
@@ -11,7 +11,7 @@
 use hyper::header::HeaderValue;
 use hyper::http::request;
 use hyper::{Request, Response};
-use rushcourse_routing::{HostChoice, Observed};
+use rushcourse_routing::{HostChoice, HostObservation};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
     /// The host's response: whole, or long and streamed from here on.
     Response(Response<ResponseBody>),
     /// It has not run there and never will: why.
-    NotExecuted(Observed),
+    NotExecuted(HostObservation),
     /// The connection broke, or what came was no valid response: it may have run.
     Failed,
     /// Its time is over: it may have run, or still run.
@@ -92,11 +92,11 @@
         };
         // The table may have changed while the connection was made: nothing leaves for a host that drains.
         if !gateway.is_host_available(&request.service, &host.id) {
-            return AttemptOutcome::NotExecuted(Observed::WrongInstance);
+            return AttemptOutcome::NotExecuted(HostObservation::WrongInstance);
         }
         let time_left = expires_at.saturating_duration_since(Instant::now());
         if time_left < MIN_TIME_LEFT {
-            return AttemptOutcome::NotExecuted(Observed::Rejected);
+            return AttemptOutcome::NotExecuted(HostObservation::Rejected);
         }
         let message = request.to_host(host, time_left);
         let sending = connection.sender.try_send_request(message);
@@ -226,11 +226,11 @@
     fn finish(mut self, outcome: &AttemptOutcome) {
         self.has_ended = true;
         let observed = match outcome {
-            AttemptOutcome::Response(_) | AttemptOutcome::TimedOut => Observed::Response {
+            AttemptOutcome::Response(_) | AttemptOutcome::TimedOut => HostObservation::Response {
                 latency_ms: self.gateway.clock().precise_millis() - self.started_at_ms,
             },
             AttemptOutcome::NotExecuted(observed) => *observed,
-            AttemptOutcome::Failed => Observed::Failed,
+            AttemptOutcome::Failed => HostObservation::Failed,
         };
         self.gateway
             .record_attempt(&self.service, &self.host, observed);
--- a/crates/gateway/gateway/src/upstream_connection.rs
+++ b/crates/gateway/gateway/src/upstream_connection.rs
@@ -4,7 +4,7 @@
 use crate::state::GatewayState;
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use rushcourse_routing::{HostChoice, Observed};
+use rushcourse_routing::{HostChoice, HostObservation};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
@@ -26,14 +26,14 @@
 /// An idle connection to a host, or else a new one, made by `expires_at`.
 ///
 /// # Errors
-/// [`Observed::Rejected`] where no further connection may be opened, [`Observed::ConnectFailed`] where none was made: the
-/// host saw nothing of the request.
+/// [`HostObservation::Rejected`] where no further connection may be opened, [`HostObservation::ConnectFailed`] where none
+/// was made: the host saw nothing of the request.
 pub(crate) async fn acquire(
     gateway: &Rc<GatewayState>,
     service: &str,
     host: &HostChoice,
     expires_at: Instant,
-) -> Result<UpstreamConnection, Observed> {
+) -> Result<UpstreamConnection, HostObservation> {
     if let Some(sender) = gateway.take_idle_connection(&host.id) {
         return Ok(UpstreamConnection {
             sender,
@@ -52,21 +52,21 @@
     service: &str,
     host: &HostChoice,
     expires_at: Instant,
-) -> Result<UpstreamSender, Observed> {
+) -> Result<UpstreamSender, HostObservation> {
     let slot = gateway
         .reserve_connection(service, &host.id)
-        .ok_or(Observed::Rejected)?;
+        .ok_or(HostObservation::Rejected)?;
     let connect_by = expires_at.min(Instant::now() + CONNECT_TIMEOUT);
     let connecting = TcpStream::connect(&*host.address);
     let Ok(Ok(stream)) = timeout_at(connect_by, connecting).await else {
-        return Err(Observed::ConnectFailed);
+        return Err(HostObservation::ConnectFailed);
     };
     let _ = stream.set_nodelay(true);
     let (sender, connection) = http1::Builder::new()
         .max_buf_size(MAX_BUFFER_BYTES)
         .handshake(TokioIo::new(stream))
         .await
-        .map_err(|_| Observed::ConnectFailed)?;
+        .map_err(|_| HostObservation::ConnectFailed)?;
     tokio::task::spawn_local(async move {
         let _slot = slot;
         let _ = connection.await;
--- a/crates/gateway/routing/src/claims/mod.rs
+++ b/crates/gateway/routing/src/claims/mod.rs
@@ -21,7 +21,7 @@
 
 pub use pending::CLAIM_TIMEOUT;
 pub use requests::{
-    ClaimDecision, ClaimOutcome, ClaimRequest, ClaimResponse, ClaimWithdrawal, ReclaimActions,
+    ClaimActions, ClaimDecision, ClaimOutcome, ClaimRequest, ClaimResponse, ClaimWithdrawal,
 };
 pub use withdrawals::WITHDRAWAL_RESEND_WINDOW;
 
@@ -70,19 +70,19 @@
         controller: NodeId,
         voting_set: VotingSet,
         is_connected: impl Fn(NodeId) -> bool,
-    ) -> ReclaimActions {
+    ) -> ClaimActions {
         self.reported_epochs.insert(controller, voting_set.epoch);
         if voting_set.epoch > self.voting_set.epoch {
             self.adopt(now, voting_set, is_connected)
         } else if voting_set.epoch == self.voting_set.epoch
             && self.voting_set.members.contains(&controller)
         {
-            ReclaimActions {
+            ClaimActions {
                 requests: self.requests_to(now, controller),
-                ..ReclaimActions::default()
+                ..ClaimActions::default()
             }
         } else {
-            ReclaimActions::default()
+            ClaimActions::default()
         }
     }
 
@@ -91,7 +91,7 @@
         now: Timestamp,
         voting_set: VotingSet,
         is_connected: impl Fn(NodeId) -> bool,
-    ) -> ReclaimActions {
+    ) -> ClaimActions {
         let mut decisions = self.take_decided(now);
         let former = std::mem::replace(&mut self.voting_set, voting_set);
         let withdrawals = self
@@ -109,7 +109,7 @@
             .iter()
             .map(|(key, claim)| claim.request(*key, voters.clone()))
             .collect();
-        ReclaimActions {
+        ClaimActions {
             requests,
             withdrawals,
             decisions,
--- a/crates/gateway/routing/src/claims/requests.rs
+++ b/crates/gateway/routing/src/claims/requests.rs
@@ -64,7 +64,7 @@
 
 /// What is to be done after a controller reported its voting set: in this order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct ReclaimActions {
+pub struct ClaimActions {
     /// Pending claims that are to be sent (again).
     pub requests: Vec<ClaimRequest>,
     /// Withdrawals that members which joined the voting set are to be told of.
--- a/crates/gateway/routing/src/controller_selection.rs
+++ b/crates/gateway/routing/src/controller_selection.rs
@@ -4,8 +4,8 @@
 //!
 //! A primary that is no longer synchronized, or whose session ended, is left as soon as another one is synchronized. So
 //! after a moment without any majority all gateways gather at the first controller that has one again; from there each
-//! goes back to the one that it prefers, once that has been synchronized for [`RETURN_DELAY`], and up to
-//! [`RETURN_SPREAD`] later, so that a controller doesn't get all of its gateways at once.
+//! goes back to the one that it prefers, once that has been synchronized for [`FAILBACK_DELAY`], and up to
+//! [`FAILBACK_JITTER`] later, so that a controller doesn't get all of its gateways at once.
 
 use rushcourse_messages::NodeId;
 use rushcourse_types::Timestamp;
@@ -18,9 +18,9 @@
 
 /// For how long a controller that is preferred to the primary one has been synchronized before it becomes primary: longer
 /// than a controller takes that starts and ends again (ours).
-pub const RETURN_DELAY: Duration = Duration::from_secs(4);
+pub const FAILBACK_DELAY: Duration = Duration::from_secs(4);
 /// How much later it becomes primary for the last of the gateways (ours).
-pub const RETURN_SPREAD: Duration = Duration::from_secs(4);
+pub const FAILBACK_JITTER: Duration = Duration::from_secs(4);
 
 /// A controller that this gateway has a session with.
 struct ControllerState {
@@ -139,7 +139,7 @@
     /// How long this gateway waits for a preferred controller to stay synchronized.
     fn return_delay(&self) -> Duration {
         let place = hash64(&self.me.0.to_be_bytes(), SPREAD_SEED);
-        RETURN_DELAY + RETURN_SPREAD.mul_f64(place as f64 / u64::MAX as f64)
+        FAILBACK_DELAY + FAILBACK_JITTER.mul_f64(place as f64 / u64::MAX as f64)
     }
 
     /// Where a controller stands in this gateway's own order of all controllers.
--- a/crates/gateway/routing/src/endpoint_tables.rs
+++ b/crates/gateway/routing/src/endpoint_tables.rs
@@ -2,7 +2,7 @@
 
 use crate::ended_hosts::EndedHosts;
 use crate::load_balancing::{self, Candidate};
-use crate::upstream_host::{Observed, UpstreamHost};
+use crate::upstream_host::{HostObservation, UpstreamHost};
 use rushcourse_messages::{EndpointWeight, HostRecord, HostState};
 use rushcourse_types::Timestamp;
 use std::collections::BTreeMap;
@@ -178,7 +178,7 @@
         now: Timestamp,
         service: &str,
         id: &Arc<str>,
-        observed: Observed,
+        observed: HostObservation,
     ) {
         let Some(table) = self.services.get_mut(service) else {
             return;
--- a/crates/gateway/routing/src/lib.rs
+++ b/crates/gateway/routing/src/lib.rs
@@ -20,12 +20,13 @@
 mod upstream_host;
 
 pub use claims::{
-    ClaimDecision, ClaimOutcome, ClaimRequest, ClaimResponse, ClaimWithdrawal, Claims,
-    ReclaimActions,
+    ClaimActions, ClaimDecision, ClaimOutcome, ClaimRequest, ClaimResponse, ClaimWithdrawal, Claims,
 };
 pub use configuration_fetch::ConfigurationFetch;
-pub use controller_selection::{ControllerSelection, PrimaryChange, RETURN_DELAY, RETURN_SPREAD};
+pub use controller_selection::{
+    ControllerSelection, FAILBACK_DELAY, FAILBACK_JITTER, PrimaryChange,
+};
 pub use endpoint_tables::{EndpointTables, HostChoice, ServiceUsage};
 pub use operations::{OperationStatus, Operations};
 pub use retry_budget::RetryBudget;
-pub use upstream_host::Observed;
+pub use upstream_host::HostObservation;
--- a/crates/gateway/routing/src/upstream_host.rs
+++ b/crates/gateway/routing/src/upstream_host.rs
@@ -13,7 +13,7 @@
 
 /// What an attempt at a host met.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Observed {
+pub enum HostObservation {
     /// A response.
     Response {
         /// From the attempt's start to its end, in milliseconds with their fractions.
@@ -29,9 +29,9 @@
     WrongInstance,
 }
 
-impl Observed {
+impl HostObservation {
     pub(crate) fn is_failure(self) -> bool {
-        !matches!(self, Observed::Response { .. })
+        !matches!(self, HostObservation::Response { .. })
     }
 }
 
@@ -132,16 +132,16 @@
     }
 
     /// Takes what an attempt met into account.
-    pub(crate) fn record(&mut self, now: Timestamp, observed: Observed) {
+    pub(crate) fn record(&mut self, now: Timestamp, observed: HostObservation) {
         match observed {
-            Observed::Response { latency_ms } => {
+            HostObservation::Response { latency_ms } => {
                 let mean = self.mean_latency_ms().unwrap_or(latency_ms);
                 self.mean_latency_ms = mean + (latency_ms - mean) * NEWEST_WEIGHT;
                 self.ejection.span = Duration::ZERO;
             }
-            Observed::Rejected => self.mean_latency_ms *= 1.0 + NEWEST_WEIGHT,
-            Observed::ConnectFailed | Observed::WrongInstance => self.eject(now),
-            Observed::Failed => {}
+            HostObservation::Rejected => self.mean_latency_ms *= 1.0 + NEWEST_WEIGHT,
+            HostObservation::ConnectFailed | HostObservation::WrongInstance => self.eject(now),
+            HostObservation::Failed => {}
         }
     }
 
--- a/crates/gateway/routing/tests/claims_across_voting_sets.rs
+++ b/crates/gateway/routing/tests/claims_across_voting_sets.rs
@@ -5,7 +5,7 @@
 use common::{KEY, at, claimant, decision, grant, nodes, report, respond, voting_set};
 use rushcourse_messages::{ClaimId, ClaimVerdict, NodeId, VotingSet};
 use rushcourse_routing::claims::{CLAIM_TIMEOUT, WITHDRAWAL_RESEND_WINDOW};
-use rushcourse_routing::{ClaimOutcome, ClaimRequest, ClaimWithdrawal, Claims, ReclaimActions};
+use rushcourse_routing::{ClaimActions, ClaimOutcome, ClaimRequest, ClaimWithdrawal, Claims};
 use rushcourse_types::Epoch;
 
 const TIMEOUT_MS: u64 = CLAIM_TIMEOUT.as_millis() as u64;
@@ -222,7 +222,7 @@
     let actions = report(&mut claims, 50, 4, first_set());
     assert_eq!(
         (actions, claims.voting_set().epoch),
-        (ReclaimActions::default(), Epoch(2))
+        (ClaimActions::default(), Epoch(2))
     );
     let is_connected = |node: NodeId| node == NodeId(1) || node == NodeId(4);
     assert!(
--- a/crates/gateway/routing/tests/common/mod.rs
+++ b/crates/gateway/routing/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A claimant and its voters, for the tests of claims. Times are in milliseconds, voters go by the numbers of their nodes.
 
 use rushcourse_messages::{ClaimId, ClaimVerdict, NodeId, VotingSet};
-use rushcourse_routing::{ClaimDecision, ClaimOutcome, ClaimResponse, Claims, ReclaimActions};
+use rushcourse_routing::{ClaimActions, ClaimDecision, ClaimOutcome, ClaimResponse, Claims};
 use rushcourse_types::{Epoch, Incarnation, KeyDigest, Timestamp};
 
 /// The gateway that claims.
@@ -32,12 +32,7 @@
 }
 
 /// A voter reports a voting set; all voters are connected.
-pub fn report(
-    claims: &mut Claims,
-    millis: u64,
-    voter: u32,
-    voting_set: VotingSet,
-) -> ReclaimActions {
+pub fn report(claims: &mut Claims, millis: u64, voter: u32, voting_set: VotingSet) -> ClaimActions {
     claims.voting_set_reported(at(millis), NodeId(voter), voting_set, |_| true)
 }
 
--- a/crates/gateway/routing/tests/controller_selection.rs
+++ b/crates/gateway/routing/tests/controller_selection.rs
@@ -1,7 +1,7 @@
 //! Which controller is a gateway's primary one.
 
 use rushcourse_messages::NodeId;
-use rushcourse_routing::{ControllerSelection, PrimaryChange, RETURN_DELAY, RETURN_SPREAD};
+use rushcourse_routing::{ControllerSelection, FAILBACK_DELAY, FAILBACK_JITTER, PrimaryChange};
 use rushcourse_types::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -31,7 +31,7 @@
 fn the_primary_controller_stays_until_it_must_change() {
     let mut controllers = at_home_in_another_zone();
     assert_eq!(
-        controllers.select(START + (RETURN_DELAY - JUST_BEFORE)),
+        controllers.select(START + (FAILBACK_DELAY - JUST_BEFORE)),
         None,
         "one of the own zone comes: no change while the first one is good and that one is new"
     );
@@ -50,7 +50,7 @@
 #[test]
 fn a_gateway_returns_to_the_controller_that_it_prefers() {
     let mut controllers = at_home_in_another_zone();
-    let returned = START + RETURN_DELAY + RETURN_SPREAD;
+    let returned = START + FAILBACK_DELAY + FAILBACK_JITTER;
     assert_eq!(controllers.select(returned), change(2, Some(1)));
     assert_eq!(controllers.select(returned), None, "and stays there");
 }
@@ -58,14 +58,14 @@
 #[test]
 fn a_preferred_controller_that_loses_its_majority_counts_as_new() {
     let mut controllers = at_home_in_another_zone();
-    let again = START + RETURN_DELAY;
+    let again = START + FAILBACK_DELAY;
     controllers.set_synchronized(again, NodeId(2), false);
     controllers.set_synchronized(again, NodeId(2), true);
     assert_eq!(
-        controllers.select(START + RETURN_DELAY + RETURN_SPREAD),
+        controllers.select(START + FAILBACK_DELAY + FAILBACK_JITTER),
         None
     );
-    let returned = again + RETURN_DELAY + RETURN_SPREAD;
+    let returned = again + FAILBACK_DELAY + FAILBACK_JITTER;
     assert_eq!(controllers.select(returned), change(2, Some(1)));
 }
 
@@ -91,7 +91,7 @@
     let mut most_at_once = 0;
     let step = Duration::from_millis(100);
     let mut now = START;
-    while now < START + RETURN_DELAY + RETURN_SPREAD {
+    while now < START + FAILBACK_DELAY + FAILBACK_JITTER {
         now += step;
         let changes = gateways
             .iter_mut()
--- a/crates/gateway/routing/tests/load_balancing.rs
+++ b/crates/gateway/routing/tests/load_balancing.rs
@@ -1,7 +1,7 @@
 //! Which host a request goes to: load balancing, draining and ended hosts, outlier ejection.
 
 use rushcourse_messages::{EndpointWeight, HostRecord, HostState};
-use rushcourse_routing::{EndpointTables, Observed};
+use rushcourse_routing::{EndpointTables, HostObservation};
 use rushcourse_types::{CallSequence, Millis, Timestamp};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -60,7 +60,7 @@
 
 fn connect_fails(tables: &mut EndpointTables, millis: u64, id: &str) {
     let now = Timestamp::from_millis(millis);
-    tables.record_attempt(now, SERVICE, &id.into(), Observed::ConnectFailed);
+    tables.record_attempt(now, SERVICE, &id.into(), HostObservation::ConnectFailed);
 }
 
 #[test]
--- a/crates/tools/netcost/src/growth.rs
+++ b/crates/tools/netcost/src/growth.rs
@@ -13,7 +13,7 @@
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
 
 /// How long all gateways but one are there before the last one joins: each has its tables from the controller that it
-/// prefers by then (`rushcourse_routing::RETURN_DELAY`).
+/// prefers by then (`rushcourse_routing::FAILBACK_DELAY`).
 const BEFORE_JOIN: Duration = Duration::from_secs(10);
 /// How long what a join sets off may take.
 const AFTER_JOIN: Duration = Duration::from_secs(15);
