--- a/crates/gateway/controller/src/admin.rs
+++ b/crates/gateway/controller/src/admin.rs
@@ -35,7 +35,7 @@
         sessions,
         ..
     } = controller;
-    let name = &sessions.factory().local_handshake().name;
+    let name = &sessions.context().local_handshake().name;
     let fields = [
         format!("\"name\":{}", quoted(name)),
         format!("\"synchronized\":{}", cluster.is_synchronized()),
@@ -95,7 +95,7 @@
 }
 
 fn rejections_field(sessions: &PeerSessions) -> String {
-    let rejections = sessions.factory().rejections();
+    let rejections = sessions.context().rejections();
     let counts: Vec<String> = rejections
         .iter()
         .map(|(reason, count)| format!("{}:{count}", quoted(reason)))
--- a/crates/gateway/controller/src/event_loop.rs
+++ b/crates/gateway/controller/src/event_loop.rs
@@ -94,7 +94,7 @@
         self.finish_probes();
         self.update_contact();
         self.step_cluster(cluster::Input::Tick);
-        let rejections = self.sessions.factory();
+        let rejections = self.sessions.context();
         if let Some(line) = rejections.take_rejections_line(self.clock.now()) {
             log::warn!("{line}");
         }
@@ -106,7 +106,7 @@
             ControlEvent::Storage(outcomes) => self.handle_storage(outcomes),
             ControlEvent::StateFileOpened(opened) => self.state_file_opened(*opened),
             ControlEvent::SettingsChanged => {
-                if let Some(settings) = reload_settings(settings_path, self.sessions.factory()) {
+                if let Some(settings) = reload_settings(settings_path, self.sessions.context()) {
                     self.sessions.add_known(seed_nodes(&settings));
                 }
             }
--- a/crates/gateway/controller/src/peer_sessions.rs
+++ b/crates/gateway/controller/src/peer_sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions by the node on the other side, and which controllers are to be dialed.
 
 use rushcourse_messages::{Message, Role};
-use rushcourse_transport::{Dialer, Session, SessionFactory};
+use rushcourse_transport::{Dialer, Session, SessionContext};
 use rushcourse_types::{Incarnation, NodeId, SessionId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -53,8 +53,8 @@
     }
 
     /// What the sessions start from.
-    pub(crate) fn factory(&self) -> &SessionFactory {
-        self.dialer.factory()
+    pub(crate) fn context(&self) -> &SessionContext {
+        self.dialer.context()
     }
 
     /// The node of this process.
--- a/crates/gateway/controller/src/startup.rs
+++ b/crates/gateway/controller/src/startup.rs
@@ -18,10 +18,11 @@
 use rushcourse_messages::{Handshake, Role};
 use rushcourse_storage::Store;
 use rushcourse_transport::startup::{
-    listen, listen_for_sessions, local_handshake, required_address, run_on_this_thread, seed_nodes,
+    listen, listen_for_sessions, local_handshake, required_address, run_on_current_thread,
+    seed_nodes,
 };
 use rushcourse_transport::{
-    Clock, Dialer, SessionEvent, SessionFactory, StartError, accept_sessions, logging,
+    Clock, Dialer, SessionContext, SessionEvent, StartError, accept_sessions, logging,
 };
 use rushcourse_types::Epoch;
 use std::collections::BTreeSet;
@@ -41,7 +42,7 @@
 /// used.
 pub fn serve(settings_path: &Path, settings: NodeSettings) -> Result<(), Report<StartError>> {
     logging::init(&settings.log_level, &settings.node.name);
-    run_on_this_thread(async {
+    run_on_current_thread(async {
         let field = "listen_addresses.control_plane";
         let control_plane = listen(required_address(
             settings.listen_addresses.control_plane,
@@ -52,8 +53,8 @@
         let (event_sender, control) = mpsc::unbounded_channel();
         let (session_sender, sessions) = mpsc::unbounded_channel();
         let controller = start(&settings, &event_sender, session_sender)?;
-        let factory = controller.sessions.factory().clone();
-        spawn_tasks(&settings, control_plane, internal, event_sender, factory);
+        let context = controller.sessions.context().clone();
+        spawn_tasks(&settings, control_plane, internal, event_sender, context);
         event_loop::run(controller, Queues { sessions, control }, settings_path).await;
         Ok(())
     })
@@ -65,7 +66,7 @@
     control_plane: TcpListener,
     internal: TcpListener,
     events: EventSender,
-    factory: SessionFactory,
+    context: SessionContext,
 ) {
     let descriptors = settings
         .limits
@@ -78,7 +79,7 @@
         max_connections,
         events.clone(),
     ));
-    tokio::task::spawn_local(accept_sessions(internal, max_connections, factory));
+    tokio::task::spawn_local(accept_sessions(internal, max_connections, context));
     tokio::task::spawn_local(event_loop::watch_hangups(events));
 }
 
@@ -178,11 +179,11 @@
     handshake: Handshake,
     events: mpsc::UnboundedSender<SessionEvent>,
 ) -> Result<PeerSessions, Report<StartError>> {
-    let factory = SessionFactory::new(handshake, events);
-    factory
+    let context = SessionContext::new(handshake, events);
+    context
         .set_keys(settings.peers.keys.as_ref())
         .change_context(StartError::Keys)?;
-    let mut sessions = PeerSessions::new(Dialer::new(factory, settings.peers.ports.first));
+    let mut sessions = PeerSessions::new(Dialer::new(context, settings.peers.ports.first));
     sessions.add_known(seed_nodes(settings));
     Ok(sessions)
 }
--- a/crates/gateway/gateway/src/server.rs
+++ b/crates/gateway/gateway/src/server.rs
@@ -9,10 +9,10 @@
 use rushcourse_messages::Role;
 use rushcourse_transport::startup::{
     listen, listen_for_sessions, local_handshake, reload_settings, required_address,
-    run_on_this_thread, seed_nodes,
+    run_on_current_thread, seed_nodes,
 };
 use rushcourse_transport::{
-    Clock, Dialer, SessionEvent, SessionFactory, StartError, accept_sessions, logging,
+    Clock, Dialer, SessionContext, SessionEvent, StartError, accept_sessions, logging,
 };
 use rushcourse_types::Timestamp;
 use std::path::{Path, PathBuf};
@@ -44,7 +44,7 @@
 /// Settings that name no address to listen at, an address that is taken, or keys that can't be used.
 pub fn serve(settings_path: &Path, settings: NodeSettings) -> Result<(), Report<StartError>> {
     logging::init(&settings.log_level, &settings.node.name);
-    run_on_this_thread(run(settings_path.to_path_buf(), settings))
+    run_on_current_thread(run(settings_path.to_path_buf(), settings))
 }
 
 async fn run(settings_path: PathBuf, settings: NodeSettings) -> Result<(), Report<StartError>> {
@@ -53,7 +53,7 @@
     let handshake = local_handshake(&settings, Role::Gateway);
     let incarnation = handshake.incarnation;
     let (event_sender, events) = unbounded_channel();
-    let sessions = SessionFactory::new(handshake, event_sender);
+    let sessions = SessionContext::new(handshake, event_sender);
     sessions
         .set_keys(settings.peers.keys.as_ref())
         .change_context(StartError::Keys)?;
@@ -148,7 +148,7 @@
 struct Server {
     settings_path: PathBuf,
     gateway: Rc<GatewayState>,
-    sessions: SessionFactory,
+    sessions: SessionContext,
     connections: Rc<DownstreamConnections>,
     readiness: Readiness,
     drain: Drain,
--- a/crates/gateway/gateway/src/state.rs
+++ b/crates/gateway/gateway/src/state.rs
@@ -21,7 +21,7 @@
 use hyper::Response;
 use rushcourse_config::{Configuration, Limits, NodeSettings};
 use rushcourse_routing::{Claims, ControllerSelection, EndpointTables, Operations, RetryBudget};
-use rushcourse_transport::{Clock, Counters};
+use rushcourse_transport::{Clock, ReasonCounters};
 use rushcourse_types::{Incarnation, NodeId, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
@@ -40,7 +40,7 @@
     pools: RefCell<ConnectionPools>,
     operations: RefCell<KeyedOperations>,
     /// The gateway's own responses, counted by their reason.
-    local_responses: RefCell<Counters>,
+    local_responses: RefCell<ReasonCounters>,
     last_load_report: Cell<Timestamp>,
     /// Told to end: it takes no new clients.
     is_draining: Cell<bool>,
@@ -76,7 +76,7 @@
             retry_budget: RefCell::new(retry_budget),
             pools: RefCell::default(),
             operations: RefCell::new(KeyedOperations::new(claims, operations)),
-            local_responses: RefCell::new(Counters::new("local_responses")),
+            local_responses: RefCell::new(ReasonCounters::new("local_responses")),
             last_load_report: Cell::new(Timestamp::ZERO),
             is_draining: Cell::new(false),
             running_operations: Cell::new(0),
--- a/crates/gateway/gateway/tests/idempotency.rs
+++ b/crates/gateway/gateway/tests/idempotency.rs
@@ -5,7 +5,7 @@
 use rushcourse_messages::{
     ClaimId, ClaimVerdict, Handshake, Message, OperationState, PROTOCOL_VERSION, Role,
 };
-use rushcourse_transport::{Dialer, Session, SessionEvent, SessionFactory};
+use rushcourse_transport::{Dialer, Session, SessionContext, SessionEvent};
 use rushcourse_types::{Epoch, Incarnation, KeyDigest, NodeId, RequestToken};
 use std::rc::Rc;
 use std::time::Duration;
@@ -271,9 +271,9 @@
         name: "front-2".into(),
         zone: "z".into(),
     };
-    let factory = SessionFactory::new(handshake, event_sender);
+    let context = SessionContext::new(handshake, event_sender);
     let gateway = NodeId::from(*world.gateway_address().ip());
-    Dialer::new(factory, INTERNAL_PORT).dial(gateway);
+    Dialer::new(context, INTERNAL_PORT).dial(gateway);
     let Some(SessionEvent::Opened(session)) = events.recv().await else {
         panic!("no session")
     };
--- a/crates/gateway/gateway/tests/world/controllers.rs
+++ b/crates/gateway/gateway/tests/world/controllers.rs
@@ -5,7 +5,7 @@
 use rushcourse_messages::{
     ClaimId, ClaimVerdict, EndpointWeight, Handshake, Message, PROTOCOL_VERSION, Role, VotingSet,
 };
-use rushcourse_transport::{Session, SessionEvent, SessionFactory, accept_sessions};
+use rushcourse_transport::{Session, SessionContext, SessionEvent, accept_sessions};
 use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, SessionId};
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -58,11 +58,11 @@
         });
         for (controller, address) in addresses.iter().enumerate() {
             let (event_sender, events) = unbounded_channel();
-            let factory = SessionFactory::new(handshake(controller, *address), event_sender);
+            let context = SessionContext::new(handshake(controller, *address), event_sender);
             let listener = TcpListener::bind((*address, port))
                 .await
                 .expect("the internal port is free");
-            tokio::task::spawn_local(accept_sessions(listener, MAX_SESSIONS, factory));
+            tokio::task::spawn_local(accept_sessions(listener, MAX_SESSIONS, context));
             tokio::task::spawn_local(run_controller(controller, events, shared.clone()));
         }
         Controllers(shared)
--- a/crates/gateway/messages/src/authorization.rs
+++ b/crates/gateway/messages/src/authorization.rs
@@ -23,7 +23,7 @@
         actual: NodeId,
     },
     /// It is this process.
-    Loopback,
+    SelfConnection,
     /// Its certificate does not let it act as a controller.
     RoleNotCertified,
     /// A node of its role does not send this message to a node of ours.
@@ -39,7 +39,7 @@
             PeerRejection::ProtocolVersion(_) => "other protocol version",
             PeerRejection::InvalidName => "bad name",
             PeerRejection::WrongMachine { .. } => "other machine",
-            PeerRejection::Loopback => "itself",
+            PeerRejection::SelfConnection => "itself",
             PeerRejection::RoleNotCertified => "role not certified",
             PeerRejection::NotAllowed => "not for this sender",
             PeerRejection::ForeignClaim => "claim of another",
@@ -77,7 +77,7 @@
 
 /// What is known of a peer beside its own words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PresentedIdentity {
+pub struct PeerIdentity {
     /// The machine that the connection comes from.
     pub address: NodeId,
     /// By its certificate; `None` on sessions without TLS.
@@ -96,7 +96,7 @@
 /// Why it is refused.
 pub fn check_handshake(
     local: &Handshake,
-    identity: PresentedIdentity,
+    identity: PeerIdentity,
     handshake: &Handshake,
 ) -> Result<(), PeerRejection> {
     let certificate = identity.certificate;
@@ -115,7 +115,7 @@
         });
     }
     if handshake.incarnation == local.incarnation {
-        return Err(PeerRejection::Loopback);
+        return Err(PeerRejection::SelfConnection);
     }
     if handshake.role == Role::Controller && !names_controller {
         return Err(PeerRejection::RoleNotCertified);
--- a/crates/gateway/messages/src/lib.rs
+++ b/crates/gateway/messages/src/lib.rs
@@ -20,7 +20,7 @@
 pub mod snapshot;
 pub mod voting_set;
 
-pub use authorization::{CertifiedIdentity, PeerRejection, PresentedIdentity};
+pub use authorization::{CertifiedIdentity, PeerIdentity, PeerRejection};
 pub use ballots::{AcceptorRecord, Ballot, DurableVote, Proposal, Slot, SlotRecord};
 pub use frames::{FrameError, MAX_FRAME_BYTES, decode, encode, frame_length};
 pub use hosts::{EndpointWeight, Heartbeat, HostRecord, HostState};
--- a/crates/gateway/messages/tests/authorization.rs
+++ b/crates/gateway/messages/tests/authorization.rs
@@ -6,7 +6,7 @@
 use kinds::{KINDS, kind};
 use rushcourse_messages::authorization::{check_handshake, check_message};
 use rushcourse_messages::{
-    CertifiedIdentity, Handshake, Message, PROTOCOL_VERSION, PeerRejection, PresentedIdentity, Role,
+    CertifiedIdentity, Handshake, Message, PROTOCOL_VERSION, PeerIdentity, PeerRejection, Role,
 };
 use rushcourse_types::{Epoch, Incarnation, KeyDigest, NodeId};
 use samples::{CLAIM, samples};
@@ -151,8 +151,8 @@
 };
 
 /// A peer at node 2, with its certificate, if it showed one.
-fn identity(certificate: Option<CertifiedIdentity>) -> PresentedIdentity {
-    PresentedIdentity {
+fn identity(certificate: Option<CertifiedIdentity>) -> PeerIdentity {
+    PeerIdentity {
         address: NodeId(2),
         certificate,
     }
@@ -175,7 +175,7 @@
     for (presented, certificate, reason) in cases {
         assert_rejected_for(presented, identity(certificate), reason);
     }
-    let elsewhere = PresentedIdentity {
+    let elsewhere = PeerIdentity {
         address: NodeId(3),
         certificate: None,
     };
@@ -214,7 +214,7 @@
 }
 
 /// Presents a handshake to a controller at node 1; `reason`: why it is rejected, or that it is not.
-fn assert_rejected_for(presented: &Handshake, identity: PresentedIdentity, reason: Option<&str>) {
+fn assert_rejected_for(presented: &Handshake, identity: PeerIdentity, reason: Option<&str>) {
     let local = handshake(Role::Controller, NodeId(1), LOCAL_INCARNATION);
     let checked = check_handshake(&local, identity, presented);
     assert_eq!(
--- a/crates/gateway/transport/src/connection.rs
+++ b/crates/gateway/transport/src/connection.rs
@@ -2,11 +2,11 @@
 
 use crate::error::SessionError;
 use crate::session::{SendHandle, Session, SessionEvent};
-use crate::session_factory::SessionFactory;
+use crate::session_context::SessionContext;
 use crate::tls::Direction;
 use rushcourse_messages::{
-    FrameError, Handshake, MAX_FRAME_BYTES, Message, PresentedIdentity, authorization, decode,
-    encode, frame_length,
+    FrameError, Handshake, MAX_FRAME_BYTES, Message, PeerIdentity, authorization, decode, encode,
+    frame_length,
 };
 use rushcourse_types::{NodeId, SessionId};
 use socket2::SockRef;
@@ -34,7 +34,7 @@
 /// Why it ended; it always does.
 pub(crate) async fn run(
     mut stream: TcpStream,
-    factory: &SessionFactory,
+    context: &SessionContext,
     direction: Direction,
 ) -> Result<(), SessionError> {
     configure_socket(&stream);
@@ -42,22 +42,22 @@
         return Err(SessionError::NotIpv4);
     };
     let address = *peer_address.ip();
-    if let Some(keys) = factory.keys() {
+    if let Some(keys) = context.keys() {
         let securing = keys.secure(stream, address, direction);
         let (mut stream, identity) = within(HANDSHAKE_TIMEOUT, securing).await?;
-        let handshake = exchange_handshakes(&mut stream, factory, identity);
+        let handshake = exchange_handshakes(&mut stream, context, identity);
         let peer = within(HANDSHAKE_TIMEOUT, handshake).await?;
         let (reader, writer) = tokio::io::split(stream);
-        return run_session(reader, writer, factory, peer).await;
+        return run_session(reader, writer, context, peer).await;
     }
-    let identity = PresentedIdentity {
+    let identity = PeerIdentity {
         address: NodeId::from(address),
         certificate: None,
     };
-    let handshake = exchange_handshakes(&mut stream, factory, identity);
+    let handshake = exchange_handshakes(&mut stream, context, identity);
     let peer = within(HANDSHAKE_TIMEOUT, handshake).await?;
     let (reader, writer) = stream.into_split();
-    run_session(reader, writer, factory, peer).await
+    run_session(reader, writer, context, peer).await
 }
 
 /// Small messages go out at once, and a peer without power is given up.
@@ -81,10 +81,10 @@
 /// Sends our handshake and checks the peer's.
 async fn exchange_handshakes<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
-    factory: &SessionFactory,
-    identity: PresentedIdentity,
+    context: &SessionContext,
+    identity: PeerIdentity,
 ) -> Result<Handshake, SessionError> {
-    let local = factory.local_handshake();
+    let local = context.local_handshake();
     let mut frame = Vec::new();
     encode(&Message::Handshake(local.clone()), &mut frame)?;
     stream.write_all(&frame).await?;
@@ -115,35 +115,35 @@
 async fn run_session(
     reader: impl AsyncRead + Unpin,
     writer: impl AsyncWrite + Unpin,
-    factory: &SessionFactory,
+    context: &SessionContext,
     peer: Handshake,
 ) -> Result<(), SessionError> {
-    let (id, queue) = (factory.next_id(), SendHandle::new());
+    let (id, queue) = (context.next_id(), SendHandle::new());
     let session = Session::new(id, peer.clone(), queue.clone());
-    factory.emit(SessionEvent::Opened(session));
+    context.emit(SessionEvent::Opened(session));
     let end = tokio::select! {
-        end = receive_messages(reader, factory, id, &peer) => end,
+        end = receive_messages(reader, context, id, &peer) => end,
         end = send_messages(writer, &queue) => end,
     };
     queue.close();
-    factory.emit(SessionEvent::Closed(id));
+    context.emit(SessionEvent::Closed(id));
     end
 }
 
 /// Hands on what the peer sends, until the session ends.
 async fn receive_messages(
     reader: impl AsyncRead + Unpin,
-    factory: &SessionFactory,
+    context: &SessionContext,
     id: SessionId,
     peer: &Handshake,
 ) -> Result<(), SessionError> {
-    let local_role = factory.local_handshake().role;
+    let local_role = context.local_handshake().role;
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, reader);
     loop {
         let message = within(IDLE_TIMEOUT, read_frame(&mut reader, MAX_FRAME_BYTES)).await?;
         authorization::check_message(peer, local_role, &message)?;
         if message != Message::Ping {
-            factory.emit(SessionEvent::Received {
+            context.emit(SessionEvent::Received {
                 session: id,
                 message,
             });
--- a/crates/gateway/transport/src/counters.rs
+++ b/crates/gateway/transport/src/counters.rs
@@ -9,17 +9,17 @@
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Counts of one event's reasons. Reasons are words of the code, so there are few.
-pub struct Counters {
+pub struct ReasonCounters {
     event: &'static str,
     since_last_line: BTreeMap<&'static str, u64>,
     totals: BTreeMap<&'static str, u64>,
     last_line_at: Timestamp,
 }
 
-impl Counters {
+impl ReasonCounters {
     /// Counters for a line `event=EVENT span_s=SECONDS REASON=COUNT...`.
-    pub fn new(event: &'static str) -> Counters {
-        Counters {
+    pub fn new(event: &'static str) -> ReasonCounters {
+        ReasonCounters {
             event,
             since_last_line: BTreeMap::new(),
             totals: BTreeMap::new(),
--- a/crates/gateway/transport/src/dialer.rs
+++ b/crates/gateway/transport/src/dialer.rs
@@ -1,7 +1,7 @@
 //! Sessions that this node opens.
 
 use crate::connection;
-use crate::session_factory::SessionFactory;
+use crate::session_context::SessionContext;
 use crate::tls::Direction;
 use rushcourse_messages::Handshake;
 use rushcourse_types::NodeId;
@@ -19,29 +19,29 @@
 
 /// Dials nodes, each once at a time.
 pub struct Dialer {
-    factory: SessionFactory,
+    context: SessionContext,
     port: u16,
     dialing: Rc<RefCell<BTreeSet<NodeId>>>,
 }
 
 impl Dialer {
     /// `port`: where nodes listen for each other, the same on all machines.
-    pub fn new(factory: SessionFactory, port: u16) -> Dialer {
+    pub fn new(context: SessionContext, port: u16) -> Dialer {
         Dialer {
-            factory,
+            context,
             port,
             dialing: Rc::default(),
         }
     }
 
     /// What the sessions start from.
-    pub fn factory(&self) -> &SessionFactory {
-        &self.factory
+    pub fn context(&self) -> &SessionContext {
+        &self.context
     }
 
     /// The handshake that this node opens its sessions with.
     pub fn local_handshake(&self) -> &Handshake {
-        self.factory.local_handshake()
+        self.context.local_handshake()
     }
 
     /// Opens a session with a node, unless that is under way or one is open by an earlier dial.
@@ -50,22 +50,22 @@
             return;
         }
         let address = SocketAddrV4::new(Ipv4Addr::from(node), self.port);
-        let (factory, dialing) = (self.factory.clone(), self.dialing.clone());
+        let (context, dialing) = (self.context.clone(), self.dialing.clone());
         tokio::task::spawn_local(async move {
-            run_outbound(address, &factory).await;
+            run_outbound(address, &context).await;
             dialing.borrow_mut().remove(&node);
         });
     }
 }
 
 /// Opens one session and runs it to its end.
-async fn run_outbound(address: SocketAddrV4, factory: &SessionFactory) {
-    let local = factory.local_handshake().node;
+async fn run_outbound(address: SocketAddrV4, context: &SessionContext) {
+    let local = context.local_handshake().node;
     let Ok(Ok(stream)) = timeout(DIAL_TIMEOUT, connect(local, address)).await else {
         return;
     };
-    if let Err(error) = connection::run(stream, factory, Direction::Outbound).await {
-        factory.record_end(&address, &error);
+    if let Err(error) = connection::run(stream, context, Direction::Outbound).await {
+        context.record_end(&address, &error);
     }
 }
 
--- a/crates/gateway/transport/src/lib.rs
+++ b/crates/gateway/transport/src/lib.rs
@@ -4,7 +4,7 @@
 //! * [`startup`]: the settings file, the node's handshake, sockets.
 //! * [`logging`], [`counters`], [`clock`]: the log, rejections counted for it, and the clocks of a process.
 //! * [`session`]: a session as its owner sees it, and what happens on it.
-//! * [`session_factory`]: what every session of a process starts from.
+//! * [`session_context`]: what every session of a process starts from.
 //! * [`dialer`], [`listener`]: sessions that this node opens, and those that others do.
 //! * [`error`]: why a session ended.
 //!
@@ -20,16 +20,16 @@
 pub mod logging;
 pub mod program;
 pub mod session;
-pub mod session_factory;
+pub mod session_context;
 pub mod startup;
 mod tls;
 
 pub use clock::Clock;
-pub use counters::Counters;
+pub use counters::ReasonCounters;
 pub use dialer::Dialer;
 pub use error::SessionError;
 pub use listener::{accept, accept_sessions};
 pub use session::{Session, SessionEvent};
-pub use session_factory::SessionFactory;
+pub use session_context::SessionContext;
 pub use startup::{SETTINGS_VARIABLE, StartError};
 pub use tls::KeysError;
--- a/crates/gateway/transport/src/listener.rs
+++ b/crates/gateway/transport/src/listener.rs
@@ -2,7 +2,7 @@
 
 use crate::connection;
 use crate::error::SessionError;
-use crate::session_factory::SessionFactory;
+use crate::session_context::SessionContext;
 use crate::tls::Direction;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -25,19 +25,19 @@
 }
 
 /// Takes sessions that other nodes open, `max_sessions` at a time. Never ends.
-pub async fn accept_sessions(listener: TcpListener, max_sessions: usize, factory: SessionFactory) {
+pub async fn accept_sessions(listener: TcpListener, max_sessions: usize, context: SessionContext) {
     let open_sessions = Rc::new(Cell::new(0));
     loop {
         let (stream, peer) = accept(&listener).await;
         if open_sessions.get() >= max_sessions {
-            factory.record_end(&peer, &SessionError::TooManySessions { max_sessions });
+            context.record_end(&peer, &SessionError::TooManySessions { max_sessions });
             continue;
         }
         open_sessions.set(open_sessions.get() + 1);
-        let (factory, open_sessions) = (factory.clone(), open_sessions.clone());
+        let (context, open_sessions) = (context.clone(), open_sessions.clone());
         tokio::task::spawn_local(async move {
-            if let Err(error) = connection::run(stream, &factory, Direction::Inbound).await {
-                factory.record_end(&peer, &error);
+            if let Err(error) = connection::run(stream, &context, Direction::Inbound).await {
+                context.record_end(&peer, &error);
             }
             open_sessions.set(open_sessions.get() - 1);
         });
--- a/crates/gateway/transport/src/session_factory.rs
+++ b/crates/gateway/transport/src/session_context.rs
@@ -1,6 +1,6 @@
 //! What every session of a process starts from: who this node is, its keys, and the count of rejected peers.
 
-use crate::counters::Counters;
+use crate::counters::ReasonCounters;
 use crate::error::SessionError;
 use crate::session::SessionEvent;
 use crate::tls::{KeysError, SessionKeys};
@@ -16,22 +16,22 @@
 struct Shared {
     local: Handshake,
     keys: RefCell<Option<SessionKeys>>,
-    rejections: RefCell<Counters>,
+    rejections: RefCell<ReasonCounters>,
     last_id: Cell<SessionId>,
     events: mpsc::UnboundedSender<SessionEvent>,
 }
 
 /// One for a process; a clone is the same.
 #[derive(Clone)]
-pub struct SessionFactory(Rc<Shared>);
+pub struct SessionContext(Rc<Shared>);
 
-impl SessionFactory {
-    /// A factory for the node of this handshake, without keys. All sessions' events go into one queue.
-    pub fn new(local: Handshake, events: mpsc::UnboundedSender<SessionEvent>) -> SessionFactory {
-        SessionFactory(Rc::new(Shared {
+impl SessionContext {
+    /// A context without keys, for the node of this handshake. The events of all sessions go into one queue.
+    pub fn new(local: Handshake, events: mpsc::UnboundedSender<SessionEvent>) -> SessionContext {
+        SessionContext(Rc::new(Shared {
             local,
             keys: RefCell::default(),
-            rejections: RefCell::new(Counters::new("peers_rejected")),
+            rejections: RefCell::new(ReasonCounters::new("peers_rejected")),
             last_id: Cell::new(SessionId::NONE),
             events,
         }))
--- a/crates/gateway/transport/src/startup.rs
+++ b/crates/gateway/transport/src/startup.rs
@@ -1,7 +1,7 @@
 //! What both programs of the gateway do at their start: the settings file, read and checked whole, the node's handshake,
 //! sockets, and what a changed settings file changes while they run.
 
-use crate::session_factory::SessionFactory;
+use crate::session_context::SessionContext;
 use error_stack::{Report, ResultExt};
 use rushcourse_config::NodeSettings;
 use rushcourse_messages::{Handshake, PROTOCOL_VERSION, Role};
@@ -89,7 +89,7 @@
 
 /// Reads the settings file of a running program again; its new sessions get the file's keys from now on. What can't be
 /// used is logged and changes nothing. `None`: the file as a whole.
-pub fn reload_settings(path: &Path, factory: &SessionFactory) -> Option<NodeSettings> {
+pub fn reload_settings(path: &Path, context: &SessionContext) -> Option<NodeSettings> {
     let settings = match read_settings(path) {
         Ok(settings) => settings,
         Err(report) => {
@@ -102,7 +102,7 @@
         settings.peers.seeds.len(),
         settings.peers.keys.is_some()
     );
-    if let Err(error) = factory.set_keys(settings.peers.keys.as_ref()) {
+    if let Err(error) = context.set_keys(settings.peers.keys.as_ref()) {
         log::error!("event=keys_unusable why={:?}", error.to_string());
     }
     Some(settings)
@@ -138,7 +138,7 @@
 ///
 /// # Errors
 /// Those of the work; [`StartError::Runtime`] where it can't begin.
-pub fn run_on_this_thread(
+pub fn run_on_current_thread(
     work: impl Future<Output = Result<(), Report<StartError>>>,
 ) -> Result<(), Report<StartError>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/gateway/transport/src/tls.rs
+++ b/crates/gateway/transport/src/tls.rs
@@ -2,7 +2,7 @@
 
 use crate::error::SessionError;
 use rushcourse_config::{CONTROLLER_NAME, LEGACY_CONTROLLER_NAME, PeerKeys};
-use rushcourse_messages::{CertifiedIdentity, PresentedIdentity};
+use rushcourse_messages::{CertifiedIdentity, PeerIdentity};
 use rushcourse_tls::{TlsError, TlsFiles};
 use rushcourse_types::NodeId;
 use std::fmt;
@@ -66,7 +66,7 @@
         stream: TcpStream,
         address: Ipv4Addr,
         direction: Direction,
-    ) -> Result<(TlsStream<TcpStream>, PresentedIdentity), SessionError> {
+    ) -> Result<(TlsStream<TcpStream>, PeerIdentity), SessionError> {
         let name = ServerName::from(IpAddr::from(address));
         let secured = match direction {
             Direction::Outbound => {
@@ -81,7 +81,7 @@
         })?;
         let (_, connection) = stream.get_ref();
         let presented = connection.peer_certificates();
-        let identity = PresentedIdentity {
+        let identity = PeerIdentity {
             address: NodeId::from(address),
             certificate: Some(certified_identity(presented, address)),
         };
--- a/crates/gateway/transport/tests/common/node.rs
+++ b/crates/gateway/transport/tests/common/node.rs
@@ -2,7 +2,7 @@
 
 use super::TEST_TIMEOUT;
 use rushcourse_messages::{Handshake, Message, PROTOCOL_VERSION, Role, encode};
-use rushcourse_transport::{Dialer, Session, SessionEvent, SessionFactory, accept_sessions};
+use rushcourse_transport::{Dialer, Session, SessionContext, SessionEvent, accept_sessions};
 use rushcourse_types::{Incarnation, NodeId};
 use std::net::Ipv4Addr;
 use tokio::io::AsyncWriteExt;
@@ -14,7 +14,7 @@
 
 pub struct Node {
     pub address: Ipv4Addr,
-    pub factory: SessionFactory,
+    pub context: SessionContext,
     pub events: UnboundedReceiver<SessionEvent>,
 }
 
@@ -33,7 +33,7 @@
         };
         Node {
             address,
-            factory: SessionFactory::new(handshake, sender),
+            context: SessionContext::new(handshake, sender),
             events,
         }
     }
@@ -52,13 +52,13 @@
             .await
             .expect("an address of loopback");
         let port = listener.local_addr().expect("an address").port();
-        let accepting = accept_sessions(listener, MAX_SESSIONS, self.factory.clone());
+        let accepting = accept_sessions(listener, MAX_SESSIONS, self.context.clone());
         tokio::task::spawn_local(accepting);
         port
     }
 
     pub fn dial(&self, other: &Node, port: u16) {
-        Dialer::new(self.factory.clone(), port).dial(NodeId::from(other.address));
+        Dialer::new(self.context.clone(), port).dial(NodeId::from(other.address));
     }
 
     /// A connection from this node's address that no session runs on.
@@ -103,7 +103,7 @@
     /// Waits until a peer was rejected for this reason; no session opened meanwhile.
     pub async fn rejects(&mut self, reason: &str) {
         let counted = async {
-            while !self.factory.rejections().contains_key(reason) {
+            while !self.context.rejections().contains_key(reason) {
                 tokio::task::yield_now().await;
             }
         };
@@ -111,7 +111,7 @@
         assert!(
             waited.is_ok(),
             "{reason} was to be rejected: {:?}",
-            self.factory.rejections()
+            self.context.rejections()
         );
         assert!(self.events.try_recv().is_err(), "no session came of it");
     }
--- a/crates/gateway/transport/tests/counters.rs
+++ b/crates/gateway/transport/tests/counters.rs
@@ -1,6 +1,6 @@
 //! What was counted by reason comes as one line of the log each interval.
 
-use rushcourse_transport::Counters;
+use rushcourse_transport::ReasonCounters;
 use rushcourse_types::Timestamp;
 
 const fn at(millis: u64) -> Timestamp {
@@ -9,7 +9,7 @@
 
 #[test]
 fn a_line_comes_once_each_interval_and_only_where_something_was_counted() {
-    let mut counters = Counters::new("own_answers");
+    let mut counters = ReasonCounters::new("own_answers");
     assert!(counters.count("no host"));
     assert!(!counters.count("no host"), "not the first");
     counters.count("time is over");
--- a/crates/gateway/transport/tests/keys.rs
+++ b/crates/gateway/transport/tests/keys.rs
@@ -19,7 +19,7 @@
     let node = Node::controller([127, 31, net, 1]);
     let names = [&*format!("127.31.{net}.1"), "controller"];
     let keys = authority.issue(folder.path(), "controller", &names, &[authority]);
-    node.factory.set_keys(Some(&keys)).expect("keys");
+    node.context.set_keys(Some(&keys)).expect("keys");
     let port = node.listen().await;
     (node, port)
 }
@@ -35,7 +35,7 @@
     let node = Node::new(address, role);
     let file = format!("node-{}", address[3]);
     let keys = authority.issue(folder.path(), &file, &[named], &[authority]);
-    node.factory.set_keys(Some(&keys)).expect("keys");
+    node.context.set_keys(Some(&keys)).expect("keys");
     node
 }
 
@@ -112,7 +112,7 @@
     /// Shows a certificate by one authority from now on, and trusts those of `trusted`.
     fn set_keys(&self, by: &Authority, trusted: &[&Authority]) -> PeerKeys {
         let keys = by.issue(self.folder.path(), self.file, self.names, trusted);
-        self.node.factory.set_keys(Some(&keys)).expect("keys");
+        self.node.context.set_keys(Some(&keys)).expect("keys");
         keys
     }
 
@@ -124,7 +124,7 @@
         };
         let error = self
             .node
-            .factory
+            .context
             .set_keys(Some(&unusable))
             .expect_err("no key in it");
         let text = error.to_string();
@@ -210,7 +210,7 @@
             pair.gateway.set_unusable_keys(keys);
             pair.first_session_goes_on().await;
         }
-        assert!(pair.controller.node.factory.rejections().is_empty());
-        assert!(pair.gateway.node.factory.rejections().is_empty());
+        assert!(pair.controller.node.context.rejections().is_empty());
+        assert!(pair.gateway.node.context.rejections().is_empty());
     });
 }
--- a/crates/gateway/transport/tests/sessions.rs
+++ b/crates/gateway/transport/tests/sessions.rs
@@ -24,8 +24,8 @@
 
         // Another machine whose handshake names the gateway's address is rejected.
         let impostor = Node::gateway([127, 31, 0, 12]);
-        let mut handshake = impostor.factory.local_handshake().clone();
-        handshake.node = gateway.factory.local_handshake().node;
+        let mut handshake = impostor.context.local_handshake().clone();
+        handshake.node = gateway.context.local_handshake().node;
         let mut stream = impostor.connect(&controller, port).await;
         write(&mut stream, &frame(&Message::Handshake(handshake))).await;
         controller.rejects("other machine").await;
@@ -40,7 +40,7 @@
     bytes: &[u8],
     reason: &str,
 ) {
-    let handshake = Message::Handshake(gateway.factory.local_handshake().clone());
+    let handshake = Message::Handshake(gateway.context.local_handshake().clone());
     let mut stream = gateway.connect(controller, port).await;
     write(&mut stream, &frame(&handshake)).await;
     let session = controller.opened().await;
@@ -64,7 +64,7 @@
         let mut controller = Node::controller([127, 31, 1, 1]);
         let gateway = Node::gateway([127, 31, 1, 11]);
         let port = controller.listen().await;
-        let handshake = Message::Handshake(gateway.factory.local_handshake().clone());
+        let handshake = Message::Handshake(gateway.context.local_handshake().clone());
         let of_a_learner = Message::SnapshotRequest {
             epoch: Epoch(1),
             after: None,
@@ -78,7 +78,7 @@
         for (count, (reason, bytes)) in cases.into_iter().enumerate() {
             session_ends_by(&mut controller, &gateway, port, &bytes, reason).await;
             assert_eq!(
-                controller.factory.rejections().values().sum::<u64>(),
+                controller.context.rejections().values().sum::<u64>(),
                 count as u64 + 1
             );
         }
