--- a/crates/gateway/consensus/src/configuration/operator_calls.rs
+++ b/crates/gateway/consensus/src/configuration/operator_calls.rs
@@ -1,7 +1,7 @@
 //! Operators' calls that wait for a majority: new configurations, and reads of the committed one.
 
 use crate::context::Context;
-use crate::effect::{Effect, Outcome};
+use crate::effect::{Effect, CallOutcome};
 use crate::paxos::Paxos;
 use crate::paxos::acceptor::Acceptor;
 use crate::paxos::proposer::ProposalRequest;
@@ -40,12 +40,12 @@
         now: Timestamp,
         committed: ConfigurationVersion,
         committed_text: Option<&Arc<[u8]>>,
-    ) -> Option<Outcome> {
+    ) -> Option<CallOutcome> {
         if self.version <= committed {
             let is_other_text = self.version == committed && committed_text != Some(&self.text);
-            return Some(Outcome::Acknowledged { is_other_text });
+            return Some(CallOutcome::Acknowledged { is_other_text });
         }
-        (now >= self.expires_at).then_some(Outcome::Unknown)
+        (now >= self.expires_at).then_some(CallOutcome::Unknown)
     }
 }
 
@@ -79,7 +79,7 @@
         let membership = &paxos.membership;
         let has_set = !membership.voting_set().epoch.is_none();
         if version > committed && has_set && !membership.has_quorum_contact() {
-            return answer(context, ticket, Outcome::Unknown);
+            return answer(context, ticket, CallOutcome::Unknown);
         }
         let call = PutCall {
             version,
@@ -100,7 +100,7 @@
     ) {
         let membership = &paxos.membership;
         if !membership.has_quorum_contact() {
-            return answer(context, ticket, Outcome::Unknown);
+            return answer(context, ticket, CallOutcome::Unknown);
         }
         self.last_token = self.last_token.next();
         let own_response = membership.is_voter().then_some(context.node);
@@ -176,7 +176,7 @@
         let outcome = |(ticket, call): (&Ticket, &PutCall)| {
             Some((*ticket, call.outcome(context.now, committed, text)?))
         };
-        let ended: Vec<(Ticket, Outcome)> = self.puts.iter().filter_map(outcome).collect();
+        let ended: Vec<(Ticket, CallOutcome)> = self.puts.iter().filter_map(outcome).collect();
         for (ticket, outcome) in ended {
             self.puts.remove(&ticket);
             answer(context, ticket, outcome);
@@ -194,10 +194,10 @@
             if call.has_majority(voting_set) && committed >= call.highest_accepted {
                 return Some(read_outcome(&paxos.acceptor, committed));
             }
-            (context.now >= call.expires_at).then_some(Outcome::Unknown)
+            (context.now >= call.expires_at).then_some(CallOutcome::Unknown)
         };
         let ended = self.gets.iter();
-        let ended: Vec<(Ticket, Outcome)> = ended
+        let ended: Vec<(Ticket, CallOutcome)> = ended
             .filter_map(|(ticket, call)| Some((*ticket, outcome(call)?)))
             .collect();
         for (ticket, outcome) in ended {
@@ -226,13 +226,13 @@
     paxos.propose(context, request);
 }
 
-fn read_outcome(acceptor: &Acceptor, committed: ConfigurationVersion) -> Outcome {
+fn read_outcome(acceptor: &Acceptor, committed: ConfigurationVersion) -> CallOutcome {
     match acceptor.committed_configuration(committed) {
-        Some(configuration) => Outcome::Configuration(configuration),
-        None => Outcome::NoConfiguration,
+        Some(configuration) => CallOutcome::Configuration(configuration),
+        None => CallOutcome::NoConfiguration,
     }
 }
 
-fn answer(context: &mut Context, ticket: Ticket, outcome: Outcome) {
-    context.push(Effect::Answer { ticket, outcome });
+fn answer(context: &mut Context, ticket: Ticket, outcome: CallOutcome) {
+    context.push(Effect::AnswerCall { ticket, outcome });
 }
--- a/crates/gateway/consensus/src/effect.rs
+++ b/crates/gateway/consensus/src/effect.rs
@@ -19,7 +19,7 @@
 
 /// How an operator's call ends.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum CallOutcome {
     /// A majority of disks holds this version or a higher one.
     Acknowledged {
         /// Under this very version another text is committed, and the call changed nothing.
@@ -63,11 +63,11 @@
     /// Answer a gateway's claim.
     AnswerClaim(ClaimAnswer),
     /// Answer an operator's call.
-    Answer {
+    AnswerCall {
         /// The call.
         ticket: Ticket,
         /// How it ended.
-        outcome: Outcome,
+        outcome: CallOutcome,
     },
     /// This configuration is committed from now on.
     ConfigurationCommitted(CommittedConfiguration),
--- a/crates/gateway/consensus/src/lib.rs
+++ b/crates/gateway/consensus/src/lib.rs
@@ -29,8 +29,8 @@
 pub use durable_state::{
     BatchId, DurableState, PruneBounds, StoredClaim, WriteBatch, WriteOperation,
 };
-pub use effect::{ClaimAnswer, CommittedConfiguration, Effect, Outcome};
+pub use effect::{ClaimAnswer, CommittedConfiguration, Effect, CallOutcome};
 pub use input::{ClaimRequest, Input};
 pub use log_event::LogEvent;
 pub use node::{ConsensusNode, ReplicaSummary};
-pub use setup::Setup;
+pub use setup::ReplicaSetup;
--- a/crates/gateway/consensus/src/membership/first_set.rs
+++ b/crates/gateway/consensus/src/membership/first_set.rs
@@ -1,7 +1,7 @@
 //! The first voting set: who proposes it, when, and of whom.
 
 use super::peers::Peers;
-use crate::setup::Setup;
+use crate::setup::ReplicaSetup;
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{Epoch, NodeId, Timestamp};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 /// Whether this replica is to propose the first set now: at the first start of the whole system, the seed with the
 /// lowest address does once all seeds are connected and no further controller connects. Its disk takes writes; it has
 /// not tried yet where it is this replica's own.
-pub(super) fn is_due(setup: &Setup, peers: &Peers, now: Timestamp, uptime: Duration) -> bool {
+pub(super) fn is_due(setup: &ReplicaSetup, peers: &Peers, now: Timestamp, uptime: Duration) -> bool {
     let is_reachable = |seed: &NodeId| *seed == setup.node || peers.is_connected(*seed);
     // A seed whose disk refuses writes can't hold it.
     let proposers = setup
@@ -34,7 +34,7 @@
 }
 
 /// The set of all connected controllers, or of as many as are to vote, spread over zones.
-pub(super) fn propose(setup: &Setup, peers: &Peers) -> VotingSet {
+pub(super) fn propose(setup: &ReplicaSetup, peers: &Peers) -> VotingSet {
     let mut candidates: BTreeMap<NodeId, Arc<str>> = peers.zones().clone();
     candidates.retain(|node, _| peers.is_disk_usable(*node));
     candidates.insert(setup.node, setup.zone.clone());
--- a/crates/gateway/consensus/src/membership/mod.rs
+++ b/crates/gateway/consensus/src/membership/mod.rs
@@ -50,7 +50,7 @@
 use crate::durable_state::{PruneBounds, WriteOperation};
 use crate::effect::Effect;
 use crate::log_event::LogEvent;
-use crate::setup::Setup;
+use crate::setup::ReplicaSetup;
 use peers::Peers;
 use progress::{KnownGenerations, SnapshotProgress};
 use rushcourse_messages::{Message, VotingSet};
@@ -84,7 +84,7 @@
 /// The voting set that this replica counts in, and its own place in it.
 #[derive(Clone, Debug)]
 pub(crate) struct Membership {
-    setup: Setup,
+    setup: ReplicaSetup,
     voting_set: VotingSet,
     /// The epoch of a set that is being written, or of the last one that was.
     written_epoch: Epoch,
@@ -109,7 +109,7 @@
     /// Membership at the start, with what the state file holds: it says whether the replica had complete state, and its
     /// generation.
     pub fn new(
-        setup: Setup,
+        setup: ReplicaSetup,
         voting_set: VotingSet,
         had_complete_state: bool,
         generation: Generation,
--- a/crates/gateway/consensus/src/node/mod.rs
+++ b/crates/gateway/consensus/src/node/mod.rs
@@ -22,7 +22,7 @@
 use crate::paxos::peer_reports::PeerReports;
 use crate::paxos::proposer::Proposer;
 use crate::recovery_points::RecoveryPoints;
-use crate::setup::Setup;
+use crate::setup::ReplicaSetup;
 use crate::snapshot::SnapshotTransfer;
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{ConfigurationVersion, Generation, KeyDigest, NodeId, Timestamp, WallTime};
@@ -66,7 +66,7 @@
 
 impl ConsensusNode {
     /// A replica at its start, with what its state file holds.
-    pub fn new(setup: Setup, durable: DurableState) -> ConsensusNode {
+    pub fn new(setup: ReplicaSetup, durable: DurableState) -> ConsensusNode {
         let DurableState {
             voting_set,
             has_complete_state,
--- a/crates/gateway/consensus/src/setup.rs
+++ b/crates/gateway/consensus/src/setup.rs
@@ -6,7 +6,7 @@
 
 /// What a replica has to know of itself and its deployment at its start.
 #[derive(Clone, Debug)]
-pub struct Setup {
+pub struct ReplicaSetup {
     /// This replica.
     pub node: NodeId,
     /// The zone of its machine.
--- a/crates/gateway/consensus/tests/timeline/cluster.rs
+++ b/crates/gateway/consensus/tests/timeline/cluster.rs
@@ -167,7 +167,7 @@
                 self.observations
                     .claim_answered(self.now, node, &answer, &sets);
             }
-            Effect::Answer { ticket, outcome } => {
+            Effect::AnswerCall { ticket, outcome } => {
                 self.observations.call_answered(node, ticket, outcome);
             }
             Effect::ConfigurationCommitted(configuration) => {
--- a/crates/gateway/consensus/tests/timeline/observations.rs
+++ b/crates/gateway/consensus/tests/timeline/observations.rs
@@ -1,7 +1,7 @@
 //! What operators and gateways saw, and what must hold of it at any time.
 
 use super::steps::Claimed;
-use rushcourse_consensus::{ClaimAnswer, CommittedConfiguration, Outcome};
+use rushcourse_consensus::{ClaimAnswer, CommittedConfiguration, CallOutcome};
 use rushcourse_messages::{ClaimVerdict, VotingSet};
 use rushcourse_types::{
     ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, Ticket, Timestamp,
@@ -78,20 +78,20 @@
 
 impl Observations {
     /// An operator's call is answered.
-    pub fn call_answered(&mut self, node: NodeId, ticket: Ticket, outcome: Outcome) {
+    pub fn call_answered(&mut self, node: NodeId, ticket: Ticket, outcome: CallOutcome) {
         match outcome {
-            Outcome::Acknowledged { is_other_text } => {
+            CallOutcome::Acknowledged { is_other_text } => {
                 let acknowledgement = Acknowledgement {
                     ticket,
                     is_other_text,
                 };
                 self.acknowledged.insert(node, acknowledgement);
             }
-            Outcome::Configuration(read) => self.configuration_read(node, &read),
-            Outcome::Unknown if ticket < Ticket(FIRST_READ) => {
+            CallOutcome::Configuration(read) => self.configuration_read(node, &read),
+            CallOutcome::Unknown if ticket < Ticket(FIRST_READ) => {
                 self.unknown_puts.insert(node, ticket);
             }
-            Outcome::NoConfiguration | Outcome::Unknown => {
+            CallOutcome::NoConfiguration | CallOutcome::Unknown => {
                 self.reads.insert(node, ReadResult::Unknown);
             }
         }
--- a/crates/gateway/controller/src/contact.rs
+++ b/crates/gateway/controller/src/contact.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::probes::{FinishedProbe, ProbePurpose};
 use rushcourse_cluster as cluster;
-use rushcourse_consensus::Outcome;
+use rushcourse_consensus::CallOutcome;
 use rushcourse_messages::Message;
 use rushcourse_types::Epoch;
 
@@ -92,7 +92,7 @@
             }
             ProbePurpose::OperatorRequest(ticket) => {
                 if !is_confirmed {
-                    self.pending_requests.respond(ticket, Outcome::Unknown);
+                    self.pending_requests.respond(ticket, CallOutcome::Unknown);
                 }
             }
         }
--- a/crates/gateway/controller/src/controller.rs
+++ b/crates/gateway/controller/src/controller.rs
@@ -7,7 +7,7 @@
 use crate::shutdown::Shutdown;
 use crate::storage_thread::Storage;
 use rushcourse_cluster::{self as cluster, Cluster};
-use rushcourse_consensus::{self as consensus, ClaimAnswer, ConsensusNode, Setup, WriteOperation};
+use rushcourse_consensus::{self as consensus, ClaimAnswer, ConsensusNode, ReplicaSetup, WriteOperation};
 use rushcourse_messages::Message;
 use rushcourse_transport::Clock;
 use rushcourse_types::SessionId;
@@ -18,7 +18,7 @@
     pub(crate) clock: Clock,
     pub(crate) storage: Storage,
     /// What the consensus started from.
-    pub(crate) setup: Setup,
+    pub(crate) setup: ReplicaSetup,
     /// What a majority of disks holds: voting set, configuration, claims.
     pub(crate) consensus: ConsensusNode,
     /// What controllers tell each other of hosts and gateways, and the tables that come of it.
@@ -48,7 +48,7 @@
                 self.sessions.send_to_controller(to, &message);
             }
             consensus::Effect::AnswerClaim(answer) => self.answer_claim(answer),
-            consensus::Effect::Answer { ticket, outcome } => {
+            consensus::Effect::AnswerCall { ticket, outcome } => {
                 self.pending_requests.respond(ticket, outcome);
             }
             consensus::Effect::ConfigurationCommitted(committed) => {
--- a/crates/gateway/controller/src/late_state.rs
+++ b/crates/gateway/controller/src/late_state.rs
@@ -7,7 +7,7 @@
 use crate::controller::Controller;
 use crate::state_file::OpenedFile;
 use rushcourse_cluster as cluster;
-use rushcourse_consensus::{self as consensus, ConsensusNode, Outcome, Setup};
+use rushcourse_consensus::{self as consensus, ConsensusNode, CallOutcome, ReplicaSetup};
 use rushcourse_messages::Message;
 use rushcourse_transport::startup::random_incarnation;
 
@@ -34,8 +34,8 @@
     /// The consensus starts from what the file holds, under an incarnation of its own: ballots of the one before are not
     /// used again. It does not take part in a first set, which the others may have made by now.
     fn restart_consensus(&mut self, stored: consensus::DurableState) {
-        self.pending_requests.respond_all(&Outcome::Unknown);
-        self.setup = Setup {
+        self.pending_requests.respond_all(&CallOutcome::Unknown);
+        self.setup = ReplicaSetup {
             incarnation: random_incarnation(),
             is_first_start: false,
             ..self.setup.clone()
--- a/crates/gateway/controller/src/pending_requests.rs
+++ b/crates/gateway/controller/src/pending_requests.rs
@@ -1,7 +1,7 @@
 //! Requests of operators that wait for their answer.
 
 use crate::control_request::{ControlResponse, Responder};
-use rushcourse_consensus::Outcome;
+use rushcourse_consensus::CallOutcome;
 use rushcourse_types::Ticket;
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
     }
 
     /// Answers all requests that wait.
-    pub(crate) fn respond_all(&mut self, outcome: &Outcome) {
+    pub(crate) fn respond_all(&mut self, outcome: &CallOutcome) {
         let tickets: Vec<Ticket> = self.responders.keys().copied().collect();
         for ticket in tickets {
             self.respond(ticket, outcome.clone());
@@ -29,20 +29,20 @@
     }
 
     /// Answers a request, unless it has been.
-    pub(crate) fn respond(&mut self, ticket: Ticket, outcome: Outcome) {
+    pub(crate) fn respond(&mut self, ticket: Ticket, outcome: CallOutcome) {
         let Some(responder) = self.responders.remove(&ticket) else {
             return;
         };
         let _ = responder.send(match outcome {
-            Outcome::Acknowledged {
+            CallOutcome::Acknowledged {
                 is_other_text: false,
             } => ControlResponse::Acknowledged,
-            Outcome::Acknowledged {
+            CallOutcome::Acknowledged {
                 is_other_text: true,
             } => ControlResponse::OtherTextCommitted,
-            Outcome::Configuration(committed) => ControlResponse::Text(committed.text),
-            Outcome::NoConfiguration => ControlResponse::NoConfiguration,
-            Outcome::Unknown => ControlResponse::Unknown,
+            CallOutcome::Configuration(committed) => ControlResponse::Text(committed.text),
+            CallOutcome::NoConfiguration => ControlResponse::NoConfiguration,
+            CallOutcome::Unknown => ControlResponse::Unknown,
         });
     }
 }
--- a/crates/gateway/controller/src/startup.rs
+++ b/crates/gateway/controller/src/startup.rs
@@ -14,7 +14,7 @@
 use error_stack::{Report, ResultExt};
 use rushcourse_cluster::{self as cluster, Cluster, Topology};
 use rushcourse_config::NodeSettings;
-use rushcourse_consensus::{ConsensusNode, DurableState, Setup};
+use rushcourse_consensus::{ConsensusNode, DurableState, ReplicaSetup};
 use rushcourse_messages::{Handshake, Role};
 use rushcourse_storage::Store;
 use rushcourse_transport::startup::{
@@ -146,8 +146,8 @@
     Ok((storage, stored))
 }
 
-fn consensus_setup(settings: &NodeSettings, handshake: &Handshake, stored: &DurableState) -> Setup {
-    Setup {
+fn consensus_setup(settings: &NodeSettings, handshake: &Handshake, stored: &DurableState) -> ReplicaSetup {
+    ReplicaSetup {
         node: handshake.node,
         zone: settings.node.zone.as_str().into(),
         incarnation: handshake.incarnation,
--- a/crates/tools/modelcheck/src/checker.rs
+++ b/crates/tools/modelcheck/src/checker.rs
@@ -2,7 +2,7 @@
 
 use crate::draft::Draft;
 use crate::violation::{Unsettled, Violation};
-use rushcourse_consensus::{CommittedConfiguration, Outcome, ReplicaSummary};
+use rushcourse_consensus::{CommittedConfiguration, CallOutcome, ReplicaSummary};
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId, Ticket};
 use std::collections::BTreeMap;
@@ -99,14 +99,14 @@
     }
 
     /// An operator's call was answered.
-    pub(crate) fn answered(&mut self, ticket: Ticket, outcome: &Outcome) {
+    pub(crate) fn answered(&mut self, ticket: Ticket, outcome: &CallOutcome) {
         self.open_puts.remove(&ticket);
         let floor = self.read_floors.get(&ticket).copied().unwrap_or_default();
         match outcome {
-            Outcome::Acknowledged { is_other_text } => {
+            CallOutcome::Acknowledged { is_other_text } => {
                 self.put_acknowledged(Draft(ticket.0), *is_other_text);
             }
-            Outcome::Configuration(CommittedConfiguration { version, text }) => {
+            CallOutcome::Configuration(CommittedConfiguration { version, text }) => {
                 if *version < floor || !Draft::is_text_of(*version, text) {
                     self.break_rule(Violation::OldRead {
                         read: *version,
@@ -114,10 +114,10 @@
                     });
                 }
             }
-            Outcome::NoConfiguration if !floor.is_none() => {
+            CallOutcome::NoConfiguration if !floor.is_none() => {
                 self.break_rule(Violation::EmptyRead { floor });
             }
-            Outcome::NoConfiguration | Outcome::Unknown => {}
+            CallOutcome::NoConfiguration | CallOutcome::Unknown => {}
         }
     }
 
--- a/crates/tools/modelcheck/src/simulation.rs
+++ b/crates/tools/modelcheck/src/simulation.rs
@@ -2,7 +2,7 @@
 //! worlds of this package and the timelines of `rushcourse-consensus` are made of it.
 
 use rushcourse_consensus::{
-    BatchId, ConsensusNode, DurableState, Effect, Input, Setup, WriteBatch,
+    BatchId, ConsensusNode, DurableState, Effect, Input, ReplicaSetup, WriteBatch,
 };
 use rushcourse_types::{Incarnation, NodeId, Timestamp, WallTime};
 use std::collections::VecDeque;
@@ -35,8 +35,8 @@
         format!("zone-{}", node.0 % self.zones).into()
     }
 
-    fn setup(&self, node: NodeId, start: u64, is_first_start: bool) -> Setup {
-        Setup {
+    fn setup(&self, node: NodeId, start: u64, is_first_start: bool) -> ReplicaSetup {
+        ReplicaSetup {
             node,
             zone: self.zone(node),
             incarnation: Incarnation(u64::from(node.0) * MAX_STARTS + start),
--- a/crates/tools/modelcheck/src/world/controllers.rs
+++ b/crates/tools/modelcheck/src/world/controllers.rs
@@ -38,7 +38,7 @@
                 None => self.post(node, to, message),
             },
             Effect::AnswerClaim(answer) => self.answer_claim(node, answer),
-            Effect::Answer { ticket, outcome } => self.checker.answered(ticket, &outcome),
+            Effect::AnswerCall { ticket, outcome } => self.checker.answered(ticket, &outcome),
             Effect::ConfigurationCommitted(configuration) => {
                 self.configuration_committed(node, &configuration);
             }
--- a/crates/tools/modelcheck/src/world/play.rs
+++ b/crates/tools/modelcheck/src/world/play.rs
@@ -5,7 +5,7 @@
 use crate::moves::Move;
 use crate::mutation::Mutation;
 use crate::simulation::Unsynced;
-use rushcourse_consensus::{ConsensusNode, DurableState, Input, Outcome};
+use rushcourse_consensus::{ConsensusNode, DurableState, Input, CallOutcome};
 use rushcourse_types::{NodeId, Ticket};
 
 /// Tickets of reads, from here on; lower ones are of puts.
@@ -133,7 +133,7 @@
     fn read_locally(&mut self, node: NodeId, ticket: Ticket) {
         let running = self.controller(node).simulated.node();
         let committed = running.and_then(ConsensusNode::committed_configuration);
-        let outcome = committed.map_or(Outcome::NoConfiguration, Outcome::Configuration);
+        let outcome = committed.map_or(CallOutcome::NoConfiguration, CallOutcome::Configuration);
         self.checker.answered(ticket, &outcome);
     }
 
