--- a/crates/director/director-settings/src/policy.rs
+++ b/crates/director/director-settings/src/policy.rs
@@ -113,6 +113,6 @@
     match source {
         "inline" => LoadSource::Reports,
         "on_probe" => LoadSource::HealthChecks,
-        _ => LoadSource::Nowhere,
+        _ => LoadSource::Unreported,
     }
 }
--- a/crates/director/director-state/src/health_checks.rs
+++ b/crates/director/director-state/src/health_checks.rs
@@ -97,7 +97,7 @@
 
 /// What a host is asked for.
 fn path(load_source: LoadSource) -> &'static str {
-    if load_source == LoadSource::Nowhere {
+    if load_source == LoadSource::Unreported {
         "/health"
     } else {
         "/status/load"
--- a/crates/director/director-state/tests/health_checks.rs
+++ b/crates/director/director-state/tests/health_checks.rs
@@ -98,7 +98,7 @@
 
 #[test]
 fn a_host_is_checked_once_at_a_time_and_only_where_it_is_allowed_and_known() {
-    let allowed = settings(LoadSource::Nowhere, true);
+    let allowed = settings(LoadSource::Unreported, true);
     let mut checks = HealthChecks::default();
     let unanswered = Some((false, HostLoad::default()));
     // A host is checked, but not twice at once.
--- a/crates/gateway/transport/src/tls.rs
+++ b/crates/gateway/transport/src/tls.rs
@@ -101,8 +101,8 @@
         };
     };
     CertifiedIdentity {
-        names_machine: rushcourse_tls::is_for_address(certificate, address),
-        names_controller: rushcourse_tls::has_name(certificate, CONTROLLER_NAME)
-            || rushcourse_tls::has_name(certificate, LEGACY_CONTROLLER_NAME),
+        names_machine: rushcourse_tls::matches_ip_address(certificate, address),
+        names_controller: rushcourse_tls::matches_dns_name(certificate, CONTROLLER_NAME)
+            || rushcourse_tls::matches_dns_name(certificate, LEGACY_CONTROLLER_NAME),
     }
 }
--- a/crates/shared/policy/src/admission.rs
+++ b/crates/shared/policy/src/admission.rs
@@ -3,7 +3,7 @@
 use crate::director::Director;
 use crate::interface::{ClassId, Idempotency, RetryPolicy, ZoneId};
 use crate::state::{Admission, ZonePressure};
-use crate::tuned::{
+use crate::constants::{
     ADMISSION_DECREASE, ADMISSION_SEARCH_STEP, EASING_PART, HEALTHY_SATURATION, MAX_ADMISSION_INCREASE,
     MIN_ADMISSION, MIN_CAPACITY_PART, OPEN_ADMISSION, OVERLOAD_FAILURES, OVERLOAD_SATURATION,
     REOPENED_ADMISSION, SLOW_START_WEIGHT,
--- a/crates/shared/policy/src/channel_cost.rs
+++ b/crates/shared/policy/src/channel_cost.rs
@@ -3,7 +3,7 @@
 use crate::director::Director;
 use crate::interface::{AckNumber, Channel, HostId, Ms, ProxyId, TableId};
 use crate::state::{Proxy, ProxyLines, Update, UpdateCost};
-use crate::tuned::MAX_TABLE_HOSTS;
+use crate::constants::MAX_TABLE_HOSTS;
 use std::collections::BTreeSet;
 
 impl Director {
--- a/crates/shared/policy/src/tuned.rs
+++ b/crates/shared/policy/src/constants.rs
@@ -1,4 +1,4 @@
-//! Every tuned value: unit, reason, source ("ours": a default chosen here by reasoning and simulated days).
+//! Constants of the policy. Durations are in milliseconds unless a comment names another unit.
 
 use crate::interface::Ms;
 
--- a/crates/shared/policy/src/decide.rs
+++ b/crates/shared/policy/src/decide.rs
@@ -4,7 +4,7 @@
 use crate::director::Director;
 use crate::interface::{Action, Event, Ms};
 use crate::state::Update;
-use crate::tuned::{ACK_TIMEOUT, FALLBACK_DELAY, GONE_HOST_RETENTION, MAX_REPORT_AGE, REMOVAL_DELAY};
+use crate::constants::{ACK_TIMEOUT, FALLBACK_DELAY, GONE_HOST_RETENTION, MAX_REPORT_AGE, REMOVAL_DELAY};
 
 impl Director {
     /// Handles all events since the last call; answers what is to be done, in order. `now` never falls.
--- a/crates/shared/policy/src/director.rs
+++ b/crates/shared/policy/src/director.rs
@@ -8,7 +8,7 @@
     ChannelHost, ClassGroup, CrossZoneWeights, HostList, HostReports, HostVerdicts, Outbox, ProxyRegistry,
     TableSet, Update, ZoneState,
 };
-use crate::tuned::FEEDBACK_INTERVALS;
+use crate::constants::FEEDBACK_INTERVALS;
 use std::collections::BTreeMap;
 
 /// The time of the step, and when to act.
--- a/crates/shared/policy/src/health.rs
+++ b/crates/shared/policy/src/health.rs
@@ -4,7 +4,7 @@
 use crate::director::Director;
 use crate::interface::{ByHost, HostId, ZoneId};
 use crate::state::{AttemptTotals, Derating, Outlier, ZonePressure};
-use crate::tuned::{
+use crate::constants::{
     BASE_EJECTION_TIME, CALM_DERATE_SATURATION, DERATE_ATTEMPTS, DERATE_RECOVERY_DELAYS, DERATE_SATURATION,
     DERATE_STEP, EJECTION_ATTEMPTS, EJECTION_FAILURES, HEALTHY_SATURATION, MIN_DERATED_PART,
     MIN_REMAINING_PART, OVERLOAD_FAILURES, REPRESENTATIVE_PART, SLOW_START_DURATION,
--- a/crates/shared/policy/src/interface/settings.rs
+++ b/crates/shared/policy/src/interface/settings.rs
@@ -34,7 +34,7 @@
     HealthChecks,
     /// Nowhere.
     #[default]
-    Nowhere,
+    Unreported,
 }
 
 /// When a proxy retries a request at another host. Later variants allow more.
--- a/crates/shared/policy/src/membership.rs
+++ b/crates/shared/policy/src/membership.rs
@@ -3,7 +3,7 @@
 use crate::director::Director;
 use crate::interface::{Action, Channel, Event, HostEntry, HostListKind, ProxyId, Readiness, ZoneId};
 use crate::state::{AttemptTotals, GroupBinding, ListedHost, Proxy};
-use crate::tuned::{PROXY_TRAFFIC_DECAY, REPORT_DECAY, ROUND_INTERVAL};
+use crate::constants::{PROXY_TRAFFIC_DECAY, REPORT_DECAY, ROUND_INTERVAL};
 use std::collections::BTreeSet;
 
 /// The largest weight that a listed one is believed to be.
--- a/crates/shared/policy/src/observations.rs
+++ b/crates/shared/policy/src/observations.rs
@@ -3,7 +3,7 @@
 use crate::director::Director;
 use crate::interface::{ByHost, HostId, ZoneId};
 use crate::state::AttemptTotals;
-use crate::tuned::SATURATED_LATENCY;
+use crate::constants::SATURATED_LATENCY;
 
 impl Director {
     /// What proxies of a zone observed at each live host, as far as the reports are recent.
--- a/crates/shared/policy/src/tables.rs
+++ b/crates/shared/policy/src/tables.rs
@@ -4,7 +4,7 @@
 use crate::director::Director;
 use crate::interface::{ByHost, Ms, ProxyId, ZoneId};
 use crate::state::{Candidate, CrossZoneWeights, ListedHost, TableKey, WarmingLimits};
-use crate::tuned::{
+use crate::constants::{
     CROSS_ZONE_TOLERANCE, HEALTHY_SATURATION, MAX_CROSS_ZONE_WEIGHT, MAX_TABLE_HOSTS, MIN_CROSS_ZONE_WEIGHT,
     MIN_REMAINING_PART, REMAINING_STEPS, SAFE_WARMING_PART, SLOW_START_DURATION, SLOW_START_STEPS,
     SLOW_START_WEIGHT,
--- a/crates/shared/tls/src/certificate.rs
+++ b/crates/shared/tls/src/certificate.rs
@@ -4,12 +4,12 @@
 use tokio_rustls::rustls::pki_types::{CertificateDer, ServerName};
 
 /// Whether a certificate is for an address.
-pub fn is_for_address(certificate: &CertificateDer<'_>, address: Ipv4Addr) -> bool {
+pub fn matches_ip_address(certificate: &CertificateDer<'_>, address: Ipv4Addr) -> bool {
     is_valid_for(certificate, &ServerName::from(IpAddr::from(address)))
 }
 
 /// Whether a certificate bears a DNS name.
-pub fn has_name(certificate: &CertificateDer<'_>, name: &str) -> bool {
+pub fn matches_dns_name(certificate: &CertificateDer<'_>, name: &str) -> bool {
     ServerName::try_from(name).is_ok_and(|name| is_valid_for(certificate, &name))
 }
 
--- a/crates/shared/tls/src/lib.rs
+++ b/crates/shared/tls/src/lib.rs
@@ -5,6 +5,6 @@
 mod error;
 mod files;
 
-pub use certificate::{has_name, is_for_address};
+pub use certificate::{matches_dns_name, matches_ip_address};
 pub use error::TlsError;
 pub use files::TlsFiles;
