--- a/crates/gateway/cli/src/certificates.rs
+++ b/crates/gateway/cli/src/certificates.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{AtPath, CliError, FileProblem};
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair};
-use rushcourse_config::{CONTROLLER_NAME, NodeSettings};
+use rushcourse_config::{CONTROLLER_DNS_NAME, NodeSettings};
 use std::fmt::Write as _;
 use std::io::Write as _;
 use std::os::unix::fs::OpenOptionsExt;
@@ -78,7 +78,7 @@
         settings
             .listen_addresses
             .control_plane
-            .map(|_| CONTROLLER_NAME.to_string()),
+            .map(|_| CONTROLLER_DNS_NAME.to_string()),
     );
     let mut params = CertificateParams::new(names).at_path(&certificate_file)?;
     params
--- a/crates/gateway/cli/src/commands.rs
+++ b/crates/gateway/cli/src/commands.rs
@@ -2,7 +2,7 @@
 
 use crate::arguments::{Arguments, Command, Operands};
 use crate::configuration_diff::ConfigurationDiff;
-use crate::control_api::{ClearAnswer, ControlApi, ControllerPage};
+use crate::control_api::{ControlApi, ControllerPage, SuccessResponse};
 use crate::error::{AtPath, CliError, FileProblem};
 use crate::manual::MANUAL;
 use crate::shedding_order::shedding_order;
@@ -94,7 +94,7 @@
 }
 
 fn committed_configuration(api: &ControlApi) -> Result<Configuration, CliError> {
-    let answer = api.first_clear(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
+    let answer = api.first_success(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
     Configuration::parse(answer.body.as_bytes()).map_err(|reason| CliError::InvalidConfiguration {
         controller: answer.controller,
         reason,
@@ -105,9 +105,9 @@
     let path = operands.first()?;
     let version = read_configuration(path)?.version;
     let text = Bytes::from(read_file(path)?);
-    let answer = api.first_clear(&Method::PUT, CONFIGURATION_PATH, &text)?;
+    let answer = api.first_success(&Method::PUT, CONFIGURATION_PATH, &text)?;
     if answer.body.contains(ANOTHER_TEXT_FIELD) {
-        return Err(CliError::AnotherText(version));
+        return Err(CliError::VersionConflict(version));
     }
     if json {
         return Ok(answer.body);
@@ -119,7 +119,7 @@
 }
 
 fn get(api: &ControlApi) -> Result<String, CliError> {
-    let answer = api.first_clear(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
+    let answer = api.first_success(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
     Ok(answer.body + "\n")
 }
 
@@ -132,7 +132,7 @@
 
 fn show_key(api: &ControlApi, key: &Operands, json: bool) -> Result<String, CliError> {
     let path = format!("{KEYS_PATH}/{}", percent_encoded(key.first()?));
-    let pages = api.pages(&path);
+    let pages = api.fetch_all(&path);
     if json {
         Ok(views::json(&pages))
     } else {
@@ -146,7 +146,7 @@
     json: bool,
     view: impl Fn(&[ControllerPage]) -> Result<String, CliError>,
 ) -> Result<String, CliError> {
-    let pages = api.pages(STATUS_PATH);
+    let pages = api.fetch_all(STATUS_PATH);
     if json {
         Ok(views::json(&pages))
     } else {
@@ -158,9 +158,9 @@
 fn show_first(
     api: &ControlApi,
     json: bool,
-    view: impl Fn(&ClearAnswer) -> Result<String, CliError>,
+    view: impl Fn(&SuccessResponse) -> Result<String, CliError>,
 ) -> Result<String, CliError> {
-    let answer = api.first_clear(&Method::GET, STATUS_PATH, &Bytes::new())?;
+    let answer = api.first_success(&Method::GET, STATUS_PATH, &Bytes::new())?;
     if json {
         Ok(answer.body + "\n")
     } else {
--- a/crates/gateway/cli/src/control_api.rs
+++ b/crates/gateway/cli/src/control_api.rs
@@ -66,7 +66,7 @@
 
 /// A clear answer: the first controller that answered with success.
 #[derive(Debug)]
-pub struct ClearAnswer {
+pub struct SuccessResponse {
     /// The controller's control address.
     pub controller: String,
     /// The body of its response.
@@ -93,13 +93,13 @@
     /// Asks one controller after the other until one answers clearly.
     ///
     /// # Errors
-    /// [`CliError::Rejected`] if one rejects the call, [`CliError::NoClearAnswer`] if all fail in all rounds.
-    pub fn first_clear(
+    /// [`CliError::Rejected`] if one rejects the call, [`CliError::AllControllersFailed`] if all fail in all rounds.
+    pub fn first_success(
         &self,
         method: &Method,
         path: &str,
         body: &Bytes,
-    ) -> Result<ClearAnswer, CliError> {
+    ) -> Result<SuccessResponse, CliError> {
         let mut failures = Vec::new();
         for round in 0..MAX_ROUNDS {
             if round > 0 {
@@ -108,7 +108,7 @@
             for controller in &self.addresses {
                 match call(controller, method, path, body.clone()) {
                     Ok(body) => {
-                        return Ok(ClearAnswer {
+                        return Ok(SuccessResponse {
                             controller: controller.clone(),
                             body,
                         });
@@ -126,11 +126,11 @@
         }
         failures.sort();
         failures.dedup();
-        Err(CliError::NoClearAnswer(failures))
+        Err(CliError::AllControllersFailed(failures))
     }
 
     /// The page of each controller, asked once.
-    pub fn pages(&self, path: &str) -> Vec<ControllerPage> {
+    pub fn fetch_all(&self, path: &str) -> Vec<ControllerPage> {
         let page = |controller: &String| ControllerPage {
             controller: controller.clone(),
             page: call(controller, &Method::GET, path, Bytes::new()),
--- a/crates/gateway/cli/src/error.rs
+++ b/crates/gateway/cli/src/error.rs
@@ -33,9 +33,9 @@
         reason: String,
     },
     /// The configuration that was put changed nothing: another text is committed under its version.
-    AnotherText(ConfigurationVersion),
+    VersionConflict(ConfigurationVersion),
     /// No controller answered clearly; a line for each failure.
-    NoClearAnswer(Vec<String>),
+    AllControllersFailed(Vec<String>),
     /// The page of a controller is no JSON.
     InvalidPage(String),
     /// The configuration that a controller sent can't be read here.
@@ -54,8 +54,8 @@
             CliError::MissingArgument(_)
             | CliError::File { .. }
             | CliError::Rejected { .. }
-            | CliError::AnotherText(_) => REJECTED,
-            CliError::NoClearAnswer(_)
+            | CliError::VersionConflict(_) => REJECTED,
+            CliError::AllControllersFailed(_)
             | CliError::InvalidPage(_)
             | CliError::InvalidConfiguration { .. } => UNCLEAR,
         }
@@ -72,11 +72,11 @@
                 status,
                 reason,
             } => write!(f, "{controller} rejects it ({status}): {reason}"),
-            CliError::AnotherText(version) => write!(
+            CliError::VersionConflict(version) => write!(
                 f,
                 "version {version}: another text is committed, this one changed nothing"
             ),
-            CliError::NoClearAnswer(failures) => {
+            CliError::AllControllersFailed(failures) => {
                 write!(f, "no controller answered clearly: {}", failures.join("; "))
             }
             CliError::InvalidPage(reason) => write!(f, "a page can't be read: {reason}"),
--- a/crates/gateway/cli/src/views/endpoints.rs
+++ b/crates/gateway/cli/src/views/endpoints.rs
@@ -1,6 +1,6 @@
 //! Hosts and endpoint tables as one controller sees them.
 
-use crate::control_api::ClearAnswer;
+use crate::control_api::SuccessResponse;
 use crate::error::CliError;
 use crate::status_page::StatusPage;
 use crate::text_table::TextTable;
@@ -9,7 +9,7 @@
 ///
 /// # Errors
 /// [`CliError::InvalidPage`]: the page can't be read.
-pub fn hosts(answer: &ClearAnswer) -> Result<String, CliError> {
+pub fn hosts(answer: &SuccessResponse) -> Result<String, CliError> {
     let page = StatusPage::read(&answer.body)?;
     let mut table = TextTable::new(&["host", "service", "address", "zone", "state", "age s"]);
     let fields = ["id", "service", "address", "zone", "state", "age_s"];
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// [`CliError::InvalidPage`]: the page can't be read.
-pub fn tables(answer: &ClearAnswer) -> Result<String, CliError> {
+pub fn tables(answer: &SuccessResponse) -> Result<String, CliError> {
     let page = StatusPage::read(&answer.body)?;
     let mut table = TextTable::new(&["service", "table", "gateways", "endpoints"]);
     for shown in page
--- a/crates/gateway/config/src/lib.rs
+++ b/crates/gateway/config/src/lib.rs
@@ -21,5 +21,5 @@
 pub use limits::Limits;
 pub use route::{Route, RouteKind, WeightedService};
 pub use service::Service;
-pub use settings::{CONTROLLER_NAME, LEGACY_CONTROLLER_NAME, NodeSettings, PeerKeys};
+pub use settings::{CONTROLLER_DNS_NAME, LEGACY_CONTROLLER_DNS_NAME, NodeSettings, PeerKeyFiles};
 pub use settings_file::SettingsError;
--- a/crates/gateway/config/src/settings.rs
+++ b/crates/gateway/config/src/settings.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 /// What a certificate must name, beside its machine, for a node to act as a controller.
-pub const CONTROLLER_NAME: &str = "controller";
+pub const CONTROLLER_DNS_NAME: &str = "controller";
 
 /// The same name in certificates made by versions before 0.2; still accepted.
-pub const LEGACY_CONTROLLER_NAME: &str = "exchange";
+pub const LEGACY_CONTROLLER_DNS_NAME: &str = "exchange";
 
 /// s; shorter heartbeat intervals count as this.
 const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.05;
@@ -71,7 +71,7 @@
     /// `control_plane` addresses of some machines.
     pub seeds: Vec<SocketAddrV4>,
     /// With these, sessions between nodes go by TLS; without, the addresses of machines count.
-    pub keys: Option<PeerKeys>,
+    pub keys: Option<PeerKeyFiles>,
 }
 
 /// Ports from the first to the last one.
@@ -85,7 +85,7 @@
 
 /// Files in PEM form (`peers.certificate`, `peers.key`, `peers.authority`).
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct PeerKeys {
+pub struct PeerKeyFiles {
     /// The certificate that this machine presents.
     pub certificate: String,
     /// The key of that certificate.
@@ -233,14 +233,14 @@
 }
 
 /// All three files or none: half of them would be taken for safety that is not there.
-fn read_peer_keys(file: &SettingsFile<'_>) -> Result<Option<PeerKeys>, SettingsError> {
+fn read_peer_keys(file: &SettingsFile<'_>) -> Result<Option<PeerKeyFiles>, SettingsError> {
     let names = ["peers.certificate", "peers.key", "peers.authority"];
     if names.iter().all(|name| file.is_empty(name)) {
         return Ok(None);
     }
     let path = |name: &str| file.required(name, "a file, as the other two of peers.");
     let [certificate, key, authority] = names.map(path);
-    Ok(Some(PeerKeys {
+    Ok(Some(PeerKeyFiles {
         certificate: certificate?,
         key: key?,
         authority: authority?,
--- a/crates/gateway/storage/src/store.rs
+++ b/crates/gateway/storage/src/store.rs
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// As `open`.
-    pub fn open_over<B: StorageBackend>(
+    pub fn open_with_backend<B: StorageBackend>(
         make: impl Fn() -> B + Send + 'static,
     ) -> Result<(Store, DurableState), Report<StorageError>> {
         Store::open_by(Box::new(move || builder().create_with_backend(make())))
--- a/crates/gateway/storage/tests/crashes.rs
+++ b/crates/gateway/storage/tests/crashes.rs
@@ -93,7 +93,7 @@
 
 fn open(disk: &Disk) -> Option<(Store, DurableState)> {
     let disk = disk.clone();
-    Store::open_over(move || disk.clone()).ok()
+    Store::open_with_backend(move || disk.clone()).ok()
 }
 
 /// Plays the script until a write is refused; how many batches were synced. `None`: the file could not be opened.
@@ -208,7 +208,7 @@
             then.clone()
         }
     };
-    let (mut store, _) = Store::open_over(make).expect("an empty disk");
+    let (mut store, _) = Store::open_with_backend(make).expect("an empty disk");
     let batches: Vec<WriteBatch> = batches().collect();
     store.write(&batches[..1]).expect("room");
     disk.refuse_after(disk.operation_count());
--- a/crates/gateway/storage/tests/upgrade_crashes.rs
+++ b/crates/gateway/storage/tests/upgrade_crashes.rs
@@ -33,7 +33,7 @@
 /// Opens the disk, and ends there with nothing tidied up; whether opening succeeded.
 fn open_and_end(disk: &Disk) -> bool {
     let disk = disk.clone();
-    let Ok((store, state)) = Store::open_over(move || disk.clone()) else {
+    let Ok((store, state)) = Store::open_with_backend(move || disk.clone()) else {
         return false;
     };
     assert_eq!(state, expected_state());
--- a/crates/gateway/storage/tests/writer.rs
+++ b/crates/gateway/storage/tests/writer.rs
@@ -92,7 +92,7 @@
             memory: InMemoryBackend::new(),
             stall: of_disk.clone(),
         };
-        let (store, _) = Store::open_over(disk).expect("a disk");
+        let (store, _) = Store::open_with_backend(disk).expect("a disk");
         StalledStore {
             store,
             stall,
--- a/crates/gateway/transport/src/session_context.rs
+++ b/crates/gateway/transport/src/session_context.rs
@@ -4,7 +4,7 @@
 use crate::error::SessionError;
 use crate::session::SessionEvent;
 use crate::tls::{KeysError, SessionKeys};
-use rushcourse_config::PeerKeys;
+use rushcourse_config::PeerKeyFiles;
 use rushcourse_messages::Handshake;
 use rushcourse_types::{SessionId, Timestamp};
 use std::cell::{Cell, RefCell};
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// The file that can't be used, and why; the keys stay as they were.
-    pub fn set_keys(&self, keys: Option<&PeerKeys>) -> Result<(), KeysError> {
+    pub fn set_keys(&self, keys: Option<&PeerKeyFiles>) -> Result<(), KeysError> {
         let loaded = keys.map(SessionKeys::load).transpose()?;
         *self.0.keys.borrow_mut() = loaded;
         Ok(())
--- a/crates/gateway/transport/src/tls.rs
+++ b/crates/gateway/transport/src/tls.rs
@@ -1,7 +1,7 @@
 //! TLS between nodes: both sides show a certificate of the deployment's authority.
 
 use crate::error::SessionError;
-use rushcourse_config::{CONTROLLER_NAME, LEGACY_CONTROLLER_NAME, PeerKeys};
+use rushcourse_config::{CONTROLLER_DNS_NAME, LEGACY_CONTROLLER_DNS_NAME, PeerKeyFiles};
 use rushcourse_messages::{CertifiedIdentity, PeerIdentity};
 use rushcourse_tls::{TlsError, TlsFiles};
 use rushcourse_types::NodeId;
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// The file that can't be used, and why.
-    pub(crate) fn load(keys: &PeerKeys) -> Result<SessionKeys, KeysError> {
+    pub(crate) fn load(keys: &PeerKeyFiles) -> Result<SessionKeys, KeysError> {
         let files = TlsFiles {
             certificate: keys.certificate.clone().into(),
             private_key: keys.key.clone().into(),
@@ -102,7 +102,7 @@
     };
     CertifiedIdentity {
         names_machine: rushcourse_tls::matches_ip_address(certificate, address),
-        names_controller: rushcourse_tls::matches_dns_name(certificate, CONTROLLER_NAME)
-            || rushcourse_tls::matches_dns_name(certificate, LEGACY_CONTROLLER_NAME),
+        names_controller: rushcourse_tls::matches_dns_name(certificate, CONTROLLER_DNS_NAME)
+            || rushcourse_tls::matches_dns_name(certificate, LEGACY_CONTROLLER_DNS_NAME),
     }
 }
--- a/crates/gateway/transport/tests/common/authority.rs
+++ b/crates/gateway/transport/tests/common/authority.rs
@@ -1,7 +1,7 @@
 //! An authority that signs certificates of nodes, and the files that they are used by.
 
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
-use rushcourse_config::PeerKeys;
+use rushcourse_config::PeerKeyFiles;
 use std::path::Path;
 
 pub struct Authority {
@@ -28,7 +28,7 @@
         file: &str,
         names: &[&str],
         trusted: &[&Authority],
-    ) -> PeerKeys {
+    ) -> PeerKeyFiles {
         let names: Vec<String> = names.iter().map(|name| name.to_string()).collect();
         let key = KeyPair::generate().expect("a key");
         let params = CertificateParams::new(names).expect("parameters");
@@ -42,7 +42,7 @@
             path.to_string_lossy().into_owned()
         };
         let trusted = trusted.iter().map(|authority| &*authority.certificate_pem);
-        PeerKeys {
+        PeerKeyFiles {
             certificate: write("cert", certificate),
             key: write("key", key.serialize_pem()),
             authority: write("ca", trusted.collect()),
--- a/crates/gateway/transport/tests/keys.rs
+++ b/crates/gateway/transport/tests/keys.rs
@@ -5,7 +5,7 @@
 use common::authority::Authority;
 use common::node::Node;
 use common::run;
-use rushcourse_config::PeerKeys;
+use rushcourse_config::PeerKeyFiles;
 use rushcourse_messages::{Message, Role};
 use rushcourse_transport::Session;
 use tempfile::TempDir;
@@ -110,15 +110,15 @@
 
 impl Rotating<'_> {
     /// Shows a certificate by one authority from now on, and trusts those of `trusted`.
-    fn set_keys(&self, by: &Authority, trusted: &[&Authority]) -> PeerKeys {
+    fn set_keys(&self, by: &Authority, trusted: &[&Authority]) -> PeerKeyFiles {
         let keys = by.issue(self.folder.path(), self.file, self.names, trusted);
         self.node.context.set_keys(Some(&keys)).expect("keys");
         keys
     }
 
     /// Keys of which one file holds none change nothing.
-    fn set_unusable_keys(&self, keys: PeerKeys) {
-        let unusable = PeerKeys {
+    fn set_unusable_keys(&self, keys: PeerKeyFiles) {
+        let unusable = PeerKeyFiles {
             key: keys.certificate.clone(),
             ..keys
         };
