--- a/crates/gateway/storage/examples/recovery.rs
+++ b/crates/gateway/storage/examples/recovery.rs
@@ -1,5 +1,4 @@
-//! How long a controller takes to read its state file, and how large that is, by the claims that it holds. Real time on
-//! this machine: a figure to look at, no test.
+//! Prints the size of a state file and the time to open it, by the number of claims and hosts it holds.
 
 use rushcourse_consensus::{BatchId, StoredClaim, WriteBatch, WriteOperation};
 use rushcourse_messages::{
@@ -13,13 +12,13 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// Bytes of a configuration's text.
+/// Size of the configuration text in bytes.
 const TEXT_BYTES: usize = 8_000;
 
-/// Claims in one sync, as they come.
+/// Number of claims committed per sync while the file is built.
 const CLAIMS_PER_SYNC: u64 = 200;
 
-/// What a state file holds.
+/// Number of claims and hosts in a state file.
 #[derive(Clone, Copy)]
 struct Size {
     claims: u64,
@@ -49,7 +48,7 @@
     },
 ];
 
-/// A vote for a configuration.
+/// Returns an operation that stores a vote for a configuration of [`TEXT_BYTES`] bytes.
 fn configuration() -> WriteOperation {
     let ballot = Ballot {
         round: 1,
@@ -109,11 +108,11 @@
         id: BatchId(1),
         operations,
     };
-    store.write(&[batch]).expect("room");
+    store.write(&[batch]).expect("write succeeds");
 }
 
 fn make(file: &Path, size: Size) {
-    let (mut store, _) = Store::open(file).expect("a new file");
+    let (mut store, _) = Store::open(file).expect("create a state file");
     let mut first = vec![
         voting_set(),
         WriteOperation::MarkStateComplete,
@@ -130,7 +129,7 @@
 
 fn measure(file: &Path, size: Size) {
     let began = Instant::now();
-    let (mut store, state) = Store::open(file).expect("the same file");
+    let (mut store, state) = Store::open(file).expect("open the state file");
     let open_time = began.elapsed();
     assert_eq!(state.claims.len() as u64, size.claims);
     assert_eq!(state.hosts.len() as u32, size.hosts);
@@ -156,8 +155,8 @@
         "claims", "hosts", "bytes", "open ms", "first write"
     );
     for size in SIZES {
-        let folder = tempfile::tempdir().expect("a folder");
-        let file = folder.path().join("controller.redb");
+        let directory = tempfile::tempdir().expect("create a temporary directory");
+        let file = directory.path().join("controller.redb");
         make(&file, size);
         measure(&file, size);
     }
--- a/crates/gateway/storage/src/claim_positions.rs
+++ b/crates/gateway/storage/src/claim_positions.rs
@@ -1,42 +1,42 @@
-//! The positions of claims in their table. They are in the order of arrival, so that a sync touches few pages and old
-//! claims are removed from the front.
+//! Positions of claims in their table. New claims are appended and expired ones are removed from the front, so that a
+//! commit touches few pages.
 
 use rushcourse_types::KeyDigest;
 use std::collections::BTreeMap;
 
-/// The positions of all claims in the table, by their keys.
+/// Maps the key of each stored claim to its position in the table.
 #[derive(Debug, Default)]
 pub(crate) struct ClaimPositions {
     by_key: BTreeMap<KeyDigest, u64>,
-    next: u64,
+    next_position: u64,
 }
 
-/// Where a new claim is to be written.
+/// The table changes that store a new claim.
 #[derive(Debug, PartialEq, Eq)]
-pub(crate) struct AppendedClaim {
+pub(crate) struct AppendResult {
     pub(crate) position: u64,
-    /// The position of an earlier claim of the same key, which is to be removed.
-    pub(crate) replaced: Option<u64>,
+    /// Position of the earlier claim with the same key; the caller removes that row.
+    pub(crate) replaced_position: Option<u64>,
 }
 
 impl ClaimPositions {
-    /// Adds a claim that the table holds, in the table's order.
+    /// Registers a claim read from the table. Must be called in ascending order of positions.
     pub(crate) fn add_stored(&mut self, key: KeyDigest, position: u64) {
         self.by_key.insert(key, position);
-        self.next = position + 1;
+        self.next_position = position + 1;
     }
 
-    /// Assigns a position to a new claim.
-    pub(crate) fn append(&mut self, key: KeyDigest) -> AppendedClaim {
-        let position = self.next;
-        self.next += 1;
-        AppendedClaim {
+    /// Assigns the next position to a new claim, replacing an earlier claim with the same key.
+    pub(crate) fn append(&mut self, key: KeyDigest) -> AppendResult {
+        let position = self.next_position;
+        self.next_position += 1;
+        AppendResult {
             position,
-            replaced: self.by_key.insert(key, position),
+            replaced_position: self.by_key.insert(key, position),
         }
     }
 
-    /// Removes a claim. The position that it had, if there was one.
+    /// Forgets a claim and returns the position of its row, or `None` if the key is not stored.
     pub(crate) fn remove(&mut self, key: KeyDigest) -> Option<u64> {
         self.by_key.remove(&key)
     }
--- a/crates/gateway/storage/src/disk_health.rs
+++ b/crates/gateway/storage/src/disk_health.rs
@@ -1,9 +1,9 @@
-//! Statistics of the disk for status pages: updated by the storage thread, read by any other.
+//! Sync statistics for status pages, updated by the storage thread and read by other threads without locks.
 
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::time::{Duration, Instant};
 
-/// The statistics of one run of the storage thread. All times are microseconds of a steady clock that starts with it.
+/// Shared sync counters of one storage thread. Times are microseconds on a monotonic clock that starts at creation.
 #[derive(Debug)]
 pub struct DiskHealth {
     started_at: Instant,
@@ -11,22 +11,23 @@
     refused_syncs: AtomicU64,
     last_sync_us: AtomicU64,
     longest_sync_us: AtomicU64,
-    /// When the current write began, plus one; 0: there is none.
+    /// Start of the write in progress plus one microsecond; 0 while no write is in progress.
     write_started: AtomicU64,
 }
 
-/// What the storage thread has done so far.
+/// A snapshot of [`DiskHealth`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DiskStatistics {
-    /// Syncs that succeeded.
+    /// Number of writes that were synced.
     pub syncs: u64,
-    /// Syncs that the disk refused.
+    /// Number of writes that failed.
     pub refused_syncs: u64,
-    /// The duration of the last sync, refused or not.
+    /// Duration of the last completed write, successful or not; zero before the first one.
     pub last_sync: Duration,
-    /// The duration of the longest sync.
+    /// Duration of the longest completed write, successful or not; zero before the first one.
     pub longest_sync: Duration,
-    /// How long the current write has taken so far, if there is one. It grows while a disk stalls.
+    /// Time since the write in progress started, or `None` if no write is in progress. Keeps growing while the disk
+    /// stalls.
     pub current_write: Option<Duration>,
 }
 
@@ -48,34 +49,34 @@
         self.started_at.elapsed().as_micros() as u64
     }
 
-    /// Measures one write.
-    pub(crate) fn measure<T, E>(&self, write: impl FnOnce() -> Result<T, E>) -> Result<T, E> {
-        let began = self.now_us();
-        self.write_started.store(began + 1, Relaxed);
+    /// Runs one write and records its duration and result.
+    pub(crate) fn measure_write<T, E>(&self, write: impl FnOnce() -> Result<T, E>) -> Result<T, E> {
+        let started_us = self.now_us();
+        self.write_started.store(started_us + 1, Relaxed);
         let result = write();
-        let took = self.now_us() - began;
+        let elapsed_us = self.now_us() - started_us;
         self.write_started.store(0, Relaxed);
-        self.last_sync_us.store(took, Relaxed);
-        self.longest_sync_us.fetch_max(took, Relaxed);
-        let count = if result.is_ok() {
+        self.last_sync_us.store(elapsed_us, Relaxed);
+        self.longest_sync_us.fetch_max(elapsed_us, Relaxed);
+        let counter = if result.is_ok() {
             &self.syncs
         } else {
             &self.refused_syncs
         };
-        count.fetch_add(1, Relaxed);
+        counter.fetch_add(1, Relaxed);
         result
     }
 
-    /// The statistics so far. The values are read one after the other, while writes go on.
+    /// Returns the current values. They are loaded one by one, so a concurrent write may be counted in some of them only.
     pub fn statistics(&self) -> DiskStatistics {
         let write_started = self.write_started.load(Relaxed);
-        let current_us = || (self.now_us() + 1).saturating_sub(write_started);
+        let elapsed_us = || (self.now_us() + 1).saturating_sub(write_started);
         DiskStatistics {
             syncs: self.syncs.load(Relaxed),
             refused_syncs: self.refused_syncs.load(Relaxed),
             last_sync: Duration::from_micros(self.last_sync_us.load(Relaxed)),
             longest_sync: Duration::from_micros(self.longest_sync_us.load(Relaxed)),
-            current_write: (write_started > 0).then(|| Duration::from_micros(current_us())),
+            current_write: (write_started > 0).then(|| Duration::from_micros(elapsed_us())),
         }
     }
 }
--- a/crates/gateway/storage/src/error.rs
+++ b/crates/gateway/storage/src/error.rs
@@ -1,21 +1,20 @@
-//! Errors of a state file.
+//! Errors of opening and writing a state file.
 
 use crate::tables::FORMAT;
 use error_stack::Report;
 use std::fmt;
 use std::io::ErrorKind;
 
-/// Why a state file can't be opened, or a write did not reach the disk. The report's attachment is the database's own
-/// reason.
+/// Error of opening or writing a state file. The report carries the database's error message as an attachment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StorageError {
-    /// The file can't be opened or read, or holds what can't be read.
+    /// The file can't be opened, or its contents can't be decoded.
     Unreadable,
-    /// The file has a format that this program does not know.
+    /// The file has this format number, which the program doesn't support.
     UnknownFormat(u64),
-    /// The disk refused a write.
+    /// A write, or the creation or upgrade of the file, failed. Nothing of it is stored.
     WriteRefused,
-    /// The disk refused what opening the file takes; it may be opened later.
+    /// Opening failed with an I/O error that may be temporary, such as a full disk. The caller may retry.
     Unavailable,
 }
 
@@ -24,7 +23,8 @@
         Report::new(StorageError::Unreadable).attach(cause.to_string())
     }
 
-    /// A file that can't be opened: as it is, or for now.
+    /// Classifies an error of opening the database: [`StorageError::Unavailable`] if it may be temporary, otherwise
+    /// [`StorageError::Unreadable`].
     pub(crate) fn opening(cause: redb::DatabaseError) -> Report<StorageError> {
         let kind = match &cause {
             redb::DatabaseError::Storage(redb::StorageError::Io(error)) => Some(error.kind()),
@@ -51,10 +51,10 @@
             StorageError::Unreadable => write!(f, "the state file can't be read"),
             StorageError::UnknownFormat(format) => write!(
                 f,
-                "the state file has format {format}, this program knows {FORMAT}"
+                "the state file has format {format}; this program supports {FORMAT}"
             ),
-            StorageError::WriteRefused => write!(f, "the disk refused a write"),
-            StorageError::Unavailable => write!(f, "the disk refused to open the state file"),
+            StorageError::WriteRefused => write!(f, "writing the state file failed"),
+            StorageError::Unavailable => write!(f, "the state file can't be opened now"),
         }
     }
 }
--- a/crates/gateway/storage/src/lib.rs
+++ b/crates/gateway/storage/src/lib.rs
@@ -1,13 +1,15 @@
-//! The state file of a controller. [`Store::open`] reads it; [`run_writer`] is the loop of the storage thread: it receives
-//! batches of operations, writes all that wait in one transaction, syncs once, and reports the outcome of each batch.
+//! Durable state of a controller in a redb file. [`Store::open`] loads it. [`run_writer`] is the loop of the storage
+//! thread: it receives batches of write operations, commits all pending batches in one transaction with one sync, and
+//! reports the outcome of each batch.
 //!
-//! * [`store`]: the open file; [`writer`]: the storage thread; [`disk_health`]: its statistics; [`error`]: its errors.
-//! * `tables`: the file's tables; `reading`, `writing`: their rows as the types of `rushcourse-consensus`, and back.
-//! * `upgrade`: files of the format before the present one.
-//! * `claim_positions`: the positions of claims in their table.
+//! * [`store`]: opens, creates and writes the file; [`writer`]: the storage thread; [`disk_health`]: sync statistics;
+//!   [`error`]: errors.
+//! * `tables`: table definitions and row encodings; `reading` and `writing`: conversion between rows and the types of
+//!   `rushcourse-consensus`.
+//! * `upgrade`: upgrades files of format 1.
+//! * `claim_positions`: assigns positions in the claims table.
 //!
-//! Tables, keys and the bytes of rows must not change, since there are files on disks: `tests/format.rs` and
-//! `tests/fixture.rs` check them.
+//! Table names, keys and row encodings are a stable on-disk format, checked by `tests/format.rs` and `tests/fixture.rs`.
 
 mod claim_positions;
 pub mod disk_health;
--- a/crates/gateway/storage/src/reading.rs
+++ b/crates/gateway/storage/src/reading.rs
@@ -1,23 +1,23 @@
-//! Reads a state file whole.
+//! Loads the complete contents of a state file.
 
 use crate::claim_positions::ClaimPositions;
 use crate::tables::{
     CLAIMS, HOSTS, META, META_COMPLETE_STATE, META_FORMAT, META_GENERATION, META_VOTING_SET,
-    RecordTable, VERSION_RECORDS, VOTING_SET_RECORDS, claim_of_row, decode,
+    RecordTable, VERSION_RECORDS, VOTING_SET_RECORDS, claim_from_row, decode,
 };
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable, TableError};
 use rushcourse_consensus::DurableState;
 use rushcourse_messages::{Slot, SlotRecord};
 use rushcourse_types::{ConfigurationVersion, Epoch, Generation};
 
-/// What a file holds.
+/// The durable state loaded from a file, with the table positions of its claims.
 #[derive(Debug, Default)]
 pub(crate) struct Contents {
     pub(crate) state: DurableState,
     pub(crate) claim_positions: ClaimPositions,
 }
 
-/// The format of a file; `None` if it was never written to.
+/// Reads the format number of a file; `None` if the file has none, 0 if the number can't be decoded.
 pub(crate) fn read_format(database: &Database) -> Result<Option<u64>, redb::Error> {
     let meta = match database.begin_read()?.open_table(META) {
         Ok(meta) => meta,
@@ -26,43 +26,43 @@
     };
     Ok(meta
         .get(META_FORMAT)?
-        .map(|value| number(value.value()).unwrap_or(0)))
+        .map(|value| parse_u64(value.value()).unwrap_or(0)))
 }
 
-/// The number that eight bytes are.
-fn number(bytes: &[u8]) -> Option<u64> {
+/// Decodes a big-endian number; `None` unless there are exactly eight bytes.
+fn parse_u64(bytes: &[u8]) -> Option<u64> {
     bytes.try_into().map(u64::from_be_bytes).ok()
 }
 
-/// All that a file of the present format holds.
+/// Reads all tables of a file that has the current format.
 pub(crate) fn read_contents(database: &Database) -> Result<Contents, redb::Error> {
-    let reading = database.begin_read()?;
-    let mut contents = read_all_but_records(&reading)?;
+    let transaction = database.begin_read()?;
+    let mut contents = read_all_but_records(&transaction)?;
     let records = &mut contents.state.records;
-    read_records(&reading, VOTING_SET_RECORDS, records, |number| {
+    read_records(&transaction, VOTING_SET_RECORDS, records, |number| {
         Slot::VotingSet(Epoch(number))
     })?;
-    read_records(&reading, VERSION_RECORDS, records, |number| {
+    read_records(&transaction, VERSION_RECORDS, records, |number| {
         Slot::Configuration(ConfigurationVersion(number))
     })?;
     Ok(contents)
 }
 
-/// What stands in the same tables in this format and in the one before.
-pub(crate) fn read_all_but_records(reading: &ReadTransaction) -> Result<Contents, redb::Error> {
+/// Reads the tables that formats 1 and 2 have in common: metadata, claims and hosts.
+pub(crate) fn read_all_but_records(transaction: &ReadTransaction) -> Result<Contents, redb::Error> {
     let mut contents = Contents::default();
-    read_meta(reading, &mut contents.state)?;
-    read_claims(reading, &mut contents)?;
-    read_hosts(reading, &mut contents.state)?;
+    read_meta(transaction, &mut contents.state)?;
+    read_claims(transaction, &mut contents)?;
+    read_hosts(transaction, &mut contents.state)?;
     Ok(contents)
 }
 
-fn read_meta(reading: &ReadTransaction, state: &mut DurableState) -> Result<(), redb::Error> {
-    let meta = reading.open_table(META)?;
+fn read_meta(transaction: &ReadTransaction, state: &mut DurableState) -> Result<(), redb::Error> {
+    let meta = transaction.open_table(META)?;
     state.has_complete_state = meta.get(META_COMPLETE_STATE)?.is_some();
     if let Some(generation) = meta.get(META_GENERATION)? {
-        let corrupted = || redb::Error::Corrupted("generation: not eight bytes".into());
-        state.generation = Generation(number(generation.value()).ok_or_else(corrupted)?);
+        let corrupted = || redb::Error::Corrupted("generation: expected eight bytes".into());
+        state.generation = Generation(parse_u64(generation.value()).ok_or_else(corrupted)?);
     }
     if let Some(voting_set) = meta.get(META_VOTING_SET)? {
         state.voting_set = decode(voting_set.value(), "voting set")?;
@@ -71,25 +71,25 @@
 }
 
 fn read_records(
-    reading: &ReadTransaction,
+    transaction: &ReadTransaction,
     table: RecordTable,
     records: &mut Vec<SlotRecord>,
     slot: impl Fn(u64) -> Slot,
 ) -> Result<(), redb::Error> {
-    for entry in reading.open_table(table)?.iter()? {
+    for entry in transaction.open_table(table)?.iter()? {
         let (number, bytes) = entry?;
-        // A record that can't be read may be a promise or a vote: without it this replica must not vote.
-        let record = decode(bytes.value(), "acceptor's record")?;
+        // A damaged record may hold a promise or a vote. Skipping it would let this replica vote twice, so loading fails.
+        let record = decode(bytes.value(), "acceptor record")?;
         let slot = slot(number.value());
         records.push(SlotRecord { slot, record });
     }
     Ok(())
 }
 
-fn read_claims(reading: &ReadTransaction, contents: &mut Contents) -> Result<(), redb::Error> {
-    for entry in reading.open_table(CLAIMS)?.iter()? {
+fn read_claims(transaction: &ReadTransaction, contents: &mut Contents) -> Result<(), redb::Error> {
+    for entry in transaction.open_table(CLAIMS)?.iter()? {
         let (position, row) = entry?;
-        let claim = claim_of_row(row.value());
+        let claim = claim_from_row(row.value());
         contents
             .claim_positions
             .add_stored(claim.key, position.value());
@@ -98,9 +98,9 @@
     Ok(())
 }
 
-fn read_hosts(reading: &ReadTransaction, state: &mut DurableState) -> Result<(), redb::Error> {
-    for entry in reading.open_table(HOSTS)?.iter()? {
-        // A record that can't be read is of a host that calls again soon.
+fn read_hosts(transaction: &ReadTransaction, state: &mut DurableState) -> Result<(), redb::Error> {
+    for entry in transaction.open_table(HOSTS)?.iter()? {
+        // Damaged host records are skipped: the host registers again with its next heartbeat.
         let host = postcard::from_bytes(entry?.1.value());
         state.hosts.extend(host.ok());
     }
--- a/crates/gateway/storage/src/store.rs
+++ b/crates/gateway/storage/src/store.rs
@@ -1,4 +1,4 @@
-//! The open file: it is made, read or upgraded at opening, and opened anew after a refused write.
+//! The open state file. Opening creates, upgrades and loads it; after a failed write it is reopened.
 
 use crate::claim_positions::ClaimPositions;
 use crate::error::StorageError;
@@ -12,48 +12,52 @@
 use std::io;
 use std::path::Path;
 
-/// Bytes of pages that are kept in memory: a window's claims are some megabytes, and are read once (ours).
+/// Size of redb's page cache in bytes. It stays small because the tables are read only once, at opening.
 const CACHE_BYTES: usize = 4 << 20;
 
-/// Opens the file: at its path, or over another backend, which a test may let fail.
+/// Opens the database, at a path or on a custom backend. Called again after a failed write.
 type Opener = Box<dyn Fn() -> Result<Database, redb::DatabaseError> + Send>;
 
-/// The state file of a controller.
+/// An open state file of a controller. A single thread owns and writes it.
 pub struct Store {
     opener: Opener,
-    /// `None` after a refused write, until the file is open again.
+    /// `None` after a failed write, until the next write reopens the file.
     database: Option<Database>,
     claim_positions: ClaimPositions,
 }
 
 impl Store {
-    /// Opens the file, or makes it, and reads what it holds. A file of the format before is upgraded first. A new file has
-    /// its name only once it is complete: one that a full disk cut short is made anew.
+    /// Opens the file and loads its state. A missing file is created under a temporary name and then renamed, so an
+    /// interrupted creation leaves no partial file behind. A file of format 1 is upgraded first.
     ///
     /// # Errors
-    /// A file that can't be read or has another format: it is left as it is. [`StorageError::Unavailable`] or
-    /// [`StorageError::WriteRefused`] where the disk refuses what opening, making or upgrading it takes.
+    /// [`StorageError::Unreadable`] or [`StorageError::UnknownFormat`] if the file can't be decoded; it is left
+    /// unchanged. [`StorageError::Unavailable`] or [`StorageError::WriteRefused`] if the disk fails while the file is
+    /// opened, created or upgraded.
     pub fn open(path: &Path) -> Result<(Store, DurableState), Report<StorageError>> {
         if !path.exists() {
-            make(path)?;
+            create_file(path)?;
         }
         let path = path.to_path_buf();
-        Store::open_by(Box::new(move || builder().create(&path)))
+        Store::open_with(Box::new(move || builder().create(&path)))
     }
 
-    /// The same over any backend of the database: `make` gives one for each opening.
+    /// Opens a state file on a custom storage backend, such as an in-memory disk. `new_backend` is called for each
+    /// opening: now, and after each failed write.
     ///
     /// # Errors
-    /// As `open`.
+    /// The same as for [`Store::open`].
     pub fn open_with_backend<B: StorageBackend>(
-        make: impl Fn() -> B + Send + 'static,
+        new_backend: impl Fn() -> B + Send + 'static,
     ) -> Result<(Store, DurableState), Report<StorageError>> {
-        Store::open_by(Box::new(move || builder().create_with_backend(make())))
+        Store::open_with(Box::new(move || {
+            builder().create_with_backend(new_backend())
+        }))
     }
 
-    fn open_by(opener: Opener) -> Result<(Store, DurableState), Report<StorageError>> {
+    fn open_with(opener: Opener) -> Result<(Store, DurableState), Report<StorageError>> {
         let database = opener().map_err(StorageError::opening)?;
-        prepare(&database)?;
+        initialize_or_upgrade(&database)?;
         let contents = contents_of(&database)?;
         let store = Store {
             opener,
@@ -63,58 +67,62 @@
         Ok((store, contents.state))
     }
 
-    /// Writes all operations of all batches together and syncs once.
+    /// Commits all operations of all batches in one transaction with one sync.
     ///
     /// # Errors
-    /// The disk refused; nothing of it counts. The file is opened anew for the next write.
+    /// The write failed and none of the batches is stored. The next write reopens the file first.
     pub fn write(&mut self, batches: &[WriteBatch]) -> Result<(), Report<StorageError>> {
         let database = match self.database.take() {
             Some(database) => database,
             None => self.reopen()?,
         };
-        // A transaction that failed leaves the file as it was; the handle may be unusable, and is dropped.
+        // A failed transaction leaves the file unchanged but may leave the handle unusable, so the handle is dropped.
         writing::write(&database, batches, &mut self.claim_positions)
             .map_err(StorageError::write_refused)?;
         self.database = Some(database);
         Ok(())
     }
 
-    /// Opens the file again: what a failed transaction left behind in memory is read anew.
+    /// Opens the file again and reloads the claim positions, which a failed write may have changed.
     fn reopen(&mut self) -> Result<Database, Report<StorageError>> {
         let database = (self.opener)().map_err(StorageError::unreadable)?;
         match format_of(&database)? {
             Some(FORMAT) => {}
             Some(other) => return Err(Report::new(StorageError::UnknownFormat(other))),
-            None => return Err(StorageError::unreadable("it was there and is empty now")),
+            None => {
+                return Err(StorageError::unreadable(
+                    "the file is empty after reopening",
+                ));
+            }
         }
         self.claim_positions = contents_of(&database)?.claim_positions;
         Ok(database)
     }
 }
 
-/// Makes an empty file under another name, and gives it its own name once the disk holds it.
-fn make(path: &Path) -> Result<(), Report<StorageError>> {
-    let unfinished = path.with_extension("new");
+/// Creates an empty state file under a temporary name and renames it to `path` once it is synced.
+fn create_file(path: &Path) -> Result<(), Report<StorageError>> {
+    let temporary_path = path.with_extension("new");
     let refused = |error: io::Error| StorageError::write_refused(error);
-    match fs::remove_file(&unfinished) {
+    match fs::remove_file(&temporary_path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(refused(error)),
         _ => {}
     }
     let database = builder()
-        .create(&unfinished)
+        .create(&temporary_path)
         .map_err(StorageError::opening)?;
-    prepare(&database)?;
+    initialize_or_upgrade(&database)?;
     drop(database);
-    fs::rename(&unfinished, path).map_err(refused)?;
-    let folder = path.parent().unwrap_or(Path::new("."));
-    // The new name has to reach the disk as well.
-    File::open(folder)
-        .and_then(|folder| folder.sync_all())
+    fs::rename(&temporary_path, path).map_err(refused)?;
+    let directory = path.parent().unwrap_or(Path::new("."));
+    // The rename is durable only once the directory is synced.
+    File::open(directory)
+        .and_then(|directory| directory.sync_all())
         .map_err(refused)
 }
 
-/// Brings a file to the present format.
-fn prepare(database: &Database) -> Result<(), Report<StorageError>> {
+/// Initializes an empty file and upgrades a file of format 1. Fails for any other format except the current one.
+fn initialize_or_upgrade(database: &Database) -> Result<(), Report<StorageError>> {
     match format_of(database)? {
         Some(FORMAT) => Ok(()),
         Some(upgrade::PREVIOUS_FORMAT) => {
--- a/crates/gateway/storage/src/tables.rs
+++ b/crates/gateway/storage/src/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of the state file, and how single values stand in them. Names and bytes are those of files on disks.
+//! Table definitions and value encodings of the state file. Both are a stable on-disk format.
 
 use redb::TableDefinition;
 use rushcourse_consensus::StoredClaim;
@@ -7,36 +7,36 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The format of the file as a whole. The one before is upgraded at opening; a file of any other format is not touched.
+/// Current format number of the file. Format 1 is upgraded at opening; files of any other format are rejected unchanged.
 pub(crate) const FORMAT: u64 = 2;
 
-/// Single values by the keys below.
+/// Single values, stored under the `META_` keys.
 pub(crate) const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
-/// The file's format, eight bytes big-endian.
+/// Key of the format number, eight bytes big-endian.
 pub(crate) const META_FORMAT: &str = "format";
-/// The voting set in postcard's form.
+/// Key of the adopted voting set, encoded with postcard.
 pub(crate) const META_VOTING_SET: &str = "set";
-/// The file's generation, eight bytes big-endian; files of programs before it was counted have none.
+/// Key of the file's generation, eight bytes big-endian. Missing in files of earlier releases.
 pub(crate) const META_GENERATION: &str = "generation";
-/// There while the replica holds what a voter of its set has to hold.
+/// Key that is present while the replica holds the complete state required for voting. Its value is ignored.
 pub(crate) const META_COMPLETE_STATE: &str = "remembers";
 
-/// A table of acceptor's records by the numbers of their slots, in postcard's form.
+/// A table of acceptor records encoded with postcard, keyed by the number of the slot.
 pub(crate) type RecordTable = TableDefinition<'static, u64, &'static [u8]>;
-/// Records of slots `Slot::VotingSet`.
+/// Acceptor records of `Slot::VotingSet`, keyed by epoch.
 pub(crate) const VOTING_SET_RECORDS: RecordTable = TableDefinition::new("set_records");
-/// Records of slots `Slot::Configuration`.
+/// Acceptor records of `Slot::Configuration`, keyed by configuration version.
 pub(crate) const VERSION_RECORDS: RecordTable = TableDefinition::new("version_records");
 
-/// A claim as the database holds it: key, node, incarnation, number, time of day.
+/// Row of a claim: key digest, node, incarnation, claim number, and wall-clock time of the claim.
 pub(crate) type ClaimRow = (u128, u32, u64, u64, u64);
-/// Claims by their positions in the order of coming.
+/// Claims keyed by their positions, in the order of arrival.
 pub(crate) const CLAIMS: TableDefinition<u64, ClaimRow> = TableDefinition::new("claims");
 
-/// Instances of hosts by their ids, in postcard's form.
+/// Host records encoded with postcard, keyed by host id.
 pub(crate) const HOSTS: TableDefinition<&str, &[u8]> = TableDefinition::new("hosts");
 
-/// The table that holds a slot's record, and the record's key there.
+/// Returns the table that stores the slot's record, and the record's key in it.
 pub(crate) fn record_key(slot: Slot) -> (RecordTable, u64) {
     match slot {
         Slot::VotingSet(epoch) => (VOTING_SET_RECORDS, epoch.0),
@@ -44,8 +44,7 @@
     }
 }
 
-/// A claim as its row holds it.
-pub(crate) fn row_of_claim(claim: &StoredClaim) -> ClaimRow {
+pub(crate) fn claim_to_row(claim: &StoredClaim) -> ClaimRow {
     let ClaimId {
         node,
         incarnation,
@@ -56,7 +55,9 @@
 }
 
 /// The claim that a row holds.
-pub(crate) fn claim_of_row((key, node, incarnation, number, claimed_at): ClaimRow) -> StoredClaim {
+pub(crate) fn claim_from_row(
+    (key, node, incarnation, number, claimed_at): ClaimRow,
+) -> StoredClaim {
     StoredClaim {
         key: KeyDigest(key),
         id: ClaimId {
@@ -68,19 +69,22 @@
     }
 }
 
-/// A value as it stands in a table.
+/// Encodes a table value with postcard.
 pub(crate) fn encode<T: Serialize>(value: &T) -> Result<Vec<u8>, redb::Error> {
     postcard::to_allocvec(value).map_err(|error| redb::Error::Io(std::io::Error::other(error)))
 }
 
-/// The value that these bytes are, all of them. `what` names it for the error.
-pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8], what: &str) -> Result<T, redb::Error> {
+/// Decodes a postcard value that must use up all bytes. `value_name` is used in the error message.
+pub(crate) fn decode<T: DeserializeOwned>(
+    bytes: &[u8],
+    value_name: &str,
+) -> Result<T, redb::Error> {
     match postcard::take_from_bytes(bytes) {
         Ok((value, [])) => Ok(value),
         Ok((_, rest)) => {
-            let reason = format!("{what}: {} bytes left over", rest.len());
+            let reason = format!("{value_name}: {} bytes left over", rest.len());
             Err(redb::Error::Corrupted(reason))
         }
-        Err(error) => Err(redb::Error::Corrupted(format!("{what}: {error}"))),
+        Err(error) => Err(redb::Error::Corrupted(format!("{value_name}: {error}"))),
     }
 }
--- a/crates/gateway/storage/src/upgrade.rs
+++ b/crates/gateway/storage/src/upgrade.rs
@@ -1,9 +1,10 @@
-//! Turns a file of format 1 into one of the present format, in one transaction: power that is lost meanwhile leaves the
-//! one or the other.
+//! Upgrades a file of format 1 to the current format in one transaction, so that a power loss leaves one format or the
+//! other.
 //!
-//! Format 1 had no ballots: a disk kept the text of its newest version. That text becomes a vote for its version under a
-//! ballot of round 0, which is below all that are proposed since. The ballot is made of the text: two disks that hold the
-//! same text cast one vote, two texts under one number stand under different ballots.
+//! Format 1 has no ballots; it stores configuration texts by version. The newest text becomes a vote for its version
+//! under a ballot of round 0, which is lower than any ballot proposed later. The ballot contains a digest of the text:
+//! replicas that hold the same text vote under the same ballot, and different texts of one version get different
+//! ballots.
 
 use crate::reading::read_all_but_records;
 use crate::tables::{FORMAT, VERSION_RECORDS, VOTING_SET_RECORDS};
@@ -14,36 +15,36 @@
 use rushcourse_types::{ConfigurationVersion, Incarnation, NodeId};
 use std::sync::Arc;
 
-/// The format that is upgraded. It has the tables `meta`, `claims` and `hosts` as now, and `CONFIGURATIONS`.
+/// The only format that can be upgraded. Its tables `meta`, `claims` and `hosts` are the same as in the current format;
+/// configurations are stored in `CONFIGURATIONS`.
 pub(crate) const PREVIOUS_FORMAT: u64 = 1;
 
-/// Texts by their versions; the highest one counts.
+/// Configuration texts of format 1, keyed by version. Only the highest version is in use.
 const CONFIGURATIONS: TableDefinition<u64, &[u8]> = TableDefinition::new("configurations");
 
-/// Seed of the digest of a text, as the programs of format 1 used it between each other. Disks must agree, so it never
-/// changes.
+/// Seed of the configuration digest. All replicas must derive the same ballot from the same text, so it never changes.
 const DIGEST_SEED: u64 = 13;
 
-/// A configuration as format 1 held it.
+/// A configuration stored in format 1.
 pub(crate) struct PreviousConfiguration {
     version: ConfigurationVersion,
     text: Arc<[u8]>,
 }
 
-/// The newest configuration of a file of format 1. All else is read as well, so that a damaged file is found before it
-/// is changed.
+/// Reads the newest configuration of a file of format 1. The other tables are read as well, so that a damaged file is
+/// rejected before anything is changed.
 pub(crate) fn read_previous(
     database: &Database,
 ) -> Result<Option<PreviousConfiguration>, redb::Error> {
-    let reading = database.begin_read()?;
-    read_all_but_records(&reading)?;
-    newest_configuration(&reading)
+    let transaction = database.begin_read()?;
+    read_all_but_records(&transaction)?;
+    newest_configuration(&transaction)
 }
 
 fn newest_configuration(
-    reading: &ReadTransaction,
+    transaction: &ReadTransaction,
 ) -> Result<Option<PreviousConfiguration>, redb::Error> {
-    let table = reading.open_table(CONFIGURATIONS)?;
+    let table = transaction.open_table(CONFIGURATIONS)?;
     let newest = table.last()?;
     Ok(newest.map(|(version, text)| PreviousConfiguration {
         version: ConfigurationVersion(version.value()),
@@ -51,7 +52,7 @@
     }))
 }
 
-/// Writes the present format in place of format 1.
+/// Replaces format 1 by the current format in one transaction.
 pub(crate) fn upgrade(
     database: &Database,
     newest: Option<PreviousConfiguration>,
@@ -59,22 +60,22 @@
     let version = newest
         .as_ref()
         .map_or(ConfigurationVersion::NONE, |newest| newest.version);
-    let writing = database.begin_write()?;
-    writing.open_table(VOTING_SET_RECORDS)?;
-    writing.open_table(VERSION_RECORDS)?;
+    let transaction = database.begin_write()?;
+    transaction.open_table(VOTING_SET_RECORDS)?;
+    transaction.open_table(VERSION_RECORDS)?;
     if let Some(newest) = newest {
-        store_record(&writing, &vote_for(newest))?;
+        store_record(&transaction, &vote_for(newest))?;
     }
-    writing.delete_table(CONFIGURATIONS)?;
-    mark_format(&writing)?;
-    writing.commit()?;
+    transaction.delete_table(CONFIGURATIONS)?;
+    mark_format(&transaction)?;
+    transaction.commit()?;
     log::info!(
         "event=state_file_upgraded from={PREVIOUS_FORMAT} to={FORMAT} configuration={version}"
     );
     Ok(())
 }
 
-/// A vote for a text that was written without a ballot.
+/// Builds the vote that represents a configuration of format 1.
 fn vote_for(configuration: PreviousConfiguration) -> SlotRecord {
     let digest = hash64(&configuration.text, DIGEST_SEED);
     let ballot = Ballot {
--- a/crates/gateway/storage/src/writer.rs
+++ b/crates/gateway/storage/src/writer.rs
@@ -1,4 +1,4 @@
-//! The loop of the storage thread: many batches to a sync.
+//! The loop of the storage thread, which commits pending batches in groups.
 
 use crate::disk_health::DiskHealth;
 use crate::store::Store;
@@ -6,23 +6,23 @@
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
 
-/// Batches in one sync at most (ours): keeps a transaction under a megabyte.
+/// Maximum number of batches per sync, which bounds the size of a transaction.
 const MAX_BATCHES_PER_SYNC: usize = 512;
 
-/// The longest single wait for a batch. The next wait follows at once.
+/// Timeout of a single receive call. The loop calls again immediately after a timeout.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// The outcome of a batch.
+/// Outcome of writing one batch, reported by [`run_writer`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It is on the disk.
+    /// The batch is committed and synced to disk.
     Synced(BatchId),
-    /// The disk refused it: nothing of it counts.
+    /// The write failed; none of the batch's operations is stored.
     Refused(BatchId),
 }
 
-/// Writes batches until their sender is gone. Batches that wait are written together and synced once, 512 at most.
-/// `report` is called from this thread after each sync, with the outcomes in the order of the batches.
+/// Writes batches until the sender disconnects. Up to 512 pending batches share one transaction and one sync. Calls
+/// `report` on this thread after each sync, with the outcomes in the order of the batches.
 pub fn run_writer(
     mut store: Store,
     batches: &Receiver<WriteBatch>,
@@ -35,14 +35,14 @@
             Err(RecvTimeoutError::Timeout) => continue,
             Err(RecvTimeoutError::Disconnected) => return,
         };
-        let mut waiting = vec![first];
-        waiting.extend(batches.try_iter().take(MAX_BATCHES_PER_SYNC - 1));
-        report(write(&mut store, &waiting, health));
+        let mut pending = vec![first];
+        pending.extend(batches.try_iter().take(MAX_BATCHES_PER_SYNC - 1));
+        report(write(&mut store, &pending, health));
     }
 }
 
 fn write(store: &mut Store, batches: &[WriteBatch], health: &DiskHealth) -> Vec<WriteOutcome> {
-    let outcome = match health.measure(|| store.write(batches)) {
+    let outcome = match health.measure_write(|| store.write(batches)) {
         Ok(()) => WriteOutcome::Synced,
         Err(error) => {
             log::error!(
--- a/crates/gateway/storage/src/writing.rs
+++ b/crates/gateway/storage/src/writing.rs
@@ -1,9 +1,9 @@
-//! Writes to a state file: one transaction and one sync for all operations that are given.
+//! Applies write operations to the tables of a state file, in one transaction per call.
 
 use crate::claim_positions::ClaimPositions;
 use crate::tables::{
     CLAIMS, ClaimRow, FORMAT, HOSTS, META, META_COMPLETE_STATE, META_FORMAT, META_GENERATION,
-    META_VOTING_SET, VERSION_RECORDS, VOTING_SET_RECORDS, encode, record_key, row_of_claim,
+    META_VOTING_SET, VERSION_RECORDS, VOTING_SET_RECORDS, claim_to_row, encode, record_key,
 };
 use redb::{Database, Table, WriteTransaction};
 use rushcourse_consensus::{PruneBounds, StoredClaim, WriteBatch, WriteOperation};
@@ -12,58 +12,61 @@
 
 type ClaimTable<'t> = Table<'t, u64, ClaimRow>;
 
-/// Any value: the key alone says that the replica has complete state.
+/// Value stored under [`META_COMPLETE_STATE`]. Only the presence of the key is significant.
 const COMPLETE: &[u8] = &[1];
 
-/// Makes an empty state file of the present format.
+/// Creates the tables of the current format in an empty database.
 pub(crate) fn initialize(database: &Database) -> Result<(), redb::Error> {
-    let writing = database.begin_write()?;
-    mark_format(&writing)?;
-    writing.open_table(VOTING_SET_RECORDS)?;
-    writing.open_table(VERSION_RECORDS)?;
-    writing.open_table(CLAIMS)?;
-    writing.open_table(HOSTS)?;
-    writing.commit()?;
+    let transaction = database.begin_write()?;
+    mark_format(&transaction)?;
+    transaction.open_table(VOTING_SET_RECORDS)?;
+    transaction.open_table(VERSION_RECORDS)?;
+    transaction.open_table(CLAIMS)?;
+    transaction.open_table(HOSTS)?;
+    transaction.commit()?;
     Ok(())
 }
 
-/// Marks the file as of the present format.
-pub(crate) fn mark_format(writing: &WriteTransaction) -> Result<(), redb::Error> {
-    store_meta(writing, META_FORMAT, &FORMAT.to_be_bytes())
+/// Sets the format number of the file to [`FORMAT`].
+pub(crate) fn mark_format(transaction: &WriteTransaction) -> Result<(), redb::Error> {
+    store_meta(transaction, META_FORMAT, &FORMAT.to_be_bytes())
 }
 
-/// Writes an acceptor's record in place of an earlier one of its slot.
+/// Stores an acceptor record, replacing the earlier record of the same slot.
 pub(crate) fn store_record(
-    writing: &WriteTransaction,
+    transaction: &WriteTransaction,
     stored: &SlotRecord,
 ) -> Result<(), redb::Error> {
     let (table, key) = record_key(stored.slot);
     let bytes = encode(&stored.record)?;
-    writing.open_table(table)?.insert(key, bytes.as_slice())?;
+    transaction
+        .open_table(table)?
+        .insert(key, bytes.as_slice())?;
     Ok(())
 }
 
-/// Writes the operations of all batches, together or not at all. Where this fails, `positions` no longer fit the file.
+/// Commits the operations of all batches atomically. After an error, `positions` no longer match the file and must be
+/// reloaded.
 pub(crate) fn write(
     database: &Database,
     batches: &[WriteBatch],
     positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
-    let writing = database.begin_write()?;
-    // Most operations are claims: their table is opened once.
-    let mut claims = writing.open_table(CLAIMS)?;
+    let transaction = database.begin_write()?;
+    // Most operations are on claims, so their table is opened once per transaction.
+    let mut claims = transaction.open_table(CLAIMS)?;
     for operation in batches.iter().flat_map(|batch| &batch.operations) {
-        apply(&writing, &mut claims, operation, positions)?;
+        apply(&transaction, &mut claims, operation, positions)?;
     }
     drop(claims);
     if let Some(generation) = highest_generation(batches) {
-        store_meta(&writing, META_GENERATION, &generation.0.to_be_bytes())?;
+        store_meta(&transaction, META_GENERATION, &generation.0.to_be_bytes())?;
     }
-    writing.commit()?;
+    transaction.commit()?;
     Ok(())
 }
 
-/// The generation of the file once it holds these batches. Each batch has one; it is written once for all of them.
+/// Returns the highest generation in the batches, which is stored once per transaction; `None` if no batch has one.
 fn highest_generation(batches: &[WriteBatch]) -> Option<Generation> {
     let operations = batches.iter().flat_map(|batch| &batch.operations);
     let generations = operations.filter_map(|operation| match operation {
@@ -74,45 +77,45 @@
 }
 
 fn apply(
-    writing: &WriteTransaction,
+    transaction: &WriteTransaction,
     claims: &mut ClaimTable,
     operation: &WriteOperation,
     positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
     match operation {
         WriteOperation::StoreVotingSet(voting_set) => {
-            store_meta(writing, META_VOTING_SET, &encode(voting_set)?)
+            store_meta(transaction, META_VOTING_SET, &encode(voting_set)?)
         }
-        WriteOperation::MarkStateComplete => store_meta(writing, META_COMPLETE_STATE, COMPLETE),
-        WriteOperation::MarkStateIncomplete => remove_meta(writing, META_COMPLETE_STATE),
-        // Of all batches together: `highest_generation`.
+        WriteOperation::MarkStateComplete => store_meta(transaction, META_COMPLETE_STATE, COMPLETE),
+        WriteOperation::MarkStateIncomplete => remove_meta(transaction, META_COMPLETE_STATE),
+        // `write` stores the highest generation of all batches.
         WriteOperation::StoreGeneration(_) => Ok(()),
-        WriteOperation::StoreRecord(stored) => store_record(writing, stored),
-        WriteOperation::PruneRecords(bounds) => prune_records(writing, *bounds),
+        WriteOperation::StoreRecord(stored) => store_record(transaction, stored),
+        WriteOperation::PruneRecords(bounds) => prune_records(transaction, *bounds),
         WriteOperation::StoreClaim(claim) => store_claim(claims, claim, positions),
         WriteOperation::RemoveClaim(key) => remove_claim(claims, *key, positions),
-        WriteOperation::StoreHost(host) => store_host(writing, host),
+        WriteOperation::StoreHost(host) => store_host(transaction, host),
     }
 }
 
-fn store_meta(writing: &WriteTransaction, key: &str, value: &[u8]) -> Result<(), redb::Error> {
-    writing.open_table(META)?.insert(key, value)?;
+fn store_meta(transaction: &WriteTransaction, key: &str, value: &[u8]) -> Result<(), redb::Error> {
+    transaction.open_table(META)?.insert(key, value)?;
     Ok(())
 }
 
-fn remove_meta(writing: &WriteTransaction, key: &str) -> Result<(), redb::Error> {
-    writing.open_table(META)?.remove(key)?;
+fn remove_meta(transaction: &WriteTransaction, key: &str) -> Result<(), redb::Error> {
+    transaction.open_table(META)?.remove(key)?;
     Ok(())
 }
 
-fn prune_records(writing: &WriteTransaction, bounds: PruneBounds) -> Result<(), redb::Error> {
+fn prune_records(transaction: &WriteTransaction, bounds: PruneBounds) -> Result<(), redb::Error> {
     let is_kept = |slot: Slot| !bounds.contains(slot);
-    writing
+    transaction
         .open_table(VOTING_SET_RECORDS)?
         .retain_in(..=bounds.epochs_through.0, |number, _| {
             is_kept(Slot::VotingSet(Epoch(number)))
         })?;
-    writing
+    transaction
         .open_table(VERSION_RECORDS)?
         .retain_in(..bounds.versions_below.0, |number, _| {
             is_kept(Slot::Configuration(ConfigurationVersion(number)))
@@ -125,10 +128,10 @@
     claim: &StoredClaim,
     positions: &mut ClaimPositions,
 ) -> Result<(), redb::Error> {
-    let appended = positions.append(claim.key);
-    claims.insert(appended.position, row_of_claim(claim))?;
-    if let Some(replaced) = appended.replaced {
-        claims.remove(replaced)?;
+    let append_result = positions.append(claim.key);
+    claims.insert(append_result.position, claim_to_row(claim))?;
+    if let Some(replaced_position) = append_result.replaced_position {
+        claims.remove(replaced_position)?;
     }
     Ok(())
 }
@@ -144,8 +147,8 @@
     Ok(())
 }
 
-fn store_host(writing: &WriteTransaction, host: &HostRecord) -> Result<(), redb::Error> {
-    let mut hosts = writing.open_table(HOSTS)?;
+fn store_host(transaction: &WriteTransaction, host: &HostRecord) -> Result<(), redb::Error> {
+    let mut hosts = transaction.open_table(HOSTS)?;
     if host.state == HostState::Gone {
         hosts.remove(&*host.id)?;
         return Ok(());
--- a/crates/gateway/storage/tests/common/disk.rs
+++ b/crates/gateway/storage/tests/common/disk.rs
@@ -1,34 +1,34 @@
-//! A disk in memory that loses power, with later writes there, missing or torn, or refuses for a while.
+//! An in-memory storage backend that simulates power loss, torn writes and temporary I/O errors.
 
 use redb::StorageBackend;
 use std::io::{Error, ErrorKind};
 use std::sync::{Arc, Mutex};
 
-/// What has happened to a disk since its last sync.
+/// A change made since the last sync, which a power loss may keep, lose or tear.
 #[derive(Clone, Debug)]
 enum UnsyncedChange {
     Write { offset: usize, bytes: Vec<u8> },
     SetLength(usize),
 }
 
-/// Operations that a disk refuses.
+/// A range of disk operations that fail.
 #[derive(Clone, Copy, Debug)]
 pub struct Refusal {
-    /// Operations before the first refused one.
+    /// Number of operations that succeed before the first failure.
     pub after: usize,
-    /// How many are refused.
+    /// Number of consecutive operations that fail.
     pub count: usize,
 }
 
-/// What a disk holds and does.
+/// Contents, operation count and failure plan of a disk.
 #[derive(Clone, Debug, Default)]
 pub struct DiskState {
-    /// What a loss of power leaves for sure.
+    /// Bytes at the last sync, which survive a power loss.
     pub synced: Vec<u8>,
-    /// What the program reads.
+    /// Bytes that reads return, including unsynced changes.
     pub visible: Vec<u8>,
     unsynced: Vec<UnsyncedChange>,
-    /// Operations so far, refused ones too.
+    /// Number of write, resize and sync operations so far, including failed ones.
     pub operation_count: usize,
     pub refusal: Option<Refusal>,
 }
@@ -41,13 +41,13 @@
     }
 }
 
-/// A disk in memory. Clones share what they hold.
+/// An in-memory disk. Clones share the same state.
 #[derive(Clone, Debug, Default)]
 pub struct Disk(Arc<Mutex<DiskState>>);
 
 impl Disk {
-    /// A disk that holds these bytes and has done nothing.
-    pub fn holding(bytes: Vec<u8>) -> Disk {
+    /// Creates a disk with these synced bytes and an operation count of 0.
+    pub fn with_bytes(bytes: Vec<u8>) -> Disk {
         Disk(Arc::new(Mutex::new(DiskState {
             visible: bytes.clone(),
             synced: bytes,
@@ -55,16 +55,16 @@
         })))
     }
 
-    /// Looks at the disk, or changes it.
-    pub fn with<T>(&self, look: impl FnOnce(&mut DiskState) -> T) -> T {
-        look(&mut self.0.lock().expect("one test, one thread"))
+    /// Calls `inspect` with the locked state of the disk.
+    pub fn with<T>(&self, inspect: impl FnOnce(&mut DiskState) -> T) -> T {
+        inspect(&mut self.0.lock().expect("mutex is not poisoned"))
     }
 
     pub fn operation_count(&self) -> usize {
         self.with(|disk| disk.operation_count)
     }
 
-    /// Refuses all operations after these.
+    /// Makes all operations after the first `after` ones fail.
     pub fn refuse_after(&self, after: usize) {
         let count = usize::MAX;
         self.with(|disk| disk.refusal = Some(Refusal { after, count }));
@@ -81,8 +81,8 @@
         })
     }
 
-    /// The disk after a loss of power: of what was not synced each write is there, missing or torn, by random numbers
-    /// from this seed.
+    /// Returns a copy of the disk after a power loss. Each unsynced change is kept, lost or torn, as chosen by a random
+    /// generator with this seed.
     pub fn after_power_loss(&self, seed: u64) -> Disk {
         let mut random = seed;
         self.with(|disk| {
@@ -93,7 +93,7 @@
                     .wrapping_add(1_442_695_040_888_963_407);
                 match change {
                     UnsyncedChange::SetLength(length) => {
-                        // A length that was cut back takes synced bytes only where it got through.
+                        // One in four truncations is lost, so that the synced bytes behind it are kept.
                         let kept = if random >> 62 == 0 { left.len() } else { 0 };
                         left.resize((*length).max(kept), 0);
                     }
@@ -105,7 +105,7 @@
                     }
                 }
             }
-            Disk::holding(left)
+            Disk::with_bytes(left)
         })
     }
 }
--- a/crates/gateway/storage/tests/common/mod.rs
+++ b/crates/gateway/storage/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the state file share: files in folders of their own, and short ways to what is written.
+//! Shared helpers of the storage tests: temporary state files and constructors of operations.
 #![allow(dead_code)]
 
 pub mod disk;
@@ -16,18 +16,18 @@
 use std::path::{Path, PathBuf};
 use tempfile::TempDir;
 
-/// The place of a state file in a folder of its own, which goes with this.
+/// Path of a state file in a temporary directory, which is deleted on drop.
 pub struct StateFile {
-    folder: TempDir,
+    directory: TempDir,
     path: PathBuf,
 }
 
 impl StateFile {
-    /// A place where no file is yet.
+    /// Creates the directory, but not the file.
     pub fn new() -> StateFile {
-        let folder = tempfile::tempdir().expect("a folder");
-        let path = folder.path().join("controller.redb");
-        StateFile { folder, path }
+        let directory = tempfile::tempdir().expect("create a temporary directory");
+        let path = directory.path().join("controller.redb");
+        StateFile { directory, path }
     }
 
     pub fn path(&self) -> &Path {
@@ -35,7 +35,6 @@
     }
 }
 
-/// A batch as the storage thread gets it.
 pub fn batch(number: u64, operations: Vec<WriteOperation>) -> WriteBatch {
     WriteBatch {
         id: BatchId(number),
@@ -43,7 +42,7 @@
     }
 }
 
-/// A ballot of node 1.
+/// A ballot of node 1, incarnation 2.
 pub fn ballot(round: u64) -> Ballot {
     Ballot {
         round,
@@ -52,7 +51,7 @@
     }
 }
 
-/// A vote under a ballot of this round.
+/// A vote for `value` under node 1's ballot of this round.
 pub fn vote(round: u64, value: &[u8]) -> AcceptorRecord {
     AcceptorRecord {
         promised: ballot(round),
@@ -64,7 +63,7 @@
     }
 }
 
-/// A promise of this round, and nothing accepted.
+/// A promise of node 1's ballot of this round, without an accepted value.
 pub fn promise(round: u64) -> AcceptorRecord {
     AcceptorRecord {
         promised: ballot(round),
@@ -73,12 +72,12 @@
     }
 }
 
-/// The slot of a version.
+/// The slot of a configuration version.
 pub fn version(number: u64) -> Slot {
     Slot::Configuration(ConfigurationVersion(number))
 }
 
-/// The slot of a voting set.
+/// The slot of the voting set of an epoch.
 pub fn epoch(number: u64) -> Slot {
     Slot::VotingSet(Epoch(number))
 }
@@ -101,7 +100,7 @@
     }
 }
 
-/// A claim of node 1, whose number and time of day follow from its key.
+/// A claim of node 1 with number `key` and wall time 1000 + `key`.
 pub fn claim(key: u64) -> StoredClaim {
     StoredClaim {
         key: KeyDigest(u128::from(key)),
--- a/crates/gateway/storage/tests/common/previous_format.rs
+++ b/crates/gateway/storage/tests/common/previous_format.rs
@@ -1,5 +1,4 @@
-//! Files of format 1, as earlier builds wrote them. They are made by their bytes: nothing that encodes today has a part
-//! in it.
+//! Files of format 1 as earlier builds wrote them, built from literal bytes independent of the current encoders.
 
 use super::tables::{CLAIMS, CONFIGURATIONS, HOSTS, META};
 use super::{version, voting_set};
@@ -11,18 +10,18 @@
 };
 use std::path::Path;
 
-/// The set 300 of 1, 2 and 10.0.0.1.
+/// Encoded voting set of epoch 300 with members 1, 2 and 10.0.0.1.
 pub const SET: &[u8] = &[0xac, 0x02, 3, 1, 2, 0x81, 0x80, 0x80, 0x50];
-/// The host "i-1" of service "s", zone "z", address "a:80", with 4 slots, ready, sequence 300, warm-up 2 ms, age 1 ms.
+/// Encoded ready host "i-1": service "s", zone "z", address "a:80", 4 slots, sequence 300, warm-up 2 ms, age 1 ms.
 const HOST: &[u8] = &[
     3, b'i', b'-', b'1', 1, b's', 1, b'z', 4, b'a', b':', b'8', b'0', 4, 0, 0xac, 0x02, 2, 1,
 ];
 const OLDER: &[u8] = b"an older configuration";
 const NEWEST: &[u8] = b"{\"version\": 5}";
-/// Digest of `NEWEST` with seed 13, computed apart from the program (FNV-1a and its last mix).
+/// Digest of [`NEWEST`] with seed 13 (FNV-1a with a final mix), computed independently of the program.
 const NEWEST_DIGEST: u64 = 0x53a8_d65e_07bd_bb8f;
 
-/// What a test's file of format 1 holds.
+/// Contents of a format 1 file: format number, encoded voting set, and configuration texts by version.
 #[derive(Clone, Copy)]
 pub struct PreviousFile {
     pub format: u64,
@@ -38,35 +37,41 @@
 
 impl PreviousFile {
     pub fn write(&self, database: &Database) {
-        let writing = database.begin_write().expect("a transaction");
+        let transaction = database.begin_write().expect("begin a transaction");
         {
-            let mut meta = writing.open_table(META).expect("meta");
+            let mut meta = transaction.open_table(META).expect("open table meta");
             let format = self.format.to_be_bytes();
-            meta.insert("format", format.as_slice()).expect("room");
-            meta.insert("set", self.set).expect("room");
-            meta.insert("remembers", [1].as_slice()).expect("room");
-            let mut configurations = writing.open_table(CONFIGURATIONS).expect("configurations");
+            meta.insert("format", format.as_slice())
+                .expect("write succeeds");
+            meta.insert("set", self.set).expect("write succeeds");
+            meta.insert("remembers", [1].as_slice())
+                .expect("write succeeds");
+            let mut configurations = transaction
+                .open_table(CONFIGURATIONS)
+                .expect("open table configurations");
             for (version, text) in self.configurations {
-                configurations.insert(version, *text).expect("room");
+                configurations
+                    .insert(version, *text)
+                    .expect("write succeeds");
             }
-            let mut claims = writing.open_table(CLAIMS).expect("claims");
+            let mut claims = transaction.open_table(CLAIMS).expect("open table claims");
             for position in [3, 4, 9] {
                 let key = u128::from(position) << 100;
                 let row = (key, 7, 8, position, 1_000 + position);
-                claims.insert(position, row).expect("room");
+                claims.insert(position, row).expect("write succeeds");
             }
-            let mut hosts = writing.open_table(HOSTS).expect("hosts");
-            hosts.insert("i-1", HOST).expect("room");
+            let mut hosts = transaction.open_table(HOSTS).expect("open table hosts");
+            hosts.insert("i-1", HOST).expect("write succeeds");
         }
-        writing.commit().expect("room");
+        transaction.commit().expect("write succeeds");
     }
 
     pub fn make(&self, file: &Path) {
-        self.write(&Database::create(file).expect("a new file"));
+        self.write(&Database::create(file).expect("create a state file"));
     }
 }
 
-/// The record that a text of format 1 becomes, by the text's digest.
+/// The vote that the upgrade creates for a format 1 text with this digest.
 pub fn upgraded_vote(text: &[u8], digest: u64) -> AcceptorRecord {
     let ballot = Ballot {
         round: 0,
@@ -83,7 +88,7 @@
     }
 }
 
-/// What `VALID` holds, in today's terms.
+/// The state expected after upgrading [`VALID`].
 pub fn expected_state() -> DurableState {
     let claim = |number: u64| StoredClaim {
         key: KeyDigest(u128::from(number) << 100),
@@ -118,36 +123,39 @@
     }
 }
 
-/// Which format a file has.
+/// Format number of a file, and whether the configurations table of format 1 exists.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct FormatOfFile {
+pub struct FileFormat {
     pub number: u64,
-    /// Whether the table is there that format 1 alone has.
+    /// Whether the table `configurations` exists, which only format 1 has.
     pub has_configurations: bool,
 }
 
-pub const PREVIOUS: FormatOfFile = FormatOfFile {
+pub const PREVIOUS: FileFormat = FileFormat {
     number: 1,
     has_configurations: true,
 };
 
-pub const PRESENT: FormatOfFile = FormatOfFile {
+pub const CURRENT: FileFormat = FileFormat {
     number: 2,
     has_configurations: false,
 };
 
-pub fn format_of(database: &Database) -> FormatOfFile {
-    let reading = database.begin_read().expect("readable");
-    let meta = reading.open_table(META).expect("meta");
-    let bytes = meta.get("format").expect("readable").expect("a format");
-    let number = u64::from_be_bytes(bytes.value().try_into().expect("eight bytes"));
-    let mut tables = reading.list_tables().expect("readable");
-    FormatOfFile {
+pub fn format_of(database: &Database) -> FileFormat {
+    let transaction = database.begin_read().expect("readable");
+    let meta = transaction.open_table(META).expect("open table meta");
+    let bytes = meta
+        .get("format")
+        .expect("readable")
+        .expect("format is stored");
+    let number = u64::from_be_bytes(bytes.value().try_into().expect("format has eight bytes"));
+    let mut tables = transaction.list_tables().expect("readable");
+    FileFormat {
         number,
         has_configurations: tables.any(|table| table.name() == "configurations"),
     }
 }
 
-pub fn format_of_file(file: &Path) -> FormatOfFile {
-    format_of(&Database::open(file).expect("a file"))
+pub fn file_format(file: &Path) -> FileFormat {
+    format_of(&Database::open(file).expect("open the database"))
 }
--- a/crates/gateway/storage/tests/common/tables.rs
+++ b/crates/gateway/storage/tests/common/tables.rs
@@ -1,4 +1,4 @@
-//! The tables of a state file, looked at without the program: their definitions are written out once more here.
+//! Raw access to the tables of a state file. The table definitions are repeated here to detect changes in the crate.
 
 use redb::{
     Database, ReadTransaction, ReadableDatabase, ReadableTable, TableDefinition, TableHandle,
@@ -9,41 +9,41 @@
 pub const META: TableDefinition<&str, &[u8]> = TableDefinition::new("meta");
 pub const SET_RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("set_records");
 pub const VERSION_RECORDS: TableDefinition<u64, &[u8]> = TableDefinition::new("version_records");
-/// Key, node, incarnation and number of a claim, and its time of day.
+/// Row of a claim: key digest, node, incarnation, claim number, and wall-clock time.
 pub type ClaimRow = (u128, u32, u64, u64, u64);
 pub const CLAIMS: TableDefinition<u64, ClaimRow> = TableDefinition::new("claims");
 pub const HOSTS: TableDefinition<&str, &[u8]> = TableDefinition::new("hosts");
-/// Of format 1 alone.
+/// Table that only format 1 has: configuration texts by version.
 pub const CONFIGURATIONS: TableDefinition<u64, &[u8]> = TableDefinition::new("configurations");
 
-/// Looks at a file.
-pub fn read<T>(file: &Path, look: impl FnOnce(&ReadTransaction) -> T) -> T {
-    let database = Database::open(file).expect("a file");
-    look(&database.begin_read().expect("readable"))
+/// Opens a file and runs `inspect` in a read transaction.
+pub fn read<T>(file: &Path, inspect: impl FnOnce(&ReadTransaction) -> T) -> T {
+    let database = Database::open(file).expect("open the database");
+    inspect(&database.begin_read().expect("readable"))
 }
 
-/// Changes a file.
+/// Opens a file, runs `change` in a write transaction and commits it.
 pub fn change(file: &Path, change: impl FnOnce(&WriteTransaction)) {
-    let database = Database::open(file).expect("a file");
-    let writing = database.begin_write().expect("a transaction");
-    change(&writing);
-    writing.commit().expect("room");
+    let database = Database::open(file).expect("open the database");
+    let transaction = database.begin_write().expect("begin a transaction");
+    change(&transaction);
+    transaction.commit().expect("write succeeds");
 }
 
-/// The names of all tables, in order.
-pub fn table_names(reading: &ReadTransaction) -> Vec<String> {
-    let tables = reading.list_tables().expect("readable");
+/// Sorted names of all tables.
+pub fn table_names(transaction: &ReadTransaction) -> Vec<String> {
+    let tables = transaction.list_tables().expect("readable");
     let mut names: Vec<String> = tables.map(|table| table.name().to_string()).collect();
     names.sort();
     names
 }
 
-/// All rows of a table whose keys are numbers.
+/// All rows of a table with integer keys.
 pub fn rows_by_number(
-    reading: &ReadTransaction,
+    transaction: &ReadTransaction,
     table: TableDefinition<u64, &[u8]>,
 ) -> Vec<(u64, Vec<u8>)> {
-    let table = reading.open_table(table).expect("there");
+    let table = transaction.open_table(table).expect("exists");
     let rows = table.iter().expect("readable");
     rows.map(|row| {
         let (key, value) = row.expect("readable");
@@ -52,12 +52,12 @@
     .collect()
 }
 
-/// All rows of a table whose keys are texts.
+/// All rows of a table with string keys.
 pub fn rows_by_text(
-    reading: &ReadTransaction,
+    transaction: &ReadTransaction,
     table: TableDefinition<&str, &[u8]>,
 ) -> Vec<(String, Vec<u8>)> {
-    let table = reading.open_table(table).expect("there");
+    let table = transaction.open_table(table).expect("exists");
     let rows = table.iter().expect("readable");
     rows.map(|row| {
         let (key, value) = row.expect("readable");
@@ -66,9 +66,9 @@
     .collect()
 }
 
-/// All claims by their positions.
-pub fn claim_rows(reading: &ReadTransaction) -> Vec<(u64, ClaimRow)> {
-    let table = reading.open_table(CLAIMS).expect("there");
+/// All claim rows with their positions, in ascending order of positions.
+pub fn claim_rows(transaction: &ReadTransaction) -> Vec<(u64, ClaimRow)> {
+    let table = transaction.open_table(CLAIMS).expect("exists");
     let rows = table.iter().expect("readable");
     rows.map(|row| {
         let (position, claim) = row.expect("readable");
--- a/crates/gateway/storage/tests/crashes.rs
+++ b/crates/gateway/storage/tests/crashes.rs
@@ -1,5 +1,5 @@
-//! The crash of each write path at every step: a disk in memory that loses power at its nth operation, with later writes
-//! there, missing or torn; that refuses from its nth operation on for a while; and that is churned for ten minutes.
+//! Crash tests on an in-memory disk: power loss at every disk operation with unsynced writes kept, lost or torn,
+//! temporary write failures at every operation, and file growth under claim churn.
 
 mod common;
 
@@ -14,7 +14,7 @@
 use rushcourse_types::{ClaimId, Generation, KeyDigest, WallTime};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A vote for a value of this many bytes.
+/// Stores a vote for a value of `bytes` bytes.
 fn store_vote(slot: Slot, round: u64, bytes: usize) -> WriteOperation {
     store_record(slot, vote(round, &vec![round as u8; bytes]))
 }
@@ -32,7 +32,7 @@
     WriteOperation::StoreHost(host("i-1", sequence, state))
 }
 
-/// One batch of each kind of write, in a row, each with the generation that it gives the file.
+/// The batches of [`writes`], each with a generation that counts up from 1.
 fn script() -> Vec<Vec<WriteOperation>> {
     let mut batches = writes();
     for (number, batch) in (1..).zip(&mut batches) {
@@ -41,7 +41,7 @@
     batches
 }
 
-/// Each changes what is stored.
+/// Batches that cover every kind of write operation; each one changes the stored state.
 fn writes() -> Vec<Vec<WriteOperation>> {
     vec![
         vec![store_voting_set(1), WriteOperation::MarkStateComplete],
@@ -70,25 +70,25 @@
     ]
 }
 
-/// The script as batches, numbered from 0 on.
+/// The script as write batches with ids from 0.
 fn batches() -> impl Iterator<Item = WriteBatch> {
     (0..)
         .zip(script())
         .map(|(number, operations)| batch(number, operations))
 }
 
-fn by_key(mut state: DurableState) -> DurableState {
+fn sorted_by_key(mut state: DurableState) -> DurableState {
     state.claims.sort_by_key(|claim| claim.key);
     state
 }
 
-/// What a disk holds after the first `count` batches.
+/// The expected state after the first `count` batches, with claims sorted by key.
 fn state_after(count: usize) -> DurableState {
     let mut state = DurableState::default();
     for operations in script().into_iter().take(count) {
         state.apply(operations);
     }
-    by_key(state)
+    sorted_by_key(state)
 }
 
 fn open(disk: &Disk) -> Option<(Store, DurableState)> {
@@ -96,26 +96,26 @@
     Store::open_with_backend(move || disk.clone()).ok()
 }
 
-/// Plays the script until a write is refused; how many batches were synced. `None`: the file could not be opened.
-fn play(disk: &Disk) -> Option<usize> {
+/// Runs the script until a write fails and returns the number of synced batches; `None` if the file can't be opened.
+fn run_script(disk: &Disk) -> Option<usize> {
     let (mut store, _) = open(disk)?;
     let synced = batches()
         .take_while(|batch| store.write(std::slice::from_ref(batch)).is_ok())
         .count();
-    // The process is gone: nothing is tidied up behind it.
+    // Simulates a killed process: no destructor runs.
     std::mem::forget(store);
     Some(synced)
 }
 
-/// Operations of the disk for the whole script.
-fn operations_of_the_script() -> usize {
+/// Number of disk operations in a complete run of the script.
+fn script_operation_count() -> usize {
     let disk = Disk::default();
-    assert_eq!(play(&disk), Some(script().len()));
+    assert_eq!(run_script(&disk), Some(script().len()));
     disk.operation_count()
 }
 
 #[test]
-fn each_batch_of_the_script_leaves_another_state() {
+fn every_batch_of_the_script_changes_the_state() {
     for count in 0..script().len() {
         let without_generation = |count: usize| DurableState {
             generation: Generation::NONE,
@@ -130,110 +130,110 @@
 }
 
 #[test]
-fn power_lost_at_every_operation_leaves_what_was_synced_and_no_half_batch() {
-    let operations = operations_of_the_script();
+fn power_loss_at_every_disk_operation_keeps_synced_batches_and_no_partial_batch() {
+    let operations = script_operation_count();
     assert!(operations > 60, "{operations} operations");
-    let (mut lost_before_the_report, mut opened) = (0, 0);
+    let (mut unreported_sync_count, mut opened) = (0, 0);
     for at in 0..operations {
         for seed in 0..4 {
             let disk = Disk::default();
             disk.refuse_after(at);
-            let synced = play(&disk);
+            let synced = run_script(&disk);
             let after = disk.after_power_loss(seed * 7_919 + at as u64);
             let Some((_, state)) = open(&after) else {
-                // Only a file that never came to be may be unreadable: it is told, and nothing was promised.
+                // The file may be unreadable only if its creation failed, so that no batch was ever synced.
                 assert_eq!(
                     synced, None,
-                    "operation {at}, seed {seed}: what was synced can't be read any more"
+                    "operation {at}, seed {seed}: synced batches are unreadable"
                 );
                 continue;
             };
             opened += 1;
             let synced = synced.unwrap_or(0);
-            let state = by_key(state);
+            let state = sorted_by_key(state);
             let has_next = state == state_after(synced + 1);
             assert!(
                 has_next || state == state_after(synced),
-                "operation {at}, seed {seed}: {synced} batches were reported"
+                "operation {at}, seed {seed}: state doesn't match {synced} reported batches"
             );
-            lost_before_the_report += usize::from(has_next);
+            unreported_sync_count += usize::from(has_next);
         }
     }
-    assert!(opened > operations, "{opened} files were read again");
+    assert!(opened > operations, "{opened} files were reopened");
     assert!(
-        lost_before_the_report > 0,
-        "some losses fall between the sync and its report"
+        unreported_sync_count > 0,
+        "no power loss fell between a sync and its report"
     );
 }
 
 #[test]
-fn a_disk_that_refuses_for_a_while_loses_nothing_and_takes_what_comes_then() {
+fn retried_writes_succeed_after_temporary_disk_failure() {
     const FIRST_REFUSED: usize = 30;
-    for at in FIRST_REFUSED..operations_of_the_script() {
+    for at in FIRST_REFUSED..script_operation_count() {
         let disk = Disk::default();
-        let (mut store, _) = open(&disk).expect("an empty disk");
+        let (mut store, _) = open(&disk).expect("open an empty disk");
         disk.with(|disk| {
             let after = at.max(disk.operation_count);
             disk.refusal = Some(Refusal { after, count: 3 });
         });
         let mut refused = 0;
         for batch in batches() {
-            // The controller tries again what has to be stored; here at once, until it is.
+            // The controller retries failed batches; the test retries immediately.
             while store.write(std::slice::from_ref(&batch)).is_err() {
                 refused += 1;
-                assert!(refused < 20, "operation {at}: it never takes a write again");
+                assert!(refused < 20, "operation {at}: writes keep failing");
             }
         }
         drop(store);
         let (_, state) = open(&disk).expect("readable");
         assert_eq!(
-            by_key(state),
+            sorted_by_key(state),
             state_after(script().len()),
             "operation {at}: after {refused} refusals"
         );
     }
 }
 
-/// After a refused write the file is opened anew. If it is empty then, what was synced before is gone: nothing that
-/// counts on it is written any more.
+/// A store whose file is empty after reopening has lost its synced state and must reject all writes.
 #[test]
-fn a_disk_that_comes_back_empty_takes_no_write() {
+fn writes_fail_when_reopened_file_is_empty() {
     let (disk, empty) = (Disk::default(), Disk::default());
-    let (at_first, then) = (disk.clone(), empty.clone());
+    let (first_disk, reopened_disk) = (disk.clone(), empty.clone());
     let openings = AtomicUsize::new(0);
     let make = move || {
         if openings.fetch_add(1, Ordering::Relaxed) == 0 {
-            at_first.clone()
+            first_disk.clone()
         } else {
-            then.clone()
+            reopened_disk.clone()
         }
     };
-    let (mut store, _) = Store::open_with_backend(make).expect("an empty disk");
+    let (mut store, _) = Store::open_with_backend(make).expect("open an empty disk");
     let batches: Vec<WriteBatch> = batches().collect();
-    store.write(&batches[..1]).expect("room");
+    store.write(&batches[..1]).expect("write succeeds");
     disk.refuse_after(disk.operation_count());
     for _ in 0..3 {
         assert!(store.write(&batches[1..2]).is_err());
     }
     drop(store);
-    let (_, state) = open(&empty).expect("an empty disk");
+    let (_, state) = open(&empty).expect("open an empty disk");
     assert_eq!(state, DurableState::default());
 }
 
-/// A key as a hash makes it: spread over all of its bits.
-fn spread_key(number: u64) -> KeyDigest {
+/// A key digest whose bits are spread like those of a hash.
+fn hashed_key(number: u64) -> KeyDigest {
     let low = number.wrapping_mul(0x9E37_79B9_7F4A_7C15);
     KeyDigest(u128::from(number) << 64 | u128::from(low))
 }
 
-/// What comes within a second at 200 claims a second, each kept for its window of 70 s, a version every five seconds.
-fn second_of_churn(second: u64) -> Vec<WriteOperation> {
+/// The operations of one second: 200 new claims, the removal of claims older than 70 s, and every five seconds a
+/// configuration version.
+fn churn_for_second(second: u64) -> Vec<WriteOperation> {
     const CLAIMS: u64 = 200;
     const WINDOW_S: u64 = 70;
     let numbers_of = |second: u64| second * CLAIMS..(second + 1) * CLAIMS;
     let mut operations: Vec<WriteOperation> = numbers_of(second)
         .map(|number| StoredClaim {
-            key: spread_key(number),
+            key: hashed_key(number),
             id: ClaimId {
                 node: ballot(1).node,
                 incarnation: ballot(1).incarnation,
@@ -244,7 +244,7 @@
         .map(WriteOperation::StoreClaim)
         .collect();
     if let Some(old) = second.checked_sub(WINDOW_S) {
-        let expired = numbers_of(old).map(spread_key);
+        let expired = numbers_of(old).map(hashed_key);
         operations.extend(expired.map(WriteOperation::RemoveClaim));
     }
     if second.is_multiple_of(5) {
@@ -255,20 +255,20 @@
 }
 
 #[test]
-fn ten_minutes_of_churn_leave_the_file_as_large_as_two() {
+fn file_size_stays_bounded_under_claim_churn() {
     let disk = Disk::default();
-    let (mut store, _) = open(&disk).expect("an empty disk");
+    let (mut store, _) = open(&disk).expect("open an empty disk");
     let mut sizes = Vec::new();
     for second in 0..600 {
-        let churn = batch(second, second_of_churn(second));
-        store.write(&[churn]).expect("room");
+        let churn = batch(second, churn_for_second(second));
+        store.write(&[churn]).expect("write succeeds");
         if second == 120 || second == 599 {
             sizes.push(disk.with(|disk| disk.visible.len()));
         }
     }
     assert!(
         sizes[1] <= sizes[0] + sizes[0] / 10,
-        "{sizes:?} bytes after two and ten minutes"
+        "file sizes in bytes after 2 and 10 minutes: {sizes:?}"
     );
     assert!(sizes[1] < 16 << 20, "{sizes:?}");
 }
--- a/crates/gateway/storage/tests/fixture.rs
+++ b/crates/gateway/storage/tests/fixture.rs
@@ -1,5 +1,5 @@
-//! A state file that the build a09c11f wrote (`fixtures/controller.redb`): voting set, acceptor's records, claims and
-//! hosts. This build reads it as the same state, writes on in it, and makes the same bytes in every table.
+//! Compatibility with `fixtures/controller.redb`, a state file written by build a09c11f: this build loads the same
+//! state, continues writing the file, and produces the same bytes in every table.
 
 mod common;
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// The two batches that the file was made of: the second one removes and replaces what the first one wrote.
+/// The batches that the fixture was written with. The second one removes and replaces rows of the first one.
 fn batches() -> [Vec<WriteOperation>; 2] {
     let first = vec![
         WriteOperation::StoreVotingSet(voting_set(11, &[1, 2, 0x0a00_0001])),
@@ -98,7 +98,7 @@
     [first, second]
 }
 
-/// What the batches leave behind.
+/// The state after both batches of the fixture.
 fn expected() -> DurableState {
     let mut state = DurableState::default();
     for operations in batches() {
@@ -111,14 +111,14 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/controller.redb")
 }
 
-/// A copy of the fixture, since opening a file may change it.
+/// Copies the fixture, because opening a file may modify it.
 fn copy_of_fixture() -> StateFile {
     let file = StateFile::new();
-    std::fs::copy(fixture(), file.path()).expect("a copy");
+    std::fs::copy(fixture(), file.path()).expect("copy the fixture");
     file
 }
 
-/// All tables, row by row: claims as their fields, all else as bytes.
+/// Contents of all tables: claim rows as decoded fields, other rows as raw bytes.
 #[derive(Debug, PartialEq)]
 struct Tables {
     names: Vec<String>,
@@ -130,39 +130,43 @@
 }
 
 fn tables(file: &Path) -> Tables {
-    read(file, |reading| Tables {
-        names: table_names(reading),
-        meta: rows_by_text(reading, META),
-        set_records: rows_by_number(reading, SET_RECORDS),
-        version_records: rows_by_number(reading, VERSION_RECORDS),
-        claims: claim_rows(reading),
-        hosts: rows_by_text(reading, HOSTS),
+    read(file, |transaction| Tables {
+        names: table_names(transaction),
+        meta: rows_by_text(transaction, META),
+        set_records: rows_by_number(transaction, SET_RECORDS),
+        version_records: rows_by_number(transaction, VERSION_RECORDS),
+        claims: claim_rows(transaction),
+        hosts: rows_by_text(transaction, HOSTS),
     })
 }
 
 #[test]
-fn a_state_file_of_the_earlier_build_is_read_as_the_same_state() {
+fn state_file_of_earlier_build_is_read_and_writable() {
     let file = copy_of_fixture();
-    let (mut store, state) = Store::open(file.path()).expect("a file of the present format");
+    let (mut store, state) = Store::open(file.path()).expect("open a file of the current format");
     let mut expected = expected();
     assert_eq!(state, expected);
 
-    // It is written on, and read again with what was added.
+    // The file stays writable and the added claim is restored.
     let added = WriteOperation::StoreClaim(claim(5));
-    store.write(&[batch(3, vec![added])]).expect("room");
+    store
+        .write(&[batch(3, vec![added])])
+        .expect("write succeeds");
     drop(store);
-    let (_, again) = Store::open(file.path()).expect("a file of the present format");
+    let (_, again) = Store::open(file.path()).expect("open a file of the current format");
     expected.claims.push(claim(5));
     assert_eq!(again, expected);
 }
 
 #[test]
-fn the_same_operations_make_the_same_bytes_in_every_table() {
+fn same_operations_produce_the_same_table_bytes() {
     let earlier = copy_of_fixture();
     let file = StateFile::new();
-    let (mut store, _) = Store::open(file.path()).expect("a new file");
+    let (mut store, _) = Store::open(file.path()).expect("create a state file");
     for (number, operations) in (1..).zip(batches()) {
-        store.write(&[batch(number, operations)]).expect("room");
+        store
+            .write(&[batch(number, operations)])
+            .expect("write succeeds");
     }
     drop(store);
     assert_eq!(tables(file.path()), tables(earlier.path()));
--- a/crates/gateway/storage/tests/format.rs
+++ b/crates/gateway/storage/tests/format.rs
@@ -1,5 +1,5 @@
-//! The present format of the file, byte by byte. A type that changes its encoding breaks these tests: the file's format
-//! then gets a new number and an upgrade, or files that are already on disks would be read as something else.
+//! Checks the bytes of the current file format. A change of an encoding fails here; it needs a new format number and an
+//! upgrade of existing files.
 
 mod common;
 
@@ -13,13 +13,13 @@
 use rushcourse_types::{CallSequence, Generation, Incarnation, Millis, NodeId};
 use std::path::Path;
 
-/// Set 300 of 1, 2 and 10.0.0.1.
+/// Encoded voting set of epoch 300 with members 1, 2 and 10.0.0.1.
 const SET: &[u8] = &[0xac, 0x02, 3, 1, 2, 0x81, 0x80, 0x80, 0x50];
-/// Promised: round 300, node 7, incarnation 8. Accepted: round 2, node 7, incarnation 9, the value "abc". It is a vote.
+/// Encoded vote: promised ballot (round 300, node 7, incarnation 8), accepted ballot (2, 7, 9) with value "abc".
 const VOTE: &[u8] = &[0xac, 0x02, 7, 8, 1, 2, 7, 9, 3, b'a', b'b', b'c', 1];
-/// Promised: round 1, node 2, incarnation 3. Nothing accepted.
+/// Encoded promise of the ballot (round 1, node 2, incarnation 3) without an accepted value.
 const PROMISE: &[u8] = &[1, 2, 3, 0, 0];
-/// The host "i-1" of service "s", zone "z", address "a:80", with 4 slots, draining, sequence 300, warm-up 2 ms, age 1 ms.
+/// Encoded draining host "i-1": service "s", zone "z", address "a:80", 4 slots, sequence 300, warm-up 2 ms, age 1 ms.
 const HOST: &[u8] = &[
     3, b'i', b'-', b'1', 1, b's', 1, b'z', 4, b'a', b':', b'8', b'0', 4, 1, 0xac, 0x02, 2, 1,
 ];
@@ -75,8 +75,10 @@
         WriteOperation::StoreHost(host()),
         WriteOperation::StoreGeneration(Generation(0x0102_0304)),
     ];
-    let (mut store, _) = Store::open(file).expect("a new file");
-    store.write(&[batch(1, operations)]).expect("room");
+    let (mut store, _) = Store::open(file).expect("create a state file");
+    store
+        .write(&[batch(1, operations)])
+        .expect("write succeeds");
 }
 
 fn assert_unreadable(file: &Path, bytes: &[u8]) {
@@ -90,29 +92,29 @@
 }
 
 #[test]
-fn the_file_holds_these_bytes() {
+fn current_format_has_expected_bytes() {
     let file = StateFile::new();
     make(file.path());
-    read(file.path(), |reading| {
+    read(file.path(), |transaction| {
         assert_eq!(
-            table_names(reading),
+            table_names(transaction),
             ["claims", "hosts", "meta", "set_records", "version_records"]
         );
-        let meta = reading.open_table(META).expect("meta");
+        let meta = transaction.open_table(META).expect("open table meta");
         let value = |key: &str| meta.get(key).expect("readable").map(|v| v.value().to_vec());
         assert_eq!(value("format"), Some(vec![0, 0, 0, 0, 0, 0, 0, 2]));
         assert_eq!(value("set"), Some(SET.to_vec()));
         assert_eq!(value("remembers"), Some(vec![1]));
         assert_eq!(value("generation"), Some(vec![0, 0, 0, 0, 1, 2, 3, 4]));
         assert_eq!(
-            rows_by_number(reading, SET_RECORDS),
+            rows_by_number(transaction, SET_RECORDS),
             [(301, PROMISE.to_vec())]
         );
         assert_eq!(
-            rows_by_number(reading, VERSION_RECORDS),
+            rows_by_number(transaction, VERSION_RECORDS),
             [(9, VOTE.to_vec())]
         );
-        let hosts = reading.open_table(HOSTS).expect("hosts");
+        let hosts = transaction.open_table(HOSTS).expect("open table hosts");
         let host = hosts.get("i-1").expect("readable");
         assert_eq!(
             host.map(|bytes| bytes.value().to_vec()),
@@ -121,9 +123,9 @@
     });
 }
 
-/// Without a promise or a vote that it gave, a replica could vote again: it doesn't start.
+/// A replica that skipped a damaged promise or vote could vote twice, so opening must fail.
 #[test]
-fn a_record_that_cannot_be_read_is_refused() {
+fn damaged_acceptor_record_is_rejected() {
     let damages: [&[u8]; 4] = [
         &VOTE[..VOTE.len() - 1],
         &[],
@@ -134,9 +136,9 @@
         for table in [SET_RECORDS, VERSION_RECORDS] {
             let file = StateFile::new();
             make(file.path());
-            change(file.path(), |writing| {
-                let mut table = writing.open_table(table).expect("there");
-                table.insert(9, bytes).expect("room");
+            change(file.path(), |transaction| {
+                let mut table = transaction.open_table(table).expect("exists");
+                table.insert(9, bytes).expect("write succeeds");
             });
             assert_unreadable(file.path(), bytes);
         }
@@ -144,13 +146,13 @@
 }
 
 #[test]
-fn a_voting_set_that_cannot_be_read_is_refused() {
+fn damaged_voting_set_is_rejected() {
     for bytes in [&SET[..SET.len() - 1], &[1, 1, 1, 0], &[]] {
         let file = StateFile::new();
         make(file.path());
-        change(file.path(), |writing| {
-            let mut meta = writing.open_table(META).expect("there");
-            meta.insert("set", bytes).expect("room");
+        change(file.path(), |transaction| {
+            let mut meta = transaction.open_table(META).expect("exists");
+            meta.insert("set", bytes).expect("write succeeds");
         });
         assert_unreadable(file.path(), bytes);
     }
--- a/crates/gateway/storage/tests/properties.rs
+++ b/crates/gateway/storage/tests/properties.rs
@@ -1,4 +1,4 @@
-//! What the file holds is what the operations say, in any order, over any number of starts.
+//! Property test: the restored state equals the applied operations, in any order and across restarts.
 
 mod common;
 
@@ -23,7 +23,7 @@
     })
 }
 
-/// Few slots, so that records are replaced and pruned; some at the ends of what a number can be.
+/// A small range of slots, so that records are replaced and pruned, plus extreme numbers.
 fn any_slot() -> impl Strategy<Value = Slot> {
     let number = || prop_oneof![8 => 0u64..20, 1 => Just(u64::MAX), 1 => any::<u64>()];
     prop_oneof![
@@ -45,7 +45,7 @@
     })
 }
 
-/// Few keys, so that claims are replaced and removed.
+/// A small range of keys, so that claims are replaced and removed.
 fn any_claim() -> impl Strategy<Value = StoredClaim> {
     (0u128..12, any::<u32>(), any::<u64>(), 0u64..5, any::<u64>()).prop_map(
         |(key, node, incarnation, number, claimed_at)| StoredClaim {
@@ -96,12 +96,12 @@
     ]
 }
 
-/// The batches of one run of the program.
+/// The batches written between two restarts.
 fn any_run() -> impl Strategy<Value = Vec<Vec<WriteOperation>>> {
     prop::collection::vec(prop::collection::vec(any_operation(), 0..6), 0..5)
 }
 
-/// A state as text, in an order that does not depend on the file's.
+/// Debug text of a state with claims and hosts sorted, for comparison independent of their order in the file.
 fn sorted_text(mut state: DurableState) -> String {
     state.claims.sort_by_key(|claim| claim.key);
     state.hosts.sort_by(|a, b| a.id.cmp(&b.id));
@@ -114,17 +114,17 @@
     })]
 
     #[test]
-    fn the_file_holds_what_was_written_over_any_number_of_starts(runs in prop::collection::vec(any_run(), 1..5)) {
+    fn written_state_is_restored_after_every_restart(runs in prop::collection::vec(any_run(), 1..5)) {
         let file = StateFile::new();
         let mut expected = DurableState::default();
         for run in runs {
-            let (mut store, state) = Store::open(file.path()).expect("its own file");
+            let (mut store, state) = Store::open(file.path()).expect("open the state file");
             prop_assert_eq!(sorted_text(state), sorted_text(expected.clone()));
             let batches: Vec<WriteBatch> = (0..).zip(run).map(|(number, run)| batch(number, run)).collect();
-            store.write(&batches).expect("room");
+            store.write(&batches).expect("write succeeds");
             batches.into_iter().for_each(|batch| expected.apply(batch.operations));
         }
-        let (_, state) = Store::open(file.path()).expect("its own file");
+        let (_, state) = Store::open(file.path()).expect("open the state file");
         prop_assert_eq!(sorted_text(state), sorted_text(expected));
     }
 }
--- a/crates/gateway/storage/tests/store.rs
+++ b/crates/gateway/storage/tests/store.rs
@@ -1,4 +1,4 @@
-//! What was synced is there again after a start, and what was removed is not; a file that is none is left alone.
+//! Restart behavior: synced state is restored, removed rows stay removed, and foreign files are left unchanged.
 
 mod common;
 
@@ -12,16 +12,18 @@
 use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest};
 use std::path::Path;
 
-/// Writes each batch with a sync of its own, in one run of the program.
+/// Opens the file, writes each batch with a separate sync, and closes the file.
 fn write(file: &Path, batches: impl IntoIterator<Item = Vec<WriteOperation>>) {
-    let (mut store, _) = Store::open(file).expect("a state file");
+    let (mut store, _) = Store::open(file).expect("open a state file");
     for (number, operations) in (1..).zip(batches) {
-        store.write(&[batch(number, operations)]).expect("room");
+        store
+            .write(&[batch(number, operations)])
+            .expect("write succeeds");
     }
 }
 
 fn read(file: &Path) -> DurableState {
-    Store::open(file).expect("a state file").1
+    Store::open(file).expect("open a state file").1
 }
 
 fn slots(state: &DurableState) -> Vec<Slot> {
@@ -29,7 +31,7 @@
 }
 
 #[test]
-fn what_was_written_is_there_again() {
+fn written_state_is_restored() {
     let file = StateFile::new();
     let new = read(file.path());
     assert_eq!(
@@ -58,7 +60,7 @@
 }
 
 #[test]
-fn the_last_record_of_each_slot_is_there_again() {
+fn last_record_of_each_slot_is_restored() {
     let file = StateFile::new();
     let earlier = [version(3), epoch(2), version(5), version(4)]
         .map(|slot| store_record(slot, vote(1, b"earlier")));
@@ -72,11 +74,11 @@
         (version(5), vote(2, b"later")),
     ]
     .map(|(slot, record)| SlotRecord { slot, record });
-    assert_eq!(read(file.path()).records, expected, "in the order of slots");
+    assert_eq!(read(file.path()).records, expected, "sorted by slot");
 }
 
 #[test]
-fn claims_and_hosts_that_were_removed_are_gone() {
+fn removed_claims_and_hosts_are_not_restored() {
     let file = StateFile::new();
     let mut stored: Vec<WriteOperation> = (0..100)
         .map(|key| WriteOperation::StoreClaim(claim(key)))
@@ -90,7 +92,7 @@
     keys.sort_unstable();
     assert_eq!(keys, (90..100).map(KeyDigest).collect::<Vec<KeyDigest>>());
 
-    // Removed by a later run of the program, which never saw them written.
+    // Removal after a restart relies on the claim positions loaded from the file.
     let operations = vec![
         remove_claim(95),
         WriteOperation::StoreHost(host("i-1", 1, HostState::Gone)),
@@ -101,18 +103,18 @@
 }
 
 #[test]
-fn records_that_were_pruned_are_gone_and_all_others_are_there() {
+fn pruning_removes_only_records_within_bounds() {
     let file = StateFile::new();
     let all = (0..10).map(epoch).chain((0..10).map(version));
     let records = all
         .map(|slot| store_record(slot, vote(1, b"text")))
         .collect();
-    // Bounds that leave all of one kind: none is below version 0.
+    // No version is below 0, so only voting-set records are pruned.
     write(file.path(), [records, vec![prune(0, 3)]]);
     let mut expected: Vec<Slot> = (4..10).map(epoch).chain((0..10).map(version)).collect();
     assert_eq!(slots(&read(file.path())), expected);
 
-    // What is written after it in the same batch stays.
+    // A record stored after the pruning in the same batch is kept.
     let again = store_record(version(2), vote(3, b"again"));
     write(file.path(), [vec![prune(7, 0), again]]);
     expected.retain(|slot| {
@@ -138,7 +140,7 @@
 }
 
 #[test]
-fn a_replica_whose_state_became_incomplete_counts_in_its_voting_set_still() {
+fn incomplete_state_keeps_the_voting_set() {
     let file = StateFile::new();
     let voting_set = voting_set(1, &[1, 2, 3]);
     let complete = vec![
@@ -157,16 +159,16 @@
 }
 
 #[test]
-fn a_file_that_is_no_state_file_is_refused_and_left_as_it_is() {
+fn foreign_file_is_rejected_and_left_unchanged() {
     let file = StateFile::new();
     let other = b"something else that somebody keeps here, longer than a header";
-    std::fs::write(file.path(), other).expect("written");
+    std::fs::write(file.path(), other).expect("write the file");
     let Err(report) = Store::open(file.path()) else {
-        panic!("it was opened")
+        panic!("the file was opened")
     };
     assert!(
         matches!(report.current_context(), StorageError::Unreadable),
         "{report:?}"
     );
-    assert_eq!(std::fs::read(file.path()).expect("there"), other);
+    assert_eq!(std::fs::read(file.path()).expect("exists"), other);
 }
--- a/crates/gateway/storage/tests/upgrade.rs
+++ b/crates/gateway/storage/tests/upgrade.rs
@@ -1,9 +1,9 @@
-//! Files of format 1 are read and turned into the present format; files of formats that are not known are left alone.
+//! Upgrade of format 1 files, and rejection of damaged files and of unknown formats.
 
 mod common;
 
 use common::previous_format::{
-    FormatOfFile, PRESENT, PREVIOUS, PreviousFile, SET, VALID, expected_state, format_of_file,
+    CURRENT, FileFormat, PREVIOUS, PreviousFile, SET, VALID, expected_state, file_format,
     upgraded_vote,
 };
 use common::tables::{
@@ -17,42 +17,42 @@
 use rushcourse_types::{ClaimId, Incarnation, KeyDigest, NodeId, WallTime};
 use std::path::Path;
 
-/// Why a file is not opened.
+/// Returns the error of opening a file; panics if it opens.
 fn refusal(file: &Path) -> StorageError {
     let Err(report) = Store::open(file) else {
-        panic!("it was opened")
+        panic!("the file was opened")
     };
     *report.current_context()
 }
 
-/// All that the tables of metadata and configurations hold, and the names of all tables.
+/// Text of the table names and of the rows in the metadata and configurations tables.
 fn dump(file: &Path) -> String {
-    read(file, |reading| {
-        let tables = table_names(reading);
-        let meta = rows_by_text(reading, META);
-        let configurations = rows_by_number(reading, CONFIGURATIONS);
+    read(file, |transaction| {
+        let tables = table_names(transaction);
+        let meta = rows_by_text(transaction, META);
+        let configurations = rows_by_number(transaction, CONFIGURATIONS);
         format!("{tables:?} {meta:?} {configurations:?}")
     })
 }
 
 #[test]
-fn a_file_of_format_1_is_read_and_upgraded() {
+fn format_1_file_is_read_and_upgraded() {
     let file = StateFile::new();
     VALID.make(file.path());
-    assert_eq!(format_of_file(file.path()), PREVIOUS);
-    let (store, state) = Store::open(file.path()).expect("a file of format 1");
+    assert_eq!(file_format(file.path()), PREVIOUS);
+    let (store, state) = Store::open(file.path()).expect("open a file of format 1");
     assert_eq!(state, expected_state());
     drop(store);
-    assert_eq!(format_of_file(file.path()), PRESENT);
+    assert_eq!(file_format(file.path()), CURRENT);
 }
 
-/// Claims stand where they stood, in their order: they are removed and replaced as in any other file.
+/// Claim positions survive the upgrade, so claims can be removed and replaced afterwards.
 #[test]
-fn an_upgraded_file_is_as_any_other() {
+fn upgraded_file_accepts_claim_changes() {
     let file = StateFile::new();
     VALID.make(file.path());
-    drop(Store::open(file.path()).expect("a file of format 1"));
-    let (mut store, state) = Store::open(file.path()).expect("a file of the present format");
+    drop(Store::open(file.path()).expect("open a file of format 1"));
+    let (mut store, state) = Store::open(file.path()).expect("open a file of the current format");
     assert_eq!(state, expected_state());
 
     let store_claim = |key: u128| {
@@ -71,43 +71,45 @@
         store_claim(1),
         store_claim(9 << 100),
     ];
-    store.write(&[batch(1, operations.clone())]).expect("room");
+    store
+        .write(&[batch(1, operations.clone())])
+        .expect("write succeeds");
     drop(store);
 
     let mut expected = expected_state();
     expected.apply(operations);
-    let (_, state) = Store::open(file.path()).expect("a file of the present format");
+    let (_, state) = Store::open(file.path()).expect("open a file of the current format");
     assert_eq!(state, expected);
 }
 
 #[test]
-fn a_file_of_format_1_without_a_configuration_is_upgraded_to_no_record() {
+fn format_1_file_without_configuration_gets_no_record() {
     let file = StateFile::new();
     let without_configuration = PreviousFile {
         configurations: &[],
         ..VALID
     };
     without_configuration.make(file.path());
-    let (store, state) = Store::open(file.path()).expect("a file of format 1");
+    let (store, state) = Store::open(file.path()).expect("open a file of format 1");
     let expected = DurableState {
         records: vec![],
         ..expected_state()
     };
     assert_eq!(state, expected);
     drop(store);
-    assert_eq!(format_of_file(file.path()), PRESENT);
+    assert_eq!(file_format(file.path()), CURRENT);
 }
 
 #[test]
-fn two_texts_under_one_number_are_votes_under_two_ballots_and_one_text_is_one_vote() {
+fn upgrade_ballot_depends_on_configuration_text() {
     let upgraded = |text: &'static [u8]| {
         let file = StateFile::new();
         VALID.make(file.path());
-        change(file.path(), |writing| {
-            let mut configurations = writing.open_table(CONFIGURATIONS).expect("there");
-            configurations.insert(5, text).expect("room");
+        change(file.path(), |transaction| {
+            let mut configurations = transaction.open_table(CONFIGURATIONS).expect("exists");
+            configurations.insert(5, text).expect("write succeeds");
         });
-        let (_, state) = Store::open(file.path()).expect("a file of format 1");
+        let (_, state) = Store::open(file.path()).expect("open a file of format 1");
         state.records
     };
     let (one, same, other) = (upgraded(b"one"), upgraded(b"one"), upgraded(b"other"));
@@ -121,8 +123,8 @@
 }
 
 #[test]
-fn a_file_of_a_format_that_is_not_known_is_refused_and_left_as_it_is() {
-    // What a later format means by its tables is not asked: its set need be none to this program.
+fn unknown_format_is_rejected_and_left_unchanged() {
+    // The voting set isn't decoded if the format is unknown, so undecodable bytes give the same error.
     for (format, set) in [(0, SET), (3, SET), (3, &[0xff_u8; 3][..]), (u64::MAX, SET)] {
         let file = StateFile::new();
         let unknown = PreviousFile {
@@ -138,8 +140,8 @@
 }
 
 #[test]
-fn a_damaged_file_of_format_1_is_refused_and_left_as_it_is() {
-    // Cut short, with bytes left over, no set at all.
+fn damaged_format_1_file_is_rejected_and_left_unchanged() {
+    // Truncated, with trailing bytes, undecodable, and empty.
     for set in [&SET[..SET.len() - 1], &[1, 1, 1, 0], &[0xff; 12], &[]] {
         let file = StateFile::new();
         PreviousFile { set, ..VALID }.make(file.path());
@@ -150,16 +152,16 @@
 }
 
 #[test]
-fn a_file_of_format_1_that_lacks_its_configurations_is_refused() {
+fn format_1_file_without_configurations_table_is_rejected() {
     let file = StateFile::new();
     VALID.make(file.path());
-    change(file.path(), |writing| {
-        writing.delete_table(CONFIGURATIONS).expect("there");
+    change(file.path(), |transaction| {
+        transaction.delete_table(CONFIGURATIONS).expect("exists");
     });
     assert_eq!(refusal(file.path()), StorageError::Unreadable);
-    let unchanged = FormatOfFile {
+    let unchanged = FileFormat {
         number: 1,
         has_configurations: false,
     };
-    assert_eq!(format_of_file(file.path()), unchanged);
+    assert_eq!(file_format(file.path()), unchanged);
 }
--- a/crates/gateway/storage/tests/upgrade_crashes.rs
+++ b/crates/gateway/storage/tests/upgrade_crashes.rs
@@ -1,27 +1,27 @@
-//! The upgrade of files of format 1 through losses of power and refusals of the disk.
+//! Upgrade of format 1 files under power loss and disk failures.
 
 mod common;
 
 use common::disk::{Disk, Refusal};
-use common::previous_format::{FormatOfFile, PRESENT, PREVIOUS, VALID, expected_state, format_of};
+use common::previous_format::{CURRENT, FileFormat, PREVIOUS, VALID, expected_state, format_of};
 use redb::Database;
 use rushcourse_storage::Store;
 
-/// How a database was left.
+/// How the process that last used a database ended.
 #[derive(Clone, Copy)]
 enum LeftBy {
-    /// It was closed in order.
+    /// The database was closed properly.
     Close,
-    /// Its program was killed.
+    /// The process was killed before closing the database.
     Kill,
 }
 
-/// The bytes of a disk with a file of format 1.
+/// The synced bytes of a disk that holds a format 1 file.
 fn previous_disk(left_by: LeftBy) -> Vec<u8> {
     let disk = Disk::default();
     let database = Database::builder()
         .create_with_backend(disk.clone())
-        .expect("an empty disk");
+        .expect("open an empty disk");
     VALID.write(&database);
     match left_by {
         LeftBy::Close => drop(database),
@@ -30,8 +30,8 @@
     disk.with(|disk| disk.synced.clone())
 }
 
-/// Opens the disk, and ends there with nothing tidied up; whether opening succeeded.
-fn open_and_end(disk: &Disk) -> bool {
+/// Opens the store and drops it as a killed process would, without destructors. Returns whether opening succeeded.
+fn open_and_kill(disk: &Disk) -> bool {
     let disk = disk.clone();
     let Ok((store, state)) = Store::open_with_backend(move || disk.clone()) else {
         return false;
@@ -41,84 +41,84 @@
     true
 }
 
-/// Operations of the disk for the whole upgrade.
-fn operations_of_the_upgrade(previous: &[u8]) -> usize {
-    let disk = Disk::holding(previous.to_vec());
-    assert!(open_and_end(&disk));
+/// Number of disk operations in a complete upgrade.
+fn upgrade_operation_count(previous: &[u8]) -> usize {
+    let disk = Disk::with_bytes(previous.to_vec());
+    assert!(open_and_kill(&disk));
     disk.operation_count()
 }
 
-/// The format that a disk has, seen on a copy of it.
-fn format_of_disk(disk: &Disk) -> FormatOfFile {
-    let copy = Disk::holding(disk.with(|disk| disk.visible.clone()));
+/// Reads the format from a copy of the disk, so that reading doesn't change the original.
+fn disk_format(disk: &Disk) -> FileFormat {
+    let copy = Disk::with_bytes(disk.with(|disk| disk.visible.clone()));
     let database = Database::builder()
         .create_with_backend(copy)
-        .expect("a file");
+        .expect("open the database");
     format_of(&database)
 }
 
-fn assert_one_format_or_the_other_after_power_loss(left_by: LeftBy) {
+fn assert_valid_format_after_power_loss(left_by: LeftBy) {
     let previous = previous_disk(left_by);
-    let operations = operations_of_the_upgrade(&previous);
+    let operations = upgrade_operation_count(&previous);
     assert!(operations > 5, "{operations} operations");
-    let (mut before_the_upgrade, mut after_it) = (0, 0);
+    let (mut kept_previous, mut upgraded) = (0, 0);
     for at in 0..=operations {
         for seed in 0..16 {
-            let disk = Disk::holding(previous.clone());
+            let disk = Disk::with_bytes(previous.clone());
             disk.refuse_after(at);
-            let is_opened = open_and_end(&disk);
+            let opened = open_and_kill(&disk);
             let after = disk.after_power_loss(seed * 7_919 + at as u64);
-            let format = format_of_disk(&after);
+            let format = disk_format(&after);
             assert!(
-                format == PREVIOUS || format == PRESENT,
+                format == PREVIOUS || format == CURRENT,
                 "operation {at}, seed {seed}: {format:?}"
             );
             assert!(
-                !is_opened || format == PRESENT,
-                "operation {at}, seed {seed}: it was opened"
+                !opened || format == CURRENT,
+                "operation {at}, seed {seed}: opened without a durable upgrade"
             );
             if format == PREVIOUS {
-                before_the_upgrade += 1;
+                kept_previous += 1;
             } else {
-                after_it += 1;
+                upgraded += 1;
             }
             assert!(
-                open_and_end(&after),
-                "operation {at}, seed {seed}: it can't be read any more"
+                open_and_kill(&after),
+                "operation {at}, seed {seed}: file is unreadable"
             );
-            assert_eq!(format_of_disk(&after), PRESENT);
+            assert_eq!(disk_format(&after), CURRENT);
         }
     }
     assert!(
-        before_the_upgrade > 0 && after_it > 0,
-        "{before_the_upgrade} losses before the upgrade counts, {after_it} after"
+        kept_previous > 0 && upgraded > 0,
+        "power losses before the upgrade was durable: {kept_previous}, after: {upgraded}"
     );
 }
 
 #[test]
-fn power_lost_at_every_operation_of_the_upgrade_leaves_the_one_format_or_the_other() {
-    assert_one_format_or_the_other_after_power_loss(LeftBy::Close);
+fn power_loss_during_upgrade_leaves_one_valid_format() {
+    assert_valid_format_after_power_loss(LeftBy::Close);
 }
 
 #[test]
-fn power_lost_again_in_the_upgrade_after_a_loss_of_power_leaves_the_one_format_or_the_other() {
-    assert_one_format_or_the_other_after_power_loss(LeftBy::Kill);
+fn second_power_loss_during_upgrade_leaves_one_valid_format() {
+    assert_valid_format_after_power_loss(LeftBy::Kill);
 }
 
 #[test]
-fn an_upgrade_that_the_disk_refuses_is_an_error_and_done_at_the_next_opening() {
+fn upgrade_refused_by_the_disk_completes_at_next_opening() {
     let previous = previous_disk(LeftBy::Close);
     let mut refused = 0;
-    for after in 0..operations_of_the_upgrade(&previous) {
-        let disk = Disk::holding(previous.clone());
+    for after in 0..upgrade_operation_count(&previous) {
+        let disk = Disk::with_bytes(previous.clone());
         disk.with(|disk| disk.refusal = Some(Refusal { after, count: 3 }));
-        refused += usize::from(!open_and_end(&disk));
+        refused += usize::from(!open_and_kill(&disk));
         disk.with(|disk| disk.refusal = None);
         assert!(
-            open_and_end(&disk),
-            "operation {after}: it can't be read any more"
+            open_and_kill(&disk),
+            "operation {after}: file is unreadable"
         );
-        assert_eq!(format_of_disk(&disk), PRESENT);
+        assert_eq!(disk_format(&disk), CURRENT);
     }
-    assert!(refused > 0, "none was refused");
+    assert!(refused > 0, "no opening failed");
 }
--- a/crates/gateway/storage/tests/writer.rs
+++ b/crates/gateway/storage/tests/writer.rs
@@ -1,4 +1,4 @@
-//! The storage thread: batches that wait share a sync, and a disk that stalls is seen.
+//! Storage thread: pending batches share a sync, and a stalled write shows up in the statistics.
 
 mod common;
 
@@ -13,34 +13,36 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// Nothing here takes longer; what does not come fails by this.
+/// Timeout after which a blocking receive fails the test.
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Holds up the first sync once it is armed.
+/// Blocks the first sync after it is armed until the test releases it.
 #[derive(Debug)]
 struct Stall {
     is_armed: AtomicBool,
-    /// Until something comes here.
+    /// The blocked sync waits for a message on this channel; taken by the first blocked sync.
     release: Mutex<Option<Receiver<()>>>,
-    /// Says that the sync has begun.
-    begun: Mutex<Sender<()>>,
+    /// Notified when the blocked sync starts.
+    started: Mutex<Sender<()>>,
 }
 
 impl Stall {
-    fn hold_up(&self) {
+    fn block_sync(&self) {
         if !self.is_armed.load(Ordering::SeqCst) {
             return;
         }
-        let Some(release) = self.release.lock().expect("one thread").take() else {
+        let Some(release) = self.release.lock().expect("mutex is not poisoned").take() else {
             return;
         };
-        let begun = self.begun.lock().expect("one thread");
-        begun.send(()).expect("the test listens");
-        release.recv_timeout(TIMEOUT).expect("the test goes on");
+        let started = self.started.lock().expect("mutex is not poisoned");
+        started.send(()).expect("test is receiving");
+        release
+            .recv_timeout(TIMEOUT)
+            .expect("test releases the sync");
     }
 }
 
-/// A disk in memory that stalls.
+/// An in-memory backend whose syncs can be blocked.
 #[derive(Debug)]
 struct StallingDisk {
     memory: InMemoryBackend,
@@ -61,7 +63,7 @@
     }
 
     fn sync_data(&self) -> Result<(), std::io::Error> {
-        self.stall.hold_up();
+        self.stall.block_sync();
         self.memory.sync_data()
     }
 
@@ -70,39 +72,39 @@
     }
 }
 
-/// A store whose first sync waits once the stall is armed.
-struct StalledStore {
+/// A store on a stallable disk, with the channels that control the stall.
+struct StallableStore {
     store: Store,
     stall: Arc<Stall>,
-    has_begun: Receiver<()>,
+    sync_started: Receiver<()>,
     release: Sender<()>,
 }
 
-impl StalledStore {
-    fn open() -> StalledStore {
-        let (begun, has_begun) = channel();
+impl StallableStore {
+    fn open() -> StallableStore {
+        let (started, sync_started) = channel();
         let (release, released) = channel();
         let stall = Arc::new(Stall {
             is_armed: AtomicBool::new(false),
             release: Mutex::new(Some(released)),
-            begun: Mutex::new(begun),
+            started: Mutex::new(started),
         });
-        let of_disk = stall.clone();
+        let disk_stall = stall.clone();
         let disk = move || StallingDisk {
             memory: InMemoryBackend::new(),
-            stall: of_disk.clone(),
+            stall: disk_stall.clone(),
         };
-        let (store, _) = Store::open_with_backend(disk).expect("a disk");
-        StalledStore {
+        let (store, _) = Store::open_with_backend(disk).expect("open a store");
+        StallableStore {
             store,
             stall,
-            has_begun,
+            sync_started,
             release,
         }
     }
 }
 
-/// A storage thread at work.
+/// A running storage thread with its input, outcomes and statistics.
 struct StorageThread {
     batches: Sender<WriteBatch>,
     outcomes: Receiver<Vec<WriteOutcome>>,
@@ -112,13 +114,13 @@
 
 impl StorageThread {
     fn start(store: Store) -> StorageThread {
-        let (batches, to_write) = channel();
+        let (batches, batch_receiver) = channel();
         let (report, outcomes) = channel();
         let health = Arc::new(DiskHealth::default());
-        let of_thread = health.clone();
+        let thread_health = health.clone();
         let handle = std::thread::spawn(move || {
-            run_writer(store, &to_write, &of_thread, |outcomes| {
-                report.send(outcomes).expect("the test listens");
+            run_writer(store, &batch_receiver, &thread_health, |outcomes| {
+                report.send(outcomes).expect("test is receiving");
             });
         });
         StorageThread {
@@ -134,42 +136,46 @@
         let operations = vec![WriteOperation::StoreClaim(claim(number))];
         self.batches
             .send(batch(number, operations))
-            .expect("it works");
+            .expect("storage thread is running");
     }
 
     fn next_outcomes(&self) -> Vec<WriteOutcome> {
-        self.outcomes.recv_timeout(TIMEOUT).expect("outcomes")
+        self.outcomes
+            .recv_timeout(TIMEOUT)
+            .expect("outcomes are reported")
     }
 }
 
-/// A disk that stalls: its one write waits, all batches that come meanwhile wait behind it and share the next sync, and
-/// the statistics say for how long it has been so.
+/// While one sync is stalled, later batches queue up and are committed together by the next sync.
 #[test]
-fn a_disk_that_stalls_is_seen_and_batches_that_waited_share_one_sync() {
-    let stalled = StalledStore::open();
+fn stalled_write_is_reported_and_pending_batches_share_one_sync() {
+    let stalled = StallableStore::open();
     stalled.stall.is_armed.store(true, Ordering::SeqCst);
     let thread = StorageThread::start(stalled.store);
 
     thread.send(1);
-    let has_begun = stalled.has_begun.recv_timeout(TIMEOUT);
-    has_begun.expect("the sync has begun");
+    let sync_started = stalled.sync_started.recv_timeout(TIMEOUT);
+    sync_started.expect("sync has started");
     (2..50).for_each(|number| thread.send(number));
     assert!(
         thread.health.statistics().current_write.is_some(),
-        "a write is under way"
+        "a write is in progress"
     );
     assert!(
         thread.outcomes.try_recv().is_err(),
-        "nothing is reported that is not synced"
+        "no outcome is reported before the sync"
     );
 
-    stalled.release.send(()).expect("it waits");
+    stalled.release.send(()).expect("sync is waiting");
     assert_eq!(thread.next_outcomes(), [WriteOutcome::Synced(BatchId(1))]);
     let others: Vec<WriteOutcome> = (2..50).map(BatchId).map(WriteOutcome::Synced).collect();
-    assert_eq!(thread.next_outcomes(), others, "all others in one sync");
+    assert_eq!(thread.next_outcomes(), others, "one sync for all others");
 
     drop(thread.batches);
-    thread.handle.join().expect("it ends with its sender");
+    thread
+        .handle
+        .join()
+        .expect("storage thread exits when the sender is dropped");
     let statistics = thread.health.statistics();
     assert_eq!((statistics.syncs, statistics.refused_syncs), (2, 0));
     assert_eq!(statistics.current_write, None);
