--- a/crates/gateway/config/src/configuration.rs
+++ b/crates/gateway/config/src/configuration.rs
@@ -1,7 +1,7 @@
-//! A configuration of the gateway: read whole, checked whole, looked up by host and longest prefix.
+//! The gateway configuration: parsing, validation, and route lookup by host and longest path prefix.
 //!
-//! A configuration is invalid by PROTOCOL.md's list, or if it can't be carried out at all (a split without a weight, two
-//! routes with one host and prefix). Unknown fields are ignored, so that a later release may add some.
+//! A configuration is invalid by the rules in PROTOCOL.md, and also if a weighted split has no positive weight or two
+//! routes share a host and path prefix. Unknown fields are ignored for compatibility with later releases.
 
 use crate::error::ValidationError;
 use crate::json;
@@ -13,32 +13,32 @@
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// A configuration that is valid.
+/// A validated configuration.
 #[derive(Clone, Debug)]
 pub struct Configuration {
-    /// As its operator numbered it.
+    /// Version number assigned by the operator.
     pub version: ConfigurationVersion,
-    /// In the order of the text.
+    /// Routes in the order of the configuration text.
     pub routes: Vec<Route>,
-    /// By their names, in the order of the text.
+    /// Services by name, in the order of the configuration text.
     pub services: IndexMap<String, Service>,
-    /// Limits of all clients' connections.
+    /// Limits that apply to every client connection.
     pub limits: Limits,
-    /// Indices of the routes of a host, longest prefix first.
+    /// Indices into `routes` by lower-case host, longest path prefix first.
     routes_by_host: BTreeMap<String, Vec<usize>>,
 }
 
 impl Configuration {
-    /// Reads and checks the text of a whole configuration.
+    /// Parses and validates the JSON text of a configuration.
     ///
     /// # Errors
-    /// The first thing that is wrong, with its field.
+    /// The first invalid field.
     pub fn parse(text: &[u8]) -> Result<Configuration, ValidationError> {
         let body = json::parse(text)?;
         let body = json::object(&body, "body")?;
-        let part = |name: &str| json::required(body, name, "body");
-        let table = |name: &str| json::object(part(name)?, name);
-        let version = json::whole_number(part("version")?, "version")?;
+        let member = |name: &str| json::required(body, name, "body");
+        let table = |name: &str| json::object(member(name)?, name);
+        let version = json::whole_number(member("version")?, "version")?;
         let services = read_services(table("services")?)?;
         let routes = read_routes(table("routes")?, &services)?;
         let limits = read_limits(table("limits")?)?;
@@ -51,10 +51,11 @@
         })
     }
 
-    /// The route of a request: by its `Host` header, with or without a port, and the longest prefix of its path.
+    /// Finds the route of a request: the one with the longest matching path prefix among the routes of `host`. `host` is
+    /// the value of the `Host` header, compared case-insensitively and without its port.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = without_port(host);
-        // Most clients write it in lower case, which saves a copy.
+        // Most clients send the host in lower case, so the exact lookup usually avoids an allocation.
         let indices = match self.routes_by_host.get(host) {
             Some(indices) => indices,
             None => self.routes_by_host.get(&host.to_ascii_lowercase())?,
@@ -77,10 +78,10 @@
     let mut by_host: BTreeMap<String, Vec<usize>> = BTreeMap::new();
     for (index, route) in routes.iter().enumerate() {
         let indices = by_host.entry(route.host.clone()).or_default();
-        let is_taken = |known: &usize| routes[*known].path_prefix == route.path_prefix;
-        if indices.iter().any(is_taken) {
+        let is_duplicate = |other: &usize| routes[*other].path_prefix == route.path_prefix;
+        if indices.iter().any(is_duplicate) {
             let field = format!("routes.rows[{index}].path_prefix");
-            let reason = format!("{} {} stands twice", route.host, route.path_prefix);
+            let reason = format!("{} {} is duplicated", route.host, route.path_prefix);
             return Err(ValidationError::at(&field, reason));
         }
         indices.push(index);
--- a/crates/gateway/config/src/error.rs
+++ b/crates/gateway/config/src/error.rs
@@ -1,18 +1,18 @@
-//! Validation errors: what is wrong with a body that a person or a program wrote, and where.
+//! Validation errors of JSON bodies.
 
 use std::fmt;
 
-/// Why a configuration, or another body, is refused.
+/// Error in a JSON body, such as an uploaded configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValidationError {
-    /// Where, as a path: `routes.rows[1].service`.
+    /// Path of the invalid field, such as `routes.rows[1].service`, or `body` for the whole body.
     pub field: String,
-    /// What is wrong there. Follows the field in messages.
+    /// Description of the error, written to follow the field name in a message: `must be an object`.
     pub reason: String,
 }
 
 impl ValidationError {
-    /// An error at a field.
+    /// Creates an error for the field at this path.
     pub fn at(field: &str, reason: impl Into<String>) -> ValidationError {
         ValidationError {
             field: field.to_string(),
--- a/crates/gateway/config/src/json.rs
+++ b/crates/gateway/config/src/json.rs
@@ -1,54 +1,54 @@
-//! Values of a JSON body, checked; each error names its field.
+//! Typed access to the values of a JSON body. Every function takes the path of its value as `field` for error messages.
 
 use crate::error::ValidationError;
 use facet_value::{VArray, VObject, Value};
 
-/// The whole body.
+/// Parses a JSON body.
 ///
 /// # Errors
-/// Bytes that are no UTF-8, or no JSON.
+/// The body is not valid UTF-8 or not valid JSON.
 pub fn parse(body: &[u8]) -> Result<Value, ValidationError> {
     let text = std::str::from_utf8(body)
-        .map_err(|error| ValidationError::at("body", format!("is no text: {error}")))?;
+        .map_err(|error| ValidationError::at("body", format!("is not valid UTF-8: {error}")))?;
     facet_json::from_str(text)
-        .map_err(|error| ValidationError::at("body", format!("can't be read: {error}")))
+        .map_err(|error| ValidationError::at("body", format!("is not valid JSON: {error}")))
 }
 
-/// The object that a value must be.
+/// Returns the value as an object.
 ///
 /// # Errors
-/// It is none.
+/// The value is not an object.
 pub fn object<'a>(value: &'a Value, field: &str) -> Result<&'a VObject, ValidationError> {
     value
         .as_object()
         .ok_or_else(|| ValidationError::at(field, "must be an object"))
 }
 
-/// The list that a value must be.
+/// Returns the value as an array.
 ///
 /// # Errors
-/// It is none.
+/// The value is not an array.
 pub(crate) fn list<'a>(value: &'a Value, field: &str) -> Result<&'a VArray, ValidationError> {
     value
         .as_array()
         .ok_or_else(|| ValidationError::at(field, "must be a list"))
 }
 
-/// The text that a value must be.
+/// Returns the value as a string.
 ///
 /// # Errors
-/// It is none.
+/// The value is not a string.
 pub fn text<'a>(value: &'a Value, field: &str) -> Result<&'a str, ValidationError> {
     value
         .as_string()
         .map(|text| text.as_str())
-        .ok_or_else(|| ValidationError::at(field, "must be a word"))
+        .ok_or_else(|| ValidationError::at(field, "must be a string"))
 }
 
-/// A member of an object that must be there.
+/// Returns a required member of an object. `field` is the path of the object.
 ///
 /// # Errors
-/// It is missing.
+/// The object has no member of this name.
 pub fn required<'a>(
     object: &'a VObject,
     name: &str,
@@ -59,10 +59,10 @@
         .ok_or_else(|| ValidationError::at(field, format!("{name} is missing")))
 }
 
-/// A whole number from 0 on, also one that is written with a fraction of 0.
+/// Returns the value as a non-negative integer. A number with a zero fraction, such as `7.0`, is accepted.
 ///
 /// # Errors
-/// No number, or no whole one, or one below 0.
+/// The value is not a number, not an integer, or negative.
 pub fn whole_number(value: &Value, field: &str) -> Result<u64, ValidationError> {
     let number = value
         .as_number()
@@ -74,13 +74,13 @@
     number
         .to_u64()
         .or_else(without_fraction)
-        .ok_or_else(|| ValidationError::at(field, "must be a whole number from 0 on"))
+        .ok_or_else(|| ValidationError::at(field, "must be a whole number, 0 or greater"))
 }
 
-/// A finite number.
+/// Returns the value as a finite number.
 ///
 /// # Errors
-/// No number.
+/// The value is not a number, or not finite.
 pub fn number(value: &Value, field: &str) -> Result<f64, ValidationError> {
     value
         .as_number()
--- a/crates/gateway/config/src/lib.rs
+++ b/crates/gateway/config/src/lib.rs
@@ -1,9 +1,9 @@
-//! The files that people write: a machine's settings, and the configuration of the gateway that operators upload.
+//! Node settings files, and the gateway configuration that operators upload.
 //!
-//! * [`settings`]: the settings of a process; [`settings_file`]: their lines.
-//! * [`configuration`]: a configuration and its look-ups, made of [`route`], [`service`] and [`limits`].
-//! * [`json`]: values of a JSON body; `table`: tables of columns and rows; [`error`]: what is wrong, and where.
-//! * `seconds`: spans that people write as seconds.
+//! * [`settings`]: the settings of a node; [`settings_file`]: the `key=value` file format.
+//! * [`configuration`]: the gateway configuration with route lookup; [`route`], [`service`] and [`limits`]: its parts.
+//! * [`json`]: typed access to JSON values; `table`: tables of columns and rows; [`error`]: validation errors.
+//! * `seconds`: conversion of seconds to durations.
 
 pub mod configuration;
 pub mod error;
--- a/crates/gateway/config/src/limits.rs
+++ b/crates/gateway/config/src/limits.rs
@@ -1,25 +1,25 @@
-//! What a client may send, and how long it may take.
+//! Size and time limits of client connections.
 
 use crate::error::ValidationError;
 use crate::json;
-use crate::seconds::duration_of;
+use crate::seconds::duration_from_seconds;
 use facet_value::VObject;
 use std::time::Duration;
 
-/// Limits of a client's connection.
+/// Size and time limits of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request's head at most.
+    /// Maximum size of a request's head in bytes.
     pub max_header_bytes: u64,
-    /// Bytes of a request's body at most.
+    /// Maximum size of a request's body in bytes.
     pub max_body_bytes: u64,
-    /// How long a client may take to send a request.
+    /// Time a client has to send a request; greater than 0.
     pub header_timeout: Duration,
-    /// How long a connection may stand without a request.
+    /// Time after which a connection without a request is closed; greater than 0.
     pub idle_timeout: Duration,
 }
 
-/// Reads the object of limits. What it does not name has its default.
+/// Parses the `limits` object. Missing and null members get their defaults.
 pub(crate) fn read_limits(object: &VObject) -> Result<Limits, ValidationError> {
     let number = |name: &str, default: f64| read_number(object, name, default);
     let max_header_bytes = number("header_size_bytes", 16_384.0)? as u64;
@@ -43,8 +43,8 @@
 
 fn timeout(name: &str, seconds: f64) -> Result<Duration, ValidationError> {
     if seconds <= 0.0 {
-        let reason = format!("{seconds} is not over 0");
+        let reason = format!("{seconds} is not greater than 0");
         return Err(ValidationError::at(&format!("limits.{name}"), reason));
     }
-    Ok(duration_of(seconds))
+    Ok(duration_from_seconds(seconds))
 }
--- a/crates/gateway/config/src/route.rs
+++ b/crates/gateway/config/src/route.rs
@@ -1,8 +1,8 @@
-//! The routes of a configuration.
+//! Routes of the gateway configuration: parsing, and selection of a service by weight.
 
 use crate::error::ValidationError;
 use crate::json;
-use crate::seconds::duration_of;
+use crate::seconds::duration_from_seconds;
 use crate::service::Service;
 use crate::table::{Row, Table};
 use facet_value::{VObject, Value};
@@ -10,82 +10,82 @@
 use rushcourse_types::hash::hash64;
 use std::time::Duration;
 
-/// s; a route may hold a request no longer (PROTOCOL.md: over ten minutes is invalid).
+/// Highest valid `timeout_s`, in seconds (PROTOCOL.md).
 const MAX_TIMEOUT_S: f64 = 600.0;
 
-/// s by which a route's target latency may lie over its time-out (PROTOCOL.md: a minute or more is invalid).
+/// `target_latency_s` must exceed `timeout_s` by less than this many seconds (PROTOCOL.md).
 const MAX_TARGET_OVER_TIMEOUT_S: f64 = 60.0;
 
-/// Lower priorities than this count as this one.
+/// Largest priority number, which is the lowest priority. Larger numbers are clamped to it.
 const MAX_PRIORITY: u64 = 1000;
 
-/// Hosts that one attempt of a client may go to at most.
+/// Upper limit of `maximum_attempts`. Larger numbers are clamped to it.
 const MAX_ATTEMPTS: u64 = 100;
 
-/// Seed of the hash that chooses a service by its weight. Gateways must agree, so it never changes.
+/// Seed of the hash that selects a service by weight. All gateways must select the same service, so it never changes.
 const SPLIT_SEED: u64 = 7;
 
-/// What may be repeated on a route.
+/// Whether a request on a route may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// A request may run more than once.
+    /// Requests may be executed repeatedly, so they can be retried on another host.
     ReadOnly,
-    /// Each attempt of a client runs at most once.
+    /// Each request that a client sends is executed at most once.
     Mutating,
-    /// All attempts with one `Operation-Key` run once.
+    /// All requests with the same `Operation-Key` are executed once altogether.
     Idempotent,
 }
 
-/// A service of a route, and its share of the requests.
+/// A service of a route with its share of the requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// The service's name.
+    /// Name of a service in the configuration.
     pub service: String,
-    /// Its share among the route's services, from 0 on.
+    /// Relative weight among the services of the route, 0 or greater. A service with weight 0 gets no requests.
     pub weight: f64,
 }
 
-/// Which requests are sent to which services, and how.
+/// Maps requests by host and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// For people to read; may be empty.
+    /// Display name; may be empty.
     pub name: String,
-    /// The `Host` header that it matches, in lower case and without a port.
+    /// Matching `Host` header, in lower case and without a port.
     pub host: String,
-    /// Begins with a slash.
+    /// Prefix of matching request paths; starts with a slash.
     pub path_prefix: String,
-    /// Whether requests may be repeated.
+    /// Whether a request may be executed more than once.
     pub kind: RouteKind,
-    /// How long a request may be held: over 0, up to ten minutes.
+    /// Maximum time a request may take: greater than 0, at most ten minutes. `None` if the route sets no timeout.
     pub timeout: Option<Duration>,
-    /// The time within which an answer earns its full worth.
+    /// Response time that the route aims at. `None` if the route sets no target.
     pub target_latency: Option<Duration>,
-    /// 0 is the highest rank.
+    /// Priority of the requests, from 0 (highest) to 1000 (lowest); default 0.
     pub priority: u32,
-    /// Hosts that one attempt of a client may go to, from 1 on.
+    /// Maximum number of hosts tried for one client request, from 1 to 100; default 1.
     pub max_attempts: u32,
-    /// At least one with a weight over 0.
+    /// Target services; at least one has a positive weight.
     pub services: Vec<WeightedService>,
 }
 
 impl Route {
-    /// The service of a request, by the weights and a hash of what all attempts of it have in common: the same at every
-    /// gateway.
-    pub fn choose_service(&self, request: &[u8]) -> &str {
+    /// Selects a service by weight, from a hash of `request_key`: all gateways select the same service for all attempts
+    /// of a request. Returns an empty name if no service has a positive weight.
+    pub fn choose_service(&self, request_key: &[u8]) -> &str {
         let total: f64 = self.services.iter().map(|part| part.weight).sum();
-        let mut position = hash64(request, SPLIT_SEED) as f64 / u64::MAX as f64 * total;
+        let mut remaining = hash64(request_key, SPLIT_SEED) as f64 / u64::MAX as f64 * total;
         for part in &self.services {
-            position -= part.weight;
-            if position < 0.0 && part.weight > 0.0 {
+            remaining -= part.weight;
+            if remaining < 0.0 && part.weight > 0.0 {
                 return &part.service;
             }
         }
-        // Rounding may leave the highest hashes at the very end of the scale.
+        // For the highest hashes, rounding may leave `remaining` at 0 or above after the last service.
         let last = self.services.iter().rev().find(|part| part.weight > 0.0);
         last.map_or("", |part| &part.service)
     }
 
-    /// Whether requests of this route may go to a service.
+    /// Returns whether the route has this service with a positive weight.
     pub fn sends_to(&self, service: &str) -> bool {
         self.services
             .iter()
@@ -93,7 +93,7 @@
     }
 }
 
-/// Reads the table of routes. They may name these services.
+/// Parses the table of routes. Every service that a route names must be in `services`.
 pub(crate) fn read_routes(
     table: &VObject,
     services: &IndexMap<String, Service>,
@@ -119,8 +119,8 @@
         host,
         path_prefix,
         kind,
-        timeout: timeout_s.map(duration_of),
-        target_latency: target_latency_s.map(duration_of),
+        timeout: timeout_s.map(duration_from_seconds),
+        target_latency: target_latency_s.map(duration_from_seconds),
         priority: priority.min(MAX_PRIORITY) as u32,
         max_attempts: max_attempts.clamp(1, MAX_ATTEMPTS) as u32,
         services: read_weighted_services(row, services)?,
@@ -150,28 +150,28 @@
         "mutating" => Ok(RouteKind::Mutating),
         "idempotent" => Ok(RouteKind::Idempotent),
         other => {
-            let reason = format!("{other:?} is none of read_only, mutating, idempotent");
+            let reason = format!("{other:?} is not one of read_only, mutating, idempotent");
             Err(row.error("route_kind", reason))
         }
     }
 }
 
-/// In seconds.
+/// Reads `timeout_s` in seconds; `None` if the cell is missing.
 fn read_timeout(row: &Row<'_>) -> Result<Option<f64>, ValidationError> {
     let timeout = row.optional_number("timeout_s")?;
     match timeout {
         Some(seconds) if seconds > MAX_TIMEOUT_S => {
-            let reason = format!("{seconds} is over {MAX_TIMEOUT_S}");
+            let reason = format!("{seconds} is greater than {MAX_TIMEOUT_S}");
             Err(row.error("timeout_s", reason))
         }
         Some(seconds) if seconds <= 0.0 => {
-            Err(row.error("timeout_s", format!("{seconds} is not over 0")))
+            Err(row.error("timeout_s", format!("{seconds} is not greater than 0")))
         }
         _ => Ok(timeout),
     }
 }
 
-/// In seconds.
+/// Reads `target_latency_s` in seconds and checks it against the timeout; `None` if the cell is missing.
 fn read_target_latency(
     row: &Row<'_>,
     timeout: Option<f64>,
@@ -179,21 +179,21 @@
     let target = row.optional_number("target_latency_s")?;
     match target.zip(timeout) {
         Some((target, timeout)) if target >= timeout + MAX_TARGET_OVER_TIMEOUT_S => {
-            let reason = format!("{target} lies a minute or more over timeout_s {timeout}");
+            let reason = format!("{target} exceeds timeout_s {timeout} by a minute or more");
             Err(row.error("target_latency_s", reason))
         }
         _ => Ok(target),
     }
 }
 
-/// The services of `weighted_split`; where there is none, `service` with weight 1.
+/// Reads `weighted_split`, or `service` with weight 1 if there is no split.
 fn read_weighted_services(
     row: &Row<'_>,
     services: &IndexMap<String, Service>,
 ) -> Result<Vec<WeightedService>, ValidationError> {
     let Some(split) = row.cell("weighted_split") else {
         let service = row.text("service")?;
-        check_is_known(&service, services, &row.field("service"))?;
+        check_service_exists(&service, services, &row.field("service"))?;
         return Ok(vec![WeightedService {
             service,
             weight: 1.0,
@@ -207,7 +207,7 @@
     }
     let total: f64 = parts.iter().map(|part| part.weight).sum();
     if total <= 0.0 {
-        return Err(ValidationError::at(&field, "has no weight over 0"));
+        return Err(ValidationError::at(&field, "has no weight greater than 0"));
     }
     Ok(parts)
 }
@@ -220,11 +220,11 @@
     let part = json::object(part, field)?;
     let service_field = format!("{field}.service");
     let service = json::text(json::required(part, "service", field)?, &service_field)?;
-    check_is_known(service, services, &service_field)?;
+    check_service_exists(service, services, &service_field)?;
     let weight_field = format!("{field}.weight");
     let weight = json::number(json::required(part, "weight", field)?, &weight_field)?;
     if weight < 0.0 {
-        let reason = format!("{weight} is under 0");
+        let reason = format!("{weight} is negative");
         return Err(ValidationError::at(&weight_field, reason));
     }
     Ok(WeightedService {
@@ -233,7 +233,7 @@
     })
 }
 
-fn check_is_known(
+fn check_service_exists(
     service: &str,
     services: &IndexMap<String, Service>,
     field: &str,
--- a/crates/gateway/config/src/seconds.rs
+++ b/crates/gateway/config/src/seconds.rs
@@ -1,13 +1,13 @@
-//! Spans that people write as seconds with fractions.
+//! Conversion of seconds with fractions, as written in settings and configurations, to durations.
 
 use std::time::Duration;
 
-/// The span of so many seconds: 0 for what is below 0, the most that there is for what is beyond it.
+/// Converts seconds to a duration. Negative values become zero and values out of range saturate.
 ///
-/// It is cut off, not rounded, and the product with 1,000 comes first: its whole milliseconds are `(seconds * 1000.0) as
-/// u64`, by which all time-outs have been counted since the first version.
-pub(crate) fn duration_of(seconds: f64) -> Duration {
+/// The fraction is truncated, not rounded: the whole milliseconds of the result are `(seconds * 1000.0) as u64`, which
+/// existing configurations depend on.
+pub(crate) fn duration_from_seconds(seconds: f64) -> Duration {
     let millis = seconds * 1000.0;
-    let below_a_milli = (millis.fract() * 1e6) as u64;
-    Duration::from_millis(millis as u64).saturating_add(Duration::from_nanos(below_a_milli))
+    let nanos_below_milli = (millis.fract() * 1e6) as u64;
+    Duration::from_millis(millis as u64).saturating_add(Duration::from_nanos(nanos_below_milli))
 }
--- a/crates/gateway/config/src/service.rs
+++ b/crates/gateway/config/src/service.rs
@@ -1,33 +1,33 @@
-//! The services of a configuration.
+//! Services of the gateway configuration.
 
 use crate::error::ValidationError;
 use crate::table::{Row, Table};
 use facet_value::VObject;
 use indexmap::IndexMap;
 
-/// The path at which a host's health is checked, where the configuration names none.
+/// Health check path of services that configure none.
 const DEFAULT_HEALTH_CHECK_PATH: &str = "/health";
 
-/// Connections that a host takes, where the configuration names no number.
+/// Connections per host for services that configure none.
 const DEFAULT_CONNECTION_CAPACITY: u64 = 100;
 
-/// Connections that a host is taken to take at most.
+/// Upper limit of `connection_capacity`. Larger numbers are clamped to it.
 const MAX_CONNECTION_CAPACITY: u64 = 1_000_000;
 
-/// A service that routes may send requests to.
+/// A service that routes can send requests to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Its name, not empty.
+    /// Unique name within the configuration; never empty.
     pub name: String,
-    /// The path at which a host's health is checked.
+    /// Request path of the hosts' health checks; default `/health`.
     pub health_check_path: String,
-    /// Connections that a host takes from all callers together.
+    /// Maximum number of connections to one host from all gateways together; default 100.
     pub connection_capacity: u32,
-    /// Whether its hosts keep a record of operation keys of their own.
+    /// Whether the hosts of the service deduplicate requests by operation key themselves; default false.
     pub deduplicates: bool,
 }
 
-/// Reads the table of services, by their names in the order of rows.
+/// Parses the table of services into a map by name, in the order of the rows.
 pub(crate) fn read_services(table: &VObject) -> Result<IndexMap<String, Service>, ValidationError> {
     let table = Table::read(table, "services")?;
     let mut services = IndexMap::new();
@@ -35,7 +35,7 @@
         let service = read_service(&row)?;
         let name = service.name.clone();
         if services.insert(name.clone(), service).is_some() {
-            return Err(row.error("name", format!("{name} stands twice")));
+            return Err(row.error("name", format!("{name} is duplicated")));
         }
     }
     Ok(services)
--- a/crates/gateway/config/src/settings.rs
+++ b/crates/gateway/config/src/settings.rs
@@ -1,136 +1,136 @@
-//! The settings of a process, from its machine's settings file. Unknown fields are ignored.
+//! Settings of a node, parsed from its settings file. Unknown fields are ignored.
 
-use crate::seconds::duration_of;
+use crate::seconds::duration_from_seconds;
 use crate::settings_file::{SettingsError, SettingsFile};
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
 
-/// What a certificate must name, beside its machine, for a node to act as a controller.
+/// DNS name that the certificate of a controller must contain, in addition to the IP address of its machine.
 pub const CONTROLLER_DNS_NAME: &str = "controller";
 
-/// The same name in certificates made by versions before 0.2; still accepted.
+/// DNS name that certificates created before version 0.2 contain instead; still accepted.
 pub const LEGACY_CONTROLLER_DNS_NAME: &str = "exchange";
 
-/// s; shorter heartbeat intervals count as this.
+/// Lower limit of the heartbeat interval, in seconds. Shorter intervals are raised to it.
 const MIN_HEARTBEAT_INTERVAL_S: f64 = 0.05;
 
-/// The settings that a process reads at its start.
+/// Settings of a controller or gateway process, read at startup.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeSettings {
-    /// Which machine it runs on.
+    /// Name, address and zone of the machine.
     pub node: NodeIdentity,
-    /// All zones, in the order of their names.
+    /// Names of all zones, sorted; always contains the machine's own zone.
     pub zones: Vec<String>,
-    /// Where it listens for clients, hosts and operators.
+    /// Listening addresses for clients, hosts and operators.
     pub listen_addresses: ListenAddresses,
-    /// How it communicates with other nodes.
+    /// Connections to other nodes.
     pub peers: PeerSettings,
-    /// Whether the whole system starts for the first time.
+    /// Whether a new cluster is being bootstrapped (`first_start`); default false.
     pub is_first_start: bool,
-    /// The folder of a controller's state.
+    /// Directory of a controller's state file. Gateways don't need it.
     pub data_directory: Option<String>,
-    /// What the process may use.
+    /// Resource limits of the process.
     pub limits: ProcessLimits,
-    /// How often a host sends a heartbeat.
+    /// Interval at which hosts send heartbeats; at least 50 ms, default 1.5 s.
     pub heartbeat_interval: Duration,
-    /// Machines that count, zones or regions that may be lost at once, whichever are more.
+    /// Number of simultaneous losses to tolerate: the highest of the `fault_tolerance.*` fields, default 0.
     pub tolerated_losses: usize,
-    /// Figures of the users' rules.
+    /// Service-level bounds, the `bounds.*` fields.
     pub bounds: Bounds,
-    /// `off`, `error`, `warn`, `info`, `debug` or `trace`.
+    /// Log level: `off`, `error`, `warn`, `info`, `debug` or `trace`; default `info`.
     pub log_level: String,
 }
 
-/// The machine that a process runs on.
+/// Identity of the machine that a process runs on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeIdentity {
-    /// The machine's name.
+    /// Name of the machine in logs and on status pages (`node_name`).
     pub name: String,
-    /// Where the machine's own addresses are.
+    /// IPv4 address of the machine, at which other nodes connect.
     pub ip_address: Ipv4Addr,
-    /// The machine's zone.
+    /// Name of the availability zone of the machine.
     pub zone: String,
 }
 
-/// Where a process listens. Which addresses are set depends on what the machine serves.
+/// Listening addresses of a process. A missing address disables its listener.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// For clients' requests.
+    /// Address for client requests; set on gateways.
     pub front_http: Option<SocketAddrV4>,
-    /// For readiness checks.
+    /// Address for readiness checks.
     pub readiness: Option<SocketAddrV4>,
-    /// For hosts and operators.
+    /// Address for hosts and operators; set on controllers.
     pub control_plane: Option<SocketAddrV4>,
 }
 
-/// How nodes communicate with each other.
+/// Settings of the connections between nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerSettings {
-    /// Ports of each machine that are free for traffic between nodes.
+    /// Ports available on every machine for traffic between nodes.
     pub ports: PortRange,
-    /// `control_plane` addresses of some machines.
+    /// `control_plane` addresses of the controllers to contact first.
     pub seeds: Vec<SocketAddrV4>,
-    /// With these, sessions between nodes go by TLS; without, the addresses of machines count.
+    /// Certificate and key files for TLS between nodes. Without them, peers are identified by their IP addresses.
     pub keys: Option<PeerKeyFiles>,
 }
 
-/// Ports from the first to the last one.
+/// An inclusive range of ports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PortRange {
-    /// The lowest port.
+    /// Lowest port of the range.
     pub first: u16,
-    /// The highest port; not below the first one.
+    /// Highest port of the range; not below `first`.
     pub last: u16,
 }
 
-/// Files in PEM form (`peers.certificate`, `peers.key`, `peers.authority`).
+/// Paths of the PEM files for TLS between nodes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerKeyFiles {
-    /// The certificate that this machine presents.
+    /// Path of the certificate that this node presents (`peers.certificate`).
     pub certificate: String,
-    /// The key of that certificate.
+    /// Path of the private key of that certificate (`peers.key`).
     pub key: String,
-    /// The authority that must have signed the certificates of other nodes.
+    /// Path of the CA certificate that must have signed the certificates of other nodes (`peers.authority`).
     pub authority: String,
 }
 
-/// What a process may use.
+/// Resource limits of a process.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// Megabytes of memory.
+    /// Memory limit in megabytes; default 256.
     pub memory_mb: f64,
-    /// Descriptors that it may have open.
+    /// Maximum number of open file descriptors; default 1024.
     pub file_descriptors: usize,
-    /// Share of a core.
+    /// CPU limit in cores; default 1.
     pub cpu_share: f64,
 }
 
-/// Figures by the names of RULES.md.
+/// Service-level bounds, named and defined in RULES.md.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// How long after its acknowledgement a host that drains may get requests.
+    /// Time after acknowledging its drain during which a host may still get requests; default 2.5 s.
     pub drain: Duration,
-    /// How long a process that is asked to end may take.
+    /// Time a process has to shut down gracefully; default 6 s.
     pub grace_period: Duration,
-    /// Within which a configuration must be in force everywhere.
+    /// Time within which a committed configuration must be applied on all gateways; default 2.5 s.
     pub configuration_apply: Duration,
-    /// Retries for each request of the window.
+    /// Retries allowed per request in the budget window; default 0.2.
     pub retry_budget_ratio: f64,
-    /// The window of the retry budget.
+    /// Length of the sliding window of the retry budget; default 10 s.
     pub budget_window: Duration,
-    /// Retries of the window beyond the ratio.
+    /// Retries allowed per budget window in addition to the ratio; default 10.
     pub retry_budget_slack: f64,
-    /// How long an operation key is remembered.
+    /// Time for which an operation key is deduplicated; default 60 s.
     pub key_window: Duration,
-    /// How soon after a machine has returned, or is new, the next loss has to be tolerated.
+    /// Time after a machine joins or returns until the next loss must be tolerated; default 4 s.
     pub catch_up: Duration,
 }
 
 impl NodeSettings {
-    /// Reads a whole settings file. What it does not name has the default of DEPLOY.md's example.
+    /// Parses a settings file. Missing optional fields get the defaults documented in DEPLOY.md.
     ///
     /// # Errors
-    /// The first line or field that can't be used.
+    /// The first malformed line, or an invalid or missing field.
     pub fn parse(text: &str) -> Result<NodeSettings, SettingsError> {
         let file = SettingsFile::read(text)?;
         let ports = read_ports(&file)?;
@@ -159,7 +159,9 @@
             is_first_start: is_first_start.unwrap_or(false),
             data_directory,
             limits,
-            heartbeat_interval: duration_of(heartbeat_interval_s.max(MIN_HEARTBEAT_INTERVAL_S)),
+            heartbeat_interval: duration_from_seconds(
+                heartbeat_interval_s.max(MIN_HEARTBEAT_INTERVAL_S),
+            ),
             tolerated_losses,
             bounds,
             log_level: log_level.unwrap_or_else(|| "info".into()),
@@ -167,7 +169,7 @@
     }
 }
 
-/// What an address has to be, for errors.
+/// Description of a socket address for error messages.
 const SOCKET_ADDRESS: &str = "an address of the form 10.1.0.34:8544";
 
 fn read_ports(file: &SettingsFile<'_>) -> Result<PortRange, SettingsError> {
@@ -183,9 +185,9 @@
     Ok(PortRange { first, last })
 }
 
-/// The zones that the file names, the machine's own in any case.
+/// Returns the sorted zone names of the `zones.*` fields, adding the machine's own zone if it is missing.
 fn read_zones(file: &SettingsFile<'_>, own: &str) -> Vec<String> {
-    let mut zones: Vec<String> = file.names_below("zones.").map(String::from).collect();
+    let mut zones: Vec<String> = file.names_with_prefix("zones.").map(String::from).collect();
     if !zones.iter().any(|zone| zone == own) {
         zones.push(own.to_string());
         zones.sort();
@@ -194,7 +196,7 @@
 }
 
 fn read_bounds(file: &SettingsFile<'_>) -> Result<Bounds, SettingsError> {
-    let span = |name: &str, default: f64| file.number(name, default).map(duration_of);
+    let span = |name: &str, default: f64| file.number(name, default).map(duration_from_seconds);
     Ok(Bounds {
         drain: span("bounds.drain_s", 2.5)?,
         grace_period: span("bounds.grace_period_s", 6.0)?,
@@ -224,7 +226,7 @@
     })
 }
 
-/// Machines, zones or regions that may be lost at once, whichever are more.
+/// Returns the highest of the `fault_tolerance.*` fields.
 fn read_tolerated_losses(file: &SettingsFile<'_>) -> Result<usize, SettingsError> {
     let machines = file.number("fault_tolerance.machines", 0.0)?;
     let zones = file.number("fault_tolerance.zones", 0.0)?;
@@ -232,13 +234,13 @@
     Ok(machines.max(zones).max(regions) as usize)
 }
 
-/// All three files or none: half of them would be taken for safety that is not there.
+/// Reads the `peers.*` fields, which must be set all or not at all: a partial TLS setup is an error, not plain text.
 fn read_peer_keys(file: &SettingsFile<'_>) -> Result<Option<PeerKeyFiles>, SettingsError> {
     let names = ["peers.certificate", "peers.key", "peers.authority"];
     if names.iter().all(|name| file.is_empty(name)) {
         return Ok(None);
     }
-    let path = |name: &str| file.required(name, "a file, as the other two of peers.");
+    let path = |name: &str| file.required(name, "a file, required if any peers.* file is set");
     let [certificate, key, authority] = names.map(path);
     Ok(Some(PeerKeyFiles {
         certificate: certificate?,
--- a/crates/gateway/config/src/settings_file.rs
+++ b/crates/gateway/config/src/settings_file.rs
@@ -1,21 +1,21 @@
-//! Lines of a settings file: `a.b=value`. Empty lines and lines that begin with `#` are skipped; of two lines with one
-//! name the later one counts.
+//! The settings file format: lines of the form `a.b=value`. Empty lines and lines starting with `#` are skipped. If a
+//! field is repeated, the last line wins.
 
 use std::collections::BTreeMap;
 use std::fmt;
 use std::str::FromStr;
 
-/// Letters of a line that can't be read, as the error quotes them.
-const MAX_QUOTED_LETTERS: usize = 60;
+/// Maximum number of characters of a malformed line that an error quotes.
+const MAX_QUOTED_CHARS: usize = 60;
 
-/// What is wrong with a settings file, and where.
+/// Error in a settings file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// From 1 on; `None`: the field is not there at all.
+    /// Line number, starting at 1; `None` if the field is missing.
     pub line: Option<usize>,
-    /// The field's name, or the beginning of a line that has none.
+    /// Name of the field, or the beginning of a line without `=`.
     pub field: String,
-    /// What is wrong. Follows the field in messages.
+    /// Description of the error, written to follow the field name in a message: `is missing`.
     pub reason: String,
 }
 
@@ -30,23 +30,23 @@
 
 impl std::error::Error for SettingsError {}
 
-/// The value of a field, and its line in the file.
+/// A field's trimmed value and its line number.
 #[derive(Clone, Copy)]
 struct Field<'a> {
     line: usize,
     value: &'a str,
 }
 
-/// All fields of a settings file.
+/// The fields of a settings file by name, not yet typed.
 pub(crate) struct SettingsFile<'a> {
     fields: BTreeMap<&'a str, Field<'a>>,
 }
 
 impl<'a> SettingsFile<'a> {
-    /// Splits a text into its fields.
+    /// Splits the text of a settings file into fields.
     ///
     /// # Errors
-    /// A line without `=`.
+    /// A line that is neither empty nor a comment has no `=`.
     pub(crate) fn read(text: &'a str) -> Result<SettingsFile<'a>, SettingsError> {
         let mut fields = BTreeMap::new();
         for (index, text) in text.lines().enumerate() {
@@ -57,7 +57,7 @@
             let Some((name, value)) = text.split_once('=') else {
                 return Err(SettingsError {
                     line: Some(line),
-                    field: text.chars().take(MAX_QUOTED_LETTERS).collect(),
+                    field: text.chars().take(MAX_QUOTED_CHARS).collect(),
                     reason: "is not of the form a.b=value".into(),
                 });
             };
@@ -67,21 +67,21 @@
         Ok(SettingsFile { fields })
     }
 
-    /// What follows a prefix in the names of fields, in their order.
-    pub(crate) fn names_below(&self, prefix: &str) -> impl Iterator<Item = &'a str> {
+    /// Returns the names of all fields with this prefix, without the prefix and in ascending order.
+    pub(crate) fn names_with_prefix(&self, prefix: &str) -> impl Iterator<Item = &'a str> {
         self.fields
             .keys()
             .filter_map(move |name| name.strip_prefix(prefix))
     }
 
-    /// Whether a field is missing or empty.
+    /// Returns whether a field is missing or has an empty value.
     pub(crate) fn is_empty(&self, name: &str) -> bool {
         self.fields
             .get(name)
             .is_none_or(|field| field.value.is_empty())
     }
 
-    /// An error at a field.
+    /// Creates an error for a field, with its line number if the file contains it.
     pub(crate) fn error(&self, name: &str, reason: String) -> SettingsError {
         SettingsError {
             line: self.fields.get(name).map(|field| field.line),
@@ -90,10 +90,10 @@
         }
     }
 
-    /// A value; `None` if the field is missing or empty. `expected` says what it has to be, for the error.
+    /// Parses a field; `None` if it is missing or empty. `expected` describes a valid value in the error message.
     ///
     /// # Errors
-    /// A value that is something else.
+    /// The value can't be parsed as `T`.
     pub(crate) fn optional<T: FromStr>(
         &self,
         name: &str,
@@ -108,10 +108,10 @@
         }
     }
 
-    /// A value that must be there.
+    /// Parses a required field. `expected` describes a valid value in the error message.
     ///
     /// # Errors
-    /// It is missing, or is something else.
+    /// The field is missing or empty, or its value can't be parsed as `T`.
     pub(crate) fn required<T: FromStr>(
         &self,
         name: &str,
@@ -120,15 +120,16 @@
         let missing = || SettingsError {
             line: None,
             field: name.into(),
-            reason: format!("is missing; it is {expected}"),
+            reason: format!("is missing; expected {expected}"),
         };
         self.optional(name, expected)?.ok_or_else(missing)
     }
 
-    /// Values with commas between them; none if the field is missing.
+    /// Parses a comma-separated list; empty if the field is missing. `expected` describes a valid item in the error
+    /// message.
     ///
     /// # Errors
-    /// A value that is something else.
+    /// An item can't be parsed as `T`.
     pub(crate) fn list<T: FromStr>(
         &self,
         name: &str,
@@ -147,15 +148,15 @@
             .collect()
     }
 
-    /// A finite number from 0 on, or its default.
+    /// Parses a non-negative finite number, or returns the default if the field is missing or empty.
     ///
     /// # Errors
-    /// No number, or one below 0.
+    /// The value is not a number, not finite, or negative.
     pub(crate) fn number(&self, name: &str, default: f64) -> Result<f64, SettingsError> {
         match self.optional::<f64>(name, "a number")? {
             None => Ok(default),
             Some(value) if value.is_finite() && value >= 0.0 => Ok(value),
-            Some(value) => Err(self.error(name, format!("{value} is under 0"))),
+            Some(value) => Err(self.error(name, format!("{value} is negative or not finite"))),
         }
     }
 }
--- a/crates/gateway/config/src/table.rs
+++ b/crates/gateway/config/src/table.rs
@@ -1,21 +1,20 @@
-//! Tables of a configuration: `columns` and `rows`. Cells are found by the name of their column; each error names its
-//! field.
+//! Tables of a configuration, JSON objects with `columns` and `rows`. Cells are looked up by column name.
 
 use crate::error::ValidationError;
 use crate::json;
 use facet_value::{VArray, VObject, Value};
 
-/// Rows that a table may have (ours: far over what 64 MiB of tables would use).
+/// Maximum number of rows in a table.
 const MAX_ROWS: usize = 100_000;
 
-/// A table whose rows are all as long as its columns.
+/// A table in which every row has one cell per column.
 pub(crate) struct Table<'a> {
     field: &'a str,
     columns: Vec<String>,
     rows: Vec<&'a VArray>,
 }
 
-/// One row of a table.
+/// A row of a table, with its path for error messages.
 pub(crate) struct Row<'a> {
     field: String,
     columns: &'a [String],
@@ -23,10 +22,11 @@
 }
 
 impl<'a> Table<'a> {
-    /// Reads the table of a configuration's field.
+    /// Parses a table. `field` is its path in the configuration.
     ///
     /// # Errors
-    /// Columns that are no words, or stand twice; rows that are missing, have the wrong length, or are too many.
+    /// Columns or rows are missing, a column name is not a string or is duplicated, a row has the wrong number of cells,
+    /// or there are too many rows.
     pub(crate) fn read(table: &'a VObject, field: &'a str) -> Result<Table<'a>, ValidationError> {
         let columns = read_columns(table, field)?;
         let rows = read_rows(table, columns.len(), field)?;
@@ -41,7 +41,6 @@
         })
     }
 
-    /// The rows in their order.
     pub(crate) fn rows(&self) -> impl Iterator<Item = Row<'_>> {
         self.rows.iter().enumerate().map(|(index, cells)| Row {
             field: format!("{}.rows[{index}]", self.field),
@@ -59,7 +58,7 @@
         let field = format!("{field}.columns[{index}]");
         let name = json::text(value, &field)?;
         if names.iter().any(|known| known == name) {
-            return Err(ValidationError::at(&field, format!("{name} stands twice")));
+            return Err(ValidationError::at(&field, format!("{name} is duplicated")));
         }
         names.push(name.to_string());
     }
@@ -73,7 +72,7 @@
 ) -> Result<Vec<&'a VArray>, ValidationError> {
     let rows = json::required(table, "rows", field)?;
     let rows = json::list(rows, &format!("{field}.rows"))?;
-    let mut found = Vec::new();
+    let mut row_cells = Vec::new();
     for (index, row) in rows.iter().enumerate() {
         let field = format!("{field}.rows[{index}]");
         let cells = json::list(row, &field)?;
@@ -81,41 +80,41 @@
             let reason = format!("has {} cells for {column_count} columns", cells.len());
             return Err(ValidationError::at(&field, reason));
         }
-        found.push(cells);
+        row_cells.push(cells);
     }
-    Ok(found)
+    Ok(row_cells)
 }
 
 impl<'a> Row<'a> {
-    /// The cell of a column; `None` if there is no such column, or the cell is null.
+    /// Returns the cell of a column; `None` if the column doesn't exist or the cell is null.
     pub(crate) fn cell(&self, column: &str) -> Option<&'a Value> {
         let index = self.columns.iter().position(|name| name == column)?;
         self.cells.get(index).filter(|value| !value.is_null())
     }
 
-    /// The field of a cell, for errors.
+    /// Returns the path of a cell for error messages, such as `routes.rows[1].service`.
     pub(crate) fn field(&self, column: &str) -> String {
         format!("{}.{column}", self.field)
     }
 
-    /// An error at a cell.
+    /// Creates an error for the cell of a column.
     pub(crate) fn error(&self, column: &str, reason: impl Into<String>) -> ValidationError {
         ValidationError::at(&self.field(column), reason)
     }
 
-    /// A text that must be there.
+    /// Returns the string in a required cell.
     ///
     /// # Errors
-    /// It is missing or no text.
+    /// The cell is missing, null or not a string.
     pub(crate) fn text(&self, column: &str) -> Result<String, ValidationError> {
         self.optional_text(column)?
             .ok_or_else(|| self.error(column, "is missing"))
     }
 
-    /// A text.
+    /// Returns the string in a cell; `None` if the cell is missing or null.
     ///
     /// # Errors
-    /// It is no text.
+    /// The cell is not a string.
     pub(crate) fn optional_text(&self, column: &str) -> Result<Option<String>, ValidationError> {
         let Some(value) = self.cell(column) else {
             return Ok(None);
@@ -123,20 +122,20 @@
         json::text(value, &self.field(column)).map(|text| Some(text.to_string()))
     }
 
-    /// A finite number.
+    /// Returns the finite number in a cell; `None` if the cell is missing or null.
     ///
     /// # Errors
-    /// It is no number.
+    /// The cell is not a finite number.
     pub(crate) fn optional_number(&self, column: &str) -> Result<Option<f64>, ValidationError> {
         self.cell(column)
             .map(|value| json::number(value, &self.field(column)))
             .transpose()
     }
 
-    /// A whole number from 0 on.
+    /// Returns the non-negative integer in a cell; `None` if the cell is missing or null.
     ///
     /// # Errors
-    /// It is none.
+    /// The cell is not a non-negative integer.
     pub(crate) fn optional_whole_number(
         &self,
         column: &str,
@@ -146,10 +145,10 @@
             .transpose()
     }
 
-    /// True or false; false where there is no cell.
+    /// Returns the boolean in a cell; false if the cell is missing or null.
     ///
     /// # Errors
-    /// It is neither.
+    /// The cell is not a boolean.
     pub(crate) fn flag(&self, column: &str) -> Result<bool, ValidationError> {
         let Some(value) = self.cell(column) else {
             return Ok(false);
--- a/crates/gateway/config/tests/configuration.rs
+++ b/crates/gateway/config/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations: what is read, which route and service a request gets, and what is refused, by its field.
+//! Parsing and validation of configurations, and selection of routes and services.
 
 mod common;
 
@@ -6,11 +6,11 @@
 use rushcourse_config::{Configuration, RouteKind};
 use rushcourse_types::ConfigurationVersion;
 
-/// A change of the valid configuration that makes it invalid.
+/// A text replacement that makes the valid configuration invalid.
 struct Fault {
     replaced: &'static str,
     by: &'static str,
-    /// What the error says.
+    /// Part of the expected error message.
     error: &'static str,
 }
 
@@ -24,10 +24,10 @@
     Fault { replaced: r#""a.example","/x/""#, by: r#""","/x/""#, error: "routes.rows[0].host" },
     Fault { replaced: "read_only", by: "sometimes", error: "routes.rows[0].route_kind" },
     Fault { replaced: r#""weight":90"#, by: r#""weight":-1"#, error: "weighted_split[0].weight" },
-    Fault { replaced: r#""/x/y/""#, by: r#""/x/""#, error: "stands twice" },
+    Fault { replaced: r#""/x/y/""#, by: r#""/x/""#, error: "a.example /x/ is duplicated" },
     Fault { replaced: r#""s2",110,true"#, by: r#""s1",110,true"#, error: "services.rows[1].name" },
     Fault { replaced: r#","later"]"#, by: r#"]"#, error: "routes.rows[0]: has 10 cells for 9 columns" },
-    Fault { replaced: r#""version":7"#, by: r#""version":7.5"#, error: "version: must be a whole number" },
+    Fault { replaced: r#""version":7"#, by: r#""version":7.5"#, error: "version: must be a whole number, 0 or greater" },
     Fault { replaced: r#""version":7,"#, by: "", error: "body: version is missing" },
     Fault { replaced: r#""idle_timeout_s":15"#, by: r#""idle_timeout_s":0"#, error: "limits.idle_timeout_s" },
 ];
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_configuration_is_read_and_the_longest_prefix_wins() {
+fn longest_matching_prefix_selects_the_route() {
     let configuration = parse(CONFIGURATION);
     assert_eq!(configuration.version, ConfigurationVersion(7));
     assert_eq!(
@@ -57,21 +57,21 @@
 }
 
 #[test]
-fn a_split_follows_its_weights_and_one_request_is_sent_to_one_service() {
+fn weighted_split_follows_weights_and_is_deterministic() {
     let configuration = parse(CONFIGURATION);
     let route = &configuration.routes[0];
-    let of_s1 = (0..10_000)
+    let s1_count = (0..10_000)
         .filter(|request| route.choose_service(format!("id-{request}").as_bytes()) == "s1")
         .count();
     assert!(
-        (8_800..9_200).contains(&of_s1),
-        "{of_s1} of 10,000 at weight 90 of 100"
+        (8_800..9_200).contains(&s1_count),
+        "{s1_count} of 10,000 at weight 90 of 100"
     );
     assert_eq!(route.choose_service(b"id-1"), route.choose_service(b"id-1"));
 }
 
 #[test]
-fn each_fault_is_refused_by_its_field() {
+fn invalid_configuration_is_rejected_with_its_field() {
     for Fault {
         replaced,
         by,
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_text_that_is_cut_short_anywhere_is_refused() {
+fn truncated_configuration_is_rejected() {
     for end in 0..CONFIGURATION.len() {
         assert!(
             Configuration::parse(&CONFIGURATION.as_bytes()[..end]).is_err(),
--- a/crates/gateway/config/tests/properties.rs
+++ b/crates/gateway/config/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Properties of what people write down: a corrupted text never panics, and a configuration that is accepted keeps
-//! PROTOCOL.md's list of what makes one invalid, checked here by itself.
+//! Property tests: corrupted input never panics, and every accepted configuration satisfies the validity rules of
+//! PROTOCOL.md, which are checked here independently of the parser.
 
 use proptest::prelude::*;
 use proptest::sample::Index;
@@ -28,7 +28,7 @@
 bounds.drain_s=2.5
 ";
 
-/// Values of the valid configuration. Another one in their place makes texts that can be read, and are wrong.
+/// Values in the valid configuration. Replacing one of them often gives well-formed JSON that is invalid.
 const VALUES: [&str; 10] = [
     "7",
     "\"a.example\"",
@@ -42,11 +42,11 @@
     "110",
 ];
 
-/// A change of a text.
+/// A random replacement of characters in a text.
 #[derive(Clone, Debug)]
 struct Change {
     position: Index,
-    /// How many letters are replaced.
+    /// Number of characters that are replaced.
     replaced: usize,
     by: String,
 }
@@ -71,16 +71,16 @@
 }
 
 fn apply(text: &str, changes: &[Change]) -> String {
-    let mut letters: Vec<char> = text.chars().collect();
+    let mut characters: Vec<char> = text.chars().collect();
     for change in changes {
-        let from = change.position.index(letters.len() + 1);
-        let to = (from + change.replaced).min(letters.len());
-        letters.splice(from..to, change.by.chars());
+        let from = change.position.index(characters.len() + 1);
+        let to = (from + change.replaced).min(characters.len());
+        characters.splice(from..to, change.by.chars());
     }
-    letters.into_iter().collect()
+    characters.into_iter().collect()
 }
 
-fn assert_valid_or_refused(text: &str) {
+fn assert_valid_or_rejected(text: &str) {
     let Ok(configuration) = Configuration::parse(text.as_bytes()) else {
         return;
     };
@@ -113,7 +113,7 @@
         assert!(target < timeout + Duration::from_secs(60), "{route:?}");
     }
     assert!(route.max_attempts > 0, "{route:?}");
-    // It is found by its own host and prefix, or a longer prefix hides nothing of it.
+    // A lookup by the route's own host and prefix must match a prefix of at least this length.
     let found = configuration
         .find_route(&route.host, &route.path_prefix)
         .expect("a route of this host and prefix");
@@ -129,18 +129,18 @@
     })]
 
     #[test]
-    fn a_corrupted_configuration_is_refused_or_keeps_the_list(changes in prop::collection::vec(change(), 1..4)) {
-        assert_valid_or_refused(&apply(VALID_CONFIGURATION, &changes));
+    fn corrupted_configuration_is_rejected_or_valid(changes in prop::collection::vec(change(), 1..4)) {
+        assert_valid_or_rejected(&apply(VALID_CONFIGURATION, &changes));
     }
 
     #[test]
-    fn a_configuration_with_another_value_is_refused_or_keeps_the_list(value in any::<Index>(), other in change()) {
+    fn configuration_with_replaced_value_is_rejected_or_valid(value in any::<Index>(), other in change()) {
         let value = VALUES[value.index(VALUES.len())];
-        assert_valid_or_refused(&VALID_CONFIGURATION.replacen(value, &other.by, 1));
+        assert_valid_or_rejected(&VALID_CONFIGURATION.replacen(value, &other.by, 1));
     }
 
     #[test]
-    fn a_corrupted_settings_file_names_what_is_wrong_or_is_read(changes in prop::collection::vec(change(), 1..4)) {
+    fn corrupted_settings_file_is_accepted_or_rejected_with_a_reason(changes in prop::collection::vec(change(), 1..4)) {
         if let Err(error) = NodeSettings::parse(&apply(VALID_SETTINGS, &changes)) {
             prop_assert!(!error.field.is_empty() || error.line.is_some(), "{}", error);
             prop_assert!(!error.reason.is_empty());
--- a/crates/gateway/config/tests/settings.rs
+++ b/crates/gateway/config/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is read, and what is refused, by its line and field.
+//! Parsing of settings files, and the line and field that errors report.
 
 mod common;
 
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_settings_file_is_read() {
+fn valid_settings_file_is_parsed() {
     let settings = parse(SETTINGS);
     assert_eq!(settings.peers.seeds.len(), 2);
     let ports = PortRange {
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_fault_is_refused_by_its_line_and_field() {
+fn invalid_settings_are_rejected_with_line_and_field() {
     for (replaced, by, error) in [
         ("10.1.0.36\n", "ten\n", "line 3: ip_address: \"ten\""),
         (
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn peer_keys_are_all_three_files_or_none() {
+fn incomplete_peer_key_files_are_rejected() {
     let lines = [
         "peers.certificate=a.cert\n",
         "peers.key=a.key\n",
@@ -66,9 +66,9 @@
     );
 
     let fields = ["peers.certificate", "peers.key", "peers.authority"];
-    for (left_out, field) in fields.iter().enumerate() {
+    for (omitted, field) in fields.iter().enumerate() {
         let mut others = lines.to_vec();
-        others.remove(left_out);
+        others.remove(omitted);
         let message = NodeSettings::parse(&[SETTINGS, &others.concat()].concat())
             .expect_err(field)
             .to_string();
@@ -79,9 +79,9 @@
     }
 }
 
-/// Time-outs have always been counted in whole milliseconds, cut off after the product with 1,000.
+/// Existing settings depend on `(seconds * 1000.0) as u64` milliseconds, without rounding.
 #[test]
-fn whole_milliseconds_of_a_span_are_cut_off() {
+fn durations_are_truncated_to_whole_milliseconds() {
     for thousandths in 50..20_000_u32 {
         let seconds = f64::from(thousandths) / 1000.0;
         let text = format!("{SETTINGS}heartbeat_interval_s={seconds}\n");
