--- a/crates/gateway/cli/src/arguments.rs
+++ b/crates/gateway/cli/src/arguments.rs
@@ -1,17 +1,17 @@
-//! The command line. `rushctl --help` prints the doc comments of structs, fields and variants, of the latter two the
-//! first line.
+//! Command-line arguments. `rushctl --help` prints the doc comments of structs in full, and the first line of the doc
+//! comments of fields and variants.
 
 use gumdrop::Options;
 
-/// rushctl: looks at and changes a gateway through the control addresses of its controllers.
+/// rushctl: inspects and configures a gateway through the control addresses of its controllers.
 #[derive(Options)]
 pub(crate) struct Arguments {
     /// print this help
     pub(crate) help: bool,
-    /// control addresses, with commas between them
+    /// comma-separated control addresses of controllers
     #[options(meta = "ADDR,...", default = "127.0.0.1:8544")]
     pub(crate) at: String,
-    /// print JSON as it came
+    /// print the JSON of the controllers unchanged
     pub(crate) json: bool,
     #[options(command)]
     pub(crate) command: Option<Command>,
@@ -19,48 +19,48 @@
 
 #[derive(Options)]
 pub(crate) enum Command {
-    /// put a configuration: put FILE
+    /// upload a configuration: put FILE
     Put(Operands),
-    /// print the newest configuration
+    /// print the newest committed configuration
     Get(NoArguments),
-    /// check a configuration: file and place of what is wrong
+    /// validate a configuration file: check FILE
     Check(Operands),
-    /// check a settings file: line and field of what is wrong
+    /// validate a settings file: check-settings FILE
     CheckSettings(Operands),
-    /// what differs between two configurations, or the committed one and a file: diff [OLD] NEW
+    /// compare two configuration files, or the committed configuration with a file: diff [OLD] NEW
     Diff(Operands),
-    /// one line for each controller: epoch, votes, versions, claims, sessions
+    /// status of each controller: epoch, votes, versions, claims, sessions
     Status(NoArguments),
-    /// hosts with state and age, as one controller sees them
+    /// hosts with state and age, from the first controller that responds
     Hosts(NoArguments),
-    /// endpoint tables that gateways are bound to, by controller
+    /// endpoint tables and the gateways bound to them, from the first controller that responds
     Tables(NoArguments),
-    /// gateways: which controllers they are in session with, and which is primary
+    /// gateways with their controller sessions and primary controller
     Members(NoArguments),
-    /// the voting set: who is reached, has complete state, votes, and what it holds
+    /// voting set of each controller: reached members, complete state, votes, version held
     Voters(NoArguments),
-    /// state files of controllers: size, syncs, refusals, a write that stalls
+    /// state files of controllers: size, syncs, refused writes, stalled writes
     Disks(NoArguments),
-    /// who holds an operation key: key KEY
+    /// show which claim holds an operation key: key KEY
     Key(Operands),
-    /// which requests are shed first at each service of a configuration: order FILE
+    /// show the order in which each service sheds requests: order FILE
     Order(Operands),
-    /// make keys for sessions between nodes: make-keys FOLDER SETTINGS...
+    /// create certificates and keys for TLS between nodes: make-keys FOLDER SETTINGS...
     MakeKeys(Operands),
-    /// make settings files for a small gateway on loopback: make-settings FOLDER
+    /// create settings files of an example gateway on loopback: make-settings FOLDER
     MakeSettings(Operands),
     /// print the manual
     Manual(NoArguments),
 }
 
-// Of a command that takes no arguments.
+// Arguments of commands without operands. A doc comment here would be printed by `--help`.
 #[derive(Options)]
 pub(crate) struct NoArguments {
     /// print this help
     pub(crate) help: bool,
 }
 
-// Of a command that takes files, a folder or a key.
+// Arguments of commands with operands. A doc comment here would be printed by `--help`.
 #[derive(Options)]
 pub(crate) struct Operands {
     /// print this help
--- a/crates/gateway/cli/src/certificates.rs
+++ b/crates/gateway/cli/src/certificates.rs
@@ -1,4 +1,4 @@
-//! Certificates and keys for sessions between nodes, for installs that have no authority of their own.
+//! Creates certificates and keys for TLS between nodes, for deployments without a certificate authority.
 
 use crate::error::{AtPath, CliError, FileProblem};
 use rcgen::{BasicConstraints, CertificateParams, DnType, IsCa, Issuer, KeyPair};
@@ -8,45 +8,45 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-/// The authority's name in its certificate. An authority is its name and its key, so this never changes.
+/// Common name of the authority. Changing it invalidates all certificates that existing authorities have issued.
 const AUTHORITY_NAME: &str = "directors of this gateway";
-/// Only its owner reads a key.
+/// File mode of private keys, readable only by the owner.
 const KEY_FILE_MODE: u32 = 0o600;
 
-/// Makes a certificate and a key for each of the machines whose settings files these are, by the folder's authority.
-/// Gives the lines that belong into each settings file.
+/// Creates a certificate and a key for the machine of each settings file, signed by the authority in `directory`.
+/// Returns the lines to be added to each settings file.
 ///
 /// # Errors
-/// The file that can't be read, used or written.
-pub(crate) fn make(folder: &str, settings_files: &[String]) -> Result<String, CliError> {
-    let folder = Path::new(folder);
-    std::fs::create_dir_all(folder).at_path(folder)?;
+/// A file can't be read, is invalid, or can't be written.
+pub(crate) fn create(directory: &str, settings_files: &[String]) -> Result<String, CliError> {
+    let directory = Path::new(directory);
+    std::fs::create_dir_all(directory).at_path(directory)?;
     let mut machines = Vec::new();
     for file in settings_files {
         let text = std::fs::read_to_string(file).at_path(file)?;
         machines.push((file, NodeSettings::parse(&text).at_path(file)?));
     }
-    let authority = authority(folder)?;
+    let authority = load_or_create_authority(directory)?;
     let mut lines = String::new();
     for (file, settings) in machines {
-        let (certificate, key) = machine_files(folder, &settings, &authority)?;
+        let (certificate, key) = create_machine_files(directory, &settings, &authority)?;
         let _ = write!(
             lines,
             "# {file}\npeers.certificate={certificate}\npeers.key={key}\npeers.authority={}\n",
-            folder.join("authority.pem").display()
+            directory.join("authority.pem").display()
         );
     }
     Ok(lines)
 }
 
-/// The authority of a folder: the one that is there, or a new one.
-fn authority(folder: &Path) -> Result<Issuer<'static, KeyPair>, CliError> {
-    let certificate_file = folder.join("authority.pem");
-    let key_file = folder.join("authority.key");
+/// Loads the authority in `directory`, or creates it if there is none.
+fn load_or_create_authority(directory: &Path) -> Result<Issuer<'static, KeyPair>, CliError> {
+    let certificate_file = directory.join("authority.pem");
+    let key_file = directory.join("authority.key");
     if certificate_file.exists() != key_file.exists() {
-        return Err(FileProblem::IncompleteAuthority).at_path(folder);
+        return Err(FileProblem::IncompleteAuthority).at_path(directory);
     }
-    // An authority is its name and its key: the certificate that is there was made of the same two.
+    // An issuer consists of a name and a key, so an existing certificate need not be read.
     let mut params = CertificateParams::new(Vec::new()).at_path(&certificate_file)?;
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     params
@@ -64,14 +64,14 @@
     Ok(Issuer::new(params, key))
 }
 
-/// Writes the certificate and key of one machine, and gives the paths of both files.
-fn machine_files(
-    folder: &Path,
+/// Writes the certificate and key of one machine and returns the paths of both files.
+fn create_machine_files(
+    directory: &Path,
     settings: &NodeSettings,
     authority: &Issuer<'_, KeyPair>,
 ) -> Result<(String, String), CliError> {
-    let certificate_file = folder.join(format!("{}.cert", settings.node.name));
-    let key_file = folder.join(format!("{}.key", settings.node.name));
+    let certificate_file = directory.join(format!("{}.cert", settings.node.name));
+    let key_file = directory.join(format!("{}.key", settings.node.name));
     let key = KeyPair::generate().at_path(&key_file)?;
     let mut names = vec![settings.node.ip_address.to_string()];
     names.extend(
--- a/crates/gateway/cli/src/commands.rs
+++ b/crates/gateway/cli/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does. Each gives the text that is printed.
+//! Implementations of the commands. Each returns the text to print.
 
 use crate::arguments::{Arguments, Command, Operands};
 use crate::configuration_diff::ConfigurationDiff;
@@ -11,17 +11,17 @@
 use hyper::Method;
 use rushcourse_config::{Configuration, NodeSettings};
 
-/// Paths of the control API.
+/// Path of the committed configuration in the control API.
 const CONFIGURATION_PATH: &str = "/-/configuration";
 const STATUS_PATH: &str = "/-/status";
 const KEYS_PATH: &str = "/-/keys";
-/// Field of the response to a configuration that changed nothing, as another text is committed under its version.
-const ANOTHER_TEXT_FIELD: &str = "another_text_in_force";
+/// Field that a controller's response contains if a different text is committed under the uploaded version.
+const VERSION_CONFLICT_FIELD: &str = "another_text_in_force";
 
-/// Runs a command and gives the text to be printed.
+/// Runs a command and returns the text to print.
 ///
 /// # Errors
-/// What is wrong with a file or the command line, the rejection of a controller, or that none answered clearly.
+/// A file or the command line is invalid, a controller rejected the request, or all controllers failed.
 pub(crate) fn run(arguments: &Arguments, command: &Command) -> Result<String, CliError> {
     let api = ControlApi::new(&arguments.at);
     let json = arguments.json;
@@ -33,14 +33,14 @@
         Command::Put(operands) => put(&api, operands, json),
         Command::Get(_) => get(&api),
         Command::Key(key) => show_key(&api, key, json),
-        Command::Status(_) => show_each(&api, json, views::status),
-        Command::Members(_) => show_each(&api, json, views::members),
-        Command::Voters(_) => show_each(&api, json, views::voters),
-        Command::Disks(_) => show_each(&api, json, views::disks),
+        Command::Status(_) => show_all(&api, json, views::status),
+        Command::Members(_) => show_all(&api, json, views::members),
+        Command::Voters(_) => show_all(&api, json, views::voters),
+        Command::Disks(_) => show_all(&api, json, views::disks),
         Command::Hosts(_) => show_first(&api, json, views::hosts),
         Command::Tables(_) => show_first(&api, json, views::tables),
         Command::MakeKeys(operands) => make_keys(operands),
-        Command::MakeSettings(operands) => example_settings::make(operands.first()?),
+        Command::MakeSettings(operands) => example_settings::write(operands.first()?),
         Command::Manual(_) => Ok(MANUAL.into()),
     }
 }
@@ -78,7 +78,7 @@
     Ok(format!("{}: valid\n", settings.node.name))
 }
 
-/// Between two files, or the committed configuration and one file.
+/// Compares two files, or the committed configuration with one file.
 fn diff(api: &ControlApi, operands: &Operands) -> Result<String, CliError> {
     let (old, new) = if operands.files.len() == 1 {
         (committed_configuration(api)?, operands.first()?)
@@ -94,9 +94,9 @@
 }
 
 fn committed_configuration(api: &ControlApi) -> Result<Configuration, CliError> {
-    let answer = api.first_success(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
-    Configuration::parse(answer.body.as_bytes()).map_err(|reason| CliError::InvalidConfiguration {
-        controller: answer.controller,
+    let reply = api.first_success(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
+    Configuration::parse(reply.body.as_bytes()).map_err(|reason| CliError::InvalidConfiguration {
+        controller: reply.controller,
         reason,
     })
 }
@@ -105,27 +105,27 @@
     let path = operands.first()?;
     let version = read_configuration(path)?.version;
     let text = Bytes::from(read_file(path)?);
-    let answer = api.first_success(&Method::PUT, CONFIGURATION_PATH, &text)?;
-    if answer.body.contains(ANOTHER_TEXT_FIELD) {
+    let reply = api.first_success(&Method::PUT, CONFIGURATION_PATH, &text)?;
+    if reply.body.contains(VERSION_CONFLICT_FIELD) {
         return Err(CliError::VersionConflict(version));
     }
     if json {
-        return Ok(answer.body);
+        return Ok(reply.body);
     }
     Ok(format!(
         "version {version} acknowledged by {}\n",
-        answer.controller
+        reply.controller
     ))
 }
 
 fn get(api: &ControlApi) -> Result<String, CliError> {
-    let answer = api.first_success(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
-    Ok(answer.body + "\n")
+    let reply = api.first_success(&Method::GET, CONFIGURATION_PATH, &Bytes::new())?;
+    Ok(reply.body + "\n")
 }
 
 fn make_keys(operands: &Operands) -> Result<String, CliError> {
     match operands.files.split_first() {
-        Some((folder, settings)) if !settings.is_empty() => certificates::make(folder, settings),
+        Some((folder, settings)) if !settings.is_empty() => certificates::create(folder, settings),
         _ => Err(CliError::MissingArgument("a folder and settings files")),
     }
 }
@@ -140,8 +140,8 @@
     }
 }
 
-/// The status pages of all controllers.
-fn show_each(
+/// Shows the status pages of all controllers, as JSON or through `view`.
+fn show_all(
     api: &ControlApi,
     json: bool,
     view: impl Fn(&[ControllerPage]) -> Result<String, CliError>,
@@ -154,21 +154,21 @@
     }
 }
 
-/// The status page of the first controller that answers.
+/// Shows the status page of the first controller that responds, as JSON or through `view`.
 fn show_first(
     api: &ControlApi,
     json: bool,
     view: impl Fn(&SuccessResponse) -> Result<String, CliError>,
 ) -> Result<String, CliError> {
-    let answer = api.first_success(&Method::GET, STATUS_PATH, &Bytes::new())?;
+    let reply = api.first_success(&Method::GET, STATUS_PATH, &Bytes::new())?;
     if json {
-        Ok(answer.body + "\n")
+        Ok(reply.body + "\n")
     } else {
-        view(&answer)
+        view(&reply)
     }
 }
 
-/// A text as one segment of a path.
+/// Percent-encodes a text as one path segment.
 fn percent_encoded(text: &str) -> String {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
     let encoded = |byte: u8| {
--- a/crates/gateway/cli/src/configuration_diff.rs
+++ b/crates/gateway/cli/src/configuration_diff.rs
@@ -1,13 +1,11 @@
-//! What differs between two configurations.
+//! Differences between two configurations.
 
 use rushcourse_config::{Configuration, Route};
 use std::fmt;
 
-/// What differs, as text with a line each: `+` is added, `~` changed, `-` removed.
+/// Displays the differences between two configurations, one per line: `+` added, `~` changed, `-` removed.
 pub(crate) struct ConfigurationDiff<'a> {
-    /// The configuration before.
     pub(crate) old: &'a Configuration,
-    /// The configuration after.
     pub(crate) new: &'a Configuration,
 }
 
@@ -24,7 +22,7 @@
     }
 }
 
-/// A route is known by the host and prefix that it serves, whatever its name.
+/// Finds the route with the same host and path prefix, which identify a route; its name may differ.
 fn find<'a>(routes: &'a [Route], wanted: &Route) -> Option<&'a Route> {
     let mut routes = routes.iter();
     routes.find(|route| route.host == wanted.host && route.path_prefix == wanted.path_prefix)
--- a/crates/gateway/cli/src/control_api.rs
+++ b/crates/gateway/cli/src/control_api.rs
@@ -1,4 +1,4 @@
-//! Calls of controllers over HTTP, at their control addresses.
+//! HTTP client of the controllers' control API.
 
 use crate::error::CliError;
 use bytes::Bytes;
@@ -10,32 +10,33 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A call is given up after this time; the next controller is asked then.
+/// Timeout of a call to one controller.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Rounds over all controllers before a call is given up, and the pause between them.
+/// Number of times that a call tries all controllers before it fails.
 const MAX_ROUNDS: u32 = 4;
+/// Delay between two rounds over all controllers.
 const ROUND_DELAY: Duration = Duration::from_millis(300);
 
-/// Why a controller did not answer with success.
+/// Error of a call to one controller.
 #[derive(Debug)]
 pub enum CallError {
-    /// The asynchronous runtime can't be made.
+    /// The Tokio runtime could not be created.
     Runtime(std::io::Error),
-    /// No connection could be made.
+    /// The TCP connection could not be established.
     Connect(std::io::Error),
-    /// The address or the path can't stand in a request.
+    /// The address or the path is not valid in an HTTP request.
     InvalidRequest(hyper::http::Error),
-    /// What came is no HTTP.
+    /// The HTTP exchange failed.
     Http(hyper::Error),
-    /// The connection was closed without a response.
+    /// The controller closed the connection without a response.
     Closed,
-    /// No response came in time.
+    /// The controller did not respond within the timeout.
     TimedOut,
-    /// It answered with another status than success.
+    /// The controller responded with a status other than 2xx.
     Status {
-        /// The status.
+        /// Status code of the response.
         status: StatusCode,
-        /// Why, in its words.
+        /// Trimmed body of the response, which explains the status.
         reason: String,
     },
 }
@@ -55,31 +56,31 @@
 
 impl std::error::Error for CallError {}
 
-/// The page of one controller, or why there is none.
+/// Result of fetching a page from one controller.
 #[derive(Debug)]
 pub struct ControllerPage {
-    /// The controller's control address.
+    /// Control address of the controller.
     pub controller: String,
-    /// The page's text.
+    /// JSON text of the page, or the error of the call.
     pub page: Result<String, CallError>,
 }
 
-/// A clear answer: the first controller that answered with success.
+/// A successful response, with the controller that sent it.
 #[derive(Debug)]
 pub struct SuccessResponse {
-    /// The controller's control address.
+    /// Control address of the controller that responded.
     pub controller: String,
-    /// The body of its response.
+    /// Body of the response.
     pub body: String,
 }
 
-/// The controllers of a gateway.
+/// Client of the control API of a gateway's controllers.
 pub struct ControlApi {
     addresses: Vec<String>,
 }
 
 impl ControlApi {
-    /// Controllers by their control addresses, with commas between them.
+    /// Creates a client from comma-separated control addresses.
     pub fn new(addresses: &str) -> ControlApi {
         let addresses = addresses.split(',').map(str::trim);
         ControlApi {
@@ -90,10 +91,11 @@
         }
     }
 
-    /// Asks one controller after the other until one answers clearly.
+    /// Tries the controllers in order, for several rounds, until one responds with success.
     ///
     /// # Errors
-    /// [`CliError::Rejected`] if one rejects the call, [`CliError::AllControllersFailed`] if all fail in all rounds.
+    /// [`CliError::Rejected`] if a controller responds with a 4xx status, [`CliError::AllControllersFailed`] if all
+    /// controllers fail in all rounds.
     pub fn first_success(
         &self,
         method: &Method,
@@ -129,7 +131,7 @@
         Err(CliError::AllControllersFailed(failures))
     }
 
-    /// The page of each controller, asked once.
+    /// Fetches a page once from each controller.
     pub fn fetch_all(&self, path: &str) -> Vec<ControllerPage> {
         let page = |controller: &String| ControllerPage {
             controller: controller.clone(),
@@ -145,13 +147,13 @@
         .build()
         .map_err(CallError::Runtime)?;
     runtime.block_on(async {
-        let exchange = exchange(controller, method, path, body);
-        let response = tokio::time::timeout(CALL_TIMEOUT, exchange).await;
+        let request = send_request_to(controller, method, path, body);
+        let response = tokio::time::timeout(CALL_TIMEOUT, request).await;
         response.unwrap_or(Err(CallError::TimedOut))
     })
 }
 
-async fn exchange(
+async fn send_request_to(
     controller: &str,
     method: &Method,
     path: &str,
@@ -171,12 +173,12 @@
         .body(Full::new(body))
         .map_err(CallError::InvalidRequest)?;
     tokio::select! {
-        response = receive(sender, request) => response,
+        response = send_and_read_response(sender, request) => response,
         _ = connection => Err(CallError::Closed),
     }
 }
 
-async fn receive(
+async fn send_and_read_response(
     mut sender: http1::SendRequest<Full<Bytes>>,
     request: Request<Full<Bytes>>,
 ) -> Result<String, CallError> {
--- a/crates/gateway/cli/src/error.rs
+++ b/crates/gateway/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command failed, and the exit code that says so.
+//! Errors of commands and their exit codes.
 
 use hyper::StatusCode;
 use rushcourse_config::{SettingsError, ValidationError};
@@ -6,49 +6,49 @@
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// Exit code where the command was rejected, or something is wrong with a file or the command line.
+/// Exit code if a controller rejected the request, or a file or the command line is invalid.
 const REJECTED: u8 = 1;
-/// Exit code where no controller answered clearly: the same call may be made again.
-const UNCLEAR: u8 = 2;
+/// Exit code if no controller gave a usable response. The outcome is unknown; the command can be repeated.
+const OUTCOME_UNKNOWN: u8 = 2;
 
-/// Why a command failed.
+/// Error of a `rushctl` command.
 #[derive(Debug)]
 pub enum CliError {
-    /// The command line lacks this.
+    /// A required operand, described by this text, is missing from the command line.
     MissingArgument(&'static str),
-    /// Something is wrong with a file or folder.
+    /// A file or directory can't be used.
     File {
-        /// The file or folder.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Cause of the error.
         problem: FileProblem,
     },
-    /// A controller rejected the call.
+    /// A controller rejected the request with a 4xx status.
     Rejected {
-        /// Its control address.
+        /// Control address of the controller.
         controller: String,
-        /// The status that it answered with.
+        /// Status code of the response.
         status: StatusCode,
-        /// Why, in its words.
+        /// Body of the response, which explains the rejection.
         reason: String,
     },
-    /// The configuration that was put changed nothing: another text is committed under its version.
+    /// The uploaded configuration changed nothing, because a different text is committed under its version.
     VersionConflict(ConfigurationVersion),
-    /// No controller answered clearly; a line for each failure.
+    /// No controller responded with success or a rejection. Contains the distinct failures with their controllers.
     AllControllersFailed(Vec<String>),
-    /// The page of a controller is no JSON.
+    /// A controller's page is not valid JSON; contains the parse error.
     InvalidPage(String),
-    /// The configuration that a controller sent can't be read here.
+    /// A controller returned a configuration that this version of `rushctl` rejects.
     InvalidConfiguration {
-        /// Its control address.
+        /// Control address of the controller.
         controller: String,
-        /// What is wrong with the configuration.
+        /// Validation error of the configuration.
         reason: ValidationError,
     },
 }
 
 impl CliError {
-    /// The exit code of the process.
+    /// Returns the exit code of the process for this error, 1 or 2.
     pub fn exit_code(&self) -> u8 {
         match self {
             CliError::MissingArgument(_)
@@ -57,7 +57,7 @@
             | CliError::VersionConflict(_) => REJECTED,
             CliError::AllControllersFailed(_)
             | CliError::InvalidPage(_)
-            | CliError::InvalidConfiguration { .. } => UNCLEAR,
+            | CliError::InvalidConfiguration { .. } => OUTCOME_UNKNOWN,
         }
     }
 }
@@ -65,21 +65,21 @@
 impl fmt::Display for CliError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            CliError::MissingArgument(what) => write!(f, "{what} must be named"),
+            CliError::MissingArgument(what) => write!(f, "missing argument: {what}"),
             CliError::File { path, problem } => write!(f, "{}: {problem}", path.display()),
             CliError::Rejected {
                 controller,
                 status,
                 reason,
-            } => write!(f, "{controller} rejects it ({status}): {reason}"),
+            } => write!(f, "{controller} rejected the request ({status}): {reason}"),
             CliError::VersionConflict(version) => write!(
                 f,
-                "version {version}: another text is committed, this one changed nothing"
+                "version {version}: a different text is already committed; nothing was changed"
             ),
             CliError::AllControllersFailed(failures) => {
-                write!(f, "no controller answered clearly: {}", failures.join("; "))
+                write!(f, "all controllers failed: {}", failures.join("; "))
             }
-            CliError::InvalidPage(reason) => write!(f, "a page can't be read: {reason}"),
+            CliError::InvalidPage(reason) => write!(f, "invalid status page: {reason}"),
             CliError::InvalidConfiguration { controller, reason } => {
                 write!(f, "{controller}: {reason}")
             }
@@ -89,22 +89,22 @@
 
 impl std::error::Error for CliError {}
 
-/// What is wrong with a file or folder.
+/// Cause of an error with a file or directory.
 #[derive(Debug)]
 pub enum FileProblem {
-    /// It can't be read.
+    /// Reading the file failed.
     Unreadable(std::io::Error),
-    /// It is no text.
+    /// The file is not valid UTF-8.
     NotText(std::string::FromUtf8Error),
-    /// It is no valid configuration.
+    /// The file is not a valid configuration.
     Configuration(ValidationError),
-    /// It is no valid settings file.
+    /// The file is not a valid settings file.
     Settings(SettingsError),
-    /// It can't be made or written.
+    /// The file or directory can't be created, read or written.
     Io(std::io::Error),
-    /// The key or certificate in it can't be used or made.
+    /// A key or certificate can't be parsed or generated.
     Certificate(rcgen::Error),
-    /// The folder holds the authority's certificate or its key, not both.
+    /// The directory contains only one of the authority's certificate and key.
     IncompleteAuthority,
 }
 
@@ -144,7 +144,7 @@
     rcgen::Error => Certificate,
 }
 
-/// Adds the file or folder that an error is about.
+/// Converts an error to [`CliError::File`] with the path of the file or directory.
 pub(crate) trait AtPath<T> {
     fn at_path(self, path: impl AsRef<Path>) -> Result<T, CliError>;
 }
--- a/crates/gateway/cli/src/example_settings.rs
+++ b/crates/gateway/cli/src/example_settings.rs
@@ -1,35 +1,35 @@
-//! Settings files for a small gateway on loopback: four controllers and two gateways, an address each.
+//! Settings files of an example deployment on loopback: four controllers and two gateways, each with its own address.
 
 use crate::error::{AtPath, CliError};
 use std::fmt::Write;
 use std::path::Path;
 
-const CONTROLLERS: u8 = 4;
-const GATEWAYS: u8 = 2;
-/// Controllers whose addresses all nodes start from.
-const SEEDS: u8 = 3;
+const CONTROLLER_COUNT: u8 = 4;
+const GATEWAY_COUNT: u8 = 2;
+/// Number of controllers that are listed as seed nodes.
+const SEED_COUNT: u8 = 3;
 const ZONES: [&str; 2] = ["north", "south"];
-/// The last byte of the first gateway's address, less one.
-const GATEWAY_ADDRESSES: u8 = 10;
+/// Gateway number N gets an address whose last byte is this base plus N.
+const GATEWAY_HOST_BYTE_BASE: u8 = 10;
 
-/// A node of the example.
+/// A controller or gateway of the example deployment.
 struct ExampleNode {
     name: String,
-    /// The last byte of its address.
+    /// Last byte of the node's loopback address.
     host_byte: u8,
     is_controller: bool,
 }
 
 impl ExampleNode {
     fn all() -> impl Iterator<Item = ExampleNode> {
-        let controllers = (1..=CONTROLLERS).map(|number| ExampleNode {
+        let controllers = (1..=CONTROLLER_COUNT).map(|number| ExampleNode {
             name: format!("core-{number}"),
             host_byte: number,
             is_controller: true,
         });
-        let gateways = (1..=GATEWAYS).map(|number| ExampleNode {
+        let gateways = (1..=GATEWAY_COUNT).map(|number| ExampleNode {
             name: format!("frontend-{number}"),
-            host_byte: GATEWAY_ADDRESSES + number,
+            host_byte: GATEWAY_HOST_BYTE_BASE + number,
             is_controller: false,
         });
         controllers.chain(gateways)
@@ -43,9 +43,9 @@
         ZONES[usize::from(self.host_byte) % ZONES.len()]
     }
 
-    /// Its settings file. `data_directory`: of a controller.
+    /// Returns the text of the settings file. `data_directory` is used only for controllers.
     fn settings(&self, data_directory: &Path) -> String {
-        let seeds: Vec<String> = (1..=SEEDS)
+        let seeds: Vec<String> = (1..=SEED_COUNT)
             .map(|number| format!("127.30.0.{number}:8544"))
             .collect();
         let ip = self.ip();
@@ -69,22 +69,22 @@
     }
 }
 
-/// Writes the files. Gives their paths, a line each.
+/// Writes the settings files of all nodes and returns their paths, one per line.
 ///
 /// # Errors
-/// A file or folder that can't be made.
-pub(crate) fn make(folder: &str) -> Result<String, CliError> {
-    let folder = Path::new(folder);
+/// A file or directory can't be created.
+pub(crate) fn write(directory: &str) -> Result<String, CliError> {
+    let directory = Path::new(directory);
     let mut paths = String::new();
     for node in ExampleNode::all() {
-        let data_directory = folder.join(&node.name);
-        let made = if node.is_controller {
+        let data_directory = directory.join(&node.name);
+        let created_directory = if node.is_controller {
             &data_directory
         } else {
-            folder
+            directory
         };
-        std::fs::create_dir_all(made).at_path(made)?;
-        let path = folder.join(format!("{}.conf", node.name));
+        std::fs::create_dir_all(created_directory).at_path(created_directory)?;
+        let path = directory.join(format!("{}.conf", node.name));
         std::fs::write(&path, node.settings(&data_directory)).at_path(&path)?;
         let _ = writeln!(paths, "{}", path.display());
     }
--- a/crates/gateway/cli/src/lib.rs
+++ b/crates/gateway/cli/src/lib.rs
@@ -1,12 +1,11 @@
-//! rushctl, the operators' command line of the gateway. It reads and writes through the control addresses of the
-//! controllers.
+//! rushctl, the command-line client of the gateway's control API.
 //!
-//! * `arguments.rs`: the command line; `commands.rs`: what each command does; `manual.rs`: what `rushctl manual` prints.
-//! * [`control_api`]: calls of controllers over HTTP.
-//! * [`views`]: pages of controllers (`status_page.rs`) as tables of text (`text_table.rs`).
-//! * `configuration_diff.rs`, `shedding_order.rs`: what follows from configurations alone.
-//! * `certificates.rs`, `example_settings.rs`: files that an install needs.
-//! * [`error`]: why a command failed, and the exit code.
+//! * `arguments.rs`: command-line arguments; `commands.rs`: the commands; `manual.rs`: the text of `rushctl manual`.
+//! * [`control_api`]: HTTP client of the controllers.
+//! * [`views`]: controllers' status pages (`status_page.rs`) rendered as text tables (`text_table.rs`).
+//! * `configuration_diff.rs`, `shedding_order.rs`: offline analysis of configurations.
+//! * `certificates.rs`, `example_settings.rs`: generation of certificates and settings files.
+//! * [`error`]: errors and exit codes.
 
 mod arguments;
 mod certificates;
@@ -25,11 +24,11 @@
 use gumdrop::Options;
 use std::process::ExitCode;
 
-/// Exit code of a command line without a command.
+/// Exit code if no command is given.
 const NO_COMMAND: u8 = 2;
 
-/// Runs what the command line of this process says, and prints what comes of it. Ends the process itself where the
-/// command line can't be read or asks for help.
+/// Runs the command given on the command line and prints its result. Exits the process directly if the command line is
+/// invalid or asks for help.
 pub fn run() -> ExitCode {
     let arguments = Arguments::parse_args_default_or_exit();
     let Some(command) = &arguments.command else {
--- a/crates/gateway/cli/src/main.rs
+++ b/crates/gateway/cli/src/main.rs
@@ -1,5 +1,5 @@
-//! Entry of rushctl. Ends with 0 when it is done, 1 when it was rejected or something is wrong with a file, 2 when no
-//! controller answered clearly or no command was given.
+//! Entry point of rushctl. Exit codes: 0 success; 1 the request was rejected, or a file or the command line is invalid;
+//! 2 no controller gave a usable response, or no command was given.
 
 use std::process::ExitCode;
 
--- a/crates/gateway/cli/src/manual.rs
+++ b/crates/gateway/cli/src/manual.rs
@@ -1,43 +1,44 @@
-//! The manual.
+//! The manual of rushctl.
 
-/// What `rushctl manual` prints.
+/// Text printed by `rushctl manual`.
 pub(crate) const MANUAL: &str = "\
 NAME
-    rushctl - looks at and changes a gateway through the control addresses of its controllers
+    rushctl - inspects and configures a gateway through the control addresses of its controllers
 
 SYNOPSIS
     rushctl [--at ADDR,...] [--json] COMMAND [ARGUMENTS]
 
 DESCRIPTION
-    Controllers are asked one after the other until one answers clearly; status, members, voters, disks and key ask each.
-    --at takes the control addresses, with commas between them. --json prints pages as they came, a line each.
+    Controllers are tried in order until one responds; status, members, voters, disks and key query all of them.
+    --at takes comma-separated control addresses. --json prints the pages unchanged, one per line.
 
 CONFIGURATIONS
-    check FILE          file, row and field of what is wrong; asks nobody
-    diff [OLD] NEW      what differs, a line each; without OLD, from the committed configuration
-    put FILE            puts it, and says who acknowledged it: a majority of disks holds it then.
-                        Ends with 1 if another text is committed under its version
-    order FILE          which requests are shed first at each service, as docs/giving-way.md has it; asks nobody
-    get                 prints the newest one that was acknowledged
-
-LOOKING
-    status              a line for each controller: epoch, votes, versions, claims, sessions, refused sessions
-    members             gateways, with the controllers that each is in session with, and its primary one
-    voters              the voting set: reached, complete state, votes, version held; tells where controllers differ
-    disks               state files: bytes, syncs, refusals, how long the last, the longest and a stalled write take
-    hosts, tables       as one controller sees and orders them
-    key KEY             who holds an operation key, since when, at each controller
+    check FILE          validates a file and prints the row and field of the first error; runs offline
+    diff [OLD] NEW      prints the differences, one per line; without OLD, from the committed configuration
+    put FILE            uploads a configuration and prints which controller acknowledged it; a majority of disks
+                        has stored it then. Exits with 1 if a different text is committed under its version
+    order FILE          prints the order in which each service sheds requests (docs/giving-way.md); runs offline
+    get                 prints the newest acknowledged configuration
+
+INSPECTION
+    status              status of each controller: epoch, votes, versions, claims, sessions, refused sessions
+    members             gateways with their controller sessions and primary controller
+    voters              voting set of each controller: reached members, complete state, votes, version held;
+                        reports if controllers differ
+    disks               state files: bytes, syncs, refused writes, duration of the last, longest and stalled write
+    hosts, tables       hosts and endpoint tables, from the first controller that responds
+    key KEY             the claim that holds an operation key, and its age, at each controller
 
 SETTINGS AND KEYS
-    check-settings FILE         line and field of what is wrong
-    make-settings FOLDER        a small gateway on loopback
-    make-keys FOLDER FILE...    an authority, unless the folder has one, and a certificate for each machine whose
-                                settings file this is; prints the lines that belong into it
+    check-settings FILE         validates a settings file and prints the line and field of the first error
+    make-settings FOLDER        writes the settings files of an example gateway on loopback
+    make-keys FOLDER FILE...    creates an authority, unless the folder has one, and a certificate for the machine of
+                                each settings file; prints the lines to add to each settings file
 
 EXIT CODES
-    0  done: acknowledged, or valid
-    1  rejected, or something is wrong with a file or the command line
-    2  no controller answered clearly: the same call may be made again
+    0  success
+    1  the request was rejected, or a file or the command line is invalid
+    2  no controller gave a usable response; the command can be repeated
 
 EXAMPLES
     rushctl --at 10.1.0.36:8544,10.2.0.36:8544 diff new.json && rushctl --at 10.1.0.36:8544 put new.json
--- a/crates/gateway/cli/src/shedding_order.rs
+++ b/crates/gateway/cli/src/shedding_order.rs
@@ -1,4 +1,4 @@
-//! Which requests are shed first, service by service, as a configuration has it (docs/giving-way.md).
+//! The order in which each service of a configuration sheds requests under overload (docs/giving-way.md).
 
 use crate::status_page::ABSENT;
 use crate::text_table::TextTable;
@@ -14,22 +14,22 @@
     "target latency s",
 ];
 
-/// The ranks of each service, the one that is shed first on top.
+/// Renders a table with the ranks of each service, starting with the rank that is shed first.
 pub(crate) fn shedding_order(configuration: &Configuration) -> String {
     let mut table = TextTable::new(&HEADINGS);
     for service in configuration.services.keys() {
         let order = SheddingOrder::for_service(configuration, service);
         let ranks = order.ranks();
-        for (from_last, ranked) in ranks.iter().enumerate().rev() {
-            let place = place(ranks.len() - from_last, from_last == 0);
-            table.add_row(row(service, place, ranked));
+        for (index_from_last, ranked) in ranks.iter().enumerate().rev() {
+            let shed_position = shed_position(ranks.len() - index_from_last, index_from_last == 0);
+            table.add_row(row(service, shed_position, ranked));
         }
     }
     table.to_string()
 }
 
-/// The how manyth a rank is shed.
-fn place(number: usize, is_last: bool) -> String {
+/// Returns the text of the position at which a rank is shed, counted from 1.
+fn shed_position(number: usize, is_last: bool) -> String {
     match number {
         1 => "first".into(),
         _ if is_last => format!("last ({number})"),
@@ -37,7 +37,7 @@
     }
 }
 
-fn row(service: &str, place: String, ranked: &RankedRoutes) -> Vec<String> {
+fn row(service: &str, shed_position: String, ranked: &RankedRoutes) -> Vec<String> {
     let RankedRoutes { rank, routes } = ranked;
     let kind = if rank.is_read_only { "reads" } else { "binds" };
     let target_latency = if rank.target_latency == Rank::NO_TARGET_LATENCY {
@@ -47,7 +47,7 @@
     };
     vec![
         service.into(),
-        place,
+        shed_position,
         routes.join(","),
         kind.into(),
         rank.priority.to_string(),
--- a/crates/gateway/cli/src/status_page.rs
+++ b/crates/gateway/cli/src/status_page.rs
@@ -1,20 +1,20 @@
-//! Pages of controllers, read field by field: a page of a later version may have more fields, one of an earlier version
-//! may lack some.
+//! Lenient access to the fields of controllers' JSON pages: pages of other releases may have additional fields or lack
+//! some.
 
 use crate::error::CliError;
 use facet_value::{VObject, Value};
 
-/// What stands for a field that a page does not have.
+/// Text shown for a field that a page does not have.
 pub(crate) const ABSENT: &str = "-";
 
-/// A page of a controller.
+/// A parsed JSON page of a controller.
 pub(crate) struct StatusPage(Value);
 
 impl StatusPage {
-    /// Reads a page.
+    /// Parses the text of a page.
     ///
     /// # Errors
-    /// [`CliError::InvalidPage`] if it is no JSON.
+    /// [`CliError::InvalidPage`] if the text is not valid JSON.
     pub(crate) fn read(text: &str) -> Result<StatusPage, CliError> {
         let value = facet_json::from_str(text);
         value
@@ -22,40 +22,40 @@
             .map_err(|error| CliError::InvalidPage(error.to_string()))
     }
 
-    /// The fields of the page; none if it is no object.
+    /// Returns the fields of the page; `None` if the page is not a JSON object.
     pub(crate) fn fields(&self) -> Option<Fields<'_>> {
         self.0.as_object().map(Fields)
     }
 }
 
-/// The fields of a page, or of an object in it.
+/// Fields of a page, or of an object within it.
 #[derive(Clone, Copy)]
 pub(crate) struct Fields<'a>(&'a VObject);
 
 impl<'a> Fields<'a> {
-    /// A field as text, or [`ABSENT`]. A truth value is `yes` or `no`, a fraction has one digit.
+    /// Returns a field as text, or [`ABSENT`] if it is missing. Booleans become `yes` or `no`; fractions get one decimal.
     pub(crate) fn text(self, name: &str) -> String {
         let text = self.0.get(name).and_then(display_text);
         text.unwrap_or_else(|| ABSENT.into())
     }
 
-    /// Several fields as text.
+    /// Returns several fields as text, as [`Fields::text`] does.
     pub(crate) fn texts(self, names: &[&str]) -> Vec<String> {
         names.iter().map(|name| self.text(name)).collect()
     }
 
-    /// An object in this one.
+    /// Returns the fields of a nested object; `None` if it is missing or not an object.
     pub(crate) fn object(self, name: &str) -> Option<Fields<'a>> {
         self.0.get(name)?.as_object().map(Fields)
     }
 
-    /// The objects of a list.
+    /// Returns the objects in a list; empty if the list is missing.
     pub(crate) fn objects(self, name: &str) -> Vec<Fields<'a>> {
         let items = self.items(name);
         items.filter_map(Value::as_object).map(Fields).collect()
     }
 
-    /// The strings of a list.
+    /// Returns the items of a list of strings; items of other types become empty strings.
     pub(crate) fn strings(self, name: &str) -> Vec<String> {
         let string = |item: &Value| item.as_string().map(|string| string.as_str().to_string());
         self.items(name)
@@ -63,12 +63,12 @@
             .collect()
     }
 
-    /// How many items a list has.
+    /// Returns the number of items in a list; 0 if the list is missing.
     pub(crate) fn count(self, name: &str) -> usize {
         self.items(name).count()
     }
 
-    /// The sum of all whole numbers in this object.
+    /// Returns the sum of all non-negative integers among the fields.
     pub(crate) fn sum(self) -> u64 {
         let numbers = self.0.iter().filter_map(|(_, value)| value.as_number());
         numbers.filter_map(|number| number.to_u64()).sum()
@@ -80,7 +80,7 @@
     }
 }
 
-/// A string, truth value or number as text.
+/// Formats a string, boolean or number; `None` for other values.
 fn display_text(value: &Value) -> Option<String> {
     if let Some(string) = value.as_string() {
         return Some(string.as_str().to_string());
--- a/crates/gateway/cli/src/text_table.rs
+++ b/crates/gateway/cli/src/text_table.rs
@@ -1,23 +1,24 @@
-//! Tables of text with columns as wide as their widest cell.
+//! Plain-text tables whose columns are as wide as their widest cell.
 
 use std::fmt;
 
 const COLUMN_GAP: &str = "  ";
 
-/// A table, row by row.
+/// A plain-text table. The first row holds the headings.
 pub(crate) struct TextTable {
     rows: Vec<Vec<String>>,
 }
 
 impl TextTable {
-    /// A table with these headings and no rows.
+    /// Creates a table with these headings and no other rows.
     pub(crate) fn new(headings: &[&str]) -> TextTable {
         TextTable {
             rows: vec![headings.iter().map(ToString::to_string).collect()],
         }
     }
 
-    /// Adds a row. If it is shorter than the table, its last cell is a remark, which widens no column.
+    /// Adds a row. If it has fewer cells than the table has columns, its last cell is a note that doesn't affect column
+    /// widths.
     pub(crate) fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
@@ -29,8 +30,8 @@
     fn width(&self, column: usize) -> usize {
         let count = self.column_count();
         let cells = self.rows.iter().filter_map(|row| {
-            let is_remark = row.len() < count && column + 1 == row.len();
-            row.get(column).filter(|_| !is_remark)
+            let is_note = row.len() < count && column + 1 == row.len();
+            row.get(column).filter(|_| !is_note)
         });
         cells.map(|cell| cell.chars().count()).max().unwrap_or(0)
     }
--- a/crates/gateway/cli/src/views/each.rs
+++ b/crates/gateway/cli/src/views/controller_table.rs
@@ -1,12 +1,13 @@
-//! A table with rows of each controller's page, or the reason why there is none.
+//! A table with one row per controller, built from its page or from the error of fetching it.
 
 use crate::control_api::{CallError, ControllerPage};
 use crate::error::CliError;
 use crate::status_page::{Fields, StatusPage};
 use crate::text_table::TextTable;
 
-/// Rows of all pages that came, with the controller in front; a remark for each controller that did not answer.
-pub(super) fn table_of_each(
+/// Builds a table with a row for each page, preceded by the controller's address. A controller whose page could not be
+/// fetched gets a row with a note.
+pub(super) fn controller_table(
     pages: &[ControllerPage],
     headings: &[&str],
     row: impl Fn(Fields<'_>) -> Option<Vec<String>>,
@@ -14,7 +15,7 @@
     let mut table = TextTable::new(&[&["controller"], headings].concat());
     for ControllerPage { controller, page } in pages {
         match page {
-            Err(error) => table.add_row(vec![controller.clone(), remark(error)]),
+            Err(error) => table.add_row(vec![controller.clone(), error_note(error)]),
             Ok(text) => {
                 let page = StatusPage::read(text)?;
                 if let Some(cells) = page.fields().and_then(&row) {
@@ -26,7 +27,7 @@
     Ok(table)
 }
 
-/// Why there is no page.
-pub(super) fn remark(error: &CallError) -> String {
+/// Formats a call error as a note in parentheses.
+pub(super) fn error_note(error: &CallError) -> String {
     format!("({error})")
 }
--- a/crates/gateway/cli/src/views/controllers.rs
+++ b/crates/gateway/cli/src/views/controllers.rs
@@ -1,14 +1,14 @@
-//! A line for each controller: its status, its disk, who holds an operation key there.
+//! Tables with one row per controller: status, disk statistics, and the claim on an operation key.
 
-use super::each::table_of_each;
+use super::controller_table::controller_table;
 use crate::control_api::ControllerPage;
 use crate::error::CliError;
 use crate::status_page::{ABSENT, Fields};
 
-/// What each controller says of itself, and how many it knows of everything.
+/// Renders the status of each controller with the numbers of its claims, peers, gateways and hosts.
 ///
 /// # Errors
-/// [`CliError::InvalidPage`]: a page that can't be read.
+/// [`CliError::InvalidPage`] if a page is not valid JSON.
 pub fn status(pages: &[ControllerPage]) -> Result<String, CliError> {
     let headings = [
         "name",
@@ -23,14 +23,14 @@
         "hosts",
         "refused",
     ];
-    table_of_each(pages, &headings, |page| Some(status_row(page))).map(|table| table.to_string())
+    controller_table(pages, &headings, |page| Some(status_row(page))).map(|table| table.to_string())
 }
 
 fn status_row(page: Fields<'_>) -> Vec<String> {
     let voting_set = page.object("set");
     let epoch = voting_set.map_or_else(|| ABSENT.into(), |set| set.text("number"));
     let voters = voting_set.map_or(0, |set| set.count("members"));
-    // Sessions and messages that were refused, for all reasons.
+    // The field counts refused sessions and messages by reason; the table shows the total.
     let refused = page.object("refused").map_or(0, Fields::sum);
     vec![
         page.text("name"),
@@ -47,10 +47,10 @@
     ]
 }
 
-/// What each controller's disk has done.
+/// Renders the disk statistics of each controller.
 ///
 /// # Errors
-/// [`CliError::InvalidPage`]: a page that can't be read.
+/// [`CliError::InvalidPage`] if a page is not valid JSON.
 pub fn disks(pages: &[ControllerPage]) -> Result<String, CliError> {
     let headings = [
         "name",
@@ -75,15 +75,16 @@
         let disk = page.object("disk")?;
         Some([vec![page.text("name")], disk.texts(&fields)].concat())
     };
-    table_of_each(pages, &headings, row).map(|table| table.to_string())
+    controller_table(pages, &headings, row).map(|table| table.to_string())
 }
 
-/// Which claim holds an operation key, as each controller has it.
+/// Renders the claim that holds an operation key according to each controller.
 ///
 /// # Errors
-/// [`CliError::InvalidPage`]: a page that can't be read.
+/// [`CliError::InvalidPage`] if a page is not valid JSON.
 pub fn operation_key(pages: &[ControllerPage]) -> Result<String, CliError> {
     let headings = ["held", "by", "incarnation", "number", "age s", "on disk"];
     let fields = ["held", "by", "incarnation", "number", "age_s", "on_disk"];
-    table_of_each(pages, &headings, |page| Some(page.texts(&fields))).map(|table| table.to_string())
+    controller_table(pages, &headings, |page| Some(page.texts(&fields)))
+        .map(|table| table.to_string())
 }
--- a/crates/gateway/cli/src/views/endpoints.rs
+++ b/crates/gateway/cli/src/views/endpoints.rs
@@ -1,16 +1,16 @@
-//! Hosts and endpoint tables as one controller sees them.
+//! Tables of the hosts and endpoint tables that one controller reports.
 
 use crate::control_api::SuccessResponse;
 use crate::error::CliError;
 use crate::status_page::StatusPage;
 use crate::text_table::TextTable;
 
-/// The hosts, with their state and the age of the last word from them.
+/// Renders the hosts with their states and the time since their last heartbeat.
 ///
 /// # Errors
-/// [`CliError::InvalidPage`]: the page can't be read.
-pub fn hosts(answer: &SuccessResponse) -> Result<String, CliError> {
-    let page = StatusPage::read(&answer.body)?;
+/// [`CliError::InvalidPage`] if the page is not valid JSON.
+pub fn hosts(reply: &SuccessResponse) -> Result<String, CliError> {
+    let page = StatusPage::read(&reply.body)?;
     let mut table = TextTable::new(&["host", "service", "address", "zone", "state", "age s"]);
     let fields = ["id", "service", "address", "zone", "state", "age_s"];
     for host in page
@@ -20,15 +20,15 @@
     {
         table.add_row(host.texts(&fields));
     }
-    Ok(format!("as {} sees them\n{table}", answer.controller))
+    Ok(format!("as {} sees them\n{table}", reply.controller))
 }
 
-/// The endpoint tables, with the gateways that are bound to each.
+/// Renders the endpoint tables with the gateways that are bound to them.
 ///
 /// # Errors
-/// [`CliError::InvalidPage`]: the page can't be read.
-pub fn tables(answer: &SuccessResponse) -> Result<String, CliError> {
-    let page = StatusPage::read(&answer.body)?;
+/// [`CliError::InvalidPage`] if the page is not valid JSON.
+pub fn tables(reply: &SuccessResponse) -> Result<String, CliError> {
+    let page = StatusPage::read(&reply.body)?;
     let mut table = TextTable::new(&["service", "table", "gateways", "endpoints"]);
     for shown in page
         .fields()
@@ -39,5 +39,5 @@
         cells.push(shown.count("endpoints").to_string());
         table.add_row(cells);
     }
-    Ok(format!("as {} orders them\n{table}", answer.controller))
+    Ok(format!("as {} orders them\n{table}", reply.controller))
 }
--- a/crates/gateway/cli/src/views/gateways.rs
+++ b/crates/gateway/cli/src/views/gateways.rs
@@ -1,6 +1,6 @@
-//! The gateways, by the sessions that controllers have with them.
+//! Table of gateways, collected from the sessions that controllers report.
 
-use super::each::remark;
+use super::controller_table::error_note;
 use crate::control_api::ControllerPage;
 use crate::error::CliError;
 use crate::status_page::{ABSENT, Fields, StatusPage};
@@ -8,19 +8,19 @@
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
-/// The role of gateways' sessions on pages.
+/// Value of the `role` field in sessions with gateways.
 const GATEWAY_ROLE: &str = "gateway";
-/// A truth value that holds, as [`Fields::text`] shows it.
+/// Text that [`Fields::text`] returns for `true`.
 const TRUE: &str = "yes";
 
-/// A gateway as controllers report it.
+/// A gateway, merged from the sessions of all controllers.
 #[derive(Default)]
 struct ReportedGateway {
     address: String,
     zone: String,
-    /// Names of the controllers that have a session with it.
+    /// Names of the controllers that have a session with the gateway.
     controllers: Vec<String>,
-    /// Those of them that it takes its tables from.
+    /// Names of the controllers that the gateway uses as its primary, the source of its endpoint tables.
     primaries: Vec<String>,
 }
 
@@ -50,13 +50,13 @@
     }
 }
 
-/// The gateways by name, with who is in session with each and which controller is its primary one.
+/// Renders the gateways sorted by name, with their primary controllers and all controllers in session with them.
 ///
 /// # Errors
-/// [`CliError::InvalidPage`]: a page that can't be read.
+/// [`CliError::InvalidPage`] if a page is not valid JSON.
 pub fn members(pages: &[ControllerPage]) -> Result<String, CliError> {
     let mut gateways: BTreeMap<String, ReportedGateway> = BTreeMap::new();
-    let mut unanswered = String::new();
+    let mut failures = String::new();
     for ControllerPage { controller, page } in pages {
         match page {
             Ok(text) => {
@@ -66,7 +66,7 @@
                 }
             }
             Err(error) => {
-                let _ = writeln!(unanswered, "{controller}  {}", remark(error));
+                let _ = writeln!(failures, "{controller}  {}", error_note(error));
             }
         }
     }
@@ -74,7 +74,7 @@
     for (name, gateway) in gateways {
         table.add_row(gateway.row(name));
     }
-    Ok(format!("{table}{unanswered}"))
+    Ok(format!("{table}{failures}"))
 }
 
 fn add_sessions(gateways: &mut BTreeMap<String, ReportedGateway>, page: Fields<'_>) {
--- a/crates/gateway/cli/src/views/mod.rs
+++ b/crates/gateway/cli/src/views/mod.rs
@@ -1,12 +1,13 @@
-//! Pages of controllers as tables.
+//! Controllers' pages rendered as text tables.
 //!
-//! * `controllers.rs`: a line for each controller: status, disk, who holds an operation key.
-//! * `voters.rs`: the voting set as each controller sees it.
-//! * `gateways.rs`: the gateways by the sessions that controllers have with them.
-//! * `endpoints.rs`: hosts and endpoint tables as one controller sees them.
+//! * `controllers.rs`: one row per controller: status, disk, claim on an operation key.
+//! * `voters.rs`: the voting set of each controller.
+//! * `gateways.rs`: gateways and their controller sessions.
+//! * `endpoints.rs`: hosts and endpoint tables of one controller.
+//! * `controller_table.rs`: shared code of the tables with one row per controller.
 
+mod controller_table;
 mod controllers;
-mod each;
 mod endpoints;
 mod gateways;
 mod voters;
@@ -18,7 +19,7 @@
 
 use crate::control_api::ControllerPage;
 
-/// The pages that came, as they came, a line each.
+/// Returns the successfully fetched pages unchanged, one per line.
 pub fn json(pages: &[ControllerPage]) -> String {
     let received = pages.iter().filter_map(|page| page.page.as_ref().ok());
     received.map(|page| format!("{page}\n")).collect()
--- a/crates/gateway/cli/src/views/voters.rs
+++ b/crates/gateway/cli/src/views/voters.rs
@@ -1,6 +1,6 @@
-//! The voting set as each controller sees it.
+//! Table of the voting set that each controller reports.
 
-use super::each::table_of_each;
+use super::controller_table::controller_table;
 use crate::control_api::ControllerPage;
 use crate::error::CliError;
 use crate::status_page::{ABSENT, Fields, StatusPage};
@@ -8,7 +8,7 @@
 
 const EPOCHS_DIFFER: &str = "controllers differ: not all vote in one epoch\n";
 
-/// A voting set as a page reports it.
+/// A voting set read from a status page.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct ReportedVotingSet {
     epoch: String,
@@ -25,10 +25,11 @@
     }
 }
 
-/// What each controller says of itself, how many members it is in session with, and whether controllers differ.
+/// Renders the voting set of each controller with the number of members it reaches, followed by a note if the
+/// controllers report different sets.
 ///
 /// # Errors
-/// [`CliError::InvalidPage`]: a page that can't be read.
+/// [`CliError::InvalidPage`] if a page is not valid JSON.
 pub fn voters(pages: &[ControllerPage]) -> Result<String, CliError> {
     let headings = [
         "name",
@@ -39,7 +40,7 @@
         "votes",
         "held",
     ];
-    let table = table_of_each(pages, &headings, |page| Some(voter_row(page)))?;
+    let table = controller_table(pages, &headings, |page| Some(voter_row(page)))?;
     let note = if sets_differ(pages) {
         EPOCHS_DIFFER
     } else {
@@ -55,7 +56,7 @@
     });
     let peers = page.strings("peers");
     let is_reached = |member: &&String| peers.contains(member);
-    // A controller is no peer of its own.
+    // `peers` doesn't contain the controller itself, which counts as reached.
     let reached = set.members.iter().filter(is_reached).count() + 1;
     let own = page.texts(&["complete_state", "votes", "held"]);
     let shared = vec![
--- a/crates/gateway/cli/tests/views.rs
+++ b/crates/gateway/cli/tests/views.rs
@@ -1,4 +1,4 @@
-//! Status pages of three controllers as tables; the third one does not answer.
+//! Views of the status pages of three controllers, the third of which does not respond.
 
 use rushcourse_cli::control_api::{CallError, ControllerPage};
 use rushcourse_cli::views::{disks, members, status, voters};
@@ -27,7 +27,7 @@
     ]
 }
 
-/// The cells of each row of a table.
+/// Splits a table into its non-empty cells, row by row.
 fn cells(table: &str) -> Vec<Vec<&str>> {
     table
         .lines()
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn voters_show_who_is_reached_and_where_controllers_differ() {
+fn voters_view_shows_reached_members_and_differing_sets() {
     let table = voters(&pages()).expect("a table");
     let rows = cells(&table);
     assert_eq!(
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn gateways_have_their_primary_controller() {
+fn members_view_shows_primary_controller() {
     let table = members(&pages()).expect("a table");
     assert_eq!(
         cells(&table)[1],
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn disks_have_their_refusals_and_controllers_the_sum_of_all_reasons() {
+fn disks_view_shows_refusals_and_status_view_their_sum() {
     let table = disks(&pages()).expect("a table");
     assert_eq!(
         cells(&table)[1],
--- a/crates/gateway/storage/src/store.rs
+++ b/crates/gateway/storage/src/store.rs
@@ -42,17 +42,15 @@
         Store::open_with(Box::new(move || builder().create(&path)))
     }
 
-    /// Opens a state file on a custom storage backend, such as an in-memory disk. `new_backend` is called for each
+    /// Opens a state file on a custom storage backend, such as an in-memory disk. `backend` is called for each
     /// opening: now, and after each failed write.
     ///
     /// # Errors
     /// The same as for [`Store::open`].
     pub fn open_with_backend<B: StorageBackend>(
-        new_backend: impl Fn() -> B + Send + 'static,
+        backend: impl Fn() -> B + Send + 'static,
     ) -> Result<(Store, DurableState), Report<StorageError>> {
-        Store::open_with(Box::new(move || {
-            builder().create_with_backend(new_backend())
-        }))
+        Store::open_with(Box::new(move || builder().create_with_backend(backend())))
     }
 
     fn open_with(opener: Opener) -> Result<(Store, DurableState), Report<StorageError>> {
@@ -90,9 +88,7 @@
             Some(FORMAT) => {}
             Some(other) => return Err(Report::new(StorageError::UnknownFormat(other))),
             None => {
-                return Err(StorageError::unreadable(
-                    "the file is empty after reopening",
-                ));
+                return Err(StorageError::unreadable("the reopened file is empty"));
             }
         }
         self.claim_positions = contents_of(&database)?.claim_positions;
