--- a/crates/gateway/cli/src/status_page.rs
+++ b/crates/gateway/cli/src/status_page.rs
@@ -33,7 +33,8 @@
 pub(crate) struct Fields<'a>(&'a VObject);
 
 impl<'a> Fields<'a> {
-    /// Returns a field as text, or [`ABSENT`] if it is missing. Booleans become `yes` or `no`; fractions get one decimal.
+    /// Returns a field as text, or [`ABSENT`] if it is missing. Booleans become `yes` or `no`; fractions are shown with
+    /// one decimal.
     pub(crate) fn text(self, name: &str) -> String {
         let text = self.0.get(name).and_then(display_text);
         text.unwrap_or_else(|| ABSENT.into())
--- a/crates/gateway/config/src/configuration.rs
+++ b/crates/gateway/config/src/configuration.rs
@@ -51,8 +51,8 @@
         })
     }
 
-    /// Finds the route of a request: the one with the longest matching path prefix among the routes of `host`. `host` is
-    /// the value of the `Host` header, compared case-insensitively and without its port.
+    /// Finds the route of `host` with the longest prefix of `path`. `host` is the value of the `Host` header, compared
+    /// case-insensitively and without its port.
     pub fn find_route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = without_port(host);
         // Most clients send the host in lower case, so the exact lookup usually avoids an allocation.
--- a/crates/gateway/config/src/table.rs
+++ b/crates/gateway/config/src/table.rs
@@ -25,8 +25,8 @@
     /// Parses a table. `field` is its path in the configuration.
     ///
     /// # Errors
-    /// Columns or rows are missing, a column name is not a string or is duplicated, a row has the wrong number of cells,
-    /// or there are too many rows.
+    /// Columns or rows are missing, a column name is not a string or is duplicated, a row has the wrong number of
+    /// cells, or the table has too many rows.
     pub(crate) fn read(table: &'a VObject, field: &'a str) -> Result<Table<'a>, ValidationError> {
         let columns = read_columns(table, field)?;
         let rows = read_rows(table, columns.len(), field)?;
--- a/crates/gateway/storage/src/disk_health.rs
+++ b/crates/gateway/storage/src/disk_health.rs
@@ -67,7 +67,8 @@
         result
     }
 
-    /// Returns the current values. They are loaded one by one, so a concurrent write may be counted in some of them only.
+    /// Returns the current values. They are loaded one by one, so a concurrent write may be included in only some of
+    /// them.
     pub fn statistics(&self) -> DiskStatistics {
         let write_started = self.write_started.load(Relaxed);
         let elapsed_us = || (self.now_us() + 1).saturating_sub(write_started);
--- a/crates/gateway/storage/src/lib.rs
+++ b/crates/gateway/storage/src/lib.rs
@@ -9,7 +9,8 @@
 //! * `upgrade`: upgrades files of format 1.
 //! * `claim_positions`: assigns positions in the claims table.
 //!
-//! Table names, keys and row encodings are a stable on-disk format, checked by `tests/format.rs` and `tests/fixture.rs`.
+//! Table names, keys and row encodings are a stable on-disk format, checked by `tests/format.rs` and
+//! `tests/fixture.rs`.
 
 mod claim_positions;
 pub mod disk_health;
--- a/crates/gateway/storage/src/reading.rs
+++ b/crates/gateway/storage/src/reading.rs
@@ -78,7 +78,8 @@
 ) -> Result<(), redb::Error> {
     for entry in transaction.open_table(table)?.iter()? {
         let (number, bytes) = entry?;
-        // A damaged record may hold a promise or a vote. Skipping it would let this replica vote twice, so loading fails.
+        // A damaged record may hold a promise or a vote. Skipping it could make this replica vote twice, so loading
+        // fails.
         let record = decode(bytes.value(), "acceptor record")?;
         let slot = slot(number.value());
         records.push(SlotRecord { slot, record });
--- a/crates/gateway/storage/src/store.rs
+++ b/crates/gateway/storage/src/store.rs
@@ -87,9 +87,7 @@
         match format_of(&database)? {
             Some(FORMAT) => {}
             Some(other) => return Err(Report::new(StorageError::UnknownFormat(other))),
-            None => {
-                return Err(StorageError::unreadable("the reopened file is empty"));
-            }
+            None => return Err(StorageError::unreadable("the reopened file is empty")),
         }
         self.claim_positions = contents_of(&database)?.claim_positions;
         Ok(database)
--- a/crates/gateway/storage/src/tables.rs
+++ b/crates/gateway/storage/src/tables.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Current format number of the file. Format 1 is upgraded at opening; files of any other format are rejected unchanged.
+/// Current format number of the file. Files of format 1 are upgraded at opening; files of any other format are rejected.
 pub(crate) const FORMAT: u64 = 2;
 
 /// Single values, stored under the `META_` keys.
--- a/crates/gateway/storage/src/writer.rs
+++ b/crates/gateway/storage/src/writer.rs
@@ -9,7 +9,7 @@
 /// Maximum number of batches per sync, which bounds the size of a transaction.
 const MAX_BATCHES_PER_SYNC: usize = 512;
 
-/// Timeout of a single receive call. The loop calls again immediately after a timeout.
+/// Timeout of a single receive call. A timeout has no effect other than another call.
 const RECEIVE_TIMEOUT: Duration = Duration::from_secs(3600);
 
 /// Outcome of writing one batch, reported by [`run_writer`].
