--- a/crates/gateway/config/src/route.rs
+++ b/crates/gateway/config/src/route.rs
@@ -72,24 +72,28 @@
     /// Selects a service by weight, from a hash of `request_key`: all gateways select the same service for all attempts
     /// of a request. Returns an empty name if no service has a positive weight.
     pub fn choose_service(&self, request_key: &[u8]) -> &str {
-        let total: f64 = self.services.iter().map(|part| part.weight).sum();
+        let total: f64 = self.services.iter().map(|target| target.weight).sum();
         let mut remaining = hash64(request_key, SPLIT_SEED) as f64 / u64::MAX as f64 * total;
-        for part in &self.services {
-            remaining -= part.weight;
-            if remaining < 0.0 && part.weight > 0.0 {
-                return &part.service;
+        for target in &self.services {
+            remaining -= target.weight;
+            if remaining < 0.0 && target.weight > 0.0 {
+                return &target.service;
             }
         }
         // For the highest hashes, rounding may leave `remaining` at 0 or above after the last service.
-        let last = self.services.iter().rev().find(|part| part.weight > 0.0);
-        last.map_or("", |part| &part.service)
+        let last = self
+            .services
+            .iter()
+            .rev()
+            .find(|target| target.weight > 0.0);
+        last.map_or("", |target| &target.service)
     }
 
     /// Returns whether the route has this service with a positive weight.
     pub fn sends_to(&self, service: &str) -> bool {
         self.services
             .iter()
-            .any(|part| part.service == service && part.weight > 0.0)
+            .any(|target| target.service == service && target.weight > 0.0)
     }
 }
 
@@ -200,29 +204,29 @@
         }]);
     };
     let field = row.field("weighted_split");
-    let mut parts = Vec::new();
-    for (index, part) in json::list(split, &field)?.iter().enumerate() {
+    let mut weighted_services = Vec::new();
+    for (index, entry) in json::list(split, &field)?.iter().enumerate() {
         let field = format!("{field}[{index}]");
-        parts.push(read_weighted_service(part, services, &field)?);
+        weighted_services.push(read_weighted_service(entry, services, &field)?);
     }
-    let total: f64 = parts.iter().map(|part| part.weight).sum();
+    let total: f64 = weighted_services.iter().map(|target| target.weight).sum();
     if total <= 0.0 {
         return Err(ValidationError::at(&field, "has no weight greater than 0"));
     }
-    Ok(parts)
+    Ok(weighted_services)
 }
 
 fn read_weighted_service(
-    part: &Value,
+    entry: &Value,
     services: &IndexMap<String, Service>,
     field: &str,
 ) -> Result<WeightedService, ValidationError> {
-    let part = json::object(part, field)?;
+    let entry = json::object(entry, field)?;
     let service_field = format!("{field}.service");
-    let service = json::text(json::required(part, "service", field)?, &service_field)?;
+    let service = json::text(json::required(entry, "service", field)?, &service_field)?;
     check_service_exists(service, services, &service_field)?;
     let weight_field = format!("{field}.weight");
-    let weight = json::number(json::required(part, "weight", field)?, &weight_field)?;
+    let weight = json::number(json::required(entry, "weight", field)?, &weight_field)?;
     if weight < 0.0 {
         let reason = format!("{weight} is negative");
         return Err(ValidationError::at(&weight_field, reason));
--- a/crates/gateway/config/src/settings.rs
+++ b/crates/gateway/config/src/settings.rs
@@ -196,16 +196,16 @@
 }
 
 fn read_bounds(file: &SettingsFile<'_>) -> Result<Bounds, SettingsError> {
-    let span = |name: &str, default: f64| file.number(name, default).map(duration_from_seconds);
+    let duration = |name: &str, default: f64| file.number(name, default).map(duration_from_seconds);
     Ok(Bounds {
-        drain: span("bounds.drain_s", 2.5)?,
-        grace_period: span("bounds.grace_period_s", 6.0)?,
-        configuration_apply: span("bounds.configuration_apply_s", 2.5)?,
+        drain: duration("bounds.drain_s", 2.5)?,
+        grace_period: duration("bounds.grace_period_s", 6.0)?,
+        configuration_apply: duration("bounds.configuration_apply_s", 2.5)?,
         retry_budget_ratio: file.number("bounds.retry_budget_ratio", 0.2)?,
-        budget_window: span("bounds.budget_window_s", 10.0)?,
+        budget_window: duration("bounds.budget_window_s", 10.0)?,
         retry_budget_slack: file.number("bounds.retry_budget_slack", 10.0)?,
-        key_window: span("bounds.key_window_s", 60.0)?,
-        catch_up: span("bounds.catch_up_s", 4.0)?,
+        key_window: duration("bounds.key_window_s", 60.0)?,
+        catch_up: duration("bounds.catch_up_s", 4.0)?,
     })
 }
 
--- a/crates/gateway/storage/src/error.rs
+++ b/crates/gateway/storage/src/error.rs
@@ -25,7 +25,7 @@
 
     /// Classifies an error of opening the database: [`StorageError::Unavailable`] if it may be temporary, otherwise
     /// [`StorageError::Unreadable`].
-    pub(crate) fn opening(cause: redb::DatabaseError) -> Report<StorageError> {
+    pub(crate) fn from_open_error(cause: redb::DatabaseError) -> Report<StorageError> {
         let kind = match &cause {
             redb::DatabaseError::Storage(redb::StorageError::Io(error)) => Some(error.kind()),
             _ => None,
--- a/crates/gateway/storage/src/store.rs
+++ b/crates/gateway/storage/src/store.rs
@@ -54,9 +54,9 @@
     }
 
     fn open_with(opener: Opener) -> Result<(Store, DurableState), Report<StorageError>> {
-        let database = opener().map_err(StorageError::opening)?;
+        let database = opener().map_err(StorageError::from_open_error)?;
         initialize_or_upgrade(&database)?;
-        let contents = contents_of(&database)?;
+        let contents = load_contents(&database)?;
         let store = Store {
             opener,
             database: Some(database),
@@ -84,12 +84,12 @@
     /// Opens the file again and reloads the claim positions, which a failed write may have changed.
     fn reopen(&mut self) -> Result<Database, Report<StorageError>> {
         let database = (self.opener)().map_err(StorageError::unreadable)?;
-        match format_of(&database)? {
+        match load_format(&database)? {
             Some(FORMAT) => {}
             Some(other) => return Err(Report::new(StorageError::UnknownFormat(other))),
             None => return Err(StorageError::unreadable("the reopened file is empty")),
         }
-        self.claim_positions = contents_of(&database)?.claim_positions;
+        self.claim_positions = load_contents(&database)?.claim_positions;
         Ok(database)
     }
 }
@@ -104,7 +104,7 @@
     }
     let database = builder()
         .create(&temporary_path)
-        .map_err(StorageError::opening)?;
+        .map_err(StorageError::from_open_error)?;
     initialize_or_upgrade(&database)?;
     drop(database);
     fs::rename(&temporary_path, path).map_err(refused)?;
@@ -117,7 +117,7 @@
 
 /// Initializes an empty file and upgrades a file of format 1. Fails for any other format except the current one.
 fn initialize_or_upgrade(database: &Database) -> Result<(), Report<StorageError>> {
-    match format_of(database)? {
+    match load_format(database)? {
         Some(FORMAT) => Ok(()),
         Some(upgrade::PREVIOUS_FORMAT) => {
             let newest = upgrade::read_previous(database).map_err(StorageError::unreadable)?;
@@ -128,11 +128,11 @@
     }
 }
 
-fn format_of(database: &Database) -> Result<Option<u64>, Report<StorageError>> {
+fn load_format(database: &Database) -> Result<Option<u64>, Report<StorageError>> {
     read_format(database).map_err(StorageError::unreadable)
 }
 
-fn contents_of(database: &Database) -> Result<Contents, Report<StorageError>> {
+fn load_contents(database: &Database) -> Result<Contents, Report<StorageError>> {
     read_contents(database).map_err(StorageError::unreadable)
 }
 
--- a/crates/gateway/storage/tests/common/disk.rs
+++ b/crates/gateway/storage/tests/common/disk.rs
@@ -86,7 +86,7 @@
     pub fn after_power_loss(&self, seed: u64) -> Disk {
         let mut random = seed;
         self.with(|disk| {
-            let mut left = disk.synced.clone();
+            let mut surviving = disk.synced.clone();
             for change in &disk.unsynced {
                 random = random
                     .wrapping_mul(6_364_136_223_846_793_005)
@@ -94,18 +94,22 @@
                 match change {
                     UnsyncedChange::SetLength(length) => {
                         // One in four truncations is lost, so that the synced bytes behind it are kept.
-                        let kept = if random >> 62 == 0 { left.len() } else { 0 };
-                        left.resize((*length).max(kept), 0);
+                        let kept = if random >> 62 == 0 {
+                            surviving.len()
+                        } else {
+                            0
+                        };
+                        surviving.resize((*length).max(kept), 0);
                     }
                     UnsyncedChange::Write { offset, bytes } => {
                         let torn = (random >> 40) as usize % (bytes.len() + 1);
                         let part = [0, bytes.len(), torn][(random >> 33) as usize % 3];
-                        left.resize(left.len().max(offset + part), 0);
-                        left[*offset..offset + part].copy_from_slice(&bytes[..part]);
+                        surviving.resize(surviving.len().max(offset + part), 0);
+                        surviving[*offset..offset + part].copy_from_slice(&bytes[..part]);
                     }
                 }
             }
-            Disk::with_bytes(left)
+            Disk::with_bytes(surviving)
         })
     }
 }
--- a/crates/gateway/storage/tests/crashes.rs
+++ b/crates/gateway/storage/tests/crashes.rs
@@ -134,29 +134,29 @@
     let operations = script_operation_count();
     assert!(operations > 60, "{operations} operations");
     let (mut unreported_sync_count, mut opened) = (0, 0);
-    for at in 0..operations {
+    for operation_index in 0..operations {
         for seed in 0..4 {
             let disk = Disk::default();
-            disk.refuse_after(at);
+            disk.refuse_after(operation_index);
             let synced = run_script(&disk);
-            let after = disk.after_power_loss(seed * 7_919 + at as u64);
+            let after = disk.after_power_loss(seed * 7_919 + operation_index as u64);
             let Some((_, state)) = open(&after) else {
                 // The file may be unreadable only if its creation failed, so that no batch was ever synced.
                 assert_eq!(
                     synced, None,
-                    "operation {at}, seed {seed}: synced batches are unreadable"
+                    "operation {operation_index}, seed {seed}: synced batches are unreadable"
                 );
                 continue;
             };
             opened += 1;
             let synced = synced.unwrap_or(0);
             let state = sorted_by_key(state);
-            let has_next = state == state_after(synced + 1);
+            let matches_next = state == state_after(synced + 1);
             assert!(
-                has_next || state == state_after(synced),
-                "operation {at}, seed {seed}: state doesn't match {synced} reported batches"
+                matches_next || state == state_after(synced),
+                "operation {operation_index}, seed {seed}: state doesn't match {synced} reported batches"
             );
-            unreported_sync_count += usize::from(has_next);
+            unreported_sync_count += usize::from(matches_next);
         }
     }
     assert!(opened > operations, "{opened} files were reopened");
@@ -169,11 +169,11 @@
 #[test]
 fn retried_writes_succeed_after_temporary_disk_failure() {
     const FIRST_REFUSED: usize = 30;
-    for at in FIRST_REFUSED..script_operation_count() {
+    for operation_index in FIRST_REFUSED..script_operation_count() {
         let disk = Disk::default();
         let (mut store, _) = open(&disk).expect("open an empty disk");
         disk.with(|disk| {
-            let after = at.max(disk.operation_count);
+            let after = operation_index.max(disk.operation_count);
             disk.refusal = Some(Refusal { after, count: 3 });
         });
         let mut refused = 0;
@@ -181,7 +181,10 @@
             // The controller retries failed batches; the test retries immediately.
             while store.write(std::slice::from_ref(&batch)).is_err() {
                 refused += 1;
-                assert!(refused < 20, "operation {at}: writes keep failing");
+                assert!(
+                    refused < 20,
+                    "operation {operation_index}: writes keep failing"
+                );
             }
         }
         drop(store);
@@ -189,7 +192,7 @@
         assert_eq!(
             sorted_by_key(state),
             state_after(script().len()),
-            "operation {at}: after {refused} refusals"
+            "operation {operation_index}: after {refused} refusals"
         );
     }
 }
--- a/crates/gateway/storage/tests/fixture.rs
+++ b/crates/gateway/storage/tests/fixture.rs
@@ -153,9 +153,9 @@
         .write(&[batch(3, vec![added])])
         .expect("write succeeds");
     drop(store);
-    let (_, again) = Store::open(file.path()).expect("open a file of the current format");
+    let (_, reloaded) = Store::open(file.path()).expect("open a file of the current format");
     expected.claims.push(claim(5));
-    assert_eq!(again, expected);
+    assert_eq!(reloaded, expected);
 }
 
 #[test]
--- a/crates/gateway/storage/tests/upgrade_crashes.rs
+++ b/crates/gateway/storage/tests/upgrade_crashes.rs
@@ -62,20 +62,20 @@
     let operations = upgrade_operation_count(&previous);
     assert!(operations > 5, "{operations} operations");
     let (mut kept_previous, mut upgraded) = (0, 0);
-    for at in 0..=operations {
+    for operation_index in 0..=operations {
         for seed in 0..16 {
             let disk = Disk::with_bytes(previous.clone());
-            disk.refuse_after(at);
+            disk.refuse_after(operation_index);
             let opened = open_and_kill(&disk);
-            let after = disk.after_power_loss(seed * 7_919 + at as u64);
+            let after = disk.after_power_loss(seed * 7_919 + operation_index as u64);
             let format = disk_format(&after);
             assert!(
                 format == PREVIOUS || format == CURRENT,
-                "operation {at}, seed {seed}: {format:?}"
+                "operation {operation_index}, seed {seed}: {format:?}"
             );
             assert!(
                 !opened || format == CURRENT,
-                "operation {at}, seed {seed}: opened without a durable upgrade"
+                "operation {operation_index}, seed {seed}: opened without a durable upgrade"
             );
             if format == PREVIOUS {
                 kept_previous += 1;
@@ -84,7 +84,7 @@
             }
             assert!(
                 open_and_kill(&after),
-                "operation {at}, seed {seed}: file is unreadable"
+                "operation {operation_index}, seed {seed}: file is unreadable"
             );
             assert_eq!(disk_format(&after), CURRENT);
         }
