--- a/crates/gateway/cli/src/certificates.rs
+++ b/crates/gateway/cli/src/certificates.rs
@@ -8,7 +8,8 @@
 use std::os::unix::fs::OpenOptionsExt;
 use std::path::Path;
 
-/// Common name of the authority. Changing it invalidates all certificates that existing authorities have issued.
+/// Common name of the authority. It must not change, because new certificates name it as their issuer and must match
+/// existing `authority.pem` files.
 const AUTHORITY_NAME: &str = "directors of this gateway";
 /// File mode of private keys, readable only by the owner.
 const KEY_FILE_MODE: u32 = 0o600;
--- a/crates/gateway/cli/src/control_api.rs
+++ b/crates/gateway/cli/src/control_api.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// Timeout of a call to one controller.
+/// Time after which a call to a controller fails with [`CallError::TimedOut`].
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Number of times that a call tries all controllers before it fails.
 const MAX_ROUNDS: u32 = 4;
--- a/crates/gateway/cli/src/error.rs
+++ b/crates/gateway/cli/src/error.rs
@@ -11,7 +11,7 @@
 /// Exit code if no controller gave a usable response. The outcome is unknown; the command can be repeated.
 const OUTCOME_UNKNOWN: u8 = 2;
 
-/// Error of a `rushctl` command.
+/// Error of a `rushctl` command, printed to standard error. [`CliError::exit_code`] maps it to an exit code.
 #[derive(Debug)]
 pub enum CliError {
     /// A required operand, described by this text, is missing from the command line.
@@ -79,7 +79,7 @@
             CliError::AllControllersFailed(failures) => {
                 write!(f, "all controllers failed: {}", failures.join("; "))
             }
-            CliError::InvalidPage(reason) => write!(f, "invalid status page: {reason}"),
+            CliError::InvalidPage(reason) => write!(f, "invalid page from a controller: {reason}"),
             CliError::InvalidConfiguration { controller, reason } => {
                 write!(f, "{controller}: {reason}")
             }
--- a/crates/gateway/cli/src/shedding_order.rs
+++ b/crates/gateway/cli/src/shedding_order.rs
@@ -28,7 +28,7 @@
     table.to_string()
 }
 
-/// Returns the text of the position at which a rank is shed, counted from 1.
+/// Formats a position in the shedding order, counted from 1: `first`, `last (N)` or the number.
 fn shed_position(number: usize, is_last: bool) -> String {
     match number {
         1 => "first".into(),
--- a/crates/gateway/config/src/error.rs
+++ b/crates/gateway/config/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-/// Error in a JSON body, such as an uploaded configuration.
+/// Error in a JSON body, such as an uploaded configuration, with the path of the invalid field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ValidationError {
     /// Path of the invalid field, such as `routes.rows[1].service`, or `body` for the whole body.
--- a/crates/gateway/config/src/settings.rs
+++ b/crates/gateway/config/src/settings.rs
@@ -8,7 +8,7 @@
 /// DNS name that the certificate of a controller must contain, in addition to the IP address of its machine.
 pub const CONTROLLER_DNS_NAME: &str = "controller";
 
-/// DNS name that certificates created before version 0.2 contain instead; still accepted.
+/// DNS name that certificates created before version 0.2 contain instead of [`CONTROLLER_DNS_NAME`]; still accepted.
 pub const LEGACY_CONTROLLER_DNS_NAME: &str = "exchange";
 
 /// Lower limit of the heartbeat interval, in seconds. Shorter intervals are raised to it.
@@ -23,7 +23,7 @@
     pub zones: Vec<String>,
     /// Listening addresses for clients, hosts and operators.
     pub listen_addresses: ListenAddresses,
-    /// Connections to other nodes.
+    /// Ports, seeds and TLS files for connections to other nodes.
     pub peers: PeerSettings,
     /// Whether a new cluster is being bootstrapped (`first_start`); default false.
     pub is_first_start: bool,
--- a/crates/gateway/config/src/settings_file.rs
+++ b/crates/gateway/config/src/settings_file.rs
@@ -8,7 +8,7 @@
 /// Maximum number of characters of a malformed line that an error quotes.
 const MAX_QUOTED_CHARS: usize = 60;
 
-/// Error in a settings file.
+/// Error in a settings file, with the line and field that caused it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
     /// Line number, starting at 1; `None` if the field is missing.
--- a/crates/gateway/config/src/table.rs
+++ b/crates/gateway/config/src/table.rs
@@ -4,7 +4,7 @@
 use crate::json;
 use facet_value::{VArray, VObject, Value};
 
-/// Maximum number of rows in a table.
+/// Tables with more rows are rejected.
 const MAX_ROWS: usize = 100_000;
 
 /// A table in which every row has one cell per column.
--- a/crates/gateway/storage/src/claim_positions.rs
+++ b/crates/gateway/storage/src/claim_positions.rs
@@ -11,7 +11,7 @@
     next_position: u64,
 }
 
-/// The table changes that store a new claim.
+/// Position of a new claim's row, and of the row that it replaces.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct AppendResult {
     pub(crate) position: u64,
--- a/crates/gateway/storage/src/disk_health.rs
+++ b/crates/gateway/storage/src/disk_health.rs
@@ -15,7 +15,7 @@
     write_started: AtomicU64,
 }
 
-/// A snapshot of [`DiskHealth`].
+/// Sync statistics of the storage thread at one point in time, returned by [`DiskHealth::statistics`].
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct DiskStatistics {
     /// Number of writes that were synced.
--- a/crates/gateway/storage/src/error.rs
+++ b/crates/gateway/storage/src/error.rs
@@ -12,7 +12,7 @@
     Unreadable,
     /// The file has this format number, which the program doesn't support.
     UnknownFormat(u64),
-    /// A write, or the creation or upgrade of the file, failed. Nothing of it is stored.
+    /// A write, or the creation or upgrade of the file, failed. No part of it is stored.
     WriteRefused,
     /// Opening failed with an I/O error that may be temporary, such as a full disk. The caller may retry.
     Unavailable,
--- a/crates/gateway/storage/src/store.rs
+++ b/crates/gateway/storage/src/store.rs
@@ -28,7 +28,7 @@
 
 impl Store {
     /// Opens the file and loads its state. A missing file is created under a temporary name and then renamed, so an
-    /// interrupted creation leaves no partial file behind. A file of format 1 is upgraded first.
+    /// interrupted creation leaves no partial file at `path`. A file of format 1 is upgraded first.
     ///
     /// # Errors
     /// [`StorageError::Unreadable`] or [`StorageError::UnknownFormat`] if the file can't be decoded; it is left
--- a/crates/gateway/storage/src/tables.rs
+++ b/crates/gateway/storage/src/tables.rs
@@ -54,7 +54,6 @@
     (claim.key.0, node.0, incarnation.0, number, claimed_at)
 }
 
-/// The claim that a row holds.
 pub(crate) fn claim_from_row(
     (key, node, incarnation, number, claimed_at): ClaimRow,
 ) -> StoredClaim {
