--- a/crates/gateway/config/src/json.rs
+++ b/crates/gateway/config/src/json.rs
@@ -1,4 +1,4 @@
-//! Typed access to the values of a JSON body. Every function takes the path of its value as `field` for error messages.
+//! Typed access to the values of a JSON body. The accessors take the path of the value as `field` for error messages.
 
 use crate::error::ValidationError;
 use facet_value::{VArray, VObject, Value};
--- a/crates/gateway/config/src/limits.rs
+++ b/crates/gateway/config/src/limits.rs
@@ -9,13 +9,13 @@
 /// Size and time limits of a client connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Maximum size of a request's head in bytes.
+    /// Maximum size of a request's head in bytes; default 16 KiB.
     pub max_header_bytes: u64,
-    /// Maximum size of a request's body in bytes.
+    /// Maximum size of a request's body in bytes; default 64 MiB.
     pub max_body_bytes: u64,
-    /// Time a client has to send a request; greater than 0.
+    /// Time a client has to send the head of a request; greater than 0, default 3 s.
     pub header_timeout: Duration,
-    /// Time after which a connection without a request is closed; greater than 0.
+    /// Time after which a connection without a request is closed; greater than 0, default 15 s.
     pub idle_timeout: Duration,
 }
 
