--- a/crates/gateway/config/src/configuration.rs
+++ b/crates/gateway/config/src/configuration.rs
@@ -81,7 +81,7 @@
         let is_duplicate = |other: &usize| routes[*other].path_prefix == route.path_prefix;
         if indices.iter().any(is_duplicate) {
             let field = format!("routes.rows[{index}].path_prefix");
-            let reason = format!("{} {} is duplicated", route.host, route.path_prefix);
+            let reason = format!("{} {} stands twice", route.host, route.path_prefix);
             return Err(ValidationError::at(&field, reason));
         }
         indices.push(index);
--- a/crates/gateway/config/src/json.rs
+++ b/crates/gateway/config/src/json.rs
@@ -9,9 +9,9 @@
 /// The body is not valid UTF-8 or not valid JSON.
 pub fn parse(body: &[u8]) -> Result<Value, ValidationError> {
     let text = std::str::from_utf8(body)
-        .map_err(|error| ValidationError::at("body", format!("is not valid UTF-8: {error}")))?;
+        .map_err(|error| ValidationError::at("body", format!("is no text: {error}")))?;
     facet_json::from_str(text)
-        .map_err(|error| ValidationError::at("body", format!("is not valid JSON: {error}")))
+        .map_err(|error| ValidationError::at("body", format!("can't be read: {error}")))
 }
 
 /// Returns the value as an object.
@@ -42,7 +42,7 @@
     value
         .as_string()
         .map(|text| text.as_str())
-        .ok_or_else(|| ValidationError::at(field, "must be a string"))
+        .ok_or_else(|| ValidationError::at(field, "must be a word"))
 }
 
 /// Returns a required member of an object. `field` is the path of the object.
@@ -74,7 +74,7 @@
     number
         .to_u64()
         .or_else(without_fraction)
-        .ok_or_else(|| ValidationError::at(field, "must be a whole number, 0 or greater"))
+        .ok_or_else(|| ValidationError::at(field, "must be a whole number from 0 on"))
 }
 
 /// Returns the value as a finite number.
--- a/crates/gateway/config/src/limits.rs
+++ b/crates/gateway/config/src/limits.rs
@@ -43,7 +43,7 @@
 
 fn timeout(name: &str, seconds: f64) -> Result<Duration, ValidationError> {
     if seconds <= 0.0 {
-        let reason = format!("{seconds} is not greater than 0");
+        let reason = format!("{seconds} is not over 0");
         return Err(ValidationError::at(&format!("limits.{name}"), reason));
     }
     Ok(duration_from_seconds(seconds))
--- a/crates/gateway/config/src/route.rs
+++ b/crates/gateway/config/src/route.rs
@@ -154,7 +154,7 @@
         "mutating" => Ok(RouteKind::Mutating),
         "idempotent" => Ok(RouteKind::Idempotent),
         other => {
-            let reason = format!("{other:?} is not one of read_only, mutating, idempotent");
+            let reason = format!("{other:?} is none of read_only, mutating, idempotent");
             Err(row.error("route_kind", reason))
         }
     }
@@ -165,11 +165,11 @@
     let timeout = row.optional_number("timeout_s")?;
     match timeout {
         Some(seconds) if seconds > MAX_TIMEOUT_S => {
-            let reason = format!("{seconds} is greater than {MAX_TIMEOUT_S}");
+            let reason = format!("{seconds} is over {MAX_TIMEOUT_S}");
             Err(row.error("timeout_s", reason))
         }
         Some(seconds) if seconds <= 0.0 => {
-            Err(row.error("timeout_s", format!("{seconds} is not greater than 0")))
+            Err(row.error("timeout_s", format!("{seconds} is not over 0")))
         }
         _ => Ok(timeout),
     }
@@ -183,7 +183,7 @@
     let target = row.optional_number("target_latency_s")?;
     match target.zip(timeout) {
         Some((target, timeout)) if target >= timeout + MAX_TARGET_OVER_TIMEOUT_S => {
-            let reason = format!("{target} exceeds timeout_s {timeout} by a minute or more");
+            let reason = format!("{target} lies a minute or more over timeout_s {timeout}");
             Err(row.error("target_latency_s", reason))
         }
         _ => Ok(target),
@@ -211,7 +211,7 @@
     }
     let total: f64 = weighted_services.iter().map(|target| target.weight).sum();
     if total <= 0.0 {
-        return Err(ValidationError::at(&field, "has no weight greater than 0"));
+        return Err(ValidationError::at(&field, "has no weight over 0"));
     }
     Ok(weighted_services)
 }
@@ -228,7 +228,7 @@
     let weight_field = format!("{field}.weight");
     let weight = json::number(json::required(entry, "weight", field)?, &weight_field)?;
     if weight < 0.0 {
-        let reason = format!("{weight} is negative");
+        let reason = format!("{weight} is under 0");
         return Err(ValidationError::at(&weight_field, reason));
     }
     Ok(WeightedService {
--- a/crates/gateway/config/src/service.rs
+++ b/crates/gateway/config/src/service.rs
@@ -35,7 +35,7 @@
         let service = read_service(&row)?;
         let name = service.name.clone();
         if services.insert(name.clone(), service).is_some() {
-            return Err(row.error("name", format!("{name} is duplicated")));
+            return Err(row.error("name", format!("{name} stands twice")));
         }
     }
     Ok(services)
--- a/crates/gateway/config/src/table.rs
+++ b/crates/gateway/config/src/table.rs
@@ -58,7 +58,7 @@
         let field = format!("{field}.columns[{index}]");
         let name = json::text(value, &field)?;
         if names.iter().any(|known| known == name) {
-            return Err(ValidationError::at(&field, format!("{name} is duplicated")));
+            return Err(ValidationError::at(&field, format!("{name} stands twice")));
         }
         names.push(name.to_string());
     }
