--- a/crates/gateway/admission/src/lib.rs
+++ b/crates/gateway/admission/src/lib.rs
@@ -1,8 +1,9 @@
-//! Load shedding: which requests are rejected first when a service can't carry all of them.
+//! Load shedding: the order in which requests are rejected when a service is overloaded.
 //!
-//! * [`shedding_order`]: the order, from the configuration alone, so that all gateways that hold one version agree on it.
+//! * [`shedding_order`]: computes the order from the configuration alone, so gateways with the same configuration
+//!   version agree on it.
 //!
-//! Nothing on the path of requests uses it yet: `docs/giving-way.md` tells what is to come.
+//! The request path does not use it yet; `docs/giving-way.md` describes the planned integration.
 
 pub mod shedding_order;
 
--- a/crates/gateway/admission/src/shedding_order.rs
+++ b/crates/gateway/admission/src/shedding_order.rs
@@ -1,39 +1,39 @@
-//! The order in which the requests of one service are shed.
+//! The order in which the requests to one service are shed.
 //!
-//! Each request has a position from 0 on: the index of its rank, and within the rank a fraction by a hash that all
-//! gateways share. An admission level is a point on the same scale; what lies below it passes. So one number says what is
-//! shed, a higher level admits all that a lower one does, and a client that is rejected at one gateway is rejected at the
-//! next at the same level, whichever attempt it is.
+//! Every request has a position: the index of its rank plus a fraction in `0.0..1.0`, computed by a hash that is the
+//! same on all gateways. An admission level is a value on the same scale, and requests whose position is below it are
+//! admitted. A higher level therefore admits everything that a lower level admits, and every attempt of a request gets
+//! the same result from all gateways at the same level.
 
 use rushcourse_config::{Configuration, Route, RouteKind};
 use rushcourse_types::hash::hash64;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Seed of the hash of a request, apart from those of other uses. Gateways must agree, so it never changes.
+/// Seed of the request hash. Gateways must compute the same positions, so it must never change.
 const POSITION_SEED: u64 = 11;
 
-/// Bits of a hash that a float of 64 bits holds exactly.
+/// Number of hash bits that an `f64` represents exactly.
 const FLOAT_BITS: u32 = f64::MANTISSA_DIGITS;
 
-/// Routes that are shed together. What binds (mutating and idempotent requests) comes before what is only read, then the
-/// highest priority, then the shortest target latency: who is content to wait longer is shed sooner. The order of the
-/// fields is the order of ranks.
+/// The key by which routes are ordered for shedding; routes with equal keys are shed together. The derived `Ord` puts
+/// writes (mutating and idempotent routes) before reads, then the highest priority, then the shortest target latency.
+/// Lower ranks are shed last, so the order of the fields matters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Rank {
-    /// Whether its requests may run more than once, and so be repeated at no harm.
+    /// Whether the routes are of kind `read_only`, whose requests have no effect and may run any number of times.
     pub is_read_only: bool,
-    /// As in the configuration: 0 is the highest.
+    /// Priority from the configuration; 0 is the highest.
     pub priority: u32,
-    /// In whole milliseconds; [`Rank::NO_TARGET_LATENCY`] where the route names none.
+    /// Target latency in whole milliseconds, or [`Rank::NO_TARGET_LATENCY`] for routes without one.
     pub target_latency: Duration,
 }
 
 impl Rank {
-    /// Stands for no target latency: it is shed as one that waits the longest.
+    /// Sorts routes without a target latency after all routes that have one.
     pub const NO_TARGET_LATENCY: Duration = Duration::from_millis(u64::MAX);
 
-    /// The rank of a route.
+    /// Computes the rank from a route's kind, priority and target latency.
     pub fn of(route: &Route) -> Rank {
         let whole_millis = |target: Duration| Duration::from_millis(target.as_millis() as u64);
         Rank {
@@ -46,23 +46,23 @@
     }
 }
 
-/// A rank at a service.
+/// The routes of equal rank that send requests to one service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RankedRoutes {
-    /// What the routes have in common.
+    /// The rank that all of `routes` have.
     pub rank: Rank,
-    /// Their names, in the order of the configuration.
+    /// Route names in configuration order.
     pub routes: Vec<String>,
 }
 
-/// The ranks at one service, what is shed last first.
+/// The ranks of the routes that send requests to one service. The first rank is shed last.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SheddingOrder {
     ranks: Vec<RankedRoutes>,
 }
 
 impl SheddingOrder {
-    /// The order at a service: of all routes that may send to it.
+    /// Computes the order of all routes in `configuration` that may send requests to `service`.
     pub fn for_service(configuration: &Configuration, service: &str) -> SheddingOrder {
         let mut ranks: BTreeMap<Rank, Vec<String>> = BTreeMap::new();
         let senders = configuration.routes.iter();
@@ -76,24 +76,25 @@
         }
     }
 
-    /// All ranks, what is shed last first.
+    /// All ranks of the service. Requests of the first rank are shed last.
     pub fn ranks(&self) -> &[RankedRoutes] {
         &self.ranks
     }
 
-    /// The lowest level that admits all requests.
+    /// The lowest admission level that admits all requests.
     pub fn level_for_all(&self) -> f64 {
         self.ranks.len() as f64
     }
 
-    /// The lowest level that admits all requests that bind.
+    /// The lowest admission level that admits all requests of mutating and idempotent routes.
     pub fn level_for_writes(&self) -> f64 {
-        let binding = self.ranks.iter().filter(|ranked| !ranked.rank.is_read_only);
-        binding.count() as f64
+        let writes = self.ranks.iter().filter(|ranked| !ranked.rank.is_read_only);
+        writes.count() as f64
     }
 
-    /// The position of a request, from 0 up to [`SheddingOrder::level_for_all`]. `request` is what all attempts of it
-    /// have in common: `Operation-Key`, or host and path. `None`: no route of its rank sends anything to this service.
+    /// The position of a request, from 0 (inclusive) to [`SheddingOrder::level_for_all`] (exclusive). `request`
+    /// contains bytes that are equal in all attempts of the request: its `Operation-Key`, or its host and path. Returns
+    /// `None` if no route of the same rank sends requests to this service.
     pub fn position(&self, route: &Route, request: &[u8]) -> Option<f64> {
         let rank = Rank::of(route);
         let index = self
@@ -105,8 +106,8 @@
         Some(index as f64 + fraction)
     }
 
-    /// Whether a request passes at a level. One of a route that is not of this order passes: its gateways hold another
-    /// version, and the newer one decides soon.
+    /// Whether a request is admitted at an admission level. A request whose route has no rank in this order is
+    /// admitted, because the route comes from a different configuration version.
     pub fn admits(&self, level: f64, route: &Route, request: &[u8]) -> bool {
         self.position(route, request)
             .is_none_or(|position| position < level)
--- a/crates/gateway/admission/tests/shedding_order.rs
+++ b/crates/gateway/admission/tests/shedding_order.rs
@@ -1,17 +1,16 @@
-//! The order in which requests are shed: one for all gateways, reads first, and what a level admits every higher one
-//! admits too.
+//! The shedding order is equal on all gateways, sheds reads before writes, and admits more requests at higher levels.
 
 use rushcourse_admission::SheddingOrder;
 use rushcourse_config::{Configuration, Route};
 
-/// A row of the table of routes.
+/// A row of the `routes` table in the configuration.
 struct RouteRow {
     name: &'static str,
     kind: &'static str,
-    /// Seconds, or null.
+    /// JSON value: seconds or `null`.
     target_latency: &'static str,
     priority: u32,
-    /// Services with their weights.
+    /// Pairs of service name and weight.
     split: &'static [(&'static str, u32)],
 }
 
@@ -60,7 +59,7 @@
     ])
 }
 
-/// The routes that send to service `a`, what is shed last first.
+/// The routes that send requests to service `a`, in rank order: the first is shed last.
 const ROUTES_OF_A: [&str; 5] = ["orders", "holds", "statements", "prices", "stock"];
 
 fn route<'a>(configuration: &'a Configuration, name: &str) -> &'a Route {
@@ -74,7 +73,7 @@
 }
 
 #[test]
-fn what_binds_is_shed_last_then_the_highest_priority_then_the_shortest_target() {
+fn ranks_order_writes_then_priority_then_target_latency() {
     let at_a = SheddingOrder::for_service(&shop(), "a");
     assert_eq!(ranked_names(&at_a), ROUTES_OF_A.map(|name| [name]));
     assert_eq!((at_a.level_for_all(), at_a.level_for_writes()), (5.0, 2.0));
@@ -83,13 +82,12 @@
     assert_eq!(
         ranked_names(&at_b),
         [["holds"], ["statements"], ["moved"]],
-        "a part of a split without weight sends nothing"
+        "a split entry with weight 0 sends nothing"
     );
 }
 
-/// Gateways get routes in any order, and each configuration is whole: the order follows from what it says alone.
 #[test]
-fn the_order_does_not_depend_on_how_the_configuration_is_written() {
+fn positions_do_not_depend_on_the_order_of_routes_in_the_configuration() {
     let forward = shop();
     let mut reversed = shop();
     reversed.routes.reverse();
@@ -108,7 +106,7 @@
 }
 
 #[test]
-fn a_request_that_a_level_admits_is_admitted_by_every_higher_one_and_shares_follow_the_level() {
+fn higher_levels_admit_a_superset_and_the_admitted_share_follows_the_level() {
     const KEYS: u32 = 4_000;
     let shop = shop();
     let order = SheddingOrder::for_service(&shop, "a");
@@ -131,7 +129,7 @@
             let share = admitted.len() as f64 / f64::from(KEYS);
             assert!(
                 (share - expected_share).abs() < 0.03,
-                "{name} at {level}: {} of {KEYS} are admitted, {expected_share} should",
+                "{name} at level {level}: {} of {KEYS} admitted, expected share {expected_share}",
                 admitted.len()
             );
             admitted_before = admitted;
@@ -140,7 +138,7 @@
 }
 
 #[test]
-fn the_level_for_what_binds_admits_all_of_it_and_no_read() {
+fn level_for_writes_admits_all_writes_and_no_reads() {
     let shop = shop();
     let order = SheddingOrder::for_service(&shop, "a");
     let admits = |name: &str, key: u32| {
@@ -151,14 +149,14 @@
     assert!((0..100).all(|key| !admits("prices", key)));
 }
 
-/// A route that another version has added or moved here: rejected by nobody's word but the newer version's.
+/// A gateway with a different configuration version must not shed routes that the order does not contain.
 #[test]
-fn a_route_that_is_not_of_this_order_is_admitted() {
+fn request_of_an_unknown_rank_is_admitted() {
     let shop = shop();
     let order = SheddingOrder::for_service(&shop, "a");
     assert!(
         order.position(route(&shop, "moved"), b"k").is_some(),
-        "it shares the rank of prices"
+        "it has the same rank as `prices`"
     );
     let other = configuration(&[RouteRow {
         name: "new",
--- a/crates/gateway/cluster/src/cluster.rs
+++ b/crates/gateway/cluster/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The step of a controller's soft state: it applies what hosts, other controllers and gateways send, and returns what
-//! is to be sent to them.
+//! The state machine of a controller's soft state. It applies messages from hosts, other controllers and gateways, and
+//! returns the messages to send in response.
 
 mod gateway_sessions;
 mod host_requests;
@@ -18,36 +18,35 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// What gateways choose their primary controller by.
+/// The status that this controller sends to gateways, which use it to select their primary controller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Status {
-    /// Whether this controller can serve as one.
+    /// Whether this controller knows all hosts and has quorum contact, so that it can be a primary.
     is_synchronized: bool,
-    /// Gateways in session with this controller, or with another one as that one reported.
+    /// Number of gateways with a session to any controller.
     gateway_count: u32,
 }
 
-/// The soft state of a controller: what it shares with the others without a majority's agreement. It changes in
-/// [`Cluster::step`] and nowhere else, reads no clock and does no I/O.
+/// The soft state of a controller, replicated between controllers without consensus. Only [`Cluster::step`] changes it.
 pub struct Cluster {
     zone: Arc<str>,
     hosts: HostRegistry,
     gateways: GatewayMembership,
-    /// The gateways that take their tables from here, and by which session.
+    /// The gateways whose primary is this controller, with the session over which they receive their tables.
     primary_gateways: BTreeMap<NodeId, SessionId>,
     distribution: Distribution,
     initial_sync: InitialSync,
     failure_detection: FailureDetection,
     heartbeats: HeartbeatBatch,
     digests_sent_at: Timestamp,
-    /// The last status that was broadcast to gateways; `None`: one of them has not got it.
+    /// The last status broadcast to gateways, or `None` if a new gateway session has not received it.
     announced_status: Option<Status>,
-    /// Effects of the current step.
+    /// Effects accumulated during the current step.
     effects: Vec<Effect>,
 }
 
 impl Cluster {
-    /// The state of a controller that has just started.
+    /// Creates the state of a controller at startup: no hosts, no gateways, and not synchronized.
     pub fn new(topology: Topology) -> Cluster {
         let Topology {
             zone,
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Applies one input at a moment of the steady clock. The effects are to be carried out in their order.
+    /// Applies one input at time `now`. The caller must execute the returned effects in order.
     pub fn step(&mut self, now: Timestamp, input: Input) -> Vec<Effect> {
         self.initial_sync.start(now);
         match input {
@@ -92,41 +91,41 @@
             Input::QuorumContactChanged(has_contact) => {
                 self.failure_detection.set_quorum_contact(now, has_contact);
             }
-            Input::Stalled => self.failure_detection.defer(now),
+            Input::Stalled => self.failure_detection.suspend(now),
             Input::Tick => self.tick(now),
         }
         self.announce_status();
         std::mem::take(&mut self.effects)
     }
 
-    /// Whether this controller knows all hosts, so that gateways may take their tables from it.
+    /// Whether the initial synchronization is done: this controller knows all hosts and may serve gateways.
     pub fn is_synchronized(&self) -> bool {
         self.initial_sync.is_done()
     }
 
-    /// Whether a gateway takes its tables from here, by this session.
+    /// Whether this controller is the primary of a gateway that receives its tables over this session.
     pub fn is_primary_for(&self, session: SessionId) -> bool {
         self.primary_gateways
             .values()
             .any(|primary| *primary == session)
     }
 
-    /// The hosts that this controller knows.
+    /// The hosts known to this controller, including draining, timed-out and recently ended ones.
     pub fn hosts(&self) -> &HostRegistry {
         &self.hosts
     }
 
-    /// The gateways that are members.
+    /// The gateways that have a session with this controller or, according to their reports, with another one.
     pub fn gateways(&self) -> &GatewayMembership {
         &self.gateways
     }
 
-    /// The tables that gateways take from here.
+    /// The endpoint tables of the gateways whose primary is this controller.
     pub fn distribution(&self) -> &Distribution {
         &self.distribution
     }
 
-    /// Broadcasts the status to gateways when it has changed.
+    /// Broadcasts the status to all gateways if it has changed or a gateway has not received it.
     fn announce_status(&mut self) {
         let has_quorum_contact = self.failure_detection.has_quorum_contact();
         let status = Status {
--- a/crates/gateway/cluster/src/cluster/gateway_sessions.rs
+++ b/crates/gateway/cluster/src/cluster/gateway_sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions of gateways, their messages, and the table updates that are sent to them.
+//! Gateway sessions: opening and closing, incoming messages, and outgoing table updates.
 
 use crate::cluster::Cluster;
 use crate::policy_adapter::Load;
@@ -16,7 +16,7 @@
         zone: Arc<str>,
     ) {
         self.gateways.add_session(session, gateway, zone);
-        // The new session has not got the status.
+        // Forces a broadcast, since the new session has not received the status.
         self.announced_status = None;
         self.broadcast_gateway_sessions();
     }
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Sends each update over the session by which its gateway takes its tables. Withdrawals are sent first, since they
-    /// apply at once.
+    /// Sends each update over the session that its gateway selected for its tables. Withdrawals are sent before the
+    /// table, since they take effect immediately.
     pub(super) fn send_updates(&mut self, now: Timestamp, updates: Vec<GatewayUpdate>) {
         for update in updates {
             let Some(session) = self.primary_gateways.get(&update.gateway).copied() else {
@@ -90,7 +90,7 @@
         self.primary_gateways.get(&gateway) == Some(&session)
     }
 
-    /// A gateway takes its tables from here from now on. It gets complete tables first.
+    /// Makes this controller the primary of a gateway and sends the gateway complete tables.
     fn adopt_gateway(&mut self, now: Timestamp, gateway: NodeId, session: SessionId) {
         self.primary_gateways.insert(gateway, session);
         let zone = self.gateways.zone_of(gateway).unwrap_or(&self.zone).clone();
@@ -99,7 +99,7 @@
         self.send_updates(now, updates);
     }
 
-    /// A gateway no longer takes its tables from here.
+    /// Stops sending tables to a gateway that disconnected or selected another primary.
     fn release_gateway(&mut self, now: Timestamp, gateway: NodeId) {
         self.primary_gateways.remove(&gateway);
         let updates = self.distribution.remove_gateway(now, gateway);
@@ -111,7 +111,7 @@
         self.broadcast_to_peers(sessions);
     }
 
-    /// Leaves out hosts that this controller no longer knows.
+    /// Builds the message for a table update. Omits hosts that this controller no longer knows.
     fn table_message(&self, now: Timestamp, update: GatewayUpdate) -> Message {
         let endpoints = update
             .endpoints
@@ -151,7 +151,7 @@
         states.collect()
     }
 
-    /// The record to send for a withdrawal: a withdrawn host counts as draining even if it says that it is ready.
+    /// The record to send for a withdrawal. A withdrawn host is reported as draining even if its own state is ready.
     fn host_state(&self, now: Timestamp, withdrawal: &Withdrawal) -> Option<HostRecord> {
         let host = self.hosts.get(&withdrawal.host)?;
         let state = match host.state() {
--- a/crates/gateway/cluster/src/cluster/host_requests.rs
+++ b/crates/gateway/cluster/src/cluster/host_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of hosts, and what follows from hosts that are new or have changed.
+//! Registrations, heartbeats and deregistrations of hosts, and the propagation of host changes.
 
 use crate::cluster::Cluster;
 use crate::events::Effect;
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 
 impl Cluster {
-    /// Applies a heartbeat or registration that a host sent to this controller.
+    /// Applies a registration or heartbeat. Changes are broadcast immediately; other heartbeats are batched.
     pub(super) fn handle_host_request(&mut self, now: Timestamp, record: HostRecord) {
         let id = record.id.clone();
         let sequence = record.sequence;
@@ -26,7 +26,7 @@
         self.publish_hosts(now, &[id]);
     }
 
-    /// Applies a deregistration that a host sent to this controller.
+    /// Marks the host as gone and broadcasts this. Repeated deregistrations are ignored.
     pub(super) fn handle_deregistration(&mut self, now: Timestamp, id: Arc<str>) {
         if let Some(record) = self.hosts.deregister(now, &id) {
             self.broadcast_host(record);
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Adds the hosts that were on the disk at the start. They count as seen now: one that sends no heartbeat within the
-    /// usual time is gone.
+    /// Adds the hosts read from the state file at startup. They count as seen now, so a host that no longer exists
+    /// expires by the usual heartbeat timeout.
     pub(super) fn restore_hosts(&mut self, now: Timestamp, records: Vec<HostRecord>) {
         self.initial_sync.set_done(!records.is_empty());
         let ids: Vec<Arc<str>> = records.iter().map(|record| record.id.clone()).collect();
         for record in records {
-            // A host that was in its warm-up then may be warm now; its next heartbeat says so.
+            // The stored warm-up is outdated. The next heartbeat contains the remaining time.
             let record = HostRecord {
                 age: Millis(0),
                 warm_up: Millis(0),
@@ -52,8 +52,8 @@
         self.distribute_hosts(now, &ids);
     }
 
-    /// Sends a change that a host made here to all other controllers. If the host leaves, all gateways get it too,
-    /// whichever controller they take their tables from.
+    /// Sends a host change to all other controllers. If the host is draining or gone, also sends it to all connected
+    /// gateways, including those whose primary is another controller.
     fn broadcast_host(&mut self, record: HostRecord) {
         if record.state != HostState::Ready {
             self.log(format!(
@@ -65,7 +65,7 @@
         self.broadcast_to_peers(Message::HostUpdates(vec![record]));
     }
 
-    /// Persists hosts that are new or have changed, and updates the tables by them.
+    /// Persists new and changed hosts and updates the endpoint tables.
     pub(super) fn publish_hosts(&mut self, now: Timestamp, ids: &[Arc<str>]) {
         for id in ids {
             if let Some(host) = self.hosts.get(id) {
@@ -79,7 +79,7 @@
         self.distribute_hosts(now, ids);
     }
 
-    /// Updates the tables by hosts that are new or have changed.
+    /// Passes new and changed hosts to the policies and sends the resulting table updates.
     fn distribute_hosts(&mut self, now: Timestamp, ids: &[Arc<str>]) {
         let hosts = ids.iter().filter_map(|id| self.hosts.get(id));
         let updates = self.distribution.update_hosts(now, hosts);
--- a/crates/gateway/cluster/src/cluster/maintenance.rs
+++ b/crates/gateway/cluster/src/cluster/maintenance.rs
@@ -1,12 +1,12 @@
-//! The periodic work of a step: the end of the initial synchronization, batches of heartbeats, digests, hosts that time
-//! out, and the timers of the policies.
+//! Periodic work: completion of the initial synchronization, heartbeat batches, digest broadcasts, host timeouts, and
+//! policy timers.
 
 use crate::cluster::Cluster;
 use rushcourse_messages::Message;
 use rushcourse_types::Timestamp;
 use std::time::Duration;
 
-/// How often digests of all hosts are sent to the other controllers (anti-entropy).
+/// Interval at which host digests are broadcast to the other controllers (anti-entropy).
 const DIGEST_INTERVAL: Duration = Duration::from_secs(1);
 
 impl Cluster {
--- a/crates/gateway/cluster/src/cluster/peer_messages.rs
+++ b/crates/gateway/cluster/src/cluster/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other controllers, and the messages that open a session with one.
+//! Messages from other controllers, and the initial messages of a session with one.
 
 use crate::cluster::Cluster;
 use rushcourse_messages::{Heartbeat, HostRecord, Message};
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 
 impl Cluster {
-    /// Sends all that this controller knows to a peer whose session was opened. The status is last, since it says that
-    /// all hosts were sent before it.
+    /// Sends all hosts and gateway sessions to a newly connected peer. The status must be sent last, because the peer
+    /// takes it as confirmation that it has received all hosts.
     pub(super) fn open_peer_session(&mut self, now: Timestamp, peer: NodeId) {
         self.send_to_peer(peer, Message::HostUpdates(self.hosts.records(now)));
         self.send_to_peer(
@@ -31,7 +31,7 @@
                 self.send_to_peer(peer, Message::HostUpdates(records));
             }
             Message::GatewaySessions(gateways) => self.gateways.set_reported(peer, gateways),
-            // It sent all hosts that it knows before this.
+            // A peer sends all its hosts before its status, so this controller now knows all of them.
             Message::ControllerStatus {
                 is_synchronized: true,
                 ..
@@ -62,7 +62,7 @@
         self.publish_hosts(now, &seen_again);
     }
 
-    /// Asks a peer for the ranges in which its hosts differ from the ones here (anti-entropy).
+    /// Requests the hosts of all ranges whose digests differ from those of a peer (anti-entropy).
     fn compare_digests(&mut self, peer: NodeId, digests: &[u64]) {
         let ranges = self.hosts.differing_ranges(digests);
         if !ranges.is_empty() {
--- a/crates/gateway/cluster/src/contact_probes.rs
+++ b/crates/gateway/cluster/src/contact_probes.rs
@@ -1,24 +1,24 @@
-//! Probes that are sent to all controllers. A response proves that a peer runs, is reachable, and has handled all that
-//! was sent to it before the probe, since messages of a session stay in order.
+//! Probes that a controller sends to all peers. A response proves that the peer is running and reachable and has
+//! handled all earlier messages of the session, because a session preserves message order.
 
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{NodeId, RequestToken, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// After this time a probe counts as failed (ours). A majority that is reachable answers within some ten milliseconds,
-/// and a caller that gets the failure in time has most of its second left for another controller.
+/// Time after which a probe without responses from a majority fails. Short enough that a caller with a timeout of one
+/// second can still try another controller.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// Tokens of probes have this bit, those of reads (`rushcourse-consensus`) don't.
+/// Set in the tokens of probes and clear in those of reads (`rushcourse-consensus`), which share one token space.
 const PROBE_TOKEN_BIT: u64 = 1 << 63;
 
-/// The result of a probe that is over.
+/// The result of a finished probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProbeResult {
-    /// As [`ContactProbes::start`] gave it.
+    /// The token returned by [`ContactProbes::start`].
     pub token: RequestToken,
-    /// Whether a majority of the voting set answered in time.
+    /// Whether a majority of the voting set responded before the timeout.
     pub is_confirmed: bool,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl PendingProbe {
-    /// Whether a majority of the set has responded. The local node counts if it is a member.
+    /// Whether a majority of the voting set has responded. The local node counts as a responder if it is a member.
     fn is_confirmed(&self, local_node: NodeId, voting_set: &VotingSet) -> bool {
         let has_responded =
             |member: &&NodeId| **member == local_node || self.responders.contains(member);
@@ -37,7 +37,7 @@
         !voting_set.epoch.is_none() && responses >= voting_set.majority()
     }
 
-    /// The result, if the probe is over: confirmed or timed out.
+    /// Returns the result if the probe is confirmed or timed out.
     fn result(
         &self,
         token: RequestToken,
@@ -54,7 +54,7 @@
     }
 }
 
-/// The pending probes of a controller.
+/// The probes of this controller that are neither confirmed nor timed out.
 #[derive(Clone, Debug, Default)]
 pub struct ContactProbes {
     started_count: u64,
@@ -62,7 +62,8 @@
 }
 
 impl ContactProbes {
-    /// Starts a probe. Its token is to be sent to all peers, after what they are to have handled.
+    /// Starts a probe. The caller must send the token to all peers, after the messages whose handling it wants
+    /// confirmed.
     pub fn start(&mut self, now: Timestamp) -> RequestToken {
         self.started_count += 1;
         let token = RequestToken(PROBE_TOKEN_BIT | self.started_count);
@@ -74,7 +75,7 @@
         token
     }
 
-    /// Records a peer's response. True if the token is of a probe, pending or over.
+    /// Records a peer's response. Returns whether the token belongs to a probe, pending or finished.
     pub fn record_response(&mut self, peer: NodeId, token: RequestToken) -> bool {
         if let Some(probe) = self.pending.get_mut(&token) {
             probe.responders.insert(peer);
@@ -82,7 +83,8 @@
         token.0 & PROBE_TOKEN_BIT != 0
     }
 
-    /// Removes the probes that are over, confirmed or timed out, and returns their results in the order of their start.
+    /// Removes the probes that are confirmed or timed out, and returns their results in the order in which they
+    /// started.
     pub fn finish(
         &mut self,
         now: Timestamp,
--- a/crates/gateway/cluster/src/distribution.rs
+++ b/crates/gateway/cluster/src/distribution.rs
@@ -1,5 +1,5 @@
-//! Which gateway gets which hosts. Each service has a policy and tables of its own ([`crate::service_tables`]); every
-//! gateway that takes its tables from this controller takes part in all of them.
+//! Assigns hosts to gateways. Each service has its own load balancing policy and endpoint tables
+//! ([`crate::service_tables`]). Every gateway whose primary is this controller receives a table for each service.
 
 use crate::host_registry::HostEntry;
 use crate::policy_adapter::{
@@ -13,13 +13,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The tables of all services, and the gateways that take them from here.
+/// The endpoint tables of all services, and the gateways whose primary is this controller.
 pub struct Distribution {
     zones: Vec<Arc<str>>,
     local_zone: ZoneId,
     drain_timeout: Duration,
     services: BTreeMap<Arc<str>, ServiceTables>,
-    /// Each with the index of its zone in `zones`.
+    /// Maps each gateway to the index of its zone in `zones`.
     gateways: BTreeMap<NodeId, ZoneId>,
 }
 
@@ -38,7 +38,7 @@
         }
     }
 
-    /// All tables, for status pages.
+    /// A snapshot of all tables for the status page, ordered by service and table id.
     pub fn tables(&self) -> Vec<TableView> {
         self.services
             .values()
@@ -46,7 +46,7 @@
             .collect()
     }
 
-    /// Applies hosts that are new or have changed.
+    /// Passes new and changed hosts to the policies of their services. Adds services that are not known yet.
     pub(crate) fn update_hosts<'a>(
         &mut self,
         now: Timestamp,
@@ -79,7 +79,7 @@
         updates
     }
 
-    /// Adds a gateway that takes its tables from here from now on.
+    /// Adds a gateway that selected this controller as its primary, and returns its complete tables.
     pub(crate) fn add_gateway(
         &mut self,
         now: Timestamp,
@@ -88,10 +88,10 @@
     ) -> Vec<GatewayUpdate> {
         let zone = zone_index(&self.zones, zone);
         self.gateways.insert(gateway, zone);
-        self.handle_everywhere(now, |_| vec![gateway_joined(gateway, zone)])
+        self.handle_in_all_services(now, |_| vec![gateway_joined(gateway, zone)])
     }
 
-    /// Removes a gateway that no longer takes its tables from here.
+    /// Removes a gateway whose primary is no longer this controller. The returned updates are for other gateways.
     pub(crate) fn remove_gateway(&mut self, now: Timestamp, gateway: NodeId) -> Vec<GatewayUpdate> {
         if self.gateways.remove(&gateway).is_none() {
             return Vec::new();
@@ -99,10 +99,10 @@
         for tables in self.services.values_mut() {
             tables.unbind(gateway);
         }
-        self.handle_everywhere(now, |_| vec![gateway_left(gateway)])
+        self.handle_in_all_services(now, |_| vec![gateway_left(gateway)])
     }
 
-    /// A gateway has applied the update of a revision, and all updates before it.
+    /// Handles a gateway's acknowledgement that it applied the update with this revision and all earlier ones.
     pub(crate) fn acknowledge(
         &mut self,
         now: Timestamp,
@@ -111,10 +111,10 @@
         revision: u16,
     ) -> Vec<GatewayUpdate> {
         let event = update_acknowledged(gateway, revision);
-        self.handle_of_gateway(now, gateway, service, event)
+        self.handle_gateway_event(now, gateway, service, event)
     }
 
-    /// A gateway reports the requests that came to it for a service.
+    /// Handles a gateway's report of its attempts at the hosts of a service.
     pub(crate) fn report_load(
         &mut self,
         now: Timestamp,
@@ -123,16 +123,16 @@
         load: Load,
     ) -> Vec<GatewayUpdate> {
         let event = load_reported(gateway, load);
-        self.handle_of_gateway(now, gateway, service, event)
+        self.handle_gateway_event(now, gateway, service, event)
     }
 
-    /// Calls the policies whose timers are due.
+    /// Runs the policies that have timers due at `now`.
     pub(crate) fn run_due_timers(&mut self, now: Timestamp) -> Vec<GatewayUpdate> {
-        self.handle_everywhere(now, |tables| tables.take_due_timers(now))
+        self.handle_in_all_services(now, |tables| tables.take_due_timers(now))
     }
 
-    /// Passes events to the policies of all services that have any.
-    fn handle_everywhere(
+    /// Computes events for each service and passes them to its policy. Services without events are skipped.
+    fn handle_in_all_services(
         &mut self,
         now: Timestamp,
         events: impl Fn(&mut ServiceTables) -> Vec<Event>,
@@ -147,8 +147,8 @@
         updates
     }
 
-    /// Passes an event of a gateway to a service's policy, if both are known here.
-    fn handle_of_gateway(
+    /// Passes an event of a gateway to a service's policy. Ignored if the gateway or the service is unknown.
+    fn handle_gateway_event(
         &mut self,
         now: Timestamp,
         gateway: NodeId,
@@ -169,7 +169,7 @@
     }
 }
 
-/// The index of a zone in `zones`. A zone that is not known counts as the first.
+/// The index of `zone` in `zones`, or 0 if it is not listed.
 fn zone_index(zones: &[Arc<str>], zone: &str) -> ZoneId {
     zones.iter().position(|known| &**known == zone).unwrap_or(0)
 }
--- a/crates/gateway/cluster/src/events.rs
+++ b/crates/gateway/cluster/src/events.rs
@@ -1,92 +1,94 @@
-//! The inputs and effects of a step of [`crate::Cluster`].
+//! Configuration, inputs and effects of [`crate::Cluster`].
 
 use rushcourse_messages::{HostRecord, Message};
 use rushcourse_types::{NodeId, SessionId};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The zones of the deployment, and the settings of a controller.
+/// The zones of the deployment and the settings of a controller.
 #[derive(Clone, Debug)]
 pub struct Topology {
-    /// The controller's own zone.
+    /// Zone in which the controller runs.
     pub zone: Arc<str>,
-    /// All zones, in the order of their names.
+    /// All zones of the deployment, sorted by name.
     pub zones: Vec<Arc<str>>,
-    /// How often a host sends a heartbeat.
+    /// Interval at which hosts send heartbeats. Heartbeat timeouts are derived from it.
     pub heartbeat_interval: Duration,
-    /// How long a draining host may still get requests.
+    /// Maximum time during which a host may still get requests after it has started to drain.
     pub drain_timeout: Duration,
 }
 
-/// An event for a controller's state.
+/// An input of [`crate::Cluster::step`].
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A host sent a registration or a heartbeat, which may say that it drains. The record's age is 0.
+    /// A host sent a registration or heartbeat to this controller. A state of `Draining` starts a drain. The record's
+    /// age is 0.
     HostRequest(HostRecord),
-    /// A host of this id deregistered.
+    /// The host with this id sent a deregistration to this controller.
     Deregister(Arc<str>),
     /// A session with another controller was opened.
     PeerSessionOpened(NodeId),
     /// The last session with another controller was closed.
     PeerSessionClosed(NodeId),
-    /// Another controller sent a message.
+    /// A message arrived from another controller.
     PeerMessage {
-        /// Who sent it.
+        /// Node id of the sending controller.
         peer: NodeId,
-        /// What it sent.
+        /// The decoded message. Types that are not sent between controllers are ignored.
         message: Message,
     },
-    /// A session with a gateway was opened.
+    /// A session with a gateway was opened. A gateway may have several sessions at once.
     GatewaySessionOpened {
-        /// The new session.
+        /// Local id of the new session.
         session: SessionId,
-        /// The gateway.
+        /// Node id of the gateway.
         node: NodeId,
-        /// The gateway's zone.
+        /// Zone in which the gateway runs.
         zone: Arc<str>,
     },
-    /// A session with a gateway was closed.
+    /// A session with a gateway was closed. Unknown sessions are ignored.
     GatewaySessionClosed(SessionId),
-    /// A gateway sent a message.
+    /// A message arrived from a gateway.
     GatewayMessage {
-        /// The session that it came by.
+        /// The session over which the message arrived. Messages of unknown sessions are ignored.
         session: SessionId,
-        /// What it sent.
+        /// The decoded message. Types that gateways don't send to controllers are ignored.
         message: Message,
     },
-    /// Whether a majority of the voting set is in session with this controller.
+    /// This controller gained (`true`) or lost (`false`) contact with a majority of the voting set.
     QuorumContactChanged(bool),
-    /// This process stalled: what hosts sent meanwhile still waits to be handled.
+    /// This process stalled, so heartbeats that arrived in the meantime are not processed yet. Suspends the detection
+    /// of timed-out hosts for a grace period.
     Stalled,
-    /// The hosts that were on this controller's disk at its start.
+    /// The hosts read from this controller's state file at startup. Empty if the file contains none.
     HostsRestored(Vec<HostRecord>),
-    /// Time has passed.
+    /// Periodic timer that runs time-based work such as timeouts, heartbeat batches and anti-entropy.
     Tick,
 }
 
-/// What a step asks its caller to do, in this order.
+/// An action for the caller of [`crate::Cluster::step`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a message to another controller.
+    /// Send a message to one other controller.
     SendToPeer {
-        /// To whom.
+        /// Node id of the receiving controller.
         peer: NodeId,
-        /// What.
+        /// Host updates, gateway sessions, digests, a range request or the controller status.
         message: Message,
     },
-    /// Send a message to all other controllers that are in session.
+    /// Send a message to all other controllers with an open session.
     BroadcastToPeers(Message),
-    /// Send a message over a gateway's session.
+    /// Send a message to one gateway.
     SendToGateway {
-        /// Over which session.
+        /// The session over which to send the message.
         session: SessionId,
-        /// What.
+        /// Host states or an endpoint table update.
         message: Message,
     },
-    /// Send a message over all sessions of gateways.
+    /// Send a message over the sessions of all gateways.
     BroadcastToGateways(Message),
-    /// Write a host to the disk, for the next start of this controller.
+    /// Store a host in the state file, from which it is restored at the next start of this controller.
     PersistHost(HostRecord),
-    /// Write a line to the log.
+    /// Write an `event=...` line to the log.
     Log(String),
 }
--- a/crates/gateway/cluster/src/failure_detection.rs
+++ b/crates/gateway/cluster/src/failure_detection.rs
@@ -1,17 +1,18 @@
-//! Whether a host that sends no heartbeats may be taken for dead.
+//! Decides whether missing heartbeats may be interpreted as the failure of a host.
 
 use rushcourse_types::Timestamp;
 use std::time::Duration;
 
-/// How long no host times out after contact with a majority is back, or after a stall: other controllers send the
-/// hosts that they have seen right after their sessions are open (ours).
+/// How long detection stays suspended after quorum contact is regained or after a stall, so that other controllers can
+/// send the heartbeats that they received in the meantime.
 const GRACE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Whether this controller sees what a majority sees. Otherwise missing heartbeats prove nothing: the host may call others.
+/// Enables failure detection only while this controller has quorum contact. Without it, a host may be sending its
+/// heartbeats to controllers that this one can't reach.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FailureDetection {
     has_quorum_contact: bool,
-    counts_from: Timestamp,
+    suspended_until: Timestamp,
 }
 
 impl FailureDetection {
@@ -21,18 +22,18 @@
 
     pub(crate) fn set_quorum_contact(&mut self, now: Timestamp, has_quorum_contact: bool) {
         if has_quorum_contact && !self.has_quorum_contact {
-            self.defer(now);
+            self.suspend(now);
         }
         self.has_quorum_contact = has_quorum_contact;
     }
 
-    /// Lets no host time out for the grace period.
-    pub(crate) fn defer(&mut self, now: Timestamp) {
-        self.counts_from = now + GRACE_PERIOD;
+    /// Suspends failure detection for [`GRACE_PERIOD`].
+    pub(crate) fn suspend(&mut self, now: Timestamp) {
+        self.suspended_until = now + GRACE_PERIOD;
     }
 
-    /// Whether hosts may time out.
+    /// Whether hosts without recent heartbeats may be marked as timed out.
     pub(crate) fn is_active(&self, now: Timestamp) -> bool {
-        self.has_quorum_contact && now >= self.counts_from
+        self.has_quorum_contact && now >= self.suspended_until
     }
 }
--- a/crates/gateway/cluster/src/heartbeat_batch.rs
+++ b/crates/gateway/cluster/src/heartbeat_batch.rs
@@ -1,4 +1,5 @@
-//! Heartbeats that change nothing are sent to the other controllers in batches.
+//! Batches heartbeats for the other controllers. A batch contains only heartbeats that changed nothing but the sequence
+//! number of a host; other changes are broadcast immediately.
 
 use rushcourse_messages::{Heartbeat, Message};
 use rushcourse_types::{CallSequence, Timestamp};
@@ -6,10 +7,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The time between two batches.
+/// Minimum time between two batches.
 const BATCH_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Heartbeats that this controller received since the last batch: the newest of each host.
+/// The newest sequence number of each host that sent a heartbeat to this controller since the last batch.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HeartbeatBatch {
     sequences: BTreeMap<Arc<str>, CallSequence>,
@@ -21,7 +22,7 @@
         self.sequences.insert(host, sequence);
     }
 
-    /// The batch for the other controllers, if it is due and not empty.
+    /// Takes the batch as a message for the other controllers, or returns `None` if it is not due or empty.
     pub(crate) fn take_due(&mut self, now: Timestamp) -> Option<Message> {
         if now < self.sent_at + BATCH_INTERVAL || self.sequences.is_empty() {
             return None;
--- a/crates/gateway/cluster/src/host_registry.rs
+++ b/crates/gateway/cluster/src/host_registry.rs
@@ -1,5 +1,6 @@
-//! The hosts that a controller knows. Each start of a host is an instance with an id of its own. Heartbeats may arrive
-//! late and at different controllers: the higher sequence holds, and an instance that deregistered never comes back.
+//! The hosts known to a controller. Each start of a host creates an instance with its own id. Heartbeats may be delayed
+//! and arrive at different controllers, so the record with the higher sequence number wins. The deregistration of an
+//! instance is final.
 
 use rushcourse_messages::{HostRecord, HostState};
 use rushcourse_types::hash::hash64;
@@ -8,26 +9,26 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Ranges of ids that the registries of two controllers are compared by (anti-entropy).
+/// Number of hash ranges into which host ids are divided. Controllers compare one digest per range (anti-entropy).
 pub const RANGE_COUNT: usize = 32;
 
-/// Seed of the hash that assigns an id to its range. Controllers compare ranges, so it never changes.
+/// Seed of the hash that assigns host ids to ranges. Must be the same on all controllers, so it must never change.
 const RANGE_SEED: u64 = 3;
 
-/// Seed of the digest of a host. Controllers compare digests, so it never changes.
+/// Seed of the host digests. Must be the same on all controllers, so it must never change.
 const DIGEST_SEED: u64 = 4;
 
-/// Heartbeats that a host may miss before it counts as gone: a heartbeat may take a second and go round by other
-/// controllers, and a controller that was slow for a while must not empty the tables (ours).
+/// Heartbeat intervals without a heartbeat after which a host times out, not counting [`TIMEOUT_MARGIN`]. Tolerates a
+/// heartbeat that takes a second or reaches this controller by way of another one.
 const MAX_MISSED_HEARTBEATS: f64 = 3.4;
 
-/// Added to the time of the missed heartbeats (ours).
+/// Added to the heartbeat timeout regardless of the heartbeat interval.
 const TIMEOUT_MARGIN: Duration = Duration::from_millis(400);
 
-/// How long an instance that ended is remembered: late heartbeats of it are recognized, and digests agree (ours).
+/// How long an ended instance is remembered, so that late heartbeats are recognized and digests of controllers agree.
 const GONE_RETENTION: Duration = Duration::from_secs(60);
 
-/// One instance of a host, as this controller knows it. Times are of this controller's clock.
+/// The state of one host instance. All timestamps are readings of this controller's clock.
 #[derive(Clone, Debug)]
 pub struct HostEntry {
     record: HostRecord,
@@ -50,12 +51,12 @@
         }
     }
 
-    /// What the host said in its newest request to any controller.
+    /// The record from the host's newest request to any controller. Its `age` is not kept up to date.
     pub fn record(&self) -> &HostRecord {
         &self.record
     }
 
-    /// The record to send to another node: with the host's age.
+    /// A copy of the record to send to another node, with `age` set to the time since the host was last seen.
     pub fn record_at(&self, now: Timestamp) -> HostRecord {
         HostRecord {
             age: now.since(self.last_seen_at).into(),
@@ -63,7 +64,7 @@
         }
     }
 
-    /// The state that tables go by: as in the record, or [`HostState::Gone`] while it is timed out.
+    /// The state used for endpoint tables: that of the record, or [`HostState::Gone`] while the host is timed out.
     pub fn state(&self) -> HostState {
         if self.is_timed_out {
             HostState::Gone
@@ -72,22 +73,22 @@
         }
     }
 
-    /// Whether it was not seen for too long. A heartbeat ends that.
+    /// Whether the heartbeat timeout of the host has expired. A later heartbeat resets it.
     pub fn is_timed_out(&self) -> bool {
         self.is_timed_out
     }
 
-    /// When it was last seen, by whichever controller.
+    /// When any controller last received a request from the host, converted to this controller's clock.
     pub fn last_seen_at(&self) -> Timestamp {
         self.last_seen_at
     }
 
-    /// When it was first known, if it was in its warm-up then.
+    /// When this controller learned of the host, if the host reported a warm-up at that time.
     pub fn warming_since(&self) -> Option<Timestamp> {
         self.warming_since
     }
 
-    /// Applies a newer record of the same instance. True if tables may change by it.
+    /// Applies a newer record of the same instance. Returns whether endpoint tables may have to change.
     fn update(&mut self, now: Timestamp, record: HostRecord, heartbeat_timeout: Duration) -> bool {
         self.last_seen_at = self.last_seen_at.max(now.saturating_sub(record.age.into()));
         let is_seen_again = self.is_timed_out && now.since(self.last_seen_at) <= heartbeat_timeout;
@@ -101,13 +102,13 @@
         is_changed || is_seen_again
     }
 
-    /// Whether it ended, or was last seen, so long ago that it can be removed.
+    /// Whether the host ended, or timed out and was last seen, longer than [`GONE_RETENTION`] ago.
     fn is_expired(&self, now: Timestamp) -> bool {
         let has_passed = |since: Timestamp| now >= since + GONE_RETENTION;
         self.ended_at.is_some_and(has_passed) || self.is_timed_out && has_passed(self.last_seen_at)
     }
 
-    /// A digest of what tables go by, without what every heartbeat changes.
+    /// A digest of the fields that determine endpoint tables. Excludes fields that change with every heartbeat.
     fn digest(&self) -> u64 {
         let HostRecord {
             id,
@@ -117,20 +118,20 @@
             state,
             ..
         } = &self.record;
-        let state = digested_state(*state);
-        let text = format!("{id} {service} {address} {slots} {state}");
-        hash64(text.as_bytes(), DIGEST_SEED)
+        let state = state_name_in_digest(*state);
+        let digest_input = format!("{id} {service} {address} {slots} {state}");
+        hash64(digest_input.as_bytes(), DIGEST_SEED)
     }
 }
 
-/// So many heartbeat intervals, cut off at whole milliseconds.
+/// Multiplies the heartbeat interval by `count`, truncated to whole milliseconds.
 pub(crate) fn heartbeat_span(heartbeat_interval: Duration, count: f64) -> Duration {
     Duration::from_millis((heartbeat_interval.as_millis() as f64 * count) as u64)
 }
 
-/// The word of a state in digests. Controllers of different builds compare digests: the words never change, whatever
-/// the variants are called.
-fn digested_state(state: HostState) -> &'static str {
+/// The name of a state in digests. Controllers of different releases compare digests, so the names must never change,
+/// even if variants are renamed.
+fn state_name_in_digest(state: HostState) -> &'static str {
     match state {
         HostState::Ready => "Ready",
         HostState::Draining => "Draining",
@@ -138,12 +139,13 @@
     }
 }
 
-/// The range that an id belongs to.
+/// The index of the hash range that a host id belongs to, below [`RANGE_COUNT`].
 fn range_of(id: &str) -> usize {
     (hash64(id.as_bytes(), RANGE_SEED) % RANGE_COUNT as u64) as usize
 }
 
-/// All hosts that a controller knows, by their ids.
+/// All hosts known to a controller, by id. Ended hosts are kept for a while and removed by
+/// [`HostRegistry::remove_expired`].
 #[derive(Clone, Debug)]
 pub struct HostRegistry {
     heartbeat_timeout: Duration,
@@ -151,7 +153,8 @@
 }
 
 impl HostRegistry {
-    /// A registry without hosts. `heartbeat_interval`: how often a host sends a heartbeat.
+    /// Creates an empty registry. Heartbeat timeouts are derived from `heartbeat_interval`, at which hosts send
+    /// heartbeats.
     pub fn new(heartbeat_interval: Duration) -> HostRegistry {
         let missed = heartbeat_span(heartbeat_interval, MAX_MISSED_HEARTBEATS);
         HostRegistry {
@@ -160,17 +163,18 @@
         }
     }
 
-    /// The host of an id.
+    /// Looks up a host by id. Draining, timed-out and recently ended hosts are found as well.
     pub fn get(&self, id: &str) -> Option<&HostEntry> {
         self.hosts.get(id)
     }
 
-    /// All hosts, in the order of their ids.
+    /// All hosts sorted by id, including timed-out and recently ended ones.
     pub fn iter(&self) -> impl Iterator<Item = &HostEntry> {
         self.hosts.values()
     }
 
-    /// Applies a record that came from the host or from another controller. True if tables may change by it.
+    /// Applies a record received from the host or from another controller. Returns whether endpoint tables may have to
+    /// change. Outdated records are ignored.
     pub fn apply_record(&mut self, now: Timestamp, record: HostRecord) -> bool {
         let Some(known) = self.hosts.get_mut(&record.id) else {
             let entry = HostEntry::new(now, record, self.heartbeat_timeout);
@@ -185,7 +189,8 @@
         !is_outdated && known.update(now, record, self.heartbeat_timeout)
     }
 
-    /// Applies a heartbeat that another controller passed on. True if the host had timed out and is seen again.
+    /// Applies a heartbeat forwarded by another controller. Returns whether it ends a timeout of the host. Outdated
+    /// heartbeats and those of unknown hosts are ignored.
     pub fn apply_heartbeat(&mut self, now: Timestamp, id: &str, sequence: CallSequence) -> bool {
         let Some(known) = self.hosts.get_mut(id) else {
             return false;
@@ -198,7 +203,7 @@
         std::mem::take(&mut known.is_timed_out)
     }
 
-    /// Marks a host as gone that deregistered. Returns its record, unless it was gone before.
+    /// Marks a deregistered host as gone and returns its record. Returns `None` if it is unknown or already gone.
     pub fn deregister(&mut self, now: Timestamp, id: &str) -> Option<HostRecord> {
         let known = self.hosts.get_mut(id)?;
         if known.record.state == HostState::Gone {
@@ -209,14 +214,14 @@
         Some(known.record.clone())
     }
 
-    /// Removes the hosts that ended long ago.
+    /// Removes the hosts that have been gone or timed out for the whole retention period.
     pub fn remove_expired(&mut self, now: Timestamp) {
         self.hosts.retain(|_, host| !host.is_expired(now));
     }
 
-    /// Marks the hosts that have not been seen for too long as timed out, and returns the ids of those that were not
-    /// yet. To be called only while this controller sees what a majority sees: otherwise missing heartbeats prove
-    /// nothing.
+    /// Marks hosts whose heartbeat timeout has expired and returns the ids of the newly marked ones. Must be called
+    /// only while this controller has quorum contact; otherwise hosts may be sending heartbeats to unreachable
+    /// controllers.
     pub fn mark_timed_out(&mut self, now: Timestamp) -> Vec<Arc<str>> {
         let mut newly_timed_out = Vec::new();
         for (id, host) in &mut self.hosts {
@@ -229,12 +234,12 @@
         newly_timed_out
     }
 
-    /// All records, to send to another node.
+    /// The records of all hosts, with current ages, to send to another node.
     pub fn records(&self, now: Timestamp) -> Vec<HostRecord> {
         self.iter().map(|host| host.record_at(now)).collect()
     }
 
-    /// A digest of each range.
+    /// One digest per range, [`RANGE_COUNT`] in total. Two registries with the same hosts have equal digests.
     pub fn digests(&self) -> Vec<u64> {
         let mut digests = vec![0; RANGE_COUNT];
         for host in self.hosts.values() {
@@ -243,7 +248,7 @@
         digests
     }
 
-    /// The ranges in which the digests of another registry differ from those of this one.
+    /// Indexes of the ranges whose digests differ from those of another registry.
     pub fn differing_ranges(&self, other: &[u64]) -> Vec<u16> {
         let digests = self.digests();
         (0..RANGE_COUNT)
@@ -252,7 +257,7 @@
             .collect()
     }
 
-    /// The records of some ranges, to send to another node.
+    /// The records of all hosts in the given ranges, with current ages, to send to another node.
     pub fn records_in_ranges(&self, now: Timestamp, ranges: &[u16]) -> Vec<HostRecord> {
         self.iter()
             .filter(|host| ranges.contains(&(range_of(&host.record.id) as u16)))
--- a/crates/gateway/cluster/src/initial_sync.rs
+++ b/crates/gateway/cluster/src/initial_sync.rs
@@ -1,17 +1,18 @@
-//! Whether a controller that has started knows all hosts. Until it does, no gateway may take its tables from it.
+//! Tracks whether a controller knows all hosts after its start. Until then it must not become the primary of any
+//! gateway.
 
 use crate::host_registry::heartbeat_span;
 use rushcourse_types::Timestamp;
 use std::time::Duration;
 
-/// Heartbeat intervals after which a controller that gets no hosts from others knows all of them.
-const LONE_START_HEARTBEATS: f64 = 1.6;
+/// Heartbeat intervals after which a controller without synchronized peers has received a heartbeat from every host.
+const STANDALONE_SYNC_HEARTBEATS: f64 = 1.6;
 
-/// The initial synchronization. It is done once a synchronized controller has sent all its hosts, if the disk held some
-/// hosts, or after all hosts had time to send a heartbeat.
+/// The initial synchronization. It is done when hosts were restored from the state file, when a synchronized peer has
+/// sent all its hosts, or when every host had enough time to send a heartbeat.
 #[derive(Clone, Debug)]
 pub(crate) struct InitialSync {
-    lone_start_delay: Duration,
+    standalone_sync_delay: Duration,
     started_at: Option<Timestamp>,
     is_done: bool,
 }
@@ -19,13 +20,13 @@
 impl InitialSync {
     pub(crate) fn new(heartbeat_interval: Duration) -> InitialSync {
         InitialSync {
-            lone_start_delay: heartbeat_span(heartbeat_interval, LONE_START_HEARTBEATS),
+            standalone_sync_delay: heartbeat_span(heartbeat_interval, STANDALONE_SYNC_HEARTBEATS),
             started_at: None,
             is_done: false,
         }
     }
 
-    /// Counts the time from the first step on.
+    /// Starts the wait for heartbeats. Later calls have no effect.
     pub(crate) fn start(&mut self, now: Timestamp) {
         self.started_at.get_or_insert(now);
     }
@@ -38,12 +39,12 @@
         self.is_done = is_done;
     }
 
-    /// Ends the wait for heartbeats. True if it ended now.
+    /// Completes the synchronization if the wait for heartbeats has ended. Returns `true` only for the completing call.
     pub(crate) fn end_wait(&mut self, now: Timestamp) -> bool {
-        let had_time = self
+        let has_waited = self
             .started_at
-            .is_some_and(|started_at| now >= started_at + self.lone_start_delay);
-        let ends_now = had_time && !self.is_done;
+            .is_some_and(|started_at| now >= started_at + self.standalone_sync_delay);
+        let ends_now = has_waited && !self.is_done;
         self.is_done |= ends_now;
         ends_now
     }
--- a/crates/gateway/cluster/src/lib.rs
+++ b/crates/gateway/cluster/src/lib.rs
@@ -1,15 +1,16 @@
-//! The soft state of a controller, which it shares with the others without a majority's agreement: hosts, gateways, and
-//! the tables that gateways are bound to. It changes in [`Cluster::step`] and nowhere else. Nothing here reads a clock or
-//! does I/O.
+//! The soft state of a controller, which controllers replicate to each other without consensus: hosts, gateways, and
+//! the endpoint tables of gateways. It is a state machine without clock access or I/O; only [`Cluster::step`] changes
+//! it.
 //!
-//! * [`cluster`]: the step; [`events`]: its inputs and effects.
-//! * [`host_registry`]: the hosts. Late records are recognized by their sequence.
-//! * [`gateway_membership`]: which gateways are in session with which controller.
-//! * [`distribution`]: the services, each with its policy; [`service_tables`]: the tables of one service;
-//!   `policy_adapter`: the gateway's events and settings in the policy's terms.
-//! * `initial_sync`, `failure_detection`: when this controller knows all hosts, and when a host may be taken for dead.
-//! * `heartbeat_batch`: heartbeats for the other controllers.
-//! * [`quorum_contact`]: whether a majority was in contact lately; [`contact_probes`]: the probes that prove it.
+//! * [`cluster`]: the state machine; [`events`]: its inputs and effects.
+//! * [`host_registry`]: the known hosts. Outdated records are detected by their sequence numbers.
+//! * [`gateway_membership`]: which gateways have sessions with which controllers.
+//! * [`distribution`]: the services and their load balancing policies; [`service_tables`]: the endpoint tables of one
+//!   service; `policy_adapter`: conversion of events and settings to the types of the policy.
+//! * `initial_sync`, `failure_detection`: when this controller knows all hosts, and when hosts may time out.
+//! * `heartbeat_batch`: batches of heartbeats for the other controllers.
+//! * [`quorum_contact`]: whether this controller has contact with a majority; [`contact_probes`]: probes that confirm
+//!   it.
 
 pub mod cluster;
 pub mod contact_probes;
--- a/crates/gateway/cluster/src/policy_adapter.rs
+++ b/crates/gateway/cluster/src/policy_adapter.rs
@@ -1,5 +1,6 @@
-//! The policy (`rushcourse-policy`) was made for a director of proxies. This module says in its terms what happens here:
-//! gateways are its proxies, each with a channel of its own, and each service has one class of requests.
+//! Converts events and settings to the types of the load balancing policy (`rushcourse-policy`), which is shared with
+//! the director. Gateways are proxies of the policy, each with a dedicated channel, and each service has one request
+//! class.
 
 use crate::host_registry::HostEntry;
 use rushcourse_messages::HostState;
@@ -10,10 +11,10 @@
 use rushcourse_types::{NodeId, Timestamp};
 use std::time::Duration;
 
-/// The one class of requests of a service.
+/// Index of [`REQUEST_CLASS`] in the settings.
 const CLASS: ClassId = 0;
 
-/// All requests of a service are of this class; times in ms (ours). The policy's admission levels are off here.
+/// The class of all requests to a service; times in milliseconds.
 const REQUEST_CLASS: RequestClass = RequestClass {
     target_latency: 500.0,
     deadline: 2000.0,
@@ -23,41 +24,39 @@
     is_write: false,
 };
 
-/// Table entries a second that a session carries (ours).
+/// Maximum rate of table entries sent over one gateway session, per second.
 const ENTRIES_PER_SECOND: f64 = 4000.0;
 
-/// Table entries that may wait for a session (ours).
+/// Maximum number of table entries queued for one gateway session.
 const MAX_QUEUED_ENTRIES: f64 = 4000.0;
 
-/// Mean and longest time from a message to its acknowledgement, ms: a session answers within a few milliseconds (ours).
+/// Expected time in milliseconds from sending a table update to its acknowledgement.
 const MEAN_TRANSIT: Ms = 20.0;
 const MAX_TRANSIT: Ms = 500.0;
 
-/// ms; gateways report their requests this often.
+/// Interval in milliseconds at which gateways send load reports.
 const REPORT_INTERVAL: Ms = 1000.0;
 
-/// A gateway's requests to a service during an interval.
+/// The attempts of one gateway at the hosts of one service during an interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Load {
-    /// Attempts at the service's hosts.
     pub(crate) attempts: u32,
-    /// Those of them that failed.
+    /// Number of `attempts` that ended without a response.
     pub(crate) failures: u32,
-    /// The span that was counted.
     pub(crate) interval: Duration,
 }
 
-/// A moment in the policy's unit, milliseconds with fractions.
-pub(crate) fn policy_time(moment: Timestamp) -> Ms {
-    moment.as_millis() as Ms
+/// Converts a timestamp to fractional milliseconds, the time unit of the policy.
+pub(crate) fn policy_time(timestamp: Timestamp) -> Ms {
+    timestamp.as_millis() as Ms
 }
 
-/// A span in the policy's unit. Whole milliseconds are converted exactly.
-fn policy_span(span: Duration) -> Ms {
-    span.as_nanos() as Ms / 1e6
+/// Converts a duration to fractional milliseconds, the time unit of the policy. Whole milliseconds are exact.
+fn policy_duration(duration: Duration) -> Ms {
+    duration.as_nanos() as Ms / 1e6
 }
 
-/// The settings of a service's policy.
+/// Builds the policy settings, which are the same for all services.
 pub(crate) fn policy_settings(
     zone_count: usize,
     local_zone: ZoneId,
@@ -81,8 +80,9 @@
             ..ChannelSettings::default()
         },
         hosts: HostSettings {
-            drain_grace: policy_span(drain_timeout),
-            // Slow start is the policy's: a tenth, rising over 10 s. Hosts say how long they warm up, not how much.
+            drain_grace: policy_duration(drain_timeout),
+            // Hosts report how long they warm up but not their capacity during that time. 1.0 leaves the ramp to the
+            // built-in slow start of the policy.
             start_capacity: 1.0,
             has_listed_weights: true,
             ..HostSettings::default()
@@ -92,7 +92,7 @@
     }
 }
 
-/// A host as the policy sees it.
+/// Converts a host for the policy. Its weight is its number of slots, at least 1.
 pub(crate) fn policy_host(host: &HostEntry, zone: ZoneId) -> PolicyHost {
     let record = host.record();
     let readiness = match host.state() {
@@ -110,7 +110,7 @@
     }
 }
 
-/// A gateway takes its tables from here from now on.
+/// The policy event for a gateway whose primary becomes this controller.
 pub(crate) fn gateway_joined(gateway: NodeId, zone: ZoneId) -> Event {
     Event::ProxyJoined {
         proxy: gateway.0,
@@ -121,7 +121,7 @@
     }
 }
 
-/// A gateway no longer takes its tables from here.
+/// The policy event for a gateway whose primary is no longer this controller.
 pub(crate) fn gateway_left(gateway: NodeId) -> Event {
     Event::ProxyLeft {
         proxy: gateway.0,
@@ -129,7 +129,7 @@
     }
 }
 
-/// A gateway has applied the update of a revision, and all updates before it.
+/// The policy event for a gateway that applied the update with this revision and all earlier ones.
 pub(crate) fn update_acknowledged(gateway: NodeId, revision: u16) -> Event {
     Event::Acknowledged {
         ack_number: revision,
@@ -139,13 +139,13 @@
     }
 }
 
-/// A gateway reported its requests.
+/// The policy event for a gateway's load report on one service.
 pub(crate) fn load_reported(gateway: NodeId, load: Load) -> Event {
     Event::TrafficReported {
         proxy: gateway.0,
         class: CLASS,
         attempts: f64::from(load.attempts),
         failed: f64::from(load.failures),
-        span: policy_span(load.interval),
+        span: policy_duration(load.interval),
     }
 }
--- a/crates/gateway/cluster/src/quorum_contact.rs
+++ b/crates/gateway/cluster/src/quorum_contact.rs
@@ -1,46 +1,47 @@
-//! Whether a controller may act on what it knows: it is in session with a majority of the voting set, and its own
-//! process has not stalled meanwhile.
+//! Determines whether a controller's state is current: it has sessions with a majority of the voting set, and its
+//! process has not stalled since a majority last confirmed contact.
 //!
-//! Sessions end after a time-out that is measured by a steady clock, so a controller that is partitioned learns it from
-//! them. A process that was frozen does not: when it runs again, its sessions look alive until their ends are read. What
-//! it knows is then as old as the freeze, so nothing counts until a majority has answered a probe
-//! ([`crate::contact_probes`]) that was sent after the freeze.
+//! A partitioned controller detects the partition when its sessions time out. A controller whose process was suspended
+//! does not: after resuming, its sessions still look open until their closure has been read. Its state may then be as
+//! old as the suspension, so it is not current until a majority has responded to a probe ([`crate::contact_probes`])
+//! that was sent afterwards.
 
 use rushcourse_types::Timestamp;
 use std::time::Duration;
 
-/// The time between two turns of a controller's loop from which on it counts as stalled. The loop turns every 50 ms;
-/// sessions time out after 1,600 ms, so nobody has taken a controller that stood still for less than this for dead.
+/// Time between two iterations of the event loop from which on the process counts as stalled. The loop runs at least
+/// every 50 ms. The threshold is below the session timeout of 1,600 ms, so peers keep their sessions during a shorter
+/// pause.
 pub const STALL_THRESHOLD: Duration = Duration::from_millis(600);
 
-/// A controller's view of its own contact with a majority of the voting set.
+/// Tracks this controller's contact with a majority of the voting set.
 #[derive(Clone, Debug, Default)]
 pub struct QuorumContact {
-    last_turn_at: Option<Timestamp>,
+    last_iteration_at: Option<Timestamp>,
     has_quorum_sessions: bool,
-    /// When the process was found to have stalled, until a majority has answered a later probe.
+    /// When the last stall was detected, or `None` if a majority has responded to a later probe.
     stalled_at: Option<Timestamp>,
 }
 
 impl QuorumContact {
-    /// Records a turn of the loop, before anything that waited is handled. True if the process stalled since the last
-    /// one: a majority has to be probed anew.
+    /// Records the start of an event loop iteration. Must be called before pending events are handled. Returns `true`
+    /// if the process stalled since the previous iteration; the caller must then start a new probe.
     pub fn record_iteration(&mut self, now: Timestamp) -> bool {
-        let last_turn_at = self.last_turn_at.replace(now);
-        let has_stalled = last_turn_at.is_some_and(|last| now >= last + STALL_THRESHOLD);
+        let last_iteration_at = self.last_iteration_at.replace(now);
+        let has_stalled = last_iteration_at.is_some_and(|last| now >= last + STALL_THRESHOLD);
         if has_stalled {
             self.stalled_at = Some(now);
         }
         has_stalled
     }
 
-    /// Records whether sessions with a majority of the voting set stand, this controller included.
+    /// Records whether this controller and the peers with open sessions form a majority of the voting set.
     pub fn record_quorum_sessions(&mut self, has_quorum_sessions: bool) {
         self.has_quorum_sessions = has_quorum_sessions;
     }
 
-    /// Records that a majority has answered a probe that was sent at `probed_at`. One that was sent before the last
-    /// stall proves nothing.
+    /// Records that a majority responded to a probe sent at `probed_at`. Ignored if the probe was sent before the last
+    /// stall.
     pub fn confirm(&mut self, probed_at: Timestamp) {
         if self
             .stalled_at
@@ -50,12 +51,12 @@
         }
     }
 
-    /// Whether a majority has yet to answer a probe that was sent after the last stall.
+    /// Whether the process has stalled and no majority has responded to a later probe yet.
     pub fn needs_confirmation(&self) -> bool {
         self.stalled_at.is_some()
     }
 
-    /// Whether what this controller says now may count as current.
+    /// Whether this controller has quorum contact, so that other nodes may rely on its state.
     pub fn is_current(&self) -> bool {
         self.has_quorum_sessions && !self.needs_confirmation()
     }
--- a/crates/gateway/cluster/src/service_tables.rs
+++ b/crates/gateway/cluster/src/service_tables.rs
@@ -1,6 +1,6 @@
-//! The endpoint tables of one service. The load balancing policy (`rushcourse-policy`) decides which hosts are in which
-//! table and with which weight; it sees gateways as its proxies, each with a channel of its own. This module stores the
-//! tables as the policy defines them, and turns the policy's actions into updates for gateways.
+//! The endpoint tables of one service. The load balancing policy (`rushcourse-policy`) decides which table each gateway
+//! is bound to, and which hosts each table contains with which weights. This module stores the tables and converts the
+//! policy's actions into updates for gateways.
 
 use crate::policy_adapter::policy_time;
 use rushcourse_policy::Director;
@@ -9,63 +9,64 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// A host in an endpoint table, and its weight.
+/// An entry of an endpoint table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableEndpoint {
-    /// The host's id.
+    /// Id of the host instance.
     pub host: Arc<str>,
-    /// Its share among the table's hosts; 0 removes it.
+    /// Load balancing weight relative to the other entries. In an update, 0 removes the entry.
     pub weight: f64,
 }
 
-/// A table as it is now, for status pages.
+/// A snapshot of an endpoint table for the status page.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TableView {
-    /// The service that the table is of.
+    /// Name of the service whose hosts the table lists.
     pub service: Arc<str>,
-    /// The table's number, as the policy counts them for each service.
+    /// Table id, unique within the service. Assigned by the policy.
     pub table: TableId,
-    /// How many gateways are bound to it.
+    /// Number of gateways bound to the table.
     pub gateways: usize,
-    /// Its hosts, in the order of their ids.
+    /// The entries of the table, sorted by host id.
     pub endpoints: Vec<TableEndpoint>,
 }
 
-/// A host that is withdrawn: no gateway may send to it, whatever its table says. Or one that is withdrawn no longer.
+/// Withdraws a host or cancels its withdrawal. Gateways must not send requests to a withdrawn host even if their table
+/// lists it.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Withdrawal {
     pub(crate) host: Arc<str>,
     pub(crate) is_withdrawn: bool,
 }
 
-/// A message for one gateway about the table that it is bound to.
+/// An update of the endpoint table that a gateway is bound to.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct GatewayUpdate {
     pub(crate) gateway: NodeId,
     pub(crate) service: Arc<str>,
-    /// The gateway acknowledges the update by it.
+    /// The number that the gateway returns to acknowledge the update.
     pub(crate) revision: u16,
-    /// Whether `endpoints` is the complete table, which replaces what the gateway has; otherwise only what changed.
+    /// Whether `endpoints` is a complete table that replaces the gateway's table, rather than a list of changes.
     pub(crate) is_replacement: bool,
     pub(crate) endpoints: Vec<TableEndpoint>,
     pub(crate) withdrawals: Vec<Withdrawal>,
 }
 
-/// The policy asked to be called at a later moment.
+/// A timer requested by the policy. `token` is passed back to the policy when the timer fires.
 #[derive(Clone, Debug)]
 struct PolicyTimer {
     due_at: Ms,
     token: String,
 }
 
-/// The changes for one gateway that follow from one call of the policy.
+/// Table changes for one gateway that result from one call of the policy.
 #[derive(Default)]
 struct UpdateBatch {
     is_replacement: bool,
     changes: BTreeMap<Arc<str>, f64>,
 }
 
-/// The changes for all gateways that follow from one call of the policy.
+/// Changes for all gateways that result from one call of the policy.
 #[derive(Default)]
 struct PendingUpdates {
     batches: BTreeMap<NodeId, UpdateBatch>,
@@ -78,7 +79,7 @@
     }
 }
 
-/// All tables of one service, and the gateways that are bound to them.
+/// The tables of one service, the gateways bound to them, and the policy that maintains both.
 pub(crate) struct ServiceTables {
     service: Arc<str>,
     policy: Director,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Passes events to the policy, and returns the updates for gateways that follow.
+    /// Passes events to the policy and returns the resulting updates for gateways.
     pub(crate) fn handle(&mut self, now: Timestamp, events: Vec<Event>) -> Vec<GatewayUpdate> {
         let actions = self.policy.handle(policy_time(now), events);
         let mut pending = PendingUpdates::default();
@@ -112,7 +113,7 @@
         self.gateway_updates(pending)
     }
 
-    /// Removes the timers that are due and returns their events.
+    /// Removes the timers that are due and returns the corresponding policy events.
     pub(crate) fn take_due_timers(&mut self, now: Timestamp) -> Vec<Event> {
         let now = policy_time(now);
         let is_due = |timer: &PolicyTimer| timer.due_at <= now;
@@ -123,12 +124,12 @@
             .collect()
     }
 
-    /// Forgets to which table a gateway was bound.
+    /// Removes the binding of a gateway to its table, so that it gets no more updates.
     pub(crate) fn unbind(&mut self, gateway: NodeId) {
         self.bindings.remove(&gateway);
     }
 
-    /// The tables, for status pages.
+    /// Snapshots of the tables for the status page.
     pub(crate) fn views(&self) -> impl Iterator<Item = TableView> {
         self.tables.iter().map(|(id, weights)| TableView {
             service: self.service.clone(),
@@ -201,7 +202,7 @@
         bound.map(|(gateway, _)| *gateway)
     }
 
-    /// The updates in the order of gateways. A withdrawal goes to every gateway that is bound to any table.
+    /// Builds the updates, sorted by gateway. Withdrawals are sent to every gateway bound to any table.
     fn gateway_updates(&self, mut pending: PendingUpdates) -> Vec<GatewayUpdate> {
         let mut receivers: BTreeSet<NodeId> = pending.batches.keys().copied().collect();
         if !pending.withdrawals.is_empty() {
@@ -216,7 +217,8 @@
             .collect()
     }
 
-    /// A gateway whose table is replaced gets all withdrawn hosts, since it may be new here.
+    /// Builds the update for one gateway. A replacement includes all withdrawn hosts, because the gateway may have just
+    /// joined.
     fn gateway_update(
         &self,
         gateway: NodeId,
@@ -238,7 +240,7 @@
         }
     }
 
-    /// The complete table that a gateway is bound to.
+    /// All entries of the table that a gateway is bound to, or none without a binding.
     fn endpoints_for(&self, gateway: NodeId) -> Vec<TableEndpoint> {
         let table = self.bindings.get(&gateway);
         let weights = table.and_then(|table| self.tables.get(table));
--- a/crates/gateway/cluster/tests/common/mod.rs
+++ b/crates/gateway/cluster/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A controller's state on a fake clock, and short ways to what is said to it.
+//! A controller's state machine with a simulated clock, and shorthands for its inputs.
 #![allow(dead_code)]
 
 use rushcourse_cluster::{Cluster, Effect, Input, Topology};
@@ -6,12 +6,12 @@
 use rushcourse_types::{CallSequence, Millis, NodeId, SessionId, Timestamp};
 use std::time::Duration;
 
-/// The time between two ticks, ms.
+/// Interval between ticks in milliseconds.
 pub const TICK: u64 = 50;
-/// How often a host calls, ms.
+/// Interval at which hosts send heartbeats, in milliseconds.
 pub const HEARTBEAT_INTERVAL: u64 = 1_500;
 
-/// The gateway that takes its tables from the controller, and its session.
+/// The gateway whose primary is the controller under test.
 pub const GATEWAY: NodeId = NodeId(70);
 pub const GATEWAY_SESSION: SessionId = SessionId(7);
 
@@ -19,7 +19,7 @@
     Timestamp::from_millis(millis)
 }
 
-/// A host of service `s`.
+/// A host of service `s` in zone `z1`.
 pub fn host(id: &str, sequence: u64, state: HostState) -> HostRecord {
     HostRecord {
         id: id.into(),
@@ -34,7 +34,7 @@
     }
 }
 
-/// A controller in zone `z1` of two.
+/// A controller in zone `z1` of a deployment with two zones.
 pub struct Controller(pub Cluster);
 
 impl Controller {
@@ -47,8 +47,8 @@
         }))
     }
 
-    /// A controller that knows three hosts at 4 s, with a gateway that takes its tables from it, until 4.5 s. Second:
-    /// the effects since the gateway chose it.
+    /// A synchronized controller with three hosts and one gateway, at 4.5 s. Also returns the effects since the gateway
+    /// selected it as its primary at 4 s.
     pub fn with_gateway() -> (Controller, Vec<Effect>) {
         let mut controller = Controller::new();
         controller.step(1_000, Input::QuorumContactChanged(true));
@@ -64,7 +64,7 @@
         self.0.step(at(now), input)
     }
 
-    /// Ticks at the usual pace.
+    /// Ticks every [`TICK`] milliseconds and returns all effects.
     pub fn tick(&mut self, from: u64, until: u64) -> Vec<Effect> {
         (from..until)
             .step_by(TICK as usize)
@@ -85,7 +85,7 @@
         self.step(now, Input::GatewayMessage { session, message })
     }
 
-    /// The gateway comes and takes its tables from here. The effects of the half second after.
+    /// The gateway connects and selects this controller as its primary. Returns the effects of the next 500 ms.
     pub fn adopt_gateway(&mut self, now: u64) -> Vec<Effect> {
         let opened = Input::GatewaySessionOpened {
             session: GATEWAY_SESSION,
@@ -103,7 +103,7 @@
     }
 }
 
-/// What goes to the gateway alone.
+/// The messages sent to the gateway, without broadcasts.
 pub fn to_gateway(effects: &[Effect]) -> Vec<&Message> {
     let message = |effect| match effect {
         &Effect::SendToGateway {
@@ -115,7 +115,7 @@
     effects.iter().filter_map(message).collect()
 }
 
-/// Whether a line of the log names an event.
+/// Whether a log line contains the event name.
 pub fn has_logged(effects: &[Effect], event: &str) -> bool {
     let is_event = |effect: &Effect| matches!(effect, Effect::Log(line) if line.contains(event));
     effects.iter().any(is_event)
--- a/crates/gateway/cluster/tests/contact_probes.rs
+++ b/crates/gateway/cluster/tests/contact_probes.rs
@@ -1,4 +1,4 @@
-//! Probes that a majority has to answer. Node 1 of four controllers sends them unless a test says otherwise.
+//! Contact probes, sent by node 1 of four controllers unless stated otherwise.
 
 use rushcourse_cluster::{ContactProbes, ProbeResult};
 use rushcourse_messages::VotingSet;
@@ -32,20 +32,20 @@
 }
 
 #[test]
-fn a_drain_is_confirmed_once_a_majority_has_handled_what_was_sent_before() {
+fn probe_is_confirmed_once_a_majority_has_responded() {
     let mut probes = ContactProbes::default();
     let token = probes.start(at(1_000));
 
     assert!(probes.record_response(NodeId(2), token));
     assert!(
         probes.record_response(NodeId(2), token),
-        "the same one twice is one"
+        "a repeated response counts once"
     );
     assert!(
         probes
             .finish(at(1_010), LOCAL_NODE, &four_controllers())
             .is_empty(),
-        "two of four"
+        "two of four are not a majority"
     );
 
     assert!(probes.record_response(NodeId(3), token));
@@ -57,12 +57,12 @@
         probes
             .finish(at(1_030), LOCAL_NODE, &four_controllers())
             .is_empty(),
-        "once"
+        "the result is returned only once"
     );
 }
 
 #[test]
-fn an_answer_to_an_earlier_probe_proves_nothing_of_a_later_one() {
+fn response_to_an_earlier_probe_does_not_confirm_a_later_one() {
     let mut probes = ContactProbes::default();
     let (early, late) = (probes.start(at(1_000)), probes.start(at(1_100)));
 
@@ -76,21 +76,21 @@
 
     assert!(
         probes.record_response(NodeId(2), early),
-        "late, and still no answer to a read"
+        "the token of a finished probe is still recognized"
     );
     assert!(
         !probes.record_response(NodeId(2), RequestToken(7)),
-        "a read's token"
+        "tokens of reads are not recognized"
     );
     assert_eq!(
         probes.finish(at(1_900), LOCAL_NODE, &four_controllers()),
         [timed_out(late)],
-        "partitioned meanwhile"
+        "no peer responded to the later probe"
     );
 }
 
 #[test]
-fn a_controller_that_is_no_member_needs_a_majority_of_the_others() {
+fn non_member_needs_a_majority_of_the_members() {
     let standby = NodeId(5);
     let mut probes = ContactProbes::default();
     let token = probes.start(at(1_000));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn without_a_voting_set_there_is_no_majority() {
+fn probe_without_a_voting_set_times_out() {
     let mut probes = ContactProbes::default();
     let token = probes.start(at(2_000));
     assert!(
--- a/crates/gateway/cluster/tests/failure_detection.rs
+++ b/crates/gateway/cluster/tests/failure_detection.rs
@@ -1,4 +1,4 @@
-//! When the silence of a host counts against it.
+//! Conditions under which a host without heartbeats times out.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use rushcourse_types::{Millis, NodeId};
 
 #[test]
-fn a_host_times_out_only_where_a_majority_is_in_contact() {
+fn host_times_out_only_with_quorum_contact() {
     for (has_quorum_contact, is_gone) in [(true, true), (false, false)] {
         let (mut controller, _) = Controller::with_gateway();
         controller.step(4_500, Input::QuorumContactChanged(has_quorum_contact));
@@ -21,20 +21,20 @@
         assert_eq!(
             controller.state_of("i-1") == HostState::Gone,
             is_gone,
-            "with a majority: {has_quorum_contact}"
+            "quorum contact: {has_quorum_contact}"
         );
 
         controller.host_request(13_000, host("i-1", 9, HostState::Ready));
         assert_eq!(
             controller.state_of("i-1"),
             HostState::Ready,
-            "it calls again"
+            "a new heartbeat ends the timeout"
         );
     }
 }
 
 #[test]
-fn a_controller_that_is_back_from_a_partition_hears_the_others_before_it_judges() {
+fn host_does_not_time_out_during_the_grace_period_after_a_partition() {
     let (mut controller, _) = Controller::with_gateway();
     controller.step(4_500, Input::QuorumContactChanged(false));
     controller.tick(4_500, 24_500);
@@ -43,15 +43,15 @@
     let effects = controller.tick(24_500, 24_600);
     assert!(
         !has_logged(&effects, "host_timed_out"),
-        "it did not hear whom they called meanwhile"
+        "hosts may have sent heartbeats to other controllers during the partition"
     );
 
-    let mut heard_by_others = vec![
+    let mut records_of_peer = vec![
         host("i-1", 20, HostState::Ready),
         host("i-2", 20, HostState::Ready),
     ];
-    heard_by_others[1].age = Millis(900);
-    controller.peer_message(24_600, NodeId(2), Message::HostUpdates(heard_by_others));
+    records_of_peer[1].age = Millis(900);
+    controller.peer_message(24_600, NodeId(2), Message::HostUpdates(records_of_peer));
     controller.tick(24_600, 26_000);
     assert_eq!(
         (controller.state_of("i-1"), controller.state_of("i-2")),
@@ -60,18 +60,18 @@
     assert_eq!(
         controller.state_of("i-3"),
         HostState::Gone,
-        "nobody heard it"
+        "no controller received its heartbeats"
     );
 }
 
 #[test]
-fn a_controller_that_was_frozen_hears_what_waits_before_it_judges_and_keeps_its_gateways() {
+fn stalled_controller_handles_pending_heartbeats_before_hosts_time_out() {
     let (mut controller, _) = Controller::with_gateway();
     let mut effects = controller.step(11_000, Input::Stalled);
     effects.extend(controller.step(11_000, Input::Tick));
     assert!(
         !has_logged(&effects, "host_timed_out"),
-        "its own silence is not theirs"
+        "heartbeats that arrived during the stall are still pending"
     );
     let is_status = |effect: &Effect| {
         matches!(
@@ -81,7 +81,7 @@
     };
     assert!(
         !effects.iter().any(is_status),
-        "a short freeze moves no gateway"
+        "a short stall must not make gateways change their primary"
     );
 
     for id in ["i-1", "i-2"] {
--- a/crates/gateway/cluster/tests/gateway_tables.rs
+++ b/crates/gateway/cluster/tests/gateway_tables.rs
@@ -1,4 +1,4 @@
-//! What a gateway gets that takes its tables from a controller.
+//! Messages that a controller sends to a gateway whose primary it is.
 
 mod common;
 
@@ -6,12 +6,12 @@
 use rushcourse_cluster::{Effect, Input};
 use rushcourse_messages::{EndpointWeight, HostState, Message};
 
-/// Whether a message says that a host's state holds at once.
-fn is_state_of(message: &Message, id: &str) -> bool {
+/// Whether a message sends the state of this host, which takes effect immediately.
+fn is_host_state_of(message: &Message, id: &str) -> bool {
     matches!(message, Message::HostStates(hosts) if &*hosts[0].id == id)
 }
 
-/// The lines of a table's message; none of another message.
+/// The entries in a table message, or none for other messages.
 fn endpoints(message: &Message) -> &[EndpointWeight] {
     match message {
         Message::TableReplacement { endpoints, .. } | Message::TableUpdate { endpoints, .. } => {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_gateway_gets_a_table_at_once_and_a_drain_before_all_else() {
+fn new_gateway_gets_a_table_and_a_drain_is_sent_at_once() {
     let (mut controller, effects) = Controller::with_gateway();
     let messages = to_gateway(&effects);
     let table = messages.iter().find_map(|message| match message {
@@ -45,15 +45,15 @@
     assert!(
         effects.iter().any(|effect| matches!(
             effect,
-            Effect::BroadcastToGateways(message) if is_state_of(message, "i-1")
+            Effect::BroadcastToGateways(message) if is_host_state_of(message, "i-1")
         )),
-        "every gateway, whichever controller it takes its tables from"
+        "the state is broadcast to all gateways, whatever their primary"
     );
     assert!(
         to_gateway(&effects)
             .iter()
-            .any(|message| is_state_of(message, "i-1")),
-        "and by the policy's order in the same step"
+            .any(|message| is_host_state_of(message, "i-1")),
+        "the policy withdraws the host in the same step"
     );
     assert!(
         effects
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn hosts_that_the_disk_held_stand_in_tables_at_once_after_a_start() {
+fn restored_hosts_are_in_tables_at_once() {
     let mut controller = Controller::new();
     let restored = vec![
         host("i-1", 5, HostState::Ready),
@@ -73,7 +73,7 @@
     assert!(controller.0.is_synchronized());
 
     let effects = controller.adopt_gateway(1_000);
-    let lines = to_gateway(&effects).into_iter().flat_map(endpoints);
-    let served = lines.filter(|line| line.weight > 0.0).count();
-    assert_eq!(served, 1, "the one that drains is in none");
+    let entries = to_gateway(&effects).into_iter().flat_map(endpoints);
+    let served = entries.filter(|entry| entry.weight > 0.0).count();
+    assert_eq!(served, 1, "the draining host is not in the table");
 }
--- a/crates/gateway/cluster/tests/host_registry.rs
+++ b/crates/gateway/cluster/tests/host_registry.rs
@@ -1,5 +1,4 @@
-//! What a controller knows of hosts: late heartbeats, ended instances, and the digests by which two controllers find
-//! where they differ.
+//! The host registry: outdated records, ended instances, and anti-entropy digests.
 
 mod common;
 
@@ -15,12 +14,12 @@
 }
 
 #[test]
-fn late_heartbeats_change_nothing_and_an_ended_instance_stays_ended() {
+fn outdated_record_is_ignored_and_deregistration_is_final() {
     let mut hosts = registry();
     assert!(hosts.apply_record(at(0), host("i-1", 5, HostState::Draining)));
     assert!(
         !hosts.apply_record(at(10), host("i-1", 4, HostState::Ready)),
-        "sent before, came after"
+        "a record with a lower sequence number is ignored"
     );
     let state = hosts.get("i-1").expect("known").state();
     assert_eq!(state, HostState::Draining);
@@ -29,12 +28,14 @@
     assert!(hosts.deregister(at(21), "i-1").is_none());
     assert!(!hosts.apply_record(at(30), host("i-1", 6, HostState::Ready)));
     hosts.remove_expired(at(100_000));
-    assert!(hosts.get("i-1").is_none(), "and is forgotten");
+    assert!(
+        hosts.get("i-1").is_none(),
+        "the host is removed after its retention"
+    );
 }
 
-/// One that was sent before what is known of the host says nothing of how the host is now.
 #[test]
-fn a_heartbeat_that_is_passed_on_late_is_no_sign_of_life() {
+fn outdated_forwarded_heartbeat_does_not_update_last_seen() {
     let mut hosts = registry();
     hosts.apply_record(at(0), host("i-1", 5, HostState::Ready));
     let last_seen_at = |hosts: &HostRegistry| hosts.get("i-1").expect("known").last_seen_at();
@@ -45,10 +46,10 @@
     assert_eq!(last_seen_at(&hosts), at(600));
 }
 
-/// Controllers of two builds compare them. The values were computed apart from the program: FNV-1a with its last mix,
-/// seed 3 for the range of `i-1`, seed 4 for `i-1 s 10.0.0.1:80 4` and the word of the state.
+/// Controllers of different releases compare digests, so they must not change. The reference values come from an
+/// independent implementation of the hash: seed 3 on `i-1` for the range, seed 4 on `i-1 s 10.0.0.1:80 4 STATE`.
 #[test]
-fn digests_of_hosts_are_those_of_earlier_builds() {
+fn host_digests_match_reference_values() {
     const RANGE_OF_I_1: usize = 17;
     for (state, digest) in [
         (HostState::Ready, 0x9427_1606_9de5_a814),
@@ -63,9 +64,9 @@
     }
 }
 
-/// A digest, the ranges that are asked for, the hosts of them.
+/// One controller misses a deregistration. The exchange of digests, range request and host updates repairs it.
 #[test]
-fn registries_that_differ_are_found_by_range_and_repaired() {
+fn anti_entropy_repairs_only_differing_ranges() {
     let (mut changed, mut behind) = (Controller::new(), Controller::new());
     let (changed_node, behind_node) = (NodeId(1), NodeId(2));
     for number in 0..40 {
@@ -96,7 +97,7 @@
     };
     assert!(
         records.len() < 10,
-        "a range, not all: {} hosts",
+        "only one range should be sent, got {} hosts",
         records.len()
     );
     send(&mut behind, changed_node, updates);
--- a/crates/gateway/cluster/tests/quorum_contact.rs
+++ b/crates/gateway/cluster/tests/quorum_contact.rs
@@ -1,4 +1,4 @@
-//! When a controller may act on what it knows, by timelines of its loop.
+//! Quorum contact and stall detection over sequences of event loop iterations.
 
 use rushcourse_cluster::{QuorumContact, STALL_THRESHOLD};
 use rushcourse_types::Timestamp;
@@ -8,46 +8,46 @@
     Timestamp::from_millis(millis)
 }
 
-/// Turns of the loop at its usual pace; none of them is a stall.
-fn turn_regularly(contact: &mut QuorumContact, from: u64, until: u64) {
+/// Records iterations every 50 ms and checks that none counts as a stall.
+fn iterate_regularly(contact: &mut QuorumContact, from: u64, until: u64) {
     for now in (from..until).step_by(50) {
         assert!(!contact.record_iteration(at(now)), "at {now}");
     }
 }
 
 #[test]
-fn nothing_counts_before_a_majority_is_in_session() {
+fn contact_is_not_current_without_quorum_sessions() {
     let mut contact = QuorumContact::default();
-    turn_regularly(&mut contact, 1_000, 2_000);
+    iterate_regularly(&mut contact, 1_000, 2_000);
     assert!(!contact.is_current());
     contact.record_quorum_sessions(true);
     assert!(contact.is_current());
     contact.record_quorum_sessions(false);
-    assert!(!contact.is_current(), "a partition ends the sessions");
+    assert!(!contact.is_current(), "the sessions were closed");
 }
 
 #[test]
-fn a_controller_that_was_frozen_counts_only_once_a_majority_has_answered_it() {
+fn stalled_controller_is_current_only_after_a_majority_responds() {
     let mut contact = QuorumContact::default();
     contact.record_quorum_sessions(true);
-    turn_regularly(&mut contact, 1_000, 2_000);
+    iterate_regularly(&mut contact, 1_000, 2_000);
 
     assert!(
         contact.record_iteration(at(7_000)),
-        "frozen for five seconds"
+        "stalled for five seconds"
     );
-    assert!(!contact.is_current(), "its sessions still look alive");
+    assert!(!contact.is_current(), "its sessions still look open");
 
-    turn_regularly(&mut contact, 7_050, 7_500);
+    iterate_regularly(&mut contact, 7_050, 7_500);
     contact.record_quorum_sessions(true);
-    assert!(!contact.is_current(), "sessions alone prove nothing");
+    assert!(!contact.is_current(), "open sessions are not sufficient");
 
     contact.confirm(at(7_000));
     assert!(contact.is_current());
 }
 
 #[test]
-fn a_turn_that_is_a_little_late_is_no_stall() {
+fn delay_below_the_threshold_is_not_a_stall() {
     let mut contact = QuorumContact::default();
     contact.record_quorum_sessions(true);
     contact.record_iteration(at(1_000));
@@ -61,20 +61,20 @@
 }
 
 #[test]
-fn a_second_stall_before_the_answer_needs_an_answer_of_its_own() {
+fn second_stall_requires_a_newer_confirmation() {
     let mut contact = QuorumContact::default();
     contact.record_quorum_sessions(true);
     contact.record_iteration(at(1_000));
     assert!(contact.record_iteration(at(3_000)));
     assert!(
         contact.record_iteration(at(6_000)),
-        "and the majority is probed again"
+        "a new probe is required"
     );
 
     contact.confirm(at(3_000));
     assert!(
         !contact.is_current(),
-        "that answer is older than the second stall"
+        "the probe was sent before the second stall"
     );
     contact.confirm(at(6_000));
     assert!(contact.is_current());
--- a/crates/gateway/routing/src/claims/mod.rs
+++ b/crates/gateway/routing/src/claims/mod.rs
@@ -1,19 +1,19 @@
-//! Claims of operation keys, from the claimant's side. A claim is won once a majority of the voting set has granted it,
-//! in time: a grant that comes later is none, since a voter that lost its disk relies on that before it votes again.
+//! Claims of operation keys, on the claimant's side. A claim is won when a majority of the voting set grants it within
+//! [`CLAIM_TIMEOUT`]. Later grants are ignored: a voter that lost its disk waits longer than this before it votes
+//! again, so a grant that it no longer knows of cannot win.
 //!
-//! Invariant across changes of the voting set: a claim is won only by grants that carry one and the same epoch, come from
-//! a majority of that voting set, and arrive within [`CLAIM_TIMEOUT`] of the claim's start. A newer voting set restarts
-//! every pending claim, under the same id: its verdicts are cleared, so grants of two sets never add up, and its end
-//! stays where it was, so no grant counts longer than a voter that lost its disk waits before it votes again. Verdicts
-//! that carry an older epoch are dropped (fencing).
+//! Invariant across changes of the voting set: a claim is won only by grants that carry the same epoch, come from a
+//! majority of that epoch's voting set, and arrive within [`CLAIM_TIMEOUT`] of the claim's start. A newer voting set
+//! restarts every pending claim under the same id. The restart clears the verdicts, so grants of different voting sets
+//! are never added up, and keeps the claim's expiry. Verdicts that carry an older epoch are dropped (fencing).
 //!
-//! Voters adopt a new voting set one after the other. `Abstained` of a voter whose last reported epoch is older than the
-//! one that it was asked under says only that it isn't there yet: its verdict stays open, and it is asked again when it
+//! Voters adopt a new voting set at different times. If a voter whose last reported epoch is older than that of the
+//! request abstains, it has not adopted the set yet: its verdict is ignored, and the request is repeated when it
 //! reports the new set.
 //!
-//! * `requests.rs`: what is to be sent to voters, and what a claim came to.
-//! * `pending.rs`: the verdicts on one claim.
-//! * `withdrawals.rs`: which voters are told that a claim is withdrawn.
+//! * `requests.rs`: requests to voters, their responses and the outcome of a claim.
+//! * `pending.rs`: the verdicts received for one claim.
+//! * `withdrawals.rs`: which voters to notify that a claim is withdrawn.
 
 mod pending;
 mod requests;
@@ -31,28 +31,27 @@
 use std::collections::BTreeMap;
 use withdrawals::Withdrawals;
 
-/// Claims that wait for verdicts at once (ours): far over what a gateway carries; more are refused.
+/// Maximum number of concurrent claims without an outcome. Further claims are rejected.
 const MAX_PENDING_CLAIMS: usize = 4_096;
 
-/// The claims of one incarnation of a gateway.
+/// The claims of one incarnation of a gateway, and the voting set that decides them.
 #[derive(Clone, Debug)]
 pub struct Claims {
-    me: NodeId,
+    local_node: NodeId,
     incarnation: Incarnation,
-    /// The number of the last claim.
     last_number: u64,
     voting_set: VotingSet,
-    /// The epoch that each voter reported last, while its session stands.
+    /// The epoch that each connected controller reported last.
     reported_epochs: BTreeMap<NodeId, Epoch>,
     withdrawals: Withdrawals,
     pending: BTreeMap<KeyDigest, PendingClaim>,
 }
 
 impl Claims {
-    /// No claims and no voting set yet.
-    pub fn new(me: NodeId, incarnation: Incarnation) -> Claims {
+    /// Creates an empty state. No claim can be started until a controller reports a voting set.
+    pub fn new(local_node: NodeId, incarnation: Incarnation) -> Claims {
         Claims {
-            me,
+            local_node,
             incarnation,
             last_number: 0,
             voting_set: VotingSet::default(),
@@ -62,8 +61,8 @@
         }
     }
 
-    /// A controller reports the voting set that it holds. A newer one than was known restarts every pending claim under
-    /// it; at the one that is known the claims that wait for this controller are sent to it.
+    /// Handles a controller's report of its voting set. A newer voting set than the known one restarts all pending
+    /// claims. A report of the known set returns requests for the pending claims that this controller has not answered.
     pub fn voting_set_reported(
         &mut self,
         now: Timestamp,
@@ -102,7 +101,7 @@
         for claim in self.pending.values_mut() {
             claim.restart(&self.voting_set, &voters);
         }
-        // Where a majority of the new set is not connected, all that are pending end here.
+        // Without connections to a majority of the new set, all pending claims end with `NoMajority` here.
         decisions.extend(self.take_decided(now));
         let requests = self
             .pending
@@ -116,7 +115,7 @@
         }
     }
 
-    /// The claims that a voter of the newest set has not answered.
+    /// Requests for the pending claims that `voter` has not answered under the current voting set.
     fn requests_to(&mut self, now: Timestamp, voter: NodeId) -> Vec<ClaimRequest> {
         let mut requests = Vec::new();
         for (key, claim) in &mut self.pending {
@@ -133,25 +132,25 @@
         members.filter(|member| is_connected(*member)).collect()
     }
 
-    /// The newest voting set that is known.
+    /// The voting set with the highest epoch reported so far, or the empty default before the first report.
     pub fn voting_set(&self) -> &VotingSet {
         &self.voting_set
     }
 
-    /// Whether a claim was made by this incarnation of this gateway.
+    /// Whether the current incarnation of this gateway made the claim.
     pub fn is_own(&self, claim: ClaimId) -> bool {
-        claim.node == self.me
+        claim.node == self.local_node
             && claim.incarnation == self.incarnation
             && claim.number <= self.last_number
     }
 
-    /// Whether no claim waits for verdicts.
+    /// Whether there are no pending claims, so that [`Claims::take_decided`] need not be called.
     pub fn is_idle(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Starts a claim of a key at those voters that are connected. `None`: they are no majority, or too many claims are
-    /// pending.
+    /// Starts a claim of `key` and returns the request to send to all connected voters. Returns `None` if these are not
+    /// a majority of the voting set or too many claims are pending.
     pub fn start(
         &mut self,
         now: Timestamp,
@@ -167,7 +166,7 @@
         }
         self.last_number += 1;
         let id = ClaimId {
-            node: self.me,
+            node: self.local_node,
             incarnation: self.incarnation,
             number: self.last_number,
         };
@@ -177,7 +176,8 @@
         Some(request)
     }
 
-    /// A voter answered a claim. Returns the decision once there is one; the claim is no longer pending then.
+    /// Handles a voter's response. If it decides the claim, removes the claim and returns the decision. Responses that
+    /// don't match a pending request are ignored.
     pub fn record_response(
         &mut self,
         now: Timestamp,
@@ -195,8 +195,8 @@
             return None;
         }
         let reported = self.reported_epochs.get(&voter);
-        let lags = reported.is_some_and(|reported| *reported < epoch);
-        if verdict == ClaimVerdict::Abstained && lags && !pending.is_over(now) {
+        let is_lagging = reported.is_some_and(|reported| *reported < epoch);
+        if verdict == ClaimVerdict::Abstained && is_lagging && !pending.is_expired(now) {
             return None;
         }
         pending.record_verdict(now, voter, verdict);
@@ -209,7 +209,8 @@
         })
     }
 
-    /// The session with a voter ended: its verdicts can no longer come.
+    /// Counts a voter whose session was closed as abstaining from all claims that it has not answered. Returns the
+    /// claims that this decides.
     pub fn voter_disconnected(&mut self, now: Timestamp, voter: NodeId) -> Vec<ClaimDecision> {
         self.reported_epochs.remove(&voter);
         for claim in self.pending.values_mut() {
@@ -218,7 +219,7 @@
         self.take_decided(now)
     }
 
-    /// Takes out the claims that are decided by now, or whose time is over.
+    /// Removes the claims that are decided or have timed out, and returns their decisions. Must be called periodically.
     pub fn take_decided(&mut self, now: Timestamp) -> Vec<ClaimDecision> {
         let decision = |(key, claim): (&KeyDigest, &PendingClaim)| {
             Some(ClaimDecision {
@@ -234,7 +235,8 @@
         decisions
     }
 
-    /// Nothing was sent under this claim, and nothing will be. Returns which voters are to be told.
+    /// Withdraws a claim under which no request was sent to a host, and none will be. Returns the message for all
+    /// voters that may hold the claim, so that they free the key.
     pub fn withdraw(&mut self, now: Timestamp, key: KeyDigest, claim: ClaimId) -> ClaimWithdrawal {
         self.withdrawals.add(now, key, claim);
         let voters = self.withdrawals.voters_of(claim, &self.voting_set);
--- a/crates/gateway/routing/src/claims/pending.rs
+++ b/crates/gateway/routing/src/claims/pending.rs
@@ -1,4 +1,4 @@
-//! The verdicts on one claim, until they come to an outcome.
+//! The state of one claim until its verdicts determine the outcome.
 
 use super::requests::{ClaimOutcome, ClaimRequest};
 use rushcourse_messages::{ClaimId, ClaimVerdict, NodeId, VotingSet};
@@ -6,20 +6,19 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How long grants of a claim count from its start: shorter than a voter that lost its disk waits before it votes again
-/// (in `rushcourse-consensus`), and short enough that a client which is rejected for want of voters has time for a retry
-/// (incident inc-48ba).
+/// Time after the start of a claim during which grants are accepted. Must be shorter than the time that a voter that
+/// lost its disk waits before it votes again (see `rushcourse-consensus`). It also leaves a client that is rejected for
+/// lack of a majority enough time to retry.
 pub const CLAIM_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// A claim that waits for verdicts.
 #[derive(Clone, Debug)]
 pub(super) struct PendingClaim {
     voting_set: VotingSet,
     id: ClaimId,
-    /// The voters that it was sent to, under this voting set.
+    /// The voters that the claim was sent to under `voting_set`.
     asked: Vec<NodeId>,
     verdicts: BTreeMap<NodeId, ClaimVerdict>,
-    ends_at: Timestamp,
+    expires_at: Timestamp,
 }
 
 impl PendingClaim {
@@ -34,11 +33,11 @@
             id,
             asked: voters.to_vec(),
             verdicts: BTreeMap::new(),
-            ends_at: now + CLAIM_TIMEOUT,
+            expires_at: now + CLAIM_TIMEOUT,
         }
     }
 
-    /// Restarts the claim under a newer voting set. Verdicts of the former one count no more; the end stays.
+    /// Restarts the claim under a newer voting set. Discards all verdicts and keeps `expires_at`.
     pub(super) fn restart(&mut self, voting_set: &VotingSet, voters: &[NodeId]) {
         self.voting_set = voting_set.clone();
         self.asked = voters.to_vec();
@@ -58,12 +57,12 @@
         }
     }
 
-    pub(super) fn is_over(&self, now: Timestamp) -> bool {
-        now >= self.ends_at
+    pub(super) fn is_expired(&self, now: Timestamp) -> bool {
+        now >= self.expires_at
     }
 
     pub(super) fn is_waiting_for(&self, now: Timestamp, voter: NodeId) -> bool {
-        !self.is_over(now) && !self.verdicts.contains_key(&voter)
+        !self.is_expired(now) && !self.verdicts.contains_key(&voter)
     }
 
     pub(super) fn add_voter(&mut self, voter: NodeId) {
@@ -72,13 +71,13 @@
         }
     }
 
-    /// Whether a verdict of this voter, on this claim, under this epoch is one that was asked for.
+    /// Whether a verdict on `claim` from `voter` under `epoch` answers a request of this claim.
     pub(super) fn was_asked(&self, voter: NodeId, epoch: Epoch, claim: ClaimId) -> bool {
         self.id == claim && self.voting_set.epoch == epoch && self.asked.contains(&voter)
     }
 
     pub(super) fn record_verdict(&mut self, now: Timestamp, voter: NodeId, verdict: ClaimVerdict) {
-        let verdict = if self.is_over(now) {
+        let verdict = if self.is_expired(now) {
             ClaimVerdict::Abstained
         } else {
             verdict
@@ -93,7 +92,7 @@
         }
     }
 
-    /// What the verdicts come to; `None` while a majority of grants may still be had.
+    /// Returns the outcome, or `None` while a majority of grants is still possible.
     pub(super) fn outcome(&self, now: Timestamp) -> Option<ClaimOutcome> {
         let is_granted = |verdict: &&ClaimVerdict| **verdict == ClaimVerdict::Granted;
         let grants = self.verdicts.values().filter(is_granted).count();
@@ -101,23 +100,23 @@
         if grants >= majority {
             return Some(ClaimOutcome::Won);
         }
-        let missing = self.asked.len() - self.verdicts.len();
-        if grants + missing >= majority && !self.is_over(now) {
+        let outstanding = self.asked.len() - self.verdicts.len();
+        if grants + outstanding >= majority && !self.is_expired(now) {
             return None;
         }
-        let holder = self.most_named_holder();
+        let holder = self.most_reported_holder();
         Some(holder.map_or(ClaimOutcome::NoMajority, ClaimOutcome::LostTo))
     }
 
-    /// The claim that most of the voters say holds the key; among equals the last in the order of ids.
-    fn most_named_holder(&self) -> Option<ClaimId> {
-        let mut named: BTreeMap<ClaimId, usize> = BTreeMap::new();
+    /// The claim that most voters report as the holder of the key. Ties are resolved in favor of the highest id.
+    fn most_reported_holder(&self) -> Option<ClaimId> {
+        let mut counts: BTreeMap<ClaimId, usize> = BTreeMap::new();
         for verdict in self.verdicts.values() {
             if let ClaimVerdict::HeldBy(holder) = verdict {
-                *named.entry(*holder).or_default() += 1;
+                *counts.entry(*holder).or_default() += 1;
             }
         }
-        let most_named = named.into_iter().max_by_key(|(_, count)| *count);
-        most_named.map(|(holder, _)| holder)
+        let most_reported = counts.into_iter().max_by_key(|(_, count)| *count);
+        most_reported.map(|(holder, _)| holder)
     }
 }
--- a/crates/gateway/routing/src/claims/requests.rs
+++ b/crates/gateway/routing/src/claims/requests.rs
@@ -1,74 +1,75 @@
-//! What is to be sent to voters, what they answer, and what a claim came to.
+//! Requests to voters, their responses, and the outcomes of claims.
 
 use rushcourse_messages::{ClaimId, ClaimVerdict, NodeId};
 use rushcourse_types::{Epoch, KeyDigest};
 
-/// A claim that is to be sent to these voters.
+/// A claim to be sent to each of `voters`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// Of the voting set that grants are counted in.
+    /// Epoch of the voting set whose majority decides the claim.
     pub epoch: Epoch,
-    /// The key that is claimed.
+    /// Digest of the operation key to claim.
     pub key: KeyDigest,
-    /// The claim's id.
+    /// Id of the claim. Unchanged when the claim is restarted under a newer epoch.
     pub claim: ClaimId,
-    /// Who is to be asked.
+    /// The recipients, all of them members of the voting set.
     pub voters: Vec<NodeId>,
 }
 
-/// A voter's answer to a [`ClaimRequest`].
+/// A voter's response to a [`ClaimRequest`]. `epoch`, `key` and `claim` are copied from the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimResponse {
-    /// As in the request.
+    /// Epoch under which the voter was asked. Responses with an older epoch than the current one are ignored.
     pub epoch: Epoch,
-    /// As in the request.
+    /// Digest of the claimed operation key.
     pub key: KeyDigest,
-    /// As in the request.
+    /// Id of the claim that the verdict applies to.
     pub claim: ClaimId,
-    /// Granted or not.
+    /// Whether the voter granted the claim, reported another holder, or abstained.
     pub verdict: ClaimVerdict,
 }
 
-/// Voters that are to be told that nothing was sent under a claim.
+/// A notification to be sent to each of `voters` that no request was sent under a claim, so that they free its key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimWithdrawal {
-    /// The key that was claimed.
+    /// Digest of the operation key to free.
     pub key: KeyDigest,
-    /// The claim that ends.
+    /// Id of the withdrawn claim. Voters ignore the withdrawal if another claim holds the key.
     pub claim: ClaimId,
-    /// Who may hold it.
+    /// The recipients: every node that may have stored the claim.
     pub voters: Vec<NodeId>,
 }
 
-/// What the verdicts of the voters come to.
+/// The result of a claim, determined by the verdicts of the voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimOutcome {
-    /// A majority granted it: the request may be sent.
+    /// A majority granted the claim, so the request may be sent to a host.
     Won,
-    /// No majority granted it, and this other claim holds the key at most of the voters that named one.
+    /// No majority granted the claim. The contained claim holds the key according to most voters that reported a
+    /// holder.
     LostTo(ClaimId),
-    /// No majority granted it in time, and no voter named another claim.
+    /// No majority granted the claim in time, and no voter reported another holder.
     NoMajority,
 }
 
-/// A claim that came to its end.
+/// A decided claim, which is no longer pending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimDecision {
-    /// The key that was claimed.
+    /// Digest of the claimed operation key.
     pub key: KeyDigest,
-    /// The claim's id.
+    /// Id of the decided claim.
     pub claim: ClaimId,
-    /// What it came to.
+    /// Whether the claim was won, lost to another claim, or failed without a majority.
     pub outcome: ClaimOutcome,
 }
 
-/// What is to be done after a controller reported its voting set: in this order.
+/// What the caller must do after a controller has reported its voting set, in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ClaimActions {
-    /// Pending claims that are to be sent (again).
+    /// Requests to send for pending claims.
     pub requests: Vec<ClaimRequest>,
-    /// Withdrawals that members which joined the voting set are to be told of.
+    /// Recent withdrawals to send to voters that have joined with the new voting set.
     pub withdrawals: Vec<ClaimWithdrawal>,
-    /// Claims that the change ended.
+    /// Claims that were decided by the change of the voting set.
     pub decisions: Vec<ClaimDecision>,
 }
--- a/crates/gateway/routing/src/claims/withdrawals.rs
+++ b/crates/gateway/routing/src/claims/withdrawals.rs
@@ -1,7 +1,8 @@
-//! Which voters are told that a claim is withdrawn: every one that may hold it. Those are the members of each voting set
-//! that was the newest at some time since the claim started (it was sent to them), those of the newest set (a snapshot
-//! may have brought it to them), and those that join within [`WITHDRAWAL_RESEND_WINDOW`] (a snapshot may have brought it
-//! to them just before it was withdrawn).
+//! Determines which voters to notify of a withdrawn claim. These are all voters that may have stored the claim:
+//!
+//! * members of every voting set that was current since the claim started, because the claim was sent to them;
+//! * members of the current voting set, because they may have received the claim in a snapshot;
+//! * voters that join within [`WITHDRAWAL_RESEND_WINDOW`], because their snapshot may be older than the withdrawal.
 
 use super::requests::ClaimWithdrawal;
 use rushcourse_messages::{ClaimId, NodeId, VotingSet};
@@ -9,16 +10,16 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Former voting sets whose members are told of withdrawn claims at most (ours). A claim that is older still blocks its
-/// key at voters that left, for a window at most.
+/// Maximum number of former voting sets to remember. The withdrawal of an older claim does not reach voters that have
+/// left since, where the claim blocks its key until the key window ends.
 const MAX_FORMER_SETS: usize = 64;
-/// For how long a withdrawn claim is told to voters that join (ours): longer than the snapshot takes that a voter gets
-/// before it joins.
+/// How long a withdrawn claim is sent to joining voters. Must be longer than the transfer of the snapshot that a voter
+/// receives before it joins.
 pub const WITHDRAWAL_RESEND_WINDOW: Duration = Duration::from_millis(10_000);
-/// Withdrawn claims that are kept for voters that join at most (ours).
+/// Maximum number of withdrawn claims to remember for joining voters.
 const MAX_RECENT_WITHDRAWALS: usize = 4_096;
 
-/// A voting set that was the newest one until the claim of this number.
+/// A former voting set. Claims numbered up to `last_claim` may have been sent to its members.
 #[derive(Clone, Debug)]
 struct FormerSet {
     members: Vec<NodeId>,
@@ -40,7 +41,7 @@
 }
 
 impl Withdrawals {
-    /// `former` is no longer the newest voting set; `last_claim`: the number of the last claim that was sent to it.
+    /// Adds a voting set that was replaced by a newer one. `last_claim` is the number of the last claim made under it.
     pub(super) fn add_former_set(&mut self, former: VotingSet, last_claim: u64) {
         if former.epoch.is_none() {
             return;
@@ -54,9 +55,9 @@
         }
     }
 
-    /// Remembers a withdrawn claim for members that join.
+    /// Remembers a withdrawn claim for voters that join later.
     pub(super) fn add(&mut self, now: Timestamp, key: KeyDigest, claim: ClaimId) {
-        self.forget_outdated(now);
+        self.remove_expired(now);
         if self.recent.len() >= MAX_RECENT_WITHDRAWALS {
             self.recent.pop_front();
         }
@@ -67,7 +68,7 @@
         });
     }
 
-    /// The voters that may hold a claim, in ascending order.
+    /// The members of the `newest` and all former voting sets that may hold the claim, in ascending order.
     pub(super) fn voters_of(&self, claim: ClaimId, newest: &VotingSet) -> Vec<NodeId> {
         let former = self
             .former_sets
@@ -78,16 +79,16 @@
         voters.into_iter().collect()
     }
 
-    /// The claims that were withdrawn recently, for members that the former set didn't have.
+    /// Recent withdrawals, addressed to the members of `newest` that are not in `former`.
     pub(super) fn for_new_members(
         &mut self,
         now: Timestamp,
         former: &VotingSet,
         newest: &VotingSet,
     ) -> Vec<ClaimWithdrawal> {
-        self.forget_outdated(now);
-        let joined = |member: &NodeId| !former.members.contains(member);
-        let voters: Vec<NodeId> = newest.members.iter().copied().filter(joined).collect();
+        self.remove_expired(now);
+        let has_joined = |member: &NodeId| !former.members.contains(member);
+        let voters: Vec<NodeId> = newest.members.iter().copied().filter(has_joined).collect();
         if voters.is_empty() {
             return Vec::new();
         }
@@ -99,10 +100,10 @@
         self.recent.iter().map(resent).collect()
     }
 
-    fn forget_outdated(&mut self, now: Timestamp) {
-        let is_outdated =
+    fn remove_expired(&mut self, now: Timestamp) {
+        let is_expired =
             |withdrawal: &RecentWithdrawal| now >= withdrawal.at + WITHDRAWAL_RESEND_WINDOW;
-        while self.recent.front().is_some_and(is_outdated) {
+        while self.recent.front().is_some_and(is_expired) {
             self.recent.pop_front();
         }
     }
--- a/crates/gateway/routing/src/configuration_fetch.rs
+++ b/crates/gateway/routing/src/configuration_fetch.rs
@@ -1,25 +1,26 @@
-//! Which controller a gateway asks for the text of a new configuration. The primary controller sends the text unasked;
-//! the others only announce the version, so that a text crosses to each gateway once. Where the text does not come by
-//! itself, one of those that announced the version is asked, then the next.
+//! Selects the controller from which a gateway requests a new configuration. Normally the primary controller pushes the
+//! text, and the other controllers only announce its version, so each gateway receives the text once. If the push does
+//! not arrive in time, the gateway requests the text from the controllers that announced the version, one after
+//! another.
 
 use rushcourse_types::{ConfigurationVersion, NodeId, Timestamp};
 use std::time::Duration;
 
-/// How long a gateway that has a configuration waits for a newer one to come by itself; far under
-/// `configuration_apply_s` (seconds).
-const UNASKED_DELAY: Duration = Duration::from_millis(100);
-/// How long an asked controller is waited for before the next one is asked.
+/// How long a gateway that already has a configuration waits for the primary controller to push a newer one before it
+/// sends a request.
+const PUSH_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long to wait for a response before requesting the configuration from the next controller.
 const RETRY_DELAY: Duration = Duration::from_millis(300);
-/// Controllers that are remembered as having a version: one is enough, the others are for its loss.
+/// Maximum number of controllers to remember for one version. More than one is needed only if a request fails.
 const MAX_HOLDERS: usize = 8;
 
 #[derive(Clone, Debug)]
 struct MissingVersion {
     version: ConfigurationVersion,
-    /// Controllers that announced it, the one to be asked next in front.
+    /// Controllers that announced the version, in the order in which they will be requested.
     holders: Vec<NodeId>,
     announced_at: Timestamp,
-    asked_at: Option<Timestamp>,
+    requested_at: Option<Timestamp>,
 }
 
 impl MissingVersion {
@@ -28,7 +29,7 @@
             version,
             holders: Vec::new(),
             announced_at,
-            asked_at: None,
+            requested_at: None,
         }
     }
 
@@ -38,23 +39,24 @@
         }
     }
 
-    /// Whether a controller is to be asked now; `unasked_delay`: how long the text is waited for before the first is.
-    fn is_due(&self, now: Timestamp, unasked_delay: Duration) -> bool {
-        match self.asked_at {
-            Some(asked_at) => now >= asked_at + RETRY_DELAY,
-            None => now >= self.announced_at + unasked_delay,
+    /// Whether to send a request now. The first one is due `push_timeout` after the announcement.
+    fn is_due(&self, now: Timestamp, push_timeout: Duration) -> bool {
+        match self.requested_at {
+            Some(requested_at) => now >= requested_at + RETRY_DELAY,
+            None => now >= self.announced_at + push_timeout,
         }
     }
 }
 
-/// A configuration that was announced and is not here yet, if there is one.
+/// Tracks the newest announced configuration version that this gateway does not have yet.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationFetch {
     missing: Option<MissingVersion>,
 }
 
 impl ConfigurationFetch {
-    /// A controller announces the committed version. `current`: the one that is here, or `ConfigurationVersion::NONE`.
+    /// Handles a controller's announcement of its committed version. `current` is this gateway's version, or
+    /// `ConfigurationVersion::NONE` if it has no configuration.
     pub fn version_announced(
         &mut self,
         now: Timestamp,
@@ -76,8 +78,9 @@
         }
     }
 
-    /// The controller to be asked for the text now, if it is due. `current`: the version that is here, or
-    /// `ConfigurationVersion::NONE`; `is_connected`: whether a session with a controller stands.
+    /// Returns the controller to request the configuration from if a request is due. Must be called periodically.
+    /// `current` is this gateway's version, or `ConfigurationVersion::NONE` if it has no configuration; controllers for
+    /// which `is_connected` returns `false` are skipped.
     pub fn next_request(
         &mut self,
         now: Timestamp,
@@ -86,12 +89,12 @@
     ) -> Option<NodeId> {
         self.missing.take_if(|missing| missing.version <= current);
         let missing = self.missing.as_mut()?;
-        let unasked_delay = if current.is_none() {
+        let push_timeout = if current.is_none() {
             Duration::ZERO
         } else {
-            UNASKED_DELAY
+            PUSH_TIMEOUT
         };
-        if !missing.is_due(now, unasked_delay) {
+        if !missing.is_due(now, push_timeout) {
             return None;
         }
         let connected = missing
@@ -100,7 +103,7 @@
             .position(|holder| is_connected(*holder));
         let holder = missing.holders.remove(connected?);
         missing.holders.push(holder);
-        missing.asked_at = Some(now);
+        missing.requested_at = Some(now);
         Some(holder)
     }
 }
--- a/crates/gateway/routing/src/controller_selection.rs
+++ b/crates/gateway/routing/src/controller_selection.rs
@@ -1,11 +1,11 @@
-//! Which controller is a gateway's primary one, which sends it its tables: a controller that is synchronized (it knows
-//! the hosts and has quorum contact), of the gateway's own zone if there is one, else by a hash, so that gateways spread
-//! evenly.
+//! Selection of a gateway's primary controller, which sends it endpoint tables. Candidates are the controllers that are
+//! synchronized: they know all hosts and have quorum contact. A gateway prefers controllers of its own zone and, among
+//! these, orders them by a hash that distributes gateways evenly.
 //!
-//! A primary that is no longer synchronized, or whose session ended, is left as soon as another one is synchronized. So
-//! after a moment without any majority all gateways gather at the first controller that has one again; from there each
-//! goes back to the one that it prefers, once that has been synchronized for [`FAILBACK_DELAY`], and up to
-//! [`FAILBACK_JITTER`] later, so that a controller doesn't get all of its gateways at once.
+//! The gateway fails over as soon as its primary is no longer synchronized, or disconnected, and another controller is
+//! synchronized. After a loss of quorum, all gateways therefore select the first controller that regains it. A gateway
+//! fails back to its preferred controller once that has been synchronized for [`FAILBACK_DELAY`] plus a delay of up to
+//! [`FAILBACK_JITTER`], so that gateways don't all move to a controller at once.
 
 use rushcourse_messages::NodeId;
 use rushcourse_types::Timestamp;
@@ -13,67 +13,66 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Seed of the hash that spreads gateways over controllers.
-const SPREAD_SEED: u64 = 5;
+/// Seed of the hashes that determine a gateway's preferred controller and its failback jitter.
+const PREFERENCE_SEED: u64 = 5;
 
-/// For how long a controller that is preferred to the primary one has been synchronized before it becomes primary: longer
-/// than a controller takes that starts and ends again (ours).
+/// Minimum time that a preferred controller must be synchronized before a gateway fails back to it from a synchronized
+/// primary. Prevents gateways from moving to a controller that is crash-looping.
 pub const FAILBACK_DELAY: Duration = Duration::from_secs(4);
-/// How much later it becomes primary for the last of the gateways (ours).
+/// Upper bound of the delay added to [`FAILBACK_DELAY`]. Each gateway derives its own delay from its node id.
 pub const FAILBACK_JITTER: Duration = Duration::from_secs(4);
 
-/// A controller that this gateway has a session with.
 struct ControllerState {
-    in_own_zone: bool,
-    /// `None`: it is not.
+    is_in_own_zone: bool,
+    /// When the controller first reported that it is synchronized, or `None` while it is not.
     synchronized_since: Option<Timestamp>,
 }
 
-/// A controller that is synchronized.
 #[derive(Clone, Copy)]
 struct SynchronizedController {
     node: NodeId,
     since: Timestamp,
 }
 
-/// A new primary controller.
+/// A change of the primary controller, which the gateway reports to both controllers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PrimaryChange {
-    /// Who is primary now.
+    /// The new primary controller.
     pub selected: NodeId,
-    /// Who was so before, and still has a session with this gateway.
+    /// The former primary controller, if there was one and its session is still open.
     pub released: Option<NodeId>,
 }
 
-/// The controllers that a gateway has sessions with, and the primary one among them.
+/// The controllers that this gateway has open sessions with, and which of them is its primary.
 pub struct ControllerSelection {
-    me: NodeId,
+    local_node: NodeId,
     zone: String,
     controllers: BTreeMap<NodeId, ControllerState>,
     primary: Option<NodeId>,
 }
 
 impl ControllerSelection {
-    /// No session yet; `zone`: this gateway's own.
-    pub fn new(me: NodeId, zone: &str) -> ControllerSelection {
+    /// Creates a selection without controllers for the gateway `local_node`, which runs in `zone`.
+    pub fn new(local_node: NodeId, zone: &str) -> ControllerSelection {
         ControllerSelection {
-            me,
+            local_node,
             zone: zone.into(),
             controllers: BTreeMap::new(),
             primary: None,
         }
     }
 
-    /// A session with a controller stands. Until it says otherwise it is not synchronized.
+    /// Adds a controller whose session was opened. It counts as not synchronized until it reports otherwise.
     pub fn controller_connected(&mut self, node: NodeId, zone: &str) {
         let state = ControllerState {
-            in_own_zone: zone == self.zone,
+            is_in_own_zone: zone == self.zone,
             synchronized_since: None,
         };
         self.controllers.insert(node, state);
     }
 
-    /// The session with a controller ended.
+    /// Removes a controller whose session was closed. If it was the primary, there is none until the next
+    /// [`ControllerSelection::select`].
     pub fn controller_disconnected(&mut self, node: NodeId) {
         self.controllers.remove(&node);
         if self.primary == Some(node) {
@@ -81,7 +80,7 @@
         }
     }
 
-    /// A controller says whether it is synchronized.
+    /// Records the status that a controller reported. Ignored if the controller is not connected.
     pub fn set_synchronized(&mut self, now: Timestamp, node: NodeId, is_synchronized: bool) {
         if let Some(controller) = self.controllers.get_mut(&node) {
             let since = controller.synchronized_since.unwrap_or(now);
@@ -89,28 +88,27 @@
         }
     }
 
-    /// The controller that this gateway takes its tables from.
+    /// The controller that sends this gateway its endpoint tables.
     pub fn primary(&self) -> Option<NodeId> {
         self.primary
     }
 
-    /// Whether a session with this controller stands.
+    /// Whether this gateway has an open session with the controller.
     pub fn is_connected(&self, node: NodeId) -> bool {
         self.controllers.contains_key(&node)
     }
 
-    /// Selects a new primary controller where the present one is not synchronized and another one is, or where another
-    /// one is preferred and has been synchronized for long. One that lost its quorum contact is left only for one that has
-    /// it.
+    /// Makes the preferred controller primary if the current primary is not synchronized or the failback delay has
+    /// passed. Returns `None` if the primary does not change, in particular while no controller is synchronized.
     pub fn select(&mut self, now: Timestamp) -> Option<PrimaryChange> {
         let preferred = self.preferred()?;
-        let is_kept = self.primary.is_some_and(|node| self.is_synchronized(node));
-        let is_to_change = if is_kept {
-            self.primary != Some(preferred.node) && now >= preferred.since + self.return_delay()
+        let is_primary_synchronized = self.primary.is_some_and(|node| self.is_synchronized(node));
+        let should_change = if is_primary_synchronized {
+            self.primary != Some(preferred.node) && now >= preferred.since + self.failback_delay()
         } else {
             true
         };
-        if !is_to_change {
+        if !should_change {
             return None;
         }
         let selected = preferred.node;
@@ -123,28 +121,33 @@
         controller.is_some_and(|controller| controller.synchronized_since.is_some())
     }
 
-    /// The synchronized controller that this gateway prefers.
+    /// The synchronized controller with the highest preference: those of this gateway's zone come first.
     fn preferred(&self) -> Option<SynchronizedController> {
         let synchronized = self.controllers.iter().filter_map(|(node, controller)| {
             let found = SynchronizedController {
                 node: *node,
                 since: controller.synchronized_since?,
             };
-            Some((!controller.in_own_zone, self.spread(*node), found))
+            Some((
+                !controller.is_in_own_zone,
+                self.preference_order(*node),
+                found,
+            ))
         });
-        let first = synchronized.min_by_key(|(in_other_zone, place, _)| (*in_other_zone, *place));
+        let first = synchronized.min_by_key(|(in_other_zone, order, _)| (*in_other_zone, *order));
         first.map(|(_, _, found)| found)
     }
 
-    /// How long this gateway waits for a preferred controller to stay synchronized.
-    fn return_delay(&self) -> Duration {
-        let place = hash64(&self.me.0.to_be_bytes(), SPREAD_SEED);
-        FAILBACK_DELAY + FAILBACK_JITTER.mul_f64(place as f64 / u64::MAX as f64)
+    /// How long a preferred controller must be synchronized before this gateway fails back to it.
+    fn failback_delay(&self) -> Duration {
+        let hash = hash64(&self.local_node.0.to_be_bytes(), PREFERENCE_SEED);
+        FAILBACK_DELAY + FAILBACK_JITTER.mul_f64(hash as f64 / u64::MAX as f64)
     }
 
-    /// Where a controller stands in this gateway's own order of all controllers.
-    fn spread(&self, controller: NodeId) -> u64 {
-        let nodes = [controller.0.to_be_bytes(), self.me.0.to_be_bytes()];
-        hash64(&nodes.concat(), SPREAD_SEED)
+    /// Sort key of a controller among those of a zone. It differs between gateways, which balances their number per
+    /// controller.
+    fn preference_order(&self, controller: NodeId) -> u64 {
+        let nodes = [controller.0.to_be_bytes(), self.local_node.0.to_be_bytes()];
+        hash64(&nodes.concat(), PREFERENCE_SEED)
     }
 }
--- a/crates/gateway/routing/src/endpoint_tables.rs
+++ b/crates/gateway/routing/src/endpoint_tables.rs
@@ -1,4 +1,5 @@
-//! The endpoint tables that this gateway is bound to, one a service, and what its attempts met at their hosts.
+//! The endpoint tables that this gateway received from its primary controller, one per service, combined with the
+//! results of the gateway's own attempts.
 
 use crate::ended_hosts::EndedHosts;
 use crate::load_balancing::{self, Candidate};
@@ -8,27 +9,26 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The host that an attempt goes to.
+/// The host that load balancing selected for an attempt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostChoice {
-    /// The host's id, which names one run of a server.
+    /// Id of the host, unique to one run of its server process.
     pub id: Arc<str>,
-    /// Where it listens, as `address:port`.
+    /// Listen address of the host in the form `address:port`.
     pub address: Arc<str>,
 }
 
-/// What this gateway's attempts at a service came to over a span.
+/// Attempt counters of one service since the previous [`EndpointTables::take_usage`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceUsage {
-    /// The service's name.
+    /// Name of the service, as in the configuration.
     pub service: Arc<str>,
-    /// Attempts that were started.
+    /// Number of attempts started, including retries and attempts that were cancelled later.
     pub attempts: u32,
-    /// Attempts that ended without a response.
+    /// Number of attempts that ended without a response from the host.
     pub failures: u32,
 }
 
-/// The endpoint table of one service.
 #[derive(Default)]
 struct EndpointTable {
     hosts: BTreeMap<Arc<str>, UpstreamHost>,
@@ -37,8 +37,8 @@
 }
 
 impl EndpointTable {
-    fn remove_unneeded_hosts(&mut self) {
-        self.hosts.retain(|_, host| host.is_needed());
+    fn remove_unused_hosts(&mut self) {
+        self.hosts.retain(|_, host| host.is_in_use());
     }
 
     fn available_hosts(&self) -> impl Iterator<Item = &Arc<str>> {
@@ -47,24 +47,24 @@
     }
 }
 
-/// The endpoint tables of all services that this gateway forwards requests to.
+/// The endpoint tables of all services, from which the host for each attempt is selected.
 pub struct EndpointTables {
     zone: Arc<str>,
     services: BTreeMap<Arc<str>, EndpointTable>,
-    ended: EndedHosts,
+    ended_hosts: EndedHosts,
 }
 
 impl EndpointTables {
-    /// No tables yet; `zone`: this gateway's own.
+    /// Creates an empty set of tables. `zone` is the zone of this gateway, whose hosts are preferred.
     pub fn new(zone: &str) -> EndpointTables {
         EndpointTables {
             zone: zone.into(),
             services: BTreeMap::new(),
-            ended: EndedHosts::default(),
+            ended_hosts: EndedHosts::default(),
         }
     }
 
-    /// Takes the whole table that a service is bound to now. Hosts of the old one that are not in it go.
+    /// Replaces the table of a service. Hosts that are missing from `endpoints` get no new requests.
     pub fn replace(&mut self, service: &Arc<str>, endpoints: Vec<EndpointWeight>) {
         let kept: Vec<Arc<str>> = endpoints
             .iter()
@@ -76,19 +76,20 @@
         };
         for (id, host) in &mut table.hosts {
             if !kept.contains(id) {
-                host.remove_line();
+                host.remove_endpoint();
             }
         }
-        table.remove_unneeded_hosts();
+        table.remove_unused_hosts();
     }
 
-    /// Takes lines of a service's table that changed; a weight of 0 removes a host.
+    /// Adds or updates the given hosts in the table of a service and leaves its other hosts unchanged. A weight of 0
+    /// removes a host.
     pub fn update(&mut self, service: &Arc<str>, endpoints: Vec<EndpointWeight>) {
         for endpoint in endpoints {
             self.update_endpoint(service, endpoint);
         }
         if let Some(table) = self.services.get_mut(service) {
-            table.remove_unneeded_hosts();
+            table.remove_unused_hosts();
         }
     }
 
@@ -98,7 +99,7 @@
         EndpointWeight { host, weight }: EndpointWeight,
     ) {
         if host.state == HostState::Gone && weight > 0.0 {
-            self.ended.insert(&host.id);
+            self.ended_hosts.insert(&host.id);
         }
         let is_unavailable = self.is_unavailable(&host);
         let is_in_own_zone = host.zone == self.zone;
@@ -107,20 +108,21 @@
             .hosts
             .entry(host.id)
             .or_insert_with(|| UpstreamHost::new(host.address.clone(), is_in_own_zone));
-        known.set_line(host.address, f64::from(weight));
+        known.set_endpoint(host.address, f64::from(weight));
         known.set_unavailable(is_unavailable);
     }
 
     fn is_unavailable(&self, host: &HostRecord) -> bool {
-        host.state != HostState::Ready || self.ended.contains(&host.id)
+        host.state != HostState::Ready || self.ended_hosts.contains(&host.id)
     }
 
-    /// Takes states of hosts that hold at once, whatever tables say. Returns the hosts that get no new requests any more.
+    /// Applies host states immediately in all tables, regardless of the states in earlier table updates. Returns the
+    /// ids of the hosts that must not get new requests.
     pub fn apply_host_states(&mut self, hosts: &[HostRecord]) -> Vec<Arc<str>> {
         let mut unavailable = Vec::new();
         for host in hosts {
             if host.state == HostState::Gone {
-                self.ended.insert(&host.id);
+                self.ended_hosts.insert(&host.id);
             }
             let is_unavailable = self.is_unavailable(host);
             for table in self.services.values_mut() {
@@ -135,20 +137,22 @@
         unavailable
     }
 
-    /// Whether a service has a host that new requests may go to.
+    /// Whether the table of a service has at least one host that is ready. Ejection is not considered.
     pub fn has_available_host(&self, service: &str) -> bool {
         let table = self.services.get(service);
         table.is_some_and(|table| table.available_hosts().next().is_some())
     }
 
-    /// Whether new requests for a service may go to this host.
+    /// Whether the table of a service lists the host and the host is ready. Ejection is not considered.
     pub fn is_available(&self, service: &str, id: &str) -> bool {
         let table = self.services.get(service);
         let host = table.and_then(|table| table.hosts.get(id));
         host.is_some_and(UpstreamHost::is_available)
     }
 
-    /// Chooses a host that was not tried yet and counts an attempt on it. `random` gives numbers from 0 up to 1.
+    /// Selects an available host that is not in `tried` and counts an attempt as active on it. The caller must end the
+    /// attempt with [`EndpointTables::record_attempt`] or [`EndpointTables::cancel_attempt`]. `random` returns values
+    /// in `0.0..1.0`.
     pub fn choose_host(
         &mut self,
         now: Timestamp,
@@ -172,29 +176,30 @@
         })
     }
 
-    /// An attempt that [`EndpointTables::choose_host`] counted has ended.
+    /// Ends an attempt that [`EndpointTables::choose_host`] started and updates the host's latency and ejection.
     pub fn record_attempt(
         &mut self,
         now: Timestamp,
         service: &str,
         id: &Arc<str>,
-        observed: HostObservation,
+        observation: HostObservation,
     ) {
         let Some(table) = self.services.get_mut(service) else {
             return;
         };
-        table.failures += u32::from(observed.is_failure());
+        table.failures += u32::from(observation.is_failure());
         let Some(host) = table.hosts.get_mut(id) else {
             return;
         };
         host.end_request();
-        host.record(now, observed);
-        if !host.is_needed() {
+        host.record(now, observation);
+        if !host.is_in_use() {
             table.hosts.remove(id);
         }
     }
 
-    /// An attempt that [`EndpointTables::choose_host`] counted was cancelled by its client, or never started.
+    /// Ends an attempt that [`EndpointTables::choose_host`] started without recording a result, because the client
+    /// cancelled the request or the attempt was not sent.
     pub fn cancel_attempt(&mut self, service: &str, id: &Arc<str>) {
         let table = self.services.get_mut(service);
         if let Some(host) = table.and_then(|table| table.hosts.get_mut(id)) {
@@ -202,7 +207,7 @@
         }
     }
 
-    /// Attempts and failures for each service since the last call.
+    /// Returns the attempt counters of all services and resets them.
     pub fn take_usage(&mut self) -> Vec<ServiceUsage> {
         let take = |(service, table): (&Arc<str>, &mut EndpointTable)| ServiceUsage {
             service: service.clone(),
@@ -212,7 +217,7 @@
         self.services.iter_mut().map(take).collect()
     }
 
-    /// Hosts of a service that new requests may go to.
+    /// Ids of a service's hosts that are listed in its table and ready, including ejected ones, in ascending order.
     pub fn available_hosts(&self, service: &str) -> Vec<Arc<str>> {
         let table = self.services.get(service).into_iter();
         table
--- a/crates/gateway/routing/src/lib.rs
+++ b/crates/gateway/routing/src/lib.rs
@@ -1,13 +1,14 @@
-//! What a gateway decides for a request: the host of each attempt, retries and their budget, claims of operation keys and
-//! the responses that repeats get. Pure: moments of the steady clock and random numbers come from the caller.
+//! The decisions a gateway makes for a request: which host serves each attempt, whether a retry is allowed, who owns an
+//! operation key, and which stored response a repeated request gets. The crate does no I/O; the caller passes in
+//! timestamps and random numbers.
 //!
-//! * [`endpoint_tables`]: the hosts of each service, and what attempts met at them; `upstream_host.rs` (latency, outlier
-//!   ejection), `load_balancing.rs` (the choice of a host) and `ended_hosts.rs` are parts of it.
-//! * [`retry_budget`]: retries, within what all gateways share.
+//! * [`endpoint_tables`]: the hosts of each service with the results of attempts at them. Uses `upstream_host.rs`
+//!   (latency and outlier ejection), `load_balancing.rs` (host selection) and `ended_hosts.rs`.
+//! * [`retry_budget`]: this gateway's share of the retry budget.
 //! * [`claims`]: claims of operation (idempotency) keys at the voters.
-//! * [`operations`]: what became of the operations that were claimed here.
-//! * [`controller_selection`]: which controller the tables come from.
-//! * [`configuration_fetch`]: which controller is asked for the text of a new configuration.
+//! * [`operations`]: state and stored responses of the operations that this gateway claimed.
+//! * [`controller_selection`]: which controller sends this gateway its endpoint tables.
+//! * [`configuration_fetch`]: which controller to request a new configuration from.
 
 pub mod claims;
 pub mod configuration_fetch;
--- a/crates/gateway/routing/src/operations.rs
+++ b/crates/gateway/routing/src/operations.rs
@@ -1,5 +1,5 @@
-//! What became of the operations that this incarnation of the gateway claimed. Repeats of an operation get the response
-//! of its one run from here, at whichever gateway they arrive.
+//! State and stored responses of the operations that this incarnation of the gateway claimed. Repeats of an operation
+//! get the stored response of its single run; other gateways that receive a repeat query this gateway for it.
 
 use rushcourse_messages::{ClaimId, OperationState, StoredResponse};
 use rushcourse_types::{KeyDigest, Timestamp};
@@ -7,30 +7,32 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long an operation is kept beyond the window of its key (ours).
+/// How long an operation is kept after the key window has ended.
 const RETENTION_AFTER_WINDOW: Duration = Duration::from_millis(5_000);
-/// What one header of a stored response takes beside its name and value, in bytes (ours).
-const HEADER_OVERHEAD: usize = 64;
+/// Estimated memory per header of a stored response in addition to its name and value.
+const HEADER_OVERHEAD_BYTES: usize = 64;
 
-/// How far an operation is, as the gateway that claimed it knows it. [`OperationState`] is what it tells other gateways.
+/// Status of an operation at the gateway that claimed it. [`OperationState`] is its counterpart in messages.
 #[derive(Clone, Debug)]
 pub enum OperationStatus {
-    /// Being claimed, or sent and not yet answered.
+    /// The claim is pending, or the request was sent to a host and no response has arrived.
     Running,
-    /// It ran: the response that its repeats get.
+    /// The operation ran and returned this response, which is also returned to repeats.
     Completed(Arc<StoredResponse>),
-    /// Sent, and whether it ran is not known, or its response is not kept. It is never sent again.
+    /// The request was sent, but it is unknown whether it ran, or its response is not stored. It must not be sent
+    /// again.
     Unknown,
 }
 
 impl OperationStatus {
-    /// Bytes that a stored response takes.
+    /// Estimated memory used by the stored response, or 0 without one.
     fn stored_bytes(&self) -> usize {
         let OperationStatus::Completed(response) = self else {
             return 0;
         };
         let headers = response.headers.iter();
-        let header_bytes = headers.map(|(name, value)| name.len() + value.len() + HEADER_OVERHEAD);
+        let header_bytes =
+            headers.map(|(name, value)| name.len() + value.len() + HEADER_OVERHEAD_BYTES);
         response.body.len() + header_bytes.sum::<usize>()
     }
 }
@@ -41,26 +43,27 @@
     expires_at: Timestamp,
 }
 
-/// When an operation is looked at to be forgotten. One that was started anew since has a later `expires_at`.
+/// A queue entry for the expiry of an operation. It is stale if `at` differs from the operation's `expires_at`.
 #[derive(Clone, Copy)]
 struct Expiry {
     at: Timestamp,
     key: KeyDigest,
 }
 
-/// The operations of one incarnation of the gateway, by operation key.
+/// The operations that this incarnation of the gateway claimed, by operation key.
 pub struct Operations {
     retention: Duration,
     max_stored_bytes: usize,
     stored_bytes: usize,
     by_key: BTreeMap<KeyDigest, Operation>,
-    /// In the order of their times, which is that of the operations' starts.
+    /// Ordered by `at`, since all operations are retained equally long.
     expiries: VecDeque<Expiry>,
 }
 
 impl Operations {
-    /// `key_window`: how long a key binds its attempts into one operation; `max_stored_bytes`: what stored responses may
-    /// take. Beyond it the oldest go, and their repeats are told that the operation is at work.
+    /// `key_window` is the time during which requests with the same key count as the same operation. `max_stored_bytes`
+    /// limits the memory of stored responses; beyond it, the oldest are evicted and repeats of their operations get the
+    /// same rejection as those of a running operation.
     pub fn new(key_window: Duration, max_stored_bytes: usize) -> Operations {
         Operations {
             retention: key_window + RETENTION_AFTER_WINDOW,
@@ -71,12 +74,12 @@
         }
     }
 
-    /// How far the operation of a key is, if it was claimed here.
+    /// The status of the operation with this key, or `None` if this gateway did not claim it.
     pub fn status(&self, key: KeyDigest) -> Option<&OperationStatus> {
         self.by_key.get(&key).map(|operation| &operation.status)
     }
 
-    /// What another gateway is told of a claim of this one.
+    /// The state of one of this gateway's claims, as sent to another gateway that queries it.
     pub fn state_of_claim(&self, key: KeyDigest, claim: ClaimId) -> OperationState {
         let operation = self.by_key.get(&key);
         let Some(operation) = operation.filter(|operation| operation.claim == claim) else {
@@ -91,7 +94,7 @@
         }
     }
 
-    /// An operation is being claimed.
+    /// Records a new operation as running. Called when its claim is sent to the voters.
     pub fn start(&mut self, now: Timestamp, key: KeyDigest, claim: ClaimId) {
         let expires_at = now + self.retention;
         let operation = Operation {
@@ -106,7 +109,8 @@
         });
     }
 
-    /// An operation ended under this claim: completed or not known.
+    /// Sets the final status of an operation, [`OperationStatus::Completed`] or [`OperationStatus::Unknown`]. Ignored
+    /// if the key now belongs to a different claim.
     pub fn finish(&mut self, key: KeyDigest, claim: ClaimId, status: OperationStatus) {
         let operation = self.by_key.get_mut(&key);
         let Some(operation) = operation.filter(|operation| operation.claim == claim) else {
@@ -120,7 +124,8 @@
         }
     }
 
-    /// Nothing was sent under this claim: the key is free again.
+    /// Removes an operation whose request was not sent, so that the key can be claimed again. Ignored if the key now
+    /// belongs to a different claim.
     pub fn withdraw(&mut self, key: KeyDigest, claim: ClaimId) {
         let operation = self.by_key.get(&key);
         if operation.is_some_and(|operation| operation.claim == claim) {
@@ -128,7 +133,8 @@
         }
     }
 
-    /// Forgets operations whose time is over. One that still runs is kept for as long again.
+    /// Removes the operations whose retention has ended. The retention of an operation that is still running starts
+    /// again.
     pub fn expire(&mut self, now: Timestamp) {
         while let Some(expiry) = self.pop_due_expiry(now) {
             let operation = self.by_key.get_mut(&expiry.key);
@@ -161,7 +167,8 @@
         }
     }
 
-    /// Drops the oldest responses until a tenth of the room is free, so that this is not done for each operation.
+    /// Evicts the oldest responses until a tenth of `max_stored_bytes` is free, which amortizes the scan over many
+    /// calls. The evicted operations become [`OperationStatus::Unknown`].
     fn evict_responses(&mut self) {
         let target = self.max_stored_bytes / 10 * 9;
         for expiry in &self.expiries {
@@ -179,17 +186,17 @@
         }
     }
 
-    /// Operations that are known.
+    /// The number of operations, including those without a stored response.
     pub fn len(&self) -> usize {
         self.by_key.len()
     }
 
-    /// Whether none is known.
+    /// Whether there is neither a running nor a finished operation.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
 
-    /// Bytes that stored responses take.
+    /// Estimated memory used by all stored responses, in bytes.
     pub fn stored_bytes(&self) -> usize {
         self.stored_bytes
     }
--- a/crates/gateway/routing/src/retry_budget.rs
+++ b/crates/gateway/routing/src/retry_budget.rs
@@ -1,43 +1,45 @@
-//! The retry budget: how many requests may go to a second host (rule BUDGET). All gateways share it. The ratio splits by
-//! itself, since each gateway spends by its own requests; the slack is dealt out evenly.
+//! The retry budget limits how many requests may be retried at a second host (rule BUDGET in RULES.md). All gateways
+//! share the budget without coordination: each applies the ratio to its own requests and uses an equal part of the
+//! slack.
 
 use rushcourse_types::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of what the rule allows that gateways spend: a gateway that just left may still have spent its part (ours).
-const SPENT_PART: f64 = 0.6;
-/// Buckets that the window is counted in.
-const BUCKETS: u64 = 10;
-/// Gateways that the slack is shared with until a controller has told their number.
-const ASSUMED_GATEWAYS: f64 = 16.0;
+/// Fraction of the allowed retries that gateways use. The rest covers retries made earlier in the window by gateways
+/// that have left since and whose part the remaining gateways already use.
+const USABLE_FRACTION: f64 = 0.6;
+/// Number of buckets that make up the sliding window.
+const BUCKET_COUNT: u64 = 10;
+/// Assumed number of gateways until a controller reports the actual one.
+const INITIAL_GATEWAY_COUNT: f64 = 16.0;
 
-/// What was counted in one part of the window.
+/// Counters for one tenth of the sliding window.
 struct Bucket {
-    /// Counts buckets from the start of the clock.
-    number: u64,
+    /// Timestamp at the start of the bucket, divided by the bucket length.
+    index: u64,
     requests: f64,
     retries: f64,
 }
 
-/// One service's buckets, the oldest in front.
+/// The sliding window of one service, oldest bucket first.
 #[derive(Default)]
 struct ServiceCounts {
     buckets: VecDeque<Bucket>,
 }
 
 impl ServiceCounts {
-    /// The bucket of this number, which becomes the newest; buckets that left the window go.
-    fn current(&mut self, number: u64) -> &mut Bucket {
-        let is_outside = |bucket: &Bucket| bucket.number + BUCKETS < number;
+    /// Returns the bucket at `index`, adding it if necessary, and removes buckets that have left the window.
+    fn current_bucket(&mut self, index: u64) -> &mut Bucket {
+        let is_outside = |bucket: &Bucket| bucket.index + BUCKET_COUNT < index;
         while self.buckets.front().is_some_and(is_outside) {
             self.buckets.pop_front();
         }
-        let is_current = |bucket: &Bucket| bucket.number == number;
+        let is_current = |bucket: &Bucket| bucket.index == index;
         if !self.buckets.back().is_some_and(is_current) {
             self.buckets.push_back(Bucket {
-                number,
+                index,
                 requests: 0.0,
                 retries: 0.0,
             });
@@ -55,60 +57,60 @@
     }
 }
 
-/// One gateway's part of the retry budget, by service.
+/// This gateway's part of the retry budget. Requests and retries are counted separately for each service.
 pub struct RetryBudget {
     ratio: f64,
     slack: f64,
     bucket_ms: u64,
-    gateways: f64,
+    gateway_count: f64,
     services: BTreeMap<Arc<str>, ServiceCounts>,
 }
 
 impl RetryBudget {
-    /// `ratio` of retries to requests and `slack` in retries, as in RULES.md; `window`: the span that they are counted
-    /// over.
+    /// Creates a budget that allows, over a sliding `window` and summed over all gateways, `ratio` retries per request
+    /// plus `slack` additional retries for each service.
     pub fn new(ratio: f64, slack: f64, window: Duration) -> RetryBudget {
         let window_ms = window.as_millis() as u64;
         RetryBudget {
             ratio,
             slack,
-            bucket_ms: window_ms.max(BUCKETS) / BUCKETS,
-            gateways: ASSUMED_GATEWAYS,
+            bucket_ms: window_ms.max(BUCKET_COUNT) / BUCKET_COUNT,
+            gateway_count: INITIAL_GATEWAY_COUNT,
             services: BTreeMap::new(),
         }
     }
 
-    /// How many gateways share the slack.
-    pub fn set_gateway_count(&mut self, gateways: u32) {
-        self.gateways = f64::from(gateways.max(1));
+    /// Sets the number of gateways that share the slack, as reported by a controller. 0 is treated as 1.
+    pub fn set_gateway_count(&mut self, gateway_count: u32) {
+        self.gateway_count = f64::from(gateway_count.max(1));
     }
 
-    /// A request for a service arrived.
+    /// Counts a request from a client, which increases the number of retries allowed for its service.
     pub fn record_request(&mut self, now: Timestamp, service: &Arc<str>) {
-        let number = self.bucket_number(now);
-        self.counts(service).current(number).requests += 1.0;
+        let index = self.bucket_index(now);
+        self.counts(service).current_bucket(index).requests += 1.0;
     }
 
-    /// Spends one retry if the budget has room for it. Returns whether it had.
+    /// Counts one retry and returns `true` if the budget allows it. Otherwise returns `false` and counts nothing.
     pub fn try_spend(&mut self, now: Timestamp, service: &Arc<str>) -> bool {
-        let number = self.bucket_number(now);
-        let ratio = self.ratio * SPENT_PART;
-        let slack = self.slack * SPENT_PART / self.gateways;
+        let index = self.bucket_index(now);
+        let ratio = self.ratio * USABLE_FRACTION;
+        let slack = self.slack * USABLE_FRACTION / self.gateway_count;
         let counts = self.counts(service);
-        counts.current(number);
+        counts.current_bucket(index);
         if counts.retries() + 1.0 > counts.requests() * ratio + slack {
             return false;
         }
-        counts.current(number).retries += 1.0;
+        counts.current_bucket(index).retries += 1.0;
         true
     }
 
-    /// Forgets services that no configuration names any more.
+    /// Drops the counters of services for which `is_configured` returns `false`.
     pub fn retain_services(&mut self, is_configured: impl Fn(&str) -> bool) {
         self.services.retain(|service, _| is_configured(service));
     }
 
-    fn bucket_number(&self, now: Timestamp) -> u64 {
+    fn bucket_index(&self, now: Timestamp) -> u64 {
         now.as_millis() / self.bucket_ms
     }
 
--- a/crates/gateway/routing/src/upstream_host.rs
+++ b/crates/gateway/routing/src/upstream_host.rs
@@ -1,31 +1,31 @@
-//! A host as this gateway knows it: its line of the endpoint table, and what this gateway's own attempts met at it
-//! (passive health checking). A host that can't be connected to is ejected for a while (outlier ejection).
+//! A host of one service: its endpoint table entry plus what this gateway's own attempts show about it (passive health
+//! checking). A host that refuses connections is ejected for a limited time (outlier ejection).
 
 use rushcourse_types::Timestamp;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Weight of the newest latency in a host's mean (ours).
-const NEWEST_WEIGHT: f64 = 0.15;
-/// How long a host stays ejected after a connection to it could not be made; doubled each time, up to the most (ours).
-const MIN_EJECTION: Duration = Duration::from_millis(300);
-const MAX_EJECTION: Duration = Duration::from_millis(4_000);
+/// Weight of the newest sample in the exponential moving average of a host's latency.
+const LATENCY_SMOOTHING_FACTOR: f64 = 0.15;
+/// First ejection time after a connection failure. Each consecutive ejection doubles it, up to [`MAX_EJECTION_TIME`].
+const MIN_EJECTION_TIME: Duration = Duration::from_millis(300);
+const MAX_EJECTION_TIME: Duration = Duration::from_millis(4_000);
 
-/// What an attempt at a host met.
+/// The result of an attempt, as far as it concerns the health and load of the host.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostObservation {
-    /// A response.
+    /// The host responded, or the attempt ran into its timeout.
     Response {
-        /// From the attempt's start to its end, in milliseconds with their fractions.
+        /// Time from the start to the end of the attempt, in milliseconds.
         latency_ms: f64,
     },
-    /// The host rejected the request, or has no room for it: it did not run there.
+    /// The host did not run the request because it rejected it or has no capacity for it. Raises the mean latency.
     Rejected,
-    /// No connection could be made.
+    /// No connection could be established, so the request did not run. Ejects the host.
     ConnectFailed,
-    /// The connection broke, or what came is no valid response: the request may have run.
+    /// The connection broke or the response was invalid; the request may have run.
     Failed,
-    /// Another incarnation answers at the host's address.
+    /// A different instance serves the host's address, so the request did not run. Ejects the host.
     WrongInstance,
 }
 
@@ -35,12 +35,11 @@
     }
 }
 
-/// Since when and for how long a host is ejected.
 #[derive(Clone, Debug, Default)]
 struct Ejection {
     until: Timestamp,
-    /// Of the last ejection; zero once a response came.
-    span: Duration,
+    /// Length of the last ejection, from which the next one is computed. Reset to zero by a response.
+    duration: Duration,
 }
 
 /// A host of one service.
@@ -48,18 +47,18 @@
 pub(crate) struct UpstreamHost {
     address: Arc<str>,
     is_in_own_zone: bool,
-    /// Of its line in the endpoint table; 0: it has none any more.
+    /// Weight in the endpoint table, or 0 if the table no longer contains the host.
     weight: f64,
-    /// It is draining or gone.
+    /// Whether the host is draining or gone.
     is_unavailable: bool,
     active_requests: u32,
-    /// Moving average; 0.0 while no response came.
+    /// Exponential moving average, or 0.0 before the first response.
     mean_latency_ms: f64,
     ejection: Ejection,
 }
 
 impl UpstreamHost {
-    /// A host without a line yet.
+    /// Creates a host with weight 0, which is not available until [`UpstreamHost::set_endpoint`] is called.
     pub(crate) fn new(address: Arc<str>, is_in_own_zone: bool) -> UpstreamHost {
         UpstreamHost {
             address,
@@ -72,18 +71,17 @@
         }
     }
 
-    /// Takes its line of the endpoint table.
-    pub(crate) fn set_line(&mut self, address: Arc<str>, weight: f64) {
+    /// Sets address and weight from the host's endpoint table entry.
+    pub(crate) fn set_endpoint(&mut self, address: Arc<str>, weight: f64) {
         self.address = address;
         self.weight = weight;
     }
 
-    /// The endpoint table has no line for it any more.
-    pub(crate) fn remove_line(&mut self) {
+    /// Marks the host as no longer listed in the endpoint table. It stays known while requests are active.
+    pub(crate) fn remove_endpoint(&mut self) {
         self.weight = 0.0;
     }
 
-    /// It is draining or gone, or is back.
     pub(crate) fn set_unavailable(&mut self, is_unavailable: bool) {
         self.is_unavailable = is_unavailable;
     }
@@ -100,13 +98,13 @@
         self.weight
     }
 
-    /// Whether new requests may go to it.
+    /// Whether new requests may be sent to the host. Ejection is not considered.
     pub(crate) fn is_available(&self) -> bool {
         self.weight > 0.0 && !self.is_unavailable
     }
 
-    /// Whether there is a reason to know it: a line of the table, or a request that is on it.
-    pub(crate) fn is_needed(&self) -> bool {
+    /// Whether the endpoint table lists the host or a request to it is still active.
+    pub(crate) fn is_in_use(&self) -> bool {
         self.weight > 0.0 || self.active_requests > 0
     }
 
@@ -118,7 +116,7 @@
         self.active_requests
     }
 
-    /// The moving average of its latency in milliseconds, if a response came from it.
+    /// The moving average of the host's latency in milliseconds, or `None` before its first response.
     pub(crate) fn mean_latency_ms(&self) -> Option<f64> {
         (self.mean_latency_ms > 0.0).then_some(self.mean_latency_ms)
     }
@@ -131,22 +129,23 @@
         self.active_requests = self.active_requests.saturating_sub(1);
     }
 
-    /// Takes what an attempt met into account.
-    pub(crate) fn record(&mut self, now: Timestamp, observed: HostObservation) {
-        match observed {
+    /// Updates the mean latency or ejects the host, depending on the result of an attempt.
+    pub(crate) fn record(&mut self, now: Timestamp, observation: HostObservation) {
+        match observation {
             HostObservation::Response { latency_ms } => {
                 let mean = self.mean_latency_ms().unwrap_or(latency_ms);
-                self.mean_latency_ms = mean + (latency_ms - mean) * NEWEST_WEIGHT;
-                self.ejection.span = Duration::ZERO;
+                self.mean_latency_ms = mean + (latency_ms - mean) * LATENCY_SMOOTHING_FACTOR;
+                self.ejection.duration = Duration::ZERO;
             }
-            HostObservation::Rejected => self.mean_latency_ms *= 1.0 + NEWEST_WEIGHT,
+            HostObservation::Rejected => self.mean_latency_ms *= 1.0 + LATENCY_SMOOTHING_FACTOR,
             HostObservation::ConnectFailed | HostObservation::WrongInstance => self.eject(now),
             HostObservation::Failed => {}
         }
     }
 
     fn eject(&mut self, now: Timestamp) {
-        self.ejection.span = (self.ejection.span * 2).clamp(MIN_EJECTION, MAX_EJECTION);
-        self.ejection.until = now + self.ejection.span;
+        self.ejection.duration =
+            (self.ejection.duration * 2).clamp(MIN_EJECTION_TIME, MAX_EJECTION_TIME);
+        self.ejection.until = now + self.ejection.duration;
     }
 }
--- a/crates/gateway/routing/tests/claims.rs
+++ b/crates/gateway/routing/tests/claims.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_claim_is_won_by_a_majority_that_grants_it_in_time() {
+fn claim_granted_by_a_majority_in_time_is_won() {
     let mut claims = claimant_of_four();
     let request = claims
         .start(at(0), KEY, |_| true)
@@ -30,7 +30,7 @@
     assert_eq!(
         grant(&mut claims, 12, 3, 2, claim),
         None,
-        "of another epoch"
+        "grants of another epoch are ignored"
     );
     assert_eq!(
         grant(&mut claims, 13, 3, 1, claim),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_grant_that_comes_too_late_is_none() {
+fn grant_after_the_timeout_is_ignored() {
     let mut claims = claimant_of_four();
     let request = claims
         .start(at(0), KEY, |_| true)
@@ -47,7 +47,7 @@
     let claim = request.claim;
     grant(&mut claims, 10, 1, 1, claim);
     grant(&mut claims, 11, 2, 1, claim);
-    // The process was frozen and woken: the third grant lay in its socket all the while.
+    // The third grant arrived in time but is processed late, as after a suspension of the process.
     let timeout = CLAIM_TIMEOUT.as_millis() as u64;
     assert_eq!(
         grant(&mut claims, timeout, 3, 1, claim),
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_claim_is_lost_as_soon_as_no_majority_is_left() {
+fn claim_is_lost_once_a_majority_is_impossible() {
     let mut claims = claimant_of_four();
     let holder = ClaimId {
         node: NodeId(8),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_claim_without_a_connected_majority_is_not_started_or_ends() {
+fn claim_without_a_connected_majority_is_not_started_or_ends() {
     let mut claims = claimant_of_four();
     let request = claims
         .start(at(20), KeyDigest(6), |node| node != NodeId(4))
@@ -89,5 +89,5 @@
         }]
     );
     let third = claims.start(at(40), KeyDigest(7), |node| node < NodeId(3));
-    assert!(third.is_none(), "two of four are no majority");
+    assert!(third.is_none(), "two of four are not a majority");
 }
--- a/crates/gateway/routing/tests/claims_across_voting_sets.rs
+++ b/crates/gateway/routing/tests/claims_across_voting_sets.rs
@@ -1,4 +1,4 @@
-//! Claims across changes of the voting set, as timelines: what a gateway hears, and what its claim comes to.
+//! Claims of operation keys while the voting set changes.
 
 mod common;
 
@@ -11,17 +11,17 @@
 const TIMEOUT_MS: u64 = CLAIM_TIMEOUT.as_millis() as u64;
 const RESEND_WINDOW_MS: u64 = WITHDRAWAL_RESEND_WINDOW.as_millis() as u64;
 
-/// The voting set that the timelines begin with.
+/// The initial voting set.
 fn first_set() -> VotingSet {
     voting_set(1, &[1, 2, 3, 4])
 }
 
-/// The set that follows in most of them: voter 4 left for voter 5.
+/// The next voting set, in which voter 5 replaces voter 4.
 fn second_set() -> VotingSet {
     voting_set(2, &[1, 2, 3, 5])
 }
 
-/// A gateway to which voters 1 to 4 have reported the first set.
+/// A claimant to which voters 1 to 4 have reported the first set.
 fn claimant_of_four() -> Claims {
     let mut claims = claimant(1, first_set());
     for voter in 2..=4 {
@@ -64,22 +64,22 @@
 }
 
 #[test]
-fn a_claim_in_flight_wins_under_the_new_set() {
+fn pending_claim_is_won_under_the_new_set() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     assert_eq!(grant(&mut claims, 10, 1, 1, claim), None);
-    // Voter 4 left for voter 5; voter 2 is the first to report so, then rejects the claim of epoch 1.
+    // Voter 2 is the first to report the second set; it then abstains from the claim under epoch 1.
     let actions = report(&mut claims, 20, 2, second_set());
     assert_eq!(
         actions.requests,
         [request(2, claim, &[1, 2, 3, 5])],
-        "under the same id"
+        "the claim keeps its id"
     );
     assert_eq!(actions.decisions, []);
     assert_eq!(
         abstain(&mut claims, 21, 2, 1, claim),
         None,
-        "of the former epoch"
+        "verdicts of the former epoch are ignored"
     );
     assert_eq!(grant(&mut claims, 30, 2, 2, claim), None);
     assert_eq!(grant(&mut claims, 31, 5, 2, claim), None);
@@ -90,16 +90,16 @@
 }
 
 #[test]
-fn a_claim_wins_though_voters_adopt_the_new_set_one_after_the_other() {
+fn claim_is_won_while_voters_adopt_the_new_set_one_by_one() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     report(&mut claims, 20, 2, second_set());
-    // Voters 1 and 3 still hold the first set: they can't vote in epoch 2 yet, which is no refusal.
+    // Voters 1 and 3 still have the first set and can't vote in epoch 2 yet, so their abstentions don't count.
     assert_eq!(abstain(&mut claims, 30, 1, 2, claim), None);
     assert_eq!(
         abstain(&mut claims, 31, 3, 2, claim),
         None,
-        "it may still be won"
+        "a majority is still possible"
     );
     assert_eq!(grant(&mut claims, 32, 2, 2, claim), None);
     assert_eq!(grant(&mut claims, 33, 5, 2, claim), None);
@@ -107,7 +107,7 @@
     assert_eq!(
         actions.requests,
         [request(2, claim, &[3])],
-        "asked again, and nobody else is"
+        "only the voter that reported the new set is asked again"
     );
     assert_eq!(
         grant(&mut claims, 50, 3, 2, claim),
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_abstention_of_a_voter_that_has_adopted_the_set_counts() {
+fn abstention_of_a_voter_that_adopted_the_set_counts() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     report(&mut claims, 20, 2, second_set());
@@ -129,16 +129,16 @@
 }
 
 #[test]
-fn grants_of_two_epochs_never_add_up() {
+fn grants_of_different_epochs_are_not_combined() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
-    // Three grants make a majority of either set; two of each are none.
+    // Three grants are a majority of either set; two grants in each set are not.
     assert_eq!(grant(&mut claims, 10, 1, 1, claim), None);
     assert_eq!(grant(&mut claims, 11, 4, 1, claim), None);
     report(&mut claims, 20, 2, second_set());
     assert_eq!(grant(&mut claims, 30, 2, 2, claim), None);
     assert_eq!(grant(&mut claims, 31, 5, 2, claim), None);
-    // Grants of epoch 1 that were under way count for neither, nor do those of a voter that left.
+    // Late grants of epoch 1 don't count in epoch 2, nor do grants of a voter that left the set.
     assert_eq!(grant(&mut claims, 32, 3, 1, claim), None);
     assert_eq!(grant(&mut claims, 33, 4, 2, claim), None);
     assert_eq!(
@@ -148,13 +148,13 @@
 }
 
 #[test]
-fn the_end_of_a_claim_counts_from_its_first_start() {
+fn restart_does_not_extend_the_claim_timeout() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     report(&mut claims, TIMEOUT_MS - 10, 2, second_set());
     assert_eq!(grant(&mut claims, TIMEOUT_MS - 2, 1, 2, claim), None);
     assert_eq!(grant(&mut claims, TIMEOUT_MS - 1, 2, 2, claim), None);
-    // A voter that lost its disk may vote for another claim from here on.
+    // From here on a voter that lost its disk may grant the key to another claim.
     assert_eq!(
         grant(&mut claims, TIMEOUT_MS, 3, 2, claim),
         Some(decision(claim, ClaimOutcome::NoMajority))
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_change_does_not_restart_a_claim_whose_time_is_over() {
+fn expired_claim_is_not_restarted() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     let actions = report(&mut claims, TIMEOUT_MS, 2, second_set());
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_claim_ends_at_once_where_no_majority_of_the_new_set_is_connected() {
+fn claim_ends_without_a_connected_majority_of_the_new_set() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     let new_set = voting_set(2, &[2, 5, 6]);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_member_that_connects_is_asked() {
+fn newly_connected_member_is_sent_the_pending_claim() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     let actions =
@@ -205,20 +205,20 @@
 }
 
 #[test]
-fn a_claimant_that_hears_only_voters_of_the_former_set_wins_nothing_of_the_new_one() {
+fn claimant_connected_only_to_former_voters_wins_nothing() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     report(&mut claims, 20, 2, second_set());
-    // It is cut off from all but the member that left and one that lags; both still vote in epoch 1.
+    // The claimant stays connected only to voters 1 and 4, which still vote in epoch 1. Voter 4 has left the set.
     for lost in [2, 3, 5] {
         claims.voter_disconnected(at(30), NodeId(lost));
     }
     assert!(
         claims.is_idle(),
-        "one member of four is no majority, whatever set it is in"
+        "one connected member of four ends the claim"
     );
     assert_eq!(grant(&mut claims, 40, 4, 1, claim), None);
-    // An older set that is reported late changes nothing.
+    // A late report of an older set is ignored.
     let actions = report(&mut claims, 50, 4, first_set());
     assert_eq!(
         (actions, claims.voting_set().epoch),
@@ -227,9 +227,9 @@
     let is_connected = |node: NodeId| node == NodeId(1) || node == NodeId(4);
     assert!(
         claims.start(at(60), KEY, is_connected).is_none(),
-        "nor is one of four a majority to start with"
+        "a claim is not started with one connected member of four"
     );
-    // What it starts as soon as enough are connected counts grants of epoch 2 only.
+    // A claim started after voters have reconnected counts only grants of epoch 2.
     let claim = start(&mut claims, 70);
     for voter in 1..=4 {
         assert_eq!(grant(&mut claims, 80, voter, 1, claim), None);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn sets_may_be_skipped_and_reported_twice() {
+fn voting_sets_may_be_skipped_and_reported_twice() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     let third_set = voting_set(3, &[2, 3, 5, 6]);
@@ -257,23 +257,23 @@
     assert_eq!(
         grant(&mut claims, 22, 7, 4, claim),
         Some(decision(claim, ClaimOutcome::Won)),
-        "three of five"
+        "three of five voters are a majority"
     );
 }
 
 #[test]
-fn a_withdrawn_claim_leaves_the_voters_of_every_set_that_it_was_sent_to() {
+fn withdrawal_is_sent_to_the_voters_of_every_set_since_the_claim() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     report(&mut claims, 20, 2, second_set());
     claims.take_decided(at(TIMEOUT_MS));
-    // Voter 4 left with the claim; voter 5 came and has it; a snapshot may have brought it to voter 6 since.
+    // Voter 4 left after it was sent the claim, voter 5 was sent the claim, and voter 6 may have it from a snapshot.
     report(&mut claims, 500, 2, voting_set(3, &[1, 2, 5, 6]));
     assert_eq!(
         claims.withdraw(at(600), KEY, claim),
         withdrawal(claim, &[1, 2, 3, 4, 5, 6])
     );
-    // One that started after the changes was sent to nobody else.
+    // A claim that started after the changes was sent only to the current members.
     let claim = start(&mut claims, 700);
     assert_eq!(
         claims.withdraw(at(800), KEY, claim).voters,
@@ -282,7 +282,7 @@
 }
 
 #[test]
-fn a_voter_that_joins_is_told_of_what_was_withdrawn_while_it_got_its_snapshot() {
+fn joining_voter_is_sent_recent_withdrawals() {
     let mut claims = claimant_of_four();
     let claim = start(&mut claims, 0);
     claims.withdraw(at(100), KEY, claim);
@@ -290,11 +290,11 @@
     assert_eq!(actions.withdrawals, [withdrawal(claim, &[5])]);
     let third_set = voting_set(3, &[1, 2, 3, 6]);
     let actions = report(&mut claims, 100 + RESEND_WINDOW_MS, 2, third_set);
-    assert_eq!(actions.withdrawals, [], "long past what a snapshot takes");
+    assert_eq!(actions.withdrawals, [], "the resend window has ended");
 }
 
 #[test]
-fn the_majority_is_that_of_the_new_set() {
+fn majority_is_computed_from_the_new_set() {
     let mut claims = claimant(1, voting_set(1, &[1, 2, 3]));
     let claim = start(&mut claims, 0);
     report(&mut claims, 10, 1, voting_set(2, &[1, 2, 3, 4]));
@@ -302,7 +302,7 @@
     assert_eq!(
         grant(&mut claims, 21, 2, 2, claim),
         None,
-        "two of four, enough of three"
+        "two grants are a majority of three voters but not of four"
     );
     assert_eq!(
         grant(&mut claims, 22, 4, 2, claim),
--- a/crates/gateway/routing/tests/common/mod.rs
+++ b/crates/gateway/routing/tests/common/mod.rs
@@ -1,12 +1,12 @@
-//! A claimant and its voters, for the tests of claims. Times are in milliseconds, voters go by the numbers of their nodes.
+//! Helpers for tests of claims. Times are in milliseconds, and voters are given by their node numbers.
 
 use rushcourse_messages::{ClaimId, ClaimVerdict, NodeId, VotingSet};
 use rushcourse_routing::{ClaimActions, ClaimDecision, ClaimOutcome, ClaimResponse, Claims};
 use rushcourse_types::{Epoch, Incarnation, KeyDigest, Timestamp};
 
-/// The gateway that claims.
-pub const ME: NodeId = NodeId(9);
-/// The key that it claims.
+/// The gateway that makes the claims.
+pub const LOCAL_NODE: NodeId = NodeId(9);
+/// The operation key of all claims made by these helpers.
 pub const KEY: KeyDigest = KeyDigest(5);
 
 pub fn at(millis: u64) -> Timestamp {
@@ -24,19 +24,19 @@
     }
 }
 
-/// A claimant that one voter has reported a voting set to.
+/// A claimant to which one voter has reported a voting set at time 0.
 pub fn claimant(voter: u32, voting_set: VotingSet) -> Claims {
-    let mut claims = Claims::new(ME, Incarnation(1));
+    let mut claims = Claims::new(LOCAL_NODE, Incarnation(1));
     report(&mut claims, 0, voter, voting_set);
     claims
 }
 
-/// A voter reports a voting set; all voters are connected.
+/// Reports a voting set to a claimant that is connected to all voters.
 pub fn report(claims: &mut Claims, millis: u64, voter: u32, voting_set: VotingSet) -> ClaimActions {
     claims.voting_set_reported(at(millis), NodeId(voter), voting_set, |_| true)
 }
 
-/// A voter of the claim's epoch answers a claim of [`KEY`].
+/// Delivers a voter's response to a claim of [`KEY`].
 pub fn respond(
     claims: &mut Claims,
     millis: u64,
@@ -54,7 +54,7 @@
     claims.record_response(at(millis), NodeId(voter), response)
 }
 
-/// A voter grants a claim of [`KEY`].
+/// Delivers a voter's grant of a claim of [`KEY`].
 pub fn grant(
     claims: &mut Claims,
     millis: u64,
--- a/crates/gateway/routing/tests/configuration_fetch.rs
+++ b/crates/gateway/routing/tests/configuration_fetch.rs
@@ -1,9 +1,9 @@
-//! Which controller a gateway gets the text of a new configuration from.
+//! Selection of the controller from which a gateway requests a new configuration.
 
 use rushcourse_routing::ConfigurationFetch;
 use rushcourse_types::{ConfigurationVersion, NodeId, Timestamp};
 
-/// A controller announces a version to a gateway that holds another one.
+/// Announces `version`, held by controller `holder`, to a gateway that has version `current`.
 fn announce(fetch: &mut ConfigurationFetch, millis: u64, holder: u32, version: u64, current: u64) {
     fetch.version_announced(
         Timestamp::from_millis(millis),
@@ -13,8 +13,8 @@
     );
 }
 
-/// The controller that a gateway asks, of those that are connected.
-fn ask_connected(
+/// The controller that the gateway requests the configuration from, given which controllers are connected.
+fn request_from_connected(
     fetch: &mut ConfigurationFetch,
     millis: u64,
     current: u64,
@@ -24,65 +24,76 @@
     fetch.next_request(now, ConfigurationVersion(current), is_connected)
 }
 
-/// The controller that a gateway asks while all are connected.
-fn ask(fetch: &mut ConfigurationFetch, millis: u64, current: u64) -> Option<NodeId> {
-    ask_connected(fetch, millis, current, |_| true)
+/// The controller that the gateway requests the configuration from while all controllers are connected.
+fn request(fetch: &mut ConfigurationFetch, millis: u64, current: u64) -> Option<NodeId> {
+    request_from_connected(fetch, millis, current, |_| true)
 }
 
 #[test]
-fn a_gateway_without_a_configuration_asks_at_once_and_the_next_one_if_nothing_comes() {
+fn gateway_without_configuration_requests_at_once_and_retries_at_the_next_holder() {
     let mut fetch = ConfigurationFetch::default();
     announce(&mut fetch, 1_000, 1, 5, 0);
     announce(&mut fetch, 1_001, 2, 5, 0);
-    assert_eq!(ask(&mut fetch, 1_001, 0), Some(NodeId(1)));
-    assert_eq!(ask(&mut fetch, 1_200, 0), None, "its response is under way");
-    assert_eq!(ask(&mut fetch, 1_301, 0), Some(NodeId(2)));
-    assert_eq!(ask(&mut fetch, 1_400, 5), None, "it came");
-    assert_eq!(ask(&mut fetch, 9_000, 5), None);
+    assert_eq!(request(&mut fetch, 1_001, 0), Some(NodeId(1)));
+    assert_eq!(
+        request(&mut fetch, 1_200, 0),
+        None,
+        "the first request is still pending"
+    );
+    assert_eq!(request(&mut fetch, 1_301, 0), Some(NodeId(2)));
+    assert_eq!(
+        request(&mut fetch, 1_400, 5),
+        None,
+        "the configuration has arrived"
+    );
+    assert_eq!(request(&mut fetch, 9_000, 5), None);
 }
 
 #[test]
-fn a_text_that_comes_by_itself_is_not_asked_for() {
+fn pushed_configuration_is_not_requested() {
     let mut fetch = ConfigurationFetch::default();
     announce(&mut fetch, 1_000, 1, 6, 5);
     assert_eq!(
-        ask(&mut fetch, 1_050, 5),
+        request(&mut fetch, 1_050, 5),
         None,
-        "the primary controller sends it"
+        "the push of the primary controller is awaited"
     );
-    assert_eq!(ask(&mut fetch, 1_100, 6), None);
+    assert_eq!(request(&mut fetch, 1_100, 6), None);
     announce(&mut fetch, 2_000, 1, 7, 6);
     assert_eq!(
-        ask(&mut fetch, 2_100, 6),
+        request(&mut fetch, 2_100, 6),
         Some(NodeId(1)),
-        "it did not come"
+        "the push did not arrive"
     );
 }
 
 #[test]
-fn an_older_version_changes_nothing_and_a_newer_one_starts_anew() {
+fn older_version_is_ignored_and_newer_version_restarts_the_fetch() {
     let mut fetch = ConfigurationFetch::default();
     announce(&mut fetch, 1_000, 1, 7, 5);
     announce(&mut fetch, 1_050, 2, 6, 5);
     assert_eq!(
-        ask(&mut fetch, 1_100, 5),
+        request(&mut fetch, 1_100, 5),
         Some(NodeId(1)),
-        "the one that lags is not asked"
+        "controller 2 only has the older version"
     );
     announce(&mut fetch, 1_150, 2, 8, 5);
-    assert_eq!(ask(&mut fetch, 1_200, 5), None);
-    assert_eq!(ask(&mut fetch, 1_250, 5), Some(NodeId(2)));
+    assert_eq!(request(&mut fetch, 1_200, 5), None);
+    assert_eq!(request(&mut fetch, 1_250, 5), Some(NodeId(2)));
 }
 
 #[test]
-fn a_controller_without_a_session_is_not_asked() {
+fn disconnected_controller_is_skipped() {
     let mut fetch = ConfigurationFetch::default();
     announce(&mut fetch, 1_000, 1, 7, 0);
     announce(&mut fetch, 1_000, 2, 7, 0);
     assert_eq!(
-        ask_connected(&mut fetch, 1_000, 0, |node| node == NodeId(2)),
+        request_from_connected(&mut fetch, 1_000, 0, |node| node == NodeId(2)),
         Some(NodeId(2))
     );
-    assert_eq!(ask_connected(&mut fetch, 1_300, 0, |_| false), None);
-    assert_eq!(ask(&mut fetch, 1_301, 0), Some(NodeId(1)));
+    assert_eq!(
+        request_from_connected(&mut fetch, 1_300, 0, |_| false),
+        None
+    );
+    assert_eq!(request(&mut fetch, 1_301, 0), Some(NodeId(1)));
 }
--- a/crates/gateway/routing/tests/controller_selection.rs
+++ b/crates/gateway/routing/tests/controller_selection.rs
@@ -1,4 +1,4 @@
-//! Which controller is a gateway's primary one.
+//! Selection of a gateway's primary controller: failover, failback and redistribution.
 
 use rushcourse_messages::NodeId;
 use rushcourse_routing::{ControllerSelection, FAILBACK_DELAY, FAILBACK_JITTER, PrimaryChange};
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 const START: Timestamp = Timestamp::from_millis(1_000);
-const JUST_BEFORE: Duration = Duration::from_millis(1);
+const ONE_MILLISECOND: Duration = Duration::from_millis(1);
 
 fn change(selected: u32, released: Option<u32>) -> Option<PrimaryChange> {
     Some(PrimaryChange {
@@ -16,8 +16,8 @@
     })
 }
 
-/// A gateway whose first controller stands in another zone, and whose second one in its own.
-fn at_home_in_another_zone() -> ControllerSelection {
+/// A gateway whose primary, controller 1, is in another zone, and whose preferred controller 2 has just connected.
+fn with_primary_in_another_zone() -> ControllerSelection {
     let mut controllers = ControllerSelection::new(NodeId(9), "z1");
     controllers.controller_connected(NodeId(1), "z2");
     controllers.set_synchronized(START, NodeId(1), true);
@@ -28,12 +28,12 @@
 }
 
 #[test]
-fn the_primary_controller_stays_until_it_must_change() {
-    let mut controllers = at_home_in_another_zone();
+fn synchronized_primary_is_kept_until_it_fails() {
+    let mut controllers = with_primary_in_another_zone();
     assert_eq!(
-        controllers.select(START + (FAILBACK_DELAY - JUST_BEFORE)),
+        controllers.select(START + (FAILBACK_DELAY - ONE_MILLISECOND)),
         None,
-        "one of the own zone comes: no change while the first one is good and that one is new"
+        "no failback before the failback delay has passed"
     );
     controllers.set_synchronized(START, NodeId(1), false);
     assert_eq!(controllers.select(START), change(2, Some(1)));
@@ -41,38 +41,38 @@
     assert_eq!(
         (controllers.select(START), controllers.primary()),
         (None, Some(NodeId(2))),
-        "nobody better: it stays"
+        "the primary is kept while no controller is synchronized"
     );
     controllers.controller_disconnected(NodeId(2));
     assert_eq!(controllers.primary(), None);
 }
 
 #[test]
-fn a_gateway_returns_to_the_controller_that_it_prefers() {
-    let mut controllers = at_home_in_another_zone();
-    let returned = START + FAILBACK_DELAY + FAILBACK_JITTER;
-    assert_eq!(controllers.select(returned), change(2, Some(1)));
-    assert_eq!(controllers.select(returned), None, "and stays there");
+fn gateway_fails_back_to_its_preferred_controller() {
+    let mut controllers = with_primary_in_another_zone();
+    let failback_at = START + FAILBACK_DELAY + FAILBACK_JITTER;
+    assert_eq!(controllers.select(failback_at), change(2, Some(1)));
+    assert_eq!(controllers.select(failback_at), None, "no further change");
 }
 
 #[test]
-fn a_preferred_controller_that_loses_its_majority_counts_as_new() {
-    let mut controllers = at_home_in_another_zone();
-    let again = START + FAILBACK_DELAY;
-    controllers.set_synchronized(again, NodeId(2), false);
-    controllers.set_synchronized(again, NodeId(2), true);
+fn loss_of_quorum_restarts_the_failback_delay() {
+    let mut controllers = with_primary_in_another_zone();
+    let resynchronized_at = START + FAILBACK_DELAY;
+    controllers.set_synchronized(resynchronized_at, NodeId(2), false);
+    controllers.set_synchronized(resynchronized_at, NodeId(2), true);
     assert_eq!(
         controllers.select(START + FAILBACK_DELAY + FAILBACK_JITTER),
         None
     );
-    let returned = again + FAILBACK_DELAY + FAILBACK_JITTER;
-    assert_eq!(controllers.select(returned), change(2, Some(1)));
+    let failback_at = resynchronized_at + FAILBACK_DELAY + FAILBACK_JITTER;
+    assert_eq!(controllers.select(failback_at), change(2, Some(1)));
 }
 
-/// No controller has a majority for a moment, and the first one that has it again gets all gateways. Soon after they are
-/// spread again, a few at a time.
+/// After a loss of quorum, all gateways select the first controller that regains it. They must then move to their
+/// preferred controllers gradually.
 #[test]
-fn gateways_that_gathered_at_one_controller_spread_again() {
+fn gateways_redistribute_after_a_loss_of_quorum() {
     const GATEWAYS: u32 = 400;
     const CONTROLLERS: u32 = 5;
     let mut gateways: Vec<ControllerSelection> = (0..GATEWAYS)
@@ -88,7 +88,7 @@
             gateway.set_synchronized(START, NodeId(controller), true);
         }
     }
-    let mut most_at_once = 0;
+    let mut max_changes_per_step = 0;
     let step = Duration::from_millis(100);
     let mut now = START;
     while now < START + FAILBACK_DELAY + FAILBACK_JITTER {
@@ -96,14 +96,26 @@
         let changes = gateways
             .iter_mut()
             .filter_map(|gateway| gateway.select(now));
-        most_at_once = most_at_once.max(changes.count());
+        max_changes_per_step = max_changes_per_step.max(changes.count());
     }
-    let mut at: BTreeMap<NodeId, u32> = BTreeMap::new();
+    let mut gateway_counts: BTreeMap<NodeId, u32> = BTreeMap::new();
     for gateway in &gateways {
-        *at.entry(gateway.primary().expect("one")).or_default() += 1;
+        *gateway_counts
+            .entry(gateway.primary().expect("a primary"))
+            .or_default() += 1;
     }
-    let fair = GATEWAYS / CONTROLLERS;
-    assert_eq!(at.len(), CONTROLLERS as usize, "{at:?}");
-    assert!(at.values().all(|count| *count < fair * 2), "{at:?}");
-    assert!(most_at_once < 30, "{most_at_once} in a tenth of a second");
+    let even_share = GATEWAYS / CONTROLLERS;
+    assert_eq!(
+        gateway_counts.len(),
+        CONTROLLERS as usize,
+        "{gateway_counts:?}"
+    );
+    assert!(
+        gateway_counts.values().all(|count| *count < even_share * 2),
+        "{gateway_counts:?}"
+    );
+    assert!(
+        max_changes_per_step < 30,
+        "{max_changes_per_step} changes within 100 ms"
+    );
 }
--- a/crates/gateway/routing/tests/load_balancing.rs
+++ b/crates/gateway/routing/tests/load_balancing.rs
@@ -1,4 +1,4 @@
-//! Which host a request goes to: load balancing, draining and ended hosts, outlier ejection.
+//! Host selection: load balancing, draining and gone hosts, outlier ejection.
 
 use rushcourse_messages::{EndpointWeight, HostRecord, HostState};
 use rushcourse_routing::{EndpointTables, HostObservation};
@@ -29,7 +29,7 @@
     }
 }
 
-/// The tables of a gateway of zone `z1`, with hosts by their ids and zones.
+/// The endpoint tables of a gateway in zone `z1`. `hosts` contains pairs of host id and zone.
 fn tables(hosts: &[(&str, &str)]) -> EndpointTables {
     let mut tables = EndpointTables::new("z1");
     let endpoints = hosts.iter().map(|(id, zone)| endpoint(id, zone));
@@ -37,7 +37,7 @@
     tables
 }
 
-/// Numbers from 0 up to 1, the same each time.
+/// A deterministic sequence of values in `0.0..1.0`.
 fn random_numbers() -> impl FnMut() -> f64 {
     let mut number = 0.0;
     move || {
@@ -46,7 +46,7 @@
     }
 }
 
-/// The id of the host that a request goes to.
+/// Selects a host and returns its id.
 fn choose(
     tables: &mut EndpointTables,
     millis: u64,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn requests_spread_by_what_is_on_each_host_and_hosts_of_the_own_zone_come_first() {
+fn requests_spread_by_active_requests_and_prefer_the_own_zone() {
     let mut tables = tables(&[("a", "z1"), ("b", "z1"), ("c", "z2")]);
     let mut random = random_numbers();
     let mut requests: BTreeMap<String, u32> = BTreeMap::new();
@@ -75,17 +75,17 @@
     assert!(requests["a"] >= 4 && requests["b"] >= 4, "{requests:?}");
     assert!(
         requests["c"] >= 1 && requests["c"] <= 4,
-        "of another zone, but chosen before those of the own are twice as full: {requests:?}"
+        "host c of the other zone gets a smaller share: {requests:?}"
     );
 }
 
 #[test]
-fn a_host_that_drains_or_is_gone_gets_nothing_whatever_tables_say_later() {
+fn stale_table_does_not_restore_a_gone_host() {
     let mut tables = tables(&[("a", "z1"), ("b", "z1")]);
     tables.apply_host_states(&[host("a", "z1", HostState::Draining)]);
     assert!(!tables.is_available(SERVICE, "a") && tables.is_available(SERVICE, "b"));
     tables.apply_host_states(&[host("b", "z1", HostState::Gone)]);
-    // A table that was sent before that arrives after it.
+    // This table was sent before the host states above but arrives after them.
     tables.replace(
         &SERVICE.into(),
         vec![endpoint("a", "z1"), endpoint("b", "z1")],
@@ -93,12 +93,12 @@
     assert_eq!(
         tables.available_hosts(SERVICE),
         [Arc::<str>::from("a")],
-        "draining is taken back by newer states, the end of an incarnation is not"
+        "a table entry ends the draining state but not the gone state"
     );
 }
 
 #[test]
-fn a_host_that_can_not_be_connected_to_is_ejected_and_comes_back() {
+fn unreachable_host_is_ejected_and_retried_later() {
     let mut tables = tables(&[("a", "z1"), ("b", "z1")]);
     connect_fails(&mut tables, 0, "a");
     let mut random = random_numbers();
@@ -107,7 +107,7 @@
     };
     assert!((0..8).all(|_| chosen(&mut tables, 100) == "b"));
     assert!((0..8).any(|_| chosen(&mut tables, 400) == "a"));
-    // The only one that was not tried is chosen, ejected or not.
+    // An ejected host is selected if all others have been tried.
     connect_fails(&mut tables, 400, "a");
     assert_eq!(
         choose(&mut tables, 500, &["b".into()], &mut random).as_deref(),
