--- a/crates/gateway/routing/tests/operations.rs
+++ b/crates/gateway/routing/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What became of operations that were claimed at a gateway.
+//! Retention of operations and their stored responses at the gateway that claimed them.
 
 use rushcourse_messages::{ClaimId, NodeId, OperationState, StoredResponse};
 use rushcourse_routing::{OperationStatus, Operations};
@@ -12,7 +12,7 @@
     number: 1,
 };
 
-/// Operations with a key window of 60 s and room for 1,000 bytes of responses.
+/// Operations with a key window of 60 s and a limit of 1,000 bytes for stored responses.
 fn operations() -> Operations {
     Operations::new(Duration::from_millis(60_000), 1_000)
 }
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_repeat_gets_the_first_response_until_the_window_is_over() {
+fn completed_operation_is_kept_until_its_retention_ends() {
     let mut operations = operations();
     operations.start(at(0), KeyDigest(5), CLAIM);
     assert_eq!(
@@ -45,9 +45,9 @@
     assert_eq!(
         operations.state_of_claim(KeyDigest(5), ClaimId { number: 2, ..CLAIM }),
         OperationState::NotFound,
-        "another claim of the same key"
+        "a different claim of the same key"
     );
-    // The oldest responses go when there is no room; what ran is never forgotten sooner than the window.
+    // A second response exceeds the limit: the oldest one is evicted, but its operation is kept.
     operations.start(at(1), KeyDigest(6), CLAIM);
     operations.finish(KeyDigest(6), CLAIM, completed(600));
     assert!(
@@ -63,7 +63,7 @@
     operations.withdraw(KeyDigest(7), CLAIM);
     assert!(
         operations.status(KeyDigest(7)).is_none(),
-        "nothing was sent: free again"
+        "a withdrawn operation frees its key"
     );
     operations.expire(at(60_000));
     assert_eq!(operations.len(), 2);
@@ -72,18 +72,18 @@
 }
 
 #[test]
-fn an_operation_that_runs_beyond_the_window_is_forgotten_after_its_end() {
+fn running_operation_is_kept_beyond_its_retention() {
     let mut operations = operations();
     operations.start(at(0), KeyDigest(5), CLAIM);
     operations.expire(at(70_000));
     assert_eq!(
         operations.state_of_claim(KeyDigest(5), CLAIM),
         OperationState::Running,
-        "not while it runs"
+        "a running operation does not expire"
     );
     operations.finish(KeyDigest(5), CLAIM, completed(10));
     operations.expire(at(80_000));
-    assert_eq!(operations.len(), 1, "its repeats still come");
+    assert_eq!(operations.len(), 1, "retention was extended while it ran");
     operations.expire(at(140_000));
     assert_eq!((operations.len(), operations.stored_bytes()), (0, 0));
 }
--- a/crates/gateway/routing/tests/retry_budget.rs
+++ b/crates/gateway/routing/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget that all gateways share.
+//! The retries of all gateways together stay within the shared budget.
 
 use rushcourse_routing::RetryBudget;
 use rushcourse_types::Timestamp;
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 #[test]
-fn retries_of_all_gateways_stay_within_the_rule() {
-    // 8 gateways, 100 requests a second each for 20 s, each wants a second host for every request.
+fn retries_of_all_gateways_stay_within_the_budget() {
+    // 8 gateways receive 100 requests per second each for 20 s and try to retry every request.
     let service: Arc<str> = "s".into();
     let window = Duration::from_millis(10_000);
     let mut budgets: Vec<RetryBudget> = (0..8)
@@ -31,12 +31,12 @@
         let within = retries.iter().filter(|at| window.contains(*at)).count();
         assert!(
             within as f64 <= 0.2 * 8_000.0 + 56.0,
-            "{within} from {from} ms"
+            "{within} retries in the window that starts at {from} ms"
         );
     }
     assert!(
         retries.len() > 1_000,
-        "and they are used: {}",
+        "the budget should be used, got {} retries",
         retries.len()
     );
 }
--- a/crates/gateway/types/src/identity.rs
+++ b/crates/gateway/types/src/identity.rs
@@ -1,10 +1,10 @@
-//! Nodes, incarnations of their processes, and claims of operation keys.
+//! Node ids, process incarnations, operation key digests and claim ids.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::Ipv4Addr;
 
-/// A node of the gateway (a controller or a gateway), named by the IPv4 address of its machine.
+/// A controller or gateway node, identified by the IPv4 address of its machine (the address as a big-endian integer).
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -28,8 +28,8 @@
     }
 }
 
-/// One run of a node's process, from its start to its end. Drawn at random at each start, so that what an earlier run
-/// said is not taken for a word of the present one.
+/// A random number that a node draws each time its process starts. Peers use it to discard messages and state from an
+/// earlier run of the same node.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -41,19 +41,19 @@
     }
 }
 
-/// The digest by which nodes know an operation key: 128 bits of a hash of tenant and key.
+/// The 128-bit hash of a tenant and its operation key. Nodes exchange the digest instead of the key itself.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct KeyDigest(pub u128);
 
-/// One claim of an operation key: the gateway that made it, and which claim of its incarnation it is.
+/// Identifies one attempt of a gateway to claim an operation key, uniquely across gateways and their restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct ClaimId {
-    /// The gateway that claims the key.
+    /// The gateway that made the claim.
     pub node: NodeId,
-    /// The incarnation of that gateway.
+    /// The incarnation of `node` when it made the claim.
     pub incarnation: Incarnation,
-    /// Counts the claims of this incarnation, from 1 on.
+    /// Sequence number of the claim within the incarnation, starting at 1.
     pub number: u64,
 }
--- a/crates/gateway/types/src/lib.rs
+++ b/crates/gateway/types/src/lib.rs
@@ -1,13 +1,12 @@
-//! Values that the gateway's packages share. Each is a type of its own, so that an epoch is not taken for a version or
-//! a session for a ticket.
+//! Types shared by the gateway crates. Most are newtypes, so that the compiler rejects an epoch where a version is
+//! expected.
 //!
-//! * [`identity`]: nodes, incarnations of their processes, claims of operation keys.
-//! * [`sequence`]: epochs, versions and other numbers that only rise.
-//! * [`time`]: the steady clock, the time of day, and spans as they go over the wire.
-//! * [`hash`]: hashes that are the same in every process and release.
+//! * [`identity`]: node ids, process incarnations and claim ids.
+//! * [`sequence`]: epochs, versions and other monotonically increasing numbers.
+//! * [`time`]: monotonic timestamps, wall-clock time and durations in messages.
+//! * [`hash`]: hash functions whose results are stable across processes and releases.
 //!
-//! Types that derive `Serialize` are written as the number that they hold: the wire and the state file know no
-//! newtypes.
+//! The newtypes that derive `Serialize` are encoded as the number they wrap, both on the wire and in the state file.
 
 pub mod hash;
 pub mod identity;
--- a/crates/gateway/types/src/sequence.rs
+++ b/crates/gateway/types/src/sequence.rs
@@ -1,9 +1,9 @@
-//! Epochs, versions and other numbers that only rise.
+//! Epochs, versions and other monotonically increasing numbers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-macro_rules! numbers {
+macro_rules! sequence_numbers {
     ($($(#[$doc:meta])* $name:ident),* $(,)?) => {$(
         $(#[$doc])*
         #[derive(
@@ -12,15 +12,15 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// Before the first one: what a node holds that has none yet.
+            /// Zero, the initial value before the first number (1) is assigned.
             pub const NONE: $name = $name(0);
 
-            /// Whether there is none yet.
+            /// True for [`Self::NONE`], when no number has been assigned.
             pub const fn is_none(self) -> bool {
                 self.0 == 0
             }
 
-            /// The number that follows.
+            /// The successor, saturating at `u64::MAX`.
             #[must_use]
             pub const fn next(self) -> $name {
                 $name(self.0.saturating_add(1))
@@ -35,20 +35,22 @@
     )*};
 }
 
-numbers! {
-    /// The number of a voting set. Votes, promises, claims and reads carry it, and count in that set alone (fencing).
+sequence_numbers! {
+    /// The number of a voting set. Votes, promises, claims and reads carry it and are valid only within that voting
+    /// set, which fences off nodes that still use an older one.
     Epoch,
-    /// The version of a configuration, as its operator numbered it.
+    /// The version of a configuration, assigned by the operator who submits it.
     ConfigurationVersion,
-    /// Rises with each batch that a controller's state file takes and that something rests on; stored with it. A state
-    /// file of a lower generation than others have heard of is an older copy.
+    /// Generation of a controller's state file. It is stored in the file and increases with every durable write that
+    /// the controller relies on. A file with a lower generation than peers have seen is an outdated copy.
     Generation,
-    /// Rises with each call of a host (`call_sequence` in its heartbeats), so that a late call is known.
+    /// Sequence number of a host's requests (`call_sequence` in heartbeats). Controllers use it to discard requests
+    /// that arrive out of order.
     CallSequence,
-    /// A session between two nodes, as one of its ends counts it. Never sent.
+    /// Identifies a session with another node within this process. Never sent over the wire.
     SessionId,
-    /// A call of an operator that waits for its answer, as the controller counts it. Never sent.
+    /// Identifies an operator request that is waiting for its response within the controller. Never sent over the wire.
     Ticket,
-    /// Binds an answer between nodes to its question; counted by the one who asks.
+    /// Matches a response from another node to its request. Assigned by the requesting node.
     RequestToken,
 }
--- a/crates/gateway/types/src/time.rs
+++ b/crates/gateway/types/src/time.rs
@@ -1,50 +1,50 @@
-//! Times. Decisions go by the steady clock of their own process alone; between nodes only spans are sent, since clocks
-//! differ between machines. All are in whole milliseconds.
+//! Time types, all in whole milliseconds. A process makes decisions only by its own monotonic clock. Messages between
+//! nodes carry durations instead of timestamps, because clocks differ between machines.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::ops::{Add, AddAssign, Sub};
 use std::time::Duration;
 
-/// Whole milliseconds of a span; beyond what 64 bits hold, the most that they do.
+/// Truncates to whole milliseconds, saturating at `u64::MAX`.
 #[inline]
-fn whole_millis(span: Duration) -> u64 {
-    u64::try_from(span.as_millis()).unwrap_or(u64::MAX)
+fn whole_millis(duration: Duration) -> u64 {
+    u64::try_from(duration.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// A moment by the steady clock of one process, in milliseconds. Moments of two processes can't be compared.
+/// A reading of this process's monotonic clock, in milliseconds. Timestamps of different processes are not comparable.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Timestamp(u64);
 
 impl Timestamp {
-    /// Before all that happens in a process: its clock starts at a second.
+    /// Precedes every event in a process, whose clock starts at one second.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// A moment by its milliseconds.
+    /// Creates a timestamp from a monotonic clock reading in milliseconds.
     #[inline]
     pub const fn from_millis(millis: u64) -> Timestamp {
         Timestamp(millis)
     }
 
-    /// The milliseconds of this moment.
+    /// The monotonic clock reading in milliseconds.
     #[inline]
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// The span since an earlier moment; zero if that one is later.
+    /// The duration since `earlier`, or zero if `earlier` is later than `self`.
     #[inline]
     pub const fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
     }
 
-    /// The moment a span before this one, or [`Timestamp::ZERO`].
+    /// Subtracts a duration, saturating at [`Timestamp::ZERO`].
     #[must_use]
     #[inline]
-    pub fn saturating_sub(self, span: Duration) -> Timestamp {
-        Timestamp(self.0.saturating_sub(whole_millis(span)))
+    pub fn saturating_sub(self, duration: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_sub(whole_millis(duration)))
     }
 }
 
@@ -52,45 +52,45 @@
     type Output = Timestamp;
 
     #[inline]
-    fn add(self, span: Duration) -> Timestamp {
-        Timestamp(self.0.saturating_add(whole_millis(span)))
+    fn add(self, duration: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_add(whole_millis(duration)))
     }
 }
 
 impl AddAssign<Duration> for Timestamp {
     #[inline]
-    fn add_assign(&mut self, span: Duration) {
-        *self = *self + span;
+    fn add_assign(&mut self, duration: Duration) {
+        *self = *self + duration;
     }
 }
 
 impl Sub<Timestamp> for Timestamp {
     type Output = Duration;
 
-    /// The span since an earlier moment; zero if that one is later.
+    /// The duration since `earlier`, or zero if `earlier` is later than `self`.
     #[inline]
     fn sub(self, earlier: Timestamp) -> Duration {
         self.since(earlier)
     }
 }
 
-/// The time of day of one machine, in milliseconds since 1970. It may step, and differs between machines: it is shown
-/// to people, and nothing is decided by it.
+/// Wall-clock time of one machine, in milliseconds since the Unix epoch. It may jump and differs between machines, so
+/// it is only displayed and never used for decisions.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct WallTime(pub u64);
 
 impl WallTime {
-    /// The time of day a span before this one, or 1970.
+    /// Subtracts a duration, saturating at the Unix epoch.
     #[must_use]
     #[inline]
-    pub fn saturating_sub(self, span: Duration) -> WallTime {
-        WallTime(self.0.saturating_sub(whole_millis(span)))
+    pub fn saturating_sub(self, duration: Duration) -> WallTime {
+        WallTime(self.0.saturating_sub(whole_millis(duration)))
     }
 }
 
-/// A span of time as it stands in messages and in the state file: whole milliseconds.
+/// A duration as encoded in messages and in the state file, in whole milliseconds.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
@@ -98,15 +98,15 @@
 
 impl From<Duration> for Millis {
     #[inline]
-    fn from(span: Duration) -> Millis {
-        Millis(whole_millis(span))
+    fn from(duration: Duration) -> Millis {
+        Millis(whole_millis(duration))
     }
 }
 
 impl From<Millis> for Duration {
     #[inline]
-    fn from(span: Millis) -> Duration {
-        Duration::from_millis(span.0)
+    fn from(millis: Millis) -> Duration {
+        Duration::from_millis(millis.0)
     }
 }
 
--- a/crates/gateway/types/tests/hash.rs
+++ b/crates/gateway/types/tests/hash.rs
@@ -1,11 +1,11 @@
-//! The hashes that nodes compare and that stand in state files. The values were computed apart from the program: FNV-1a,
-//! its last mix, and the seed in the basis.
+//! Guards against changes of the hash algorithm, which would break comparisons between nodes and existing state files.
+//! The reference values come from an independent implementation.
 
 use rushcourse_types::KeyDigest;
 use rushcourse_types::hash::{hash64, key_digest};
 
 #[test]
-fn hashes_are_these_in_every_build() {
+fn hash64_matches_reference_values() {
     for (bytes, seed, hash) in [
         (&b""[..], 0, 0xefd0_1f60_ba99_2926),
         (b"rushcourse", 0, 0x373d_e2d1_bb47_9eb8),
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_key_digest_holds_the_hashes_of_two_seeds() {
+fn key_digest_combines_hashes_of_two_seeds() {
     let digest = 0xc36e_9347_3a04_f078_f38a_6872_4167_abb3;
     assert_eq!(key_digest(b"rushcourse"), KeyDigest(digest));
 }
--- a/crates/gateway/types/tests/identity.rs
+++ b/crates/gateway/types/tests/identity.rs
@@ -1,10 +1,10 @@
-//! Nodes by the addresses of their machines, and numbers that only rise.
+//! Node id conversions and sequence number arithmetic.
 
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId};
 use std::net::Ipv4Addr;
 
 #[test]
-fn a_node_is_the_address_of_its_machine() {
+fn node_id_converts_to_and_from_ipv4_address() {
     let address = Ipv4Addr::new(10, 1, 0, 34);
     let node = NodeId::from(address);
     assert_eq!(node, NodeId(0x0a01_0022));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_number_rises_from_none_and_stops_at_the_highest() {
+fn sequence_number_starts_at_none_and_saturates() {
     assert!(Epoch::NONE.is_none());
     assert_eq!(Epoch::NONE.next(), Epoch(1));
     assert!(!Epoch(1).is_none());
--- a/crates/gateway/types/tests/time.rs
+++ b/crates/gateway/types/tests/time.rs
@@ -1,4 +1,4 @@
-//! Moments and spans: whole milliseconds, and no overflow at either end.
+//! Truncation to whole milliseconds and saturation at both ends of the range.
 
 use rushcourse_types::{Millis, Timestamp, WallTime};
 use std::time::Duration;
@@ -10,22 +10,22 @@
 }
 
 #[test]
-fn the_span_since_a_later_moment_is_zero() {
+fn duration_since_a_later_timestamp_is_zero() {
     assert_eq!(at(1_500).since(at(1_000)), Duration::from_millis(500));
     assert_eq!(at(1_500) - at(1_000), Duration::from_millis(500));
     assert_eq!(at(1_000).since(at(1_500)), Duration::ZERO);
 }
 
 #[test]
-fn a_moment_moves_by_whole_milliseconds_alone() {
+fn adding_a_duration_truncates_to_milliseconds() {
     assert_eq!(at(1_000) + Duration::from_micros(2_999), at(1_002));
-    let mut moment = at(1_000);
-    moment += Duration::from_secs(1);
-    assert_eq!(moment, at(2_000));
+    let mut timestamp = at(1_000);
+    timestamp += Duration::from_secs(1);
+    assert_eq!(timestamp, at(2_000));
 }
 
 #[test]
-fn moments_stop_at_the_ends_of_what_a_number_holds() {
+fn timestamp_arithmetic_saturates() {
     assert_eq!(LATEST + Duration::from_millis(1), LATEST);
     assert_eq!(at(1) + Duration::MAX, LATEST);
     let second = Duration::from_secs(1);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_span_of_a_message_is_whole_milliseconds() {
+fn millis_conversion_truncates_and_saturates() {
     assert_eq!(Millis::from(Duration::from_micros(1_999)), Millis(1));
     assert_eq!(Millis::from(Duration::MAX), Millis(u64::MAX));
     assert_eq!(Duration::from(Millis(17)), Duration::from_millis(17));
