--- a/crates/gateway/cluster/src/policy_adapter.rs
+++ b/crates/gateway/cluster/src/policy_adapter.rs
@@ -41,7 +41,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Load {
     pub(crate) attempts: u32,
-    /// Number of `attempts` that ended without a response.
+    /// Number of `attempts` that failed. Timeouts are not included.
     pub(crate) failures: u32,
     pub(crate) interval: Duration,
 }
--- a/crates/gateway/routing/src/endpoint_tables.rs
+++ b/crates/gateway/routing/src/endpoint_tables.rs
@@ -25,7 +25,7 @@
     pub service: Arc<str>,
     /// Number of attempts started, including retries and attempts that were cancelled later.
     pub attempts: u32,
-    /// Number of attempts that ended without a response from the host.
+    /// Number of attempts that ended with anything but [`HostObservation::Response`].
     pub failures: u32,
 }
 
