--- a/crates/gateway/consensus/src/claims/mod.rs
+++ b/crates/gateway/consensus/src/claims/mod.rs
@@ -1,12 +1,11 @@
-//! Claims of operation keys. A voter grants a key to the first claim and to no other until the window is over, or until
-//! that claimant itself withdraws its claim. It answers only once its disk holds the claim. A claim that a
-//! majority granted is the only one that can be: two majorities share a voter, also where a voting set follows another
-//! (`membership/mod.rs` states why).
+//! Claims of operation keys. A voter grants a key to its first claim and to no other until the key window is over or
+//! the claimant withdraws. It answers only once the claim is on disk. At most one claim of a key can be granted by a
+//! majority, because any two majorities share a voter, also across changes of the voting set (see `membership/mod.rs`).
 //!
-//! How long a claim is kept is measured by the steady clock alone. The time of day may step, and no clock knows how long
-//! a machine was off: claims that the disk held count as new at the start.
+//! The age of a claim is measured by the monotonic clock alone: the wall clock may step, and no clock tells how long a
+//! machine was off. So claims loaded from disk start a new window.
 //!
-//! * `recent_keys.rs`: the order of arrival; `transfer.rs`: claims in snapshots.
+//! * `recent_keys.rs`: order of arrival; `transfer.rs`: claims in snapshots.
 
 mod recent_keys;
 mod transfer;
@@ -21,25 +20,25 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How much longer than the window a claim is kept: a request is sent a while after its key was claimed (ours).
+/// Time for which a claim is kept beyond the key window, because a request is sent some time after its key was claimed.
 const EXTRA_RETENTION: Duration = Duration::from_millis(10_000);
-/// Claims that a voter holds at most: some 100 bytes each, 20 MB in all (ours). Beyond, it grants no new key until old
+/// Maximum number of claims that a voter stores, at some 100 bytes each. At the limit it grants no new key until old
 /// claims expire.
 const MAX_CLAIMS: usize = 200_000;
-/// Claims that expire in one tick at most, so that no tick is long (ours).
+/// Maximum number of claims that expire per tick; bounds the duration of a tick.
 const MAX_EXPIRED_PER_TICK: usize = 2_000;
 /// A claim that holds its key at this replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldClaim {
-    /// Who holds the key.
+    /// Identifies the claim and the gateway that made it.
     pub id: ClaimId,
-    /// Since when, by this machine's time of day. Shown to people; nothing is decided by it.
+    /// Time of the claim by this machine's wall clock. For display only; no decision depends on it.
     pub claimed_at: WallTime,
-    /// Whether the disk has it.
+    /// Whether the claim is on disk. Only a durable claim has been granted.
     pub is_durable: bool,
 }
 
-/// Who asked for a grant, and under which voting set.
+/// Session and voting set under which a grant was requested.
 #[derive(Clone, Copy, Debug)]
 struct Requester {
     session: SessionId,
@@ -52,30 +51,30 @@
     claimed_at: WallTime,
     expires_at: Timestamp,
     is_durable: bool,
-    /// Who is answered once the disk holds the claim.
+    /// Receives the answer once the claim is on disk.
     requester: Option<Requester>,
 }
 
-/// When the claim of a key expires. Stale where a newer claim of the key expires later.
+/// Expiry of a key's claim. Stale if a newer claim of the key expires later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Expiry {
     at: Timestamp,
     key: KeyDigest,
 }
 
-/// The claims that one voter holds.
+/// Claims stored by this replica, with their expiry and their order of arrival.
 #[derive(Clone, Debug)]
 pub(crate) struct ClaimRegistry {
-    /// How long a claim is kept.
+    /// Time for which a claim is kept: the key window plus [`EXTRA_RETENTION`].
     retention: Duration,
     claims: BTreeMap<KeyDigest, Entry>,
-    /// In the order in which they fall due.
+    /// Ordered by time.
     expiries: VecDeque<Expiry>,
-    recent: RecentKeys,
+    recent_keys: RecentKeys,
 }
 
 impl ClaimRegistry {
-    /// The claims of the state file, for keys that bind as long as `key_window`.
+    /// Restores the claims of the state file. Their expiry times are set by [`ClaimRegistry::start`].
     pub(crate) fn new(key_window: Duration, mut stored: Vec<StoredClaim>) -> ClaimRegistry {
         stored.sort_by_key(|claim| claim.claimed_at);
         let expiry = |claim: &StoredClaim| Expiry {
@@ -96,11 +95,11 @@
                 .map(|claim| (claim.key, entry(claim)))
                 .collect(),
             expiries: stored.iter().map(expiry).collect(),
-            recent: RecentKeys::default(),
+            recent_keys: RecentKeys::default(),
         }
     }
 
-    /// The first step of this incarnation: claims that the disk held count as new.
+    /// Starts a new window for all restored claims at the first step of the process.
     pub(crate) fn start(&mut self, now: Timestamp) {
         let expires_at = now + self.retention;
         for entry in self.claims.values_mut() {
@@ -111,7 +110,7 @@
         }
     }
 
-    /// The claim that holds a key.
+    /// The claim that holds a key, durable or not.
     pub(crate) fn holder(&self, key: KeyDigest) -> Option<HeldClaim> {
         let entry = self.claims.get(&key)?;
         Some(HeldClaim {
@@ -127,15 +126,15 @@
 
     fn insert(&mut self, key: KeyDigest, entry: Entry) {
         self.claims.insert(key, entry);
-        self.recent.push(key);
+        self.recent_keys.push(key);
         self.expiries.push_back(Expiry {
             at: entry.expires_at,
             key,
         });
     }
 
-    /// Answers a claim, or stores it and answers once it is durable. `is_voter`: this replica votes in the set that the
-    /// claim names.
+    /// Answers a claim, or writes it and answers once it is on disk. `is_voter` tells whether this replica votes in the
+    /// voting set that the request names.
     pub(crate) fn claim(&mut self, context: &mut Context, is_voter: bool, request: ClaimRequest) {
         let is_full = self.claims.len() >= MAX_CLAIMS;
         let entry = self.claims.get_mut(&request.key);
@@ -143,9 +142,9 @@
             _ if !is_voter => ClaimVerdict::Abstained,
             Some(entry) if entry.id != request.claim => ClaimVerdict::HeldBy(entry.id),
             Some(entry) if entry.is_durable => ClaimVerdict::Granted,
-            // The same claim again while it is being written: it is answered when that is done.
+            // A retry of a claim that is still being written; it is answered when the write completes.
             Some(entry) => {
-                entry.requester = Some(Requester::of(&request));
+                entry.requester = Some(Requester::from_request(&request));
                 return;
             }
             None if is_full => ClaimVerdict::Abstained,
@@ -157,16 +156,16 @@
     fn write_claim(&mut self, context: &mut Context, request: ClaimRequest) {
         let entry = Entry {
             id: request.claim,
-            claimed_at: context.wall,
+            claimed_at: context.wall_time,
             expires_at: context.now + self.retention,
             is_durable: false,
-            requester: Some(Requester::of(&request)),
+            requester: Some(Requester::from_request(&request)),
         };
         self.insert(request.key, entry);
         let stored = StoredClaim {
             key: request.key,
             id: request.claim,
-            claimed_at: context.wall,
+            claimed_at: context.wall_time,
         };
         context.write(
             vec![WriteOperation::StoreClaim(stored)],
@@ -177,8 +176,8 @@
         );
     }
 
-    /// The disk holds a claim: its answer goes out. It is a grant if this replica still votes in the set that the claim
-    /// was asked for under; `voting_epoch` is the set that it votes in.
+    /// Answers a claim that is now on disk. It is granted if this replica still votes in the voting set that the
+    /// request named; `voting_epoch` is the epoch that it votes in.
     pub(crate) fn claim_synced(
         &mut self,
         context: &mut Context,
@@ -200,7 +199,7 @@
         }
     }
 
-    /// The disk refused a claim: no grant was given, and none will be for it.
+    /// Abstains from a claim that the disk refused, and removes it.
     pub(crate) fn claim_refused(&mut self, context: &mut Context, key: KeyDigest, claim: ClaimId) {
         let is_refused = |entry: &&Entry| entry.id == claim && !entry.is_durable;
         let Some(entry) = self.claims.get(&key).filter(is_refused) else {
@@ -216,8 +215,8 @@
         self.claims.remove(&key);
     }
 
-    /// Removes a claim that its claimant withdraws. The record on disk may go later: a claim that is back after a loss of
-    /// power blocks its key for a window, and breaks nothing.
+    /// Removes a claim at its claimant's request. The removal need not be durable: if the claim reappears after a loss
+    /// of power, it only blocks its key for another window.
     pub(crate) fn withdraw(&mut self, context: &mut Context, key: KeyDigest, claim: ClaimId) {
         if self.claims.get(&key).is_some_and(|entry| entry.id == claim) {
             self.claims.remove(&key);
@@ -228,7 +227,7 @@
         }
     }
 
-    /// Removes claims that have expired, a bounded number in each tick.
+    /// Removes expired claims, at most [`MAX_EXPIRED_PER_TICK`] of them.
     pub(crate) fn tick(&mut self, context: &mut Context) {
         let mut operations = Vec::new();
         for _ in 0..MAX_EXPIRED_PER_TICK {
@@ -250,7 +249,7 @@
 }
 
 impl Requester {
-    fn of(request: &ClaimRequest) -> Requester {
+    fn from_request(request: &ClaimRequest) -> Requester {
         Requester {
             session: request.session,
             epoch: request.epoch,
--- a/crates/gateway/consensus/src/claims/recent_keys.rs
+++ b/crates/gateway/consensus/src/claims/recent_keys.rs
@@ -1,22 +1,22 @@
-//! The order in which claims arrived, as far back as it is kept.
+//! The order in which recent claims arrived.
 
 use rushcourse_types::KeyDigest;
 use std::collections::VecDeque;
 
-/// Claims whose order of arrival is kept, for snapshots that go on where the last one ended, or that begin before a member
-/// restarted (ours: 16 seconds' worth at 2,000 a second, in half a megabyte).
+/// Number of claims whose order of arrival is kept, for snapshots that continue an earlier one or start at a recovery
+/// point. A snapshot that starts further back contains all claims.
 const MAX_RECENT_CLAIMS: usize = 32_768;
 
-/// The last keys in the order in which their claims arrived.
+/// Keys of the most recent claims, in order of arrival.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RecentKeys {
     keys: VecDeque<KeyDigest>,
-    /// The position of the first of them, counted from this replica's start.
+    /// Position of the first key in the sequence of all claims since this replica's start.
     first_position: u64,
 }
 
 impl RecentKeys {
-    /// A claim of this key arrived.
+    /// Appends the key of a claim that arrived.
     pub(super) fn push(&mut self, key: KeyDigest) {
         self.keys.push_back(key);
         if self.keys.len() > MAX_RECENT_CLAIMS {
@@ -25,12 +25,12 @@
         }
     }
 
-    /// The position behind the last key.
+    /// Position after the last key.
     pub(super) fn end(&self) -> u64 {
         self.first_position + self.keys.len() as u64
     }
 
-    /// The keys from a position on; `None` if that is no longer known.
+    /// The keys from a position on; `None` if that position is no longer kept.
     pub(super) fn since(&self, position: u64) -> Option<impl Iterator<Item = &KeyDigest>> {
         let is_known = (self.first_position..=self.end()).contains(&position);
         is_known.then(|| {
--- a/crates/gateway/consensus/src/claims/transfer.rs
+++ b/crates/gateway/consensus/src/claims/transfer.rs
@@ -1,4 +1,4 @@
-//! Claims in snapshots: what one voter sends, and what another replica installs.
+//! Claims in snapshots.
 
 use super::{ClaimRegistry, Entry};
 use crate::context::Context;
@@ -8,12 +8,12 @@
 use std::time::Duration;
 
 impl ClaimRegistry {
-    /// The position behind the last claim that arrived: the next snapshot for the same receiver begins there.
+    /// Position after the last claim that arrived; the next snapshot for the same receiver starts there.
     pub(crate) fn position(&self) -> u64 {
-        self.recent.end()
+        self.recent_keys.end()
     }
 
-    /// All claims, or those that arrived from a position on, where that is still known.
+    /// Returns the claims that arrived from a position on, or all claims if the position is `None` or no longer kept.
     pub(crate) fn snapshot(&self, now: Timestamp, from: Option<u64>) -> Vec<ClaimRecord> {
         let record = |key: &KeyDigest, entry: &Entry| {
             let remaining = entry.expires_at.since(now);
@@ -23,7 +23,7 @@
                 age: Millis::from(self.retention.saturating_sub(remaining)),
             }
         };
-        match from.and_then(|position| self.recent.since(position)) {
+        match from.and_then(|position| self.recent_keys.since(position)) {
             Some(keys) => keys
                 .filter_map(|key| Some(record(key, self.claims.get(key)?)))
                 .collect(),
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Adds the claims of another voter's snapshot, and returns what is to be written. A claim that is held already
-    /// stays. The new ones are durable from [`ClaimRegistry::install_synced`] on.
+    /// Adds the claims of a voter's snapshot and returns the writes. A claim that is already stored for a key is kept.
+    /// The new claims become durable with [`ClaimRegistry::install_synced`].
     pub(crate) fn install(
         &mut self,
         context: &Context,
@@ -50,7 +50,7 @@
             let age = Duration::from(record.age);
             let entry = Entry {
                 id: record.claim,
-                claimed_at: context.wall.saturating_sub(age),
+                claimed_at: context.wall_time.saturating_sub(age),
                 expires_at: context.now + self.retention.saturating_sub(age),
                 is_durable: false,
                 requester: None,
@@ -66,7 +66,7 @@
         operations
     }
 
-    /// The disk holds the installed claims of these keys.
+    /// Marks the installed claims of these keys as durable.
     pub(crate) fn install_synced(&mut self, keys: &[KeyDigest]) {
         for key in keys {
             if let Some(entry) = self.claims.get_mut(key) {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// The disk refused the installed claims of these keys: they are asked for again.
+    /// Removes the installed claims of these keys, which the disk refused. They are requested again.
     pub(crate) fn install_refused(&mut self, keys: &[KeyDigest]) {
         for key in keys {
             if self.claims.get(key).is_some_and(|entry| !entry.is_durable) {
--- a/crates/gateway/consensus/src/configuration/mod.rs
+++ b/crates/gateway/consensus/src/configuration/mod.rs
@@ -1,9 +1,9 @@
-//! The configuration: the highest version that was chosen holds.
+//! The configuration: the highest committed version is in force.
 //!
-//! Each version is a slot, and its text is chosen by ballots: so however operators race, and whatever is lost, one text
-//! at most is committed under a version, and the slot is decided once a majority is connected. A replica learns that a
-//! version is committed from what the voters report of their disks; nothing that could still be lost is ever served.
-//! Replicas that lag get the newest version only.
+//! Each version is a slot whose text is chosen by ballots. So at most one text is committed under a version, even if
+//! operators submit different texts at the same time and replicas fail; and the slot is decided once a majority is
+//! connected. A replica learns that a version is committed from the votes that voters report as durable, so a
+//! configuration that could still be lost is never served. Replicas that lag receive only the newest version.
 //!
 //! * `operator_calls.rs`: operators' calls that wait for a majority.
 //! * `lagging_peers.rs`: sends the committed version to replicas that lack it.
@@ -26,59 +26,58 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two reports of what is held, when nothing changed. Two of them are shorter than
-/// `peer_reports::REPORT_TIMEOUT`, as a report is echoed up to this time after it was read.
+/// Interval between reports while nothing changes. Twice this interval has to be less than
+/// `peer_reports::REPORT_TIMEOUT`, because a report is echoed up to one interval after its receipt.
 const REPORT_INTERVAL: Duration = Duration::from_millis(700);
-/// For how long an accepted version may stay open before a voter proposes it again, and what each rank adds: its
-/// proposer may be gone.
-const COMPLETION_DELAY: Duration = Duration::from_millis(400);
-const COMPLETION_DELAY_PER_RANK: Duration = Duration::from_millis(150);
-/// For how long a voter tries to get such a version chosen before it looks again.
-const COMPLETION_TIMEOUT: Duration = Duration::from_millis(1_000);
-
-/// A version that is accepted here and not committed.
+/// Time for which an accepted version may stay uncommitted before a voter proposes it again, in case its proposer has
+/// failed, and the delay added per rank.
+const REPROPOSAL_DELAY: Duration = Duration::from_millis(400);
+const REPROPOSAL_DELAY_PER_RANK: Duration = Duration::from_millis(150);
+/// Time for which a voter tries to get an uncommitted version chosen before it checks again whether that is needed.
+const REPROPOSAL_TIMEOUT: Duration = Duration::from_millis(1_000);
+
+/// A version that is accepted here but not committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct OpenVersion {
+struct UncommittedVersion {
     version: ConfigurationVersion,
     ballot: Ballot,
     since: Timestamp,
 }
 
-/// This replica's part in the configuration.
+/// The committed configuration, pending operator calls, and reports to other replicas.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ConfigurationReplica {
     committed: ConfigurationVersion,
-    calls: OperatorCalls,
+    operator_calls: OperatorCalls,
     reported_at: Timestamp,
-    open: Option<OpenVersion>,
+    uncommitted: Option<UncommittedVersion>,
     lagging: LaggingPeers,
 }
 
 impl ConfigurationReplica {
-    /// The version that this replica knows to be committed.
+    /// Highest version that this replica knows to be committed; `NONE` before the first one.
     pub fn committed_version(&self) -> ConfigurationVersion {
         self.committed
     }
 
-    /// The configuration that this replica knows to be committed.
+    /// The configuration of the highest version that this replica knows to be committed.
     pub fn committed(&self, acceptor: &Acceptor) -> Option<CommittedConfiguration> {
         acceptor.committed_configuration(self.committed)
     }
 
-    /// The highest version that is accepted here or committed.
+    /// Highest version that is accepted or committed here.
     pub fn highest_accepted(&self, acceptor: &Acceptor) -> ConfigurationVersion {
         acceptor.highest_version(self.committed)
     }
 
-    /// The session with a peer broke.
     pub fn peer_disconnected(&mut self, peer: NodeId) {
-        self.lagging.forget(peer);
+        self.lagging.remove(peer);
     }
 
-    /// Reports to one replica what this one holds.
+    /// Sends one replica a report of this one's durable votes and committed version.
     pub fn report_to(&self, context: &mut Context, peer: NodeId, paxos: &Paxos) {
         let status = ReplicaStatus {
-            // Zero stands for no report.
+            // Zero is reserved for "no report received".
             sent_at: context.now.max(Timestamp::from_millis(1)),
             echoed: paxos.reports.last_sent_at(peer),
             epoch: paxos.membership.voting_set().epoch,
@@ -92,7 +91,7 @@
         context.send(peer, status.into());
     }
 
-    /// Reports to all replicas what this one holds.
+    /// Sends a report to all connected replicas and restarts the report interval.
     pub fn report_to_all(&mut self, context: &mut Context, paxos: &Paxos) {
         self.reported_at = context.now;
         for peer in paxos.membership.connected_peers() {
@@ -100,7 +99,7 @@
         }
     }
 
-    /// An operator's new configuration.
+    /// Proposes an operator's new configuration. The call is answered with [`Effect::AnswerCall`].
     pub fn put(
         &mut self,
         context: &mut Context,
@@ -109,16 +108,16 @@
         version: ConfigurationVersion,
         text: Arc<[u8]>,
     ) {
-        self.calls
+        self.operator_calls
             .put(context, paxos, ticket, version, text, self.committed);
     }
 
-    /// An operator asks for the committed configuration.
+    /// Starts a linearizable read of the committed configuration for an operator.
     pub fn get(&mut self, context: &mut Context, paxos: &Paxos, ticket: Ticket) {
-        self.calls.get(context, paxos, ticket, self.committed);
+        self.operator_calls.get(context, paxos, ticket, self.committed);
     }
 
-    /// A replica's answer to a read.
+    /// Counts a replica's response to a pending read.
     pub fn read_response(
         &mut self,
         from: NodeId,
@@ -126,14 +125,14 @@
         is_voter: bool,
         highest_accepted: ConfigurationVersion,
     ) {
-        self.calls
+        self.operator_calls
             .read_response(from, token, is_voter, highest_accepted);
     }
 
-    /// Commits what is chosen, and answers calls whose outcome is known.
+    /// Commits the highest chosen version, and answers calls whose outcome is known.
     pub fn update(&mut self, context: &mut Context, paxos: &mut Paxos) {
         self.commit_chosen(context, paxos);
-        self.calls.answer_ended(context, paxos, self.committed);
+        self.operator_calls.answer_finished(context, paxos, self.committed);
     }
 
     fn commit_chosen(&mut self, context: &mut Context, paxos: &mut Paxos) {
@@ -148,13 +147,13 @@
         let text = proposal.value.clone();
         drop(above);
         self.committed = version;
-        self.open = None;
+        self.uncommitted = None;
         paxos.proposer.configuration_committed(version);
-        let decided = PruneBounds {
+        let bounds = PruneBounds {
             versions_below: version,
             epochs_through: Epoch::NONE,
         };
-        paxos.acceptor.prune(context, decided);
+        paxos.acceptor.prune(context, bounds);
         context.log(LogEvent::ConfigurationCommitted {
             version,
             epoch: paxos.membership.voting_set().epoch,
@@ -166,14 +165,14 @@
         self.report_to_all(context, paxos);
     }
 
-    /// Another voting set is adopted.
+    /// Restarts pending calls in the new voting set and reports to all replicas.
     pub fn voting_set_changed(&mut self, context: &mut Context, paxos: &mut Paxos) {
-        self.calls
+        self.operator_calls
             .voting_set_changed(context, paxos, self.committed);
         self.report_to_all(context, paxos);
     }
 
-    /// Does what is due.
+    /// Performs periodic work: write retries, reports, and transfer of versions that others lack.
     pub fn tick(&mut self, context: &mut Context, paxos: &mut Paxos) {
         if context.is_disk_usable() {
             paxos.acceptor.retry_writes(context);
@@ -181,35 +180,35 @@
         if context.now >= self.reported_at + REPORT_INTERVAL {
             self.report_to_all(context, paxos);
         }
-        self.complete_open_version(context, paxos);
+        self.repropose_uncommitted_version(context, paxos);
         self.lagging.push(context, paxos, self.committed);
     }
 
     /// Proposes the highest accepted version again if it has not been committed in time.
-    fn complete_open_version(&mut self, context: &mut Context, paxos: &mut Paxos) {
+    fn repropose_uncommitted_version(&mut self, context: &mut Context, paxos: &mut Paxos) {
         let highest = paxos.acceptor.configurations_above(self.committed).next();
         let Some((version, proposal)) = highest else {
-            self.open = None;
+            self.uncommitted = None;
             return;
         };
         let ballot = proposal.ballot;
         let value = proposal.value.clone();
-        let is_same = |open: &OpenVersion| (open.version, open.ballot) == (version, ballot);
-        let open = self.open.filter(is_same).unwrap_or(OpenVersion {
+        let is_same = |uncommitted: &UncommittedVersion| (uncommitted.version, uncommitted.ballot) == (version, ballot);
+        let uncommitted = self.uncommitted.filter(is_same).unwrap_or(UncommittedVersion {
             version,
             ballot,
             since: context.now,
         });
-        self.open = Some(open);
+        self.uncommitted = Some(uncommitted);
         let membership = &paxos.membership;
-        let delay = COMPLETION_DELAY + COMPLETION_DELAY_PER_RANK * membership.rank();
+        let delay = REPROPOSAL_DELAY + REPROPOSAL_DELAY_PER_RANK * membership.rank();
         let may_propose = membership.is_voter() && membership.has_quorum_contact();
-        if may_propose && context.now >= open.since + delay {
+        if may_propose && context.now >= uncommitted.since + delay {
             let request = ProposalRequest {
                 slot: Slot::Configuration(version),
                 value,
                 removed: None,
-                expires_at: context.now + COMPLETION_TIMEOUT,
+                expires_at: context.now + REPROPOSAL_TIMEOUT,
             };
             paxos.propose(context, request);
         }
--- a/crates/gateway/consensus/src/configuration/operator_calls.rs
+++ b/crates/gateway/consensus/src/configuration/operator_calls.rs
@@ -11,10 +11,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Within which an operator's call ends: a caller moves on after a second of silence (PROTOCOL.md).
+/// Time limit of a call. Shorter than the second after which an operator's client tries another controller
+/// (PROTOCOL.md).
 const CALL_TIMEOUT: Duration = Duration::from_millis(850);
 
-/// A new configuration that waits for its outcome.
+/// A submitted configuration that is not committed yet.
 #[derive(Clone, Debug)]
 struct PutCall {
     version: ConfigurationVersion,
@@ -22,19 +23,19 @@
     expires_at: Timestamp,
 }
 
-/// A read that waits for what a majority has accepted.
+/// A read that waits for the versions accepted by a majority of voters.
 #[derive(Clone, Debug)]
 struct GetCall {
     token: RequestToken,
     expires_at: Timestamp,
-    /// Voters that have answered.
+    /// Voters that have responded, including this replica if it votes.
     responders: BTreeSet<NodeId>,
-    /// The highest version that any of them has accepted.
+    /// Highest version that any response reported as accepted; the read waits until it is committed.
     highest_accepted: ConfigurationVersion,
 }
 
 impl PutCall {
-    /// How the call ends; `None`: not yet.
+    /// Returns the result of the call; `None` while it is pending.
     fn outcome(
         &self,
         now: Timestamp,
@@ -57,7 +58,7 @@
     }
 }
 
-/// Operators' calls that wait for their outcomes.
+/// Pending calls of operators, by the tickets under which they are answered.
 #[derive(Clone, Debug, Default)]
 pub(super) struct OperatorCalls {
     puts: BTreeMap<Ticket, PutCall>,
@@ -66,7 +67,7 @@
 }
 
 impl OperatorCalls {
-    /// Proposes a new configuration.
+    /// Proposes a new configuration. Fails at once if there is a voting set and its majority is unreachable.
     pub(super) fn put(
         &mut self,
         context: &mut Context,
@@ -90,7 +91,7 @@
         self.puts.insert(ticket, call);
     }
 
-    /// Begins a read: asks voters what they have accepted.
+    /// Starts a read by asking all reachable members for the versions that they have accepted.
     pub(super) fn get(
         &mut self,
         context: &mut Context,
@@ -122,7 +123,7 @@
         }
     }
 
-    /// A replica's answer to a read; it counts towards the majority if the replica votes.
+    /// Records a response to a read; it counts towards the majority if the sender votes.
     pub(super) fn read_response(
         &mut self,
         from: NodeId,
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Another voting set is adopted: answers of the old one's voters no longer count. Configurations are proposed to
-    /// the new one, reads are restarted.
+    /// Restarts pending calls after a change of the voting set, because responses from the previous set don't count in
+    /// the new one.
     pub(super) fn voting_set_changed(
         &mut self,
         context: &mut Context,
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Answers the calls whose outcome is known, and those that time out.
-    pub(super) fn answer_ended(
+    /// Answers calls whose result is known and calls that have timed out.
+    pub(super) fn answer_finished(
         &mut self,
         context: &mut Context,
         paxos: &Paxos,
@@ -176,8 +177,8 @@
         let outcome = |(ticket, call): (&Ticket, &PutCall)| {
             Some((*ticket, call.outcome(context.now, committed, text)?))
         };
-        let ended: Vec<(Ticket, CallOutcome)> = self.puts.iter().filter_map(outcome).collect();
-        for (ticket, outcome) in ended {
+        let finished: Vec<(Ticket, CallOutcome)> = self.puts.iter().filter_map(outcome).collect();
+        for (ticket, outcome) in finished {
             self.puts.remove(&ticket);
             answer(context, ticket, outcome);
         }
@@ -196,18 +197,19 @@
             }
             (context.now >= call.expires_at).then_some(CallOutcome::Unknown)
         };
-        let ended = self.gets.iter();
-        let ended: Vec<(Ticket, CallOutcome)> = ended
+        let finished = self.gets.iter();
+        let finished: Vec<(Ticket, CallOutcome)> = finished
             .filter_map(|(ticket, call)| Some((*ticket, outcome(call)?)))
             .collect();
-        for (ticket, outcome) in ended {
+        for (ticket, outcome) in finished {
             self.gets.remove(&ticket);
             answer(context, ticket, outcome);
         }
     }
 }
 
-/// Proposes a call's configuration, unless there is no voting set yet: then it waits for that.
+/// Proposes a call's configuration. Before the first voting set it does nothing; the call is proposed once a set is
+/// adopted.
 fn propose(
     context: &mut Context,
     paxos: &mut Paxos,
--- a/crates/gateway/consensus/src/context.rs
+++ b/crates/gateway/consensus/src/context.rs
@@ -1,4 +1,4 @@
-//! What the parts of a step share: the time, the effects of the step, and what waits for the disk.
+//! State shared by all modules during a step: the current time, the effects to return, and writes in progress.
 
 use crate::durable_state::{BatchId, WriteBatch, WriteOperation};
 use crate::effect::Effect;
@@ -8,75 +8,74 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// Between two tries of a disk that refuses writes.
+/// Interval between test writes while the disk refuses writes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// What waits for a batch to be synced.
+/// Action to take once a batch is synced or refused.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum PendingWrite {
-    /// A voting set that this replica is to count in.
+    /// Adopt this voting set.
     VotingSet(VotingSet),
-    /// A promise, and the proposer that it is for.
+    /// Send the promise to its proposer.
     Promise {
         proposer: NodeId,
         slot: Slot,
         ballot: Ballot,
     },
-    /// An accepted proposal.
+    /// Report the vote, if the accepted proposal is one.
     Accepted { slot: Slot, ballot: Ballot },
-    /// A claim that a gateway made.
+    /// Answer the gateway that made the claim.
     Claim { key: KeyDigest, claim: ClaimId },
-    /// A part of a voter's snapshot.
+    /// Mark claims received in a snapshot chunk as durable.
     Snapshot {
-        /// Keys of the claims in it.
+        /// Operation keys of the claims in the chunk.
         keys: Vec<KeyDigest>,
-        /// The epoch of the set whose voters have sent enough snapshots by it.
+        /// Epoch of the voting set, if this chunk completes the last snapshot that is needed.
         completed_epoch: Option<Epoch>,
     },
-    /// It shows whether the disk takes writes again.
+    /// An empty batch that tests whether the disk accepts writes again.
     Probe,
-    /// Nothing waits for it.
+    /// No action.
     Untracked,
 }
 
-/// A batch that the disk has neither synced nor refused.
+/// A batch that the disk has neither synced nor refused yet.
 #[derive(Clone, Debug)]
 struct UnsyncedBatch {
-    /// The generation that the disk has with it; `None`: it leaves it as it is.
+    /// Generation of the disk once the batch is synced; `None` if the batch doesn't raise it.
     generation: Option<Generation>,
     pending: PendingWrite,
 }
 
-/// The time and the effects of the current step, and what waits for the disk.
+/// Current time, collected effects and unsynced batches of a replica.
 #[derive(Clone, Debug)]
 pub(crate) struct Context {
-    /// This replica.
     pub node: NodeId,
-    /// The time of this step, by the steady clock.
+    /// Time of the current step by the monotonic clock.
     pub now: Timestamp,
-    /// The time of this step, by the time of day; only for status pages.
-    pub wall: WallTime,
-    last_batch: BatchId,
+    /// Time of the current step by the wall clock. Shown on status pages only; no decision depends on it.
+    pub wall_time: WallTime,
+    last_batch_id: BatchId,
     unsynced: BTreeMap<BatchId, UnsyncedBatch>,
-    /// Of the last batch that something waits for.
+    /// Generation of the last tracked batch that was written, whether or not it is synced.
     last_generation: Generation,
     durable_generation: Generation,
-    /// Since when the disk has refused all writes.
+    /// Time of the first refused batch since the disk last synced one; `None` while the disk accepts writes.
     refusing_since: Option<Timestamp>,
     probed_at: Timestamp,
-    /// Messages of this replica to itself; they are handled before the step ends.
+    /// Messages that this replica sent to itself; they are handled before the step ends.
     loopback: VecDeque<Message>,
     effects: Vec<Effect>,
 }
 
 impl Context {
-    /// The context before the first step. `generation`: what the disk has.
+    /// Creates the context for a replica whose disk has the given generation.
     pub fn new(node: NodeId, generation: Generation) -> Context {
         Context {
             node,
             now: Timestamp::ZERO,
-            wall: WallTime::default(),
-            last_batch: BatchId::NONE,
+            wall_time: WallTime::default(),
+            last_batch_id: BatchId::NONE,
             unsynced: BTreeMap::new(),
             last_generation: generation,
             durable_generation: generation,
@@ -87,10 +86,10 @@
         }
     }
 
-    /// Writes a batch. [`Context::batch_synced`] or [`Context::batch_refused`] gives `pending` back. A batch that something
-    /// waits for raises the generation of the disk.
+    /// Writes a batch; `pending` is returned by [`Context::batch_synced`] or [`Context::batch_refused`]. Every batch
+    /// except an untracked one raises the generation of the disk.
     pub fn write(&mut self, mut operations: Vec<WriteOperation>, pending: PendingWrite) {
-        self.last_batch = self.last_batch.next();
+        self.last_batch_id = self.last_batch_id.next();
         let raises_generation = pending != PendingWrite::Untracked;
         let generation = raises_generation.then(|| self.last_generation.next());
         if let Some(generation) = generation {
@@ -101,14 +100,15 @@
             generation,
             pending,
         };
-        self.unsynced.insert(self.last_batch, unsynced);
+        self.unsynced.insert(self.last_batch_id, unsynced);
         self.push(Effect::Write(WriteBatch {
-            id: self.last_batch,
+            id: self.last_batch_id,
             operations,
         }));
     }
 
-    /// The disk holds a batch, and all before it that it did not refuse. Returns what waited for it.
+    /// Handles the sync of a batch: it and all earlier batches that were not refused are on disk. Returns the action
+    /// that was pending on it.
     pub fn batch_synced(&mut self, batch: BatchId) -> Option<PendingWrite> {
         let synced = self.unsynced.remove(&batch)?;
         if self.refusing_since.take().is_some() {
@@ -118,7 +118,7 @@
         Some(synced.pending)
     }
 
-    /// The disk refused a batch. Returns what waited for it.
+    /// Handles the refusal of a batch, none of which was written. Returns the action that was pending on it.
     pub fn batch_refused(&mut self, batch: BatchId) -> Option<PendingWrite> {
         let refused = self.unsynced.remove(&batch)?;
         if self.refusing_since.is_none() {
@@ -128,12 +128,12 @@
         Some(refused.pending)
     }
 
-    /// Whether the disk took the last batch that it was given.
+    /// Whether the disk synced the batch that it reported on last.
     pub fn is_disk_usable(&self) -> bool {
         self.refusing_since.is_none()
     }
 
-    /// Tries a write now and then while the disk refuses them.
+    /// Writes an empty batch every [`PROBE_INTERVAL`] while the disk refuses writes.
     pub fn probe_disk(&mut self) {
         if !self.is_disk_usable() && self.now >= self.probed_at + PROBE_INTERVAL {
             self.probed_at = self.now;
@@ -141,17 +141,17 @@
         }
     }
 
-    /// The generation of the disk: it holds all batches up to this one that it did not refuse.
+    /// Generation of the last synced batch that raised it.
     pub fn durable_generation(&self) -> Generation {
         self.durable_generation
     }
 
-    /// The next batch that something waits for has a generation above this one.
+    /// Makes the next tracked batch use a generation above this one.
     pub fn raise_generation(&mut self, above: Generation) {
         self.last_generation = self.last_generation.max(above);
     }
 
-    /// Sends a message to another replica, or to this one itself.
+    /// Sends a message to another replica, or queues it on the loopback if this replica is the receiver.
     pub fn send(&mut self, to: NodeId, message: Message) {
         if to == self.node {
             self.loopback.push_back(message);
@@ -160,22 +160,19 @@
         }
     }
 
-    /// The next message of this replica to itself.
     pub fn next_loopback(&mut self) -> Option<Message> {
         self.loopback.pop_front()
     }
 
-    /// Adds a line to the log.
     pub fn log(&mut self, event: LogEvent) {
         self.push(Effect::Log(event));
     }
 
-    /// Adds an effect to this step.
     pub fn push(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    /// Ends the step: its effects.
+    /// Returns the effects of the step and clears them.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
--- a/crates/gateway/consensus/src/durable_state.rs
+++ b/crates/gateway/consensus/src/durable_state.rs
@@ -1,30 +1,30 @@
-//! What the state file holds, and the operations that change it.
+//! Contents of the state file, and the operations that change it.
 
 use rushcourse_messages::{HostRecord, HostState, Slot, SlotRecord, VotingSet};
 use rushcourse_types::{ClaimId, ConfigurationVersion, Epoch, Generation, KeyDigest, WallTime};
 
-/// A claim of an operation key as the state file holds it.
+/// A claim of an operation key as stored in the state file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoredClaim {
-    /// The claimed operation key.
+    /// Digest of the claimed operation key.
     pub key: KeyDigest,
-    /// Who holds it.
+    /// The claim that holds the key.
     pub id: ClaimId,
-    /// When this machine received the claim, by its time of day. Shown to people; nothing is decided by it.
+    /// Time at which this machine received the claim, by its wall clock. For display only; no decision depends on it.
     pub claimed_at: WallTime,
 }
 
-/// Which acceptor records are no longer needed.
+/// Bounds below which acceptor records belong to decided slots and can be removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PruneBounds {
-    /// Records of versions below this one.
+    /// Records of configuration versions below this one are removed.
     pub versions_below: ConfigurationVersion,
-    /// Records of voting sets up to this epoch.
+    /// Records of voting sets up to and including this epoch are removed.
     pub epochs_through: Epoch,
 }
 
 impl PruneBounds {
-    /// Whether the record of a slot is no longer needed.
+    /// Whether the record of a slot falls within the bounds.
     pub fn contains(&self, slot: Slot) -> bool {
         match slot {
             Slot::Configuration(version) => version < self.versions_below,
@@ -33,72 +33,72 @@
     }
 }
 
-/// One change of the state file.
+/// A single change of the state file.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteOperation {
-    /// The voting set that this replica counts in; its epoch is always higher than before.
+    /// Stores the voting set that this replica has adopted; its epoch is higher than that of the stored one.
     StoreVotingSet(VotingSet),
-    /// This replica holds what a voter of its set has to hold.
+    /// Records that this replica has complete state for its voting set.
     MarkStateComplete,
-    /// It no longer does: it was not a member all the time.
+    /// Records that this replica lacks state, for instance because it was not a member of the previous voting set.
     MarkStateIncomplete,
-    /// The generation that the file has with this batch; always higher than before.
+    /// Stores the generation of the disk; always higher than the stored one.
     StoreGeneration(Generation),
-    /// An acceptor's record for a slot, in place of an earlier one.
+    /// Stores an acceptor's record for a slot and replaces an earlier one.
     StoreRecord(SlotRecord),
-    /// Removes acceptor records that are no longer needed.
+    /// Removes acceptor records of decided slots.
     PruneRecords(PruneBounds),
-    /// A claim of an operation key, in place of an earlier one of that key.
+    /// Stores a claim of an operation key and replaces an earlier claim of that key.
     StoreClaim(StoredClaim),
-    /// Removes the claim of a key.
+    /// Removes the claim that holds a key.
     RemoveClaim(KeyDigest),
-    /// The last record of one run of a host; that of a host that is gone is removed. Nothing waits for these.
+    /// Stores the latest record of a host, or removes it if the host is gone. Consensus never reads these records.
     StoreHost(HostRecord),
 }
 
-/// The number of a batch, from 1 on, as the replica that writes it counts them.
+/// Sequence number of a write batch; a replica numbers its batches from 1 at each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BatchId(pub u64);
 
 impl BatchId {
-    /// A batch that nothing waits for.
+    /// Used before the first batch is written.
     pub const NONE: BatchId = BatchId(0);
 
-    /// The number that follows.
+    /// Returns the number of the following batch.
     #[must_use]
     pub const fn next(self) -> BatchId {
         BatchId(self.0 + 1)
     }
 }
 
-/// Operations that are written together or not at all.
+/// Operations that are written atomically.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WriteBatch {
-    /// Names the batch when it is synced or refused.
+    /// Identifies the batch in [`crate::Input::BatchSynced`] and [`crate::Input::BatchRefused`].
     pub id: BatchId,
-    /// In the order in which they take effect.
+    /// Operations in the order in which they apply.
     pub operations: Vec<WriteOperation>,
 }
 
-/// What a state file holds.
+/// Contents of a state file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DurableState {
-    /// The voting set that this replica counts in; epoch 0: none yet.
+    /// The voting set that this replica has adopted; epoch 0 before the first one.
     pub voting_set: VotingSet,
-    /// Whether this replica holds what a voter of its set has to hold.
+    /// Whether this replica had complete state for its voting set.
     pub has_complete_state: bool,
-    /// Rises with each batch that something rests on.
+    /// Increases with each batch whose sync the replica acts upon; distinguishes an older copy of the disk.
     pub generation: Generation,
-    /// The acceptor's records in the order of their slots.
+    /// Acceptor records, ordered by slot.
     pub records: Vec<SlotRecord>,
-    /// Claims of operation keys.
+    /// Claims of operation keys, including ones whose key window is over and that have not been removed yet.
     pub claims: Vec<StoredClaim>,
-    /// The last records of hosts.
+    /// Latest record of each host.
     pub hosts: Vec<HostRecord>,
 }
 
 impl DurableState {
-    /// Applies operations as a disk does that syncs them.
+    /// Applies operations to the state in memory, as a disk that syncs them would.
     pub fn apply(&mut self, operations: Vec<WriteOperation>) {
         for operation in operations {
             self.apply_one(operation);
--- a/crates/gateway/consensus/src/effect.rs
+++ b/crates/gateway/consensus/src/effect.rs
@@ -1,4 +1,4 @@
-//! The effects of a step, which its caller carries out.
+//! Effects that the caller of a step carries out.
 
 use crate::durable_state::WriteBatch;
 use crate::log_event::LogEvent;
@@ -8,71 +8,71 @@
 };
 use std::sync::Arc;
 
-/// A configuration that a majority of disks holds.
+/// A configuration that a majority of the voting set has on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CommittedConfiguration {
-    /// The number that its operator gave it.
+    /// Version assigned by the operator.
     pub version: ConfigurationVersion,
-    /// Its whole text, as the operator sent it.
+    /// Complete text, byte for byte as the operator submitted it.
     pub text: Arc<[u8]>,
 }
 
-/// How an operator's call ends.
+/// Result of an operator's call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// A majority of disks holds this version or a higher one.
+    /// This version or a higher one is committed.
     Acknowledged {
-        /// Under this very version another text is committed, and the call changed nothing.
+        /// Whether a different text was already committed under the same version, so that the call had no effect.
         is_other_text: bool,
     },
-    /// The committed configuration that was asked for.
+    /// The committed configuration, in reply to a read.
     Configuration(CommittedConfiguration),
-    /// None was ever committed.
+    /// Reply to a read when no configuration has been committed yet.
     NoConfiguration,
-    /// No majority answered in time: the version may be committed or not.
+    /// No majority answered within the call timeout; a submitted version may or may not become committed.
     Unknown,
 }
 
-/// A claim's answer, to the gateway that asked.
+/// A voter's answer to a gateway's claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimAnswer {
-    /// The session that the claim came by.
+    /// Session on which the claim arrived.
     pub session: SessionId,
-    /// The voting set that the claim was asked for under.
+    /// Epoch of the voting set that the gateway named in its request.
     pub epoch: Epoch,
-    /// The operation key.
+    /// Digest of the operation key.
     pub key: KeyDigest,
-    /// The claim of it.
+    /// The claim that is answered.
     pub claim: ClaimId,
-    /// Granted or not.
+    /// Granted, held by another claim, or abstained.
     pub verdict: ClaimVerdict,
 }
 
-/// What the caller of a step is to do. The order of effects matters.
+/// An action for the caller of a step. Effects must be carried out in the order returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write a batch and sync it; then report [`crate::Input::BatchSynced`] or [`crate::Input::BatchRefused`].
+    /// Write and sync a batch, then report [`crate::Input::BatchSynced`] or [`crate::Input::BatchRefused`].
     Write(WriteBatch),
     /// Send a message to another controller.
     Send {
-        /// The receiver.
+        /// Address of the receiving controller.
         to: NodeId,
-        /// What it is sent.
+        /// Content of the message.
         message: Message,
     },
     /// Answer a gateway's claim.
     AnswerClaim(ClaimAnswer),
     /// Answer an operator's call.
     AnswerCall {
-        /// The call.
+        /// Identifies the call, as in the input that started it.
         ticket: Ticket,
-        /// How it ended.
+        /// Result to return to the operator.
         outcome: CallOutcome,
     },
-    /// This configuration is committed from now on.
+    /// A new configuration is committed and replaces the previous one.
     ConfigurationCommitted(CommittedConfiguration),
-    /// This replica counts in another voting set from now on.
+    /// This replica has adopted a newer voting set.
     VotingSetAdopted(VotingSet),
-    /// A line for the log.
+    /// Write a line to the log.
     Log(LogEvent),
 }
--- a/crates/gateway/consensus/src/input.rs
+++ b/crates/gateway/consensus/src/input.rs
@@ -1,4 +1,4 @@
-//! The inputs of a node.
+//! Inputs of a [`crate::ConsensusNode`].
 
 use crate::durable_state::BatchId;
 use rushcourse_messages::Message;
@@ -7,67 +7,67 @@
 };
 use std::sync::Arc;
 
-/// A gateway's claim of an operation key.
+/// A gateway's request to claim an operation key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
-    /// The session that it came by; the answer goes there.
+    /// Session on which the request arrived, and which receives the answer.
     pub session: SessionId,
-    /// The voting set that it is asked for under.
+    /// Epoch of the voting set that the gateway counts grants in.
     pub epoch: Epoch,
-    /// The operation key.
+    /// Digest of the operation key.
     pub key: KeyDigest,
-    /// The claim of it.
+    /// Identifies the claim; a retry carries the same value.
     pub claim: ClaimId,
 }
 
-/// What a node is to handle in one step.
+/// An event that a node handles in one step.
 #[derive(Clone, Debug)]
 pub enum Input {
-    /// A session with another controller stands.
+    /// A session with another controller is established.
     PeerConnected {
-        /// The other controller.
+        /// Address of the other controller.
         peer: NodeId,
-        /// The zone of its machine.
+        /// Zone of the other controller's machine.
         zone: Arc<str>,
     },
-    /// The session with another controller broke.
+    /// The session with another controller was lost.
     PeerDisconnected(NodeId),
-    /// A message of another controller.
+    /// A message from another controller.
     MessageReceived {
-        /// Who sent it.
+        /// Sender of the message.
         from: NodeId,
-        /// What it sent.
+        /// Content of the message; kinds that don't concern consensus are ignored.
         message: Message,
     },
-    /// The disk holds a batch.
+    /// The disk has synced this batch and all earlier ones that it did not refuse.
     BatchSynced(BatchId),
-    /// The disk refused a batch: none of it is written.
+    /// The disk refused this batch; none of it is written.
     BatchRefused(BatchId),
-    /// An operator's new configuration; it was checked before.
+    /// An operator submits a new configuration, which the caller has validated.
     PutConfiguration {
-        /// The call, for its answer.
+        /// Identifies the call in [`crate::Effect::AnswerCall`].
         ticket: Ticket,
-        /// The number that the operator gave it.
+        /// Version assigned by the operator.
         version: ConfigurationVersion,
-        /// Its whole text.
+        /// Complete text of the configuration.
         text: Arc<[u8]>,
     },
-    /// An operator asks for the committed configuration.
+    /// An operator requests the committed configuration.
     GetConfiguration {
-        /// The call, for its answer.
+        /// Identifies the call in [`crate::Effect::AnswerCall`].
         ticket: Ticket,
     },
     /// A gateway claims an operation key.
     Claim(ClaimRequest),
-    /// A gateway withdraws its claim: it sent no request under it, and will not.
+    /// A gateway withdraws a claim under which it has sent no request and will send none.
     WithdrawClaim {
-        /// The operation key.
+        /// Digest of the operation key.
         key: KeyDigest,
-        /// The claim that ends.
+        /// The claim to withdraw; ignored unless it holds the key.
         claim: ClaimId,
     },
-    /// The process is to end: a standby may take its place in the voting set.
+    /// The process is about to exit; a standby may replace it in the voting set.
     ShutDown,
-    /// Time passes. Comes about every 50 ms.
+    /// Periodic timer event, about every 50 ms; drives timeouts and retries.
     Tick,
 }
--- a/crates/gateway/consensus/src/lib.rs
+++ b/crates/gateway/consensus/src/lib.rs
@@ -1,15 +1,17 @@
-//! What a majority of disks holds: the voting set, the configuration, claims of operation keys. A pure state machine,
-//! one [`ConsensusNode`] a controller: [`ConsensusNode::step`] is the only place where it changes, and gives back what
-//! is to be written, sent and answered. It reads no clock and does no I/O.
+//! Replicated control state as a deterministic state machine: the voting set, the configuration, and claims of
+//! operation keys. A value is committed once a majority of the voting set has it on disk.
 //!
-//! * `node/`: the step, and where each input goes.
-//! * `membership/`: the voting set that a majority is counted of, who of it has complete state, how it changes.
-//! * `paxos/`: ballots: what this replica promised, voted for and proposes, and what others reported of their votes.
-//! * `configuration/`: the configuration; the highest committed version holds.
-//! * `claims/`: claims of operation keys; the first claim holds for the whole window.
-//! * `snapshot.rs`: how a replica gets complete state from others.
-//! * `recovery_points.rs`: what is known of the others' disks, for one that starts with an older copy of its own.
-//! * `input.rs`, `effect.rs`, `log_event.rs`: what goes in and what comes out; `durable_state.rs`: what the disk holds.
+//! Each controller runs one [`ConsensusNode`]. All changes go through [`ConsensusNode::step`], which returns the
+//! writes, messages and answers that the caller has to carry out. The crate reads no clock and performs no I/O.
+//!
+//! * `node/`: dispatches each input to the modules below.
+//! * `membership/`: the voting set, which members have complete state, and how the set changes.
+//! * `paxos/`: proposer, acceptor, and the votes that other replicas have reported.
+//! * `configuration/`: commits configurations; the highest committed version is in force.
+//! * `claims/`: claims of operation keys; the first claim holds the key for the whole key window.
+//! * `snapshot.rs`: state transfer between replicas.
+//! * `recovery_points.rs`: detects which claims a member may lack after it starts from an older copy of its disk.
+//! * `input.rs`, `effect.rs`, `log_event.rs`: the interface of a step; `durable_state.rs`: contents of the state file.
 
 mod claims;
 mod configuration;
--- a/crates/gateway/consensus/src/log_event.rs
+++ b/crates/gateway/consensus/src/log_event.rs
@@ -1,58 +1,58 @@
-//! Log lines of this package, one an event: `key=value` pairs, `event` first.
+//! Log events of this crate, each formatted as one line of `key=value` pairs that starts with `event`.
 
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{ConfigurationVersion, Epoch, Generation, NodeId};
 use std::fmt;
 
-/// An event for the log; its `Display` is the line.
+/// An event to log; `Display` yields the whole line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LogEvent {
-    /// A majority of disks holds a configuration.
+    /// A configuration is committed.
     ConfigurationCommitted {
-        /// The configuration's version.
+        /// Version of the committed configuration.
         version: ConfigurationVersion,
-        /// The voting set whose majority it is.
+        /// Epoch of the voting set that committed it.
         epoch: Epoch,
     },
-    /// This replica counts in another voting set from now on.
+    /// This replica has adopted a newer voting set.
     VotingSetAdopted {
-        /// The set.
+        /// Epoch and members of the adopted set.
         voting_set: VotingSet,
-        /// Whether this replica goes on as a voter.
+        /// False if this replica has to install snapshots before it votes in the set.
         has_complete_state: bool,
     },
-    /// This replica proposes that a standby becomes a member.
+    /// This replica proposes a voting set that adds a standby.
     VotingSetChangeProposed {
-        /// Epoch of the set that is proposed.
+        /// Epoch of the proposed set.
         epoch: Epoch,
-        /// The standby.
+        /// The standby that becomes a member.
         joining: NodeId,
     },
-    /// The disk refuses writes; this replica gives no vote, promise or grant until it takes them again.
+    /// The disk refuses writes; this replica gives no vote, promise or grant until [`LogEvent::DiskUsable`].
     DiskUnusable,
-    /// The disk takes writes again.
+    /// The disk accepts writes again.
     DiskUsable,
-    /// This replica started with an older copy of its disk; it does not vote until it has installed snapshots.
+    /// This replica started from an older copy of its disk; it votes again once it has installed snapshots.
     OlderDiskFound {
-        /// The generation of the disk.
+        /// Generation found on disk.
         stored: Generation,
-        /// A higher one that it once had.
+        /// Higher generation of the same disk that another voter knows of.
         reported: Generation,
-        /// Who has heard of that.
+        /// The voter that reported the higher generation.
         voter: NodeId,
     },
-    /// A member that lacked state, or that recovered after its start, holds all of it, and votes.
+    /// A member that lacked state or was recovering now has complete state and votes.
     SnapshotInstalled {
-        /// The set whose voters sent their snapshots.
+        /// Epoch of the voting set whose members sent the snapshots.
         epoch: Epoch,
-        /// How many did.
+        /// Number of members that sent a snapshot.
         senders: usize,
     },
-    /// The chunks of a snapshot do not add up to its trailer; it is requested again.
+    /// The chunks of a snapshot don't match its trailer; the snapshot is requested again.
     SnapshotDamaged {
-        /// Claims that arrived.
+        /// Number of claims received.
         claims: u64,
-        /// Claims that its sender counted.
+        /// Number of claims according to the trailer.
         expected: u64,
     },
 }
@@ -73,7 +73,7 @@
                 f,
                 "event=voting_set_adopted epoch={} members={} has_complete_state={has_complete_state}",
                 voting_set.epoch,
-                Addresses(&voting_set.members),
+                AddressList(&voting_set.members),
             ),
             LogEvent::VotingSetChangeProposed { epoch, joining } => {
                 write!(
@@ -109,10 +109,10 @@
     }
 }
 
-/// Addresses with commas between them.
-struct Addresses<'a>(&'a [NodeId]);
+/// Formats addresses as a comma-separated list.
+struct AddressList<'a>(&'a [NodeId]);
 
-impl fmt::Display for Addresses<'_> {
+impl fmt::Display for AddressList<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (index, member) in self.0.iter().enumerate() {
             let separator = if index == 0 { "" } else { "," };
--- a/crates/gateway/consensus/src/membership/first_set.rs
+++ b/crates/gateway/consensus/src/membership/first_set.rs
@@ -1,4 +1,4 @@
-//! The first voting set: who proposes it, when, and of whom.
+//! The first voting set: which replica proposes it, when, and with which members.
 
 use super::peers::Peers;
 use crate::setup::ReplicaSetup;
@@ -8,20 +8,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// After its start, when the first set is proposed at the earliest (ours: sessions of machines that start together
-/// stand within some hundred ms; the operator's first configuration waits for it).
+/// Minimum uptime before the first set is proposed, so that machines that start together have established sessions.
 const FIRST_SET_DELAY: Duration = Duration::from_millis(900);
-/// For how long no further controller must have connected.
+/// Time without a new connection before the first set is proposed.
 const FIRST_SET_QUIET_PERIOD: Duration = Duration::from_millis(300);
-/// Voters of the first set at most, where `fault_tolerance` doesn't want more (ours): each claim costs a vote of each.
+/// Maximum size of the first set unless `fault_tolerance` requires more; every claim requests a vote from each voter.
 const MAX_FIRST_VOTERS: usize = 5;
 
-/// Whether this replica is to propose the first set now: at the first start of the whole system, the seed with the
-/// lowest address does once all seeds are connected and no further controller connects. Its disk takes writes; it has
-/// not tried yet where it is this replica's own.
+/// Whether this replica has to propose the first set now. At the first start of the deployment the proposer is the seed
+/// with the lowest address whose disk accepts writes. It waits until all seeds are connected and no further controller
+/// has connected for [`FIRST_SET_QUIET_PERIOD`].
 pub(super) fn is_due(setup: &ReplicaSetup, peers: &Peers, now: Timestamp, uptime: Duration) -> bool {
     let is_reachable = |seed: &NodeId| *seed == setup.node || peers.is_connected(*seed);
-    // A seed whose disk refuses writes can't hold it.
+    // A seed whose disk refuses writes can't store the set.
     let proposers = setup
         .seeds
         .iter()
@@ -33,15 +32,16 @@
         && now >= peers.last_connected_at() + FIRST_SET_QUIET_PERIOD
 }
 
-/// The set of all connected controllers, or of as many as are to vote, spread over zones.
+/// Selects the members of the first set among the connected controllers, evenly spread over zones. A controller whose
+/// disk refuses writes is left out.
 pub(super) fn propose(setup: &ReplicaSetup, peers: &Peers) -> VotingSet {
     let mut candidates: BTreeMap<NodeId, Arc<str>> = peers.zones().clone();
     candidates.retain(|node, _| peers.is_disk_usable(*node));
     candidates.insert(setup.node, setup.zone.clone());
-    let wanted = MAX_FIRST_VOTERS.max(2 * setup.tolerated_losses + 1);
+    let target_size = MAX_FIRST_VOTERS.max(2 * setup.tolerated_losses + 1);
     let mut voters_by_zone: BTreeMap<Arc<str>, usize> = BTreeMap::new();
     let mut members = Vec::new();
-    while members.len() < wanted {
+    while members.len() < target_size {
         let voters_in_zone = |node: NodeId| voters_by_zone.get(&candidates[&node]).copied();
         let by_zone_then_address = |node: &&NodeId| (voters_in_zone(**node).unwrap_or(0), **node);
         let Some(member) = candidates.keys().min_by_key(by_zone_then_address).copied() else {
--- a/crates/gateway/consensus/src/membership/learning.rs
+++ b/crates/gateway/consensus/src/membership/learning.rs
@@ -1,25 +1,23 @@
-//! How this replica gets complete state by snapshots: as a member that lacks it or that recovers, or as a standby that was
-//! invited.
+//! State transfer to this replica: as a member that lacks state or recovers, or as a standby that was invited to learn.
 
-use super::{Membership, StateStanding};
+use super::{Membership, StateCompleteness};
 use crate::context::Context;
 use crate::log_event::LogEvent;
 use rushcourse_messages::Message;
 use rushcourse_types::{Epoch, NodeId, Timestamp};
 use std::time::Duration;
 
-/// After its start, when a member without complete state first requests snapshots: longer than votes and promises that
-/// it may have given before the loss are counted (votes on claims in `rushcourse-routing`, 450 ms;
-/// `proposer::PROMISE_TIMEOUT`, 800 ms; `peer_reports::REPORT_TIMEOUT`, 1,700 ms), so that each has taken effect or
-/// expired by then.
+/// Minimum uptime before a member without complete state requests snapshots. Longer than the time for which any vote or
+/// promise that it gave before the loss is counted (450 ms for claims in `rushcourse-routing`, 800 ms for
+/// `proposer::PROMISE_TIMEOUT`, 1,700 ms for `peer_reports::REPORT_TIMEOUT`), so that each of them has taken effect or
+/// expired before the snapshots are made.
 const SNAPSHOT_REQUEST_DELAY: Duration = Duration::from_millis(2_200);
-/// Between two requests for snapshots.
 const SNAPSHOT_REQUEST_INTERVAL: Duration = Duration::from_millis(400);
-/// For how long a standby goes on requesting snapshots after it was invited.
+/// Time for which a standby keeps requesting snapshots after an invitation.
 const INVITATION_TIMEOUT: Duration = Duration::from_millis(3_000);
 
 impl Membership {
-    /// This standby is asked to become a learner.
+    /// Handles an invitation to learn. A standby that has already learned in this epoch reports that it is ready.
     pub fn accept_invitation(&mut self, context: &mut Context, from: NodeId, epoch: Epoch) {
         if epoch != self.voting_set.epoch || self.is_member() {
             return;
@@ -31,17 +29,17 @@
         }
     }
 
-    /// Whether snapshots of voters of the set are wanted now.
+    /// Whether this replica currently needs snapshots.
     pub fn is_learning(&self, now: Timestamp) -> bool {
-        if self.progress.is_installing || self.voting_set.epoch.is_none() || self.is_unstored {
+        if self.progress.is_installing || self.voting_set.epoch.is_none() || self.needs_rewrite {
             return false;
         }
         if self.is_member() {
-            let is_old_enough = self.uptime(now) >= SNAPSHOT_REQUEST_DELAY;
-            match self.standing {
-                StateStanding::Incomplete => is_old_enough,
-                StateStanding::Recovering => is_old_enough || self.progress.is_urgent,
-                StateStanding::Complete => false,
+            let has_waited = self.uptime(now) >= SNAPSHOT_REQUEST_DELAY;
+            match self.completeness {
+                StateCompleteness::Incomplete => has_waited,
+                StateCompleteness::Recovering => has_waited || self.progress.is_needed_for_majority,
+                StateCompleteness::Complete => false,
             }
         } else {
             now < self.progress.invitation_expires_at
@@ -49,7 +47,7 @@
         }
     }
 
-    /// The members to request snapshots from now.
+    /// Members to request snapshots from now; empty if no request is due.
     pub fn snapshot_sources(&self, now: Timestamp) -> Vec<NodeId> {
         if !self.is_learning(now) || now < self.progress.requested_at + SNAPSHOT_REQUEST_INTERVAL {
             return Vec::new();
@@ -61,32 +59,34 @@
             .collect()
     }
 
-    /// Snapshots are requested now.
+    /// Starts the interval until the next request.
     pub fn snapshots_requested(&mut self, now: Timestamp) {
         self.progress.requested_at = now;
     }
 
-    /// The whole snapshot of one more voter has arrived. Returns the set's epoch once they are enough.
+    /// Counts the complete snapshot of one member. Returns the epoch of the voting set once enough members have sent
+    /// theirs.
     pub fn snapshot_received(&mut self, from: NodeId) -> Option<Epoch> {
         self.progress.senders.insert(from);
-        let is_enough = self.progress.senders.len() >= self.voting_set.snapshot_quorum();
-        self.progress.is_installing = is_enough;
-        is_enough.then_some(self.voting_set.epoch)
+        let has_quorum = self.progress.senders.len() >= self.voting_set.snapshot_quorum();
+        self.progress.is_installing = has_quorum;
+        has_quorum.then_some(self.voting_set.epoch)
     }
 
-    /// The disk refused what snapshots contained.
+    /// Handles the disk's refusal of received state: senders are counted anew.
     pub fn install_refused(&mut self) {
         self.progress.abort();
     }
 
-    /// The disk holds all that enough voters of a set sent.
+    /// Completes the state transfer in an epoch once its state is on disk: a member becomes complete, and a standby
+    /// reports that it is ready to join.
     pub fn install_synced(&mut self, context: &mut Context, epoch: Epoch) {
         if epoch != self.voting_set.epoch || !self.progress.is_installing {
             return;
         }
         self.progress.is_installing = false;
         if self.is_member() {
-            self.standing = StateStanding::Complete;
+            self.completeness = StateCompleteness::Complete;
             context.log(LogEvent::SnapshotInstalled {
                 epoch,
                 senders: self.progress.senders.len(),
--- a/crates/gateway/consensus/src/membership/mod.rs
+++ b/crates/gateway/consensus/src/membership/mod.rs
@@ -1,42 +1,45 @@
-//! The voting set, who of it has complete state, and how it changes.
+//! The voting set: which members have complete state, and how the set changes.
 //!
-//! The settings do not say how many controllers there are. At the first start the seed with the lowest address proposes
-//! the set of epoch 1, once, of the controllers that are connected; its own disk holds it before it is sent, so there is
-//! one epoch 1.
-//! From then on the set of epoch n + 1 is chosen by a majority of that of epoch n, by ballots, and differs from it by
-//! one member that takes the place of another, or is added. Votes, promises and claims carry the epoch, and a replica
-//! that has adopted a set refuses those of an earlier one.
+//! The settings don't determine the number of controllers. At the first start, the seed with the lowest address
+//! proposes the voting set of epoch 1 from the controllers that are connected. It proposes once, and its own disk holds
+//! the set before the set is sent, so there is only one epoch 1. From then on, a majority of the set of epoch n chooses
+//! the set of epoch n + 1 by ballots. The new set differs by one member, which replaces another one or is added. Votes,
+//! promises and claims carry the epoch, and a replica that has adopted a set rejects those of earlier epochs.
 //!
-//! A member *has complete state* if it has been a member without a gap since it last had, with its disk; or has
-//! installed snapshots. A member that starts does not know whether its disk is the newest one that it had: it recovers
-//! first (`recovery.rs`), and counts as one without meanwhile. One without (a newcomer, one that lost its disk, one that was out of the set for a while)
-//! casts no vote until `VotingSet::snapshot_quorum` other members with complete state, which have adopted this very set,
-//! have sent it their snapshots.
+//! A member *has complete state* if it has been a member without interruption, and with its disk, since it last had
+//! complete state, or if it has installed snapshots. A member that starts doesn't know whether its disk is the newest
+//! one that it had: it recovers first (`recovery.rs`), and counts as lacking state until then. A member that lacks
+//! state (a new one, one that lost its disk, or one that was out of the set for some time) casts no vote until
+//! `VotingSet::snapshot_quorum` other members with complete state, which have adopted this same set, have sent it their
+//! snapshots.
 //!
-//! **Invariant.** With `f` members that lack state: each claim that was won, and each proposal that was chosen, in this
-//! set or an earlier one, is held by at least `majority - f` of the members with complete state.
-//! - Winning or choosing: a majority votes, and only members with complete state do.
-//! - A disk lost: one holder less, `f` one more. Snapshots installed: they are of `size - majority + 1` members with
-//!   complete state; of these `size - f` at least `majority - f` hold it; so one of the senders does, and `f` is one
-//!   less.
-//! - A member replaced: one holder less at most, and the newcomer lacks state: `f` one more. One added: the majority
-//!   grows by one at most, and `f` by one.
-//! - A vote of epoch n that is given after its voter's snapshot in epoch n + 1 does not exist: the sender has adopted
-//!   n + 1.
+//! **Invariant.** Let `f` be the number of members that lack state. Each claim that was won and each proposal that was
+//! chosen, in this set or an earlier one, is held by at least `majority - f` of the members with complete state.
+//! - Winning or choosing takes a majority of votes, and only members with complete state vote.
+//! - The loss of a disk removes one holder at most and raises `f` by one.
+//! - Snapshots are installed from `size - majority + 1` members with complete state. Of the `size - f` members with
+//!   complete state at least `majority - f` are holders, so at least one of the senders is a holder. The receiver
+//!   becomes a holder, and `f` falls by one.
+//! - Replacing a member removes one holder at most. The new member lacks state, so `f` rises by one. Adding a member
+//!   raises the majority by one at most and `f` by one.
+//! - No member votes in epoch n after it has sent its snapshot in epoch n + 1, because the sender of the snapshot has
+//!   already adopted epoch n + 1 and rejects earlier epochs.
 //!
-//! A newcomer may count the member whose place it took as one of its senders, if that one left the set with complete
-//! state: without it a set could have no sender left, where a disk is lost while a member is being replaced. The senders
-//! then share a member with every majority of the earlier set. In this set the newcomer cast no vote: what was won in it
-//! is held by `majority - (f - 1)` members, and `snapshot_quorum - 1` senders miss `majority - f` of them.
+//! A new member may count the member that it replaces as one of the senders, if that member left the set with complete
+//! state. Otherwise, if a disk is lost during a replacement, the set could be left with too few senders. The senders
+//! then share a member with every majority of the earlier set. In the present set the new member has cast no vote, so
+//! whatever was won in this set is held by `majority - (f - 1)` members. The other `snapshot_quorum - 1` senders can
+//! miss at most `majority - f` of them, so at least one sender is a holder.
 //!
-//! So two claims of one key can't both be won, within a set or across sets: the second one needs a majority of members
-//! with complete state, `size - f` of them, and shares one with the holders of the first.
+//! It follows that two claims of one key can't both be won, neither within a set nor across sets: the second claim
+//! needs the votes of a majority, all of them among the `size - f` members with complete state, and that majority
+//! shares a member with the holders of the first claim.
 //!
-//! * `peers.rs`: the other controllers, by this replica's sessions with them.
-//! * `first_set.rs`: the set of epoch 1.
-//! * `replacement.rs`, `standbys.rs`: how one set follows another.
-//! * `learning.rs`, `progress.rs`: how this replica gets complete state where it lacks it.
-//! * `recovery.rs`: how a member that starts finds out whether its disk still holds it.
+//! * `peers.rs`: the other controllers and the sessions with them.
+//! * `first_set.rs`: the voting set of epoch 1.
+//! * `replacement.rs`, `standbys.rs`: changes of the voting set.
+//! * `learning.rs`, `progress.rs`: how this replica acquires complete state.
+//! * `recovery.rs`: how a member that starts verifies that its disk still has complete state.
 
 mod first_set;
 mod learning;
@@ -59,46 +62,46 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Whether this replica holds what a voter of its set has to hold.
+/// Whether this replica has complete state, as defined in the module documentation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum StateStanding {
-    /// It lacks some of it.
+enum StateCompleteness {
+    /// The replica lacks state and needs snapshots before it can vote.
     Incomplete,
-    /// The disk says so since before the start; it may be an older copy.
+    /// The disk is marked complete from before the start, but may be an older copy.
     Recovering,
-    /// It does.
+    /// The replica has complete state and may vote.
     Complete,
 }
 
-/// This replica's part in the first set.
+/// Progress of this replica's proposal of the first voting set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum FirstSetProposal {
-    /// It has proposed none.
-    None,
-    /// Its own disk is to hold it.
+    /// This replica has not proposed a first set.
+    NotProposed,
+    /// This replica has written its first set to its own disk; peers receive it once it is synced.
     Written,
-    /// Its disk refused it: another seed proposes, and this one never does again.
-    Declined,
+    /// The disk refused the first set. Another seed proposes it, and this replica never tries again.
+    Refused,
 }
 
-/// The voting set that this replica counts in, and its own place in it.
+/// The voting set that this replica has adopted, and the replica's own role in it.
 #[derive(Clone, Debug)]
 pub(crate) struct Membership {
     setup: ReplicaSetup,
     voting_set: VotingSet,
-    /// The epoch of a set that is being written, or of the last one that was.
+    /// Epoch of the set that is being written or was written last.
     written_epoch: Epoch,
-    standing: StateStanding,
+    completeness: StateCompleteness,
     known_generations: KnownGenerations,
-    /// The set that this replica was left out of, while it had complete state.
-    left_at: Epoch,
-    /// For a newcomer: the member whose place it took.
+    /// Epoch of the set that removed this replica while it had complete state; it may still send snapshots there.
+    left_in_epoch: Epoch,
+    /// The member that this replica replaced in the current set.
     predecessor: Option<NodeId>,
-    /// The disk refused the present set: it is to be written once the disk takes writes again.
-    is_unstored: bool,
+    /// Whether the disk refused the current set, which has to be written again.
+    needs_rewrite: bool,
     first_set: FirstSetProposal,
     progress: SnapshotProgress,
-    /// When the first tick of this process came.
+    /// Time of the first tick since the process started.
     started_at: Option<Timestamp>,
     peers: Peers,
     standbys: Standbys,
@@ -106,7 +109,7 @@
 }
 
 impl Membership {
-    /// Membership at the start, with what the state file holds: it says whether the replica had complete state, and its
+    /// Restores membership from the state file, which says whether the replica had complete state and at which
     /// generation.
     pub fn new(
         setup: ReplicaSetup,
@@ -114,21 +117,21 @@
         had_complete_state: bool,
         generation: Generation,
     ) -> Membership {
-        let standing = if had_complete_state {
-            StateStanding::Recovering
+        let completeness = if had_complete_state {
+            StateCompleteness::Recovering
         } else {
-            StateStanding::Incomplete
+            StateCompleteness::Incomplete
         };
         Membership {
             setup,
             voting_set,
             written_epoch: Epoch::NONE,
-            standing,
+            completeness,
             known_generations: KnownGenerations::at_start(generation),
-            left_at: Epoch::NONE,
+            left_in_epoch: Epoch::NONE,
             predecessor: None,
-            is_unstored: false,
-            first_set: FirstSetProposal::None,
+            needs_rewrite: false,
+            first_set: FirstSetProposal::NotProposed,
             progress: SnapshotProgress::default(),
             started_at: None,
             peers: Peers::default(),
@@ -137,44 +140,41 @@
         }
     }
 
-    /// The voting set that this replica counts in.
     pub fn voting_set(&self) -> &VotingSet {
         &self.voting_set
     }
 
-    /// Whether this replica holds what a voter of its set has to hold.
+    /// Whether this replica has complete state and may vote.
     pub fn has_complete_state(&self) -> bool {
-        self.standing == StateStanding::Complete
+        self.completeness == StateCompleteness::Complete
     }
 
-    /// Whether this replica is known to lack what a voter of its set has to hold.
+    /// Whether this replica needs snapshots; false while it recovers.
     pub fn lacks_state(&self) -> bool {
-        self.standing == StateStanding::Incomplete
+        self.completeness == StateCompleteness::Incomplete
     }
 
-    /// Whether this replica is a member of its set.
     pub fn is_member(&self) -> bool {
         self.voting_set.contains(self.setup.node)
     }
 
-    /// Whether this replica casts votes in its set.
+    /// Whether this replica votes: it is a member of its voting set and has complete state.
     pub fn is_voter(&self) -> bool {
         self.has_complete_state() && !self.voting_set.epoch.is_none() && self.is_member()
     }
 
-    /// The epoch of the set that this replica votes in.
+    /// Epoch that this replica votes in; `None` if it doesn't vote.
     pub fn voting_epoch(&self) -> Option<Epoch> {
         self.is_voter().then_some(self.voting_set.epoch)
     }
 
-    /// Whether this replica may send its state to one that learns in the set of an epoch: it votes in it, or it has left it
-    /// with complete state.
+    /// Whether this replica may send snapshots to learners in this epoch: it votes in the epoch's set, or was removed
+    /// by that set while it had complete state.
     pub fn may_send_snapshots(&self, epoch: Epoch) -> bool {
         self.voting_epoch() == Some(epoch)
-            || (epoch == self.voting_set.epoch && epoch == self.left_at)
+            || (epoch == self.voting_set.epoch && epoch == self.left_in_epoch)
     }
 
-    /// The controllers in session with this replica.
     pub fn connected_peers(&self) -> Vec<NodeId> {
         self.peers.connected().collect()
     }
@@ -183,7 +183,7 @@
         node == self.setup.node || self.peers.is_connected(node)
     }
 
-    /// Members of the set that are in session with this replica, itself counted.
+    /// Members of the voting set that this replica has sessions with, including itself.
     pub fn reachable_members(&self) -> Vec<NodeId> {
         let members = self.voting_set.members.iter().copied();
         members
@@ -191,32 +191,33 @@
             .collect()
     }
 
-    /// Whether a majority of the set is in session with this replica, itself counted.
+    /// Whether this replica can reach a majority of the voting set, itself included.
     pub fn has_quorum_contact(&self) -> bool {
         !self.voting_set.epoch.is_none()
             && self.reachable_members().len() >= self.voting_set.majority()
     }
 
-    /// This replica's place among the members that are in session; standbys come last.
+    /// Index of this replica among the reachable members, by address; standbys rank after all of them. Delays scaled by
+    /// rank keep replicas from proposing at the same time.
     pub fn rank(&self) -> u32 {
-        let reached = self.reachable_members();
-        let place = reached.iter().position(|node| *node == self.setup.node);
-        place.unwrap_or(reached.len()) as u32
+        let reachable = self.reachable_members();
+        let index = reachable.iter().position(|node| *node == self.setup.node);
+        index.unwrap_or(reachable.len()) as u32
     }
 
-    /// Since the first tick of this process.
+    /// Time since the first tick of this process.
     fn uptime(&self, now: Timestamp) -> Duration {
         now.since(self.started_at.unwrap_or(now))
     }
 
-    /// Connected controllers that are no members and do not shut down.
+    /// Connected controllers that are not members and are not shutting down.
     fn standbys(&self) -> impl Iterator<Item = NodeId> {
         self.peers
             .connected()
             .filter(|node| !self.voting_set.contains(*node) && !self.peers.is_shutting_down(*node))
     }
 
-    /// A session with another controller stands: it gets this replica's voting set.
+    /// Handles a new session: sends the peer this replica's voting set.
     pub fn peer_connected(&mut self, context: &mut Context, peer: NodeId, zone: Arc<str>) {
         self.peers.connect(context.now, peer, zone);
         if !self.voting_set.epoch.is_none() {
@@ -227,19 +228,17 @@
         }
     }
 
-    /// The session with another controller broke.
     pub fn peer_disconnected(&mut self, now: Timestamp, peer: NodeId) {
-        self.standbys.forget(peer);
+        self.standbys.remove(peer);
         self.peers
             .disconnect(now, peer, self.voting_set.contains(peer));
     }
 
-    /// Another controller announces its shutdown.
     pub fn peer_shutting_down(&mut self, peer: NodeId) {
         self.peers.mark_shutting_down(peer);
     }
 
-    /// Announces that this replica is about to end: the others may put a standby in its place.
+    /// Announces the shutdown of this replica, so that the other members replace it with a standby.
     pub fn shut_down(&mut self, context: &mut Context) {
         self.is_shutting_down = true;
         for peer in self.connected_peers() {
@@ -247,35 +246,35 @@
         }
     }
 
-    /// Whether nothing is gained by waiting: this replica is no member, or no standby could take its place.
+    /// Whether shutdown need not wait for a replacement: this replica is not a member, or no standby is connected.
     pub fn may_shut_down(&self) -> bool {
         !self.is_member() || self.standbys().next().is_none()
     }
 
-    /// Writes a set that another replica has adopted, or that is chosen: it is adopted once the disk holds it.
+    /// Writes a newer voting set that was chosen or received from a peer. It is adopted once it is on disk.
     pub fn learn_voting_set(&mut self, context: &mut Context, voting_set: VotingSet) {
         if voting_set.epoch > self.voting_set.epoch && voting_set.epoch > self.written_epoch {
-            self.write(context, voting_set);
+            self.write_voting_set(context, voting_set);
         }
     }
 
-    /// What this replica holds as a member of `next`. At the first start there is nothing that it could have lost: no claim
-    /// was ever granted.
-    fn standing_in(&self, next: &VotingSet) -> StateStanding {
+    /// Completeness of this replica once it adopts `next`. At the first start of the deployment every member is
+    /// complete, because no claim has been granted yet.
+    fn completeness_in(&self, next: &VotingSet) -> StateCompleteness {
         let epoch = self.voting_set.epoch;
-        let is_next = next.epoch == epoch.next();
-        if !next.contains(self.setup.node) || !is_next {
-            StateStanding::Incomplete
+        let is_successor = next.epoch == epoch.next();
+        if !next.contains(self.setup.node) || !is_successor {
+            StateCompleteness::Incomplete
         } else if epoch.is_none() && self.setup.is_first_start {
-            StateStanding::Complete
+            StateCompleteness::Complete
         } else if !epoch.is_none() && self.is_member() {
-            self.standing
+            self.completeness
         } else {
-            StateStanding::Incomplete
+            StateCompleteness::Incomplete
         }
     }
 
-    /// The member whose place this replica takes in the next set.
+    /// The member that this replica replaces in `next`, if `next` directly follows the current set.
     fn predecessor_in(&self, next: &VotingSet) -> Option<NodeId> {
         let is_newcomer = !self.is_member() && next.contains(self.setup.node);
         if !is_newcomer || next.epoch != self.voting_set.epoch.next() {
@@ -286,15 +285,15 @@
         members.find(|member| !next.contains(*member))
     }
 
-    fn write(&mut self, context: &mut Context, voting_set: VotingSet) {
+    fn write_voting_set(&mut self, context: &mut Context, voting_set: VotingSet) {
         self.written_epoch = voting_set.epoch;
-        let mark = match self.standing_in(&voting_set) {
-            StateStanding::Incomplete => WriteOperation::MarkStateIncomplete,
-            StateStanding::Recovering | StateStanding::Complete => {
+        let mark = match self.completeness_in(&voting_set) {
+            StateCompleteness::Incomplete => WriteOperation::MarkStateIncomplete,
+            StateCompleteness::Recovering | StateCompleteness::Complete => {
                 WriteOperation::MarkStateComplete
             }
         };
-        let decided = PruneBounds {
+        let bounds = PruneBounds {
             versions_below: ConfigurationVersion::NONE,
             epochs_through: voting_set.epoch,
         };
@@ -302,46 +301,47 @@
             vec![
                 WriteOperation::StoreVotingSet(voting_set.clone()),
                 mark,
-                WriteOperation::PruneRecords(decided),
+                WriteOperation::PruneRecords(bounds),
             ],
             PendingWrite::VotingSet(voting_set),
         );
     }
 
-    /// The disk refused a set. Returns whether this replica is to count in it all the same: others have it. A first set of
-    /// its own nobody has.
+    /// Handles the disk's refusal of a voting set. Returns whether the set is adopted nevertheless because other
+    /// replicas have it; that is never so for a first set proposed by this replica.
     pub fn write_refused(&mut self, voting_set: &VotingSet) -> bool {
         self.written_epoch = self.voting_set.epoch;
         if self.first_set == FirstSetProposal::Written {
-            self.first_set = FirstSetProposal::Declined;
+            self.first_set = FirstSetProposal::Refused;
             return false;
         }
         voting_set.epoch > self.voting_set.epoch
     }
 
-    /// The disk holds a set, or refused it. Whether this replica counts in it from now on.
+    /// Adopts a voting set and announces it to gateways and peers. With `is_stored` false the disk refused the set, and
+    /// this replica doesn't vote in it. Returns false if the set is not newer than the current one.
     pub fn adopt(&mut self, context: &mut Context, voting_set: VotingSet, is_stored: bool) -> bool {
         if voting_set.epoch <= self.voting_set.epoch {
             if is_stored && voting_set.epoch == self.voting_set.epoch {
-                self.is_unstored = false;
+                self.needs_rewrite = false;
             }
             return false;
         }
-        self.is_unstored = !is_stored;
+        self.needs_rewrite = !is_stored;
         if self.is_voter() && !voting_set.contains(self.setup.node) {
-            self.left_at = voting_set.epoch;
+            self.left_in_epoch = voting_set.epoch;
         }
         self.predecessor = self.predecessor_in(&voting_set);
-        self.standing = if is_stored {
-            self.standing_in(&voting_set)
+        self.completeness = if is_stored {
+            self.completeness_in(&voting_set)
         } else {
-            StateStanding::Incomplete
+            StateCompleteness::Incomplete
         };
         self.voting_set = voting_set;
         self.progress.restart();
-        self.standbys.forget_all();
-        self.peers.forget_absent_but(&self.voting_set);
-        // Gateways get it before any of their claims is answered with an abstention for its sake.
+        self.standbys.clear();
+        self.peers.retain_absent_members(&self.voting_set);
+        // Gateways learn of the new set before any of their claims is answered with an abstention because of it.
         context.push(Effect::VotingSetAdopted(self.voting_set.clone()));
         for peer in self.connected_peers() {
             context.send(peer, Message::VotingSet(self.voting_set.clone()));
@@ -353,25 +353,25 @@
         true
     }
 
-    /// A controller in session reports whether its disk takes writes.
+    /// Records whether a connected controller's disk accepts writes.
     pub fn disk_reported(&mut self, now: Timestamp, peer: NodeId, is_usable: bool) {
         self.peers.disk_reported(now, peer, is_usable);
     }
 
-    /// Proposes the first set once it is due, and writes a set again that the disk refused.
+    /// Proposes the first set once it is due, and rewrites the current set if the disk refused it.
     pub fn tick(&mut self, context: &mut Context) {
         self.started_at.get_or_insert(context.now);
         let has_set = !self.voting_set.epoch.is_none() || !self.written_epoch.is_none();
         let uptime = self.uptime(context.now);
-        let may_propose = !has_set && self.first_set == FirstSetProposal::None;
+        let may_propose = !has_set && self.first_set == FirstSetProposal::NotProposed;
         if may_propose && first_set::is_due(&self.setup, &self.peers, context.now, uptime) {
             let first = first_set::propose(&self.setup, &self.peers);
             self.first_set = FirstSetProposal::Written;
-            self.write(context, first);
+            self.write_voting_set(context, first);
         }
-        if self.is_unstored && context.is_disk_usable() {
+        if self.needs_rewrite && context.is_disk_usable() {
             let voting_set = self.voting_set.clone();
-            self.write(context, voting_set);
+            self.write_voting_set(context, voting_set);
         }
     }
 }
--- a/crates/gateway/consensus/src/membership/peers.rs
+++ b/crates/gateway/consensus/src/membership/peers.rs
@@ -1,21 +1,20 @@
-//! The other controllers, by this replica's sessions with them.
+//! The other controllers, as known from the sessions with them.
 
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{NodeId, Timestamp};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The other controllers, by this replica's sessions with them.
+/// Connection state, disk state and announced shutdowns of the other controllers.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Peers {
-    /// Controllers in session, and their zones.
+    /// Connected controllers and their zones.
     connected: BTreeMap<NodeId, Arc<str>>,
     last_connected_at: Timestamp,
-    /// Members of the voting set that have lost their session.
+    /// Disconnected members of the voting set, and the time at which each lost its session.
     absent_since: BTreeMap<NodeId, Timestamp>,
-    /// Controllers in session whose disks refuse writes, and since when that is known.
+    /// Connected controllers whose disks refuse writes, and the time of the first report of that.
     unusable_disks: BTreeMap<NodeId, Timestamp>,
-    /// Controllers that have announced their shutdown.
     shutting_down: BTreeSet<NodeId>,
 }
 
@@ -27,7 +26,7 @@
         self.last_connected_at = now;
     }
 
-    /// A session broke. Only members are missed.
+    /// Handles the loss of a session. The time of absence is tracked for members only.
     pub(super) fn disconnect(&mut self, now: Timestamp, peer: NodeId, is_member: bool) {
         self.connected.remove(&peer);
         self.unusable_disks.remove(&peer);
@@ -39,14 +38,12 @@
         }
     }
 
-    /// A controller in session announces its shutdown.
     pub(super) fn mark_shutting_down(&mut self, peer: NodeId) {
         if self.is_connected(peer) {
             self.shutting_down.insert(peer);
         }
     }
 
-    /// A controller in session reports whether its disk takes writes.
     pub(super) fn disk_reported(&mut self, now: Timestamp, peer: NodeId, is_usable: bool) {
         if is_usable {
             self.unusable_disks.remove(&peer);
@@ -55,18 +52,18 @@
         }
     }
 
-    /// Whether nothing is known against a controller's disk.
+    /// Whether a controller's disk accepts writes; true unless the controller reported otherwise.
     pub(super) fn is_disk_usable(&self, node: NodeId) -> bool {
         !self.unusable_disks.contains_key(&node)
     }
 
-    /// Since when a controller in session is known to have a disk that refuses writes.
+    /// Time at which a connected controller first reported that its disk refuses writes.
     pub(super) fn disk_unusable_since(&self, node: NodeId) -> Option<Timestamp> {
         self.unusable_disks.get(&node).copied()
     }
 
-    /// Members of an earlier set are no longer missed.
-    pub(super) fn forget_absent_but(&mut self, voting_set: &VotingSet) {
+    /// Stops tracking the absence of controllers that are no longer members.
+    pub(super) fn retain_absent_members(&mut self, voting_set: &VotingSet) {
         self.absent_since
             .retain(|node, _| voting_set.contains(*node));
     }
@@ -79,12 +76,12 @@
         self.shutting_down.contains(&node)
     }
 
-    /// Since when a controller that was in session is missed.
+    /// Time at which a member lost its session; `None` if it is connected or was never connected.
     pub(super) fn absent_since(&self, node: NodeId) -> Option<Timestamp> {
         self.absent_since.get(&node).copied()
     }
 
-    /// When a session last came to stand.
+    /// Time at which the latest session was established.
     pub(super) fn last_connected_at(&self) -> Timestamp {
         self.last_connected_at
     }
@@ -93,12 +90,11 @@
         self.connected.get(&node)
     }
 
-    /// Controllers in session, in ascending order.
+    /// Connected controllers in ascending order of address.
     pub(super) fn connected(&self) -> impl Iterator<Item = NodeId> {
         self.connected.keys().copied()
     }
 
-    /// Controllers in session, and their zones.
     pub(super) fn zones(&self) -> &BTreeMap<NodeId, Arc<str>> {
         &self.connected
     }
--- a/crates/gateway/consensus/src/membership/progress.rs
+++ b/crates/gateway/consensus/src/membership/progress.rs
@@ -1,36 +1,36 @@
-//! How far a replica without complete state has come in getting it, and what it knows of its disk.
+//! Progress of state transfer, and the known generations of this replica's disk.
 
 use rushcourse_types::{Epoch, Generation, NodeId, Timestamp};
 use std::collections::BTreeSet;
 
-/// How far a replica without complete state has come in getting it.
+/// Progress of state transfer to this replica in the current voting set.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SnapshotProgress {
-    /// Members whose snapshots have arrived since this replica adopted its voting set.
+    /// Members whose complete snapshots have arrived since this replica adopted its voting set.
     pub senders: BTreeSet<NodeId>,
-    /// This replica recovers, and the other members that vote are no majority.
-    pub is_urgent: bool,
-    /// Snapshots of enough members are being written.
+    /// Whether the other voters are too few for a majority, so that this recovering replica must not wait.
+    pub is_needed_for_majority: bool,
+    /// Whether the snapshots of enough members are being written.
     pub is_installing: bool,
-    /// When snapshots were last requested; `Timestamp::ZERO`: not since the set was adopted.
+    /// Time of the last request for snapshots; zero if there was none since the set was adopted.
     pub requested_at: Timestamp,
-    /// Until when a standby that was invited requests snapshots.
+    /// End of the period in which an invited standby requests snapshots.
     pub invitation_expires_at: Timestamp,
-    /// The set whose voters' snapshots this standby holds.
+    /// Epoch of the voting set whose members' snapshots this standby has installed.
     pub ready_for: Epoch,
 }
 
-/// What a member knows of the generations of its disk.
+/// Generations of this replica's disk, as stored and as reported by other voters.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct KnownGenerations {
-    /// What the disk had at the start.
+    /// Generation that the disk had at the start.
     pub stored: Generation,
-    /// The highest one that another voter has heard of.
+    /// Highest generation that another voter has reported.
     pub highest_reported: Generation,
 }
 
 impl KnownGenerations {
-    /// At the start nobody has reported any.
+    /// Creates the value for a start, when no voter has reported yet.
     pub(super) fn at_start(stored: Generation) -> KnownGenerations {
         KnownGenerations {
             stored,
@@ -40,13 +40,13 @@
 }
 
 impl SnapshotProgress {
-    /// Another voting set is adopted: snapshots of the members of this one are wanted.
+    /// Starts over after another voting set was adopted: only snapshots of its members count.
     pub(super) fn restart(&mut self) {
         self.abort();
         self.requested_at = Timestamp::ZERO;
     }
 
-    /// The disk refused what arrived: all of it is wanted again.
+    /// Discards received snapshots after the disk refused to store them.
     pub(super) fn abort(&mut self) {
         self.is_installing = false;
         self.senders.clear();
--- a/crates/gateway/consensus/src/membership/replacement.rs
+++ b/crates/gateway/consensus/src/membership/replacement.rs
@@ -1,5 +1,5 @@
-//! Changes of the voting set: a member that is missed, that ends, or whose disk refuses writes is replaced by a standby; where too few members are
-//! left, one is added.
+//! Changes of the voting set: a standby replaces a member that is absent, is shutting down or has a disk that refuses
+//! writes. A standby is added if the set has too few members.
 
 use super::Membership;
 use crate::context::Context;
@@ -8,41 +8,41 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What each rank adds before a change is proposed, so that one proposer begins.
+/// Delay per rank before a change is proposed, so that replicas don't compete.
 const CHANGE_DELAY_PER_RANK: Duration = Duration::from_millis(300);
-/// Share of `catch_up_s`, in tenths, for which a voter is missed before a standby takes its place. The rest is left for
-/// snapshots, so that the next loss is tolerated `catch_up_s` after the first; a shorter absence (a restart, a freeze, a
-/// short partition) changes nothing.
+/// Tenths of `catch_up_s` for which a member may be absent before a standby replaces it. A restart, a stall or a short
+/// partition thus changes nothing. The remaining time is left for snapshots, so that the next loss is tolerated
+/// `catch_up_s` after the first one.
 const ABSENCE_TENTHS_OF_CATCH_UP: u32 = 6;
-/// Voters that are wanted at least: fewer can't lose one.
+/// Minimum size of the voting set; a smaller one doesn't tolerate the loss of a member.
 const MIN_VOTERS: usize = 3;
 
-/// A change of the voting set that is due.
+/// A change of the voting set that replaces a member or adds one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct VotingSetChange {
-    /// The set that follows.
+    /// The proposed voting set.
     pub next: VotingSet,
     /// The standby that becomes a member.
     pub joining: NodeId,
-    /// The member whose place it takes; `None`: it is added.
+    /// The member that is replaced; `None` if the standby is added.
     pub removed: Option<NodeId>,
 }
 
 impl Membership {
-    /// The change that this replica is to make now, if there is one.
+    /// The change that this replica has to propose now, if any.
     pub fn due_change(&self, now: Timestamp) -> Option<VotingSetChange> {
         if !self.is_voter() || !self.has_quorum_contact() || self.is_shutting_down {
             return None;
         }
         let removed = self.overdue_member(now);
-        let wanted = MIN_VOTERS.max(2 * self.setup.tolerated_losses + 1);
-        if removed.is_none() && self.voting_set.members.len() >= wanted {
+        let target_size = MIN_VOTERS.max(2 * self.setup.tolerated_losses + 1);
+        if removed.is_none() && self.voting_set.members.len() >= target_size {
             return None;
         }
         let joining = self.best_standby(removed)?;
-        let staying = self.voting_set.members.iter().copied();
-        let staying = staying.filter(|member| Some(*member) != removed);
-        let mut members: Vec<NodeId> = staying.chain([joining]).collect();
+        let remaining = self.voting_set.members.iter().copied();
+        let remaining = remaining.filter(|member| Some(*member) != removed);
+        let mut members: Vec<NodeId> = remaining.chain([joining]).collect();
         members.sort_unstable();
         Some(VotingSetChange {
             next: VotingSet {
@@ -54,7 +54,7 @@
         })
     }
 
-    /// The member whose removal has been due for longest.
+    /// The member whose removal has been due for the longest time.
     fn overdue_member(&self, now: Timestamp) -> Option<NodeId> {
         let due = |member: &NodeId| Some((self.removal_due_at(*member)?, *member));
         let members = self.voting_set.members.iter();
@@ -62,8 +62,8 @@
         overdue.min().map(|(_, member)| member)
     }
 
-    /// When this replica is to propose the removal of a member; `None`: it is reachable and its disk takes writes, so that
-    /// it stays.
+    /// Time at which this replica proposes the removal of a member; `None` if the member is reachable and its disk
+    /// accepts writes.
     fn removal_due_at(&self, member: NodeId) -> Option<Timestamp> {
         let delay = CHANGE_DELAY_PER_RANK * self.rank();
         if self.peers.is_shutting_down(member) {
@@ -83,19 +83,20 @@
         self.setup.catch_up * ABSENCE_TENTHS_OF_CATCH_UP / 10
     }
 
-    /// The standby to add first: of a zone with the fewest voters.
+    /// The connected standby with a usable disk whose zone has the fewest remaining voters; ties go to the lowest
+    /// address.
     fn best_standby(&self, removed: Option<NodeId>) -> Option<NodeId> {
         let members = self.voting_set.members.iter();
-        let staying = members.filter(|member| Some(**member) != removed);
-        let zones: Vec<&Arc<str>> = staying.filter_map(|member| self.zone_of(*member)).collect();
+        let remaining = members.filter(|member| Some(**member) != removed);
+        let zones: Vec<&Arc<str>> = remaining.filter_map(|member| self.zone_of(*member)).collect();
         let voters_in_zone = |standby: NodeId| {
             let zone = self.zone_of(standby);
             zones.iter().filter(|other| Some(**other) == zone).count()
         };
-        let usable = self
+        let usable_standbys = self
             .standbys()
             .filter(|standby| self.peers.is_disk_usable(*standby));
-        usable.min_by_key(|standby| (voters_in_zone(*standby), *standby))
+        usable_standbys.min_by_key(|standby| (voters_in_zone(*standby), *standby))
     }
 
     fn zone_of(&self, node: NodeId) -> Option<&Arc<str>> {
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Whether this replica, asked for a promise, agrees to the removal of a member: not while it is in session with a
-    /// member that does not shut down and whose disk takes writes.
+    /// Whether this replica, as an acceptor, agrees to the removal of a member. It refuses while it is connected to the
+    /// member, unless the member is shutting down or its disk refuses writes.
     pub fn may_remove(&self, member: Option<NodeId>) -> bool {
         match member {
             None => true,
@@ -120,18 +121,18 @@
         }
     }
 
-    /// Whether a standby holds what voters of this set hold.
+    /// Whether a standby has reported complete state for the current voting set.
     pub fn is_ready_to_join(&self, standby: NodeId) -> bool {
         self.standbys.is_ready(standby, self.voting_set.epoch)
     }
 
-    /// Asks a standby to become a learner, at intervals.
+    /// Invites a standby to learn, at most once per `standbys::INVITATION_INTERVAL`.
     pub fn invite(&mut self, context: &mut Context, standby: NodeId) {
         self.standbys
             .invite(context, standby, self.voting_set.epoch);
     }
 
-    /// A standby reports that it holds what voters of a set hold.
+    /// Records that a standby has complete state for the voting set of an epoch.
     pub fn standby_ready(&mut self, standby: NodeId, epoch: Epoch) {
         self.standbys.mark_ready(standby, epoch);
     }
--- a/crates/gateway/consensus/src/membership/standbys.rs
+++ b/crates/gateway/consensus/src/membership/standbys.rs
@@ -1,4 +1,4 @@
-//! Standbys that learn, so that one of them can become a member.
+//! Standbys that learn the state of the voters in order to become members.
 
 use crate::context::Context;
 use rushcourse_messages::Message;
@@ -6,19 +6,18 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Between two invitations.
 const INVITATION_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Standbys as this replica, which may propose one of them, knows them.
+/// Standbys that this replica has invited, or that have reported that they are ready to join.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Standbys {
-    /// Standbys that hold what voters hold, and by the voters of which set.
+    /// Standbys with complete state, and the epoch of the voting set that they learned from.
     ready: BTreeMap<NodeId, Epoch>,
     last_invitation_at: Timestamp,
 }
 
 impl Standbys {
-    /// Asks a standby to become a learner, at intervals.
+    /// Invites a standby to learn, at most once per [`INVITATION_INTERVAL`].
     pub(super) fn invite(&mut self, context: &mut Context, standby: NodeId, epoch: Epoch) {
         if context.now >= self.last_invitation_at + INVITATION_INTERVAL {
             self.last_invitation_at = context.now;
@@ -26,7 +25,6 @@
         }
     }
 
-    /// A standby reports that it holds what voters of a set hold.
     pub(super) fn mark_ready(&mut self, standby: NodeId, epoch: Epoch) {
         self.ready.insert(standby, epoch);
     }
@@ -35,13 +33,13 @@
         self.ready.get(&standby) == Some(&epoch)
     }
 
-    /// Its session broke: it may come back with less.
-    pub(super) fn forget(&mut self, standby: NodeId) {
+    /// Removes a disconnected standby, which may have lost state when it reconnects.
+    pub(super) fn remove(&mut self, standby: NodeId) {
         self.ready.remove(&standby);
     }
 
-    /// Another set is adopted: what standbys hold is of the one before.
-    pub(super) fn forget_all(&mut self) {
+    /// Clears all readiness, which applied to the previous voting set.
+    pub(super) fn clear(&mut self) {
         self.ready.clear();
     }
 }
--- a/crates/gateway/consensus/src/node/mod.rs
+++ b/crates/gateway/consensus/src/node/mod.rs
@@ -1,9 +1,9 @@
-//! The node: dispatches inputs to the parts, and derives all that follows from them before the step ends.
+//! The node: dispatches inputs to the modules, and completes everything that follows from them within the same step.
 //!
-//! * `peer_messages.rs`: messages of other controllers.
+//! * `peer_messages.rs`: messages from other controllers.
 //! * `writes.rs`: batches that the disk has synced or refused.
 //! * `voting_set_changes.rs`: proposes and adopts the next voting set.
-//! * `state_transfer.rs`: gets what a voter has to hold, after a start or a loss.
+//! * `state_transfer.rs`: requests snapshots and ends recovery.
 
 mod peer_messages;
 mod state_transfer;
@@ -28,32 +28,32 @@
 use rushcourse_types::{ConfigurationVersion, Generation, KeyDigest, NodeId, Timestamp, WallTime};
 use std::sync::Arc;
 
-/// How far a replica has come, for its status page.
+/// State of a replica, as shown on its status page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaSummary {
-    /// The voting set that it counts in.
+    /// The voting set that the replica has adopted; epoch 0 before the first one.
     pub voting_set: VotingSet,
-    /// Whether it holds what a voter of its set has to hold.
+    /// Whether the replica has complete state for its voting set.
     pub has_complete_state: bool,
-    /// Whether it is a member that has started and does not know yet whether its disk is the newest one that it had.
+    /// Whether the replica is a member that has not verified yet that its disk is the newest one that it had.
     pub is_recovering: bool,
-    /// Whether it votes in its set.
+    /// Whether the replica votes in its voting set.
     pub is_voter: bool,
-    /// The generation of its disk.
+    /// Generation of the disk; increases with the writes that the replica acts upon.
     pub generation: Generation,
-    /// Whether its disk takes writes.
+    /// Whether the disk accepts writes.
     pub is_disk_usable: bool,
-    /// The highest version that it has accepted.
+    /// Highest configuration version that the replica has accepted or committed.
     pub highest_accepted: ConfigurationVersion,
-    /// The version that it knows to be committed.
+    /// Highest configuration version that the replica knows to be committed.
     pub committed: ConfigurationVersion,
-    /// Claims of operation keys that it holds.
+    /// Number of claims of operation keys that the replica stores.
     pub claim_count: usize,
-    /// Controllers in session with it.
+    /// Controllers that the replica has sessions with, in ascending order.
     pub peers: Vec<NodeId>,
 }
 
-/// One replica of the control state.
+/// A replica of the voting set, the configuration and the claims.
 #[derive(Clone, Debug)]
 pub struct ConsensusNode {
     context: Context,
@@ -65,7 +65,7 @@
 }
 
 impl ConsensusNode {
-    /// A replica at its start, with what its state file holds.
+    /// Creates a replica from the contents of its state file.
     pub fn new(setup: ReplicaSetup, durable: DurableState) -> ConsensusNode {
         let DurableState {
             voting_set,
@@ -91,11 +91,11 @@
         }
     }
 
-    /// Handles one input. `now` is the steady clock, which must not go back; `wall` is the time of day, which is only
-    /// shown to people.
-    pub fn step(&mut self, now: Timestamp, wall: WallTime, input: Input) -> Vec<Effect> {
+    /// Handles one input and returns the resulting effects. `now` is the monotonic clock and must not go back.
+    /// `wall_time` is only displayed.
+    pub fn step(&mut self, now: Timestamp, wall_time: WallTime, input: Input) -> Vec<Effect> {
         self.context.now = now;
-        self.context.wall = wall;
+        self.context.wall_time = wall_time;
         if !self.is_started {
             self.is_started = true;
             self.claims.start(now);
@@ -149,7 +149,7 @@
     fn peer_disconnected(&mut self, peer: NodeId) {
         let now = self.context.now;
         self.paxos.membership.peer_disconnected(now, peer);
-        self.paxos.reports.forget(peer);
+        self.paxos.reports.remove(peer);
         self.configuration.peer_disconnected(peer);
         self.snapshots.peer_disconnected(peer);
     }
@@ -173,32 +173,33 @@
         self.claims.tick(&mut self.context);
     }
 
-    /// The configuration that this replica knows to be committed.
+    /// The highest configuration that this replica knows to be committed.
     pub fn committed_configuration(&self) -> Option<CommittedConfiguration> {
         self.configuration.committed(&self.paxos.acceptor)
     }
 
-    /// The voting set that this replica counts in.
+    /// The voting set that this replica has adopted; epoch 0 before the first one.
     pub fn voting_set(&self) -> &VotingSet {
         self.paxos.membership.voting_set()
     }
 
-    /// Whether a majority of the set is in session with this replica, itself counted.
+    /// Whether this replica can reach a majority of the voting set, itself included.
     pub fn has_quorum_contact(&self) -> bool {
         self.paxos.membership.has_quorum_contact()
     }
 
-    /// Whether a process that is to end may do so now: no standby could take its place in the set, or one has.
+    /// Whether the process may exit after [`Input::ShutDown`]: a standby has replaced this replica, or none is
+    /// connected.
     pub fn may_shut_down(&self) -> bool {
         self.paxos.membership.may_shut_down()
     }
 
-    /// The claim that holds an operation key at this replica.
+    /// The claim that holds an operation key at this replica, durable or not.
     pub fn claim_holder(&self, key: KeyDigest) -> Option<HeldClaim> {
         self.claims.holder(key)
     }
 
-    /// How far this replica has come.
+    /// Snapshot of this replica's state for its status page.
     pub fn summary(&self) -> ReplicaSummary {
         let membership = &self.paxos.membership;
         ReplicaSummary {
--- a/crates/gateway/consensus/src/node/peer_messages.rs
+++ b/crates/gateway/consensus/src/node/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages of other controllers, and of this replica to itself.
+//! Messages from other controllers and from this replica to itself.
 
 use super::ConsensusNode;
 use crate::paxos::acceptor::AcceptRole;
@@ -7,7 +7,7 @@
 use rushcourse_types::{Epoch, NodeId, RequestToken, Timestamp};
 
 impl ConsensusNode {
-    /// Handles a message of another controller; messages that concern other parts of the program are ignored.
+    /// Handles a message from another controller. Messages that don't concern consensus are ignored.
     pub(super) fn handle_message(&mut self, peer: NodeId, message: Message) {
         let context = &mut self.context;
         let membership = &mut self.paxos.membership;
@@ -19,7 +19,7 @@
                 if epoch == membership.voting_set().epoch {
                     self.handle_ballot_message(peer, message);
                 } else {
-                    self.handle_other_epoch(peer, epoch);
+                    self.handle_epoch_mismatch(peer, epoch);
                 }
             }
             Message::ReplicaStatus { .. } => self.handle_replica_status(peer, message),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Handles a ballot's message of this replica's own epoch.
+    /// Handles a ballot message whose epoch is the current one.
     fn handle_ballot_message(&mut self, peer: NodeId, message: Message) {
         let context = &mut self.context;
         let (membership, proposer) = (&self.paxos.membership, &mut self.paxos.proposer);
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Ignores a ballot's message of another epoch. A sender that lags is sent the newer voting set.
-    fn handle_other_epoch(&mut self, peer: NodeId, epoch: Epoch) {
+    /// Discards a ballot message of another epoch. A sender with an older voting set receives the current one.
+    fn handle_epoch_mismatch(&mut self, peer: NodeId, epoch: Epoch) {
         let voting_set = self.paxos.membership.voting_set();
         if epoch < voting_set.epoch {
             let newer = Message::VotingSet(voting_set.clone());
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Promises a ballot if this replica votes, agrees to the removal of the member, and has the slot open.
+    /// Promises a ballot if this replica votes, agrees to the removal of the member, and the slot is undecided.
     fn prepare(&mut self, proposer: NodeId, slot: Slot, ballot: Ballot, removed: Option<NodeId>) {
         let membership = &self.paxos.membership;
         let epoch = membership.voting_set().epoch;
@@ -86,7 +86,7 @@
             return;
         }
         if !self.is_open(slot) {
-            // The proposer lags: the slot is decided.
+            // The slot is decided; the report tells the lagging proposer.
             let context = &mut self.context;
             return self.configuration.report_to(context, proposer, &self.paxos);
         }
@@ -94,7 +94,7 @@
         acceptor.prepare(&mut self.context, proposer, epoch, slot, ballot);
     }
 
-    /// Whether a proposal for a slot can still be of use: the slot is not decided, or it is that of the committed version.
+    /// Whether proposals for a slot are still accepted: it is undecided, or belongs to the committed version.
     fn is_open(&self, slot: Slot) -> bool {
         match slot {
             Slot::Configuration(version) => version >= self.configuration.committed_version(),
@@ -102,11 +102,11 @@
         }
     }
 
-    /// Accepts a proposal if its slot is open: with a vote, or as a copy.
+    /// Accepts a proposal for an undecided slot, with a vote or as a copy.
     fn accept(&mut self, proposer: NodeId, slot: Slot, proposal: Proposal) {
         let is_voter = self.paxos.membership.is_voter();
-        let is_wanted = is_voter || matches!(slot, Slot::Configuration(_));
-        if !is_wanted || !self.is_open(slot) {
+        let may_accept = is_voter || matches!(slot, Slot::Configuration(_));
+        if !may_accept || !self.is_open(slot) {
             return;
         }
         let ballot = proposal.ballot;
@@ -154,7 +154,7 @@
         let membership = &mut self.paxos.membership;
         membership.disk_reported(self.context.now, peer, is_disk_usable);
         self.paxos.reports.insert(peer, status);
-        // The peer has not received a report of this replica yet. Its own next report counts only if it echoes one.
+        // The peer has not received a report from this replica yet. Its own reports count here only once they echo one.
         if echoed == Timestamp::ZERO {
             let context = &mut self.context;
             self.configuration.report_to(context, peer, &self.paxos);
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Sends a learner a snapshot if this replica may teach in the set that it learns from.
+    /// Sends a snapshot to a learner if this replica may send snapshots in the learner's epoch.
     fn send_snapshot(&mut self, peer: NodeId, epoch: Epoch, after: Option<SnapshotCursor>) {
         if self.paxos.membership.may_send_snapshots(epoch) {
             let context = &mut self.context;
--- a/crates/gateway/consensus/src/node/state_transfer.rs
+++ b/crates/gateway/consensus/src/node/state_transfer.rs
@@ -1,5 +1,5 @@
-//! Gets what a voter has to hold: as a member that lost it, as one that recovers after its start, or as a standby that
-//! was invited.
+//! State transfer to this replica: as a member that lacks state, as one that recovers after its start, or as a standby
+//! that was invited.
 
 use super::ConsensusNode;
 use crate::context::PendingWrite;
@@ -9,13 +9,13 @@
 use rushcourse_types::NodeId;
 
 impl ConsensusNode {
-    /// Requests snapshots where they are wanted.
+    /// Requests snapshots if this replica needs them and a request is due.
     pub(super) fn request_snapshots(&mut self) {
         let now = self.context.now;
         let (membership, reports) = (&mut self.paxos.membership, &self.paxos.reports);
         if membership.is_recovering() {
             let voting_set = membership.voting_set().clone();
-            membership.update_urgency(|member| reports.is_voter(now, &voting_set, member));
+            membership.update_needed_for_majority(|member| reports.is_voter(now, &voting_set, member));
         }
         let members = membership.snapshot_sources(now);
         let sources: Vec<SnapshotSource> = members
@@ -31,8 +31,8 @@
         self.snapshots.request(&mut self.context, epoch, sources);
     }
 
-    /// A member as the source of a snapshot. One that recovers asks only those that have said that they vote, and from
-    /// where they know that its disk may have a gap.
+    /// Describes a member as a snapshot source. A recovering replica asks only members that have reported that they
+    /// vote, and starts from their recovery points.
     fn snapshot_source(&self, voter: NodeId) -> Option<SnapshotSource> {
         let (membership, reports) = (&self.paxos.membership, &self.paxos.reports);
         if !membership.is_recovering() {
@@ -43,7 +43,7 @@
         Some(SnapshotSource { voter, from })
     }
 
-    /// What a voter reports of its own disk, and of this replica's.
+    /// Processes a voter's report of its own disk's generation and of its recovery point for this replica.
     pub(super) fn learn_generations(&mut self, peer: NodeId, status: &ReplicaStatus) {
         let (context, paxos) = (&mut self.context, &mut self.paxos);
         if !status.is_voter || !paxos.membership.voting_set().contains(peer) {
@@ -60,17 +60,17 @@
         }
     }
 
-    /// Votes again after a start, once all have answered that could tell what the disk lacks.
+    /// Starts voting after a restart, once all members that could reveal a gap in the disk have answered.
     pub(super) fn finish_recovery(&mut self) {
         let (membership, reports) = (&mut self.paxos.membership, &self.paxos.reports);
-        let was_no_voter = |member: NodeId| {
+        let was_non_voter = |member: NodeId| {
             let report = reports.get(member);
-            report.is_some_and(PeerReport::was_no_voter)
+            report.is_some_and(PeerReport::was_non_voter)
         };
-        if !membership.is_recovery_answered(self.context.now, was_no_voter) {
+        if !membership.has_recovery_answers(self.context.now, was_non_voter) {
             return;
         }
-        membership.recovery_answered();
+        membership.mark_installing();
         let epoch = membership.voting_set().epoch;
         let mut operations = self.paxos.acceptor.start_voting();
         operations.push(WriteOperation::MarkStateComplete);
--- a/crates/gateway/consensus/src/node/voting_set_changes.rs
+++ b/crates/gateway/consensus/src/node/voting_set_changes.rs
@@ -1,4 +1,4 @@
-//! Proposes the next voting set where a change is due, and adopts the one that is chosen.
+//! Proposes the next voting set when a change is due, and adopts the one that is chosen.
 
 use super::ConsensusNode;
 use crate::log_event::LogEvent;
@@ -8,17 +8,17 @@
 use rushcourse_types::NodeId;
 use std::time::Duration;
 
-/// For how long a change of the set is tried before the need for it is looked at again.
+/// Time for which a change of the voting set is proposed before its need is evaluated again.
 const CHANGE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 impl ConsensusNode {
-    /// Makes a change of the voting set that is due: invites the standby to learn first, then proposes the change.
+    /// Proposes a due change of the voting set. The standby that joins is invited to learn first.
     pub(super) fn propose_due_change(&mut self) {
         let Some(change) = self.paxos.membership.due_change(self.context.now) else {
             return;
         };
         let slot = Slot::VotingSet(change.next.epoch);
-        if self.paxos.proposer.is_proposing(slot) || !self.leaves_quorum(&change) {
+        if self.paxos.proposer.is_proposing(slot) || !self.retains_quorum(&change) {
             return;
         }
         let membership = &mut self.paxos.membership;
@@ -38,21 +38,21 @@
         self.paxos.propose(&mut self.context, request);
     }
 
-    /// Whether the members that stay are enough to vote in the next set and to send its new member their snapshots. A
-    /// member without complete state can do neither.
-    fn leaves_quorum(&self, change: &VotingSetChange) -> bool {
+    /// Whether enough voters remain to vote in the next set and to send snapshots to its new member. Members without
+    /// complete state can do neither.
+    fn retains_quorum(&self, change: &VotingSetChange) -> bool {
         let set = self.paxos.membership.voting_set();
-        let votes = |member: NodeId| {
+        let is_usable_voter = |member: NodeId| {
             (member == self.context.node && self.context.is_disk_usable())
                 || self.paxos.reports.is_voter(self.context.now, set, member)
         };
         let members = set.members.iter().copied();
-        let staying = members.filter(|member| Some(*member) != change.removed);
-        let voters = staying.filter(|member| votes(*member)).count();
+        let remaining = members.filter(|member| Some(*member) != change.removed);
+        let voters = remaining.filter(|member| is_usable_voter(*member)).count();
         voters >= change.next.majority().max(change.next.snapshot_quorum())
     }
 
-    /// Adopts the next voting set once a majority of the present one has voted for it.
+    /// Adopts the next voting set once a majority of the current one has voted for it.
     pub(super) fn adopt_chosen_voting_set(&mut self) {
         let slot = Slot::VotingSet(self.voting_set().epoch.next());
         let Some(proposal) = self.paxos.acceptor.accepted(slot) else {
--- a/crates/gateway/consensus/src/node/writes.rs
+++ b/crates/gateway/consensus/src/node/writes.rs
@@ -1,4 +1,4 @@
-//! Completes writes: tells the part that waited for a batch that the disk has synced or refused it.
+//! Completion of writes: runs the action that was pending on a batch once the disk has synced or refused it.
 
 use super::ConsensusNode;
 use crate::context::PendingWrite;
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The others hear at once when the disk begins or ends to refuse writes.
+    /// Reports to all peers as soon as the disk starts or stops refusing writes.
     fn report_disk_change(&mut self, was_usable: bool) {
         if self.context.is_disk_usable() != was_usable {
             let context = &mut self.context;
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Adopts a voting set that is newer than the present one. `is_stored`: the disk holds it; otherwise the disk refused
-    /// it, and this replica counts in it without a vote.
+    /// Adopts a voting set that is newer than the current one. With `is_stored` false the disk refused the set, and
+    /// this replica doesn't vote in it.
     fn adopt_voting_set(&mut self, voting_set: VotingSet, is_stored: bool) {
         let context = &mut self.context;
         if !self.paxos.membership.adopt(context, voting_set, is_stored) {
@@ -64,17 +64,18 @@
         }
         let voting_set = self.paxos.membership.voting_set();
         self.paxos.recovery_points.retain_members(voting_set);
-        let decided = PruneBounds {
+        let bounds = PruneBounds {
             versions_below: ConfigurationVersion::NONE,
             epochs_through: self.paxos.membership.voting_set().epoch,
         };
-        self.paxos.acceptor.prune(context, decided);
+        self.paxos.acceptor.prune(context, bounds);
         self.paxos.proposer.voting_set_changed(context.now);
         self.configuration
             .voting_set_changed(context, &mut self.paxos);
     }
 
-    /// The disk holds a chunk of a snapshot. `completed_epoch`: the set whose voters have sent enough snapshots with it.
+    /// Handles the sync of a snapshot chunk. `completed_epoch` is set if the chunk completed the last snapshot that was
+    /// needed.
     fn snapshot_synced(&mut self, keys: &[KeyDigest], completed_epoch: Option<Epoch>) {
         self.claims.install_synced(keys);
         let Some(epoch) = completed_epoch else {
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The disk refused a batch: it is undone in memory, and retried where it must not be lost.
+    /// Handles the disk's refusal of a batch: reverts it in memory, or marks it for a retry if it must not be lost.
     pub(super) fn batch_refused(&mut self, batch: BatchId) {
         let was_usable = self.context.is_disk_usable();
         let Some(pending) = self.context.batch_refused(batch) else {
--- a/crates/gateway/consensus/src/paxos/acceptor/entry.rs
+++ b/crates/gateway/consensus/src/paxos/acceptor/entry.rs
@@ -1,30 +1,27 @@
-//! The record of one slot, and how far the disk has it.
+//! The acceptor record of one slot, and which part of it is durable.
 
 use crate::durable_state::WriteOperation;
 use rushcourse_messages::{AcceptorRecord, Ballot, Slot, SlotRecord};
 
-/// The record of one slot.
+/// Acceptor state of one slot.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Entry {
     pub(super) record: AcceptorRecord,
-    /// The vote that the disk holds.
+    /// Ballot of the vote that is on disk.
     pub(super) durable_vote: Option<Ballot>,
-    /// The disk refused the last write of this record.
-    pub(super) is_unwritten: bool,
+    /// Whether the disk refused the last write of the record.
+    pub(super) needs_rewrite: bool,
 }
 
 impl Entry {
-    /// The ballot of what is accepted.
     pub(super) fn accepted_ballot(&self) -> Option<Ballot> {
         accepted_ballot(&self.record)
     }
 
-    /// Writes the record.
-    pub(super) fn store(&self, slot: Slot) -> WriteOperation {
+    pub(super) fn store_operation(&self, slot: Slot) -> WriteOperation {
         WriteOperation::StoreRecord(self.slot_record(slot))
     }
 
-    /// The record with its slot.
     pub(super) fn slot_record(&self, slot: Slot) -> SlotRecord {
         SlotRecord {
             slot,
@@ -33,7 +30,7 @@
     }
 }
 
-/// The ballot of what a record has as accepted.
+/// Ballot of the proposal that a record holds as accepted.
 pub(super) fn accepted_ballot(record: &AcceptorRecord) -> Option<Ballot> {
     record.accepted.as_ref().map(|proposal| proposal.ballot)
 }
--- a/crates/gateway/consensus/src/paxos/acceptor/mod.rs
+++ b/crates/gateway/consensus/src/paxos/acceptor/mod.rs
@@ -1,5 +1,5 @@
-//! The acceptor: promises and votes of this replica, one record a slot. A promise is answered, and a vote reported, only
-//! once the disk holds it.
+//! The acceptor: promises and votes of this replica, one record per slot. A promise is sent, and a vote reported, only
+//! once it is on disk.
 //!
 //! * `entry.rs`: the record of one slot; `transfer.rs`: records in snapshots.
 
@@ -15,36 +15,35 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Slots that may be open at once (ours): an operator has up to eight orders under way; beyond, nothing new is promised
-/// until one is committed.
+/// Maximum number of slots with a record. When it is reached, no further slot is opened until a version is committed.
 const MAX_OPEN_SLOTS: usize = 24;
 
-/// In what role a proposal is accepted.
+/// Role in which a proposal is accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AcceptRole {
-    /// As a voter of the set.
+    /// As a voter, whose acceptance is a vote unless a higher ballot was promised.
     Voter,
-    /// A majority is known to have voted for it: it is accepted whatever was promised, without a vote.
+    /// As a replica that knows the proposal to be chosen: it accepts regardless of its promises, without a vote.
     Chosen,
-    /// A replica that casts no vote keeps a copy.
+    /// As a replica that doesn't vote and keeps a copy.
     Copy,
 }
 
-/// What this replica promised and accepted.
+/// Promises and accepted proposals of this replica, by slot.
 #[derive(Clone, Debug)]
 pub(crate) struct Acceptor {
     entries: BTreeMap<Slot, Entry>,
 }
 
 impl Acceptor {
-    /// The acceptor at the start, with the records of the state file.
+    /// Restores the acceptor from the records of the state file.
     pub fn new(stored: Vec<SlotRecord>) -> Acceptor {
         let entry = |SlotRecord { slot, record }: SlotRecord| {
             let durable_vote = accepted_ballot(&record).filter(|_| record.is_vote);
             let entry = Entry {
                 record,
                 durable_vote,
-                is_unwritten: false,
+                needs_rewrite: false,
             };
             (slot, entry)
         };
@@ -53,23 +52,24 @@
         }
     }
 
-    /// The accepted proposal of a slot: the one under the highest ballot.
+    /// The accepted proposal of a slot; a later one replaces it only under a higher ballot or if it is known to be
+    /// chosen.
     pub fn accepted(&self, slot: Slot) -> Option<&Proposal> {
         self.entries.get(&slot)?.record.accepted.as_ref()
     }
 
-    /// The highest ballot that a promise was given for.
+    /// Highest ballot promised for a slot; the default ballot if there is none.
     pub fn promised(&self, slot: Slot) -> Ballot {
         let entry = self.entries.get(&slot);
         entry.map_or(Ballot::default(), |entry| entry.record.promised)
     }
 
-    /// The vote for a slot that the disk holds.
+    /// Ballot of this replica's vote for a slot, once the vote is on disk.
     pub fn durable_vote(&self, slot: Slot) -> Option<Ballot> {
         self.entries.get(&slot)?.durable_vote
     }
 
-    /// All votes that the disk holds.
+    /// All votes of this replica that are on disk.
     pub fn durable_votes(&self) -> Vec<DurableVote> {
         let vote = |(slot, entry): (&Slot, &Entry)| {
             Some(DurableVote {
@@ -80,7 +80,7 @@
         self.entries.iter().filter_map(vote).collect()
     }
 
-    /// Accepted configurations of versions above this one, highest first.
+    /// Accepted configurations with versions above this one, in descending order.
     pub fn configurations_above(
         &self,
         version: ConfigurationVersion,
@@ -92,19 +92,19 @@
         })
     }
 
-    /// The highest version that is accepted here; `committed`, where none above it is.
+    /// Highest accepted version above `committed`, or `committed` if there is none.
     pub fn highest_version(&self, committed: ConfigurationVersion) -> ConfigurationVersion {
         let highest = self.configurations_above(committed).next();
         highest.map_or(committed, |(version, _)| version)
     }
 
-    /// The text that is accepted here for a version.
+    /// Text accepted here for a version, whether or not it is chosen.
     pub fn configuration_text(&self, version: ConfigurationVersion) -> Option<&Arc<[u8]>> {
         let accepted = self.accepted(Slot::Configuration(version))?;
         Some(&accepted.value)
     }
 
-    /// The configuration of a version that is known to be committed.
+    /// The configuration of a version that the caller knows to be committed; `None` if it is not stored here.
     pub fn committed_configuration(
         &self,
         version: ConfigurationVersion,
@@ -116,7 +116,7 @@
         Some(CommittedConfiguration { version, text })
     }
 
-    /// The entry of a slot, created if there is room for one more.
+    /// Returns the entry of a slot, creating it if fewer than [`MAX_OPEN_SLOTS`] exist.
     fn open_entry(&mut self, slot: Slot) -> Option<&mut Entry> {
         if !self.entries.contains_key(&slot) && self.entries.len() >= MAX_OPEN_SLOTS {
             return None;
@@ -124,8 +124,8 @@
         Some(self.entries.entry(slot).or_default())
     }
 
-    /// Phase 1: promises a ballot, unless as high a one was promised. The caller has checked that this replica votes and
-    /// that the slot is open.
+    /// Phase 1: promises a ballot unless an equal or higher one was promised. The caller has checked that this replica
+    /// votes and that the slot is undecided.
     pub fn prepare(
         &mut self,
         context: &mut Context,
@@ -150,10 +150,10 @@
             slot,
             ballot,
         };
-        context.write(vec![entry.store(slot)], pending);
+        context.write(vec![entry.store_operation(slot)], pending);
     }
 
-    /// The disk holds a promise: it is sent, unless a higher one was given since.
+    /// Sends a promise that is now on disk, unless a higher ballot was promised in the meantime.
     pub fn promise_synced(
         &mut self,
         context: &mut Context,
@@ -175,7 +175,7 @@
         context.send(proposer, promise);
     }
 
-    /// Phase 2: accepts a proposal, unless it is accepted already or a higher ballot was promised.
+    /// Phase 2: accepts a proposal unless it is already accepted or a higher ballot was promised.
     pub fn accept(
         &mut self,
         context: &mut Context,
@@ -190,15 +190,15 @@
         };
         let ballot = proposal.ballot;
         let promised = entry.record.promised;
-        let held = entry.accepted_ballot();
+        let current = entry.accepted_ballot();
         let is_vote = role == AcceptRole::Voter && ballot >= promised;
-        if held == Some(ballot) && (entry.record.is_vote || !is_vote) {
+        if current == Some(ballot) && (entry.record.is_vote || !is_vote) {
             return;
         }
         if role == AcceptRole::Voter && !is_vote {
             return reject(context, proposer, epoch, slot, promised);
         }
-        if role == AcceptRole::Copy && held >= Some(ballot) {
+        if role == AcceptRole::Copy && current >= Some(ballot) {
             return;
         }
         if is_vote {
@@ -207,12 +207,12 @@
         entry.record.accepted = Some(proposal);
         entry.record.is_vote = is_vote;
         context.write(
-            vec![entry.store(slot)],
+            vec![entry.store_operation(slot)],
             PendingWrite::Accepted { slot, ballot },
         );
     }
 
-    /// The disk holds an accepted proposal. Returns whether a vote became durable by it.
+    /// Handles the sync of an accepted proposal. Returns whether it made a vote durable.
     pub fn accept_synced(&mut self, slot: Slot, ballot: Ballot) -> bool {
         let Some(entry) = self.entries.get_mut(&slot) else {
             return false;
@@ -225,36 +225,36 @@
         is_vote
     }
 
-    /// The disk refused a record: it is written again later, and answered only then.
+    /// Marks a record that the disk refused for a retry. No promise or vote is reported before the retry is synced.
     pub fn write_refused(&mut self, slot: Slot) {
         if let Some(entry) = self.entries.get_mut(&slot) {
-            entry.is_unwritten = true;
+            entry.needs_rewrite = true;
         }
     }
 
-    /// Writes again what the disk refused.
+    /// Writes the accepted proposals that the disk refused again.
     pub fn retry_writes(&mut self, context: &mut Context) {
         let entries = self.entries.iter_mut();
-        for (slot, entry) in entries.filter(|(_, entry)| entry.is_unwritten) {
-            entry.is_unwritten = false;
+        for (slot, entry) in entries.filter(|(_, entry)| entry.needs_rewrite) {
+            entry.needs_rewrite = false;
             let Some(ballot) = entry.accepted_ballot() else {
                 continue;
             };
             let slot = *slot;
             context.write(
-                vec![entry.store(slot)],
+                vec![entry.store_operation(slot)],
                 PendingWrite::Accepted { slot, ballot },
             );
         }
     }
 
-    /// Removes the records of slots that are decided.
-    pub fn prune(&mut self, context: &mut Context, decided: PruneBounds) {
+    /// Removes the records of decided slots.
+    pub fn prune(&mut self, context: &mut Context, bounds: PruneBounds) {
         let count_before = self.entries.len();
-        self.entries.retain(|slot, _| !decided.contains(*slot));
+        self.entries.retain(|slot, _| !bounds.contains(*slot));
         if self.entries.len() < count_before {
             context.write(
-                vec![WriteOperation::PruneRecords(decided)],
+                vec![WriteOperation::PruneRecords(bounds)],
                 PendingWrite::Untracked,
             );
         }
--- a/crates/gateway/consensus/src/paxos/acceptor/transfer.rs
+++ b/crates/gateway/consensus/src/paxos/acceptor/transfer.rs
@@ -1,4 +1,4 @@
-//! Records in snapshots, and how a replica begins and ceases to vote.
+//! Acceptor records in snapshots, and the start and end of voting.
 
 use super::Acceptor;
 use super::entry::accepted_ballot;
@@ -6,7 +6,7 @@
 use rushcourse_messages::SlotRecord;
 
 impl Acceptor {
-    /// All records, for a snapshot.
+    /// Returns all records for a snapshot.
     pub fn records(&self) -> Vec<SlotRecord> {
         let entries = self.entries.iter();
         entries
@@ -14,8 +14,8 @@
             .collect()
     }
 
-    /// Merges the records of a voter's snapshot: the higher promise and the higher proposal hold. None of it is a vote
-    /// yet. Returns what is to be written.
+    /// Merges the records of a voter's snapshot, keeping the higher promise and the higher proposal of each slot.
+    /// Merged proposals are not votes yet. Returns the writes.
     pub fn merge(&mut self, records: &[SlotRecord]) -> Vec<WriteOperation> {
         let mut operations = Vec::new();
         for SlotRecord { slot, record } in records {
@@ -25,23 +25,23 @@
                 entry.record.accepted = record.accepted.clone();
                 entry.record.is_vote = false;
             }
-            operations.push(entry.store(*slot));
+            operations.push(entry.store_operation(*slot));
         }
         operations
     }
 
-    /// This replica is to vote from now on: what it accepted becomes a vote where no higher ballot was promised. Returns
-    /// what is to be written.
+    /// Turns accepted proposals into votes unless a higher ballot was promised. Returns the writes; voting starts once
+    /// they are synced.
     pub fn start_voting(&mut self) -> Vec<WriteOperation> {
         let mut operations = Vec::new();
         for (slot, entry) in &mut self.entries {
             entry.record.is_vote |= entry.accepted_ballot() >= Some(entry.record.promised);
-            operations.push(entry.store(*slot));
+            operations.push(entry.store_operation(*slot));
         }
         operations
     }
 
-    /// The disk holds what `start_voting` returned.
+    /// Marks the votes written by [`Acceptor::start_voting`] as durable.
     pub fn start_voting_synced(&mut self) {
         for entry in self.entries.values_mut() {
             if entry.record.is_vote {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// This replica no longer votes; what it accepted stays as copies.
+    /// Ends voting; accepted proposals are kept as copies.
     pub fn stop_voting(&mut self) {
         for entry in self.entries.values_mut() {
             entry.record.is_vote = false;
--- a/crates/gateway/consensus/src/paxos/mod.rs
+++ b/crates/gateway/consensus/src/paxos/mod.rs
@@ -1,9 +1,9 @@
-//! Single-decree Paxos, one instance a slot: one value is chosen for the voting set of an epoch, or the configuration of
-//! a version. There is no leader; any replica may propose.
+//! Single-decree Paxos with one instance per slot. A slot decides the voting set of an epoch or the configuration of a
+//! version. There is no leader; any replica may propose.
 //!
 //! * `proposer.rs`: gets a value chosen.
-//! * `acceptor.rs`: promises and votes of this replica.
-//! * `peer_reports.rs`: which votes the others' disks hold, so that every replica sees a choice, not only its proposer.
+//! * `acceptor/`: promises and votes of this replica.
+//! * `peer_reports.rs`: durable votes of other replicas, from which every replica detects that a value is chosen.
 
 pub(crate) mod acceptor;
 pub(crate) mod peer_reports;
@@ -18,40 +18,40 @@
 use rushcourse_messages::{Ballot, RecoveryPoint, Slot};
 use rushcourse_types::{NodeId, Timestamp};
 
-/// The ballots that this replica takes part in, and the voting set that they are held in.
+/// Paxos roles of this replica, and the voting set whose majority decides.
 #[derive(Clone, Debug)]
 pub(crate) struct Paxos {
     pub membership: Membership,
     pub acceptor: Acceptor,
     pub proposer: Proposer,
     pub reports: PeerReports,
-    /// What is known of the other members' disks.
+    /// Recovery points of the other members, which are part of the reports to them.
     pub recovery_points: RecoveryPoints,
 }
 
 impl Paxos {
-    /// Proposes a value, or extends the proposal that is under way for its slot.
+    /// Proposes a value, or extends the deadline of the pending proposal for its slot.
     pub fn propose(&mut self, context: &mut Context, request: ProposalRequest) {
         self.proposer.propose(context, &self.membership, request);
     }
 
-    /// What to report to a peer of its own disk: nothing, unless it does not vote.
+    /// Recovery point to include in reports to a peer; `None` if the peer votes and so doesn't need one.
     pub fn recovery_point_for(&self, peer: NodeId) -> Option<RecoveryPoint> {
-        let needs_it = self
+        let needs_recovery_point = self
             .reports
             .get(peer)
             .is_some_and(|report| !report.is_voter());
-        needs_it.then(|| self.recovery_points.of(peer)).flatten()
+        needs_recovery_point.then(|| self.recovery_points.get(peer)).flatten()
     }
 
-    /// Whether a majority of the set has voted for a proposal; a vote of this replica counts.
+    /// Whether a majority of the voting set, including this replica if it votes, has durably voted for a proposal.
     pub fn is_chosen(&self, now: Timestamp, slot: Slot, ballot: Ballot) -> bool {
         let has_own_vote =
             self.membership.is_voter() && self.acceptor.durable_vote(slot) == Some(ballot);
         self.is_majority(now, slot, ballot, usize::from(has_own_vote))
     }
 
-    /// Whether a majority of the set, without this replica, has voted for a proposal.
+    /// Whether a majority of the voting set has durably voted for a proposal, without this replica's vote.
     pub fn is_chosen_by_others(&self, now: Timestamp, slot: Slot, ballot: Ballot) -> bool {
         self.is_majority(now, slot, ballot, 0)
     }
--- a/crates/gateway/consensus/src/paxos/peer_reports.rs
+++ b/crates/gateway/consensus/src/paxos/peer_reports.rs
@@ -1,36 +1,36 @@
-//! What other replicas have reported of their disks.
+//! The latest status reports of other replicas.
 
 use rushcourse_messages::{Ballot, DurableVote, Message, RecoveryPoint, Slot, VotingSet};
 use rushcourse_types::{ConfigurationVersion, Epoch, Generation, NodeId, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// For how long a peer's report counts, from the timestamp of this replica that it echoes: so its age is bounded however
-/// long it was on its way, or waited here while this process stood still. Shorter than the wait of a voter that lost its disk
-/// (`learning::SNAPSHOT_REQUEST_DELAY`): a vote of before the loss is counted only before that voter has
-/// installed snapshots.
+/// Time for which a peer's report counts, starting at the timestamp of this replica that the report echoes. This bounds
+/// the age of the report regardless of network delays and of pauses of this process. Shorter than
+/// `learning::SNAPSHOT_REQUEST_DELAY`, so that a vote given before the loss of a disk is no longer counted when its
+/// voter installs snapshots.
 pub(crate) const REPORT_TIMEOUT: Duration = Duration::from_millis(1_700);
 
-/// The content of `Message::ReplicaStatus`.
+/// Content of `Message::ReplicaStatus`.
 #[derive(Clone, Debug)]
 pub(crate) struct ReplicaStatus {
-    /// The sender's steady clock.
+    /// Time of sending by the sender's monotonic clock.
     pub sent_at: Timestamp,
-    /// The last `sent_at` that the sender got from the receiver in this session; `Timestamp::ZERO`: none.
+    /// Latest `sent_at` that the sender received from the receiver in this session; zero if it received none.
     pub echoed: Timestamp,
-    /// The voting set that the sender knows.
+    /// Epoch of the voting set that the sender has adopted.
     pub epoch: Epoch,
     /// Whether the sender votes in that set.
     pub is_voter: bool,
-    /// Whether the sender's disk takes writes.
+    /// Whether the sender's disk accepts writes.
     pub is_disk_usable: bool,
-    /// The generation of the sender's disk.
+    /// Generation of the sender's disk.
     pub generation: Generation,
-    /// For a receiver that does not vote: what the sender knows of its disk.
+    /// The sender's recovery point for the receiver's disk, if the receiver doesn't vote.
     pub recovery_point: Option<RecoveryPoint>,
-    /// The version that the sender knows to be committed.
+    /// Highest version that the sender knows to be committed.
     pub committed: ConfigurationVersion,
-    /// Votes that the sender's disk holds.
+    /// Votes that the sender has on disk.
     pub votes: Vec<DurableVote>,
 }
 
@@ -50,17 +50,16 @@
     }
 }
 
-/// What one replica reported last.
 #[derive(Clone, Debug)]
 pub(crate) struct PeerReport {
-    /// The timestamp of this replica's last report that the peer had received; `Timestamp::ZERO`: it had received none.
+    /// Timestamp of this replica's latest report that the peer had received; zero if it had received none.
     echoed: Timestamp,
-    /// The peer's clock when it sent the report.
+    /// Time of sending by the peer's monotonic clock.
     sent_at: Timestamp,
     epoch: Epoch,
     is_voter: bool,
-    /// The peer did not vote when it first reported in this session, or later.
-    was_no_voter: bool,
+    /// Whether any report of this session said that the peer doesn't vote.
+    was_non_voter: bool,
     is_disk_usable: bool,
     recovery_point: Option<RecoveryPoint>,
     committed: ConfigurationVersion,
@@ -68,28 +67,27 @@
 }
 
 impl PeerReport {
-    /// Whether the peer said that it votes in the set that it knows.
+    /// Whether the peer voted in its voting set when it sent the report.
     pub fn is_voter(&self) -> bool {
         self.is_voter
     }
 
-    /// Whether the peer said at some time in this session that it does not vote: then it has started since, like this
-    /// replica where that recovers, or lacks state.
-    pub fn was_no_voter(&self) -> bool {
-        self.was_no_voter
+    /// Whether the peer has reported in this session that it doesn't vote. It may vote again by now.
+    pub fn was_non_voter(&self) -> bool {
+        self.was_non_voter
     }
 
-    /// What the peer knows of this replica's disk.
+    /// The peer's recovery point for this replica's disk.
     pub fn recovery_point(&self) -> Option<RecoveryPoint> {
         self.recovery_point
     }
 
-    /// The version that the peer knows to be committed.
+    /// Highest version that the peer knows to be committed.
     pub fn committed(&self) -> ConfigurationVersion {
         self.committed
     }
 
-    /// Whether the peer's disk holds this vote.
+    /// Whether the peer has a vote for this ballot on disk.
     pub fn has_vote(&self, slot: Slot, ballot: Ballot) -> bool {
         self.votes.get(&slot) == Some(&ballot)
     }
@@ -99,24 +97,24 @@
     }
 }
 
-/// The last reports of the replicas in session.
+/// Latest reports of the connected replicas.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PeerReports {
     reports: BTreeMap<NodeId, PeerReport>,
 }
 
 impl PeerReports {
-    /// Stores a report in place of the last one of its sender.
+    /// Replaces the latest report of a peer.
     pub fn insert(&mut self, from: NodeId, status: ReplicaStatus) {
         let votes = status.votes.iter().map(|vote| (vote.slot, vote.ballot));
         let earlier = self.reports.get(&from);
-        let was_no_voter = earlier.is_some_and(|report| report.was_no_voter);
+        let was_non_voter = earlier.is_some_and(|report| report.was_non_voter);
         let report = PeerReport {
             echoed: status.echoed,
             sent_at: status.sent_at,
             epoch: status.epoch,
             is_voter: status.is_voter,
-            was_no_voter: was_no_voter || !status.is_voter,
+            was_non_voter: was_non_voter || !status.is_voter,
             is_disk_usable: status.is_disk_usable,
             recovery_point: status.recovery_point,
             committed: status.committed,
@@ -125,28 +123,27 @@
         self.reports.insert(from, report);
     }
 
-    /// The peer's session broke: it may come back without its disk.
-    pub fn forget(&mut self, peer: NodeId) {
+    /// Drops the report of a disconnected peer, which may return without its disk.
+    pub fn remove(&mut self, peer: NodeId) {
         self.reports.remove(&peer);
     }
 
-    /// The peer's clock in its last report of this session, to be echoed; `Timestamp::ZERO`: there was none.
+    /// Timestamp of the peer's latest report in this session, to be echoed; zero if there is none.
     pub fn last_sent_at(&self, peer: NodeId) -> Timestamp {
         let report = self.reports.get(&peer);
         report.map_or(Timestamp::ZERO, |report| report.sent_at)
     }
 
-    /// The last report of a peer in this session.
     pub fn get(&self, peer: NodeId) -> Option<&PeerReport> {
         self.reports.get(&peer)
     }
 
-    /// All reports, by peers in ascending order.
+    /// Iterates over the latest reports in ascending order of peer address.
     pub fn iter(&self) -> impl Iterator<Item = (NodeId, &PeerReport)> {
         self.reports.iter().map(|(peer, report)| (*peer, report))
     }
 
-    /// The recent report of another member that votes in this set.
+    /// The report of a peer, provided that it is recent and that the peer votes in this set.
     pub fn voter_report(
         &self,
         now: Timestamp,
@@ -154,17 +151,17 @@
         peer: NodeId,
     ) -> Option<&PeerReport> {
         let report = self.reports.get(&peer)?;
-        let counts = report.is_recent(now) && report.is_voter && report.epoch == set.epoch;
-        counts.then_some(report)
+        let is_counted = report.is_recent(now) && report.is_voter && report.epoch == set.epoch;
+        is_counted.then_some(report)
     }
 
-    /// Whether another member has reported lately that it votes in this set, and that its disk takes writes.
+    /// Whether a peer has recently reported that it votes in this set and that its disk accepts writes.
     pub fn is_voter(&self, now: Timestamp, set: &VotingSet, peer: NodeId) -> bool {
         let report = self.voter_report(now, set, peer);
         report.is_some_and(|report| report.is_disk_usable)
     }
 
-    /// How many other members of the set have this vote on their disks, by their recent reports.
+    /// Counts the other members that have recently reported a durable vote for this ballot.
     pub fn count_votes(
         &self,
         now: Timestamp,
--- a/crates/gateway/consensus/src/paxos/proposer.rs
+++ b/crates/gateway/consensus/src/paxos/proposer.rs
@@ -1,5 +1,6 @@
-//! The proposer: gets a value chosen for a slot, by promises and then votes of a majority of the set. Proposers of one
-//! slot may compete; the higher ballot wins, and adopts the value that a lower one may have got chosen.
+//! The proposer: gets a value chosen for a slot by collecting promises and then votes from a majority of the voting
+//! set. Proposers may compete for a slot. The higher ballot wins, and adopts the value that a lower ballot may already
+//! have got chosen.
 
 use crate::context::Context;
 use crate::membership::Membership;
@@ -9,25 +10,25 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// For how long promises count after a ballot's start; shorter than `learning::SNAPSHOT_REQUEST_DELAY`, as for votes.
+/// Time after a ballot's start for which its promises count. Shorter than `learning::SNAPSHOT_REQUEST_DELAY`, so that a
+/// promise given before the loss of a disk is no longer counted when its acceptor installs snapshots.
 const PROMISE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Until a ballot that failed is followed by the next one, and what each rank adds, so that proposers that compete retry
-/// one after the other.
+/// Delay before a failed ballot is followed by the next one, and the delay added per rank, so that competing proposers
+/// retry one after the other.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 const RETRY_DELAY_PER_RANK: Duration = Duration::from_millis(60);
-/// The same after a rejection.
+/// Delay before the next ballot after a rejection, and the delay added per rank.
 const REJECTED_RETRY_DELAY: Duration = Duration::from_millis(20);
 const REJECTED_RETRY_DELAY_PER_RANK: Duration = Duration::from_millis(40);
 
-/// A value to propose.
+/// Arguments of [`Proposer::propose`].
 pub(crate) struct ProposalRequest {
-    /// What the value is for.
     pub slot: Slot,
-    /// A configuration's text, or a voting set.
+    /// Text of a configuration, or an encoded voting set.
     pub value: Arc<[u8]>,
-    /// The member that a proposed set leaves out.
+    /// The member that a proposed voting set removes. Acceptors that can still reach it don't promise.
     pub removed: Option<NodeId>,
-    /// When the proposer gives up.
+    /// Deadline after which the proposer gives up.
     pub expires_at: Timestamp,
 }
 
@@ -35,14 +36,14 @@
 enum Phase {
     Preparing {
         promises: BTreeSet<NodeId>,
-        /// What voters accepted before, under the highest ballot.
+        /// Proposal with the highest ballot among those that the promises reported as accepted.
         accepted: Option<Proposal>,
     },
     Accepting,
 }
 
 #[derive(Clone, Debug)]
-struct OpenProposal {
+struct PendingProposal {
     ballot: Ballot,
     value: Arc<[u8]>,
     removed: Option<NodeId>,
@@ -52,9 +53,9 @@
     expires_at: Timestamp,
 }
 
-impl OpenProposal {
-    /// Counts a promise of phase 1. With a majority of them, returns the value of phase 2: the one that was accepted
-    /// under the highest ballot, or this proposal's own.
+impl PendingProposal {
+    /// Counts a promise of phase 1. Once a majority has promised, returns the value for phase 2: the accepted value
+    /// with the highest ballot, or else this proposal's own value.
     fn add_promise(
         &mut self,
         from: NodeId,
@@ -84,16 +85,16 @@
     }
 }
 
-/// The proposals of this replica that are under way.
+/// Proposer role of this replica, with at most one pending proposal per slot.
 #[derive(Clone, Debug)]
 pub(crate) struct Proposer {
     incarnation: Incarnation,
     last_round: u64,
-    proposals: BTreeMap<Slot, OpenProposal>,
+    proposals: BTreeMap<Slot, PendingProposal>,
 }
 
 impl Proposer {
-    /// A proposer whose ballots are of this incarnation.
+    /// Creates a proposer; its ballots carry the incarnation, which makes them unique across restarts.
     pub fn new(incarnation: Incarnation) -> Proposer {
         Proposer {
             incarnation,
@@ -102,12 +103,12 @@
         }
     }
 
-    /// Whether a proposal for a slot is under way.
+    /// Whether a proposal for the slot is pending.
     pub fn is_proposing(&self, slot: Slot) -> bool {
         self.proposals.contains_key(&slot)
     }
 
-    /// Proposes a value, or extends the proposal that is under way for this slot.
+    /// Proposes a value, or extends the deadline of the pending proposal for its slot.
     pub fn propose(
         &mut self,
         context: &mut Context,
@@ -118,7 +119,7 @@
             proposal.expires_at = proposal.expires_at.max(request.expires_at);
             return;
         }
-        let proposal = OpenProposal {
+        let proposal = PendingProposal {
             ballot: Ballot::default(),
             value: request.value,
             removed: request.removed,
@@ -131,7 +132,7 @@
         self.start_ballot(context, membership, request.slot);
     }
 
-    /// Begins phase 1 of a new ballot: asks for promises.
+    /// Starts phase 1 of a new ballot by requesting promises.
     fn start_ballot(&mut self, context: &mut Context, membership: &Membership, slot: Slot) {
         self.last_round += 1;
         let ballot = Ballot {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// A voter has promised; with a majority of promises phase 2 begins: voters are asked to accept.
+    /// Handles a promise. Once a majority has promised, phase 2 starts: voters are asked to accept the value.
     pub fn promise_received(
         &mut self,
         context: &mut Context,
@@ -174,8 +175,8 @@
         let Some(proposal) = proposal.filter(|proposal| proposal.ballot == ballot) else {
             return;
         };
-        let is_late = context.now >= proposal.started_at + PROMISE_TIMEOUT;
-        if is_late || !membership.voting_set().contains(from) {
+        let has_timed_out = context.now >= proposal.started_at + PROMISE_TIMEOUT;
+        if has_timed_out || !membership.voting_set().contains(from) {
             return;
         }
         let value = match proposal.add_promise(from, accepted, membership.voting_set().majority()) {
@@ -195,7 +196,8 @@
         }
     }
 
-    /// A voter has promised a higher ballot: the next one of this proposer is higher still, and begins soon.
+    /// Handles a rejection by an acceptor that has promised a higher ballot. The next ballot exceeds that one and
+    /// starts after a short delay.
     pub fn rejected(
         &mut self,
         now: Timestamp,
@@ -211,7 +213,8 @@
         }
     }
 
-    /// Another voting set is adopted: configurations are proposed to its voters, under new ballots.
+    /// Drops proposals for voting sets after a new set was adopted, and restarts proposals for configurations in that
+    /// set.
     pub fn voting_set_changed(&mut self, now: Timestamp) {
         self.proposals
             .retain(|slot, _| matches!(slot, Slot::Configuration(_)));
@@ -220,7 +223,7 @@
         }
     }
 
-    /// A version is committed: proposals for it and for lower ones end.
+    /// Drops proposals for the committed version and for lower ones.
     pub fn configuration_committed(&mut self, version: ConfigurationVersion) {
         self.proposals.retain(|slot, _| match slot {
             Slot::Configuration(proposed) => *proposed > version,
@@ -228,7 +231,7 @@
         });
     }
 
-    /// Gives up proposals that expire, and begins the next ballots of those that failed.
+    /// Drops expired proposals and starts the next ballots of those whose retry is due.
     pub fn tick(&mut self, context: &mut Context, membership: &Membership) {
         let now = context.now;
         self.proposals
--- a/crates/gateway/consensus/src/recovery_points.rs
+++ b/crates/gateway/consensus/src/recovery_points.rs
@@ -1,77 +1,80 @@
-//! What this replica knows of the other members' disks, for the day when one of them starts with an older copy of its
-//! disk.
+//! Recovery points: what this replica knows of the claims on other members' disks, in case one of them starts from an
+//! older copy of its disk.
 //!
-//! A member reports the generation of its disk, and echoes a timestamp of this replica: so this replica knows that the
-//! report was sent after that time of its own clock. A gateway counts a grant only within [`GRANT_LIFETIME`] of the
-//! claim's start, and this replica can't have received a claim before it started. So each claim that this replica
-//! received more than [`GRANT_LIFETIME`] before the echoed time, and that the member granted with effect, is on the
-//! member's disk as of that generation. What the member may lack, if it comes back with a disk of that generation or a
-//! later one, is among the claims that came here since: a *recovery point* is the generation, and the position in this
-//! replica's claims.
+//! A member reports the generation of its disk and echoes a timestamp of this replica, which shows that the report was
+//! sent after that time on this replica's clock. A gateway counts a grant only within [`GRANT_LIFETIME`] of the claim's
+//! start, and this replica can't have received a claim before it started. So every claim that this replica received
+//! more than [`GRANT_LIFETIME`] before the echoed time, and for which the member's grant was counted, is on the
+//! member's disk as of that generation. If the member returns with a disk of that generation or a later one, the claims
+//! that it may lack are among those that this replica received since. A *recovery point* consists of the generation and
+//! the position in this replica's sequence of claims.
 //!
-//! Kept in memory: a replica that was started since knows nothing, and teaches a member that recovers all of its claims.
+//! Recovery points are kept in memory only. After a restart a replica has none, and sends a recovering member all of
+//! its claims.
 
 use rushcourse_messages::{RecoveryPoint, SnapshotCursor, VotingSet};
 use rushcourse_types::{Generation, Incarnation, NodeId, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// For how long from its claim's start a grant counts at its gateway (`rushcourse-routing`: 450 ms), and some more.
+/// Time from a claim's start for which a gateway counts grants (450 ms in `rushcourse-routing`), plus a margin.
 const GRANT_LIFETIME: Duration = Duration::from_millis(500);
-/// Between two positions that are kept (ours).
-const POSITION_INTERVAL: Duration = Duration::from_millis(200);
-/// Positions that are kept: of the last 12.8 s. Reports echo what is some 1.4 s old at most, while a session stands.
-const MAX_POSITIONS: usize = 64;
+/// Minimum interval between two position samples.
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
+/// Number of position samples kept, which cover the last 12.8 s. The timestamps that reports echo are at most about 1.4
+/// s old while a session lasts.
+const MAX_SAMPLES: usize = 64;
 
-/// How many claims had come to this replica at a time.
+/// Position in the sequence of claims at a point in time.
 #[derive(Clone, Copy, Debug)]
-struct PositionAt {
+struct PositionSample {
     at: Timestamp,
     position: u64,
 }
 
-/// What this replica knows of the other members' disks.
+/// Recovery points of the other members, and the position samples that they are derived from.
 #[derive(Clone, Debug)]
 pub(crate) struct RecoveryPoints {
-    /// Of this replica; positions are of its claims.
+    /// Incarnation of this replica; positions count its claims since its start.
     incarnation: Incarnation,
-    positions: VecDeque<PositionAt>,
+    samples: VecDeque<PositionSample>,
     points: BTreeMap<NodeId, RecoveryPoint>,
 }
 
 impl RecoveryPoints {
-    /// Nothing is known.
+    /// Creates an empty set of recovery points for this incarnation.
     pub fn new(incarnation: Incarnation) -> RecoveryPoints {
         RecoveryPoints {
             incarnation,
-            positions: VecDeque::new(),
+            samples: VecDeque::new(),
             points: BTreeMap::new(),
         }
     }
 
-    /// Keeps the position of the claims that have come until now.
+    /// Samples the current position in the sequence of claims, at most once per [`SAMPLE_INTERVAL`].
     pub fn record_position(&mut self, now: Timestamp, position: u64) {
-        let last = self.positions.back();
-        if last.is_some_and(|last| now < last.at + POSITION_INTERVAL) {
+        let last = self.samples.back();
+        if last.is_some_and(|last| now < last.at + SAMPLE_INTERVAL) {
             return;
         }
-        self.positions.push_back(PositionAt { at: now, position });
-        if self.positions.len() > MAX_POSITIONS {
-            self.positions.pop_front();
+        self.samples.push_back(PositionSample { at: now, position });
+        if self.samples.len() > MAX_SAMPLES {
+            self.samples.pop_front();
         }
     }
 
-    /// A voter reported the generation of its disk, after it had received what this replica sent at `echoed`.
+    /// Updates a voter's recovery point. The voter reported `generation` after it had received the message that this
+    /// replica sent at `echoed`.
     pub fn voter_reported(&mut self, voter: NodeId, echoed: Timestamp, generation: Generation) {
-        let is_settled = |kept: &&PositionAt| kept.at + GRANT_LIFETIME <= echoed;
-        let Some(kept) = self.positions.iter().rev().find(is_settled) else {
+        let is_settled = |sample: &&PositionSample| sample.at + GRANT_LIFETIME <= echoed;
+        let Some(sample) = self.samples.iter().rev().find(is_settled) else {
             return;
         };
         let point = RecoveryPoint {
             generation,
             cursor: SnapshotCursor {
                 incarnation: self.incarnation,
-                position: kept.position,
+                position: sample.position,
             },
         };
         let known = self.points.entry(voter).or_insert(point);
@@ -80,12 +83,13 @@
         }
     }
 
-    /// What is known of a member's disk.
-    pub fn of(&self, member: NodeId) -> Option<RecoveryPoint> {
+    /// Returns the recovery point of a member; `None` until a report of the member could be matched with a position
+    /// sample.
+    pub fn get(&self, member: NodeId) -> Option<RecoveryPoint> {
         self.points.get(&member).copied()
     }
 
-    /// Controllers that are no members lose their state when they become members again.
+    /// Drops controllers that are not members: they have to install full snapshots before they vote again.
     pub fn retain_members(&mut self, voting_set: &VotingSet) {
         self.points.retain(|node, _| voting_set.contains(*node));
     }
--- a/crates/gateway/consensus/src/setup.rs
+++ b/crates/gateway/consensus/src/setup.rs
@@ -1,26 +1,26 @@
-//! What a replica has to know of itself and its deployment.
+//! Start parameters of a replica.
 
 use rushcourse_types::{Incarnation, NodeId};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a replica has to know of itself and its deployment at its start.
+/// Identity, seeds and timing bounds that a replica is started with.
 #[derive(Clone, Debug)]
 pub struct ReplicaSetup {
-    /// This replica.
+    /// Address under which the other controllers know this replica.
     pub node: NodeId,
-    /// The zone of its machine.
+    /// Zone of the machine that the replica runs on; voters are spread over zones.
     pub zone: Arc<str>,
-    /// Drawn at random at each start.
+    /// Drawn at random at each start. Tells ballots and snapshot cursors of this start from those of earlier ones.
     pub incarnation: Incarnation,
-    /// Controllers that the settings name.
+    /// Controllers listed in the settings. At the first start one of them proposes the first voting set.
     pub seeds: Vec<NodeId>,
-    /// The whole system starts for the first time, with empty disks.
+    /// Whether the deployment starts for the first time, with empty disks on all machines.
     pub is_first_start: bool,
-    /// Machines that may be lost at once (`fault_tolerance.machines`).
+    /// Number of machines that may fail at the same time (`fault_tolerance.machines`).
     pub tolerated_losses: usize,
-    /// Within this time after a machine came back, or joined, the next loss must be tolerated (`catch_up_s`).
+    /// Time from the return or arrival of a machine until the next loss has to be tolerated (`catch_up_s`).
     pub catch_up: Duration,
-    /// For how long an operation key binds (`key_window_s`).
+    /// Time for which a claim holds its operation key (`key_window_s`).
     pub key_window: Duration,
 }
--- a/crates/gateway/consensus/src/snapshot.rs
+++ b/crates/gateway/consensus/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! Snapshots: a voter sends a replica without complete state what it holds, in chunks of bounded size. The first
-//! snapshot contains everything; later ones of the same voter contain what was added since. The receiver checks that the
-//! chunks add up before it counts the snapshot.
+//! State transfer: a voter sends its claims and acceptor records to a replica without complete state, in chunks of
+//! bounded size. The first snapshot is full; later ones from the same voter contain only what was added since. The
+//! receiver compares the chunks with the count and digest in the trailer before it counts the snapshot.
 
 use crate::claims::ClaimRegistry;
 use crate::context::{Context, PendingWrite};
@@ -14,20 +14,20 @@
 use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId};
 use std::collections::BTreeMap;
 
-/// Claims in one chunk (ours): some 180 KB, which a voter encodes in about a millisecond.
+/// Maximum number of claims per chunk, about 180 KB; bounds the time that a voter spends on encoding one.
 const MAX_CLAIMS_PER_CHUNK: usize = 4_096;
-/// Seed of a claim's digest, apart from those of other uses.
+/// Hash seed for claim digests, distinct from the seeds of other uses of the hash.
 const CLAIM_DIGEST_SEED: u64 = 17;
 
-/// What the claims of a snapshot add up to.
+/// Count and digest of the claims in a snapshot, compared with the trailer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct ClaimSums {
+struct ClaimChecksum {
     count: u64,
-    /// Exclusive or of the claims' digests.
+    /// XOR of the digests of all claims.
     digest: u64,
 }
 
-impl ClaimSums {
+impl ClaimChecksum {
     fn add(&mut self, claims: &[ClaimRecord]) {
         self.count += claims.len() as u64;
         for claim in claims {
@@ -35,8 +35,8 @@
         }
     }
 
-    fn of_trailer(trailer: &SnapshotTrailer) -> ClaimSums {
-        ClaimSums {
+    fn from_trailer(trailer: &SnapshotTrailer) -> ClaimChecksum {
+        ClaimChecksum {
             count: trailer.claim_count,
             digest: trailer.claims_digest,
         }
@@ -46,24 +46,23 @@
 /// A voter to request a snapshot from.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SnapshotSource {
-    /// The voter.
     pub voter: NodeId,
-    /// Where its first snapshot for this replica begins; `None`: it contains everything.
+    /// Cursor from which its first snapshot for this replica starts; `None` requests a full snapshot.
     pub from: Option<SnapshotCursor>,
 }
 
-/// Snapshots that this replica sends and receives.
+/// Snapshots sent and received by this replica.
 #[derive(Clone, Debug)]
 pub(crate) struct SnapshotTransfer {
     incarnation: Incarnation,
-    /// How far each voter's claims were read.
+    /// Cursor of the last complete snapshot from each voter.
     cursors: BTreeMap<NodeId, SnapshotCursor>,
-    /// What has arrived of snapshots that are not complete yet.
-    receiving: BTreeMap<NodeId, ClaimSums>,
+    /// Checksums of snapshots that have not been received completely.
+    receiving: BTreeMap<NodeId, ClaimChecksum>,
 }
 
 impl SnapshotTransfer {
-    /// No snapshot is under way. Cursors that this replica hands out are of its incarnation.
+    /// Creates a transfer without snapshots in progress. Cursors issued by this replica carry its incarnation.
     pub fn new(incarnation: Incarnation) -> SnapshotTransfer {
         SnapshotTransfer {
             incarnation,
@@ -72,18 +71,18 @@
         }
     }
 
-    /// A session broke: a snapshot that was under way will not be completed.
+    /// Drops a partially received snapshot after the session with its sender is lost.
     pub fn peer_disconnected(&mut self, peer: NodeId) {
         self.receiving.remove(&peer);
     }
 
-    /// The disk refused what snapshots contained: all of it is requested again.
+    /// Handles the disk's refusal of received state: full snapshots are requested again.
     pub fn install_refused(&mut self) {
         self.cursors.clear();
         self.receiving.clear();
     }
 
-    /// Asks voters for snapshots, or for what was added since their last ones.
+    /// Requests snapshots from voters, starting where the last ones ended.
     pub fn request(&mut self, context: &mut Context, epoch: Epoch, sources: Vec<SnapshotSource>) {
         for SnapshotSource { voter, from } in sources {
             self.receiving.remove(&voter);
@@ -92,7 +91,8 @@
         }
     }
 
-    /// Sends a replica a snapshot of this voter's state.
+    /// Sends the state of this replica. The snapshot starts after `after` if that cursor was issued by this
+    /// incarnation, and is full otherwise.
     pub fn send(
         &self,
         context: &mut Context,
@@ -106,12 +106,12 @@
             .filter(|cursor| cursor.incarnation == self.incarnation)
             .map(|cursor| cursor.position);
         let records = claims.snapshot(context.now, position);
-        let mut sums = ClaimSums::default();
-        sums.add(&records);
-        for part in records.chunks(MAX_CLAIMS_PER_CHUNK) {
+        let mut checksum = ClaimChecksum::default();
+        checksum.add(&records);
+        for chunk_claims in records.chunks(MAX_CLAIMS_PER_CHUNK) {
             let chunk = SnapshotChunk {
                 epoch,
-                claims: part.to_vec(),
+                claims: chunk_claims.to_vec(),
                 trailer: None,
             };
             context.send(to, Message::SnapshotChunk(chunk));
@@ -121,8 +121,8 @@
                 incarnation: self.incarnation,
                 position: claims.position(),
             },
-            claim_count: sums.count,
-            claims_digest: sums.digest,
+            claim_count: checksum.count,
+            claims_digest: checksum.digest,
             records: paxos.acceptor.records(),
         };
         let last_chunk = SnapshotChunk {
@@ -133,8 +133,8 @@
         context.send(to, Message::SnapshotChunk(last_chunk));
     }
 
-    /// Installs a chunk, if snapshots are wanted. `committed`: the version that is committed here; lower ones are
-    /// decided.
+    /// Installs a chunk while this replica is learning, and ignores it otherwise. `committed` is the version committed
+    /// here; records of lower versions are skipped.
     pub fn receive(
         &mut self,
         context: &mut Context,
@@ -153,7 +153,7 @@
         let mut operations = claims.install(context, &chunk.claims);
         let trailer = chunk
             .trailer
-            .and_then(|trailer| self.check(context, from, trailer));
+            .and_then(|trailer| self.verify_trailer(context, from, trailer));
         let completed_epoch = trailer.and_then(|trailer| {
             let records = open_records(trailer.records, epoch, committed);
             operations.extend(paxos.acceptor.merge(&records));
@@ -163,7 +163,8 @@
             operations.extend(paxos.acceptor.start_voting());
             operations.push(WriteOperation::MarkStateComplete);
         } else if !operations.is_empty() && paxos.membership.lacks_state() {
-            // The mark must not outlast what makes an older copy look newer.
+            // This batch raises the disk's generation. Without the mark, a disk that is still marked complete would
+            // pass for a recent copy although its state is only partly installed.
             operations.push(WriteOperation::MarkStateIncomplete);
         }
         if !operations.is_empty() || completed_epoch.is_some() {
@@ -175,15 +176,15 @@
         }
     }
 
-    /// A snapshot ends: returns its trailer if its chunks add up.
-    fn check(
+    /// Compares the received chunks with the trailer. Returns the trailer if they match.
+    fn verify_trailer(
         &mut self,
         context: &mut Context,
         from: NodeId,
         trailer: SnapshotTrailer,
     ) -> Option<SnapshotTrailer> {
         let received = self.receiving.remove(&from)?;
-        if received != ClaimSums::of_trailer(&trailer) {
+        if received != ClaimChecksum::from_trailer(&trailer) {
             context.log(LogEvent::SnapshotDamaged {
                 claims: received.count,
                 expected: trailer.claim_count,
@@ -195,7 +196,7 @@
     }
 }
 
-/// The records of slots that are not decided here.
+/// Filters out records of slots that are already decided here.
 fn open_records(
     records: Vec<SlotRecord>,
     epoch: Epoch,
@@ -208,7 +209,7 @@
     records.into_iter().filter(is_open).collect()
 }
 
-/// Digest of a claim, for the check of a snapshot.
+/// Digest over all fields of a claim except its age, which differs between voters.
 fn claim_digest(claim: &ClaimRecord) -> u64 {
     let mut bytes = Vec::with_capacity(36);
     bytes.extend(claim.key.0.to_be_bytes());
--- a/crates/gateway/consensus/tests/membership.rs
+++ b/crates/gateway/consensus/tests/membership.rs
@@ -1,13 +1,13 @@
-//! Timelines of a voting set that changes, one column a replica. The steps of a cell stand in `timeline/steps.rs`.
+//! Changes of the voting set, written as timelines with one column per replica. `timeline/steps.rs` lists the steps.
 
 mod timeline;
 
-use timeline::play;
+use timeline::run_timeline;
 
-/// The fourth replica is gone for good, an empty one comes; then the next loss is tolerated, and nothing is lost.
+/// After an empty controller has replaced a lost voter, the loss of another voter loses no claim or configuration.
 #[test]
-fn a_replacement_votes_before_the_next_loss() {
-    play(
+fn replacement_votes_before_next_loss() {
+    run_timeline(
         "
         0     start           start        start        start      .
         1500  claim:k:1       claim:k:1    .            claim:k:1  .
@@ -28,10 +28,10 @@
     );
 }
 
-/// Four replacements, one after the other: none of the first members is left, and all is still there.
+/// State is handed on through four replacements, until no member of the first voting set is left.
 #[test]
-fn four_replacements_in_turn_keep_what_was_acknowledged() {
-    play(
+fn acknowledged_state_survives_four_successive_replacements() {
+    run_timeline(
         "
         0      start      start      start      start  .            .           .            .
         1500   claim:k:1  claim:k:1  claim:k:1  .      .            .           .            .
@@ -56,10 +56,10 @@
     );
 }
 
-/// After each replacement a voter loses its disk as well.
+/// A voter may lose its disk after each replacement without losing a claim.
 #[test]
-fn a_wipe_after_a_replacement_is_tolerated() {
-    play(
+fn wiped_disk_after_replacement_is_tolerated() {
+    run_timeline(
         "
         0      start      start       start      start      .           .
         1500   claim:k:1  claim:k:1   claim:k:1  .          .           .
@@ -83,10 +83,10 @@
     );
 }
 
-/// A voter that is absent for a short time keeps its place, though a standby is there.
+/// A voter that returns within the absence limit must not be replaced although a standby is connected.
 #[test]
-fn a_short_absence_changes_nothing() {
-    play(
+fn short_absence_does_not_change_voting_set() {
+    run_timeline(
         "
         0     start    start    start    start      .
         1500  .        .        .        .          new
@@ -98,10 +98,10 @@
     );
 }
 
-/// One that is absent for long is replaced. It comes back as a standby, casts no vote, and becomes a member when it is needed.
+/// A replaced voter must not vote in its old voting set, and can rejoin when another member is lost.
 #[test]
-fn a_voter_that_was_absent_for_long_comes_back_as_a_standby() {
-    play(
+fn voter_returns_as_standby_after_long_absence() {
+    run_timeline(
         "
         0      start           start      start      start           .
         1500   .               .          .          .               new
@@ -121,10 +121,10 @@
     );
 }
 
-/// One that shuts down while a standby is there is replaced at once.
+/// A voter that announces its shutdown is replaced without waiting for the absence limit.
 #[test]
-fn a_voter_that_shuts_down_is_replaced_at_once() {
-    play(
+fn voter_that_shuts_down_is_replaced_immediately() {
+    run_timeline(
         "
         0     start           start      start      start      .
         1500  claim:k:1       claim:k:1  .          claim:k:1  new
@@ -139,10 +139,10 @@
     );
 }
 
-/// Grants of the old set and of the new one never add up.
+/// A claim is not won by grants that were given under different voting sets.
 #[test]
-fn votes_of_two_epochs_do_not_add_up() {
-    play(
+fn grants_of_two_epochs_are_not_combined() {
+    run_timeline(
         "
         0     start        start    start        start        .
         1500  .            .        .            .            new
@@ -156,9 +156,9 @@
     );
 }
 
-/// All lose power in the middle of a change: it is made, or as if it had not begun; nothing is lost.
+/// A power loss at any point of a voting set change must not lose claims or configurations, or block the change.
 #[test]
-fn a_loss_of_power_in_the_middle_of_a_change_is_tolerated() {
+fn power_loss_during_voting_set_change_is_tolerated() {
     for at in [
         5_460, 5_470, 5_480, 5_490, 5_500, 5_510, 5_520, 5_530, 5_540, 5_550, 5_560, 5_600,
     ] {
@@ -174,14 +174,14 @@
         12100  get        claim:k:2   claim:k:2   .      claim:k:2
         12200  read=5     denied:k:2  denied:k:2  .      denied:k:2
         ";
-        play(&timeline.replace("AT", &at.to_string()));
+        run_timeline(&timeline.replace("AT", &at.to_string()));
     }
 }
 
-/// With five voters two may go at once; their places are taken one after the other.
+/// Five voters tolerate the loss of two at once, and of a third one after both were replaced.
 #[test]
-fn two_replacements_at_once_are_tolerated_by_five() {
-    play(
+fn five_voters_tolerate_two_simultaneous_losses() {
+    run_timeline(
         "
         0     start      start      start                     start      start        .           .
         1500  claim:k:1  claim:k:1  claim:k:1                 .          .            .           .
@@ -198,10 +198,10 @@
     );
 }
 
-/// A standby that comes while another voter is isolated waits for a majority, and is brought up to date once there is one.
+/// Without a majority a standby must not join; it joins and catches up once the partition heals.
 #[test]
-fn a_replacement_during_a_partition_waits_for_a_majority() {
-    play(
+fn replacement_during_partition_waits_for_majority() {
+    run_timeline(
         "
         0      start           start      start      start  .
         1500   claim:k:1       claim:k:1  claim:k:1  .      .
@@ -216,10 +216,10 @@
     );
 }
 
-/// An older state of a disk: it had been replaced meanwhile, and its set is long past.
+/// Members that return with the disk of an old voting set must not vote.
 #[test]
-fn a_member_of_an_old_set_that_comes_back_casts_no_vote() {
-    play(
+fn returning_member_of_old_set_does_not_vote() {
+    run_timeline(
         "
         0      start                   start      start           start           .          .
         1500   .                       .          .               .               new        new
