--- a/crates/gateway/consensus/tests/timeline/cluster.rs
+++ b/crates/gateway/consensus/tests/timeline/cluster.rs
@@ -1,10 +1,10 @@
-//! A deterministic cluster of controllers: a network with a fixed delay and partitions, disks that hold back, lose and
-//! refuse.
+//! A deterministic cluster of controllers: a network with a fixed delay and partitions, and disks that stall, refuse
+//! writes or lose data.
 
 use super::observations::{
     Acknowledgement, Observations, ReadResult, claim_id, read_ticket, rival_text, text,
 };
-use super::steps::{Action, Claimed, DiskMode, Expectation};
+use super::steps::{Action, GatewayClaim, DiskMode, Expectation};
 use rushcourse_consensus::{
     ClaimRequest, ConsensusNode, DurableState, Effect, Input, ReplicaSummary,
 };
@@ -16,27 +16,27 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-const TICK: u64 = 50;
+const TICK_INTERVAL_MS: u64 = 50;
 const NETWORK_DELAY: Duration = Duration::from_millis(2);
-/// The time of day at the start, ms.
-const START_OF_DAY: u64 = 1_000_000;
+/// Wall clock time at the start of a timeline, in ms.
+const INITIAL_WALL_TIME_MS: u64 = 1_000_000;
 
 struct Controller {
     simulated: SimulatedController,
     disk: DiskMode,
-    /// Its disk when it was copied last.
-    copied: DurableState,
+    /// Contents of the disk at the last [`Action::CopyDisk`].
+    disk_copy: DurableState,
     is_isolated: bool,
-    /// ms by which its time of day is off.
-    clock_offset: i64,
+    /// Offset of the controller's wall clock, in ms.
+    wall_clock_offset_ms: i64,
 }
 
-/// A message on its way. What was sent to or by an earlier incarnation is lost.
-struct Mail {
+/// A message in flight. It is lost if its sender or its receiver restarts before delivery.
+struct InFlightMessage {
     due: Timestamp,
     from: NodeId,
     to: NodeId,
-    /// How often sender and receiver had been started.
+    /// Number of starts of the sender and the receiver when the message was sent.
     starts: (u64, u64),
     message: Message,
 }
@@ -45,7 +45,7 @@
     now: Timestamp,
     deployment: Deployment,
     controllers: BTreeMap<NodeId, Controller>,
-    mail: VecDeque<Mail>,
+    in_flight: VecDeque<InFlightMessage>,
     observations: Observations,
 }
 
@@ -54,9 +54,9 @@
         let controller = |node: NodeId| Controller {
             simulated: SimulatedController::new(node, DurableState::default(), true),
             disk: DiskMode::Syncs,
-            copied: DurableState::default(),
+            disk_copy: DurableState::default(),
             is_isolated: false,
-            clock_offset: 0,
+            wall_clock_offset_ms: 0,
         };
         Cluster {
             now: Timestamp::ZERO,
@@ -71,13 +71,15 @@
                 .map(NodeId)
                 .map(|node| (node, controller(node)))
                 .collect(),
-            mail: VecDeque::new(),
+            in_flight: VecDeque::new(),
             observations: Observations::default(),
         }
     }
 
     fn controller_mut(&mut self, node: NodeId) -> &mut Controller {
-        self.controllers.get_mut(&node).expect("a controller")
+        self.controllers
+            .get_mut(&node)
+            .expect("the timeline has a column for this controller")
     }
 
     fn is_connected(&self, one: NodeId, other: NodeId) -> bool {
@@ -98,24 +100,24 @@
         nodes.map(|node| node.voting_set().clone()).collect()
     }
 
-    /// Lets time pass in steps of a millisecond.
+    /// Advances the time in steps of one millisecond, delivering ticks, disk results and messages that are due.
     pub fn run_until(&mut self, end: Timestamp) {
         let nodes: Vec<NodeId> = self.controllers.keys().copied().collect();
         while self.now < end {
             self.now += Duration::from_millis(1);
             for node in &nodes {
                 self.write_disk(*node);
-                if (self.now.as_millis() + u64::from(node.0)).is_multiple_of(TICK) {
+                if (self.now.as_millis() + u64::from(node.0)).is_multiple_of(TICK_INTERVAL_MS) {
                     self.step(*node, Input::Tick);
                 }
             }
-            while let Some(mail) = self.mail.pop_front_if(|mail| mail.due <= self.now) {
-                self.deliver(mail);
+            while let Some(in_flight) = self.in_flight.pop_front_if(|in_flight| in_flight.due <= self.now) {
+                self.deliver(in_flight);
             }
         }
     }
 
-    /// The disk syncs or refuses all batches that wait; what is written meanwhile waits a millisecond more.
+    /// Syncs or refuses all pending batches. Batches written in response are handled in the next millisecond.
     fn write_disk(&mut self, node: NodeId) {
         let controller = self.controller_mut(node);
         let disk = &mut controller.simulated.disk;
@@ -132,11 +134,11 @@
         }
     }
 
-    fn deliver(&mut self, mail: Mail) {
-        let Mail {
+    fn deliver(&mut self, in_flight: InFlightMessage) {
+        let InFlightMessage {
             from, to, message, ..
-        } = mail;
-        if self.is_connected(from, to) && self.starts(from, to) == mail.starts {
+        } = in_flight;
+        if self.is_connected(from, to) && self.starts(from, to) == in_flight.starts {
             self.step(to, Input::MessageReceived { from, message });
         }
     }
@@ -144,18 +146,18 @@
     fn step(&mut self, node: NodeId, input: Input) {
         let now = self.now;
         let controller = self.controller_mut(node);
-        // The time of day runs with the clock, from some day on, and may step.
-        let time_of_day = now.as_millis() + START_OF_DAY;
-        let wall = WallTime(time_of_day.wrapping_add_signed(controller.clock_offset));
-        for effect in controller.simulated.step(now, wall, input) {
-            self.carry_out(node, effect);
+        // The wall clock advances with the monotonic clock, from an arbitrary start and with an offset that steps.
+        let wall_time_ms = now.as_millis() + INITIAL_WALL_TIME_MS;
+        let wall_time = WallTime(wall_time_ms.wrapping_add_signed(controller.wall_clock_offset_ms));
+        for effect in controller.simulated.step(now, wall_time, input) {
+            self.apply_effect(node, effect);
         }
     }
 
-    fn carry_out(&mut self, node: NodeId, effect: Effect) {
+    fn apply_effect(&mut self, node: NodeId, effect: Effect) {
         match effect {
             Effect::Write(batch) => self.controller_mut(node).simulated.disk.write(batch),
-            Effect::Send { to, message } => self.mail.push_back(Mail {
+            Effect::Send { to, message } => self.in_flight.push_back(InFlightMessage {
                 due: self.now + NETWORK_DELAY,
                 from: node,
                 to,
@@ -177,8 +179,7 @@
         }
     }
 
-    /// Something happens to a controller.
-    pub fn act(&mut self, node: NodeId, action: Action) {
+    pub fn apply(&mut self, node: NodeId, action: Action) {
         match action {
             Action::Start => self.start(node),
             Action::StartLater => {
@@ -195,12 +196,12 @@
             }
             Action::CopyDisk => {
                 let controller = self.controller_mut(node);
-                controller.copied = controller.simulated.disk.durable().clone();
+                controller.disk_copy = controller.simulated.disk.durable().clone();
             }
             Action::RestoreDisk => {
                 self.stop(node, Unsynced::Lost);
                 let controller = self.controller_mut(node);
-                controller.simulated.disk.replace(controller.copied.clone());
+                controller.simulated.disk.replace(controller.disk_copy.clone());
                 self.start(node);
             }
             Action::Put(version) => self.put(node, version, false),
@@ -210,12 +211,12 @@
                 let ticket = read_ticket(self.now);
                 self.step(node, Input::GetConfiguration { ticket });
             }
-            Action::Claim(claimed) => self.claim(node, claimed),
-            Action::Withdraw(claimed) => {
-                let (key, claim) = (claimed.key, claim_id(claimed));
+            Action::Claim(gateway_claim) => self.claim(node, gateway_claim),
+            Action::Withdraw(gateway_claim) => {
+                let (key, claim) = (gateway_claim.key, claim_id(gateway_claim));
                 self.step(node, Input::WithdrawClaim { key, claim });
             }
-            Action::StepTimeOfDay(ms) => self.controller_mut(node).clock_offset += ms,
+            Action::StepWallClock(ms) => self.controller_mut(node).wall_clock_offset_ms += ms,
             Action::SetDisk(mode) => self.controller_mut(node).disk = mode,
             Action::Isolate => {
                 self.disconnect_from_all(node);
@@ -280,89 +281,89 @@
         self.step(node, put);
     }
 
-    fn claim(&mut self, node: NodeId, claimed: Claimed) {
+    fn claim(&mut self, node: NodeId, gateway_claim: GatewayClaim) {
         let running = self.controllers[&node].simulated.node();
         let epoch = running.map_or(Epoch::NONE, |node| node.voting_set().epoch);
         let request = ClaimRequest {
-            session: SessionId(claimed.gateway),
+            session: SessionId(gateway_claim.gateway),
             epoch,
-            key: claimed.key,
-            claim: claim_id(claimed),
+            key: gateway_claim.key,
+            claim: claim_id(gateway_claim),
         };
         self.step(node, Input::Claim(request));
     }
 
-    /// Checks what is expected of a controller.
-    pub fn check(&self, node: NodeId, expectation: &Expectation, place: &str) {
+    /// Checks an expectation at a controller; `location` identifies the step in failure messages.
+    pub fn check(&self, node: NodeId, expectation: &Expectation, location: &str) {
         let running = self.controllers[&node].simulated.node();
         let summary = running.map(ConsensusNode::summary);
         match expectation {
-            Expectation::Granted(claimed)
-            | Expectation::Denied(claimed)
-            | Expectation::Pending(claimed)
-            | Expectation::Won(claimed)
-            | Expectation::Lost(claimed) => self.check_claim(node, expectation, *claimed, place),
+            Expectation::Granted(gateway_claim)
+            | Expectation::Denied(gateway_claim)
+            | Expectation::Pending(gateway_claim)
+            | Expectation::Won(gateway_claim)
+            | Expectation::Lost(gateway_claim) => self.check_claim(node, expectation, *gateway_claim, location),
             Expectation::Committed(version) => {
-                assert_eq!(summary.map(|s| s.committed), Some(*version), "{place}");
+                assert_eq!(summary.map(|s| s.committed), Some(*version), "{location}");
             }
             Expectation::Epoch(epoch) => {
-                assert_eq!(summary.map(|s| s.voting_set.epoch), Some(*epoch), "{place}");
+                assert_eq!(summary.map(|s| s.voting_set.epoch), Some(*epoch), "{location}");
             }
             Expectation::Voters(members) => {
                 let found = summary.map(|s| s.voting_set.members);
-                assert_eq!(found.as_ref(), Some(members), "{place}");
+                assert_eq!(found.as_ref(), Some(members), "{location}");
             }
-            Expectation::Votes => assert!(summary.is_some_and(votes), "{place}"),
-            Expectation::Silent => assert!(summary.is_some_and(|s| !votes(s)), "{place}"),
-            _ => self.check_calls(node, expectation, place),
+            Expectation::Votes => assert!(summary.is_some_and(votes), "{location}"),
+            Expectation::DoesNotVote => assert!(summary.is_some_and(|s| !votes(s)), "{location}"),
+            _ => self.check_calls(node, expectation, location),
         }
     }
 
-    fn check_calls(&self, node: NodeId, expectation: &Expectation, place: &str) {
-        let seen = &self.observations;
-        let acknowledged = seen.acknowledged.get(&node);
+    fn check_calls(&self, node: NodeId, expectation: &Expectation, location: &str) {
+        let observations = &self.observations;
+        let acknowledged = observations.acknowledged.get(&node);
         match expectation {
             Expectation::Acknowledged(version) => {
                 let ticket = acknowledged.map(|put| put.ticket);
-                assert_eq!(ticket, Some(Ticket(version.0)), "{place}");
+                assert_eq!(ticket, Some(Ticket(version.0)), "{location}");
             }
             Expectation::AcknowledgedOther(version) => {
                 let expected = Acknowledgement {
                     ticket: Ticket(version.0),
                     is_other_text: true,
                 };
-                assert_eq!(acknowledged, Some(&expected), "{place}");
+                assert_eq!(acknowledged, Some(&expected), "{location}");
             }
             Expectation::UnknownPut(version) => {
-                let ticket = seen.unknown_puts.get(&node);
-                assert_eq!(ticket, Some(&Ticket(version.0)), "{place}");
+                let ticket = observations.unknown_puts.get(&node);
+                assert_eq!(ticket, Some(&Ticket(version.0)), "{location}");
             }
             Expectation::Read(version) => {
                 let expected = ReadResult::Version(*version);
-                assert_eq!(seen.reads.get(&node), Some(&expected), "{place}");
+                assert_eq!(observations.reads.get(&node), Some(&expected), "{location}");
             }
             Expectation::UnknownRead => {
                 let expected = ReadResult::Unknown;
-                assert_eq!(seen.reads.get(&node), Some(&expected), "{place}");
+                assert_eq!(observations.reads.get(&node), Some(&expected), "{location}");
             }
-            other => panic!("{place}: {other:?} is not about a call"),
+            other => panic!("{location}: {other:?} is not an expectation about a call"),
         }
     }
 
-    fn check_claim(&self, node: NodeId, expectation: &Expectation, claimed: Claimed, place: &str) {
-        let verdict = self.observations.verdict(node, claimed);
-        let has_won = self.observations.has_won(claimed, &self.voting_sets());
+    fn check_claim(&self, node: NodeId, expectation: &Expectation, gateway_claim: GatewayClaim, location: &str) {
+        let verdict = self.observations.verdict(node, gateway_claim);
+        let has_won = self.observations.has_won(gateway_claim, &self.voting_sets());
         let is_granted = verdict == Some(ClaimVerdict::Granted);
         let answers = &self.observations.answers;
         match expectation {
-            Expectation::Granted(_) => assert!(is_granted, "{place}: {verdict:?}"),
+            Expectation::Granted(_) => assert!(is_granted, "{location}: {verdict:?}"),
             Expectation::Denied(_) => {
-                assert!(verdict.is_some() && !is_granted, "{place}: {verdict:?}");
+                assert!(verdict.is_some() && !is_granted, "{location}: {verdict:?}");
             }
-            Expectation::Pending(_) => assert_eq!(verdict, None, "{place}"),
-            Expectation::Won(_) => assert!(has_won, "{place}: {answers:?}"),
-            Expectation::Lost(_) => assert!(!has_won, "{place}: {answers:?}"),
-            other => panic!("{place}: {other:?} is not about a claim"),
+            Expectation::Pending(_) => assert_eq!(verdict, None, "{location}"),
+            Expectation::Won(_) => assert!(has_won, "{location}: {answers:?}"),
+            Expectation::Lost(_) => assert!(!has_won, "{location}: {answers:?}"),
+            other => panic!("{location}: {other:?} is not an expectation about a claim"),
         }
     }
 }
--- a/crates/gateway/consensus/tests/timeline/observations.rs
+++ b/crates/gateway/consensus/tests/timeline/observations.rs
@@ -1,6 +1,6 @@
-//! What operators and gateways saw, and what must hold of it at any time.
+//! Results seen by operators and gateways, and checks that hold in every timeline.
 
-use super::steps::Claimed;
+use super::steps::GatewayClaim;
 use rushcourse_consensus::{ClaimAnswer, CommittedConfiguration, CallOutcome};
 use rushcourse_messages::{ClaimVerdict, VotingSet};
 use rushcourse_types::{
@@ -9,75 +9,74 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Tickets of reads, from here on; lower ones are of puts, which have their version as a ticket.
-const FIRST_READ: u64 = 1_000_000;
-/// A key is won by one gateway at most inside this time: the window and what a claim is kept longer, in ms.
-const WINDOW: u64 = 70_000;
+/// Tickets from this one on belong to reads. The ticket of a put is its version.
+const FIRST_READ_TICKET: u64 = 1_000_000;
+/// Time in ms within which at most one gateway may win a key: the key window plus the additional retention.
+const RETENTION_MS: u64 = 70_000;
 
-/// The text that an operator puts under a version.
+/// Text of a version as put by the first operator.
 pub fn text(version: ConfigurationVersion) -> Arc<[u8]> {
     Arc::from(version.to_string().as_bytes())
 }
 
-/// The text that another operator puts under the same version.
+/// Text of the same version as put by a second operator.
 pub fn rival_text(version: ConfigurationVersion) -> Arc<[u8]> {
     Arc::from(format!("{version}, by another operator").as_bytes())
 }
 
-/// The ticket of a read that begins now.
+/// Ticket of a read that starts now.
 pub fn read_ticket(now: Timestamp) -> Ticket {
-    Ticket(FIRST_READ + now.as_millis())
+    Ticket(FIRST_READ_TICKET + now.as_millis())
 }
 
-/// The only claim that a gateway makes of a key.
-pub fn claim_id(claimed: Claimed) -> ClaimId {
+/// The claim of a key by a gateway; each gateway claims a key only once.
+pub fn claim_id(gateway_claim: GatewayClaim) -> ClaimId {
     ClaimId {
-        node: NodeId(1000 + claimed.gateway as u32),
-        incarnation: Incarnation(claimed.gateway),
-        number: claimed.gateway,
+        node: NodeId(1000 + gateway_claim.gateway as u32),
+        incarnation: Incarnation(gateway_claim.gateway),
+        number: gateway_claim.gateway,
     }
 }
 
-/// An acknowledged put.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Acknowledgement {
     pub ticket: Ticket,
     pub is_other_text: bool,
 }
 
-/// A voter's answer to a claim.
+/// A voter's answer to a claim, with the epoch that the claim named.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Answer {
     pub epoch: Epoch,
     pub verdict: ClaimVerdict,
 }
 
-/// What the last read at a controller gave.
+/// Result of a read. `Unknown` also stands for a deployment without a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadResult {
     Version(ConfigurationVersion),
     Unknown,
 }
 
-/// What operators and gateways saw, by controllers.
+/// Results seen by operators and gateways at each controller.
 #[derive(Default)]
 pub struct Observations {
-    /// The put that was acknowledged last.
+    /// Latest acknowledged put.
     pub acknowledged: BTreeMap<NodeId, Acknowledgement>,
-    /// The put that was left without a clear answer last.
+    /// Latest put whose result was unknown.
     pub unknown_puts: BTreeMap<NodeId, Ticket>,
-    /// The last read.
+    /// Result of the latest read.
     pub reads: BTreeMap<NodeId, ReadResult>,
-    /// The last answer of each voter.
-    pub answers: BTreeMap<Claimed, BTreeMap<NodeId, Answer>>,
-    /// The committed text of each version: there is one.
+    /// Latest answer of each voter to each claim.
+    pub answers: BTreeMap<GatewayClaim, BTreeMap<NodeId, Answer>>,
+    /// Committed text of each version; all controllers must commit the same one.
     committed: BTreeMap<ConfigurationVersion, Arc<[u8]>>,
-    /// Which gateway won a key in the how manyth window: never two.
+    /// Gateway that won each key, by the index of the retention period.
     winners: BTreeMap<(KeyDigest, u64), u64>,
 }
 
 impl Observations {
-    /// An operator's call is answered.
+    /// Records the result of an operator's call.
     pub fn call_answered(&mut self, node: NodeId, ticket: Ticket, outcome: CallOutcome) {
         match outcome {
             CallOutcome::Acknowledged { is_other_text } => {
@@ -88,7 +87,7 @@
                 self.acknowledged.insert(node, acknowledgement);
             }
             CallOutcome::Configuration(read) => self.configuration_read(node, &read),
-            CallOutcome::Unknown if ticket < Ticket(FIRST_READ) => {
+            CallOutcome::Unknown if ticket < Ticket(FIRST_READ_TICKET) => {
                 self.unknown_puts.insert(node, ticket);
             }
             CallOutcome::NoConfiguration | CallOutcome::Unknown => {
@@ -101,25 +100,25 @@
         let version = read.version;
         assert!(
             [text(version), rival_text(version)].contains(&read.text),
-            "what was put under its version"
+            "a read returns a text that was put under its version"
         );
         assert_eq!(
             self.committed.get(&version),
             Some(&read.text),
-            "what is committed under its version"
+            "a read returns the committed text of its version"
         );
         self.reads.insert(node, ReadResult::Version(version));
     }
 
-    /// A configuration is committed at a controller.
+    /// Checks that all controllers commit the same text under a version.
     pub fn configuration_committed(&mut self, configuration: CommittedConfiguration) {
         let CommittedConfiguration { version, text } = configuration;
         let first = self.committed.entry(version);
         let first = first.or_insert_with(|| text.clone());
-        assert_eq!(*first, text, "one text is committed under {version}");
+        assert_eq!(*first, text, "two texts are committed under version {version}");
     }
 
-    /// A voter answers a claim. `sets`: the voting sets that controllers count in.
+    /// Records a voter's answer to a claim. `sets` are the voting sets adopted by the running controllers.
     pub fn claim_answered(
         &mut self,
         now: Timestamp,
@@ -127,35 +126,35 @@
         answer: &ClaimAnswer,
         sets: &[VotingSet],
     ) {
-        let claimed = Claimed {
+        let gateway_claim = GatewayClaim {
             key: answer.key,
             gateway: answer.claim.incarnation.0,
         };
-        let answers = self.answers.entry(claimed).or_default();
+        let answers = self.answers.entry(gateway_claim).or_default();
         let answer = Answer {
             epoch: answer.epoch,
             verdict: answer.verdict,
         };
         answers.insert(node, answer);
-        if self.has_won(claimed, sets) {
-            self.note_winner(now, claimed);
+        if self.has_won(gateway_claim, sets) {
+            self.record_winner(now, gateway_claim);
         }
     }
 
-    /// A key is won by one gateway inside its window, whatever the voting sets were.
-    fn note_winner(&mut self, now: Timestamp, claimed: Claimed) {
-        let window = now.as_millis() / WINDOW;
-        let winner = self.winners.entry((claimed.key, window));
+    /// Checks that only one gateway wins a key within its retention period, across all voting sets.
+    fn record_winner(&mut self, now: Timestamp, gateway_claim: GatewayClaim) {
+        let window = now.as_millis() / RETENTION_MS;
+        let winner = self.winners.entry((gateway_claim.key, window));
         assert_eq!(
-            *winner.or_insert(claimed.gateway),
-            claimed.gateway,
-            "{claimed:?} is won by one gateway at {now:?}"
+            *winner.or_insert(gateway_claim.gateway),
+            gateway_claim.gateway,
+            "{gateway_claim:?}: another gateway has won the key in this period, at {now:?}"
         );
     }
 
-    /// Whether a majority of one voting set granted a key, each under that set.
-    pub fn has_won(&self, claimed: Claimed, sets: &[VotingSet]) -> bool {
-        let Some(answers) = self.answers.get(&claimed) else {
+    /// Whether a majority of one of the voting sets granted the claim under that set's epoch.
+    pub fn has_won(&self, gateway_claim: GatewayClaim, sets: &[VotingSet]) -> bool {
+        let Some(answers) = self.answers.get(&gateway_claim) else {
             return false;
         };
         sets.iter().any(|set| {
@@ -169,9 +168,9 @@
         })
     }
 
-    /// The last answer of a voter to a claim.
-    pub fn verdict(&self, node: NodeId, claimed: Claimed) -> Option<ClaimVerdict> {
-        let answer = self.answers.get(&claimed)?.get(&node)?;
+    /// Latest verdict of a voter on a claim; `None` if it has not answered yet.
+    pub fn verdict(&self, node: NodeId, gateway_claim: GatewayClaim) -> Option<ClaimVerdict> {
+        let answer = self.answers.get(&gateway_claim)?.get(&node)?;
         Some(answer.verdict)
     }
 }
--- a/crates/gateway/consensus/tests/timeline/steps.rs
+++ b/crates/gateway/consensus/tests/timeline/steps.rs
@@ -1,37 +1,37 @@
-//! The steps that the cells of a timeline are made of.
+//! Steps that the cells of a timeline consist of.
 //!
-//! | step | what happens |
+//! | action | effect |
 //! | --- | --- |
-//! | `start` | the controller starts; its first start is the whole system's |
-//! | `new` | an empty controller starts that comes later |
-//! | `shutdown` | it is told to end |
-//! | `kill`, `power`, `wipe` | it ends: all that it wrote reaches the disk, what was not synced is lost, the disk is lost |
-//! | `copy`, `restore` | its disk is copied; it ends, and comes back with that copy |
-//! | `put5`, `rival5` | an operator puts version 5, or another text under that version |
-//! | `get` | an operator reads |
+//! | `start` | starts the controller, as part of the first start of the deployment |
+//! | `new` | starts an empty controller that joins later |
+//! | `shutdown` | announces the controller's shutdown |
+//! | `kill` | stops the process; the operating system still writes unsynced batches |
+//! | `power`, `wipe` | stops the controller and loses unsynced batches, or the whole disk |
+//! | `copy`, `restore` | copies the disk; stops the controller and restarts it with that copy |
+//! | `put5`, `rival5` | an operator puts version 5; another operator puts a different text under version 5 |
+//! | `get` | an operator reads the configuration |
 //! | `claim:k:1`, `withdraw:k:1` | gateway 1 claims key k here, or withdraws its claim |
-//! | `ahead=90000`, `back=90000` | its time of day steps by so many ms |
-//! | `stall`, `recover`, `refuse` | its disk holds batches back, syncs them, or refuses them |
-//! | `isolate`, `reconnect` | it is cut off from all others, or in session with them again |
+//! | `ahead=90000`, `back=90000` | steps the wall clock by this number of ms |
+//! | `stall`, `recover`, `refuse` | the disk delays batches, syncs them, or refuses them |
+//! | `isolate`, `reconnect` | ends or restores the sessions with all other controllers |
 //!
-//! | step | what is checked |
+//! | expectation | condition |
 //! | --- | --- |
 //! | `committed=5` | version 5 is committed here |
-//! | `acked=5`, `other=5` | the last put that was acknowledged here is 5; and another text is committed under 5 |
-//! | `unknown=5` | the last put that was left without a clear answer here is 5 |
-//! | `read=5`, `read=unknown` | the last read here gave version 5, or nothing |
-//! | `epoch=2`, `voters=1,2,5` | the voting set here |
-//! | `votes`, `silent` | it votes in its set, or it runs and does not |
-//! | `granted:k:1`, `denied:k:1`, `pending:k:1` | its last answer to the claim of gateway 1 |
-//! | `won:k:1`, `lost:k:1` | a majority granted the claim, or not |
+//! | `acked=5`, `other=5` | the latest put acknowledged here is 5; `other`: a different text is committed under 5 |
+//! | `unknown=5` | the latest put with an unknown result here is version 5 |
+//! | `read=5`, `read=unknown` | the latest read here returned version 5, or no configuration |
+//! | `epoch=2`, `voters=1,2,5` | epoch or members of the voting set adopted here |
+//! | `votes`, `silent` | the controller runs, and votes or doesn't vote |
+//! | `granted:k:1`, `denied:k:1`, `pending:k:1` | the latest answer here to gateway 1's claim of key k |
+//! | `won:k:1`, `lost:k:1` | whether a majority granted the claim |
 
 use rushcourse_types::{ConfigurationVersion, Epoch, KeyDigest, NodeId};
 use std::num::ParseIntError;
 use std::str::FromStr;
 
-/// A claim of a key by one of the gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Claimed {
+pub struct GatewayClaim {
     pub key: KeyDigest,
     pub gateway: u64,
 }
@@ -43,7 +43,7 @@
     Refuses,
 }
 
-/// What happens to a controller.
+/// An action on a controller, its disk, its clock or its network.
 #[derive(Clone, Copy, Debug)]
 pub enum Action {
     Start,
@@ -57,16 +57,16 @@
     Put(ConfigurationVersion),
     PutRival(ConfigurationVersion),
     Get,
-    Claim(Claimed),
-    Withdraw(Claimed),
-    /// The time of day steps by so many ms.
-    StepTimeOfDay(i64),
+    Claim(GatewayClaim),
+    Withdraw(GatewayClaim),
+    /// Steps the wall clock by this number of ms.
+    StepWallClock(i64),
     SetDisk(DiskMode),
     Isolate,
     Reconnect,
 }
 
-/// What is checked at a controller.
+/// A condition that is checked at a controller.
 #[derive(Clone, Debug)]
 pub enum Expectation {
     Committed(ConfigurationVersion),
@@ -78,12 +78,12 @@
     Epoch(Epoch),
     Voters(Vec<NodeId>),
     Votes,
-    Silent,
-    Granted(Claimed),
-    Denied(Claimed),
-    Pending(Claimed),
-    Won(Claimed),
-    Lost(Claimed),
+    DoesNotVote,
+    Granted(GatewayClaim),
+    Denied(GatewayClaim),
+    Pending(GatewayClaim),
+    Won(GatewayClaim),
+    Lost(GatewayClaim),
 }
 
 #[derive(Clone, Debug)]
@@ -92,7 +92,7 @@
     Expect(Expectation),
 }
 
-/// Why a text is no step.
+/// Reason why a text is not a step.
 #[derive(Debug)]
 pub enum StepError {
     Unknown,
@@ -102,8 +102,8 @@
 impl std::fmt::Display for StepError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            StepError::Unknown => f.write_str("no step of a timeline"),
-            StepError::Number(error) => write!(f, "not a number: {error}"),
+            StepError::Unknown => f.write_str("unknown timeline step"),
+            StepError::Number(error) => write!(f, "invalid number in timeline step: {error}"),
         }
     }
 }
@@ -118,8 +118,8 @@
     type Err = StepError;
 
     fn from_str(step: &str) -> Result<Step, StepError> {
-        if let Some((name, claimed)) = step.split_once(':') {
-            return claim_step(name, claimed.parse()?);
+        if let Some((name, argument)) = step.split_once(':') {
+            return claim_step(name, argument.parse()?);
         }
         if let Some((name, value)) = step.split_once('=') {
             return value_step(name, value);
@@ -128,29 +128,29 @@
     }
 }
 
-impl FromStr for Claimed {
+impl FromStr for GatewayClaim {
     type Err = StepError;
 
-    /// A key's letters and a gateway's number.
-    fn from_str(claimed: &str) -> Result<Claimed, StepError> {
-        let (key, gateway) = claimed.split_once(':').ok_or(StepError::Unknown)?;
+    /// Parses the letters of a key and the number of a gateway, separated by a colon.
+    fn from_str(text: &str) -> Result<GatewayClaim, StepError> {
+        let (key, gateway) = text.split_once(':').ok_or(StepError::Unknown)?;
         let digest = key.bytes().fold(0, |k, byte| k << 8 | u128::from(byte));
-        Ok(Claimed {
+        Ok(GatewayClaim {
             key: KeyDigest(digest),
             gateway: gateway.parse()?,
         })
     }
 }
 
-fn claim_step(name: &str, claimed: Claimed) -> Result<Step, StepError> {
+fn claim_step(name: &str, gateway_claim: GatewayClaim) -> Result<Step, StepError> {
     Ok(match name {
-        "claim" => Step::Do(Action::Claim(claimed)),
-        "withdraw" => Step::Do(Action::Withdraw(claimed)),
-        "granted" => Step::Expect(Expectation::Granted(claimed)),
-        "denied" => Step::Expect(Expectation::Denied(claimed)),
-        "pending" => Step::Expect(Expectation::Pending(claimed)),
-        "won" => Step::Expect(Expectation::Won(claimed)),
-        "lost" => Step::Expect(Expectation::Lost(claimed)),
+        "claim" => Step::Do(Action::Claim(gateway_claim)),
+        "withdraw" => Step::Do(Action::Withdraw(gateway_claim)),
+        "granted" => Step::Expect(Expectation::Granted(gateway_claim)),
+        "denied" => Step::Expect(Expectation::Denied(gateway_claim)),
+        "pending" => Step::Expect(Expectation::Pending(gateway_claim)),
+        "won" => Step::Expect(Expectation::Won(gateway_claim)),
+        "lost" => Step::Expect(Expectation::Lost(gateway_claim)),
         _ => return Err(StepError::Unknown),
     })
 }
@@ -158,8 +158,8 @@
 fn value_step(name: &str, value: &str) -> Result<Step, StepError> {
     let version = || value.parse().map(ConfigurationVersion);
     Ok(match (name, value) {
-        ("ahead", ms) => Step::Do(Action::StepTimeOfDay(ms.parse()?)),
-        ("back", ms) => Step::Do(Action::StepTimeOfDay(-ms.parse::<i64>()?)),
+        ("ahead", ms) => Step::Do(Action::StepWallClock(ms.parse()?)),
+        ("back", ms) => Step::Do(Action::StepWallClock(-ms.parse::<i64>()?)),
         ("committed", _) => Step::Expect(Expectation::Committed(version()?)),
         ("acked", _) => Step::Expect(Expectation::Acknowledged(version()?)),
         ("other", _) => Step::Expect(Expectation::AcknowledgedOther(version()?)),
@@ -200,7 +200,7 @@
         "isolate" => Step::Do(Action::Isolate),
         "reconnect" => Step::Do(Action::Reconnect),
         "votes" => Step::Expect(Expectation::Votes),
-        "silent" => Step::Expect(Expectation::Silent),
+        "silent" => Step::Expect(Expectation::DoesNotVote),
         _ => return Err(StepError::Unknown),
     })
 }
--- a/crates/gateway/consensus/tests/timelines.rs
+++ b/crates/gateway/consensus/tests/timelines.rs
@@ -1,12 +1,13 @@
-//! Timelines of controllers, one column each. The steps of a cell stand in `timeline/steps.rs`.
+//! Configurations, claims and disk failures, written as timelines with one column per controller. `timeline/steps.rs`
+//! lists the steps.
 
 mod timeline;
 
-use timeline::play;
+use timeline::run_timeline;
 
 #[test]
-fn a_configuration_is_acknowledged_and_read_back_at_any_controller() {
-    play(
+fn committed_configuration_is_readable_at_any_controller() {
+    run_timeline(
         "
         0     start    start        start        start
         1500  put5     votes        votes        votes
@@ -18,8 +19,8 @@
 }
 
 #[test]
-fn nothing_is_acknowledged_by_half_of_the_disks() {
-    play(
+fn put_without_majority_of_disks_stays_unknown() {
+    run_timeline(
         "
         0     start         start        start        start
         1500  .             .            isolate      isolate
@@ -37,8 +38,8 @@
 }
 
 #[test]
-fn the_higher_of_two_versions_at_once_holds_and_the_lower_is_acknowledged_too() {
-    play(
+fn higher_of_two_concurrent_versions_wins_and_both_are_acknowledged() {
+    run_timeline(
         "
         0     start        start        start        start
         1500  put5         put7         .            .
@@ -50,8 +51,8 @@
 }
 
 #[test]
-fn what_was_acknowledged_outlives_power_and_a_wiped_disk() {
-    play(
+fn acknowledged_configuration_survives_power_loss_and_wiped_disk() {
+    run_timeline(
         "
         0     start    start        start  start
         1500  put5     .            .      .
@@ -67,8 +68,8 @@
 }
 
 #[test]
-fn a_stalled_disk_delays_nobody_and_a_full_one_casts_no_vote() {
-    play(
+fn stalled_disk_does_not_delay_commits_and_full_disk_does_not_vote() {
+    run_timeline(
         "
         0     start    start        start        start
         1500  .        .            .            stall
@@ -84,11 +85,11 @@
     );
 }
 
-/// The seed that would propose the first set has a full disk from the start on: the next one proposes it, without the
-/// first. That one serves reads all the same, and knows each later version.
+/// A seed whose disk is full from the start must not block the first voting set. It serves reads and learns new
+/// versions.
 #[test]
-fn a_seed_with_a_full_disk_leaves_the_first_set_to_the_next() {
-    play(
+fn seed_with_full_disk_is_left_out_of_first_set() {
+    run_timeline(
         "
         0     start+refuse  start         start        start
         2500  epoch=1       voters=2,3,4  votes        votes
@@ -104,10 +105,10 @@
     );
 }
 
-/// Nobody watches at night: a disk that stays full is no reason to go on with one voter less.
+/// A full disk must not reduce the number of voters permanently.
 #[test]
-fn a_voter_whose_disk_stays_full_is_replaced() {
-    play(
+fn voter_with_persistently_full_disk_is_replaced() {
+    run_timeline(
         "
         0      start   start      start      start      .
         1500   .       .          .          .          new
@@ -123,11 +124,10 @@
     );
 }
 
-/// Two of four disks refuse: no majority can hold anything new. What is held is read, at a full one too, and all goes on
-/// once one of them takes writes.
+/// While two of four disks refuse writes, committed state stays readable; writes succeed once one disk recovers.
 #[test]
-fn with_too_few_disks_reads_go_on_and_writes_wait() {
-    play(
+fn without_majority_of_disks_reads_work_and_writes_wait() {
+    run_timeline(
         "
         0     start        start         start         start
         1500  put5         .             .             .
@@ -147,8 +147,8 @@
 }
 
 #[test]
-fn a_key_goes_to_its_first_claimant_and_to_no_other() {
-    play(
+fn key_is_granted_to_first_claim_only() {
+    run_timeline(
         "
         0     start        start       start       start
         1500  claim:k:1    claim:k:1   claim:k:1   claim:k:1
@@ -162,8 +162,8 @@
 }
 
 #[test]
-fn two_at_once_split_the_votes_and_neither_wins_until_both_withdraw() {
-    play(
+fn split_vote_grants_neither_claim_until_both_withdraw() {
+    run_timeline(
         "
         0     start                      start                      start                      start
         1500  claim:k:1                  claim:k:1                  claim:k:2                  claim:k:2
@@ -177,8 +177,8 @@
 }
 
 #[test]
-fn no_answer_leaves_before_its_claim_is_synced() {
-    play(
+fn claim_is_not_answered_before_it_is_synced() {
+    run_timeline(
         "
         0     start        start      start      start
         1500  stall        .          .          .
@@ -193,11 +193,11 @@
     );
 }
 
-/// The copy lacks a claim that the voter granted, and an order that it voted for. Two voters have the claim: it is denied
-/// though the one with the older disk is asked, and that one knows of it before it votes again.
+/// A voter that starts from a copy without a granted claim must not grant the key again. Two other voters hold the
+/// claim.
 #[test]
-fn a_voter_with_an_older_copy_of_its_disk_is_silent_until_it_has_what_it_lacks() {
-    play(
+fn voter_with_older_disk_copy_does_not_vote_until_caught_up() {
+    run_timeline(
         "
         0     start       start       start       start
         1500  copy        .           .           .
@@ -215,10 +215,10 @@
     );
 }
 
-/// The copy is so young that no other voter has heard of a later generation: what came to them since says what it lacks.
+/// No other voter knows a later generation than that of the copy, so only the recovery points reveal the missing claim.
 #[test]
-fn a_copy_made_just_before_a_grant_does_not_forget_it() {
-    play(
+fn disk_copy_from_just_before_a_grant_recovers_the_grant() {
+    run_timeline(
         "
         0     start       start       start       start
         3000  copy        .           .           .
@@ -233,10 +233,10 @@
     );
 }
 
-/// All voters start anew, and nobody knows the others' generations: disks are trusted, and all vote at once.
+/// When all voters restart, none knows the generations of the others, so all of them trust their disks and vote.
 #[test]
-fn voters_that_start_together_vote_at_once() {
-    play(
+fn voters_that_restart_together_vote_immediately() {
+    run_timeline(
         "
         0     start       start       start       start
         1500  claim:k:1   claim:k:1   claim:k:1   .
@@ -249,10 +249,10 @@
     );
 }
 
-/// Two of four are lost: the two others and one that comes back are the majority, so it does not wait.
+/// With one of four voters lost, a restarting voter is needed for a majority and must not wait for snapshots.
 #[test]
-fn a_voter_without_which_there_is_no_majority_votes_soon_after_its_start() {
-    play(
+fn voter_needed_for_majority_votes_soon_after_restart() {
+    run_timeline(
         "
         0     start       start       start       start
         1500  .           .           .           wipe
@@ -266,8 +266,8 @@
 }
 
 #[test]
-fn a_voter_that_lost_its_disk_is_silent_until_it_has_snapshots() {
-    play(
+fn voter_with_wiped_disk_does_not_vote_until_snapshots_are_installed() {
+    run_timeline(
         "
         0     start       start       start       start
         1500  claim:k:1   claim:k:1   claim:k:1   .
@@ -284,8 +284,8 @@
 }
 
 #[test]
-fn one_wipe_after_the_other_lets_no_second_run() {
-    play(
+fn successive_wipes_do_not_allow_a_second_grant() {
+    run_timeline(
         "
         0      start       start       start       start
         1500   claim:k:1   claim:k:1   claim:k:1   .
@@ -303,8 +303,8 @@
 }
 
 #[test]
-fn a_minority_side_grants_but_never_a_majority() {
-    play(
+fn minority_partition_cannot_win_a_claim() {
+    run_timeline(
         "
         0     start      start      start      start
         1500  .          .          .          isolate
@@ -318,8 +318,8 @@
 }
 
 #[test]
-fn all_killed_at_once_come_back_with_their_claims() {
-    play(
+fn claims_survive_kill_of_all_controllers() {
+    run_timeline(
         "
         0     start       start       start       start
         1500  claim:k:1   claim:k:1   claim:k:1   claim:k:1
@@ -333,8 +333,8 @@
 }
 
 #[test]
-fn a_claim_expires_after_its_window() {
-    play(
+fn claim_expires_after_key_window() {
+    run_timeline(
         "
         0      start      start      start      start
         1500   claim:k:1  claim:k:1  claim:k:1  claim:k:1
@@ -346,11 +346,10 @@
     );
 }
 
-/// Two operators put different texts under one version at the same time. One of them is committed at all controllers,
-/// or neither is until a higher version comes; both are acknowledged only if the other changed nothing.
+/// When two operators put different texts under one version, controllers must not commit different texts.
 #[test]
-fn of_two_texts_of_one_version_one_is_committed_everywhere() {
-    play(
+fn one_of_two_texts_of_a_version_is_committed_everywhere() {
+    run_timeline(
         "
         0     start        start        start        start
         1500  put5         rival5       .            .
@@ -362,7 +361,7 @@
         3100  read=6       .            .            .
     ",
     );
-    play(
+    run_timeline(
         "
         0     start    start        start        start
         1500  .        isolate      .            .
@@ -378,10 +377,10 @@
     );
 }
 
-/// The minority's text does not come back after a loss of power: its disk holds the one that is committed.
+/// The text of a minority must not become committed after a loss of power on all machines.
 #[test]
-fn the_text_of_a_minority_under_the_same_version_is_gone_for_good() {
-    play(
+fn minority_text_of_a_version_does_not_reappear_after_power_loss() {
+    run_timeline(
         "
         0     start        start        start        start
         1500  .            isolate      .            .
@@ -396,10 +395,10 @@
     );
 }
 
-/// How long a key is bound is not told by the time of day: it may step, ahead or back, and return.
+/// Steps of the wall clock must not shorten the time for which a claim holds its key.
 #[test]
-fn a_claim_outlives_steps_of_the_time_of_day() {
-    play(
+fn claim_survives_wall_clock_steps() {
+    run_timeline(
         "
         0     start        start        start        start
         1500  claim:k:1    claim:k:1    claim:k:1    claim:k:1
@@ -417,10 +416,10 @@
     );
 }
 
-/// A restart with a time of day that is far ahead: claims that the disk held count as new.
+/// Claims that are restored from disk start a new window, whatever the wall clock says.
 #[test]
-fn a_claim_outlives_a_restart_under_a_wrong_time_of_day() {
-    play(
+fn claim_survives_restart_with_wrong_wall_clock() {
+    run_timeline(
         "
         0     start             start             start             start
         1500  claim:k:1         claim:k:1         claim:k:1         claim:k:1
@@ -433,17 +432,17 @@
     );
 }
 
-/// Two texts of one version at the same moment, and a voter is lost just then: one of them is committed everywhere, and
-/// both operators have their answer inside a second.
+/// Two texts of a version tie and a voter fails at any moment: one text is committed and all operators are answered
+/// within a second.
 #[test]
-fn a_race_that_splits_evenly_ends_though_a_voter_is_lost() {
+fn evenly_split_race_is_decided_although_a_voter_fails() {
     for lost_at in 15_000..15_015 {
         for lost in 0..4 {
             let row = |word: &str, of_lost: &str| {
                 let cell = |k| if k == lost { of_lost } else { word };
                 (0..4).map(cell).collect::<Vec<_>>().join("  ")
             };
-            play(&format!(
+            run_timeline(&format!(
                 "
                 0          start  start  start  start
                 1500       .      put5   put7   .
@@ -461,9 +460,9 @@
     }
 }
 
-/// A put that was acknowledged is acknowledged again at any controller, however many versions came since.
+/// Every controller acknowledges a put that was acknowledged before, regardless of the number of later versions.
 #[test]
-fn an_old_put_is_acknowledged_again_after_hundreds_of_versions() {
+fn old_put_is_acknowledged_again_after_hundreds_of_versions() {
     let mut timeline = String::from(
         "
         0     start    start  start  start
@@ -485,12 +484,12 @@
         8101  .          .        .        put5
         8300  .          .        .        acked=5
     ";
-    play(&timeline);
+    run_timeline(&timeline);
 }
 
-/// A replica that was away for a thousand changes has the newest a moment after its return, and serves no read before.
+/// A returning replica gets only the newest version, and answers no read before it has that version.
 #[test]
-fn a_replica_that_missed_a_thousand_changes_catches_up_at_once() {
+fn replica_that_missed_a_thousand_versions_catches_up_immediately() {
     let mut timeline = String::from(
         "
         0     start    start  start  start
@@ -512,5 +511,5 @@
         22600  .  acked=1006      get                          .
         23600  .  .               read=unknown+committed=1005  .
     ";
-    play(&timeline);
+    run_timeline(&timeline);
 }
