--- a/crates/gateway/consensus/src/configuration/lagging_peers.rs
+++ b/crates/gateway/consensus/src/configuration/lagging_peers.rs
@@ -94,7 +94,11 @@
 }
 
 /// Replicas whose reports show neither that the version is committed nor a vote for it.
-fn find_lagging(paxos: &Paxos, committed: ConfigurationVersion, proposal: &Proposal) -> Vec<NodeId> {
+fn find_lagging(
+    paxos: &Paxos,
+    committed: ConfigurationVersion,
+    proposal: &Proposal,
+) -> Vec<NodeId> {
     let slot = Slot::Configuration(committed);
     let lacks = |report: &PeerReport| {
         report.committed() < committed && !report.has_vote(slot, proposal.ballot)
--- a/crates/gateway/consensus/src/configuration/mod.rs
+++ b/crates/gateway/consensus/src/configuration/mod.rs
@@ -114,7 +114,8 @@
 
     /// Starts a linearizable read of the committed configuration for an operator.
     pub fn get(&mut self, context: &mut Context, paxos: &Paxos, ticket: Ticket) {
-        self.operator_calls.get(context, paxos, ticket, self.committed);
+        self.operator_calls
+            .get(context, paxos, ticket, self.committed);
     }
 
     /// Counts a replica's response to a pending read.
@@ -132,7 +133,8 @@
     /// Commits the highest chosen version, and answers calls whose outcome is known.
     pub fn update(&mut self, context: &mut Context, paxos: &mut Paxos) {
         self.commit_chosen(context, paxos);
-        self.operator_calls.answer_finished(context, paxos, self.committed);
+        self.operator_calls
+            .answer_finished(context, paxos, self.committed);
     }
 
     fn commit_chosen(&mut self, context: &mut Context, paxos: &mut Paxos) {
@@ -193,12 +195,17 @@
         };
         let ballot = proposal.ballot;
         let value = proposal.value.clone();
-        let is_same = |uncommitted: &UncommittedVersion| (uncommitted.version, uncommitted.ballot) == (version, ballot);
-        let uncommitted = self.uncommitted.filter(is_same).unwrap_or(UncommittedVersion {
-            version,
-            ballot,
-            since: context.now,
-        });
+        let is_same = |uncommitted: &UncommittedVersion| {
+            (uncommitted.version, uncommitted.ballot) == (version, ballot)
+        };
+        let uncommitted = self
+            .uncommitted
+            .filter(is_same)
+            .unwrap_or(UncommittedVersion {
+                version,
+                ballot,
+                since: context.now,
+            });
         self.uncommitted = Some(uncommitted);
         let membership = &paxos.membership;
         let delay = REPROPOSAL_DELAY + REPROPOSAL_DELAY_PER_RANK * membership.rank();
--- a/crates/gateway/consensus/src/membership/first_set.rs
+++ b/crates/gateway/consensus/src/membership/first_set.rs
@@ -18,7 +18,12 @@
 /// Whether this replica has to propose the first set now. At the first start of the deployment the proposer is the seed
 /// with the lowest address whose disk accepts writes. It waits until all seeds are connected and no further controller
 /// has connected for [`FIRST_SET_QUIET_PERIOD`].
-pub(super) fn is_due(setup: &ReplicaSetup, peers: &Peers, now: Timestamp, uptime: Duration) -> bool {
+pub(super) fn is_due(
+    setup: &ReplicaSetup,
+    peers: &Peers,
+    now: Timestamp,
+    uptime: Duration,
+) -> bool {
     let is_reachable = |seed: &NodeId| *seed == setup.node || peers.is_connected(*seed);
     // A seed whose disk refuses writes can't store the set.
     let proposers = setup
--- a/crates/gateway/consensus/src/membership/replacement.rs
+++ b/crates/gateway/consensus/src/membership/replacement.rs
@@ -88,7 +88,9 @@
     fn best_standby(&self, removed: Option<NodeId>) -> Option<NodeId> {
         let members = self.voting_set.members.iter();
         let remaining = members.filter(|member| Some(**member) != removed);
-        let zones: Vec<&Arc<str>> = remaining.filter_map(|member| self.zone_of(*member)).collect();
+        let zones: Vec<&Arc<str>> = remaining
+            .filter_map(|member| self.zone_of(*member))
+            .collect();
         let voters_in_zone = |standby: NodeId| {
             let zone = self.zone_of(standby);
             zones.iter().filter(|other| Some(**other) == zone).count()
--- a/crates/gateway/consensus/src/node/state_transfer.rs
+++ b/crates/gateway/consensus/src/node/state_transfer.rs
@@ -15,7 +15,8 @@
         let (membership, reports) = (&mut self.paxos.membership, &self.paxos.reports);
         if membership.is_recovering() {
             let voting_set = membership.voting_set().clone();
-            membership.update_needed_for_majority(|member| reports.is_voter(now, &voting_set, member));
+            membership
+                .update_needed_for_majority(|member| reports.is_voter(now, &voting_set, member));
         }
         let members = membership.snapshot_sources(now);
         let sources: Vec<SnapshotSource> = members
--- a/crates/gateway/consensus/src/paxos/mod.rs
+++ b/crates/gateway/consensus/src/paxos/mod.rs
@@ -41,7 +41,9 @@
             .reports
             .get(peer)
             .is_some_and(|report| !report.is_voter());
-        needs_recovery_point.then(|| self.recovery_points.get(peer)).flatten()
+        needs_recovery_point
+            .then(|| self.recovery_points.get(peer))
+            .flatten()
     }
 
     /// Whether a majority of the voting set, including this replica if it votes, has durably voted for a proposal.
--- a/crates/gateway/consensus/tests/timeline/cluster.rs
+++ b/crates/gateway/consensus/tests/timeline/cluster.rs
@@ -4,7 +4,7 @@
 use super::observations::{
     Acknowledgement, Observations, ReadResult, claim_id, read_ticket, rival_text, text,
 };
-use super::steps::{Action, GatewayClaim, DiskMode, Expectation};
+use super::steps::{Action, DiskMode, Expectation, GatewayClaim};
 use rushcourse_consensus::{
     ClaimRequest, ConsensusNode, DurableState, Effect, Input, ReplicaSummary,
 };
@@ -111,7 +111,10 @@
                     self.step(*node, Input::Tick);
                 }
             }
-            while let Some(in_flight) = self.in_flight.pop_front_if(|in_flight| in_flight.due <= self.now) {
+            while let Some(in_flight) = self
+                .in_flight
+                .pop_front_if(|in_flight| in_flight.due <= self.now)
+            {
                 self.deliver(in_flight);
             }
         }
@@ -201,7 +204,10 @@
             Action::RestoreDisk => {
                 self.stop(node, Unsynced::Lost);
                 let controller = self.controller_mut(node);
-                controller.simulated.disk.replace(controller.disk_copy.clone());
+                controller
+                    .simulated
+                    .disk
+                    .replace(controller.disk_copy.clone());
                 self.start(node);
             }
             Action::Put(version) => self.put(node, version, false),
@@ -302,12 +308,18 @@
             | Expectation::Denied(gateway_claim)
             | Expectation::Pending(gateway_claim)
             | Expectation::Won(gateway_claim)
-            | Expectation::Lost(gateway_claim) => self.check_claim(node, expectation, *gateway_claim, location),
+            | Expectation::Lost(gateway_claim) => {
+                self.check_claim(node, expectation, *gateway_claim, location)
+            }
             Expectation::Committed(version) => {
                 assert_eq!(summary.map(|s| s.committed), Some(*version), "{location}");
             }
             Expectation::Epoch(epoch) => {
-                assert_eq!(summary.map(|s| s.voting_set.epoch), Some(*epoch), "{location}");
+                assert_eq!(
+                    summary.map(|s| s.voting_set.epoch),
+                    Some(*epoch),
+                    "{location}"
+                );
             }
             Expectation::Voters(members) => {
                 let found = summary.map(|s| s.voting_set.members);
@@ -350,9 +362,17 @@
         }
     }
 
-    fn check_claim(&self, node: NodeId, expectation: &Expectation, gateway_claim: GatewayClaim, location: &str) {
+    fn check_claim(
+        &self,
+        node: NodeId,
+        expectation: &Expectation,
+        gateway_claim: GatewayClaim,
+        location: &str,
+    ) {
         let verdict = self.observations.verdict(node, gateway_claim);
-        let has_won = self.observations.has_won(gateway_claim, &self.voting_sets());
+        let has_won = self
+            .observations
+            .has_won(gateway_claim, &self.voting_sets());
         let is_granted = verdict == Some(ClaimVerdict::Granted);
         let answers = &self.observations.answers;
         match expectation {
--- a/crates/gateway/consensus/tests/timeline/observations.rs
+++ b/crates/gateway/consensus/tests/timeline/observations.rs
@@ -1,7 +1,7 @@
 //! Results seen by operators and gateways, and checks that hold in every timeline.
 
 use super::steps::GatewayClaim;
-use rushcourse_consensus::{ClaimAnswer, CommittedConfiguration, CallOutcome};
+use rushcourse_consensus::{CallOutcome, ClaimAnswer, CommittedConfiguration};
 use rushcourse_messages::{ClaimVerdict, VotingSet};
 use rushcourse_types::{
     ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, Ticket, Timestamp,
@@ -115,7 +115,10 @@
         let CommittedConfiguration { version, text } = configuration;
         let first = self.committed.entry(version);
         let first = first.or_insert_with(|| text.clone());
-        assert_eq!(*first, text, "two texts are committed under version {version}");
+        assert_eq!(
+            *first, text,
+            "two texts are committed under version {version}"
+        );
     }
 
     /// Records a voter's answer to a claim. `sets` are the voting sets adopted by the running controllers.
