--- a/crates/gateway/consensus/src/configuration/operator_calls.rs
+++ b/crates/gateway/consensus/src/configuration/operator_calls.rs
@@ -67,7 +67,8 @@
 }
 
 impl OperatorCalls {
-    /// Proposes a new configuration. Fails at once if there is a voting set and its majority is unreachable.
+    /// Proposes a new configuration. The call is answered as unknown at once if a voting set exists and its majority is
+    /// unreachable.
     pub(super) fn put(
         &mut self,
         context: &mut Context,
@@ -91,7 +92,8 @@
         self.puts.insert(ticket, call);
     }
 
-    /// Starts a read by asking all reachable members for the versions that they have accepted.
+    /// Starts a read by asking all reachable members for the versions that they have accepted. The call is answered as
+    /// unknown at once if no majority is reachable.
     pub(super) fn get(
         &mut self,
         context: &mut Context,
--- a/crates/gateway/consensus/src/paxos/acceptor/mod.rs
+++ b/crates/gateway/consensus/src/paxos/acceptor/mod.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Maximum number of slots with a record. When it is reached, no further slot is opened until a version is committed.
+/// Maximum number of slots with a record. At the limit no further slot is opened until decided slots are pruned.
 const MAX_OPEN_SLOTS: usize = 24;
 
 /// Role in which a proposal is accepted.
@@ -225,7 +225,7 @@
         is_vote
     }
 
-    /// Marks a record that the disk refused for a retry. No promise or vote is reported before the retry is synced.
+    /// Marks a refused record for a retry by [`Acceptor::retry_writes`]. Its promise or vote is not reported until then.
     pub fn write_refused(&mut self, slot: Slot) {
         if let Some(entry) = self.entries.get_mut(&slot) {
             entry.needs_rewrite = true;
--- a/crates/gateway/consensus/src/recovery_points.rs
+++ b/crates/gateway/consensus/src/recovery_points.rs
@@ -21,8 +21,8 @@
 const GRANT_LIFETIME: Duration = Duration::from_millis(500);
 /// Minimum interval between two position samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(200);
-/// Number of position samples kept, which cover the last 12.8 s. The timestamps that reports echo are at most about 1.4
-/// s old while a session lasts.
+/// Number of position samples kept, which cover the last 12.8 s. Reports echo timestamps that are at most about 1.4 s
+/// old while a session lasts.
 const MAX_SAMPLES: usize = 64;
 
 /// Position in the sequence of claims at a point in time.
