--- a/crates/shared/policy/src/channel_cost.rs
+++ b/crates/shared/policy/src/channel_cost.rs
@@ -1,13 +1,13 @@
-//! What updates cost on the channel, in lines.
+//! Cost of updates on the shared channel. The unit is a line of a message.
 
+use crate::constants::MAX_TABLE_HOSTS;
 use crate::director::Director;
 use crate::interface::{AckNumber, Channel, HostId, Ms, ProxyId, TableId};
 use crate::state::{Proxy, ProxyLines, Update, UpdateCost};
-use crate::constants::MAX_TABLE_HOSTS;
 use std::collections::BTreeSet;
 
 impl Director {
-    /// What an update costs.
+    /// Lines that an update writes to each proxy, and the shared channel's lines that it adds to the batch.
     pub(crate) fn cost(&self, update: &Update) -> UpdateCost {
         let by_proxy = self.written_lines(update);
         let on_shared =
@@ -16,7 +16,6 @@
         UpdateCost { by_proxy, channel_lines }
     }
 
-    /// The lines that an update writes, by proxy.
     pub(crate) fn written_lines(&self, update: &Update) -> Vec<ProxyLines> {
         match update {
             Update::Endpoint { table, .. } | Update::Admission { table, .. } => {
@@ -31,7 +30,7 @@
         }
     }
 
-    /// A bind writes the whole table, its levels, and the withdrawn hosts that it names.
+    /// A bind writes all endpoints of the table, its admission levels, and a line per withdrawn host in it.
     fn bind_lines(&self, proxy: ProxyId, table: TableId) -> f64 {
         let (table, channel) = (&self.tables.by_id[&table], self.proxies.by_id[&proxy].channel);
         let is_withdrawn =
@@ -40,14 +39,12 @@
         1.0 + (table.weights.len() + table.admission.len() + withdrawn) as f64
     }
 
-    /// A withdrawal writes a line to each proxy that holds the host. A proxy that awaits its bind holds
-    /// endpoints that are not known: a table of under 30 hosts, so that of a thousand such proxies few name
-    /// this one. Counted as a whole line each, the withdrawals of a release filled the channel's window by
-    /// themselves, and waited for it.
+    /// A withdrawal writes a line to each proxy whose tables contain the host. The endpoints of a proxy that
+    /// awaits its bind are unknown, so the line is weighted with the probability that one is the host.
     fn withdrawal_cost(&self, host: &HostId, channel: Channel) -> Vec<ProxyLines> {
         let names = |table: &TableId| self.tables.has_endpoint(*table, host);
         let naming: BTreeSet<TableId> = self.tables.by_id.keys().copied().filter(names).collect();
-        let chance = self.chance_to_be_named();
+        let chance = self.table_membership_probability();
         let lines = |proxy: &Proxy| {
             let is_named = proxy.tables().any(|table| naming.contains(&table));
             if is_named { Some(1.0) } else { proxy.awaits_bind().then_some(chance) }
@@ -56,39 +53,38 @@
         reached.filter_map(|(id, proxy)| Some(ProxyLines { proxy: *id, lines: lines(proxy)? })).collect()
     }
 
-    /// The chance that a table names a given host: the part of all hosts that a table holds.
-    fn chance_to_be_named(&self) -> f64 {
+    /// Probability that a table contains a given host: the maximum table size over the number of hosts.
+    fn table_membership_probability(&self) -> f64 {
         (MAX_TABLE_HOSTS as f64 / self.hosts.by_id.len().max(1) as f64).min(1.0)
     }
 
-    /// What a message of so many lines takes of the channel. Under one line is the chance that there is a
-    /// message at all: counted whole at a thousand proxies of which few hold the host, one withdrawal took a
-    /// second of the channel.
+    /// Channel lines of a message with `lines` lines, its overhead included. A value below 1 is the
+    /// probability that there is a message at all, and scales the overhead.
     pub(crate) fn channel_lines(&self, lines: f64) -> f64 {
         lines + (self.settings.channel.lines_per_message + 1.0) * lines.min(1.0)
     }
 
-    /// What so many lines more take of the channel, beside the proxy's lines of the batch in the making.
+    /// Channel lines that `added` costs on top of the lines that the open batch holds for the same proxy.
     fn added_channel_lines(&self, added: &ProxyLines) -> f64 {
         let before = self.outbox.lines.get(&added.proxy).copied().unwrap_or(0.0);
         self.channel_lines(before + added.lines) - self.channel_lines(before)
     }
 
-    /// What so many withdrawals take of the channel at a proxy that awaits its bind.
-    pub(crate) fn withdrawals_lines(&self, hosts: usize) -> f64 {
-        self.channel_lines(hosts as f64 * self.chance_to_be_named())
+    /// Expected channel lines of withdrawing `hosts` hosts at a proxy that awaits its bind.
+    pub(crate) fn expected_withdrawal_lines(&self, hosts: usize) -> f64 {
+        self.channel_lines(hosts as f64 * self.table_membership_probability())
     }
 
-    /// What the bind of a proxy to an average table takes of the channel.
+    /// Channel lines of a bind to a current table of average size.
     pub(crate) fn mean_bind_lines(&self) -> f64 {
         let current = self.tables.current.values();
         let lines: usize = current.map(|table| self.tables.by_id[table].weights.len()).sum();
         self.channel_lines(lines as f64 / self.tables.current.len().max(1) as f64)
     }
 
-    /// The most messages written to one of the proxies that a batch reaches, its next one included, within
-    /// the span that messages are counted over and the longest way of a message.
-    pub(crate) fn most_messages(&self, ack_number: AckNumber, now: Ms) -> usize {
+    /// Maximum, over the proxies that have yet to acknowledge a batch, of the messages written to one of them
+    /// within the message window plus the maximum transit time.
+    pub(crate) fn max_recent_messages(&self, ack_number: AckNumber, now: Ms) -> usize {
         let span = self.settings.channel.message_window + self.settings.channel.max_transit;
         let batch = self.outbox.unacked_batch(ack_number).and_then(|batch| self.outbox.unacked.get(&batch));
         let reached = batch.into_iter().flat_map(|batch| batch.lines.keys());
--- a/crates/shared/policy/src/director.rs
+++ b/crates/shared/policy/src/director.rs
@@ -1,30 +1,30 @@
-//! One director: what it was told, what it ordered, and what it makes of both.
+//! The director's state, its construction, and read access for diagnostics.
 
+use crate::constants::FEEDBACK_INTERVALS;
 use crate::interface::{
     ClassGroupView, DirectorView, EndpointView, Ms, ProxyId, ProxyView, Settings, TableView, WithdrawnHost,
     ZoneId,
 };
 use crate::state::{
-    ChannelHost, ClassGroup, CrossZoneWeights, HostList, HostReports, HostVerdicts, Outbox, ProxyRegistry,
+    ChannelHost, ClassGroup, CrossZoneWeights, HostHealth, HostList, HostReports, Outbox, ProxyRegistry,
     TableSet, Update, ZoneState,
 };
-use crate::constants::FEEDBACK_INTERVALS;
 use std::collections::BTreeMap;
 
-/// The time of the step, and when to act.
+/// Current time and the schedule of rounds.
 #[derive(Debug, Default)]
 pub(crate) struct Clock {
-    /// The time of the step in hand.
+    /// Time passed to the current call of `Director::handle`.
     pub now: Ms,
-    /// The first step was made.
     pub is_started: bool,
-    /// When the next round of ordinary updates is due.
+    /// Earliest time of the next round of ordinary updates.
     pub next_round: Ms,
-    /// No order goes out before this.
-    pub opens_at: Ms,
+    /// No update is sent before this time, so that proxies can join first.
+    pub first_send_at: Ms,
 }
 
-/// The decisions of one director: events go in, actions come out. It reads no clock and does no I/O.
+/// Decides on tables, bindings and admission levels of the joined proxies. It turns events into actions,
+/// and performs no I/O and reads no clock.
 #[derive(Debug)]
 pub struct Director {
     pub(crate) settings: Settings,
@@ -32,20 +32,20 @@
     pub(crate) hosts: HostList,
     pub(crate) proxies: ProxyRegistry,
     pub(crate) tables: TableSet,
-    /// Updates that have not passed the check, since when.
+    /// Updates that failed the safety check, with the time of the first failure.
     pub(crate) pending: BTreeMap<Update, Ms>,
     pub(crate) outbox: Outbox,
     pub(crate) reports: HostReports,
-    pub(crate) verdicts: HostVerdicts,
-    /// By zone of the proxies; one at least.
+    pub(crate) host_health: HostHealth,
+    /// State by zone of the proxies; never empty.
     pub(crate) zones: Vec<ZoneState>,
     pub(crate) cross_zone_weights: CrossZoneWeights,
-    /// Proxies and updates examined since the start.
+    /// Number of proxies and updates examined since the start.
     pub(crate) examined: u64,
 }
 
 impl Director {
-    /// A director that has seen no event yet.
+    /// Creates a director without hosts or proxies. Its settings are checked by the first call of `handle`.
     pub fn new(settings: Settings) -> Director {
         let interval = settings.report_interval + settings.channel.mean_transit;
         let feedback_delay = FEEDBACK_INTERVALS * interval;
@@ -66,37 +66,38 @@
             pending: BTreeMap::new(),
             outbox: Outbox::new(),
             reports: HostReports::new(feedback_delay),
-            verdicts: HostVerdicts::default(),
+            host_health: HostHealth::default(),
             zones,
             cross_zone_weights: CrossZoneWeights::default(),
             examined: 0,
         }
     }
 
-    /// All zones, by number.
     pub(crate) fn zone_ids(&self) -> std::ops::Range<ZoneId> {
         0..self.zones.len()
     }
 
-    /// What holds for a zone's proxies; those of a zone that the settings do not know go by the last one.
+    /// State of a zone. Unknown zone numbers are mapped to the last zone.
     pub(crate) fn zone(&self, zone: ZoneId) -> &ZoneState {
         &self.zones[zone.min(self.zones.len() - 1)]
     }
 
-    /// Number of records kept of hosts, tables and messages.
+    /// Number of records held for hosts, tables, unacknowledged batches and pending updates. Useful to detect
+    /// leaks.
     pub fn record_count(&self) -> usize {
-        let verdicts = self.verdicts.ejections.len() + self.verdicts.deratings.len();
-        let hosts = self.hosts.by_id.len() + self.reports.len() + verdicts;
+        let host_health = self.host_health.ejections.len() + self.host_health.deratings.len();
+        let hosts = self.hosts.by_id.len() + self.reports.len() + host_health;
         let tables = self.tables.by_id.len() + self.tables.current.len();
         hosts + tables + self.outbox.unacked.len() + self.pending.len()
     }
 
-    /// Proxies and updates examined since the start: work that grows with the fleet, whatever the machine.
+    /// Number of proxies and updates examined since the start: a measure of work that does not depend on the
+    /// speed of the machine.
     pub fn examined_count(&self) -> u64 {
         self.examined
     }
 
-    /// What is held of proxies and tables, to look at.
+    /// A snapshot of the modeled proxies and the tables, for diagnostics.
     pub fn view(&self) -> DirectorView {
         let tables = self.tables.by_id.iter();
         let withdrawn = self.hosts.by_channel().filter(ChannelHost::is_withdrawn);
--- a/crates/shared/policy/src/interface.rs
+++ b/crates/shared/policy/src/interface.rs
@@ -1,4 +1,4 @@
-//! What a front hands to a director and what it gets back. Types only.
+//! The public types: settings, events that a front passes to a director, and actions that it gets back.
 
 mod actions;
 mod events;
--- a/crates/shared/policy/src/interface/actions.rs
+++ b/crates/shared/policy/src/interface/actions.rs
@@ -1,81 +1,81 @@
-//! What a director asks its front to do.
+//! Actions that a director requests from its front.
 
 use super::ids::{AckNumber, Channel, ClassMask, HostId, Ms, ProxyId, TableId};
 use super::settings::RetryPolicy;
 
-/// Something to do, in the order given.
+/// An action for the front. The actions of a batch must be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Set the weight of a host in a table.
     SetEndpoint {
-        /// The table.
+        /// Table to change; it is created if it does not exist.
         table: TableId,
-        /// The host.
+        /// Host to add, change or remove.
         host: HostId,
-        /// Its share of the table's requests beside the other hosts; 0 removes it.
+        /// Share of the table's requests relative to its other hosts; 0 removes the host.
         weight: f64,
     },
     /// Remove all endpoints and admission levels of a table.
     ClearTable {
-        /// The table.
+        /// Table to clear. No proxy is bound to it.
         table: TableId,
     },
-    /// Let a proxy use a table from now on.
+    /// Bind a proxy to a table, in place of the table that it used for these classes before.
     BindProxy {
-        /// The proxy.
+        /// Proxy to bind; it has joined and not left.
         proxy: ProxyId,
-        /// The table.
+        /// Table from which the proxy picks hosts from now on.
         table: TableId,
-        /// For these classes.
+        /// Classes that use the table; 0 stands for all.
         classes: ClassMask,
     },
-    /// Withdraw a host from all tables of a channel's proxies, or let it back.
+    /// Withdraw a host from all tables of a channel, or end its withdrawal. The tables keep their endpoints.
     SetWithdrawn {
-        /// The host.
+        /// Host that proxies must stop or may resume using.
         host: HostId,
-        /// Whether it is withdrawn.
+        /// True to withdraw the host, false to restore it.
         is_withdrawn: bool,
-        /// The channel whose proxies are told.
+        /// Channel whose proxies are notified.
         channel: Channel,
     },
-    /// Set the admission level of some classes in a table.
+    /// Set the admission quota and the retry policy of classes in a table.
     SetAdmission {
-        /// The table.
+        /// Table whose proxies apply the quota.
         table: TableId,
-        /// For these classes.
+        /// Classes that the quota applies to.
         classes: ClassMask,
-        /// What is admitted: by the kind that the settings name, a part or a rate.
+        /// Admitted fraction or rate of requests, depending on `ProxySettings::admission_kind`.
         quota: f64,
-        /// When proxies retry.
+        /// When the proxies retry failed requests of these classes.
         retry_policy: RetryPolicy,
     },
-    /// Ask each proxy that gets a message of this batch to acknowledge it. The last action of its batch.
+    /// Ask each proxy that gets a message of this batch to acknowledge it. Last action of its batch.
     RequestAck {
-        /// The number of the batch.
+        /// Number that the acknowledgements have to repeat.
         ack_number: AckNumber,
     },
-    /// Hand `Event::TimerFired` in at a time.
+    /// Pass `Event::TimerFired` to the director at a given time.
     StartTimer {
-        /// What the event names.
+        /// Token to repeat in the event.
         token: String,
-        /// When it is due.
+        /// Time at which the timer is due.
         at: Ms,
     },
-    /// Check the health of a host.
+    /// Start a health check, whose result comes back as `Event::HealthChecked`.
     CheckHealth {
-        /// The host.
+        /// Host to check.
         host: HostId,
     },
-    /// Send bytes to all other directors.
+    /// Send a message to all other directors.
     BroadcastToPeers {
-        /// What to send.
+        /// Payload, passed on unchanged.
         bytes: Vec<u8>,
     },
-    /// Subscribe to the list of hosts.
+    /// Subscribe to the host list, which then arrives as `Event::HostsListed`.
     SubscribeToHosts,
-    /// Write a line into the log.
+    /// Write a line to the log.
     Log {
-        /// `event=` and further pairs of key and value.
+        /// `event=` followed by key=value pairs.
         text: String,
     },
 }
--- a/crates/shared/policy/src/interface/events.rs
+++ b/crates/shared/policy/src/interface/events.rs
@@ -1,129 +1,125 @@
-//! What a front hands to a director.
+//! Events that a front passes to a director.
 
 use super::hosts::{HostEntry, HostListKind, HostLoad};
 use super::ids::{AckNumber, Channel, ClassId, HostId, Ms, ProxyId, ZoneId};
 
-/// Something that happened.
+/// An input of `Director::handle`.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// The list of hosts, or a change to it.
     HostsListed {
-        /// What the entries cover.
+        /// Whether `entries` is complete or a change.
         kind: HostListKind,
-        /// Hosts as listed.
+        /// Listed hosts: all of them, or only the changed ones, depending on `kind`.
         entries: Vec<HostEntry>,
     },
     /// A proxy's stream is established.
     ProxyJoined {
-        /// Who joined.
+        /// Number of the proxy. If it has joined before, this event replaces its registration.
         proxy: ProxyId,
-        /// Its zone.
+        /// Zone in which the proxy runs.
         zone: ZoneId,
-        /// Requests a second that it is said to bring.
+        /// Expected request rate of the proxy, in requests per second.
         rate: f64,
-        /// It holds nothing but the default table of its start.
+        /// Whether the proxy holds only the default table that it starts with.
         is_fresh: bool,
-        /// The way it is reached from now on.
+        /// Channel that reaches the proxy from now on.
         channel: Channel,
     },
-    /// A proxy's stream on a channel has ended; it may have joined by another one meanwhile.
+    /// A proxy's stream on a channel has ended. Ignored if it has since joined on another channel.
     ProxyLeft {
-        /// Who left.
+        /// Proxy whose stream ended.
         proxy: ProxyId,
-        /// The channel of its stream.
+        /// Channel of the stream that ended.
         channel: Channel,
     },
-    /// A proxy has applied the message of this number and all before it.
+    /// A proxy has applied a message and all earlier ones.
     Acknowledged {
-        /// The number that the message asked to be acknowledged by.
+        /// Number from the `Action::RequestAck` of the message's batch.
         ack_number: AckNumber,
-        /// Who applied it.
+        /// Proxy that applied the message.
         proxy: ProxyId,
-        /// Time from the order to its taking effect.
+        /// Time from sending the batch until the proxy applied it.
         elapsed: Ms,
-        /// The channel of the acknowledgement.
+        /// Channel of the acknowledgement. Ignored unless it is the proxy's current one.
         channel: Channel,
     },
-    /// What proxies of a zone observed at a host.
+    /// Proxies of a zone reported the outcome of their attempts at a host.
     HostReported {
-        /// The zone of the proxies.
+        /// Zone of the reporting proxies.
         zone: ZoneId,
-        /// Where their attempts went.
+        /// Host to which the attempts were sent.
         host: HostId,
-        /// Attempts.
+        /// Number of attempts in the reported period.
         attempts: f64,
-        /// Attempts that failed.
+        /// Number of failed attempts; included in `attempts`.
         failed: f64,
-        /// Mean time of the successful ones.
+        /// Mean latency of the successful attempts.
         mean_latency: Ms,
-        /// The span that the report covers.
+        /// Length of the reported period.
         span: Ms,
-        /// What the host reported itself.
+        /// Load that the host reported about itself.
         load: HostLoad,
     },
-    /// What came to a proxy from its clients.
+    /// A proxy reported the client requests of a class.
     TrafficReported {
-        /// The proxy.
+        /// Proxy that received the requests.
         proxy: ProxyId,
-        /// The class of the requests.
+        /// Class of the requests.
         class: ClassId,
-        /// Requests that came, rejected and repeated ones included.
+        /// Number of received requests, including rejected and retried ones.
         attempts: f64,
-        /// Admitted requests that got no answer.
+        /// Number of admitted requests that got no response.
         failed: f64,
-        /// The span that the report covers.
+        /// Length of the reported period.
         span: Ms,
     },
-    /// A health check that was ordered has ended.
+    /// A health check that `Action::CheckHealth` started has ended.
     HealthChecked {
-        /// The host.
+        /// Host that was checked.
         host: HostId,
-        /// Time since it was sent.
+        /// Time since the check was sent.
         elapsed: Ms,
-        /// Whether the host answered it.
+        /// Whether the host responded.
         is_answered: bool,
-        /// What the host reported with it.
+        /// Load that the host reported in its response.
         load: HostLoad,
     },
-    /// A message of another director.
+    /// A message that another director sent with `Action::BroadcastToPeers`.
     PeerMessage {
-        /// Its sender's number.
+        /// Index of the sending director, as in `FleetSettings::own_index`.
         from: usize,
-        /// What it holds.
+        /// Payload of the message.
         bytes: Vec<u8>,
     },
-    /// A timer that was started is due.
+    /// A timer is due.
     TimerFired {
-        /// The token that it was started with.
+        /// Token from the `Action::StartTimer`.
         token: String,
     },
-    /// A proxy with a dedicated channel does not hold what this number and those after it asked for: it
-    /// rejected that, or has not taken it yet.
+    /// A proxy on a dedicated channel has rejected or not yet applied a batch, and so all later ones.
     NotApplied {
-        /// The proxy.
+        /// Proxy that has not applied the batch.
         proxy: ProxyId,
-        /// The earliest number that it has not applied.
+        /// Acknowledgement number of the earliest batch that was not applied.
         ack_number: AckNumber,
-        /// One more message leaves for it now.
+        /// Whether another message is sent to the proxy now; it counts against the message cap.
         is_resent: bool,
     },
-    /// The shared channel's call of this number, and all after it, are not known to be carried out: they go
-    /// out again.
+    /// The outcome of a call on the shared channel is unknown. This call and all later ones are resent.
     CallUnconfirmed {
-        /// The earliest number of which this holds.
+        /// Acknowledgement number of the earliest unconfirmed call.
         ack_number: AckNumber,
-        /// It may have been carried out, so its messages may reach proxies once more.
+        /// Whether the call may have run, so that its messages may reach proxies a second time.
         may_have_run: bool,
     },
 }
 
 impl Event {
-    /// Whether it is news of the list of hosts.
     pub(crate) fn is_host_list(&self) -> bool {
         matches!(self, Event::HostsListed { .. })
     }
 
-    /// Whether it says who is joined.
     pub(crate) fn is_membership(&self) -> bool {
         matches!(self, Event::ProxyJoined { .. } | Event::ProxyLeft { .. })
     }
--- a/crates/shared/policy/src/interface/hosts.rs
+++ b/crates/shared/policy/src/interface/hosts.rs
@@ -1,55 +1,55 @@
-//! The list of hosts, and what hosts report.
+//! Entries of the host list, and the load that hosts report.
 
 use super::ids::{HostId, Ms, ZoneId};
 
-/// Whether a host takes requests.
+/// Whether a host accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It takes requests.
+    /// Accepts new requests.
     Ready,
-    /// It finishes what it has and takes no new requests.
+    /// Completes its in-flight requests and accepts no new ones.
     Draining,
-    /// It has ended.
+    /// Has terminated.
     Gone,
 }
 
-/// What a list of hosts covers.
+/// Completeness of a host list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HostListKind {
-    /// Changed entries only.
+    /// Only the changed entries.
     Delta,
-    /// All entries.
+    /// All entries. Hosts that are not in the list are gone.
     Full,
-    /// All entries as they were known before a start; they may be old.
+    /// All entries as stored before a restart, possibly outdated. Handled like `Full`.
     Cached,
-    /// None: a call failed, or the subscription ended.
+    /// No entries, because a call failed or the subscription ended.
     Unavailable,
 }
 
-/// A host as listed.
+/// An entry of the host list.
 #[derive(Clone, Debug)]
 pub struct HostEntry {
-    /// Its name.
+    /// Unique name of the host.
     pub host: HostId,
-    /// Its zone.
+    /// Zone in which the host runs.
     pub zone: ZoneId,
-    /// The group of hosts that recognize each other's repeated requests.
+    /// Group of hosts that share their deduplication of keyed requests.
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether the host accepts requests.
     pub readiness: Readiness,
-    /// Its share of the requests beside other hosts; 0 and below stand for 1.
+    /// Share of the requests relative to other hosts. Values of 0 and below are replaced by 1.
     pub weight: f64,
-    /// When it last started; 0: long ago.
+    /// Time of the host's last start; 0 if it is unknown or long ago.
     pub started_at: Ms,
 }
 
-/// What a host reported of its load, as far as it did.
+/// Load that a host reported about itself. Missing values are `None`.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostLoad {
-    /// The part of its processors in use.
+    /// Fraction of the CPU capacity in use, from 0 to 1.
     pub cpu_utilization: Option<f64>,
-    /// Requests that wait.
+    /// Number of requests that wait in a queue.
     pub queued: Option<f64>,
-    /// Requests being served.
+    /// Number of requests that are being processed.
     pub in_flight: Option<f64>,
 }
--- a/crates/shared/policy/src/interface/settings.rs
+++ b/crates/shared/policy/src/interface/settings.rs
@@ -1,166 +1,166 @@
-//! What a director is told of its site once, before the first event.
+//! Settings of a director, which are fixed when it is created.
 
 use super::ids::{Ms, ZoneId};
 
-/// Whether a request of a class may be repeated.
+/// Whether requests of a class may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may be repeated after any failure.
+    /// Retries are safe after any failure.
     Idempotent,
-    /// Hosts recognize a repeat by its key, within a group of hosts and for a while.
+    /// Hosts deduplicate retries by key, for a limited time and within a group of hosts.
     Keyed,
-    /// It may be repeated only after proof that it did not run.
+    /// Retries are safe only if the failed attempt provably did not run.
     NotIdempotent,
 }
 
-/// What the numbers of an admission level mean.
+/// How proxies interpret the quota of `Action::SetAdmission`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AdmissionKind {
-    /// The part of the requests that is admitted.
+    /// Admitted fraction of the requests, from 0 to 1.
     Ratio,
-    /// Requests a second.
+    /// Admitted requests per second.
     Rate,
-    /// Proxies ignore levels.
+    /// Proxies ignore quotas and admit all requests.
     #[default]
     Off,
 }
 
-/// Where hosts report their load.
+/// Where the load that hosts report about themselves comes from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LoadSource {
-    /// With what proxies report of them.
+    /// Included in the reports of proxies.
     Reports,
-    /// In their answers to health checks.
+    /// Included in responses to health checks.
     HealthChecks,
-    /// Nowhere.
+    /// Hosts report no load.
     #[default]
     Unreported,
 }
 
-/// When a proxy retries a request at another host. Later variants allow more.
+/// When a proxy retries a request at another host. Variants are ordered from strict to permissive.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RetryPolicy {
-    /// Not at all.
+    /// No retries.
     #[default]
     Never,
-    /// Once, after proof that the first attempt did not run.
+    /// One retry, if the first attempt provably did not run.
     OnceIfNotRun,
-    /// Once, after any failure.
+    /// One retry after any failure.
     OnceAfterFailure,
-    /// Twice, after any failure.
+    /// Up to two retries after any failure.
     TwiceAfterFailure,
 }
 
-/// A class of requests.
+/// Latency targets, value and restrictions of a class of requests.
 #[derive(Clone, Debug)]
 pub struct RequestClass {
-    /// The time within which a response earns its full value.
+    /// Latency up to which a response has its full value.
     pub target_latency: Ms,
-    /// The time after which a response earns nothing.
+    /// Latency above which a response has no value.
     pub deadline: Ms,
-    /// What a response within the target latency is worth, beside other classes.
+    /// Value of a response within the target latency, relative to other classes.
     pub value: f64,
-    /// Whether its requests may be repeated.
+    /// Whether requests of the class may be retried.
     pub idempotency: Idempotency,
-    /// Its requests may go only to hosts of the proxy's zone.
+    /// Whether requests must be sent to hosts in the proxy's zone.
     pub is_zone_bound: bool,
-    /// Its requests change state.
+    /// Whether requests change state.
     pub is_write: bool,
 }
 
-/// The directors, proxies and zones that there are.
+/// Size and layout of the deployment.
 #[derive(Clone, Debug, Default)]
 pub struct FleetSettings {
-    /// Number of zones.
+    /// Number of zones; all zone numbers are below it.
     pub zones: usize,
-    /// The zone of this director.
+    /// Zone of this director, if it has one.
     pub own_zone: Option<ZoneId>,
-    /// A proxy joins a director of its own zone if there is one; otherwise it joins one by chance.
+    /// Whether proxies prefer a director of their own zone. Otherwise they pick one at random.
     pub is_zonal: bool,
-    /// The number of this director among all, from 0.
+    /// Index of this director among all directors, starting at 0.
     pub own_index: usize,
-    /// Number of directors.
+    /// Number of directors, this one included.
     pub directors: usize,
-    /// Number of proxies, of all directors together.
+    /// Number of proxies of all directors together.
     pub proxies: usize,
 }
 
-/// What the shared channel carries and how long messages take on it.
+/// Capacity and transit times of the shared channel.
 #[derive(Clone, Debug, Default)]
 pub struct ChannelSettings {
-    /// Lines that may be queued in the channel.
+    /// Maximum number of lines in the channel's queue.
     pub max_queued_lines: f64,
-    /// Lines a second that the channel is said to carry.
+    /// Nominal throughput in lines per second.
     pub lines_per_second: f64,
-    /// Lines that each message costs beyond those that it holds.
+    /// Overhead of a message, in lines.
     pub lines_per_message: f64,
-    /// Messages to one proxy within `message_window`; 0: no limit.
+    /// Maximum number of messages to one proxy within `message_window`; 0 means no limit.
     pub max_messages: usize,
-    /// The span over which messages to a proxy are counted.
+    /// Length of the sliding window in which messages to a proxy are counted.
     pub message_window: Ms,
-    /// How long a message takes from the channel to its proxy, on average.
+    /// Mean time from the channel to the proxy.
     pub mean_transit: Ms,
-    /// How long it takes at most.
+    /// Maximum time from the channel to the proxy.
     pub max_transit: Ms,
 }
 
-/// How hosts start, drain and leave.
+/// Start-up, drain and removal of hosts.
 #[derive(Clone, Debug, Default)]
 pub struct HostSettings {
-    /// Time from the news that a host drains until no request may reach it.
+    /// Time after a drain is announced until the host must not receive requests.
     pub drain_grace: Ms,
-    /// A host that the list drops without a drain may stay in tables.
+    /// Whether a host that leaves the list without draining may stay in tables.
     pub may_keep_unlisted: bool,
-    /// The part of its capacity that a host has at least when it starts.
+    /// Minimum fraction of its capacity that a host has right after its start.
     pub start_capacity: f64,
-    /// The age at which a host has all of its capacity.
+    /// Age at which a host reaches its full capacity.
     pub warm_up: Ms,
-    /// A warming host that gets this multiple of its present capacity for a while fails.
+    /// Multiple of its current capacity at which a warming host fails under sustained load.
     pub overload_multiple: f64,
-    /// The list gives hosts weights.
+    /// Whether the host list contains weights.
     pub has_listed_weights: bool,
 }
 
-/// What proxies do by themselves.
+/// Built-in behavior of the proxies.
 #[derive(Clone, Debug, Default)]
 pub struct ProxySettings {
-    /// What they make of an admission level.
+    /// How proxies interpret admission quotas.
     pub admission_kind: AdmissionKind,
-    /// When they retry while no director orders otherwise.
+    /// Retry policy of the proxies unless a director sets another one.
     pub retry_policy: RetryPolicy,
-    /// A proxy ejects a host for a while once so many of its attempts in a row failed there; 0: never.
+    /// Number of consecutive failures after which a proxy temporarily ejects a host; 0 means never.
     pub ejection_failures: u32,
 }
 
 /// All settings of a director.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Request classes, in the order of their `ClassId`.
+    /// Request classes; `ClassId` is an index into them. Must not be empty.
     pub classes: Vec<RequestClass>,
-    /// Directors, proxies and zones.
+    /// Number of directors, proxies and zones.
     pub fleet: FleetSettings,
-    /// The shared channel.
+    /// Limits of the shared channel. Throughput and queue size must be positive.
     pub channel: ChannelSettings,
-    /// Hosts.
+    /// Life cycle of hosts.
     pub hosts: HostSettings,
-    /// Proxies.
+    /// Built-in behavior of the proxies.
     pub proxies: ProxySettings,
     /// Time between two reports of a proxy.
     pub report_interval: Ms,
-    /// Where hosts report their load.
+    /// Source of the load that hosts report about themselves.
     pub load_source: LoadSource,
-    /// What a request costs that crosses zones, beside the value of a response.
+    /// Cost of a request that crosses zones, in the unit of `RequestClass::value`.
     pub cross_zone_price: f64,
-    /// Health checks of hosts are allowed.
+    /// Whether the director may request health checks.
     pub may_check_health: bool,
-    /// Messages to other directors are allowed.
+    /// Whether the director may send messages to other directors.
     pub may_message_peers: bool,
-    /// The list of hosts comes only to directors that subscribe to it.
+    /// Whether the host list is sent only after `Action::SubscribeToHosts`.
     pub must_subscribe: bool,
 }
 
 impl Settings {
-    /// Whether there are classes, and a channel that carries something.
+    /// Whether there are request classes and the channel has capacity.
     pub(crate) fn is_usable(&self) -> bool {
         let carries_nothing = self.channel.lines_per_second <= 0.0 || self.channel.max_queued_lines <= 0.0;
         !self.classes.is_empty() && !carries_nothing
--- a/crates/shared/policy/src/interface/view.rs
+++ b/crates/shared/policy/src/interface/view.rs
@@ -1,63 +1,63 @@
-//! What a director holds of its proxies and tables, for people to look at. Nothing of it comes back.
+//! Read-only snapshot of a director's proxies and tables, for diagnostics.
 
 use std::fmt;
 
 use super::ids::{ByHost, Channel, ClassMask, HostId, ProxyId, TableId, ZoneId};
 
-/// The model and the tables as they stand.
+/// Snapshot of the model and the tables of a director.
 #[derive(Clone, Debug, Default)]
 pub struct DirectorView {
-    /// Joined proxies.
+    /// Joined proxies, sorted by number.
     pub proxies: Vec<ProxyView>,
-    /// Tables with their endpoints.
+    /// Tables with their endpoints, sorted by number.
     pub tables: Vec<TableView>,
-    /// Hosts withdrawn from a channel's tables.
+    /// Hosts that are withdrawn, once per channel on which they are.
     pub withdrawn: Vec<WithdrawnHost>,
-    /// Lines sent on the shared channel that no proxy has acknowledged.
+    /// Lines sent on the shared channel that are not acknowledged yet.
     pub unacknowledged_lines: f64,
-    /// Updates that have not passed the check yet.
+    /// Number of updates that have not passed the safety check yet.
     pub pending_updates: usize,
 }
 
-/// A proxy as the model has it.
+/// Modeled state of a joined proxy.
 #[derive(Clone, Debug)]
 pub struct ProxyView {
-    /// Its number.
+    /// Number under which the proxy joined.
     pub proxy: ProxyId,
-    /// Its zone.
+    /// Zone in which the proxy runs.
     pub zone: ZoneId,
-    /// What it holds for each group of classes.
+    /// Table and endpoints for each group of classes.
     pub groups: Vec<ClassGroupView>,
 }
 
-/// What a proxy holds for the classes that share a table.
+/// Modeled state of a proxy for the classes that share a table.
 #[derive(Clone, Debug)]
 pub struct ClassGroupView {
-    /// The classes.
+    /// Classes of the group.
     pub classes: ClassMask,
-    /// The table that the proxy is bound to.
+    /// Table that the proxy is bound to; `None` before the first bind.
     pub table: Option<TableId>,
-    /// The endpoints that it may hold.
+    /// Endpoints that the proxy may hold, sorted by host.
     pub endpoints: Vec<EndpointView>,
 }
 
 /// An endpoint that a proxy may hold.
 #[derive(Clone, Debug)]
 pub struct EndpointView {
-    /// The host.
+    /// Host that the endpoint refers to.
     pub host: HostId,
-    /// What is known of it.
+    /// Whether the proxy holds the endpoint, as far as the director knows.
     pub certainty: Certainty,
 }
 
-/// What the model knows of one endpoint at one proxy (paper, section 4.2).
+/// Knowledge about an endpoint of a proxy (CCG paper, section 4.2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Certainty {
-    /// The proxy holds it.
+    /// The proxy holds the endpoint.
     Certain,
-    /// Uncertain: it is being added, or was added and not acknowledged.
+    /// The endpoint was added, but the proxy has not acknowledged it yet.
     Adding,
-    /// Uncertain: it is being removed.
+    /// The endpoint was removed, but the removal may not have taken effect yet.
     Removing,
 }
 
@@ -71,20 +71,20 @@
     }
 }
 
-/// A table's endpoints.
+/// Endpoints of a table.
 #[derive(Clone, Debug)]
 pub struct TableView {
-    /// Its number.
+    /// Number of the table, which also determines its channel.
     pub table: TableId,
-    /// The weight of each host.
+    /// Weights by host, all above 0.
     pub weights: ByHost<f64>,
 }
 
-/// A host that is withdrawn from a channel's tables.
+/// A host that is withdrawn on a channel.
 #[derive(Clone, Debug)]
 pub struct WithdrawnHost {
-    /// The host.
+    /// Host that the proxies of the channel do not use.
     pub host: HostId,
-    /// The channel whose proxies were told.
+    /// Channel on which the withdrawal was sent.
     pub channel: Channel,
 }
--- a/crates/shared/policy/src/lib.rs
+++ b/crates/shared/policy/src/lib.rs
@@ -1,9 +1,9 @@
-//! The decisions of a rushcourse director, free of I/O, clocks, threads and wire names.
+//! The decision logic of a rushcourse director, without I/O, clocks, threads or wire formats.
 //!
-//! Decisions: `decide` is the step and the fallback, `tables` the targets, `scheduler` the check and what is
-//! sent, `health` and `admission` what follows from reports, `fleet` the list and the pools, `constants` every
-//! value. `interface` holds the types a front speaks. The rest is upkeep: `director` and `state` hold the
-//! records, `membership` and `model` keep them, `lookups` and `channel_cost` answer questions about them.
+//! The decisions: `decide` holds the main step and the fallback, `tables` the target weights, `scheduler` the
+//! safety check and the sending of updates, `health` outlier detection, `admission` admission levels, `fleet`
+//! pools and unlisted hosts, and `constants` the thresholds. `interface` holds the public types. The other
+//! modules maintain and query the state.
 
 mod admission;
 mod channel_cost;
@@ -11,13 +11,13 @@
 mod decide;
 mod demand;
 mod director;
+mod dispatch;
 mod fleet;
 mod health;
 pub mod interface;
 mod membership;
 mod model;
 mod observations;
-mod orders;
 mod retention;
 mod scheduler;
 mod state;
--- a/crates/shared/policy/src/membership.rs
+++ b/crates/shared/policy/src/membership.rs
@@ -1,40 +1,40 @@
-//! Events into records: who is joined, what is listed, what was reported.
+//! Applies events to the state: joined proxies, listed hosts and reports.
 
+use crate::constants::{PROXY_TRAFFIC_DECAY, REPORT_DECAY_INTERVALS, ROUND_INTERVAL};
 use crate::director::Director;
 use crate::interface::{Action, Channel, Event, HostEntry, HostListKind, ProxyId, Readiness, ZoneId};
 use crate::state::{AttemptTotals, GroupBinding, ListedHost, Proxy};
-use crate::constants::{PROXY_TRAFFIC_DECAY, REPORT_DECAY, ROUND_INTERVAL};
 use std::collections::BTreeSet;
 
-/// The largest weight that a listed one is believed to be.
+/// Listed weights are clamped to this maximum.
 const MAX_LISTED_WEIGHT: f64 = 1e6;
 
-/// The timer of rounds.
+/// Token of the timer that triggers rounds.
 const ROUND_TIMER: &str = "round";
 
-/// The timer after which the list is asked for again.
+/// Token of the timer that repeats the subscription after the host list became unavailable.
 const LIST_RETRY_TIMER: &str = "ask";
 
 impl Director {
-    /// It opens a round after its start: by then it knows who joins, and fills tables once.
+    /// Starts the round timer and subscribes to the host list. The first updates are sent a round later, once
+    /// proxies have joined, so that each table is filled only once.
     pub(crate) fn start(&mut self) {
         let at = self.clock.now + ROUND_INTERVAL;
-        self.clock.opens_at = at;
+        self.clock.first_send_at = at;
         self.outbox.push(Action::StartTimer { token: ROUND_TIMER.into(), at });
         if self.settings.must_subscribe {
             self.outbox.push(Action::SubscribeToHosts);
         }
     }
 
-    /// Takes an event into the records.
     pub(crate) fn apply_event(&mut self, event: Event) {
         match event {
             Event::HostsListed { kind, entries } => self.update_hosts(kind, entries),
             Event::ProxyJoined { proxy, zone, rate, channel, .. } => self.join(proxy, zone, rate, channel),
-            // What a channel says of a proxy that has joined by another one meanwhile is of before.
+            // Events of a channel that the proxy no longer uses are stale.
             Event::ProxyLeft { proxy, channel } => {
                 if self.proxies.is_joined_by(proxy, channel) {
-                    self.forget_proxy(proxy);
+                    self.remove_proxy(proxy);
                 }
             }
             Event::Acknowledged { ack_number, proxy, elapsed, channel } => {
@@ -49,23 +49,23 @@
             Event::HostReported { zone, host, attempts, failed, mean_latency, .. } => {
                 if self.hosts.by_id.contains_key(&host) {
                     let latency = mean_latency * (attempts - failed);
-                    let counted = AttemptTotals { attempts, failed, latency, ..AttemptTotals::default() };
-                    self.reports.record(zone, host, self.clock.now, self.report_decay(), &counted);
+                    let sample = AttemptTotals { attempts, failed, latency, ..AttemptTotals::default() };
+                    self.reports.record(zone, host, self.clock.now, self.report_decay(), &sample);
                 }
             }
             Event::TrafficReported { proxy, class, attempts, failed, .. } => {
-                let counted = AttemptTotals { attempts, failed, ..AttemptTotals::default() };
-                self.record_traffic(proxy, class, &counted);
+                let sample = AttemptTotals { attempts, failed, ..AttemptTotals::default() };
+                self.record_traffic(proxy, class, &sample);
             }
             Event::TimerFired { token } => self.handle_timer(token),
             Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
-    /// It joins with endpoints that are not known: the model shows none, so it is bound at once. Its messages
-    /// count on.
+    /// Registers a proxy. Its endpoints are unknown, so the model starts empty and the proxy is bound at once.
+    /// If it was joined already, its message times are kept.
     fn join(&mut self, id: ProxyId, zone: ZoneId, rate: f64, channel: Channel) {
-        let former = self.forget_proxy(id).unwrap_or_default();
+        let previous = self.remove_proxy(id).unwrap_or_default();
         let now = self.clock.now;
         self.proxies.last_join_at = now;
         self.proxies.newly_joined.insert(id);
@@ -80,13 +80,13 @@
             pool: self.pool_for_join(zone, attempts),
             groups: vec![GroupBinding::default(); self.tables.groups.len()],
             channel,
-            ..former
+            ..previous
         };
         self.proxies.by_id.insert(id, proxy);
     }
 
-    /// Forgets a proxy, and that it used tables. Answers what was known of it.
-    fn forget_proxy(&mut self, id: ProxyId) -> Option<Proxy> {
+    /// Removes a proxy from the registry and from the users of its tables, and returns its record.
+    fn remove_proxy(&mut self, id: ProxyId) -> Option<Proxy> {
         let proxy = self.proxies.by_id.remove(&id)?;
         self.proxies.newly_joined.remove(&id);
         for table in proxy.tables() {
@@ -95,18 +95,18 @@
         Some(proxy)
     }
 
-    fn record_traffic(&mut self, id: ProxyId, class: usize, counted: &AttemptTotals) {
+    fn record_traffic(&mut self, id: ProxyId, class: usize, sample: &AttemptTotals) {
         let (now, decay) = (self.clock.now, self.report_decay());
         let Some(proxy) = self.proxies.by_id.get_mut(&id) else { return };
-        proxy.traffic.record(now, PROXY_TRAFFIC_DECAY, counted);
+        proxy.traffic.record(now, PROXY_TRAFFIC_DECAY, sample);
         if let Some(demand) = self.zones.get_mut(proxy.zone).and_then(|zone| zone.demand.get_mut(class)) {
-            demand.record(now, decay, counted);
+            demand.record(now, decay, sample);
         }
     }
 
-    /// The span over which reports decay to a third, in ms.
+    /// Time constant of the exponential decay of reports, in ms.
     fn report_decay(&self) -> f64 {
-        REPORT_DECAY * self.settings.report_interval
+        REPORT_DECAY_INTERVALS * self.settings.report_interval
     }
 
     fn handle_timer(&mut self, token: String) {
@@ -118,17 +118,17 @@
         }
     }
 
-    /// The list: a delta changes the one held, a complete one removes what it does not name.
+    /// Applies a host list. A delta changes the named hosts; a full list also removes all others.
     fn update_hosts(&mut self, kind: HostListKind, entries: Vec<HostEntry>) {
         if kind == HostListKind::Unavailable {
             let at = self.clock.now + self.settings.report_interval;
             return self.outbox.push(Action::StartTimer { token: LIST_RETRY_TIMER.into(), at });
         }
         if kind != HostListKind::Delta {
-            let named: BTreeSet<_> = entries.iter().map(|entry| entry.host.clone()).collect();
-            let unnamed: Vec<_> =
-                self.hosts.by_id.keys().filter(|host| !named.contains(*host)).cloned().collect();
-            for host in unnamed {
+            let listed_ids: BTreeSet<_> = entries.iter().map(|entry| entry.host.clone()).collect();
+            let unlisted: Vec<_> =
+                self.hosts.by_id.keys().filter(|host| !listed_ids.contains(*host)).cloned().collect();
+            for host in unlisted {
                 self.remove_from_list(&host);
             }
         }
@@ -141,15 +141,16 @@
         self.assign_pools();
     }
 
-    /// A host as now listed. What was held against a run of it that has ended is dropped.
+    /// Adds or updates a listed host. If it has restarted or is not ready, its reports, ejections and deratings
+    /// are dropped, as they concern an earlier run.
     fn update_host(&mut self, mut entry: HostEntry) {
         entry.weight = if entry.weight > 0.0 { entry.weight.min(MAX_LISTED_WEIGHT) } else { 1.0 };
         entry.started_at = if entry.started_at > 0.0 { entry.started_at } else { f64::NEG_INFINITY };
-        let known = self.hosts.by_id.get(&entry.host);
-        let is_restarted = known.is_some_and(|listed| listed.entry.started_at < entry.started_at);
+        let existing = self.hosts.by_id.get(&entry.host);
+        let is_restarted = existing.is_some_and(|listed| listed.entry.started_at < entry.started_at);
         if is_restarted || entry.readiness != Readiness::Ready {
-            self.verdicts.forget(&entry.host);
-            self.reports.forget(&entry.host);
+            self.host_health.remove(&entry.host);
+            self.reports.remove(&entry.host);
         }
         let listed = self.hosts.by_id.entry(entry.host.clone());
         let listed = listed.or_insert_with(|| ListedHost::new(entry.clone()));
--- a/crates/shared/policy/src/retention.rs
+++ b/crates/shared/policy/src/retention.rs
@@ -1,19 +1,19 @@
-//! What nothing uses any more is forgotten.
+//! Removal of unused tables and of hosts that are gone.
 
 use crate::director::Director;
 use crate::interface::{Action, Channel, HostId, Ms, Readiness};
 use crate::state::{Proxy, Update};
 
 impl Director {
-    /// Clears tables that no proxy uses, which costs no line; one that binds wait for stays. Forgets hosts
-    /// that are gone for `retention` ms.
+    /// Clears tables that no proxy uses, except current ones, and removes unused hosts that have been gone for
+    /// `retention` ms. Neither writes a line to a proxy.
     pub(crate) fn remove_idle(&mut self, retention: Ms) {
         for table in self.tables.remove_idle(self.hosts.pools()) {
             self.outbox.push(Action::ClearTable { table });
         }
         for host in self.hosts_gone_for(retention) {
             if !self.is_in_use(&host) {
-                self.forget_host(&host);
+                self.remove_host(&host);
             }
         }
     }
@@ -29,7 +29,7 @@
         due
     }
 
-    /// Whether a table or a proxy names a host, or its return would write a line.
+    /// Whether a table or a proxy refers to a host, or restoring it would write a line to a proxy.
     fn is_in_use(&self, host: &HostId) -> bool {
         let holds = |proxy: &Proxy| proxy.groups.iter().any(|group| group.endpoints.contains_key(host));
         let costs_lines =
@@ -39,16 +39,16 @@
             || Channel::ALL.into_iter().any(costs_lines)
     }
 
-    /// Forgets a host and all that is known of it. Its withdrawal is taken back first, as its name may be
-    /// listed again.
-    fn forget_host(&mut self, host: &HostId) {
+    /// Removes a host and its reports. Its withdrawal is revoked first, as a host of the same name may be
+    /// listed later.
+    fn remove_host(&mut self, host: &HostId) {
         for channel in Channel::ALL {
             if self.hosts.by_id[host].is_withdrawn(channel) {
                 self.apply_withdrawal(host, channel, false);
             }
         }
         self.hosts.by_id.remove(host);
-        self.verdicts.forget(host);
-        self.reports.forget(host);
+        self.host_health.remove(host);
+        self.reports.remove(host);
     }
 }
--- a/crates/shared/policy/src/state/attempts.rs
+++ b/crates/shared/policy/src/state/attempts.rs
@@ -1,27 +1,25 @@
-//! Totals of attempts that decay with time.
+//! Exponentially decaying totals of request attempts.
 
 use crate::interface::Ms;
 
-/// Decayed totals of attempts: what was counted longer ago weighs less.
+/// Totals of request attempts. `record` lets older attempts decay exponentially.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct AttemptTotals {
-    /// Attempts.
     pub attempts: f64,
-    /// Attempts that failed.
+    /// Failed attempts; included in `attempts`.
     pub failed: f64,
-    /// Time of the successful ones together, in ms.
+    /// Sum of the latencies of the successful attempts, in ms.
     pub latency: f64,
-    /// When they were last added to.
+    /// Time of the last call of `record`.
     pub updated_at: Ms,
 }
 
 impl AttemptTotals {
-    /// The sum of several totals.
     pub fn sum<'a>(all: impl Iterator<Item = &'a AttemptTotals>) -> AttemptTotals {
         all.fold(AttemptTotals::default(), |sum, totals| sum.plus(totals))
     }
 
-    /// Both together.
+    /// Adds two totals; the result keeps the update time of `self`.
     pub fn plus(&self, other: &AttemptTotals) -> AttemptTotals {
         AttemptTotals {
             attempts: self.attempts + other.attempts,
@@ -31,7 +29,7 @@
         }
     }
 
-    /// These without others that are part of them.
+    /// Subtracts `other`, which must be included in `self`.
     pub fn minus(&self, other: &AttemptTotals) -> AttemptTotals {
         AttemptTotals {
             attempts: self.attempts - other.attempts,
@@ -41,27 +39,27 @@
         }
     }
 
-    /// Whether there are attempts, and a part of them failed.
-    pub fn has_failed(&self, part: f64) -> bool {
-        self.attempts > 0.0 && self.failed >= part * self.attempts
+    /// Whether there are attempts and at least the given ratio of them failed.
+    pub fn reaches_failure_ratio(&self, ratio: f64) -> bool {
+        self.attempts > 0.0 && self.failed >= ratio * self.attempts
     }
 
-    /// Number of successful attempts.
+    /// Number of successful attempts; a fraction once totals have decayed.
     pub fn successes(&self) -> f64 {
         self.attempts - self.failed
     }
 
-    /// The successful attempts alone.
+    /// The totals without the failed attempts.
     pub fn successful(&self) -> AttemptTotals {
         AttemptTotals { attempts: self.successes(), failed: 0.0, ..self.clone() }
     }
 
-    /// Adds what was counted by `now`. What was there has decayed to a third after `decay` ms.
-    pub fn record(&mut self, now: Ms, decay: Ms, counted: &AttemptTotals) {
-        let kept = (-(now - self.updated_at).max(0.0) / decay.max(1.0)).exp();
-        self.attempts = self.attempts * kept + counted.attempts;
-        self.failed = self.failed * kept + counted.failed.min(counted.attempts);
-        self.latency = self.latency * kept + counted.latency;
+    /// Decays the totals to the time `now`, with time constant `decay`, and adds a sample.
+    pub fn record(&mut self, now: Ms, decay: Ms, sample: &AttemptTotals) {
+        let remaining = (-(now - self.updated_at).max(0.0) / decay.max(1.0)).exp();
+        self.attempts = self.attempts * remaining + sample.attempts;
+        self.failed = self.failed * remaining + sample.failed.min(sample.attempts);
+        self.latency = self.latency * remaining + sample.latency;
         self.updated_at = now;
     }
 }
--- a/crates/shared/policy/src/state/hosts.rs
+++ b/crates/shared/policy/src/state/hosts.rs
@@ -1,118 +1,111 @@
-//! The list of hosts as it is held, with what the director adds to each entry.
+//! The host list, with the director's state for each host.
 
 use crate::interface::{ByHost, Channel, HostEntry, HostId, Ms, Readiness, ZoneId};
 
-/// When the withdrawal of a host was last ordered on the shared channel.
+/// When a host was last withdrawn or restored on the shared channel.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct WithdrawalOrder {
-    /// Proxies that had joined by then, since the director's start.
+pub(crate) struct SentWithdrawal {
+    /// Joins since the director's start, at that time.
     pub join_count: usize,
-    /// The time.
     pub at: Ms,
 }
 
-/// A host of the list.
+/// A listed host and the director's state for it.
 #[derive(Clone, Debug)]
 pub(crate) struct ListedHost {
-    /// The entry as listed, with its weight and start made sane.
+    /// The entry as listed, with weight and start time sanitized.
     pub entry: HostEntry,
-    /// Withdrawn from all tables of a channel's proxies, by `Channel as usize`.
+    /// Whether the host is withdrawn from the tables of a channel, indexed by `Channel as usize`.
     pub withdrawn: [bool; 2],
-    /// The last order of its withdrawal, or of the end of it.
-    pub withdrawal_order: WithdrawalOrder,
-    /// Since when the list calls it gone while it may still serve.
+    pub last_withdrawal: SentWithdrawal,
+    /// When the host disappeared from the list, while it is kept because it may still serve.
     pub missing_since: Option<Ms>,
-    /// Since when it is gone.
+    /// When the host was first seen as gone.
     pub gone_since: Option<Ms>,
-    /// The pool of hosts that it belongs to.
+    /// The host's pool; `None` until one is assigned.
     pub pool: Option<usize>,
 }
 
 impl ListedHost {
-    /// A host as first listed.
     pub fn new(entry: HostEntry) -> ListedHost {
         ListedHost {
             entry,
             withdrawn: [false; 2],
-            withdrawal_order: WithdrawalOrder::default(),
+            last_withdrawal: SentWithdrawal::default(),
             missing_since: None,
             gone_since: None,
             pool: None,
         }
     }
 
-    /// Whether it takes requests.
     pub fn is_ready(&self) -> bool {
         self.entry.readiness == Readiness::Ready
     }
 
-    /// The list calls it gone, yet it may still serve.
+    /// Records that the host disappeared from the list but may still serve; the first time counts.
     pub fn mark_missing(&mut self, now: Ms) {
         self.missing_since = self.missing_since.or(Some(now));
     }
 
-    /// It has ended.
     pub fn mark_gone(&mut self) {
         self.entry.readiness = Readiness::Gone;
         self.missing_since = None;
     }
 
-    /// Whether it is withdrawn from the tables of a channel's proxies.
     pub fn is_withdrawn(&self, channel: Channel) -> bool {
         self.withdrawn[channel as usize]
     }
 }
 
-/// All hosts of the list, and the pools that they are assigned to.
+/// All known hosts, and the number of pools.
 #[derive(Debug, Default)]
 pub(crate) struct HostList {
-    /// Hosts by name, those that are gone included.
+    /// Hosts by name, including hosts that are gone but not yet removed.
     pub by_id: ByHost<ListedHost>,
-    /// Number of pools; 0 until a list has come. Pools are numbered from 0.
+    /// Number of pools, which are numbered from 0. It is 0 until the first host list arrives.
     pub pool_count: usize,
 }
 
 impl HostList {
-    /// Number of pools, 1 at least.
+    /// Number of pools, but at least 1, so that it can be used as a divisor.
     pub fn pools(&self) -> usize {
         self.pool_count.max(1)
     }
 
-    /// Hosts that take requests, by name.
     pub fn ready(&self) -> impl Iterator<Item = (&HostId, &ListedHost)> + Clone {
         self.by_id.iter().filter(|(_, host)| host.is_ready())
     }
 
-    /// Hosts of a zone that take requests.
     pub fn ready_in(&self, zone: ZoneId) -> impl Iterator<Item = &ListedHost> + Clone {
         self.ready().map(|(_, host)| host).filter(move |host| host.entry.zone == zone)
     }
 
-    /// The same, to be changed.
     pub fn ready_in_mut(&mut self, zone: ZoneId) -> impl Iterator<Item = &mut ListedHost> {
         let is_in_zone = move |host: &&mut ListedHost| host.is_ready() && host.entry.zone == zone;
         self.by_id.values_mut().filter(is_in_zone)
     }
 
-    /// Whether a host takes requests and is not withdrawn from the tables of a channel's proxies.
+    /// Whether a host is ready and not withdrawn on a channel.
     pub fn is_live(&self, host: &HostId, channel: Channel) -> bool {
         self.by_id.get(host).is_some_and(|listed| listed.is_ready() && !listed.is_withdrawn(channel))
     }
 
-    /// Whether reports on a host count: it is live. The channels differ only while one of them is stalled.
-    pub fn is_judged(&self, host: &HostId) -> bool {
+    /// Whether reports about a host are used, which is while it is live on the shared channel. Withdrawals on
+    /// the two channels differ only while one of them is stalled.
+    pub fn is_evaluated(&self, host: &HostId) -> bool {
         self.is_live(host, Channel::Shared)
     }
 
-    /// Each host once for each channel, the shared channel first.
+    /// Every host, once per channel. All hosts on the shared channel come first.
     pub fn by_channel(&self) -> impl Iterator<Item = ChannelHost<'_>> {
         Channel::ALL.into_iter().flat_map(|channel| {
             self.by_id.iter().map(move |(id, listed)| ChannelHost { channel, id, listed })
         })
     }
 
-    /// Withdrawals that proxies have missed which joined last at `last_join_at` and await their bind, by the
-    /// numbers of their joins. Orders that were older than `max_age` by then do not count.
+    /// Withdrawals that were sent before the last of the proxies in `awaiting` joined, which await their bind
+    /// and are identified by join number. Withdrawals sent `max_age` ms or more before `last_join_at` are left
+    /// out.
     pub fn missed_withdrawals(&self, awaiting: &[usize], last_join_at: Ms, max_age: Ms) -> WithdrawalRepeat {
         let last_join = awaiting.iter().copied().max().unwrap_or(0);
         let none = WithdrawalRepeat {
@@ -124,13 +117,13 @@
             is_due: false,
         };
         let missed = self.by_id.values().filter(|host| !host.is_ready() && none.is_missed(host));
-        let joins: Vec<usize> = missed.map(|host| host.withdrawal_order.join_count).collect();
+        let joins: Vec<usize> = missed.map(|host| host.last_withdrawal.join_count).collect();
         let first_join = joins.iter().copied().min().unwrap_or(usize::MAX);
         WithdrawalRepeat { first_join, orders: joins.len(), ..none }
     }
 }
 
-/// A host in the tables of a channel's proxies.
+/// A host together with one of the channels on which it can be withdrawn.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ChannelHost<'a> {
     pub channel: Channel,
@@ -139,36 +132,35 @@
 }
 
 impl ChannelHost<'_> {
-    /// Whether it is withdrawn from these tables.
     pub fn is_withdrawn(&self) -> bool {
         self.listed.is_withdrawn(self.channel)
     }
 }
 
-/// Withdrawals on the shared channel that proxies have missed: they joined after the order and await their
-/// bind.
+/// Withdrawals on the shared channel that some proxies missed because they joined later. These proxies still
+/// await their bind.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WithdrawalRepeat {
     last_join_at: Ms,
     max_age: Ms,
-    /// The number of the last join that awaits a bind; 0: none.
+    /// Highest join number of the proxies that await a bind, or 0 if there is none.
     last_join: usize,
-    /// Joins before the first of these orders; `usize::MAX`: there is none.
+    /// Join count at the earliest missed withdrawal, or `usize::MAX` if there is none.
     pub first_join: usize,
-    /// How many orders there are.
+    /// Number of missed withdrawals.
     pub orders: usize,
-    /// They go out again.
+    /// Whether the missed withdrawals are to be sent again.
     pub is_due: bool,
 }
 
 impl WithdrawalRepeat {
-    /// Whether the withdrawal of a host goes out again on a channel.
+    /// Whether the withdrawal of this host is to be sent again on this channel.
     pub fn covers(&self, host: &ChannelHost<'_>) -> bool {
         host.channel == Channel::Shared && self.is_due && self.is_missed(host.listed)
     }
 
     fn is_missed(&self, host: &ListedHost) -> bool {
-        let order = &host.withdrawal_order;
+        let order = &host.last_withdrawal;
         let is_recent = self.last_join_at - order.at < self.max_age;
         host.is_withdrawn(Channel::Shared) && is_recent && order.join_count < self.last_join
     }
--- a/crates/shared/policy/src/state/proxies.rs
+++ b/crates/shared/policy/src/state/proxies.rs
@@ -1,4 +1,4 @@
-//! Joined proxies, and the model of what each may hold (paper, section 4.2).
+//! Joined proxies, and the model of the endpoints that each may hold (CCG paper, section 4.2).
 
 use super::attempts::AttemptTotals;
 use crate::interface::{ByHost, Certainty, Channel, HostId, Ms, ProxyId, TableId, ZoneId};
@@ -7,29 +7,28 @@
 /// An endpoint that a proxy may hold.
 #[derive(Clone, Debug)]
 pub(crate) struct ModeledEndpoint {
-    /// What is known of it.
     pub certainty: Certainty,
-    /// The batch that last changed it.
+    /// Number of the batch that last changed the endpoint.
     pub batch: u64,
-    /// When that batch went out, as far as is known.
+    /// Latest time at which that batch may have been sent; timeouts count from it.
     pub since: Ms,
-    /// When its removal was acknowledged.
+    /// When the removal was acknowledged; `None` if it was not, or if there is none.
     pub removal_acknowledged_at: Option<Ms>,
 }
 
-/// What a proxy holds for the classes of one group.
+/// A proxy's table and endpoints for one group of classes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GroupBinding {
-    /// The table that it was bound to last.
+    /// Table of the last bind that was sent; `None` before the first.
     pub table: Option<TableId>,
-    /// The endpoints that it may hold.
+    /// Endpoints that the proxy may hold.
     pub endpoints: ByHost<ModeledEndpoint>,
 }
 
 impl GroupBinding {
-    /// Notes that an order was sent which leaves the proxy with a host, or without it. The endpoint becomes
-    /// uncertain, unless it was certain and stays, or is being removed already.
-    pub fn note_sent(&mut self, host: &HostId, stays: bool, sent: &ModeledEndpoint) {
+    /// Records that an update was sent after which the proxy holds the host (`stays`) or not. The endpoint
+    /// becomes uncertain, unless it is certain and stays, or is already being removed.
+    pub fn record_sent(&mut self, host: &HostId, stays: bool, sent: &ModeledEndpoint) {
         let certainty = match (stays, self.endpoints.get(host).map(|endpoint| endpoint.certainty)) {
             (true, Some(Certainty::Certain)) | (false, Some(Certainty::Removing)) => return,
             (true, _) => Certainty::Adding,
@@ -38,8 +37,8 @@
         self.endpoints.insert(host.clone(), ModeledEndpoint { certainty, ..sent.clone() });
     }
 
-    /// Lets time resolve what was not acknowledged: an addition is certain `timeout` after it went out. A
-    /// removal is complete `removal_delay` after its acknowledgement, or after the time-out.
+    /// Resolves uncertain endpoints by timeout. An addition becomes certain `timeout` after it was sent. A
+    /// removal is complete `removal_delay` after its acknowledgement, or after the timeout without one.
     pub fn expire(&mut self, now: Ms, timeout: Ms, removal_delay: Ms) {
         self.endpoints.retain(|_, endpoint| {
             if endpoint.certainty == Certainty::Adding && now - endpoint.since >= timeout {
@@ -52,44 +51,44 @@
     }
 }
 
-/// A joined proxy.
+/// State of a joined proxy.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Proxy {
     pub zone: ZoneId,
-    /// Requests a second that it was said to bring when it joined.
+    /// Request rate announced at the join, in requests per second.
     pub rate: f64,
-    /// What came to it of late; its rate stands in for the time before it joined.
+    /// Recent client requests, initialized from the announced rate.
     pub traffic: AttemptTotals,
-    /// Joins up to its own, since the director's start.
+    /// Position of the proxy's join among all joins since the director's start, from 1.
     pub join_number: usize,
-    /// The pool of hosts that its tables name.
+    /// Pool whose hosts the proxy's tables contain.
     pub pool: usize,
-    /// By group of classes.
+    /// Bindings, indexed like `TableSet::groups`.
     pub groups: Vec<GroupBinding>,
-    /// When messages were written to it.
+    /// Times of the recent messages to the proxy, which count against the message cap.
     pub message_times: VecDeque<Ms>,
     pub channel: Channel,
-    /// The slowest acknowledgement of late on a dedicated channel, in ms.
+    /// Decaying maximum of the acknowledgement delay on a dedicated channel, in ms.
     pub slowest_ack: Ms,
 }
 
 impl Proxy {
-    /// Whether it is bound to no table yet for some group.
+    /// Whether some group of classes has no table yet.
     pub fn awaits_bind(&self) -> bool {
         self.groups.iter().any(|group| group.table.is_none())
     }
 
-    /// The tables that it is bound to.
     pub fn tables(&self) -> impl Iterator<Item = TableId> {
         self.groups.iter().filter_map(|group| group.table)
     }
 
-    /// Messages written to it within `span` ms.
+    /// Times of the messages sent to the proxy within the last `span` ms, in ascending order.
     pub fn messages_within(&self, span: Ms, now: Ms) -> impl DoubleEndedIterator<Item = Ms> {
         self.message_times.iter().copied().filter(move |at| now - at <= span)
     }
 
-    /// It has applied a batch and all before it: additions are certain at once, removals later.
+    /// Applies an acknowledgement of a batch and all earlier ones. Additions become certain at once, removals
+    /// are complete only after a delay.
     pub fn acknowledge(&mut self, batch: u64, now: Ms) {
         for endpoint in self.endpoints_mut().filter(|endpoint| endpoint.batch <= batch) {
             match endpoint.certainty {
@@ -101,7 +100,8 @@
         }
     }
 
-    /// What a batch and those after it changed has not arrived by `now`: no time-out counts from before.
+    /// Restarts the timeouts of endpoints that batch `from_batch` or a later one changed, as these batches have
+    /// not arrived by `now`.
     pub fn restart_timeouts(&mut self, from_batch: u64, now: Ms) {
         let pending = self
             .endpoints_mut()
@@ -114,32 +114,31 @@
     }
 }
 
-/// All joined proxies.
+/// The joined proxies, with counters of joins.
 #[derive(Debug, Default)]
 pub(crate) struct ProxyRegistry {
     pub by_id: BTreeMap<ProxyId, Proxy>,
-    /// Proxies that have joined since binds were last planned.
+    /// Proxies that joined since binds were last planned.
     pub newly_joined: BTreeSet<ProxyId>,
-    /// When the last proxy joined.
     pub last_join_at: Ms,
-    /// Joins since the director's start.
+    /// Number of joins since the director's start.
     pub join_count: usize,
 }
 
 impl ProxyRegistry {
-    /// Whether a proxy is joined by a channel.
     pub fn is_joined_by(&self, proxy: ProxyId, channel: Channel) -> bool {
         self.by_id.get(&proxy).is_some_and(|proxy| proxy.channel == channel)
     }
 
-    /// Proxies whose binds are to be planned: all, or those that have joined since the last time.
+    /// Clears the set of newly joined proxies and returns the proxies whose binds are to be planned: all of
+    /// them, or only the newly joined ones.
     pub fn take_unplanned(&mut self, all: bool) -> Vec<ProxyId> {
         let newly_joined = std::mem::take(&mut self.newly_joined);
         if all { self.by_id.keys().copied().collect() } else { newly_joined.into_iter().collect() }
     }
 
-    /// Lets time resolve what was not acknowledged. The time-out follows the slowest acknowledgement of a
-    /// dedicated channel; on the shared one it is the same for all.
+    /// Resolves uncertain endpoints of all proxies by timeout. On a dedicated channel, `timeout` computes it
+    /// from the proxy's acknowledgement delay; on the shared channel it is the same for all.
     pub fn expire(&mut self, now: Ms, timeout: impl Fn(Ms) -> Ms, shared_timeout: Ms, removal_delay: Ms) {
         for proxy in self.by_id.values_mut() {
             let is_dedicated = proxy.channel == Channel::Dedicated;
@@ -148,8 +147,9 @@
         }
     }
 
-    /// Proxies beyond what each zone has room for, in requests a second: the first ones by number have it.
-    pub fn beyond_room(&self, mut room_by_zone: Vec<f64>) -> BTreeSet<ProxyId> {
+    /// Proxies that exceed the capacity of their zone, in requests per second. Capacity is granted in the order
+    /// of proxy numbers.
+    pub fn over_capacity(&self, mut room_by_zone: Vec<f64>) -> BTreeSet<ProxyId> {
         let mut is_beyond = |proxy: &Proxy| {
             let Some(room) = room_by_zone.get_mut(proxy.zone) else { return false };
             *room -= proxy.rate;
@@ -158,12 +158,12 @@
         self.by_id.iter().filter(|(_, proxy)| is_beyond(proxy)).map(|(id, _)| *id).collect()
     }
 
-    /// Proxies of a zone.
     pub fn in_zone(&self, zone: ZoneId) -> impl Iterator<Item = &Proxy> {
         self.by_id.values().filter(move |proxy| proxy.zone == zone)
     }
 
-    /// Requests a second that a zone's proxies were said to bring; a little at least, as it is divided by.
+    /// Sum of the announced rates of a zone's proxies, in requests per second. At least 1e-3, so that it can be
+    /// used as a divisor.
     pub fn rate_in_zone(&self, zone: ZoneId) -> f64 {
         self.in_zone(zone).map(|proxy| proxy.rate).sum::<f64>().max(1e-3)
     }
--- a/crates/shared/policy/src/state/table_set.rs
+++ b/crates/shared/policy/src/state/table_set.rs
@@ -1,103 +1,96 @@
-//! Tables, and the groups of classes that share them.
+//! Tables of weighted endpoints, and the groups of classes that share them.
 
 use crate::interface::{
     ByHost, Channel, ClassId, ClassMask, FIRST_DEDICATED_TABLE, ProxyId, RetryPolicy, TableId, ZoneId,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Numbers of a channel's tables. On the wire of the shared channel they have 16 bits.
+/// Number of table numbers per channel. On the wire of the shared channel they have 16 bits.
 const TABLE_NUMBERS: TableId = 65_000;
 
-/// What a table is for. A stalled channel's tables hold up no other channel's proxies, so each has its own.
-/// The order of the fields is the order of the tables.
+/// Identifies the proxies and classes that share a table. Each channel has its own tables, so that a stalled
+/// channel does not delay the proxies of the other one. The order of the fields determines the sort order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct TableKey {
-    /// The zone of the proxies.
     pub zone: ZoneId,
-    /// The group of classes.
     pub group: usize,
-    /// Without endpoints: its proxies are beyond what the hosts of their zone can take.
+    /// Whether the table stays empty, because its proxies exceed the capacity of their zone.
     pub is_closed: bool,
-    /// The pool of hosts.
     pub pool: usize,
-    /// The channel of the proxies.
     pub channel: Channel,
 }
 
-/// What proxies admit of a class, and when they retry.
+/// Admission quota and retry policy of a class at the proxies.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Admission {
-    /// The part that is admitted.
+    /// Fraction of the requests that is admitted, above 0 and at most 1.
     pub quota: f64,
     pub retry_policy: RetryPolicy,
 }
 
-/// A table as ordered.
+/// A table as last sent to the proxies.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Table {
     pub key: TableKey,
-    /// The weight of each host, above 0.
+    /// Weights by host, all above 0.
     pub weights: ByHost<f64>,
-    /// Levels that were ordered; other classes have the proxies' default.
+    /// Admissions that were sent. Classes without an entry have the default of the proxies.
     pub admission: BTreeMap<ClassId, Admission>,
-    /// Proxies that are bound to it.
+    /// Proxies that are bound to the table for at least one group.
     pub users: BTreeSet<ProxyId>,
 }
 
-/// Classes that share tables.
+/// A group of classes that share tables, either all zone-bound or none of them.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClassGroup {
     pub classes: ClassMask,
-    /// Their requests may go only to hosts of the proxy's zone.
+    /// Whether requests must stay in the proxy's zone.
     pub is_zone_bound: bool,
 }
 
 impl ClassGroup {
-    /// Its classes, in their order.
+    /// The classes of the group in ascending order.
     pub fn iter(self) -> impl Iterator<Item = ClassId> {
         (0..ClassMask::BITS as usize).filter(move |class| self.classes >> class & 1 == 1)
     }
 }
 
-/// All tables that there are.
+/// All tables, and which of them are current.
 #[derive(Debug, Default)]
 pub(crate) struct TableSet {
     pub by_id: BTreeMap<TableId, Table>,
-    /// The table that proxies are to be bound to, by what it is for.
+    /// Tables to which proxies should be bound. Other tables are retired.
     pub current: BTreeMap<TableKey, TableId>,
-    /// Groups of classes; a `TableKey` names them by their position.
+    /// Groups of classes; `TableKey::group` is an index into them.
     pub groups: Vec<ClassGroup>,
-    /// The number that was given last, without its channel's first.
+    /// Number of the newest table, relative to the first number of its channel.
     last_number: TableId,
 }
 
 impl TableSet {
-    /// No tables yet.
     pub fn new(groups: Vec<ClassGroup>) -> TableSet {
         TableSet { groups, ..TableSet::default() }
     }
 
-    /// The group of a table's classes.
     pub fn group(&self, key: &TableKey) -> ClassGroup {
         self.groups[key.group]
     }
 
-    /// Proxies that are bound to a table.
     pub fn users(&self, table: TableId) -> impl Iterator<Item = ProxyId> {
         self.by_id.get(&table).into_iter().flat_map(|table| table.users.iter().copied())
     }
 
-    /// Whether proxies are to be bound to a table: one that is no longer current is being left.
+    /// Whether proxies should be bound to a table. A retired one only serves proxies that are not rebound yet.
     pub fn is_current(&self, table: TableId) -> bool {
         self.current.get(&self.by_id[&table].key) == Some(&table)
     }
 
-    /// Whether a table names a host.
     pub fn has_endpoint(&self, table: TableId, host: &str) -> bool {
         self.by_id.get(&table).is_some_and(|table| table.weights.contains_key(host))
     }
 
-    /// The current table of a key. A new one is filled before a proxy is bound to it, which costs no line.
+    /// The current table of a key, created on demand. A new table is filled before a proxy is bound to it, which
+    /// writes no lines.
     pub fn current_or_new(&mut self, key: TableKey) -> TableId {
         if let Some(table) = self.current.get(&key) {
             return *table;
@@ -112,8 +105,8 @@
         table
     }
 
-    /// Removes tables that no proxy uses and none is to be bound to, those of pools that there are no more
-    /// included. Answers which.
+    /// Removes and returns the tables that no proxy uses and that are not current. Tables of pools numbered
+    /// `pools` or higher are retired first.
     pub fn remove_idle(&mut self, pools: usize) -> Vec<TableId> {
         self.current.retain(|key, _| key.pool < pools);
         let current: BTreeSet<TableId> = self.current.values().copied().collect();
@@ -125,14 +118,12 @@
         idle
     }
 
-    /// Makes a proxy a user of a table.
     pub fn add_user(&mut self, table: TableId, proxy: ProxyId) {
         if let Some(table) = self.by_id.get_mut(&table) {
             table.users.insert(proxy);
         }
     }
 
-    /// A proxy uses a table no longer.
     pub fn remove_user(&mut self, table: TableId, proxy: ProxyId) {
         if let Some(table) = self.by_id.get_mut(&table) {
             table.users.remove(&proxy);
--- a/crates/shared/policy/src/state/updates.rs
+++ b/crates/shared/policy/src/state/updates.rs
@@ -1,4 +1,4 @@
-//! Updates: differences between what was ordered and what is wanted.
+//! Updates: changes that bring tables and proxies from their sent state to the target state.
 
 use super::hosts::ChannelHost;
 use crate::interface::{Channel, ClassId, HostId, ProxyId, TableId};
@@ -6,28 +6,26 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// What an update changes. The order of the variants and of their fields decides between updates of one size.
+/// A change of a table or of a proxy. The order of variants and fields breaks ties between equal priorities.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Update {
-    /// The weight of a host in a table.
+    /// Sets or removes the weight of a host in a table.
     Endpoint { table: TableId, host: HostId },
-    /// The table of a proxy for a group of classes.
+    /// Binds a proxy to a table for a group of classes.
     Bind { proxy: ProxyId, group: usize, table: TableId },
-    /// The admission level of a class in a table.
+    /// Sets the admission quota and retry policy of a class in a table.
     Admission { table: TableId, class: ClassId },
-    /// A host leaves all tables of a channel's proxies.
+    /// Withdraws a host from all tables of a channel.
     Withdraw { host: HostId, channel: Channel },
-    /// A host that was withdrawn comes back.
+    /// Ends the withdrawal of a host on a channel.
     Restore { host: HostId, channel: Channel },
 }
 
 impl Update {
-    /// The withdrawal of a host.
     pub fn withdraw(host: &ChannelHost<'_>) -> Update {
         Update::Withdraw { host: host.id.clone(), channel: host.channel }
     }
 
-    /// The end of a host's withdrawal.
     pub fn restore(host: &ChannelHost<'_>) -> Update {
         Update::Restore { host: host.id.clone(), channel: host.channel }
     }
@@ -47,60 +45,59 @@
     }
 }
 
-/// An update that is to be sent.
+/// An update with its priority and value, before it is sent.
 #[derive(Clone, Debug)]
 pub(crate) struct PlannedUpdate {
-    /// How much it changes; the larger, the sooner it goes. `URGENT`: at once.
-    pub size: f64,
+    /// Size of the change. Larger values are sent first, `URGENT` ones outside of rounds too.
+    pub priority: f64,
     pub update: Update,
-    /// The weight or the level that it sets, if it sets one.
+    /// The new weight or quota; 0 for other updates.
     pub value: f64,
 }
 
-/// The size of updates that wait neither for a round nor for the check.
+/// Priority of updates that are sent without waiting for a round and without the safety check.
 pub(crate) const URGENT: f64 = f64::INFINITY;
 
 impl PlannedUpdate {
-    /// An update that sets no value.
-    pub fn new(size: f64, update: Update) -> PlannedUpdate {
-        PlannedUpdate { size, update, value: 0.0 }
+    /// Creates an update that carries no weight or quota.
+    pub fn new(priority: f64, update: Update) -> PlannedUpdate {
+        PlannedUpdate { priority, update, value: 0.0 }
     }
 
-    /// Whether it waits neither for a round nor for the check.
     pub fn is_urgent(&self) -> bool {
-        self.size.is_infinite()
+        self.priority.is_infinite()
     }
 
-    /// The order in which updates are sent: the largest first.
+    /// Orders updates by descending priority, and equal ones by `Update`.
     pub fn sending_order(&self, other: &PlannedUpdate) -> Ordering {
-        other.size.total_cmp(&self.size).then_with(|| self.update.cmp(&other.update))
+        other.priority.total_cmp(&self.priority).then_with(|| self.update.cmp(&other.update))
     }
 }
 
-/// How a table stands.
+/// Status of a table that determines which updates it gets and how urgent they are.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TableStatus {
-    /// Proxies are to be bound to it; otherwise they are to leave it.
+    /// Whether proxies should be bound to the table; otherwise it is retired.
     pub is_current: bool,
-    /// No proxy uses it, or no host of it takes requests: changing it takes nothing from anyone.
-    pub is_free: bool,
+    /// Whether the table has no users or no live host, so that any change is safe.
+    pub carries_no_traffic: bool,
 }
 
-/// Updates that bring tables to their targets.
+/// The planned updates of a step.
 #[derive(Debug, Default)]
 pub(crate) struct UpdatePlan {
     pub updates: Vec<PlannedUpdate>,
-    /// Hosts that weigh too much in a table of a channel to be let back there.
+    /// Hosts whose weight in a table of a channel is above its target; they are not restored yet.
     pub overweight: BTreeSet<(HostId, Channel)>,
 }
 
 impl UpdatePlan {
-    /// Adds an update to a table. One that proxies are to leave gets urgent ones only; all are urgent for a
-    /// free one.
+    /// Plans an update of a table. Retired tables get urgent updates only; every update of a table without
+    /// traffic is urgent.
     pub fn add(&mut self, table: TableStatus, is_urgent: bool, update: PlannedUpdate) {
         if is_urgent || table.is_current {
-            let size = if table.is_free || is_urgent { URGENT } else { update.size };
-            self.updates.push(PlannedUpdate { size, ..update });
+            let priority = if table.carries_no_traffic || is_urgent { URGENT } else { update.priority };
+            self.updates.push(PlannedUpdate { priority, ..update });
         }
     }
 }
--- a/crates/shared/policy/src/state/zones.rs
+++ b/crates/shared/policy/src/state/zones.rs
@@ -1,103 +1,101 @@
-//! What holds for the proxies of a zone.
+//! Overload state of each zone, and the balance of load between zones.
 
 use super::attempts::AttemptTotals;
 use crate::interface::{Ms, ZoneId};
 use std::fmt;
 
-/// What proxies of a zone are ordered in an overload, and what that rests on.
+/// Overload control of a zone: the current limits and the inputs from which they are derived.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneState {
-    /// The part of its weight that a warming host may have: all while proxies are served well, less in an
-    /// overload.
+    /// Maximum fraction of its weight that a warming host gets: 1 in normal operation, less in an overload.
     pub warming_limit: f64,
-    /// In an overload proxies may eject saturated hosts by themselves.
+    /// Whether proxies send enough attempts to a host to eject it by themselves.
     pub may_eject: bool,
-    /// The part of the cheapest class that is admitted.
+    /// Admitted fraction of the class that is shed first.
     pub admission: f64,
-    /// The most successful attempts seen within the reports' memory, for each request a second that the
-    /// joined proxies were said to bring.
+    /// Peak of the recent successful attempts, divided by the announced request rate of the joined proxies.
     pub peak_capacity: f64,
-    /// The part of the peak that is admitted.
-    pub capacity_part: f64,
-    /// The last saturation.
+    /// Fraction of the peak that is admitted.
+    pub capacity_fraction: f64,
+    /// Saturation at the previous adjustment.
     pub saturation: f64,
-    /// When the level was last looked at.
+    /// Time of the previous adjustment, or of the last round without usable reports.
     pub adjusted_at: Ms,
-    /// What clients asked for, by class.
+    /// Decaying totals of client requests, by class.
     pub demand: Vec<AttemptTotals>,
 }
 
 impl ZoneState {
-    /// A zone of which nothing is known: all is admitted, and proxies are taken to eject hosts.
+    /// State of a zone without reports. Everything is admitted, and proxies are assumed to eject hosts.
     pub fn new(classes: usize) -> ZoneState {
         ZoneState {
             warming_limit: 1.0,
             may_eject: true,
             admission: 1.0,
-            capacity_part: 1.0,
+            capacity_fraction: 1.0,
             demand: vec![AttemptTotals::default(); classes],
             ..ZoneState::default()
         }
     }
 
-    /// The successful attempts that are admitted, for each request a second that proxies were said to bring.
+    /// Admitted fraction of the peak capacity, per request per second of the announced rate.
     pub fn admitted_capacity(&self) -> f64 {
-        self.capacity_part * self.peak_capacity
+        self.capacity_fraction * self.peak_capacity
     }
 }
 
-/// What a zone's proxies suffer at the better of their hosts.
+/// Load on the least saturated hosts of a zone, which decides whether the zone is overloaded.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZonePressure {
-    /// How far attempts fall short; from 1 on they miss the target latency.
+    /// Relative latency as computed by `Director::saturation`; 1 is the limit of the hosts' capacity.
     pub saturation: f64,
-    /// The part of them that fails.
-    pub failed: f64,
+    /// Failed attempts divided by all attempts.
+    pub failure_ratio: f64,
 }
 
 impl fmt::Display for ZonePressure {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "saturation={:.2} failed={:.2}", self.saturation, self.failed)
+        write!(f, "saturation={:.2} failed={:.2}", self.saturation, self.failure_ratio)
     }
 }
 
-/// What a zone has to carry, and what its hosts can, in attempts.
+/// Demand of a zone and capacity of its hosts. `capacity` is a weight, the other fields are attempts.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ZoneBalance {
-    /// What comes to its proxies and may go to other zones.
+    /// Demand of classes that are not zone-bound.
     pub movable: f64,
-    /// The weight of its hosts, as far as they are warm and healthy.
+    /// Weight of the hosts, scaled by slow start and health.
     pub capacity: f64,
-    /// What its hosts can carry beside what must stay in the zone.
-    pub room: f64,
-    /// What they can carry beside all that comes to the zone's own proxies.
-    pub spare: f64,
+    /// Attempts that the hosts can serve in addition to the zone-bound demand.
+    pub headroom: f64,
+    /// Attempts that the hosts can serve in addition to all demand of the zone.
+    pub spare_capacity: f64,
 }
 
-/// What a host of a zone weighs in tables of another, beside one of their own zone. Empty until it is first
-/// set.
+/// Weight factors of hosts in tables of other zones, relative to hosts of the own zone. Empty until the first
+/// update.
 #[derive(Debug, Default)]
 pub(crate) struct CrossZoneWeights(Vec<Vec<f64>>);
 
 impl CrossZoneWeights {
-    /// The weights that a function gives for each pair of zones: of the table, of the host.
+    /// Computes the factors of all pairs of zones. The arguments of `weight` are the zone of the table and the
+    /// zone of the host.
     pub fn new(zones: usize, weight: impl Fn(ZoneId, ZoneId) -> f64) -> CrossZoneWeights {
         let row = |own: ZoneId| (0..zones).map(|other| weight(own, other)).collect();
         CrossZoneWeights((0..zones).map(row).collect())
     }
 
-    /// Whether none were set yet.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The weight of hosts of a zone in tables of another; 1 in their own and where none is set.
+    /// Factor of hosts of zone `other` in tables of zone `own`; 1 within a zone and for unknown pairs.
     pub fn get(&self, own: ZoneId, other: ZoneId) -> f64 {
         let set = || self.0.get(own).and_then(|row| row.get(other)).copied();
         if own == other { 1.0 } else { set().unwrap_or(1.0) }
     }
 
-    /// Whether a weight differs by more than a part of the larger one.
+    /// Whether any factor differs by more than `tolerance`, relative to the larger one.
     pub fn differ(&self, others: &CrossZoneWeights, tolerance: f64) -> bool {
         let mut pairs = self.0.iter().flatten().zip(others.0.iter().flatten());
         pairs.any(|(a, b)| (a - b).abs() > tolerance * a.max(*b))
--- a/crates/shared/policy/tests/channels.rs
+++ b/crates/shared/policy/tests/channels.rs
@@ -1,4 +1,4 @@
-//! Channels hold apart: what happens on one proves nothing about another, and delays nothing on it.
+//! Isolation of channels: events on one channel neither affect nor delay another one.
 
 mod common;
 
@@ -14,7 +14,7 @@
     Event::ProxyJoined { proxy, zone: 0, rate: 5.0, is_fresh: true, channel }
 }
 
-/// A director with proxies on both channels.
+/// A director with three proxies on the shared channel and three on dedicated ones, all in zone 0.
 fn on_both_channels(settings: Settings) -> Harness {
     let mut harness = Harness::starting_at(settings, 1e12);
     let entries: Vec<HostEntry> = (0..6).map(|k| host(&format!("a{k}"), 0)).collect();
@@ -31,7 +31,7 @@
     harness.handle(vec![Event::HostsListed { kind: HostListKind::Delta, entries: vec![entry] }])
 }
 
-/// How many endpoints of a proxy are certain.
+/// Number of certain endpoints of a proxy.
 fn certain(harness: &Harness, proxy: ProxyId) -> usize {
     let view = harness.director.view();
     let proxy = view.proxies.into_iter().find(|p| p.proxy == proxy).expect("it is joined");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn tables_of_one_channel_serve_no_proxy_of_another() {
+fn proxies_use_only_tables_of_their_own_channel() {
     let harness = on_both_channels(settings());
     let view = harness.director.view();
     for proxy in &view.proxies {
@@ -58,11 +58,11 @@
         let tables = view.tables.iter().filter(|table| Channel::of(table.table) == channel);
         tables.map(|table| table.weights.clone()).collect::<Vec<_>>()
     };
-    assert_eq!(weights(Channel::Shared), weights(Channel::Dedicated), "the same tables");
+    assert_eq!(weights(Channel::Shared), weights(Channel::Dedicated), "weights differ between channels");
 }
 
 #[test]
-fn an_acknowledgement_on_one_stream_proves_nothing_about_another() {
+fn acknowledgement_on_one_stream_does_not_affect_others() {
     let mut harness = on_both_channels(settings());
 
     harness.acknowledge_on(Channel::Dedicated, &[11]);
@@ -71,15 +71,15 @@
     for other in [12, 13, 1, 2, 3] {
         assert_eq!(certain(&harness, other), 0, "proxy {other}");
     }
-    // Nor does one that comes by a channel on which its proxy is not.
+    // Acknowledgements on a channel that the proxy does not use are ignored.
     harness.acknowledge_on(Channel::Shared, &[12]);
     harness.acknowledge_on(Channel::Dedicated, &[1]);
     assert_eq!((certain(&harness, 12), certain(&harness, 1)), (0, 0));
 }
 
 #[test]
-fn a_shared_channel_without_acknowledgements_does_not_delay_a_drain_on_dedicated_ones() {
-    // Its window is full after the first tables.
+fn stalled_shared_channel_does_not_delay_drains_on_dedicated_channels() {
+    // The first tables fill the window of the shared channel.
     let mut harness = on_both_channels(settings_with(|s| s.channel.max_queued_lines = 60.0));
     harness.acknowledge_on(Channel::Dedicated, &DEDICATED);
     let ack_number = harness.ack_number();
@@ -88,16 +88,16 @@
     let drains = ["a0", "a1", "a2"].map(|name| (name, drain(&mut harness, name)));
 
     let dedicated = |(name, actions): &(&str, Vec<Action>)| withdraws(actions, name, Channel::Dedicated);
-    assert!(drains.iter().all(dedicated), "each goes out at once");
+    assert!(drains.iter().all(dedicated), "a withdrawal on a dedicated channel was delayed");
     let is_shared = |action: &Action| {
         matches!(action, Action::SetWithdrawn { is_withdrawn: true, channel: Channel::Shared, .. })
     };
     let shared = |(_, actions): &(&str, Vec<Action>)| actions.iter().any(is_shared);
-    assert!(!drains.iter().all(shared), "the shared one has no room");
+    assert!(!drains.iter().all(shared), "the shared channel is not stalled");
 }
 
 #[test]
-fn what_a_stream_has_not_applied_does_not_turn_certain_by_time() {
+fn unapplied_batch_does_not_become_certain_by_timeout() {
     let mut harness = on_both_channels(settings());
     let ack_number = harness.ack_number();
 
@@ -106,19 +106,19 @@
         harness.advance(1000.0);
     }
 
-    assert_eq!(certain(&harness, 11), 0, "it holds nothing, as far as is known");
-    assert!(certain(&harness, 12) > 0, "the others' endpoints settle by time");
+    assert_eq!(certain(&harness, 11), 0, "proxy 11 has not applied its batch");
+    assert!(certain(&harness, 12) > 0, "endpoints of other proxies become certain by timeout");
     harness.advance(4000.0);
-    assert!(certain(&harness, 11) > 0, "nothing was reported any more that it has not applied");
+    assert!(certain(&harness, 11) > 0, "the timeout applies once reports stop");
 }
 
 #[test]
-fn events_of_a_proxys_former_channel_are_ignored() {
+fn events_of_a_previous_channel_are_ignored() {
     let mut harness = on_both_channels(settings());
     harness.handle(vec![join(1, Channel::Dedicated)]);
 
     harness.handle(vec![Event::ProxyLeft { proxy: 1, channel: Channel::Shared }]);
-    assert!(is_joined(&harness, 1), "it is joined by its stream");
+    assert!(is_joined(&harness, 1), "joined on its dedicated channel");
 
     harness.handle(vec![Event::ProxyLeft { proxy: 1, channel: Channel::Dedicated }]);
     assert!(!is_joined(&harness, 1));
--- a/crates/shared/policy/tests/common/mod.rs
+++ b/crates/shared/policy/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A harness in which scripted events meet a director. It records what the actions leave; it simulates nothing.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! A harness that passes scripted events to a director and records the state that results from its actions.
+#![allow(dead_code)] // Each test file uses only some of these items.
 
 pub mod load;
 
@@ -11,11 +11,11 @@
 };
 use std::collections::BTreeMap;
 
-/// The span of each report.
+/// Length of the period that each report covers.
 const REPORT_SPAN: Ms = 1000.0;
-/// The time that proxies take to apply a batch.
+/// Time in which proxies apply a batch.
 const ACK_DELAY: Ms = 300.0;
-/// The timer of rounds.
+/// Token of the director's round timer.
 pub const ROUND_TIMER: &str = "round";
 
 pub fn class(idempotency: Idempotency, value: f64, is_zone_bound: bool) -> RequestClass {
@@ -65,19 +65,19 @@
     }
 }
 
-/// The usual settings with a change.
+/// `settings()` after `change` was applied to them.
 pub fn settings_with(change: impl FnOnce(&mut Settings)) -> Settings {
     let mut settings = settings();
     change(&mut settings);
     settings
 }
 
-/// The usual settings with a second class that is bound to its zone.
+/// `settings()` with a zone-bound second class.
 pub fn zone_bound_settings() -> Settings {
     settings_with(|s| s.classes[1].is_zone_bound = true)
 }
 
-/// A warm host.
+/// A ready host of weight 1 that started long ago.
 pub fn host(name: &str, zone: ZoneId) -> HostEntry {
     let (host, cell, weight, started_at) = (name.into(), 0, 1.0, 0.0);
     HostEntry { host, zone, cell, readiness: Readiness::Ready, weight, started_at }
@@ -120,7 +120,7 @@
     Event::ProxyJoined { proxy, zone, rate, is_fresh: true, channel: Channel::Shared }
 }
 
-/// Proxies that join, by turns in each of the two zones.
+/// Joins of the given proxies, even numbers in zone 0 and odd numbers in zone 1.
 pub fn join_by_turns(proxies: std::ops::Range<ProxyId>) -> Vec<Event> {
     proxies.map(|proxy| join(proxy, proxy as usize % 2)).collect()
 }
@@ -150,18 +150,18 @@
     Event::TimerFired { token: ROUND_TIMER.into() }
 }
 
-/// Whether a host is withdrawn from a channel's tables by one of these actions.
+/// Whether the actions withdraw a host on a channel.
 pub fn withdraws(actions: &[Action], name: &str, channel: Channel) -> bool {
     actions.contains(&Action::SetWithdrawn { host: name.into(), is_withdrawn: true, channel })
 }
 
-/// A director with its clock, and what its actions left in tables and at proxies.
+/// A director with a manual clock, and the tables and bindings that result from its actions.
 pub struct Harness {
     pub director: Director,
     pub now: Ms,
     pub tables: BTreeMap<TableId, BTreeMap<String, f64>>,
     pub bindings: BTreeMap<(ProxyId, ClassMask), TableId>,
-    /// On the shared channel.
+    /// Whether a host is withdrawn on the shared channel; hosts without a withdrawal have no entry.
     pub withdrawn: BTreeMap<String, bool>,
     pub admission: BTreeMap<(TableId, ClassMask), (f64, RetryPolicy)>,
     pub last_ack_number: Option<AckNumber>,
@@ -170,7 +170,7 @@
 }
 
 impl Harness {
-    /// A director that has run for a while: it opens a round after its start.
+    /// A director that was started half a second ago, so that it already sends updates.
     pub fn new(settings: Settings) -> Harness {
         let mut harness = Harness::starting_at(settings, 500.0);
         harness.director.handle(500.0, vec![]);
@@ -178,7 +178,7 @@
         harness
     }
 
-    /// A director that has seen no event yet.
+    /// A director that has not been started yet.
     pub fn starting_at(settings: Settings, now: Ms) -> Harness {
         Harness {
             director: Director::new(settings),
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Hands events over now and records what comes of them.
+    /// Passes events to the director at the current time, and records and returns its actions.
     pub fn handle(&mut self, events: Vec<Event>) -> Vec<Action> {
         let actions = self.director.handle(self.now, events);
         actions.iter().cloned().for_each(|action| self.record(action));
@@ -227,7 +227,7 @@
         }
     }
 
-    /// Lets time pass with nothing but the director's own timer of rounds.
+    /// Advances the clock by `span`, firing only the round timer, and returns all actions.
     pub fn advance(&mut self, span: Ms) -> Vec<Action> {
         let end = self.now + span;
         let mut all = Vec::new();
@@ -239,12 +239,12 @@
         all
     }
 
-    /// The number of the last batch.
+    /// Acknowledgement number of the last batch that requested one.
     pub fn ack_number(&self) -> AckNumber {
         self.last_ack_number.expect("a batch asked to be acknowledged")
     }
 
-    /// Some proxies acknowledge the last batch.
+    /// Acknowledges the last batch for the given proxies on the shared channel.
     pub fn acknowledge(&mut self, proxies: &[ProxyId]) -> Vec<Action> {
         self.acknowledge_on(Channel::Shared, proxies)
     }
@@ -256,7 +256,7 @@
         self.handle(proxies.iter().map(acknowledged).collect())
     }
 
-    /// The weights of the table that a proxy is bound to for all classes.
+    /// Weights of the table that a proxy uses for all classes.
     pub fn weights(&self, proxy: ProxyId) -> BTreeMap<String, f64> {
         self.tables[&self.bindings[&(proxy, 0)]].clone()
     }
@@ -264,26 +264,26 @@
 
 pub const HOSTS: [&str; 6] = ["a1", "a2", "a3", "b1", "b2", "b3"];
 
-/// The zone of one of `HOSTS`, by its first letter.
+/// Zone of one of `HOSTS`: 0 for names starting with `a`, 1 for `b`.
 pub fn zone_of(host: &str) -> ZoneId {
     usize::from(host.starts_with('b'))
 }
 
-/// Two zones of three hosts, listed.
+/// A director with the listed `HOSTS`: two zones of three hosts.
 pub fn with_hosts(settings: Settings) -> Harness {
     let mut harness = Harness::new(settings);
     harness.handle(vec![cached_list(&HOSTS.map(|name| host(name, zone_of(name))))]);
     harness
 }
 
-/// The same, and a proxy of each zone joined.
+/// A director with `HOSTS`, proxy 1 in zone 0 and proxy 2 in zone 1.
 pub fn with_proxies(settings: Settings) -> Harness {
     let mut harness = with_hosts(settings);
     harness.handle(vec![join(1, 0), join(2, 1)]);
     harness
 }
 
-/// The same, and the proxies have acknowledged their tables.
+/// A director whose proxies 1 and 2 have acknowledged their first tables.
 pub fn settled_with(settings: Settings) -> Harness {
     let mut harness = with_proxies(settings);
     harness.now += ACK_DELAY;
@@ -291,17 +291,17 @@
     harness
 }
 
-/// The same with the usual settings.
+/// `settled_with` for the default test settings.
 pub fn settled() -> Harness {
     settled_with(settings())
 }
 
-/// `count` hosts in the first two zones, by turns.
+/// `count` hosts that alternate between zones 0 and 1.
 pub fn fleet(count: usize) -> Vec<HostEntry> {
     (0..count).map(|k| host(&format!("h{k:03}"), k % 2)).collect()
 }
 
-/// A director that knows a fleet of `count` hosts.
+/// A director with a host list of `count` hosts and no proxies.
 pub fn with_fleet(settings: Settings, count: usize) -> Harness {
     let mut harness = Harness::new(settings);
     harness.handle(vec![cached_list(&fleet(count))]);
--- a/crates/shared/policy/tests/health.rs
+++ b/crates/shared/policy/tests/health.rs
@@ -1,12 +1,12 @@
-//! Ejection and derating by scripted reports.
+//! Ejection and derating of hosts based on scripted reports.
 
 mod common;
 
-use common::load::{HEALTHY, OVERLOADED, demand, observed, run, second, service};
+use common::load::{HEALTHY, OVERLOADED, demand, observed, one_second_of_reports, run, service};
 use common::{delta, host_report, settled, started, with_proxies, zone_bound_settings};
 
 #[test]
-fn a_host_that_answers_nothing_is_ejected_and_returns_by_slow_start() {
+fn unresponsive_host_is_ejected_and_returns_by_slow_start() {
     let mut harness = settled();
 
     run(&mut harness, 3, 6.0, |host| if host == "a1" { service(1.0, 0.0) } else { HEALTHY });
@@ -14,17 +14,17 @@
 
     run(&mut harness, 6, 6.0, |_| HEALTHY);
     let weight = harness.weights(1)["a1"];
-    assert!(weight < 0.5, "eased in: {weight}");
+    assert!(weight < 0.5, "slow start: {weight}");
     run(&mut harness, 20, 6.0, |_| HEALTHY);
     assert!(harness.weights(1)["a1"] > 0.9);
 }
 
 #[test]
-fn a_partitioned_host_is_ejected_only_for_the_zone_that_cannot_reach_it() {
+fn partitioned_host_is_ejected_only_for_the_unreachable_zone() {
     let mut harness = settled();
 
     for _ in 0..3 {
-        harness.handle(second(30.0, |zone, host| {
+        harness.handle(one_second_of_reports(30.0, |zone, host| {
             let is_cut_off = zone == 0 && !host.starts_with('a');
             observed(5.0, if is_cut_off { 5.0 } else { 0.0 }, 200.0)
         }));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn missing_reports_are_not_held_against_hosts() {
+fn missing_reports_change_neither_weights_nor_admission() {
     let mut harness = settled();
     run(&mut harness, 3, 8.0, |_| HEALTHY);
     run(&mut harness, 4, 16.0, |_| OVERLOADED);
@@ -45,11 +45,11 @@
 
     harness.advance(15_000.0);
 
-    assert_eq!((harness.weights(1), harness.admission.clone()), before, "old totals cut no further");
+    assert_eq!((harness.weights(1), harness.admission.clone()), before, "old totals are ignored");
 }
 
 #[test]
-fn a_saturated_host_is_derated_by_steps_while_the_rest_are_healthy() {
+fn saturated_host_is_derated_while_the_rest_are_healthy() {
     let mut harness = settled();
 
     run(&mut harness, 4, 8.0, |host| if host == "a1" { service(0.3, 900.0) } else { HEALTHY });
@@ -61,13 +61,13 @@
 }
 
 #[test]
-fn a_few_healthy_hosts_do_not_let_the_rest_of_the_fleet_be_ejected() {
+fn few_healthy_hosts_do_not_cause_ejection_of_the_rest() {
     let mut harness = settled();
     run(&mut harness, 3, 8.0, |_| HEALTHY);
 
-    // An overload in which only two barely used hosts still answer.
+    // An overload in which only two lightly used hosts still respond.
     for _ in 0..6 {
-        harness.handle(second(60.0, |_, host| {
+        harness.handle(one_second_of_reports(60.0, |_, host| {
             let is_healthy = host == "a3" || host == "b3";
             if is_healthy { observed(3.0, 0.0, 300.0) } else { observed(20.0, 19.0, 300.0) }
         }));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn ejection_leaves_a_zone_its_warm_hosts_when_the_others_are_warming() {
+fn ejection_spares_the_last_warm_host_of_a_zone() {
     let mut harness = with_proxies(zone_bound_settings());
     let warming = ["a2", "a3"].map(|host| started(host, 0, harness.now));
     harness.handle(vec![delta(&warming)]);
@@ -95,5 +95,5 @@
     let bound = &harness.tables[&harness.bindings[&(1, 2)]];
     assert!(bound.contains_key("a1"), "{bound:?} {:?}", harness.logs);
     let open = &harness.tables[&harness.bindings[&(1, 1)]];
-    assert!(!open.contains_key("a1"), "elsewhere the rest can carry it");
+    assert!(!open.contains_key("a1"), "hosts of the other zone can absorb its load");
 }
--- a/crates/shared/policy/tests/odd_input.rs
+++ b/crates/shared/policy/tests/invalid_input.rs
@@ -1,4 +1,4 @@
-//! Input that makes no sense, or that no front should hand over.
+//! Invalid events and settings, which a front should not pass on.
 
 mod common;
 
@@ -9,11 +9,12 @@
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{Action, Channel, Event, HostEntry, HostLoad, ProxyId, Settings};
 
-/// More actions than these in one batch would be a flood.
+/// Upper limit on the number of actions in one batch.
 const MAX_ACTIONS: usize = 4000;
 
-/// Seconds of events at once: joins and losses of the same proxies, reports of hosts and proxies never seen.
-fn odd_events() -> Vec<Event> {
+/// A large batch of events: proxies that join repeatedly, reports about unknown hosts and proxies, and a join with an
+/// unknown zone and an invalid rate.
+fn invalid_events() -> Vec<Event> {
     let mut events = join_by_turns(0..150);
     events.extend((0..150).step_by(3).map(left));
     events.extend(join_by_turns(0..150));
@@ -32,17 +33,17 @@
 }
 
 #[test]
-fn odd_input_at_size_neither_panics_nor_floods_nor_leaves_a_proxy_without_a_host() {
+fn invalid_input_at_scale_leaves_every_proxy_a_host() {
     let mut harness = Harness::new(settings_with(|s| {
         s.channel.max_queued_lines = 9000.0;
         s.channel.lines_per_second = 4500.0;
     }));
     let doubled: Vec<HostEntry> = fleet(200).into_iter().chain(fleet(200)).collect();
     harness.handle(vec![cached_list(&doubled)]);
-    let actions = harness.handle(odd_events());
+    let actions = harness.handle(invalid_events());
     assert!(actions.len() < MAX_ACTIONS, "{} actions", actions.len());
 
-    // An empty list takes all away; the next one brings half back.
+    // An empty list removes all hosts; the next one restores half of them.
     let all: Vec<ProxyId> = (0..150).collect();
     harness.acknowledge(&all);
     harness.handle(vec![full_list(&[])]);
@@ -62,10 +63,11 @@
 }
 
 #[test]
-fn unusable_settings_get_one_log_line_and_no_orders() {
-    let spoils: [fn(&mut Settings); 2] = [|s| s.classes.clear(), |s| s.channel.lines_per_second = 0.0];
-    for spoil in spoils {
-        let mut director = Director::new(settings_with(spoil));
+fn unusable_settings_produce_one_log_line_and_no_updates() {
+    let invalid_changes: [fn(&mut Settings); 2] =
+        [|s| s.classes.clear(), |s| s.channel.lines_per_second = 0.0];
+    for invalidate in invalid_changes {
+        let mut director = Director::new(settings_with(invalidate));
         let first = director.handle(1000.0, vec![cached_list(&[host("a1", 0)])]);
         assert!(matches!(&first[..], [Action::Log { .. }]));
         assert!(director.handle(1000.0, vec![join(1, 0)]).is_empty());
@@ -74,16 +76,16 @@
 }
 
 #[test]
-fn events_of_unknown_hosts_and_proxies_change_nothing() {
+fn events_of_unknown_hosts_and_proxies_are_ignored() {
     let mut harness = settled();
     harness.advance(500.0);
     let actions = harness.handle(vec![
-        host_report(0, "stranger", 10.0, 10.0, 0.0),
+        host_report(0, "unknown", 10.0, 10.0, 0.0),
         left(77),
         Event::Acknowledged { ack_number: 4000, proxy: 77, elapsed: 1.0, channel: Channel::Shared },
         traffic(77, 9, 5.0),
         Event::HealthChecked {
-            host: "stranger".into(),
+            host: "unknown".into(),
             elapsed: 1.0,
             is_answered: false,
             load: HostLoad::default(),
--- a/crates/shared/policy/tests/join_storms.rs
+++ b/crates/shared/policy/tests/join_bursts.rs
@@ -1,4 +1,4 @@
-//! Many proxies that join at once, and drains beside them: what the channel holds for whom.
+//! Bursts of joining proxies, and drains that compete with their binds for the channel.
 
 mod common;
 
@@ -8,10 +8,10 @@
 use rushcourse_policy::interface::{AckNumber, Action, Channel, Event, HostEntry, ProxyId, Readiness};
 use std::collections::BTreeMap;
 
-/// Proxies that join at once.
+/// Number of proxies in a burst of joins.
 const PROXIES: u32 = 1200;
 
-/// A fleet whose channel holds so many lines, ten seconds of it or less.
+/// A fleet of `hosts` hosts with the given queue limit and a drain grace period of 12 s.
 fn with_channel(max_queued_lines: f64, hosts: usize) -> Harness {
     let settings = settings_with(|s| {
         s.channel.max_queued_lines = max_queued_lines;
@@ -24,7 +24,7 @@
     harness.bindings.contains_key(&(proxy, 0))
 }
 
-/// Hosts that these actions withdraw on the shared channel, in their order.
+/// Hosts that the actions withdraw on the shared channel, in the order of the actions.
 fn withdrawals(actions: &[Action]) -> Vec<String> {
     let withdrawn = actions.iter().filter_map(|action| match action {
         Action::SetWithdrawn { host, is_withdrawn: true, channel: Channel::Shared } => Some(host.to_string()),
@@ -33,15 +33,15 @@
     withdrawn.collect()
 }
 
-fn drain_all(hosts: &[HostEntry]) -> Event {
+fn drain_hosts(hosts: &[HostEntry]) -> Event {
     let entries: Vec<HostEntry> =
         hosts.iter().map(|entry| with_state(entry.clone(), Readiness::Draining, 0.0)).collect();
     delta(&entries)
 }
 
 #[test]
-fn a_withdrawal_is_counted_at_proxies_that_are_not_bound_yet() {
-    // The channel is too small for the bind: the proxy still holds its default table, which may name the host.
+fn withdrawal_is_sent_to_proxies_that_await_their_bind() {
+    // The bind does not fit the channel, so the proxy keeps its default table, which may contain the host.
     let mut harness = with_fleet(settings_with(|s| s.channel.max_queued_lines = 20.0), 24);
     harness.handle(vec![join(1, 0)]);
     assert!(harness.bindings.is_empty());
@@ -49,13 +49,13 @@
     let actions = harness.handle(vec![delta(&[draining("h000", 0)])]);
 
     assert!(withdraws(&actions, "h000", Channel::Shared));
-    assert!(matches!(actions.last(), Some(Action::RequestAck { .. })), "a message goes to it: {actions:?}");
+    assert!(matches!(actions.last(), Some(Action::RequestAck { .. })), "no message was sent: {actions:?}");
 }
 
 #[test]
-fn a_proxy_that_joins_between_rounds_examines_no_other_proxies() {
+fn join_between_rounds_examines_no_other_proxies() {
     let proxies = 2400;
-    // A channel that carries whatever comes.
+    // A channel with enough capacity for all updates.
     let settings = settings_with(|s| {
         s.fleet.proxies = 2 * proxies as usize;
         s.channel.max_queued_lines = 1e6;
@@ -78,12 +78,11 @@
     assert!(each <= 30, "{each} examined for a join, beside 2,400 proxies and 200 hosts");
 }
 
-/// herd+mass, seed 1071386473336: four of five directors stopped in the middle of a release; the fifth one's channel
-/// was filled with nine seconds of binds, and withdrawals did not fit in for twelve.
+/// Guards against binds that fill the channel during a burst of joins and delay withdrawals beyond the drain grace.
 #[test]
-fn a_thousand_that_join_at_once_leave_room_in_the_channel_for_withdrawals() {
+fn burst_of_joins_leaves_channel_capacity_for_withdrawals() {
     let mut harness = with_channel(20_000.0, 48);
-    // They join over three seconds; what the channel has carried by then is acknowledged, 2,000 lines a second.
+    // Proxies join over three seconds. Batches are acknowledged as the channel sends 2,000 lines per second.
     let mut batches: Vec<(AckNumber, ProxyId)> = Vec::new();
     for part in 0..60 {
         let first = part * 20;
@@ -100,7 +99,7 @@
     harness.handle(vec![delta(&[draining("h003", 1)])]);
     assert_eq!(harness.withdrawn.get("h003"), Some(&true), "withdrawn in the same batch");
 
-    // Whoever joined is bound in the end, as the channel is seen to carry what lies in it.
+    // All proxies are bound eventually, as acknowledgements free the channel.
     let all: Vec<ProxyId> = (0..PROXIES).collect();
     for _ in 0..60 {
         harness.acknowledge(&all);
@@ -109,10 +108,10 @@
     assert!(all.iter().all(|proxy| is_bound(&harness, *proxy)));
 }
 
-/// Of a thousand proxies that await their bind few name a given host: one withdrawal wrote no message to the
-/// others, yet each was counted whole, so a second drain found the window full of lines that nobody sent.
+/// Guards against counting a whole line for every proxy that awaits its bind: few of them use the withdrawn host, and
+/// the overestimate would fill the channel's window.
 #[test]
-fn drains_one_after_another_fit_beside_a_thousand_that_await_their_bind() {
+fn successive_drains_fit_the_channel_while_proxies_await_binds() {
     let mut harness = with_channel(20_000.0, 200);
     harness.handle(join_by_turns(0..PROXIES));
     let waiting = PROXIES as usize - harness.bindings.len();
@@ -126,14 +125,14 @@
     }
 }
 
-/// A director takes over a thousand proxies in the middle of a release. Once all are here they are told of the hosts
-/// that drained before they joined, once. Without it they learned of them by binds that left many seconds later.
+/// Guards against proxies that use a draining host until their bind: after a burst of joins, recent withdrawals are
+/// repeated once.
 #[test]
-fn a_thousand_that_join_in_a_release_are_notified_of_drains_before_their_binds() {
+fn proxies_joining_during_a_release_get_earlier_withdrawals_once() {
     let mut harness = with_channel(20_000.0, 200);
     harness.handle(vec![join(0, 0)]);
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-    // How often each of two hosts was withdrawn so far.
+    // Returns how often each of the two hosts has been withdrawn so far.
     let mut count = |actions: Vec<Action>| {
         for host in withdrawals(&actions) {
             *counts.entry(host).or_default() += 1;
@@ -141,7 +140,7 @@
         ["h001", "h003"].map(|host| counts.get(host).copied().unwrap_or(0))
     };
     let drain = |name: &str| vec![delta(&[draining(name, 1)])];
-    assert_eq!(count(harness.handle(drain("h001"))), [1, 0], "nobody is on the way: at once");
+    assert_eq!(count(harness.handle(drain("h001"))), [1, 0], "sent at once without recent joins");
 
     for part in 0..10 {
         count(harness.handle(join_by_turns(1 + part * 120..121 + part * 120)));
@@ -151,51 +150,51 @@
         }
     }
 
-    assert_eq!(count(vec![]), [1, 1], "more are on the way");
-    assert_eq!(count(harness.advance(600.0)), [2, 2], "all are here");
-    assert_eq!(count(harness.advance(2000.0)), [2, 2], "notified once more");
+    assert_eq!(count(vec![]), [1, 1], "the burst of joins is not over");
+    assert_eq!(count(harness.advance(600.0)), [2, 2], "repeated after the burst");
+    assert_eq!(count(harness.advance(2000.0)), [2, 2], "repeated only once");
 }
 
-/// herd+mass, seed 13: a second wave of proxies came behind drains that the first had been told of. Told again, they
-/// took the whole window, and the next ten drains went out behind them, two seconds late.
+/// Guards against repeating withdrawals for a few late joiners: the repeats would fill the window and delay later
+/// drains.
 #[test]
-fn a_few_that_join_after_drains_are_bound_first_and_nobody_is_notified_again() {
+fn few_late_joiners_are_bound_first_without_repeated_withdrawals() {
     let mut harness = with_channel(20_000.0, 200);
     harness.handle(join_by_turns(0..PROXIES));
     harness.advance(500.0);
     let waiting: Vec<ProxyId> = (0..PROXIES).filter(|proxy| !is_bound(&harness, *proxy)).collect();
     assert!(waiting.len() > 600);
 
-    let actions = harness.handle(vec![drain_all(&fleet(200)[..20])]);
+    let actions = harness.handle(vec![drain_hosts(&fleet(200)[..20])]);
     assert_eq!(withdrawals(&actions).len(), 20);
     harness.handle(join_by_turns(2000..2100));
     let repeated = withdrawals(&harness.advance(1000.0)).len();
-    assert_eq!(repeated, 0, "binding a hundred takes less than notifying seven hundred again");
+    assert_eq!(repeated, 0, "binding 100 proxies costs less than repeats to 700");
 
-    // As the channel empties, they are the first.
+    // As the channel drains, the late joiners are bound first.
     let all: Vec<ProxyId> = (0..PROXIES).chain(2000..2100).collect();
     while (2000..2100).any(|proxy| !is_bound(&harness, proxy)) {
         let before = harness.bindings.len();
         harness.acknowledge(&all);
         harness.advance(250.0);
-        assert!(harness.bindings.len() > before, "binds go on");
+        assert!(harness.bindings.len() > before, "no bind was sent");
     }
     let left = waiting.iter().filter(|proxy| !is_bound(&harness, **proxy)).count();
-    assert!(left > 300, "of those who knew, {left} still wait");
+    assert!(left > 300, "only {left} of the earlier proxies still await their bind");
 }
 
-/// What nobody was told of yet goes before what goes out again, also where the window holds only a part of both.
+/// Guards against repeats that fill the window before new withdrawals are sent.
 #[test]
-fn a_new_drain_is_sent_before_those_that_are_repeated() {
+fn new_withdrawals_are_sent_before_repeated_ones() {
     let mut harness = with_channel(14_000.0, 200);
     harness.handle(vec![join(0, 0)]);
-    harness.handle(vec![drain_all(&fleet(200)[..60])]);
+    harness.handle(vec![drain_hosts(&fleet(200)[..60])]);
     harness.handle(join_by_turns(1..PROXIES));
     harness.now += 400.0;
 
-    let order = withdrawals(&harness.handle(vec![drain_all(&fleet(200)[150..160])]));
+    let order = withdrawals(&harness.handle(vec![drain_hosts(&fleet(200)[150..160])]));
 
     let new: Vec<String> = (150..160).map(|k| format!("h{k:03}")).collect();
     assert_eq!(order[..10], new, "of {} in this batch", order.len());
-    assert!((11..70).contains(&order.len()), "some are repeated, as far as the window goes: {}", order.len());
+    assert!((11..70).contains(&order.len()), "some repeats fit the window: {}", order.len());
 }
--- a/crates/shared/policy/tests/policy_size.rs
+++ b/crates/shared/policy/tests/policy_size.rs
@@ -1,9 +1,9 @@
-//! The decision module stays small enough to be read at one sitting.
+//! Enforces the size limits of the policy files that the deployment lists.
 
 use std::path::Path;
 
 #[test]
-fn policy_files_keep_to_their_limits() {
+fn policy_files_stay_within_size_limits() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../..");
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).expect("the deploy file");
     let policy = deploy.lines().find(|l| l.starts_with("policy")).expect("a policy line");
--- a/crates/shared/policy/tests/pools.rs
+++ b/crates/shared/policy/tests/pools.rs
@@ -1,4 +1,4 @@
-//! Large fleets: pools of hosts, and how proxies are assigned to them.
+//! Assignment of hosts and proxies to pools in large fleets.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use rushcourse_policy::interface::{Action, HostEntry, ProxyId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The hosts that tables of some proxies name, each table being small.
+/// Hosts in the tables of the given proxies. Asserts that each table has fewer than 30 hosts.
 fn reached_hosts(harness: &Harness, proxies: std::ops::Range<ProxyId>) -> BTreeSet<String> {
     let mut reached = BTreeSet::new();
     for proxy in proxies {
@@ -20,7 +20,7 @@
     reached
 }
 
-/// What proxies bring to each host: their rate by the weights of their table.
+/// Load of each host when proxies distribute their rates by the weights of their tables.
 fn loads(harness: &Harness, rates: &BTreeMap<ProxyId, f64>) -> BTreeMap<String, f64> {
     let mut loads = BTreeMap::new();
     for (proxy, rate) in rates {
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn large_fleets_are_assigned_to_pools_of_under_thirty_hosts() {
+fn every_host_of_a_large_fleet_is_in_the_table_of_some_proxy() {
     let mut harness = with_fleet(settings(), 70);
     harness.handle((0..6).map(|proxy| join(proxy, 0)).collect());
-    assert_eq!(reached_hosts(&harness, 0..6).len(), 70, "every host serves somebody");
+    assert_eq!(reached_hosts(&harness, 0..6).len(), 70, "every host is in some table");
 }
 
 #[test]
-fn a_large_fleet_is_split_into_tables_under_thirty_that_reach_every_host() {
+fn tables_of_both_zones_together_contain_every_host() {
     let mut harness = with_fleet(settings(), 100);
     harness.handle(join_by_turns(0..60));
     assert_eq!(reached_hosts(&harness, 0..60).len(), 100);
@@ -50,7 +50,7 @@
 #[test]
 fn proxies_are_assigned_to_pools_by_their_traffic() {
     let mut harness = with_fleet(settings(), 96);
-    // One proxy in six brings ten times as much as the others, and their numbers fall on the same pools.
+    // Every sixth proxy has ten times the rate of the others; assignment by proxy number would put these together.
     let rate = |proxy: ProxyId| if proxy.is_multiple_of(6) { 20.0 } else { 2.0 };
     let rates: BTreeMap<ProxyId, f64> = (0..96).map(|proxy| (proxy, rate(proxy))).collect();
 
@@ -59,13 +59,13 @@
     }
 
     let loads = loads(&harness, &rates);
-    let most = loads.values().copied().fold(0.0, f64::max);
+    let max_load = loads.values().copied().fold(0.0, f64::max);
     let mean = loads.values().sum::<f64>() / loads.len() as f64;
-    assert!(most < 1.6 * mean, "the fullest host gets {:.2} times the mean", most / mean);
+    assert!(max_load < 1.6 * mean, "the fullest host gets {:.2} times the mean", max_load / mean);
 }
 
 #[test]
-fn a_fleet_that_grows_gets_more_pools_and_proxies_move_to_them() {
+fn growing_fleet_gets_more_pools_and_proxies_move_to_them() {
     let all: Vec<ProxyId> = (0..40).collect();
     let mut harness = with_fleet(settings(), 24);
     harness.handle(join_by_turns(0..40));
@@ -80,12 +80,12 @@
         }
     }
 
-    assert_eq!(reached_hosts(&harness, 0..40).len(), 72, "every host is in somebody's table");
+    assert_eq!(reached_hosts(&harness, 0..40).len(), 72, "every host is in some table");
 }
 
 #[test]
-fn a_table_that_binds_wait_for_is_not_cleared() {
-    // Nothing is acknowledged yet, so binds to the pools of a grown fleet wait; each waits for the same table.
+fn table_with_waiting_binds_is_not_cleared() {
+    // Without acknowledgements, binds to the new pools have to wait, and must not cause new tables every round.
     let mut harness = with_fleet(settings(), 24);
     harness.handle(join_by_turns(0..12));
 
@@ -103,11 +103,11 @@
 }
 
 #[test]
-fn a_class_bound_to_a_zone_with_few_hosts_left_gets_all_of_them() {
+fn zone_bound_class_uses_all_hosts_of_a_zone_with_few_left() {
     let mut harness = with_fleet(zone_bound_settings(), 96);
     harness.handle(join_by_turns(0..40));
 
-    // All but two hosts of the first zone go.
+    // All but two hosts of zone 0 terminate.
     let first_zone = fleet(96).into_iter().filter(|entry| entry.zone == 0);
     let ended: Vec<HostEntry> = first_zone.skip(2).map(|entry| gone(&entry.host, 0)).collect();
     harness.handle(vec![delta(&ended)]);
@@ -115,16 +115,16 @@
     for proxy in (0..40).step_by(2) {
         let weights = &harness.tables[&harness.bindings[&(proxy, 2)]];
         let left = weights.keys().filter(|host| *host == "h000" || *host == "h002").count();
-        assert!(left > 0, "proxy {proxy} is left without a host for the bound class");
+        assert!(left > 0, "proxy {proxy} has no host for the zone-bound class");
     }
 }
 
 #[test]
-fn a_bound_class_with_only_warming_hosts_in_its_pool_gets_the_zones_warm_ones() {
+fn zone_bound_class_uses_warm_hosts_of_other_pools() {
     let mut harness = with_fleet(zone_bound_settings(), 48);
     harness.handle((0..8).map(|proxy| join(proxy, 0)).collect());
 
-    // A release takes the hosts of the first proxy's pool in its zone by halves; the successors are warming.
+    // A release replaces the hosts of the first proxy's pool in two halves; the replacements are still warming.
     let old: Vec<String> = harness.tables[&harness.bindings[&(0, 2)]].keys().cloned().collect();
     let (first, second) = old.split_at(old.len() / 2);
     let drain = |hosts: &[String]| hosts.iter().map(|host| draining(host, 0)).collect::<Vec<_>>();
--- a/crates/shared/policy/tests/properties/observer.rs
+++ b/crates/shared/policy/tests/properties/observer.rs
@@ -1,11 +1,11 @@
-//! A fair observer: it knows the list, who joined, what each table and proxy was sent, and what still waits.
+//! Independent record of the host list, the proxies and the sent updates, and the invariants over them.
 
 use rushcourse_policy::interface::{
     AckNumber, Action, Channel, HostEntry, Ms, ProxyId, Readiness, RetryPolicy, Settings, TableId, ZoneId,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A message in the channel.
+/// A message in the shared channel's queue.
 #[derive(Clone, Copy)]
 pub struct Message {
     pub proxy: ProxyId,
@@ -16,14 +16,14 @@
 pub struct Observer {
     settings: Settings,
     pub hosts: BTreeMap<String, HostEntry>,
-    /// When each host was last listed with something new.
+    /// Time of each host's last restart or change of readiness, as listed.
     known_since: BTreeMap<String, Ms>,
     pub joined: BTreeMap<ProxyId, ZoneId>,
     tables: BTreeMap<TableId, BTreeMap<String, f64>>,
     bindings: BTreeMap<ProxyId, TableId>,
     withdrawn: BTreeSet<String>,
     message_times: BTreeMap<ProxyId, VecDeque<Ms>>,
-    /// The channel, in order.
+    /// Queue of the shared channel, oldest message first.
     pub queue: VecDeque<Message>,
 }
 
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether a proxy was joined until now.
+    /// Removes a proxy and returns whether it was joined.
     pub fn leave(&mut self, proxy: ProxyId) -> bool {
         let was_joined = self.joined.remove(&proxy).is_some();
         if was_joined {
@@ -63,7 +63,7 @@
         was_joined
     }
 
-    /// Takes note of a batch.
+    /// Records the actions of a batch, queues its messages and checks the queue limit.
     pub fn record(&mut self, now: Ms, actions: &[Action]) {
         let mut lines: BTreeMap<ProxyId, f64> = BTreeMap::new();
         for action in actions {
@@ -73,14 +73,18 @@
             Action::RequestAck { ack_number } => Some(*ack_number),
             _ => None,
         });
-        assert_eq!(ack_number.is_some(), !lines.is_empty(), "messages and acknowledgements go together");
+        assert_eq!(
+            ack_number.is_some(),
+            !lines.is_empty(),
+            "each batch with messages requests acknowledgements"
+        );
         for (proxy, lines) in lines {
             let lines = lines + self.settings.channel.lines_per_message + 1.0;
-            self.queue.push_back(Message { proxy, ack_number: ack_number.expect("asked for"), lines });
+            self.queue.push_back(Message { proxy, ack_number: ack_number.expect("requested"), lines });
             self.record_message(now, proxy);
         }
         let waiting = self.waiting_lines();
-        assert!(waiting <= self.settings.channel.max_queued_lines, "{waiting} lines wait");
+        assert!(waiting <= self.settings.channel.max_queued_lines, "{waiting} queued lines");
     }
 
     fn record_action(&mut self, action: &Action, lines: &mut BTreeMap<ProxyId, f64>) {
@@ -138,13 +142,12 @@
         assert!(cap == 0 || times.len() <= cap, "{} messages to proxy {proxy}", times.len());
     }
 
-    /// Proxies that are bound to a table.
     fn users(&self, table: TableId) -> Vec<ProxyId> {
         let bound = self.bindings.iter().filter(|(_, bound)| **bound == table);
         bound.map(|(proxy, _)| *proxy).collect()
     }
 
-    /// Proxies that may hold a host. Who joined and awaits its bind holds endpoints that nobody knows: it is told too.
+    /// Proxies that may hold a host. Proxies without a bind count as holders, because their endpoints are unknown.
     fn holders(&self, host: &str) -> Vec<ProxyId> {
         let names =
             |table: &TableId| self.tables.get(table).is_some_and(|weights| weights.contains_key(host));
@@ -164,7 +167,7 @@
         self.is_ready(host) && !self.withdrawn.contains(host)
     }
 
-    /// What must hold after every batch.
+    /// Checks the invariants on withdrawals, table sizes, live hosts per proxy and slow start.
     pub fn check(&self, now: Ms) {
         self.check_withdrawals(now);
         for (proxy, table) in &self.bindings {
@@ -177,14 +180,13 @@
         }
     }
 
-    /// Messages to a proxy are limited.
     fn is_capped(&self) -> bool {
         self.settings.channel.max_messages > 0
     }
 
-    /// Nobody sends to a host that is not ready.
+    /// Asserts that hosts that are not ready are withdrawn or in no table, at the latest after the grace period.
     fn check_withdrawals(&self, now: Ms) {
-        // A message cap may space withdrawals out, well within the grace; else they go in the same batch.
+        // A message cap may delay withdrawals within the grace period; otherwise they are sent at once.
         let grace = if self.is_capped() { self.settings.hosts.drain_grace * 0.9 } else { 0.0 };
         let binds = |host: &String| {
             !self.settings.hosts.may_keep_unlisted || self.hosts[host].readiness == Readiness::Draining
@@ -196,7 +198,8 @@
         }
     }
 
-    /// A host that has just started gets a small part of a table whose others are warm, if the channel has room.
+    /// Asserts that a host started less than 1 s ago has a small share of a mostly warm table. Skipped if a cap or a
+    /// full channel may delay updates.
     fn check_slow_start(&self, now: Ms, weights: &BTreeMap<String, f64>) {
         let has_room = self.waiting_lines() < 0.5 * self.settings.channel.max_queued_lines;
         if self.is_capped() || !has_room {
@@ -209,7 +212,7 @@
         for (host, weight) in live().filter(|(host, _)| !is_warm(host)) {
             let (age, known) = (now - self.hosts[host].started_at, now - self.known_since[host]);
             if age < 1000.0 && known < 1000.0 && warm > 0.6 * total {
-                // A tenth of its weight, which may be twice that of the few others.
+                // A tenth of its weight, which may be twice the weight of the others.
                 let part = weight / total;
                 assert!(part <= 0.2, "{host} is {age} ms old and has {part} of its table");
             }
--- a/crates/shared/policy/tests/properties/random_play.rs
+++ b/crates/shared/policy/tests/properties/random_scenario.rs
@@ -1,4 +1,4 @@
-//! Random events for two directors of the same settings, and the channel between them and their proxies.
+//! Random events for two identical directors, with a simulated channel to their proxies.
 
 use crate::common::{
     ROUND_TIMER, acknowledged, cached_list, delta, host, host_report, join_with_rate, left, round_timer,
@@ -10,48 +10,49 @@
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{Action, Channel, Event, HostEntry, Ms, Readiness, Settings};
 
-/// Time between two steps.
+/// Simulated time between two steps.
 const STEP: Ms = 40.0;
 
-/// How large a fleet is played, and whether it grows and its list is wrong for a while.
+/// Size of the simulated fleet and length of the scenario.
 #[derive(Clone, Copy)]
 pub struct Scale {
     pub hosts: usize,
-    /// Hosts that may start later.
+    /// Number of additional hosts that may start later.
     pub spare: usize,
     pub proxies: u32,
     pub steps: usize,
+    /// Whether the fleet grows and its host list is temporarily wrong.
     pub grows: bool,
 }
 
-/// How fast things go.
+/// Speed of the channel and rate of changes.
 #[derive(Clone, Copy)]
 pub struct Pace {
-    /// What the channel carries, as a part of what its settings say.
+    /// Channel speed as a fraction of the configured throughput.
     pub channel: f64,
-    /// Of a hundred steps, those in which a host changes; twice as many in which a proxy joins or leaves.
+    /// Percentage of steps in which a host changes; proxies join or leave in twice as many.
     pub changes: i32,
 }
 
-/// Plays random events; answers the actions of each batch.
-pub fn play(scale: Scale, seed: u64, settings: Settings, pace: Pace) -> Vec<Vec<Action>> {
-    let mut play = RandomPlay::new(scale, seed, settings.clone(), pace);
-    let (mut director, mut twin) = (Director::new(settings.clone()), Director::new(settings));
+/// Runs a random scenario and returns the actions of each batch. Asserts that both directors act alike.
+pub fn run_scenario(scale: Scale, seed: u64, settings: Settings, pace: Pace) -> Vec<Vec<Action>> {
+    let mut scenario = RandomScenario::new(scale, seed, settings.clone(), pace);
+    let (mut director, mut replica) = (Director::new(settings.clone()), Director::new(settings));
     let mut batches = Vec::new();
     for step in 0..scale.steps {
-        let events = play.step(step);
+        let events = scenario.step(step);
         if events.is_empty() {
             continue;
         }
-        let actions = director.handle(play.now, events.clone());
-        assert_eq!(actions, twin.handle(play.now, events), "the same events, other actions");
-        play.take(&actions);
+        let actions = director.handle(scenario.now, events.clone());
+        assert_eq!(actions, replica.handle(scenario.now, events), "same events, different actions");
+        scenario.apply(&actions);
         batches.push(actions);
     }
     batches
 }
 
-struct RandomPlay {
+struct RandomScenario {
     scale: Scale,
     pace: Pace,
     lines_per_second: f64,
@@ -60,9 +61,9 @@
     next_round: Ms,
     first_list: Vec<HostEntry>,
     observer: Observer,
-    /// Lines that the channel has carried beyond the messages that have left.
-    carried: f64,
-    /// Acknowledgements that are on their way, and when they arrive.
+    /// Lines that the channel may send in addition to the messages that it has already sent.
+    line_credit: f64,
+    /// Acknowledgements in transit, with their arrival times.
     acknowledgements: Vec<(Ms, Event)>,
 }
 
@@ -70,12 +71,12 @@
     format!("h{host:02}")
 }
 
-impl RandomPlay {
-    fn new(scale: Scale, seed: u64, settings: Settings, pace: Pace) -> RandomPlay {
+impl RandomScenario {
+    fn new(scale: Scale, seed: u64, settings: Settings, pace: Pace) -> RandomScenario {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let mut first_list: Vec<HostEntry> = (0..scale.hosts).map(|k| host(&name(k), k % 2)).collect();
         first_list.iter_mut().for_each(|entry| entry.weight = rng.random_range(0.5..2.0));
-        RandomPlay {
+        RandomScenario {
             scale,
             pace,
             lines_per_second: settings.channel.lines_per_second,
@@ -84,12 +85,12 @@
             next_round: 0.0,
             first_list,
             observer: Observer::new(settings),
-            carried: 0.0,
+            line_credit: 0.0,
             acknowledgements: Vec::new(),
         }
     }
 
-    /// The events of the next step.
+    /// Advances the clock by one step and returns its events.
     fn step(&mut self, step: usize) -> Vec<Event> {
         self.now += STEP;
         let mut events = Vec::new();
@@ -99,23 +100,23 @@
         }
         let changes = self.pace.changes;
         match self.rng.random_range(0..100) {
-            draw if draw < changes => listed.push(self.changed_host()),
-            draw if draw < 3 * changes => events.push(self.join_or_leave()),
+            roll if roll < changes => listed.push(self.changed_host()),
+            roll if roll < 3 * changes => events.push(self.join_or_leave()),
             12..40 => events.extend(self.report()),
             _ => {}
         }
         if self.scale.grows {
-            events.extend(self.growth(step, &mut listed));
+            events.extend(self.scripted_events(step, &mut listed));
         }
         if !listed.is_empty() {
             self.observer.list(self.now, &listed);
             events.push(if step == 0 { cached_list(&listed) } else { delta(&listed) });
         }
-        events.extend(self.carry());
+        events.extend(self.transmit());
         events
     }
 
-    /// A host restarts, or drains or ends while enough others are ready.
+    /// A random host that restarts or, if enough others are ready, drains or terminates.
     fn changed_host(&mut self) -> HostEntry {
         let name = name(self.rng.random_range(0..self.scale.hosts + self.scale.spare));
         let new = host(&name, self.rng.random_range(0..2));
@@ -132,9 +133,8 @@
     fn join_or_leave(&mut self) -> Event {
         let proxy = self.rng.random_range(0..self.scale.proxies);
         if self.observer.leave(proxy) {
-            let is_its =
-                |event: &Event| matches!(event, Event::Acknowledged { proxy: of, .. } if *of == proxy);
-            self.acknowledgements.retain(|(_, event)| !is_its(event));
+            let is_from_proxy = |event: &Event| matches!(event, Event::Acknowledged { proxy: sender, .. } if *sender == proxy);
+            self.acknowledgements.retain(|(_, event)| !is_from_proxy(event));
             return left(proxy);
         }
         let zone = self.rng.random_range(0..2);
@@ -143,7 +143,7 @@
         Event::ProxyJoined { proxy, zone, rate: 4.0, is_fresh, channel: Channel::Shared }
     }
 
-    /// What proxies of a zone observed at a host, and what came to one of them.
+    /// Random reports about a host and about the traffic of a proxy.
     fn report(&mut self) -> [Event; 2] {
         let name = name(self.rng.random_range(0..self.scale.hosts + self.scale.spare));
         let attempts = f64::from(self.rng.random_range(1..12));
@@ -152,9 +152,9 @@
         [host_report(zone, &name, attempts, failed, latency), traffic(0, 0, attempts)]
     }
 
-    /// All proxies join and the fleet doubles; later most of it is called gone for a while, and is back with the starts
-    /// it had.
-    fn growth(&mut self, step: usize, listed: &mut Vec<HostEntry>) -> Vec<Event> {
+    /// Events at fixed steps: all proxies join, the spare hosts start, and later most hosts are temporarily listed as
+    /// gone and return with unchanged start times.
+    fn scripted_events(&mut self, step: usize, listed: &mut Vec<HostEntry>) -> Vec<Event> {
         let Scale { hosts, spare, proxies, .. } = self.scale;
         match step {
             20 => return (0..proxies).filter_map(|proxy| self.join_if_absent(proxy)).collect(),
@@ -180,13 +180,14 @@
         is_absent.then(|| join_with_rate(proxy, zone, rate))
     }
 
-    /// The channel sends at its pace, and acknowledgements arrive; a tenth of them never come.
-    fn carry(&mut self) -> Vec<Event> {
-        self.carried += self.pace.channel * self.lines_per_second * 0.04;
+    /// Sends queued messages at the channel's speed and returns the acknowledgements that arrive. A tenth of them are
+    /// lost.
+    fn transmit(&mut self) -> Vec<Event> {
+        self.line_credit += self.pace.channel * self.lines_per_second * 0.04;
         while let Some(message) = self.observer.queue.front().copied()
-            && message.lines <= self.carried
+            && message.lines <= self.line_credit
         {
-            self.carried -= message.lines;
+            self.line_credit -= message.lines;
             self.observer.queue.pop_front();
             if self.observer.joined.contains_key(&message.proxy) && self.rng.random_bool(0.9) {
                 let at = self.now + self.rng.random_range(50.0..500.0);
@@ -194,14 +195,14 @@
             }
         }
         if self.observer.queue.is_empty() {
-            self.carried = 0.0;
+            self.line_credit = 0.0;
         }
         let now = self.now;
         self.acknowledgements.extract_if(.., |(at, _)| *at <= now).map(|(_, event)| event).collect()
     }
 
-    /// Takes what came of a step.
-    fn take(&mut self, actions: &[Action]) {
+    /// Applies the actions of a step and checks the invariants.
+    fn apply(&mut self, actions: &[Action]) {
         for action in actions {
             if let Action::StartTimer { token, at } = action {
                 assert!(token == ROUND_TIMER && *at > self.now);
--- a/crates/shared/policy/tests/mechanism.rs
+++ b/crates/shared/policy/tests/table_updates.rs
@@ -1,4 +1,4 @@
-//! The design's mechanism, seen from its actions: tables, binds, acknowledgements, the check, the fallback, slow start.
+//! Table updates: binds, acknowledgements, the safety check, the fallback and slow start.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{Action, Channel, Event, HostEntry, Settings};
 
-/// Hosts that these actions remove from a table.
+/// Hosts that the actions remove from a table.
 fn removals(actions: &[Action]) -> Vec<String> {
     let removed = actions.iter().filter_map(|action| match action {
         Action::SetEndpoint { host, weight, .. } if *weight == 0.0 => Some(host.to_string()),
@@ -18,7 +18,7 @@
     removed.collect()
 }
 
-/// Two hosts of the first zone.
+/// A director with two hosts in zone 0 and no proxies.
 fn with_two_hosts(settings: Settings) -> Harness {
     let mut harness = Harness::new(settings);
     harness.handle(vec![cached_list(&[host("a1", 0), host("a2", 0)])]);
@@ -26,21 +26,23 @@
 }
 
 #[test]
-fn a_joining_proxy_is_bound_at_once_to_a_filled_table_and_asked_to_acknowledge() {
+fn joining_proxy_is_bound_at_once_to_a_filled_table() {
     let mut harness = Harness::new(settings());
     harness.handle(vec![cached_list(&[host("a1", 0), host("b1", 1)])]);
 
     let actions = harness.handle(vec![join(1, 0)]);
 
-    let place = |is_wanted: &dyn Fn(&Action) -> bool| actions.iter().position(is_wanted).expect("ordered");
-    let filled = place(&|action| matches!(action, Action::SetEndpoint { .. }));
-    let bound = place(&|action| matches!(action, Action::BindProxy { proxy: 1, classes: 0, .. }));
-    let asked = place(&|action| matches!(action, Action::RequestAck { .. }));
-    assert!(filled < bound && bound < asked);
+    let position_of = |matches_action: &dyn Fn(&Action) -> bool| {
+        actions.iter().position(matches_action).expect("no such action")
+    };
+    let filled = position_of(&|action| matches!(action, Action::SetEndpoint { .. }));
+    let bound = position_of(&|action| matches!(action, Action::BindProxy { proxy: 1, classes: 0, .. }));
+    let ack_requested = position_of(&|action| matches!(action, Action::RequestAck { .. }));
+    assert!(filled < bound && bound < ack_requested);
     let weights = harness.weights(1);
     assert!(
         weights["a1"] > weights["b1"] && weights["b1"] > 0.0,
-        "its zone first, the other kept for its loss"
+        "hosts of the other zone get a small weight"
     );
 }
 
@@ -53,7 +55,7 @@
 }
 
 #[test]
-fn a_zone_bound_class_gets_hosts_of_the_proxys_zone_only() {
+fn zone_bound_class_uses_only_hosts_of_the_proxys_zone() {
     let mut harness = Harness::new(zone_bound_settings());
     harness.handle(vec![cached_list(&[host("a1", 0), host("b1", 1)])]);
     harness.handle(vec![join(1, 0)]);
@@ -63,7 +65,7 @@
 }
 
 #[test]
-fn a_draining_host_is_withdrawn_in_the_same_batch_and_its_endpoint_leaves_later() {
+fn draining_host_is_withdrawn_at_once_and_removed_later() {
     let mut harness = settled();
     let actions = harness.handle(vec![delta(&[draining("a1", 0)])]);
     assert!(withdraws(&actions, "a1", Channel::Shared));
@@ -72,7 +74,7 @@
 }
 
 #[test]
-fn a_host_missing_from_a_full_list_is_withdrawn() {
+fn host_missing_from_a_full_list_is_withdrawn() {
     let mut harness = settled();
     let rest: Vec<HostEntry> = ["a1", "a2", "a3", "b1", "b2"].map(|name| host(name, 0)).to_vec();
     let actions = harness.handle(vec![full_list(&rest)]);
@@ -80,7 +82,7 @@
 }
 
 #[test]
-fn a_removal_waits_until_another_endpoint_is_certain() {
+fn removal_waits_until_another_endpoint_is_certain() {
     let mut harness = with_two_hosts(settings());
     harness.handle(vec![join(1, 0)]);
 
@@ -88,11 +90,11 @@
 
     assert!(removals(&harness.advance(1500.0)).is_empty(), "a2 is not acknowledged yet");
     harness.acknowledge(&[1]);
-    assert_eq!(removals(&harness.advance(500.0)), ["a1"], "the acknowledgement lets it pass");
+    assert_eq!(removals(&harness.advance(500.0)), ["a1"], "a2 is acknowledged");
 }
 
 #[test]
-fn an_unacknowledged_endpoint_turns_certain_by_the_timeout_not_sooner() {
+fn unacknowledged_endpoint_becomes_certain_after_the_timeout() {
     let mut harness = with_two_hosts(settings_with(|s| s.fleet.zones = 1));
     harness.handle(vec![join(1, 0)]);
     harness.advance(1600.0);
@@ -102,7 +104,7 @@
 }
 
 #[test]
-fn a_removal_that_cannot_pass_is_done_by_a_fresh_table() {
+fn blocked_removal_falls_back_to_a_new_table() {
     let mut harness = with_two_hosts(settings());
     harness.handle(vec![join(1, 0)]);
     let old = harness.bindings[&(1, 0)];
@@ -114,11 +116,11 @@
 
     assert_ne!(harness.bindings[&(1, 0)], old);
     assert_eq!(harness.weights(1).keys().collect::<Vec<_>>(), ["a2"]);
-    assert!(!harness.tables.contains_key(&old), "nobody is on the old table: cleared");
+    assert!(!harness.tables.contains_key(&old), "the unused table is cleared");
 }
 
 #[test]
-fn an_endpoint_comes_back_only_when_its_removal_is_certain() {
+fn endpoint_is_added_again_only_after_its_removal_is_complete() {
     let mut harness = settled();
     harness.handle(vec![delta(&[gone("a1", 0)])]);
     harness.advance(500.0);
@@ -127,13 +129,13 @@
     harness.handle(vec![delta(&[started("a1", 0, harness.now)])]);
 
     harness.advance(700.0);
-    assert!(!harness.weights(1).contains_key("a1"), "its removal was acknowledged, but its delay runs");
+    assert!(!harness.weights(1).contains_key("a1"), "the removal delay has not passed");
     harness.advance(700.0);
     assert!(harness.weights(1).contains_key("a1"));
 }
 
 #[test]
-fn a_started_host_enters_at_a_tenth_and_rises_by_steps() {
+fn started_host_begins_at_a_tenth_and_rises_in_steps() {
     let mut harness = settled();
     harness.handle(vec![delta(&[started("a4", 0, harness.now)])]);
     harness.advance(500.0);
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn a_warming_host_gets_its_part_of_a_full_table_when_most_others_are_out() {
+fn warming_host_is_not_overloaded_when_most_others_are_gone() {
     let mut harness = settled();
     harness.handle(vec![delta(&["a1", "a2", "b1", "b2"].map(|name| gone(name, 0)))]);
     harness.handle(vec![delta(&["c1", "c2", "c3", "c4"].map(|name| started(name, 0, harness.now)))]);
@@ -162,7 +164,7 @@
 }
 
 #[test]
-fn a_host_restarted_under_its_name_loses_weight_in_the_same_batch() {
+fn restarted_host_loses_weight_in_the_same_batch() {
     let mut harness = settled();
     let actions = harness.handle(vec![delta(&[started("a1", 0, harness.now)])]);
     let is_cut = |action: &Action| match action {
@@ -173,7 +175,7 @@
 }
 
 #[test]
-fn a_returning_host_is_restored_only_when_its_weight_is_small() {
+fn returning_host_is_restored_with_a_small_weight() {
     let mut harness = settled();
     harness.handle(vec![delta(&[gone("a1", 0)])]);
     harness.handle(vec![delta(&[started("a1", 0, harness.now)])]);
@@ -183,7 +185,7 @@
 }
 
 #[test]
-fn a_proxy_that_left_holds_up_nothing() {
+fn departed_proxy_does_not_block_removals() {
     let mut harness = with_two_hosts(settings());
     harness.handle(vec![join(1, 0), join(2, 0)]);
     harness.handle(vec![delta(&[gone("a1", 0)])]);
@@ -196,7 +198,7 @@
 }
 
 #[test]
-fn a_proxy_from_another_director_is_bound_at_once() {
+fn proxy_from_another_director_is_bound_at_once() {
     let mut harness = settled();
     let (zone, rate, channel) = (1, 5.0, Channel::Shared);
     let actions = harness.handle(vec![Event::ProxyJoined { proxy: 9, zone, rate, is_fresh: false, channel }]);
@@ -204,21 +206,21 @@
 }
 
 #[test]
-fn a_restarted_director_starts_over_from_its_old_list() {
+fn restarted_director_recovers_from_a_cached_list() {
     let mut harness = settled();
     harness.director = Director::new(settings());
     (harness.tables, harness.bindings) = Default::default();
     harness.handle(vec![cached_list(&[host("a1", 0), host("old", 0)])]);
     let actions = harness.handle(vec![join(1, 0)]);
     let is_bind = |action: &Action| matches!(action, Action::BindProxy { .. });
-    assert!(!actions.iter().any(is_bind), "it opens later");
+    assert!(!actions.iter().any(is_bind), "no updates in the first round");
     harness.advance(300.0);
-    assert!(harness.bindings.contains_key(&(1, 0)), "a round after its start");
+    assert!(harness.bindings.contains_key(&(1, 0)), "bound a round after the start");
 
     let actions = harness.handle(vec![delta(&[gone("old", 0), host("a2", 0)])]);
 
     assert!(withdraws(&actions, "old", Channel::Shared));
-    assert!(removals(&harness.advance(1000.0)).is_empty(), "all its endpoints are uncertain");
+    assert!(removals(&harness.advance(1000.0)).is_empty(), "all endpoints are uncertain");
     harness.acknowledge(&[1]);
     harness.advance(1000.0);
     assert_eq!(harness.weights(1).keys().collect::<Vec<_>>(), ["a1", "a2"]);
--- a/crates/shared/policy/tests/unconfirmed_calls.rs
+++ b/crates/shared/policy/tests/unconfirmed_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that are late, resent, or of unknown outcome, and proxies that may have left unseen.
+//! Calls that are delayed, resent or of unknown outcome, and proxies that join again.
 
 mod common;
 
@@ -8,7 +8,7 @@
 };
 use rushcourse_policy::interface::{Action, Channel, ProxyId, Settings};
 
-/// Whether a host is removed from a proxy's table.
+/// Whether the actions remove a host from the table of a proxy.
 fn removes(harness: &Harness, proxy: ProxyId, name: &str, actions: &[Action]) -> bool {
     let bound = harness.bindings[&(proxy, 0)];
     actions.iter().any(|action| match action {
@@ -21,23 +21,23 @@
     harness.handle(vec![delta(&[draining(name, 0)])])
 }
 
-/// Whether a drain of `a1` withdraws it in the same batch.
+/// Drains `a1` and returns whether the same batch withdraws it.
 fn drain_is_withdrawn(harness: &mut Harness) -> bool {
     withdraws(&drain(harness, "a1"), "a1", Channel::Shared)
 }
 
-/// The calls of the last batch may have been carried out so many times more.
+/// Reports the last batch as unconfirmed `times` times; each time it may have run.
 fn resend(harness: &mut Harness, times: usize) {
     let ack_number = harness.ack_number();
     harness.handle((0..times).map(|_| unconfirmed(ack_number, true)).collect());
 }
 
-/// A site where a proxy gets four messages at most.
+/// Settings with a cap of four messages per proxy and window.
 fn capped() -> Settings {
     settings_with(|s| s.channel.max_messages = 4)
 }
 
-/// Binds that no proxy has acknowledged, for longer than time needs to resolve them.
+/// A director whose binds stay unacknowledged for 4 s, longer than the acknowledgement timeout.
 fn unacknowledged(is_unconfirmed: bool) -> Harness {
     let mut harness = with_proxies(settings());
     let ack_number = harness.ack_number();
@@ -51,11 +51,11 @@
 }
 
 #[test]
-fn an_endpoint_does_not_turn_certain_by_time_while_its_call_is_unconfirmed() {
+fn endpoint_of_an_unconfirmed_call_does_not_become_certain_by_timeout() {
     let mut harness = unacknowledged(false);
     drain(&mut harness, "a1");
     let actions = harness.advance(500.0);
-    assert!(removes(&harness, 1, "a1", &actions), "of a confirmed call, time resolves the binds");
+    assert!(removes(&harness, 1, "a1", &actions), "binds of a confirmed call become certain by timeout");
 
     let mut harness = unacknowledged(true);
     drain(&mut harness, "a1");
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn batches_after_an_unconfirmed_call_stay_uncertain_too() {
+fn batches_after_an_unconfirmed_call_stay_uncertain() {
     let mut harness = with_proxies(settings());
     let first = harness.ack_number();
     harness.advance(250.0);
@@ -74,40 +74,40 @@
         harness.handle(vec![unconfirmed(first, false)]);
     }
 
-    // The proxies of the first call acknowledge it; the one behind it has not.
+    // The proxies of the first call acknowledge it; proxy 3, bound by a later call, does not.
     harness.handle([1, 2].map(|proxy| acknowledged(first, proxy)).to_vec());
     drain(&mut harness, "a1");
     let actions = harness.advance(500.0);
 
     assert!(removes(&harness, 2, "a1", &actions), "proxy 2 has acknowledged");
-    assert!(!removes(&harness, 3, "a1", &actions), "proxy 3 may hold nothing else");
+    assert!(!removes(&harness, 3, "a1", &actions), "proxy 3 may hold no other endpoint");
 }
 
 #[test]
-fn a_resent_call_counts_as_another_message_to_its_proxies() {
+fn resent_call_counts_as_another_message() {
     let mut harness = with_proxies(capped());
-    assert!(drain_is_withdrawn(&mut harness), "one message was written: there is room");
+    assert!(drain_is_withdrawn(&mut harness), "one message is below the cap");
 
     let mut harness = with_proxies(capped());
     resend(&mut harness, 3);
-    assert!(!drain_is_withdrawn(&mut harness), "four may have been written: no more within the span");
+    assert!(!drain_is_withdrawn(&mut harness), "four messages may have been written");
     harness.advance(10_500.0);
-    assert!(harness.withdrawn.get("a1").is_some_and(|out| *out), "it goes out once there is room");
+    assert!(harness.withdrawn.get("a1").is_some_and(|out| *out), "sent after the message window");
 }
 
 #[test]
-fn postponed_messages_count_from_when_they_left() {
+fn postponed_messages_count_from_their_actual_send_time() {
     let mut harness = with_proxies(capped());
     harness.advance(9_000.0);
-    // The call leaves only now, as does one repeat of it.
+    // The call and its resend leave only now.
     resend(&mut harness, 2);
     resend(&mut harness, 1);
     harness.advance(2_000.0);
-    assert!(!drain_is_withdrawn(&mut harness), "the four were written two seconds ago");
+    assert!(!drain_is_withdrawn(&mut harness), "four messages were written two seconds ago");
 }
 
 #[test]
-fn a_proxy_that_joins_again_without_leaving_is_bound_anew_and_its_messages_count_on() {
+fn rejoining_proxy_is_rebound_and_keeps_its_message_count() {
     let binds = |has_left: bool| {
         let mut harness = with_proxies(settings_with(|s| s.channel.max_messages = 6));
         let ack_number = harness.ack_number();
@@ -118,18 +118,18 @@
         let actions = harness.handle(events);
         actions.iter().filter(|action| matches!(action, Action::BindProxy { .. })).count()
     };
-    assert_eq!(binds(true), 2, "a stream that is new counts from its join");
-    assert_eq!(binds(false), 0, "four of six are written: the binds wait for their turn");
+    assert_eq!(binds(true), 2, "a new stream starts with an empty count");
+    assert_eq!(binds(false), 0, "four of six messages are written");
 
     let mut harness = settled();
     let actions = harness.handle(vec![join(1, 0)]);
     let binds_it = |action: &Action| matches!(action, Action::BindProxy { proxy: 1, .. });
-    assert!(actions.iter().any(binds_it), "it may be on no table");
+    assert!(actions.iter().any(binds_it), "its table is unknown after a join");
 }
 
 #[test]
-fn one_message_of_the_cap_is_left_for_a_repeat() {
+fn one_message_of_the_cap_is_reserved_for_a_resend() {
     let mut harness = with_proxies(capped());
     resend(&mut harness, 2);
-    assert!(!drain_is_withdrawn(&mut harness), "its call may go out twice: that would be five of four");
+    assert!(!drain_is_withdrawn(&mut harness), "a resend would exceed the cap");
 }
--- a/crates/shared/tls/src/certificate.rs
+++ b/crates/shared/tls/src/certificate.rs
@@ -1,14 +1,14 @@
-//! What a certificate says of its owner. That it is of the right authority was checked when it was shown.
+//! Checks of the names in a peer certificate. The TLS handshake has already verified its chain of trust.
 
 use std::net::{IpAddr, Ipv4Addr};
 use tokio_rustls::rustls::pki_types::{CertificateDer, ServerName};
 
-/// Whether a certificate is for an address.
+/// Whether the certificate is valid for an IP address. Returns false if the certificate cannot be parsed.
 pub fn matches_ip_address(certificate: &CertificateDer<'_>, address: Ipv4Addr) -> bool {
     is_valid_for(certificate, &ServerName::from(IpAddr::from(address)))
 }
 
-/// Whether a certificate bears a DNS name.
+/// Whether the certificate is valid for a DNS name. Returns false if the name or certificate cannot be parsed.
 pub fn matches_dns_name(certificate: &CertificateDer<'_>, name: &str) -> bool {
     ServerName::try_from(name).is_ok_and(|name| is_valid_for(certificate, &name))
 }
--- a/crates/shared/tls/src/error.rs
+++ b/crates/shared/tls/src/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with TLS files.
+//! Errors of reading TLS files and building configurations from them.
 
 use std::error::Error;
 use std::fmt;
@@ -7,38 +7,38 @@
 use tokio_rustls::rustls::pki_types::pem;
 use tokio_rustls::rustls::server::VerifierBuilderError;
 
-/// A file that can't be used, or files that don't fit together.
+/// Error of building a TLS configuration from PEM files.
 #[derive(Debug)]
 pub enum TlsError {
-    /// A file can't be read, or holds no PEM section of the wanted kind.
+    /// A file cannot be read, is not valid PEM, or lacks the expected section.
     Pem {
-        /// The file.
+        /// File that was read.
         path: PathBuf,
-        /// What is wrong with it.
+        /// I/O or syntax error.
         source: pem::Error,
     },
-    /// A file holds no certificate.
+    /// A file contains no certificate.
     NoCertificate {
-        /// The file.
+        /// File that was expected to contain a certificate.
         path: PathBuf,
     },
-    /// A certificate, or the private key that goes with it, can't be used.
+    /// A CA certificate is invalid, or a private key is invalid or does not match its certificate.
     Rejected {
-        /// The file of the authorities, or of the private key.
+        /// File with the CA certificates or the private key.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Reason given by rustls.
         source: rustls::Error,
     },
-    /// No verifier can be made of the authorities.
+    /// No certificate verifier can be built from the CA certificates.
     Verifier {
-        /// The file of the authorities.
+        /// File with the CA certificates.
         path: PathBuf,
-        /// What is wrong with them.
+        /// Reason given by rustls.
         source: VerifierBuilderError,
     },
-    /// A side that checks certificates has no file of authorities.
+    /// A client configuration was requested without a file of CA certificates.
     NoAuthorities,
-    /// The provider of the cryptography supports no version of the protocol.
+    /// The crypto provider supports none of the default protocol versions.
     Protocol(rustls::Error),
 }
 
@@ -73,11 +73,11 @@
         match self {
             TlsError::Pem { path, source } => write!(f, "{}: {source}", path.display()),
             TlsError::NoCertificate { path } => {
-                write!(f, "{}: no certificate in it", path.display())
+                write!(f, "{}: contains no certificate", path.display())
             }
             TlsError::Rejected { path, source } => write!(f, "{}: {source}", path.display()),
             TlsError::Verifier { path, source } => write!(f, "{}: {source}", path.display()),
-            TlsError::NoAuthorities => write!(f, "no file of authorities"),
+            TlsError::NoAuthorities => write!(f, "no CA certificate file configured"),
             TlsError::Protocol(source) => write!(f, "{source}"),
         }
     }
--- a/crates/shared/tls/src/files.rs
+++ b/crates/shared/tls/src/files.rs
@@ -1,4 +1,4 @@
-//! Configurations for servers and clients, made of PEM files.
+//! Server and client configurations that are built from PEM files.
 
 use crate::error::TlsError;
 use std::path::{Path, PathBuf};
@@ -10,22 +10,24 @@
 use tokio_rustls::rustls::server::WebPkiClientVerifier;
 use tokio_rustls::rustls::{ClientConfig, RootCertStore, ServerConfig};
 
-/// Where the PEM files of one side are.
+/// Paths of the PEM files of one endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TlsFiles {
-    /// Its own certificate chain.
+    /// Certificate chain of this endpoint, its own certificate first.
     pub certificate: PathBuf,
-    /// The certificate's private key.
+    /// Private key of the first certificate.
     pub private_key: PathBuf,
-    /// The authorities of whom the other side must show a certificate.
+    /// CA certificates that verify the peer. Required for clients; without them, servers accept clients
+    /// without a certificate.
     pub authorities: Option<PathBuf>,
 }
 
 impl TlsFiles {
-    /// For a side that listens. Without authorities, clients show no certificate. `alpn`: the protocols that it offers.
+    /// Builds a server configuration. Client certificates are required only if `authorities` is set. `alpn` lists the
+    /// protocols to offer, in order of preference.
     ///
     /// # Errors
-    /// A file that can't be used, or a private key that is not the certificate's.
+    /// Fails if a file cannot be read or parsed, or if the private key does not match the certificate.
     pub fn server_config(&self, alpn: &[&[u8]]) -> Result<Arc<ServerConfig>, TlsError> {
         let certificates = read_certificates(&self.certificate)?;
         let provider = provider();
@@ -49,10 +51,10 @@
         Ok(Arc::new(config))
     }
 
-    /// For a side that dials and shows its own certificate.
+    /// Builds a client configuration that presents the certificate and verifies the server against `authorities`.
     ///
     /// # Errors
-    /// As for `server_config`; besides, files without authorities.
+    /// Fails for the same reasons as `server_config`, and if `authorities` is not set.
     pub fn client_config(&self) -> Result<Arc<ClientConfig>, TlsError> {
         let certificates = read_certificates(&self.certificate)?;
         let provider = provider();
--- a/crates/shared/tls/src/lib.rs
+++ b/crates/shared/tls/src/lib.rs
@@ -1,5 +1,5 @@
-//! TLS from PEM files: certificates, private keys and authorities, read and checked together. Files that can't be used
-//! change nothing: a configuration is made anew, and replaces the old one only when it is complete.
+//! TLS configurations from PEM files: certificates, private keys and CA certificates. Each call builds a new
+//! configuration, so a failed reload leaves the existing one in use.
 
 mod certificate;
 mod error;
--- a/crates/shared/tls/tests/files.rs
+++ b/crates/shared/tls/tests/files.rs
@@ -1,9 +1,9 @@
-//! Files that can't be used are named, with what is wrong with them.
+//! Errors of unusable PEM files name the file and the cause.
 
 use rushcourse_tls::{TlsError, TlsFiles};
 use std::path::{Path, PathBuf};
 
-/// A file of this test's own.
+/// Writes a file into the temporary directory of this test target.
 fn file(name: &str, text: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).expect("a file");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_file_that_is_not_there_is_named() {
+fn missing_file_is_named_in_the_error() {
     let error = files(Path::new("/nowhere/server.pem"))
         .server_config(&[])
         .expect_err("no file");
@@ -31,12 +31,12 @@
 }
 
 #[test]
-fn a_file_without_a_certificate_is_named() {
+fn file_without_certificate_is_named_in_the_error() {
     let path = file("no-certificate.pem", "nothing\n");
     let error = files(&path).server_config(&[]).expect_err("no certificate");
     assert!(matches!(error, TlsError::NoCertificate { .. }), "{error:?}");
     assert_eq!(
         error.to_string(),
-        format!("{}: no certificate in it", path.display())
+        format!("{}: contains no certificate", path.display())
     );
 }
