--- a/crates/gateway/controller/src/contact.rs
+++ b/crates/gateway/controller/src/contact.rs
@@ -5,7 +5,7 @@
 use crate::controller::Controller;
 use crate::probes::{FinishedProbe, ProbePurpose};
 use rushcourse_cluster as cluster;
-use rushcourse_consensus::Outcome;
+use rushcourse_consensus::CallOutcome;
 use rushcourse_messages::Message;
 use rushcourse_types::Epoch;
 
@@ -18,7 +18,7 @@
     /// A turn of the event loop, before anything that waited is handled. A process that stood still may not know what
     /// became of its sessions, so a majority is asked anew.
     pub(crate) fn check_for_stall(&mut self) {
-        if self.contact.record_turn(self.clock.now()) {
+        if self.contact.record_iteration(self.clock.now()) {
             log::info!("event=stalled");
             self.step_cluster(cluster::Input::Stalled);
             self.confirm_contact();
@@ -92,7 +92,7 @@
             }
             ProbePurpose::OperatorRequest(ticket) => {
                 if !is_confirmed {
-                    self.pending_requests.respond(ticket, Outcome::Unknown);
+                    self.pending_requests.respond(ticket, CallOutcome::Unknown);
                 }
             }
         }
