--- a/crates/shared/policy/src/scheduler.rs
+++ b/crates/shared/policy/src/scheduler.rs
@@ -70,7 +70,7 @@
         let awaiting = if is_quiet { self.joins_awaiting_bind() } else { Vec::new() };
         let mut repeat = self.hosts.missed_withdrawals(&awaiting, last_join_at, max_age);
         let late_joiners = awaiting.iter().filter(|join| **join > repeat.first_join).count() as f64;
-        let repeated_lines = self.expected_withdrawal_lines(repeat.orders) * (awaiting.len() as f64);
+        let repeated_lines = self.expected_withdrawal_lines(repeat.withdrawals) * (awaiting.len() as f64);
         repeat.is_due = repeated_lines < self.mean_bind_lines() * late_joiners;
         repeat
     }
--- a/crates/shared/policy/src/state/hosts.rs
+++ b/crates/shared/policy/src/state/hosts.rs
@@ -113,13 +113,13 @@
             max_age,
             last_join,
             first_join: usize::MAX,
-            orders: 0,
+            withdrawals: 0,
             is_due: false,
         };
         let missed = self.by_id.values().filter(|host| !host.is_ready() && none.is_missed(host));
         let joins: Vec<usize> = missed.map(|host| host.last_withdrawal.join_count).collect();
         let first_join = joins.iter().copied().min().unwrap_or(usize::MAX);
-        WithdrawalRepeat { first_join, orders: joins.len(), ..none }
+        WithdrawalRepeat { first_join, withdrawals: joins.len(), ..none }
     }
 }
 
@@ -148,7 +148,7 @@
     /// Join count at the earliest missed withdrawal, or `usize::MAX` if there is none.
     pub first_join: usize,
     /// Number of missed withdrawals.
-    pub orders: usize,
+    pub withdrawals: usize,
     /// Whether the missed withdrawals are to be sent again.
     pub is_due: bool,
 }
@@ -160,8 +160,8 @@
     }
 
     fn is_missed(&self, host: &ListedHost) -> bool {
-        let order = &host.last_withdrawal;
-        let is_recent = self.last_join_at - order.at < self.max_age;
-        host.is_withdrawn(Channel::Shared) && is_recent && order.join_count < self.last_join
+        let last = &host.last_withdrawal;
+        let is_recent = self.last_join_at - last.at < self.max_age;
+        host.is_withdrawn(Channel::Shared) && is_recent && last.join_count < self.last_join
     }
 }
--- a/crates/shared/policy/tests/table_updates.rs
+++ b/crates/shared/policy/tests/table_updates.rs
@@ -32,12 +32,10 @@
 
     let actions = harness.handle(vec![join(1, 0)]);
 
-    let position_of = |matches_action: &dyn Fn(&Action) -> bool| {
-        actions.iter().position(matches_action).expect("no such action")
-    };
-    let filled = position_of(&|action| matches!(action, Action::SetEndpoint { .. }));
-    let bound = position_of(&|action| matches!(action, Action::BindProxy { proxy: 1, classes: 0, .. }));
-    let ack_requested = position_of(&|action| matches!(action, Action::RequestAck { .. }));
+    let position = |is_match: &dyn Fn(&Action) -> bool| actions.iter().position(is_match).expect("sent");
+    let filled = position(&|action| matches!(action, Action::SetEndpoint { .. }));
+    let bound = position(&|action| matches!(action, Action::BindProxy { proxy: 1, classes: 0, .. }));
+    let ack_requested = position(&|action| matches!(action, Action::RequestAck { .. }));
     assert!(filled < bound && bound < ack_requested);
     let weights = harness.weights(1);
     assert!(
