--- a/crates/gateway/messages/src/authorization.rs
+++ b/crates/gateway/messages/src/authorization.rs
@@ -1,39 +1,39 @@
-//! Which node may open a session, and which may send which message: decided here alone, before anything is handed on.
-//! What is refused is refused whole, with its session: bytes behind it can't be trusted either.
+//! Authorization of peers: checks the handshake that opens a session and the sender of each message. The transport runs
+//! these checks before it delivers a message and closes the session on the first rejection.
 
 use crate::message::{Handshake, Message, PROTOCOL_VERSION, Role};
 use rushcourse_types::{ClaimId, NodeId};
 use std::fmt;
 
-/// Bytes of a node's name and zone at most (ours).
+/// Maximum length in bytes of the name and of the zone in a handshake.
 const MAX_NAME_BYTES: usize = 128;
 
-/// Why a session or a message is refused.
+/// The reason for rejecting a peer's handshake or one of its messages.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PeerRejection {
-    /// The peer speaks another version of the protocol.
+    /// The peer uses this protocol version instead of [`PROTOCOL_VERSION`].
     ProtocolVersion(u32),
-    /// A name or zone that is none: empty, too long, or with blanks that would break a line of the log.
+    /// The peer's name or zone is empty, too long, or contains characters that would break a log line.
     InvalidName,
-    /// It names another machine than the one that its address, or its certificate, is of.
+    /// The node id in the handshake does not match the source address, or the certificate is not valid for it.
     WrongMachine {
-        /// The machine that its handshake names.
+        /// The node id in the handshake.
         claimed: NodeId,
-        /// The machine that its connection comes from.
+        /// The node id of the connection's source address.
         actual: NodeId,
     },
-    /// It is this process.
+    /// The connection leads back to this process: the peer has the local incarnation.
     SelfConnection,
-    /// Its certificate does not let it act as a controller.
+    /// The peer presents itself as a controller, but its certificate does not include the controller name.
     RoleNotCertified,
-    /// A node of its role does not send this message to a node of ours.
+    /// The peer's role may not send this message to the receiver's role.
     NotAllowed,
-    /// It speaks for a claim that is not its own.
+    /// The peer claims or withdraws a key under a claim that belongs to another node or incarnation.
     ForeignClaim,
 }
 
 impl PeerRejection {
-    /// The reason as it stands in counters and in the log.
+    /// Short name of the reason, used as a key in counters and log lines.
     pub fn reason(&self) -> &'static str {
         match self {
             PeerRejection::ProtocolVersion(_) => "other protocol version",
@@ -66,34 +66,34 @@
 
 impl std::error::Error for PeerRejection {}
 
-/// What a peer's certificate says of it.
+/// The result of verifying the names in a peer's certificate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CertifiedIdentity {
-    /// It names the machine that the connection comes from.
+    /// Whether the certificate is valid for the source address of the connection.
     pub names_machine: bool,
-    /// It lets its holder act as a controller.
+    /// Whether the certificate includes the controller name, which permits [`Role::Controller`].
     pub names_controller: bool,
 }
 
-/// What is known of a peer beside its own words.
+/// The identity of a peer as established by its connection, independent of its handshake.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerIdentity {
-    /// The machine that the connection comes from.
+    /// The node id of the connection's source address.
     pub address: NodeId,
-    /// By its certificate; `None` on sessions without TLS.
+    /// The verified names of the peer's certificate; `None` for sessions without TLS.
     pub certificate: Option<CertifiedIdentity>,
 }
 
-/// Whether a name may stand in a line of the log.
+/// Whether a name or zone can be written to a `key=value` log line without quoting.
 fn is_valid_name(name: &str) -> bool {
     let breaks_line = |c: char| c.is_whitespace() || c.is_control() || c == '=' || c == '"';
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.contains(breaks_line)
 }
 
-/// Checks that a handshake is of this cluster and of the machine that it names.
+/// Checks a peer's handshake against the local one and against the identity established by the connection.
 ///
 /// # Errors
-/// Why it is refused.
+/// Returns the reason for the rejection.
 pub fn check_handshake(
     local: &Handshake,
     identity: PeerIdentity,
@@ -123,10 +123,11 @@
     Ok(())
 }
 
-/// Checks that the node of a handshake may send a message to a node of a role.
+/// Checks whether `sender` may send `message` to a node with the role `receiver`.
 ///
 /// # Errors
-/// Why it may not.
+/// Returns [`PeerRejection::NotAllowed`] if its role may not, or [`PeerRejection::ForeignClaim`] if the message
+/// concerns a claim of another node or incarnation.
 pub fn check_message(
     sender: &Handshake,
     receiver: Role,
@@ -135,7 +136,7 @@
     if *message == Message::Ping {
         return Ok(());
     }
-    // A claim is made and withdrawn by its claimant: a withdrawal by another would free a key whose request is sent.
+    // Only the claimant may withdraw: a withdrawal by another node could free a key whose request is in flight.
     if let Message::ClaimRequest { claim, .. } | Message::ClaimWithdrawal { claim, .. } = message {
         return check_claimant(sender, receiver, claim);
     }
@@ -208,7 +209,7 @@
     )
 }
 
-/// Beside claims and their withdrawals, which only their claimant sends.
+/// Excludes claims and withdrawals, which `check_claimant` handles.
 fn is_from_gateway_to_controller(message: &Message) -> bool {
     matches!(
         message,
--- a/crates/gateway/messages/src/ballots.rs
+++ b/crates/gateway/messages/src/ballots.rs
@@ -1,69 +1,68 @@
-//! What controllers agree on by ballots: single-decree Paxos, one instance a slot. The steps stand in
-//! `rushcourse-consensus`.
+//! Data of single-decree Paxos with one instance per slot. `rushcourse-consensus` implements the protocol.
 
 use rushcourse_types::{ConfigurationVersion, Epoch, Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A proposal number. Ordered by round first. No two proposals share a ballot: an incarnation of a node never uses a
-/// round twice, and incarnations are drawn at random at each start. Round 0 is of texts that a state file of format 1
-/// held; there `incarnation` is the text's digest.
+/// A proposal number, ordered by round, then node, then incarnation. No two proposals share a ballot: an incarnation
+/// never reuses a round, and each process start draws a random incarnation. Round 0 marks configurations imported from
+/// a state file of format 1; their `incarnation` is the digest of the text.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// Higher rounds win over lower ones.
+    /// Compared first. A proposer whose ballot is rejected retries with a higher round.
     pub round: u64,
-    /// The proposer.
+    /// The proposing controller; breaks ties between equal rounds.
     pub node: NodeId,
-    /// The proposer's incarnation.
+    /// Tells apart the proposals of different runs of the same node.
     pub incarnation: Incarnation,
 }
 
-/// What a value is chosen for: one value is ever chosen for a slot.
+/// The subject of a Paxos instance. At most one value is ever chosen for a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Slot {
-    /// The voting set of this epoch, chosen by a majority of the set before it.
+    /// The voting set of this epoch, chosen by a majority of the preceding set.
     VotingSet(Epoch),
-    /// The configuration of this version.
+    /// The text of the configuration with this version.
     Configuration(ConfigurationVersion),
 }
 
-/// A value, and the ballot under which it is proposed.
+/// A value proposed under a ballot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Proposal {
-    /// The proposal number.
+    /// The proposal number, unique to this proposal.
     pub ballot: Ballot,
-    /// A configuration's text, or a voting set (`VotingSet::to_value`).
+    /// The text of a configuration or an encoded voting set (`VotingSet::to_value`), depending on the slot.
     pub value: Arc<[u8]>,
 }
 
-/// What an acceptor holds for a slot.
+/// The state of an acceptor for one slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptorRecord {
-    /// No proposal under a lower ballot is accepted.
+    /// The acceptor rejects proposals under lower ballots.
     pub promised: Ballot,
-    /// The proposal under the highest ballot that came here.
+    /// The received proposal with the highest ballot, if any.
     pub accepted: Option<Proposal>,
-    /// Whether `accepted` is a vote of this acceptor. A copy that was taken in without a vote is reported to proposers,
-    /// but does not count towards a majority.
+    /// Whether `accepted` counts as a vote. A copy stored without voting is reported to proposers, but does not count
+    /// towards a majority.
     pub is_vote: bool,
 }
 
-/// An acceptor's record and its slot.
+/// The state of an acceptor for `slot`, as written to disk and sent in snapshots.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SlotRecord {
-    /// What the record is for.
+    /// The slot to which `record` belongs.
     pub slot: Slot,
-    /// What the acceptor holds for it.
+    /// The promise and the accepted proposal for the slot.
     pub record: AcceptorRecord,
 }
 
-/// An acceptor's vote that its disk holds.
+/// A vote that is synced to the acceptor's disk.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct DurableVote {
-    /// What was voted on.
+    /// The slot in which the vote was cast.
     pub slot: Slot,
-    /// The ballot of the accepted proposal.
+    /// The ballot of the proposal that received the vote.
     pub ballot: Ballot,
 }
--- a/crates/gateway/messages/src/frames.rs
+++ b/crates/gateway/messages/src/frames.rs
@@ -1,32 +1,33 @@
-//! Messages as bytes: four bytes of length (big-endian), then the message in postcard's form.
+//! Encoding of messages: a frame is a four-byte big-endian length, followed by the message encoded with postcard.
 
 use crate::message::Message;
 use std::fmt;
 
-/// Bytes of a message at most: with room for a snapshot chunk and for a configuration's text (ours).
+/// Maximum length of an encoded message in bytes, without the frame header. Larger than any snapshot chunk or
+/// configuration text.
 pub const MAX_FRAME_BYTES: usize = 16 << 20;
 
-/// Bytes of a frame before its message: the message's length.
+/// Length of the frame header in bytes. The header holds the length of the message as a big-endian `u32`.
 const HEADER_BYTES: usize = 4;
 
-/// Why bytes are no message. The session that they came by is closed: what follows can't be trusted either.
+/// A frame that can't be encoded or decoded. The receiver closes the session, since frame boundaries are lost.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FrameError {
-    /// A message of so many bytes.
+    /// The message has this many bytes, more than [`MAX_FRAME_BYTES`].
     TooLong(usize),
-    /// postcard's reason.
+    /// postcard failed to encode or decode the message, for this reason.
     Unreadable(String),
-    /// A message, and so many bytes behind it.
+    /// This many bytes follow the message inside the frame.
     TrailingBytes(usize),
 }
 
 impl fmt::Display for FrameError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameError::TooLong(bytes) => write!(f, "frame of {bytes} bytes"),
+            FrameError::TooLong(bytes) => write!(f, "frame of {bytes} bytes is too long"),
             FrameError::Unreadable(reason) => write!(f, "unreadable frame: {reason}"),
             FrameError::TrailingBytes(bytes) => {
-                write!(f, "unreadable frame: {bytes} bytes left over")
+                write!(f, "unreadable frame: {bytes} trailing bytes")
             }
         }
     }
@@ -34,10 +35,10 @@
 
 impl std::error::Error for FrameError {}
 
-/// Appends a message's frame to `buffer`.
+/// Encodes `message` and appends its frame to `buffer`.
 ///
 /// # Errors
-/// A message over [`MAX_FRAME_BYTES`]; nothing is appended then.
+/// Returns [`FrameError::TooLong`] if the message exceeds [`MAX_FRAME_BYTES`]; `buffer` is then unchanged.
 pub fn encode(message: &Message, buffer: &mut Vec<u8>) -> Result<(), FrameError> {
     let start = buffer.len();
     buffer.extend([0; HEADER_BYTES]);
@@ -52,10 +53,10 @@
     Ok(())
 }
 
-/// Bytes of the message that follows these four bytes of length.
+/// Reads the message length, in bytes, from a frame header.
 ///
 /// # Errors
-/// More than [`MAX_FRAME_BYTES`].
+/// Returns [`FrameError::TooLong`] if the length exceeds [`MAX_FRAME_BYTES`].
 pub fn frame_length(header: [u8; HEADER_BYTES]) -> Result<usize, FrameError> {
     let length = u32::from_be_bytes(header) as usize;
     if length > MAX_FRAME_BYTES {
@@ -64,10 +65,10 @@
     Ok(length)
 }
 
-/// Reads a whole message, without the bytes of its length.
+/// Decodes the message of a frame. `bytes` is the frame without its header.
 ///
 /// # Errors
-/// Bytes that are no message, or bytes left over.
+/// Returns an error if the bytes are not a valid message or if bytes follow it.
 pub fn decode(bytes: &[u8]) -> Result<Message, FrameError> {
     match postcard::take_from_bytes(bytes) {
         Ok((message, [])) => Ok(message),
--- a/crates/gateway/messages/src/hosts.rs
+++ b/crates/gateway/messages/src/hosts.rs
@@ -1,57 +1,57 @@
-//! What controllers know of hosts, and what they send to gateways of them.
+//! Host records and heartbeats exchanged between controllers, and the endpoint table entries sent to gateways.
 
 use rushcourse_types::{CallSequence, Millis};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Whether requests may go to a host.
+/// Whether a host accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum HostState {
-    /// It takes requests.
+    /// The host accepts new requests.
     Ready,
-    /// It ends soon: no new requests.
+    /// The host is shutting down; it finishes running requests and gets no new ones.
     Draining,
-    /// It deregistered, or it is taken for dead.
+    /// The host has deregistered or its heartbeats timed out. No requests are sent to it.
     Gone,
 }
 
-/// What a controller knows of one instance of a host: one run of its process.
+/// The state of one host instance. An instance is one run of a host's process.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HostRecord {
-    /// The instance's id.
+    /// Instance id, chosen by the host.
     pub id: Arc<str>,
-    /// The service that it belongs to.
+    /// The service whose requests the host handles.
     pub service: Arc<str>,
-    /// Where it runs.
+    /// The zone of the host's machine.
     pub zone: Arc<str>,
-    /// Where it takes requests: IPv4 address and port.
+    /// IPv4 address and port for requests, such as `10.1.0.34:8080`.
     pub address: Arc<str>,
-    /// Requests that it works on at once.
+    /// Number of requests the host processes concurrently, at least 1.
     pub slots: u32,
-    /// Whether requests may go to it.
+    /// Whether the host accepts new requests.
     pub state: HostState,
-    /// Of its newest call.
+    /// Sequence number of the host's newest call. Records with a lower one are outdated.
     pub sequence: CallSequence,
-    /// How much longer it is slow from its start, as it said in its newest call.
+    /// Remaining warm-up time reported in the newest call; 0 for a warm host.
     pub warm_up: Millis,
-    /// How long ago it was last seen, when this record was sent.
+    /// Time since the host was last seen, when the record was sent.
     pub age: Millis,
 }
 
-/// A heartbeat that changed nothing but the sequence.
+/// A heartbeat that changed nothing in the host's record except its sequence number.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// The instance's id.
+    /// The instance id of the host.
     pub host: Arc<str>,
-    /// Of the heartbeat.
+    /// The sequence number of the heartbeat call.
     pub sequence: CallSequence,
 }
 
-/// A line of a gateway's endpoint table.
+/// An entry of a gateway's endpoint table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EndpointWeight {
-    /// The host that requests may go to.
+    /// The host to which the gateway may send requests.
     pub host: HostRecord,
-    /// Its share among the table's hosts, from 0 on; 0 removes it.
+    /// Relative share of requests, at least 0. In a table update, 0 removes the entry.
     pub weight: f32,
 }
--- a/crates/gateway/messages/src/lib.rs
+++ b/crates/gateway/messages/src/lib.rs
@@ -1,15 +1,15 @@
-//! The protocol between the nodes of the gateway (controllers and gateways): typed messages in frames, and who may send
-//! which. Nothing here decides or does I/O.
+//! The protocol between the nodes of the gateway (controllers and gateways): message types, their encoding, and the
+//! rules for which role may send which message. The crate holds no protocol logic and does no I/O.
 //!
-//! * [`message`]: every message, and the handshake that opens a session.
-//! * [`ballots`], [`voting_set`], [`snapshot`]: what controllers agree on, and how a replica that lags is brought up.
-//! * [`hosts`]: what controllers send to each other and to gateways of hosts.
-//! * [`operations`]: claims of operation keys and what became of the operations.
-//! * [`frames`]: messages as bytes.
-//! * [`authorization`]: which node may send which message.
+//! * [`message`]: all messages, including the handshake that opens a session.
+//! * [`ballots`], [`voting_set`], [`snapshot`]: the data of consensus and of state transfer to lagging replicas.
+//! * [`hosts`]: host records, heartbeats and endpoint table entries.
+//! * [`operations`]: verdicts on claims of operation keys, and the states of operations.
+//! * [`frames`]: encoding and decoding of messages.
+//! * [`authorization`]: checks of handshakes and of the sender of each message.
 //!
-//! Messages are written by postcard, which goes by position: the order of fields and variants is the wire format, and
-//! their names are free. `tests/fixtures.rs` holds frames of an earlier build against this one.
+//! Messages are encoded with postcard, which encodes by position: the order of fields and variants is part of the wire
+//! format, their names are not. `tests/fixtures.rs` compares the encoding with frames recorded from earlier builds.
 
 pub mod authorization;
 pub mod ballots;
--- a/crates/gateway/messages/src/message.rs
+++ b/crates/gateway/messages/src/message.rs
@@ -1,4 +1,4 @@
-//! Every message between nodes. Spans are in milliseconds; clocks of two nodes are never compared.
+//! Every message between nodes. Durations are in milliseconds. Clocks of two nodes are never compared.
 
 use crate::ballots::{Ballot, DurableVote, Proposal, Slot};
 use crate::hosts::{EndpointWeight, Heartbeat, HostRecord};
@@ -12,270 +12,272 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// Rises when a message changes its form: nodes of another version are refused at the handshake.
+/// Version of the wire format, incremented with every change to the encoding of a message. The handshake rejects peers
+/// with another version.
 pub const PROTOCOL_VERSION: u32 = 4;
 
-/// What a node does.
+/// The role of a node, which determines the messages it may send and receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Role {
-    /// Keeps control state on its disk and serves hosts and operators.
+    /// Stores control state on its disk and serves hosts and operators.
     Controller,
-    /// Takes clients' requests and forwards them to hosts.
+    /// Forwards client requests to hosts.
     Gateway,
 }
 
-/// The first message of a session, both ways.
+/// The first message that each side of a session sends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Handshake {
-    /// The sender's [`PROTOCOL_VERSION`].
+    /// The [`PROTOCOL_VERSION`] of the sender's build.
     pub protocol_version: u32,
-    /// What the sender does.
+    /// The sender's role; with TLS, its certificate must permit [`Role::Controller`].
     pub role: Role,
-    /// Who it is.
+    /// The sender's node id, which must match the source address of the connection.
     pub node: NodeId,
-    /// Drawn at random at the start of its process.
+    /// Random number drawn at each start of the sender's process; tells two runs of one node apart.
     pub incarnation: Incarnation,
-    /// Its machine's name, for logs.
+    /// The sender's node name, used in logs and status pages.
     pub name: String,
-    /// Its machine's zone.
+    /// The zone of the sender's machine.
     pub zone: String,
 }
 
-/// A message between two nodes. [`crate::authorization`] says who may send which.
+/// A message between two nodes. [`crate::authorization`] defines which role may send which variant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// Opens a session.
     Handshake(Handshake),
-    /// Shows that the sender lives.
+    /// Keeps an idle session alive.
     Ping,
 
-    // Between controllers, and to gateways where it says so.
-    /// Controllers that the sender knows of (to gateways too).
+    // Between controllers; some variants also go to gateways.
+    /// All controllers known to the sender, itself included. Also sent to gateways.
     Controllers(Vec<NodeId>),
-    /// Gateways whose session with the sender stands.
+    /// The gateways that have an open session with the sender.
     GatewaySessions(Vec<NodeId>),
-    /// Hosts that are new or changed, or all hosts of some ranges.
+    /// Records of new or changed hosts, or all records of the ranges named in a `HostRangeRequest`.
     HostUpdates(Vec<HostRecord>),
-    /// Hosts that only sent a heartbeat.
+    /// Heartbeats that changed nothing but the sequence of their host.
     Heartbeats(Vec<Heartbeat>),
-    /// A digest of each range of the sender's host registry (anti-entropy).
+    /// Anti-entropy: one digest for each range of the sender's host registry.
     HostDigests(Vec<u64>),
-    /// Asks for all hosts of these ranges.
+    /// Requests all host records in the ranges with these indices.
     HostRangeRequest(Vec<u16>),
-    /// The newest voting set that the sender knows (to gateways too).
+    /// The newest voting set known to the sender. Also sent to gateways.
     VotingSet(VotingSet),
-    /// Asks for the promise to accept nothing under a lower ballot (phase 1).
+    /// Paxos phase 1: asks the receiver to promise not to accept proposals under a lower ballot.
     Prepare {
-        /// The voting set that the ballot is of.
+        /// The epoch of the voting set in which the ballot takes place.
         epoch: Epoch,
-        /// What a value is to be chosen for.
+        /// The slot for which a value is to be chosen.
         slot: Slot,
         /// The proposal number.
         ballot: Ballot,
-        /// The member that a proposed voting set leaves out.
+        /// For a slot of a voting set: the member that the proposed set leaves out, if any.
         removed: Option<NodeId>,
     },
-    /// The promise that was asked for, and what was accepted before it.
+    /// Answers `Prepare` with the promise and the proposal accepted so far.
     Promise {
-        /// The voting set that the sender votes in.
+        /// The epoch of the sender's voting set.
         epoch: Epoch,
-        /// As in the request.
+        /// The slot named in the `Prepare`.
         slot: Slot,
-        /// As in the request.
+        /// The ballot named in the `Prepare`.
         ballot: Ballot,
-        /// The proposal under the highest ballot that the sender accepted.
+        /// The accepted proposal with the highest ballot, if any. The proposer has to propose its value.
         accepted: Option<Proposal>,
     },
-    /// Asks for a vote (phase 2); also brings a copy to a replica that lags.
+    /// Paxos phase 2: asks for a vote. Also sends a copy of the value to a lagging replica.
     Accept {
-        /// The voting set that the ballot is of.
+        /// The epoch of the voting set in which the ballot takes place.
         epoch: Epoch,
-        /// What the value is for.
+        /// The slot for which the value is proposed.
         slot: Slot,
-        /// The value and its ballot.
+        /// The proposed value and its ballot.
         proposal: Proposal,
     },
-    /// A higher ballot was promised: answers `Prepare` and `Accept`.
+    /// Answers a `Prepare` or `Accept` whose ballot is lower than the one the sender has promised.
     Reject {
-        /// The voting set that the sender votes in.
+        /// The epoch of the sender's voting set.
         epoch: Epoch,
-        /// As in the request.
+        /// The slot named in the rejected message.
         slot: Slot,
-        /// The ballot that was promised.
+        /// The promised ballot; a new attempt needs a higher one.
         promised: Ballot,
     },
-    /// What the sender's disk holds. Each side gives back the other's clock, so each knows by its own clock how old at
-    /// most this is.
+    /// Periodic report of the durable state of a replica. The report echoes the receiver's last timestamp, so that the
+    /// receiver can bound the report's age by its own clock.
     ReplicaStatus {
-        /// The sender's steady clock; the receiver gives it back.
+        /// The sender's steady clock, never zero. The receiver echoes it in its next report.
         sent_at: Timestamp,
-        /// The last `sent_at` that the sender got from the receiver in this session; zero: none.
+        /// The last `sent_at` received from the receiver in this session; zero if none was received.
         echoed: Timestamp,
-        /// The voting set that the sender knows.
+        /// The epoch of the sender's voting set.
         epoch: Epoch,
-        /// Whether the sender votes in that set; otherwise nothing of this counts.
+        /// Whether the sender votes in this epoch. The votes of a non-voter do not count.
         is_voter: bool,
-        /// Whether its disk takes writes; where it does not, the sender gives no vote, promise or grant.
+        /// Whether the sender's disk accepts writes. If not, the sender gives no promises, votes or grants.
         is_disk_usable: bool,
-        /// The generation of its disk.
+        /// The generation of the sender's state file.
         generation: Generation,
-        /// For a receiver that does not vote: what the sender knows of its disk, if it knows anything.
+        /// What the sender knows of the receiver's disk. Set only while the receiver reports that it does not vote.
         recovery_point: Option<RecoveryPoint>,
-        /// The version in force at the sender.
+        /// The highest version that the sender knows to be committed.
         committed: ConfigurationVersion,
-        /// Votes that its disk holds.
+        /// The votes stored on the sender's disk.
         votes: Vec<DurableVote>,
     },
-    /// Asks what the receiver holds, for a read or as a proof of contact.
+    /// Asks for the receiver's highest accepted version, for a linearizable read or as a contact probe.
     ReadRequest {
-        /// Bound to the answer.
+        /// Chosen by the sender; the response carries the same token.
         token: RequestToken,
-        /// The voting set that the sender knows.
+        /// The epoch of the sender's voting set.
         epoch: Epoch,
     },
     /// Answers `ReadRequest`.
     ReadResponse {
-        /// As in the request.
+        /// The token of the request.
         token: RequestToken,
-        /// The voting set that the sender knows.
+        /// The epoch of the sender's voting set; the requester ignores responses from another epoch.
         epoch: Epoch,
-        /// Whether the sender votes in that set.
+        /// Whether the sender votes in this epoch.
         is_voter: bool,
-        /// The highest version that the sender has accepted.
+        /// The highest version that the sender has accepted or knows to be committed.
         highest_accepted: ConfigurationVersion,
     },
-    /// A replica without complete state asks a voter for its snapshot, or for what came since the last one.
+    /// Sent by a replica without complete state: asks a voter for a snapshot, full or incremental.
     SnapshotRequest {
-        /// The voting set that the sender knows.
+        /// The epoch of the sender's voting set.
         epoch: Epoch,
-        /// Where the last snapshot ended; `None`: all is wanted.
+        /// The cursor at the end of the last snapshot received; `None` requests a full snapshot.
         after: Option<SnapshotCursor>,
     },
-    /// A part of a snapshot.
+    /// Part of a snapshot, sent in answer to `SnapshotRequest`.
     SnapshotChunk(SnapshotChunk),
-    /// Asks a standby controller to become a learner, so that it can become a member.
+    /// Asks a standby controller to become a learner, the step before it can join the voting set.
     LearnerInvitation {
-        /// The voting set that it is to learn from.
+        /// The epoch of the voting set whose state the learner has to install.
         epoch: Epoch,
     },
-    /// The sender holds what voters of this set hold.
+    /// Reports that the sender has installed the snapshots it needs to join the voting set.
     LearnerReady {
-        /// The voting set that it learned from.
+        /// The epoch of the voting set whose state was installed.
         epoch: Epoch,
     },
-    /// The sender is about to end: its place in the voting set may be taken at once.
+    /// Announces that the sender's process is shutting down. A standby may replace it in the voting set at once.
     ShuttingDown,
 
-    // A gateway to a controller.
-    /// Claims an operation key.
+    // From a gateway to a controller.
+    /// Claims an operation key; a majority of grants makes the gateway its holder.
     ClaimRequest {
-        /// The voting set that grants are counted in.
+        /// The epoch of the voting set whose grants are counted.
         epoch: Epoch,
-        /// The operation key.
+        /// The digest of the operation key.
         key: KeyDigest,
-        /// Who claims it.
+        /// The claim; it must belong to the sender's current incarnation.
         claim: ClaimId,
     },
-    /// Nothing was sent under this claim, and nothing will be.
+    /// Withdraws a claim under which no request was or will be sent.
     ClaimWithdrawal {
-        /// The operation key.
+        /// The digest of the operation key.
         key: KeyDigest,
-        /// The claim that ends.
+        /// The withdrawn claim; it must belong to the sender's current incarnation.
         claim: ClaimId,
     },
-    /// Asks for the configuration in force.
+    /// Requests the text of the committed configuration.
     ConfigurationRequest {
-        /// Only a version above this one is wanted.
+        /// The version that the gateway has. The controller answers only if it knows a higher committed one.
         newer_than: ConfigurationVersion,
     },
-    /// Whether the sender takes its tables from the receiver from now on.
+    /// Selects (`true`) or deselects (`false`) the receiver as the primary controller, which sends the endpoint tables.
     PrimarySelected(bool),
-    /// The sender's tables of a service are up to date with this revision, and all before it.
+    /// Acknowledges an endpoint table revision and all earlier revisions for the same service.
     TableApplied {
         /// The service of the table.
         service: Arc<str>,
-        /// Of the table update that is applied.
+        /// The revision of the `TableReplacement` or `TableUpdate` that was applied.
         revision: u16,
     },
-    /// What came to the sender for a service.
+    /// Load that a gateway observed for one service since its last report.
     LoadReport {
-        /// The service that was asked for.
+        /// The service that received the attempts.
         service: Arc<str>,
-        /// Attempts at its hosts.
+        /// Number of attempts sent to hosts of the service.
         attempts: u32,
-        /// Those of them that failed.
+        /// Number of those attempts that failed.
         failures: u32,
-        /// The span that was counted, ms.
+        /// Length of the reporting interval in milliseconds.
         interval_ms: u32,
     },
 
-    // A controller to a gateway.
+    // From a controller to a gateway.
     /// Answers `ClaimRequest`.
     ClaimResponse {
-        /// As in the request.
+        /// The epoch named in the request.
         epoch: Epoch,
-        /// As in the request.
+        /// The operation key named in the request.
         key: KeyDigest,
-        /// As in the request.
+        /// The claim named in the request.
         claim: ClaimId,
-        /// Granted or not.
+        /// The decision of this controller; the gateway needs grants from a majority.
         verdict: ClaimVerdict,
     },
-    /// The version in force. Its text comes from the primary controller of the receiver, or is asked for.
+    /// Announces a committed version without its text. A gateway gets the text from its primary controller or requests
+    /// it with `ConfigurationRequest`.
     CommittedVersion {
-        /// A majority of disks holds it.
+        /// A version that a majority of disks holds.
         version: ConfigurationVersion,
     },
-    /// The configuration in force: a majority of disks holds it.
+    /// A committed configuration with its text.
     Configuration {
-        /// Its version.
+        /// A version that a majority of disks holds.
         version: ConfigurationVersion,
-        /// Its whole text, as the operator sent it.
+        /// The JSON text exactly as the operator submitted it.
         text: Arc<[u8]>,
     },
-    /// Whether the sender can serve as a primary controller, and how many gateways there are.
+    /// Whether the sender can serve as a primary controller. Also sent between controllers.
     ControllerStatus {
-        /// It knows the hosts that there are, and is in session with a majority.
+        /// Whether the sender knows all hosts. Towards gateways it also requires sessions with a majority.
         is_synchronized: bool,
-        /// Gateways that are members; 0 between controllers.
+        /// Number of member gateways; always 0 between controllers.
         gateways: u32,
     },
-    /// The whole table of a service that the receiver is bound to from now on.
+    /// The complete endpoint table of a service; it replaces any earlier table of that service.
     TableReplacement {
         /// The service of the table.
         service: Arc<str>,
-        /// To be given back in `TableApplied`.
+        /// The revision to acknowledge with `TableApplied`.
         revision: u16,
-        /// All its lines.
+        /// All entries of the table.
         endpoints: Vec<EndpointWeight>,
     },
-    /// Changes of the table that the receiver is bound to.
+    /// Changes to the receiver's endpoint table of a service.
     TableUpdate {
         /// The service of the table.
         service: Arc<str>,
-        /// To be given back in `TableApplied`.
+        /// The revision to acknowledge with `TableApplied`.
         revision: u16,
-        /// Lines that change; weight 0 removes one.
+        /// The changed entries; weight 0 removes an entry.
         endpoints: Vec<EndpointWeight>,
     },
-    /// Hosts that drain or are gone, or are back: these states hold at once, whatever tables say.
+    /// Hosts that are draining, gone or ready again. The states apply immediately and override the endpoint tables.
     HostStates(Vec<HostRecord>),
 
     // Between gateways.
-    /// Asks a claimant what became of an operation.
+    /// Asks the gateway that holds a claim for the state of its operation.
     OperationQuery {
-        /// Bound to the answer.
+        /// Chosen by the sender; the reply carries the same token.
         token: RequestToken,
-        /// The operation key.
+        /// The digest of the operation key.
         key: KeyDigest,
-        /// The receiver's claim of it.
+        /// The receiver's claim of the key.
         claim: ClaimId,
     },
     /// Answers `OperationQuery`.
     OperationReply {
-        /// As in the request.
+        /// The token of the query.
         token: RequestToken,
-        /// What the sender knows.
+        /// The state of the operation at the sender.
         state: OperationState,
     },
 }
--- a/crates/gateway/messages/src/operations.rs
+++ b/crates/gateway/messages/src/operations.rs
@@ -1,39 +1,39 @@
-//! Claims of operation keys, and what became of the operations.
+//! Verdicts on claims of operation keys, and the states of the claimed operations.
 
 use rushcourse_types::ClaimId;
 use serde::{Deserialize, Serialize};
 
-/// What a voter says to a claim of an operation key.
+/// A controller's answer to a claim of an operation key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ClaimVerdict {
-    /// Granted and synced: nobody else gets this voter's grant inside the window.
+    /// The claim is granted and synced to disk. The voter grants the key to no other claim within the key window.
     Granted,
-    /// Another claim holds the key here.
+    /// The voter has already granted the key to this other claim.
     HeldBy(ClaimId),
-    /// No vote: it votes in another epoch, is no voter, has no complete state, or its disk refuses writes.
+    /// The controller can't vote: the epochs differ, it is not a voter with complete state, or its disk refuses writes.
     Abstained,
 }
 
-/// The response of an operation that has run, kept for its repeats.
+/// The response of a completed operation, replayed to clients that retry the request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredResponse {
-    /// The HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Name and value, in order, without those that concern one connection only.
+    /// Header names and values in their original order, without hop-by-hop headers.
     pub headers: Vec<(String, Vec<u8>)>,
-    /// The whole body.
+    /// The complete response body.
     pub body: Vec<u8>,
 }
 
-/// What a claimant knows of an operation.
+/// The state of an operation as known to the gateway that claimed its key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OperationState {
-    /// It is at work.
+    /// The request was sent and its response is pending.
     Running,
-    /// It has run.
+    /// The operation finished with this response.
     Completed(StoredResponse),
-    /// It was sent, and no response came: whether it ran is not known.
+    /// The request was sent but no response arrived, so it may or may not have been executed.
     Unknown,
-    /// Nothing is known of it here: it never began, was withdrawn, or is of an earlier incarnation.
+    /// The gateway has no record: the operation never started, was withdrawn, or belongs to an earlier incarnation.
     NotFound,
 }
--- a/crates/gateway/messages/src/snapshot.rs
+++ b/crates/gateway/messages/src/snapshot.rs
@@ -1,60 +1,61 @@
-//! How a replica without complete state (a learner, or a voter that lost its disk) is brought up to date: voters send
-//! it what they hold, in chunks of bounded size.
+//! Snapshots: voters send their state in chunks of bounded size to replicas without complete state, which are learners
+//! and members that lost their disk.
 
 use crate::ballots::SlotRecord;
 use rushcourse_types::{ClaimId, Epoch, Generation, Incarnation, KeyDigest, Millis};
 use serde::{Deserialize, Serialize};
 
-/// A claim that a voter holds.
+/// A claim granted by the sender of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
-    /// The claimed operation key.
+    /// The digest of the claimed operation key.
     pub key: KeyDigest,
-    /// Who holds it.
+    /// The claim that holds the key.
     pub claim: ClaimId,
-    /// Since when, by the sender's steady clock.
+    /// Time since the claim was granted, when the chunk was created.
     pub age: Millis,
 }
 
-/// How far a receiver has read the claims of one incarnation of a voter: its next snapshot begins there.
+/// A position in the sequence of claims granted by one incarnation of a voter. An incremental snapshot starts at the
+/// cursor where the previous one ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SnapshotCursor {
-    /// The voter's incarnation.
+    /// The incarnation of the voter. Positions of other incarnations can't be compared with this one.
     pub incarnation: Incarnation,
-    /// Claims before this position were read.
+    /// All claims before this position have been received.
     pub position: u64,
 }
 
-/// What a voter knows of another member's disk: a disk of this generation, or a later one, lacks nothing that the voter
-/// got before this position. So a member that starts with such a disk is complete once it has what came since.
+/// What a voter knows of another member's disk: at or above this generation, the disk holds everything the voter stored
+/// before the cursor. A member restarting with such a disk needs only the state after the cursor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RecoveryPoint {
-    /// The lowest generation that this holds for.
+    /// The lowest generation of the member's state file for which the guarantee holds.
     pub generation: Generation,
-    /// Where the voter's snapshot for that member begins.
+    /// The start of the voter's incremental snapshot for that member.
     pub cursor: SnapshotCursor,
 }
 
-/// A part of what a voter holds. All chunks of a snapshot are made in one step, so that they show one state.
+/// A part of a snapshot. All chunks of a snapshot are created in one step, so that together they are consistent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// The voting set that the sender votes in.
+    /// The epoch of the sender's voting set.
     pub epoch: Epoch,
-    /// Some of the sender's claims.
+    /// The claims in this chunk; may be empty.
     pub claims: Vec<ClaimRecord>,
-    /// Stands in the last chunk.
+    /// Present only in the last chunk of a snapshot.
     pub trailer: Option<SnapshotTrailer>,
 }
 
-/// The end of a snapshot: what the claims of all its chunks must add up to, and the acceptor's records.
+/// The end of a snapshot: checksums over the claims of all its chunks, and the sender's acceptor state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SnapshotTrailer {
-    /// Where the next snapshot begins.
+    /// The start of the next incremental snapshot.
     pub cursor: SnapshotCursor,
-    /// Claims in all chunks.
+    /// Total number of claims in all chunks. On a mismatch the receiver does not treat the snapshot as complete.
     pub claim_count: u64,
-    /// Exclusive or of the digests of these claims.
+    /// XOR of the digests of all claims. On a mismatch the receiver does not treat the snapshot as complete.
     pub claims_digest: u64,
-    /// What the sender's acceptor holds.
+    /// The acceptor's record for each slot.
     pub records: Vec<SlotRecord>,
 }
--- a/crates/gateway/messages/src/voting_set.rs
+++ b/crates/gateway/messages/src/voting_set.rs
@@ -1,42 +1,43 @@
-//! The set of nodes whose disks a majority is counted of.
+//! The voting set: the controllers that vote in consensus.
 
 use rushcourse_types::{Epoch, NodeId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The machines whose disks a majority is counted of. Sets follow each other one change at a time; each change raises
-/// the epoch, which claims, votes and ballots carry.
+/// The controllers among which majorities are counted. Successive sets differ by one change, and each change increments
+/// the epoch. Claims, votes and ballots carry the epoch in which they are valid.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VotingSet {
-    /// `Epoch::NONE` while there is no set yet.
+    /// Number of the set; `Epoch::NONE` until the first set is formed.
     pub epoch: Epoch,
-    /// In ascending order, each once.
+    /// Member nodes in strictly ascending order. Empty until the first set is formed.
     pub members: Vec<NodeId>,
 }
 
 impl VotingSet {
-    /// The smallest number of members that is more than half of them.
+    /// The number of members that form a majority.
     pub fn majority(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// How many members with complete state must have sent their snapshots to one without: so many share a member with
-    /// every majority.
+    /// The number of members with complete state from which a member without it must install snapshots before it may
+    /// vote. Any group of this size shares a member with every majority.
     pub fn snapshot_quorum(&self) -> usize {
         self.members.len() + 1 - self.majority()
     }
 
-    /// Whether a node is a member.
+    /// Whether `node` is a member of this set.
     pub fn contains(&self, node: NodeId) -> bool {
         self.members.binary_search(&node).is_ok()
     }
 
-    /// The set as the value of a slot, in postcard's form.
+    /// Encodes the set as the value of a slot (postcard). The encoding is also stored on disk.
     pub fn to_value(&self) -> Arc<[u8]> {
         postcard::to_allocvec(self).unwrap_or_default().into()
     }
 
-    /// The set that a slot's value holds; `None` if these bytes are not exactly a set of distinct members in order.
+    /// Decodes the value of a slot. Returns `None` if the bytes are malformed or have trailing data, or if the members
+    /// are empty or not in strictly ascending order.
     pub fn from_value(value: &[u8]) -> Option<VotingSet> {
         let (set, rest): (VotingSet, &[u8]) = postcard::take_from_bytes(value).ok()?;
         let ascending = set.members.windows(2).all(|pair| pair[0] < pair[1]);
--- a/crates/gateway/messages/tests/authorization.rs
+++ b/crates/gateway/messages/tests/authorization.rs
@@ -1,4 +1,4 @@
-//! Which node may open a session, and which may send which message.
+//! Authorization of handshakes and messages.
 
 mod kinds;
 mod samples;
@@ -12,7 +12,7 @@
 use samples::{CLAIM, samples};
 use std::collections::BTreeSet;
 
-/// Who sends to whom.
+/// The roles of sender and receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Direction {
     sender: Role,
@@ -42,7 +42,7 @@
     BETWEEN_GATEWAYS,
 ];
 
-/// Of the node that a handshake is presented to.
+/// Incarnation of the node that checks the handshakes.
 const LOCAL_INCARNATION: Incarnation = Incarnation(10);
 
 fn handshake(role: Role, node: NodeId, incarnation: Incarnation) -> Handshake {
@@ -56,8 +56,8 @@
     }
 }
 
-/// The directions in which a kind of message may go.
-fn allowed(kind: &str) -> &'static [Direction] {
+/// The directions in which messages of a kind are allowed.
+fn allowed_directions(kind: &str) -> &'static [Direction] {
     match kind {
         "Handshake" => &[],
         "Ping" => ALL,
@@ -75,20 +75,20 @@
         "ClaimResponse" | "CommittedVersion" | "Configuration" | "TableReplacement"
         | "TableUpdate" | "HostStates" => &[TO_GATEWAY],
         "OperationQuery" | "OperationReply" => &[BETWEEN_GATEWAYS],
-        other => panic!("no directions of {other}"),
+        other => panic!("no directions defined for {other}"),
     }
 }
 
 #[test]
-fn all_kinds_of_messages_are_here() {
+fn samples_cover_every_message_kind() {
     let found: BTreeSet<&str> = samples().iter().map(|(_, message)| kind(message)).collect();
     assert_eq!(found, KINDS.iter().copied().collect());
 }
 
 #[test]
-fn each_message_comes_from_those_who_may_send_it_and_from_nobody_else() {
+fn message_is_accepted_only_in_its_allowed_directions() {
     for (_, message) in samples() {
-        let allowed = allowed(kind(&message));
+        let allowed = allowed_directions(kind(&message));
         for direction in ALL {
             let sender = handshake(direction.sender, CLAIM.node, CLAIM.incarnation);
             let checked = check_message(&sender, direction.receiver, &message);
@@ -102,9 +102,9 @@
     }
 }
 
-/// Taken for another's, a withdrawal would free a key under which a request is on its way: it could run twice.
+/// A foreign withdrawal could free a key whose request is in flight, and the operation could run twice.
 #[test]
-fn a_claim_is_made_and_withdrawn_by_its_own_incarnation_alone() {
+fn claim_and_withdrawal_by_another_incarnation_are_rejected() {
     let messages = [
         Message::ClaimRequest {
             epoch: Epoch(1),
@@ -132,25 +132,26 @@
     }
 }
 
-/// Certificates by what they name.
-const CONTROLLER_HERE: CertifiedIdentity = CertifiedIdentity {
+const CONTROLLER_CERTIFICATE: CertifiedIdentity = CertifiedIdentity {
     names_machine: true,
     names_controller: true,
 };
-const MACHINE_HERE: CertifiedIdentity = CertifiedIdentity {
+const GATEWAY_CERTIFICATE: CertifiedIdentity = CertifiedIdentity {
     names_machine: true,
     names_controller: false,
 };
-const CONTROLLER_ELSEWHERE: CertifiedIdentity = CertifiedIdentity {
+/// A certificate with the controller name, issued for another machine.
+const OTHER_CONTROLLER_CERTIFICATE: CertifiedIdentity = CertifiedIdentity {
     names_machine: false,
     names_controller: true,
 };
-const MACHINE_ELSEWHERE: CertifiedIdentity = CertifiedIdentity {
+/// A certificate without the controller name, issued for another machine.
+const OTHER_GATEWAY_CERTIFICATE: CertifiedIdentity = CertifiedIdentity {
     names_machine: false,
     names_controller: false,
 };
 
-/// A peer at node 2, with its certificate, if it showed one.
+/// The identity of a peer that connects from the address of node 2.
 fn identity(certificate: Option<CertifiedIdentity>) -> PeerIdentity {
     PeerIdentity {
         address: NodeId(2),
@@ -159,62 +160,70 @@
 }
 
 #[test]
-fn a_handshake_is_of_the_machine_it_names_and_its_role_is_certified() {
+fn handshake_of_wrong_machine_or_uncertified_role_is_rejected() {
     let controller = handshake(Role::Controller, NodeId(2), Incarnation(20));
     let gateway = handshake(Role::Gateway, NodeId(2), Incarnation(20));
     let wrong_machine = Some("other machine");
     let cases = [
         (&controller, None, None),
         (&gateway, None, None),
-        (&controller, Some(CONTROLLER_HERE), None),
-        (&gateway, Some(MACHINE_HERE), None),
-        (&controller, Some(MACHINE_HERE), Some("role not certified")),
-        (&controller, Some(CONTROLLER_ELSEWHERE), wrong_machine),
-        (&gateway, Some(MACHINE_ELSEWHERE), wrong_machine),
+        (&controller, Some(CONTROLLER_CERTIFICATE), None),
+        (&gateway, Some(GATEWAY_CERTIFICATE), None),
+        (
+            &controller,
+            Some(GATEWAY_CERTIFICATE),
+            Some("role not certified"),
+        ),
+        (
+            &controller,
+            Some(OTHER_CONTROLLER_CERTIFICATE),
+            wrong_machine,
+        ),
+        (&gateway, Some(OTHER_GATEWAY_CERTIFICATE), wrong_machine),
     ];
     for (presented, certificate, reason) in cases {
-        assert_rejected_for(presented, identity(certificate), reason);
+        assert_check_result(presented, identity(certificate), reason);
     }
-    let elsewhere = PeerIdentity {
+    let other_address = PeerIdentity {
         address: NodeId(3),
         certificate: None,
     };
-    assert_rejected_for(&controller, elsewhere, wrong_machine);
+    assert_check_result(&controller, other_address, wrong_machine);
 }
 
 #[test]
-fn a_handshake_is_of_this_version_of_another_process_and_has_names_that_fit_a_line() {
+fn handshake_with_other_version_local_incarnation_or_invalid_name_is_rejected() {
     let controller = handshake(Role::Controller, NodeId(2), Incarnation(20));
     let other_version = Handshake {
         protocol_version: PROTOCOL_VERSION + 1,
         ..controller.clone()
     };
-    let of_this_process = Handshake {
+    let self_connection = Handshake {
         incarnation: LOCAL_INCARNATION,
         ..controller.clone()
     };
-    let bad_zone = Handshake {
+    let invalid_zone = Handshake {
         zone: "a b".into(),
         ..controller.clone()
     };
-    assert_rejected_for(
+    assert_check_result(
         &other_version,
         identity(None),
         Some("other protocol version"),
     );
-    assert_rejected_for(&of_this_process, identity(None), Some("itself"));
-    assert_rejected_for(&bad_zone, identity(None), Some("bad name"));
+    assert_check_result(&self_connection, identity(None), Some("itself"));
+    assert_check_result(&invalid_zone, identity(None), Some("bad name"));
     for name in ["", "core 1", "core\n", "level=error", &"x".repeat(200)] {
-        let named = Handshake {
+        let invalid_name = Handshake {
             name: name.into(),
             ..controller.clone()
         };
-        assert_rejected_for(&named, identity(None), Some("bad name"));
+        assert_check_result(&invalid_name, identity(None), Some("bad name"));
     }
 }
 
-/// Presents a handshake to a controller at node 1; `reason`: why it is rejected, or that it is not.
-fn assert_rejected_for(presented: &Handshake, identity: PeerIdentity, reason: Option<&str>) {
+/// Asserts that node 1, a controller, rejects a handshake with `reason`, or accepts it if `reason` is `None`.
+fn assert_check_result(presented: &Handshake, identity: PeerIdentity, reason: Option<&str>) {
     let local = handshake(Role::Controller, NodeId(1), LOCAL_INCARNATION);
     let checked = check_handshake(&local, identity, presented);
     assert_eq!(
--- a/crates/gateway/messages/tests/fixtures.rs
+++ b/crates/gateway/messages/tests/fixtures.rs
@@ -1,9 +1,9 @@
-//! Frames of every message, as earlier builds wrote them. This build reads them as the same messages and writes the same
-//! bytes: nodes of builds with one protocol version understand each other while a release is under way.
+//! Wire compatibility with earlier builds: recorded frames of every message must decode to the same message and encode
+//! to the same bytes, so that builds with the same protocol version can run side by side during a release.
 //!
-//! `fixtures/frames.txt` holds a line for each sample as the build a09c11f wrote it: its label, and the frame in
-//! hexadecimal. It is never written again: a message whose bytes change needs a new protocol version, and a file of its
-//! own, which goes before. `fixtures/frames-version-4.txt`: reports of replicas name the generations of disks.
+//! `fixtures/frames.txt` holds one line for each sample, recorded with build a09c11f: its label and the frame in
+//! hexadecimal. The file must not change. A message whose encoding changes requires a new protocol version and a new
+//! file, which overrides these frames; `fixtures/frames-version-4.txt` holds those that changed with version 4.
 
 mod kinds;
 mod samples;
@@ -14,28 +14,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
-const FRAMES_OF_VERSION_4: &str = include_str!("fixtures/frames-version-4.txt");
+const FRAMES_VERSION_4: &str = include_str!("fixtures/frames-version-4.txt");
 
-fn bytes_of(hexadecimal: &str) -> Vec<u8> {
+fn parse_hex(digits: &str) -> Vec<u8> {
     let byte = |pair: &[u8]| {
         let digits = std::str::from_utf8(pair).expect("digits");
-        u8::from_str_radix(digits, 16).expect("a byte")
+        u8::from_str_radix(digits, 16).expect("two hexadecimal digits")
     };
-    hexadecimal.as_bytes().chunks(2).map(byte).collect()
+    digits.as_bytes().chunks(2).map(byte).collect()
 }
 
-/// A line of a file of frames: its label, and the frame.
-fn recorded(line: &str) -> (&str, Vec<u8>) {
+/// Parses a line `LABEL: HEX` into the label and the frame.
+fn parse_line(line: &str) -> (&str, Vec<u8>) {
     let (label, frame) = line.split_once(": ").expect("a label and a frame");
-    (label, bytes_of(frame))
+    (label, parse_hex(frame))
 }
 
 #[test]
-fn frames_of_earlier_builds_are_read_and_written_the_same() {
-    let changed: BTreeMap<&str, Vec<u8>> = FRAMES_OF_VERSION_4.lines().map(recorded).collect();
+fn recorded_frames_decode_and_encode_identically() {
+    let changed: BTreeMap<&str, Vec<u8>> = FRAMES_VERSION_4.lines().map(parse_line).collect();
     let recorded: Vec<(&str, Vec<u8>)> = FRAMES
         .lines()
-        .map(recorded)
+        .map(parse_line)
         .map(|(label, frame)| (label, changed.get(label).cloned().unwrap_or(frame)))
         .collect();
     let samples = samples();
@@ -43,30 +43,30 @@
     let labels: Vec<&str> = samples.iter().map(|(label, _)| *label).collect();
     assert_eq!(
         recorded_labels, labels,
-        "a frame for each message, in order"
+        "one recorded frame for each sample, in order"
     );
     for ((label, frame), (_, message)) in recorded.iter().zip(&samples) {
         let header = frame[..4].try_into().expect("four bytes");
         assert_eq!(frame_length(header), Ok(frame.len() - 4), "{label}");
-        assert_eq!(decode(&frame[4..]), Ok(message.clone()), "{label}: read");
-        let mut written = Vec::new();
-        encode(message, &mut written).expect("small");
-        assert_eq!(&written, frame, "{label}: written");
+        assert_eq!(decode(&frame[4..]), Ok(message.clone()), "{label}: decoded");
+        let mut encoded = Vec::new();
+        encode(message, &mut encoded).expect("a message below the size limit");
+        assert_eq!(&encoded, frame, "{label}: encoded");
     }
 }
 
-/// A peer of the version before would misread what has changed: it is refused at the handshake.
+/// Peers of an earlier version would misread changed messages, so the handshake has to reject them.
 #[test]
-fn what_changed_its_bytes_has_a_protocol_version_of_its_own() {
-    let before: BTreeMap<&str, Vec<u8>> = FRAMES.lines().map(recorded).collect();
-    for (label, frame) in FRAMES_OF_VERSION_4.lines().map(recorded) {
-        assert_ne!(before.get(label), Some(&frame), "{label}");
+fn changed_encodings_have_a_new_protocol_version() {
+    let previous: BTreeMap<&str, Vec<u8>> = FRAMES.lines().map(parse_line).collect();
+    for (label, frame) in FRAMES_VERSION_4.lines().map(parse_line) {
+        assert_ne!(previous.get(label), Some(&frame), "{label}");
     }
     assert_eq!(PROTOCOL_VERSION, 4);
 }
 
 #[test]
-fn there_is_a_frame_of_every_kind_of_message() {
+fn recorded_frames_cover_every_message_kind() {
     let found: BTreeSet<&str> = samples().iter().map(|(_, message)| kind(message)).collect();
     assert_eq!(found, KINDS.iter().copied().collect());
 }
--- a/crates/gateway/messages/tests/frames.rs
+++ b/crates/gateway/messages/tests/frames.rs
@@ -1,4 +1,4 @@
-//! Frames: what goes in comes out, and nothing that is damaged does harm.
+//! Round trips of frames, and rejection of damaged ones.
 
 mod samples;
 
@@ -7,15 +7,15 @@
 use samples::samples;
 
 #[test]
-fn frames_carry_messages_and_refuse_what_is_none() {
+fn frames_round_trip_and_damaged_frames_are_rejected() {
     for (label, message) in samples() {
         let mut bytes = vec![0xee];
-        encode(&message, &mut bytes).expect("small");
+        encode(&message, &mut bytes).expect("a message below the size limit");
         let frame = &bytes[1..];
         let header = frame[..4].try_into().expect("four bytes");
         assert_eq!(frame_length(header), Ok(frame.len() - 4));
         assert_eq!(decode(&frame[4..]), Ok(message.clone()));
-        // Cut short, or with more behind: refused whole.
+        // Truncated messages and messages with trailing bytes.
         for end in 4..frame.len() {
             assert!(decode(&frame[4..end]).is_err(), "{label} cut to {end}");
         }
@@ -24,9 +24,9 @@
     assert!(frame_length([0xff; 4]).is_err());
 }
 
-/// A set is the value of a slot, and stands on disks: its bytes are these in every build.
+/// The encoding of a voting set is stored on disk, so it must not change between builds.
 #[test]
-fn a_voting_set_is_these_bytes_as_a_value() {
+fn voting_set_value_encoding_is_stable() {
     let set = VotingSet {
         epoch: Epoch(300),
         members: vec![NodeId(1), NodeId(2), NodeId(0x0a00_0001)],
--- a/crates/gateway/messages/tests/kinds/mod.rs
+++ b/crates/gateway/messages/tests/kinds/mod.rs
@@ -1,11 +1,11 @@
-//! The kinds of messages, each by its name. A kind that is missing here does not compile, so that tests over all kinds
-//! leave none out.
+//! The names of all message kinds (variants of `Message`). The exhaustive match fails to compile if one is missing, so
+//! that tests over all kinds stay complete.
 
 use rushcourse_messages::Message;
 
 macro_rules! kinds {
     ($($name:ident),* $(,)?) => {
-        /// All kinds, in the order of the messages.
+        /// The names of all kinds, in the order of the variants.
         pub const KINDS: &[&str] = &[$(stringify!($name)),*];
 
         pub fn kind(message: &Message) -> &'static str {
--- a/crates/gateway/messages/tests/properties.rs
+++ b/crates/gateway/messages/tests/properties.rs
@@ -1,5 +1,4 @@
-//! Properties of the codec between nodes: whatever bytes come, nothing panics, and what is read as a message is that
-//! message again once it is written.
+//! Property tests of the message codec: decoding never panics, and a decoded message survives another round trip.
 
 mod kinds;
 mod strategies;
@@ -14,7 +13,7 @@
 use strategies::{message, strategies};
 
 #[test]
-fn each_kind_of_message_is_tried() {
+fn strategies_cover_every_message_kind() {
     let mut runner = TestRunner::deterministic();
     let mut kind_of = |strategy: &BoxedStrategy<Message>| {
         kind(&strategy.new_tree(&mut runner).expect("a message").current())
@@ -24,14 +23,14 @@
     assert_eq!(BTreeSet::from_iter(found), KINDS.iter().copied().collect());
 }
 
-/// The message in these bytes, if there is one, comes out again after it was written.
-fn assert_reads_and_writes_the_same(bytes: &[u8]) {
+/// Asserts that if the bytes decode to a message, encoding and decoding it again yields the same message.
+fn assert_stable_if_decodable(bytes: &[u8]) {
     let Ok(message) = decode(bytes) else { return };
-    let mut written = Vec::new();
-    encode(&message, &mut written).expect("no longer than it came");
-    let read = decode(&written[4..]).expect("a message");
-    // By their text, as a weight may be no number.
-    assert_eq!(format!("{read:?}"), format!("{message:?}"));
+    let mut encoded = Vec::new();
+    encode(&message, &mut encoded).expect("a message below the size limit");
+    let decoded = decode(&encoded[4..]).expect("a valid message");
+    // Compares the debug output, since a weight may be NaN.
+    assert_eq!(format!("{decoded:?}"), format!("{message:?}"));
 }
 
 proptest! {
@@ -40,31 +39,31 @@
     })]
 
     #[test]
-    fn a_message_comes_out_as_it_went_in(message in message()) {
+    fn message_round_trips(message in message()) {
         let mut bytes = Vec::new();
-        encode(&message, &mut bytes).expect("small");
-        prop_assert_eq!(frame_length(bytes[..4].try_into().expect("four")), Ok(bytes.len() - 4));
+        encode(&message, &mut bytes).expect("a message below the size limit");
+        prop_assert_eq!(frame_length(bytes[..4].try_into().expect("four bytes")), Ok(bytes.len() - 4));
         prop_assert_eq!(decode(&bytes[4..]), Ok(message));
     }
 
     #[test]
-    fn a_message_with_damaged_bytes_is_refused_or_is_another_message(
+    fn damaged_message_is_rejected_or_decodes_consistently(
         message in message(),
         at in any::<Index>(),
         byte in any::<u8>(),
         cut in any::<Index>(),
     ) {
         let mut bytes = Vec::new();
-        encode(&message, &mut bytes).expect("small");
+        encode(&message, &mut bytes).expect("a message below the size limit");
         let mut body = bytes.split_off(4);
         let (at, cut) = (at.index(body.len()), cut.index(body.len()));
-        assert_reads_and_writes_the_same(&body[..cut]);
+        assert_stable_if_decodable(&body[..cut]);
         body[at] = byte;
-        assert_reads_and_writes_the_same(&body);
+        assert_stable_if_decodable(&body);
     }
 
     #[test]
-    fn any_bytes_are_refused_or_are_a_message(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        assert_reads_and_writes_the_same(&bytes);
+    fn arbitrary_bytes_are_rejected_or_decode_consistently(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+        assert_stable_if_decodable(&bytes);
     }
 }
--- a/crates/gateway/messages/tests/samples/mod.rs
+++ b/crates/gateway/messages/tests/samples/mod.rs
@@ -1,6 +1,5 @@
-//! One sample of every message, and of each form that a message has. No two fields of one message are alike, so that
-//! none can change places with another unseen. Labels are the names that the messages had in the build whose frames
-//! `fixtures/frames.txt` holds.
+//! Samples of every message in each of its forms. All fields of a message have different values, so that swapped fields
+//! are detected. Labels match those in `fixtures/frames.txt`; they use the message names of the build that recorded it.
 
 use rushcourse_messages::{
     AcceptorRecord, Ballot, ClaimRecord, ClaimVerdict, DurableVote, EndpointWeight, Handshake,
@@ -13,7 +12,7 @@
 };
 use std::sync::Arc;
 
-/// A label and its message.
+/// A label in `fixtures/frames.txt` and the message recorded under it.
 pub type Sample = (&'static str, Message);
 
 const EPOCH: Epoch = Epoch(11);
@@ -23,7 +22,7 @@
 const KEY: KeyDigest = KeyDigest(0x0102_0304_0506_0708_090a_0b0c_0d0e_0f10);
 const SERVICE: &str = "wuno96b";
 const TEXT: &[u8] = b"{\"version\":7}";
-/// The claim that requests and withdrawals of the samples name.
+/// The claim used in the samples of requests and withdrawals.
 pub const CLAIM: ClaimId = ClaimId {
     node: NodeId(0x0a01_0022),
     incarnation: Incarnation(u64::MAX - 5),
@@ -94,7 +93,7 @@
     }
 }
 
-/// Messages that open a session, and those of who is in session with whom.
+/// Handshakes, pings, and lists of connected nodes.
 fn session_samples() -> Vec<Sample> {
     let controllers = vec![NodeId(0x0a01_0024), NodeId(0x0a02_0024)];
     let gateways = vec![NodeId(0x0a01_0022), NodeId(0x0a02_0022), NodeId(1)];
@@ -122,7 +121,7 @@
     ]
 }
 
-/// The voting set, and the first phase of a ballot.
+/// The voting set and Paxos phase 1.
 fn prepare_samples() -> Vec<Sample> {
     let voting_set = VotingSet {
         epoch: Epoch(300),
@@ -153,7 +152,7 @@
     ]
 }
 
-/// The second phase of a ballot, and what replicas tell each other of their votes.
+/// Paxos phase 2, replica reports and reads.
 fn accept_samples() -> Vec<Sample> {
     let accept = Message::Accept {
         epoch: EPOCH,
@@ -254,7 +253,7 @@
     ]
 }
 
-/// What a gateway sends to a controller.
+/// Messages from a gateway to a controller.
 fn gateway_samples() -> Vec<Sample> {
     let claim_request = Message::ClaimRequest {
         epoch: EPOCH,
@@ -289,7 +288,7 @@
     ]
 }
 
-/// What a controller answers to claims, and the configuration that it sends to gateways.
+/// Claim responses, and the configuration messages sent to gateways.
 fn claim_response_samples() -> Vec<Sample> {
     let response = |verdict| Message::ClaimResponse {
         epoch: EPOCH,
@@ -314,7 +313,7 @@
     ]
 }
 
-/// The tables that a controller sends to gateways.
+/// Controller status, endpoint tables and host states sent to gateways.
 fn table_samples() -> Vec<Sample> {
     let status = Message::ControllerStatus {
         is_synchronized: true,
@@ -338,7 +337,7 @@
     ]
 }
 
-/// What gateways ask each other.
+/// Operation queries and replies between gateways.
 fn operation_samples() -> Vec<Sample> {
     let query = Message::OperationQuery {
         token: RequestToken(71),
--- a/crates/gateway/messages/tests/strategies/mod.rs
+++ b/crates/gateway/messages/tests/strategies/mod.rs
@@ -1,4 +1,4 @@
-//! Any message of any kind.
+//! Strategies that generate messages of every kind.
 
 mod values;
 
@@ -12,7 +12,7 @@
     version, vote,
 };
 
-/// Messages of sessions and hosts.
+/// Handshakes, pings, and messages about controllers, gateways and hosts.
 fn host_messages() -> Vec<BoxedStrategy<Message>> {
     vec![
         handshake().prop_map(Message::Handshake).boxed(),
@@ -30,7 +30,7 @@
     ]
 }
 
-/// Messages of a gateway and its primary controller.
+/// Messages between a gateway and its primary controller about endpoint tables and load.
 fn table_messages() -> Vec<BoxedStrategy<Message>> {
     let endpoints = || (text(), any::<u16>(), list(endpoint()));
     vec![
@@ -75,7 +75,7 @@
     )
 }
 
-/// Messages of ballots: what a majority of disks agrees on.
+/// Paxos messages and replica reports.
 fn ballot_messages() -> Vec<BoxedStrategy<Message>> {
     vec![
         (epoch(), slot(), ballot(), prop::option::of(node()))
@@ -112,7 +112,7 @@
     ]
 }
 
-/// Messages of reads, and the configuration that they give.
+/// Messages for reads and for the distribution of configurations.
 fn configuration_messages() -> Vec<BoxedStrategy<Message>> {
     vec![
         (token(), epoch())
@@ -171,7 +171,7 @@
     )
 }
 
-/// Messages of the voting set and of those that learn from it.
+/// Messages for voting set changes and for snapshots.
 fn membership_messages() -> Vec<BoxedStrategy<Message>> {
     vec![
         (epoch(), nodes())
@@ -192,7 +192,7 @@
     ]
 }
 
-/// Messages of operation keys.
+/// Messages for claims of operation keys and queries of operations.
 fn claim_messages() -> Vec<BoxedStrategy<Message>> {
     vec![
         (epoch(), key(), claim())
@@ -218,7 +218,7 @@
     ]
 }
 
-/// A strategy for each kind of message.
+/// One strategy for each message kind.
 pub fn strategies() -> Vec<BoxedStrategy<Message>> {
     [
         host_messages(),
@@ -231,7 +231,7 @@
     .concat()
 }
 
-/// Each kind of message as often as any other.
+/// Generates messages of all kinds with equal probability.
 pub fn message() -> impl Strategy<Value = Message> {
     Union::new(strategies())
 }
--- a/crates/gateway/messages/tests/strategies/values.rs
+++ b/crates/gateway/messages/tests/strategies/values.rs
@@ -1,4 +1,4 @@
-//! Any value that stands in a message.
+//! Strategies for the values inside messages.
 
 use proptest::prelude::*;
 use rushcourse_messages::{
@@ -95,8 +95,8 @@
     prop::collection::vec(any::<u8>(), 0..64).prop_map(Arc::<[u8]>::from)
 }
 
-pub fn list<T: std::fmt::Debug>(of: impl Strategy<Value = T>) -> impl Strategy<Value = Vec<T>> {
-    prop::collection::vec(of, 0..5)
+pub fn list<T: std::fmt::Debug>(item: impl Strategy<Value = T>) -> impl Strategy<Value = Vec<T>> {
+    prop::collection::vec(item, 0..5)
 }
 
 pub fn slot() -> impl Strategy<Value = Slot> {
@@ -200,6 +200,6 @@
 }
 
 pub fn endpoint() -> impl Strategy<Value = EndpointWeight> {
-    // A weight that is no number equals nothing, itself included.
+    // NaN is excluded, since a message with a NaN weight does not equal itself.
     (host(), -1e6f32..1e6).prop_map(|(host, weight)| EndpointWeight { host, weight })
 }
