--- a/crates/gateway/transport/src/connection.rs
+++ b/crates/gateway/transport/src/connection.rs
@@ -1,4 +1,5 @@
-//! One connection between two nodes, from its handshake to its end: a handshake both ways, then frames.
+//! The lifecycle of a connection between two nodes: TLS if keys are configured, a handshake in each direction, then
+//! frames until the session ends.
 
 use crate::error::SessionError;
 use crate::session::{SendHandle, Session, SessionEvent};
@@ -17,21 +18,21 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A handshake comes within this time, or the connection is closed.
+/// Timeout of the TLS handshake, and again of the exchange of handshake messages.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Each side sends something at least this often.
+/// A ping is sent after this time without an outgoing message.
 const PING_INTERVAL: Duration = Duration::from_millis(400);
-/// A session is over after so long without a message.
+/// A session is closed after this time without an incoming message, or when a write takes longer.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_600);
-/// Bytes of a handshake at most: no peer that has not opened a session makes a node hold more.
+/// Maximum length of a handshake message in bytes; limits the memory used for a peer that is not yet authenticated.
 const MAX_HANDSHAKE_BYTES: usize = 1_024;
-/// Bytes that are read of a connection at once.
+/// Size of the read buffer of a session in bytes.
 const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Runs a connection until it ends, on whichever side that is.
+/// Runs a connection until either side closes it.
 ///
 /// # Errors
-/// Why it ended; it always does.
+/// Always returns an error: the reason why the connection ended.
 pub(crate) async fn run(
     mut stream: TcpStream,
     context: &SessionContext,
@@ -43,10 +44,10 @@
     };
     let address = *peer_address.ip();
     if let Some(keys) = context.keys() {
-        let securing = keys.secure(stream, address, direction);
-        let (mut stream, identity) = within(HANDSHAKE_TIMEOUT, securing).await?;
+        let tls_handshake = keys.establish_tls(stream, address, direction);
+        let (mut stream, identity) = with_timeout(HANDSHAKE_TIMEOUT, tls_handshake).await?;
         let handshake = exchange_handshakes(&mut stream, context, identity);
-        let peer = within(HANDSHAKE_TIMEOUT, handshake).await?;
+        let peer = with_timeout(HANDSHAKE_TIMEOUT, handshake).await?;
         let (reader, writer) = tokio::io::split(stream);
         return run_session(reader, writer, context, peer).await;
     }
@@ -55,30 +56,30 @@
         certificate: None,
     };
     let handshake = exchange_handshakes(&mut stream, context, identity);
-    let peer = within(HANDSHAKE_TIMEOUT, handshake).await?;
+    let peer = with_timeout(HANDSHAKE_TIMEOUT, handshake).await?;
     let (reader, writer) = stream.into_split();
     run_session(reader, writer, context, peer).await
 }
 
-/// Small messages go out at once, and a peer without power is given up.
+/// Disables Nagle's algorithm, and limits how long sent data may remain unacknowledged by the peer.
 fn configure_socket(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let _ = stream.set_nodelay(true);
     let _ = socket.set_tcp_user_timeout(Some(IDLE_TIMEOUT));
 }
 
-/// Waits for what must come within a time.
-async fn within<T, E: Into<SessionError>>(
+/// Awaits a future; returns an I/O error of kind `TimedOut` if it takes longer than `limit`.
+async fn with_timeout<T, E: Into<SessionError>>(
     limit: Duration,
-    work: impl Future<Output = Result<T, E>>,
+    future: impl Future<Output = Result<T, E>>,
 ) -> Result<T, SessionError> {
-    match timeout(limit, work).await {
-        Ok(done) => done.map_err(Into::into),
+    match timeout(limit, future).await {
+        Ok(result) => result.map_err(Into::into),
         Err(_) => Err(io::Error::from(io::ErrorKind::TimedOut).into()),
     }
 }
 
-/// Sends our handshake and checks the peer's.
+/// Sends the local handshake, then reads and checks the peer's.
 async fn exchange_handshakes<S: AsyncRead + AsyncWrite + Unpin>(
     stream: &mut S,
     context: &SessionContext,
@@ -111,7 +112,7 @@
     Ok(decode(&body)?)
 }
 
-/// An open session, from both handshakes to its end.
+/// Runs an open session until it ends, and emits its `Opened` and `Closed` events.
 async fn run_session(
     reader: impl AsyncRead + Unpin,
     writer: impl AsyncWrite + Unpin,
@@ -121,16 +122,16 @@
     let (id, queue) = (context.next_id(), SendHandle::new());
     let session = Session::new(id, peer.clone(), queue.clone());
     context.emit(SessionEvent::Opened(session));
-    let end = tokio::select! {
-        end = receive_messages(reader, context, id, &peer) => end,
-        end = send_messages(writer, &queue) => end,
+    let result = tokio::select! {
+        result = receive_messages(reader, context, id, &peer) => result,
+        result = send_messages(writer, &queue) => result,
     };
     queue.close();
     context.emit(SessionEvent::Closed(id));
-    end
+    result
 }
 
-/// Hands on what the peer sends, until the session ends.
+/// Emits the messages of the peer, except pings, until the session ends.
 async fn receive_messages(
     reader: impl AsyncRead + Unpin,
     context: &SessionContext,
@@ -140,7 +141,7 @@
     let local_role = context.local_handshake().role;
     let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, reader);
     loop {
-        let message = within(IDLE_TIMEOUT, read_frame(&mut reader, MAX_FRAME_BYTES)).await?;
+        let message = with_timeout(IDLE_TIMEOUT, read_frame(&mut reader, MAX_FRAME_BYTES)).await?;
         authorization::check_message(peer, local_role, &message)?;
         if message != Message::Ping {
             context.emit(SessionEvent::Received {
@@ -151,7 +152,7 @@
     }
 }
 
-/// Writes what waits for the peer, and a ping where nothing does for a while, until the session ends.
+/// Writes queued frames, or a ping when the queue stays empty for `PING_INTERVAL`, until the session ends.
 async fn send_messages(
     mut writer: impl AsyncWrite + Unpin,
     queue: &SendHandle,
@@ -161,7 +162,7 @@
             queue.send(&Message::Ping);
         }
         if queue.is_closed() {
-            return Err(io::Error::other("closed here").into());
+            return Err(io::Error::other("closed by this node").into());
         }
         let frames = queue.take_frames();
         if frames.is_empty() {
@@ -171,6 +172,6 @@
             writer.write_all(&frames).await?;
             writer.flush().await
         };
-        within(IDLE_TIMEOUT, write).await?;
+        with_timeout(IDLE_TIMEOUT, write).await?;
     }
 }
--- a/crates/gateway/transport/src/counters.rs
+++ b/crates/gateway/transport/src/counters.rs
@@ -1,14 +1,14 @@
-//! Rejections counted by their reason, and told as one line of the log while there are any.
+//! Counters by reason, summarized in the log at a fixed interval.
 
 use rushcourse_types::Timestamp;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Time between two lines (ours): a flood that lasts is seen within a look at the log, and costs one line.
+/// Minimum time between two summary lines of one counter; limits the log volume of a sustained flood.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Counts of one event's reasons. Reasons are words of the code, so there are few.
+/// Counts occurrences of an event by reason. Reasons are string constants, so the number of counters is bounded.
 pub struct ReasonCounters {
     event: &'static str,
     since_last_line: BTreeMap<&'static str, u64>,
@@ -17,7 +17,7 @@
 }
 
 impl ReasonCounters {
-    /// Counters for a line `event=EVENT span_s=SECONDS REASON=COUNT...`.
+    /// Creates counters that are logged as `event=EVENT span_s=SECONDS REASON=COUNT...`.
     pub fn new(event: &'static str) -> ReasonCounters {
         ReasonCounters {
             event,
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Counts one more of a reason. True for the first of its reason since the last line.
+    /// Increments the counter of `reason`. Returns true for its first occurrence since the last summary line.
     pub fn count(&mut self, reason: &'static str) -> bool {
         *self.totals.entry(reason).or_default() += 1;
         let count = self.since_last_line.entry(reason).or_default();
@@ -35,7 +35,8 @@
         *count == 1
     }
 
-    /// The log line of what was counted since the last one, once the next is due. `None` also where nothing was counted.
+    /// Returns the summary line of all counts since the last one, and resets them. `None` if the last line is less than
+    /// 10 seconds old or nothing was counted.
     pub fn take_log_line(&mut self, now: Timestamp) -> Option<String> {
         let span = now.since(self.last_line_at);
         if span < LOG_INTERVAL {
@@ -53,7 +54,7 @@
         Some(line)
     }
 
-    /// All since the start, by reason.
+    /// Counts by reason since the process started.
     pub fn totals(&self) -> &BTreeMap<&'static str, u64> {
         &self.totals
     }
--- a/crates/gateway/transport/src/dialer.rs
+++ b/crates/gateway/transport/src/dialer.rs
@@ -1,4 +1,4 @@
-//! Sessions that this node opens.
+//! Outbound sessions: connections that this node opens to other nodes.
 
 use crate::connection;
 use crate::session_context::SessionContext;
@@ -14,10 +14,10 @@
 use tokio::net::{TcpSocket, TcpStream};
 use tokio::time::timeout;
 
-/// A connection that can't be made in this time is given up.
+/// Timeout of a TCP connection attempt.
 const DIAL_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// Dials nodes, each once at a time.
+/// Opens sessions with other nodes, at most one per node at a time.
 pub struct Dialer {
     context: SessionContext,
     port: u16,
@@ -25,7 +25,7 @@
 }
 
 impl Dialer {
-    /// `port`: where nodes listen for each other, the same on all machines.
+    /// Creates a dialer. `port` is the port for sessions between nodes, which is the same on all machines.
     pub fn new(context: SessionContext, port: u16) -> Dialer {
         Dialer {
             context,
@@ -34,17 +34,18 @@
         }
     }
 
-    /// What the sessions start from.
+    /// The context shared with all sessions of this process.
     pub fn context(&self) -> &SessionContext {
         &self.context
     }
 
-    /// The handshake that this node opens its sessions with.
+    /// The handshake that this node sends to its peers.
     pub fn local_handshake(&self) -> &Handshake {
         self.context.local_handshake()
     }
 
-    /// Opens a session with a node, unless that is under way or one is open by an earlier dial.
+    /// Starts to open a session with `node`. Does nothing while a connection attempt or a session from an earlier call
+    /// is still active.
     pub fn dial(&self, node: NodeId) {
         if !self.dialing.borrow_mut().insert(node) {
             return;
@@ -58,18 +59,18 @@
     }
 }
 
-/// Opens one session and runs it to its end.
+/// Connects to a node and runs the session until it ends.
 async fn run_outbound(address: SocketAddrV4, context: &SessionContext) {
     let local = context.local_handshake().node;
     let Ok(Ok(stream)) = timeout(DIAL_TIMEOUT, connect(local, address)).await else {
         return;
     };
     if let Err(error) = connection::run(stream, context, Direction::Outbound).await {
-        context.record_end(&address, &error);
+        context.record_session_end(&address, &error);
     }
 }
 
-/// Connects from this machine's own address: that is what the peer knows it by, also where machines have several.
+/// Connects with the local node's address as the source, since peers identify a node by the source address.
 async fn connect(local: NodeId, address: SocketAddrV4) -> io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddrV4::new(Ipv4Addr::from(local), 0).into())?;
--- a/crates/gateway/transport/src/error.rs
+++ b/crates/gateway/transport/src/error.rs
@@ -1,33 +1,33 @@
-//! Why a session between nodes ended, or never began.
+//! Errors that end a session between nodes or prevent it from opening.
 
 use rushcourse_messages::{FrameError, PeerRejection};
 use std::fmt;
 use std::io;
 
-/// Why a session ended, or never began.
+/// The reason why a session ended or could not be opened.
 #[derive(Debug)]
 pub enum SessionError {
-    /// The connection broke, fell silent, or was closed here.
+    /// The connection failed, timed out or was closed by this node.
     Io(io::Error),
-    /// The peer is not one of this cluster, or sent what a node of its role doesn't send.
+    /// The peer's handshake or one of its messages failed authorization.
     Rejected(PeerRejection),
-    /// The peer sent bytes that are no message, or our handshake can't be put into a frame.
+    /// The peer sent a malformed frame, or the local handshake could not be encoded.
     Frame(FrameError),
-    /// The TLS handshake failed by what the peer showed, or by what it made of ours.
+    /// The TLS handshake failed: a certificate was not accepted, or the peer did not speak TLS.
     BadCertificate(io::Error),
-    /// The peer's address is none of IPv4, by which nodes are named.
+    /// The peer has no IPv4 address, from which its node id would be derived.
     NotIpv4,
-    /// The peer's first message was no handshake.
+    /// The peer's first message was not a handshake.
     NoHandshake,
-    /// This node has as many sessions open as it may have.
+    /// The limit for inbound sessions is reached.
     TooManySessions {
-        /// Sessions that may be open.
+        /// Maximum number of open inbound sessions.
         max_sessions: usize,
     },
 }
 
 impl SessionError {
-    /// The reason that it is counted by, where this side rejected the peer. `None` where the session just ended.
+    /// The reason under which the rejection of the peer is counted. `None` if the peer was not rejected.
     pub fn rejection_reason(&self) -> Option<&'static str> {
         match self {
             SessionError::Io(_) => None,
@@ -48,10 +48,10 @@
             SessionError::Io(error) | SessionError::BadCertificate(error) => error.fmt(formatter),
             SessionError::Rejected(rejection) => rejection.fmt(formatter),
             SessionError::Frame(error) => error.fmt(formatter),
-            SessionError::NotIpv4 => formatter.write_str("no IPv4 address"),
-            SessionError::NoHandshake => formatter.write_str("its first message is no handshake"),
+            SessionError::NotIpv4 => formatter.write_str("the peer has no IPv4 address"),
+            SessionError::NoHandshake => formatter.write_str("the first message is no handshake"),
             SessionError::TooManySessions { max_sessions } => {
-                write!(formatter, "{max_sessions} sessions are open")
+                write!(formatter, "the limit of {max_sessions} sessions is reached")
             }
         }
     }
--- a/crates/gateway/transport/src/lib.rs
+++ b/crates/gateway/transport/src/lib.rs
@@ -1,15 +1,15 @@
-//! What the gateway's programs share: their start, their log, their clocks, and the sessions between nodes.
+//! Code shared by the programs of the gateway: startup, logging, clocks, and sessions between nodes.
 //!
 //! * [`program`]: the command line of both programs.
-//! * [`startup`]: the settings file, the node's handshake, sockets.
-//! * [`logging`], [`counters`], [`clock`]: the log, rejections counted for it, and the clocks of a process.
-//! * [`session`]: a session as its owner sees it, and what happens on it.
-//! * [`session_context`]: what every session of a process starts from.
-//! * [`dialer`], [`listener`]: sessions that this node opens, and those that others do.
-//! * [`error`]: why a session ended.
+//! * [`startup`]: settings file, local handshake, runtime and listening sockets.
+//! * [`logging`], [`counters`], [`clock`]: log setup, counters by reason, and clocks.
+//! * [`session`]: handles of open sessions, and session events.
+//! * [`session_context`]: the state shared by all sessions of a process.
+//! * [`dialer`], [`listener`]: outbound and inbound sessions.
+//! * [`error`]: errors that end a session.
 //!
-//! All of a process's sessions end in one queue of [`SessionEvent`]s, which their owner works through. A session is a
-//! TCP connection, with TLS where the settings name keys, that begins with a handshake both ways; then come frames.
+//! A session is a TCP connection, with TLS if the settings name keys. Both sides send a handshake, then frames. The
+//! events of all sessions go into one queue of [`SessionEvent`]s that is read by the owner of the [`SessionContext`].
 
 pub mod clock;
 mod connection;
--- a/crates/gateway/transport/src/listener.rs
+++ b/crates/gateway/transport/src/listener.rs
@@ -1,4 +1,4 @@
-//! Connections that others open: sessions of nodes, and connections as such.
+//! Inbound connections: a retrying accept, and the listener for sessions that other nodes open.
 
 use crate::connection;
 use crate::error::SessionError;
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// A listener that could accept no connection tries again after this time.
+/// Delay after a failed `accept` before the next attempt.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// The next connection, and where it comes from. Where none can be accepted (out of descriptors), it waits a little and
-/// tries again.
+/// Accepts the next connection and returns it with the peer's address. Retries after 20 ms if the operating system
+/// returns an error, such as when file descriptors are exhausted.
 pub async fn accept(listener: &TcpListener) -> (TcpStream, SocketAddr) {
     loop {
         match listener.accept().await {
@@ -24,20 +24,20 @@
     }
 }
 
-/// Takes sessions that other nodes open, `max_sessions` at a time. Never ends.
+/// Accepts sessions from other nodes, and rejects connections beyond `max_sessions` open ones. Never returns.
 pub async fn accept_sessions(listener: TcpListener, max_sessions: usize, context: SessionContext) {
     let open_sessions = Rc::new(Cell::new(0));
     loop {
         let (stream, peer) = accept(&listener).await;
         if open_sessions.get() >= max_sessions {
-            context.record_end(&peer, &SessionError::TooManySessions { max_sessions });
+            context.record_session_end(&peer, &SessionError::TooManySessions { max_sessions });
             continue;
         }
         open_sessions.set(open_sessions.get() + 1);
         let (context, open_sessions) = (context.clone(), open_sessions.clone());
         tokio::task::spawn_local(async move {
             if let Err(error) = connection::run(stream, &context, Direction::Inbound).await {
-                context.record_end(&peer, &error);
+                context.record_session_end(&peer, &error);
             }
             open_sessions.set(open_sessions.get() - 1);
         });
--- a/crates/gateway/transport/src/logging.rs
+++ b/crates/gateway/transport/src/logging.rs
@@ -1,8 +1,8 @@
-//! The log: one line of `key=value` pairs for each event, on standard error.
+//! Logging to standard error: one line of `key=value` pairs per event.
 
 use log::LevelFilter;
 
-/// The project's packages that log by the level of the settings. Libraries log from their warnings on.
+/// Log targets to which the configured level applies. All other targets log warnings and errors at most.
 const TARGETS: [&str; 6] = [
     "rushcourse_controller",
     "rushcourse_gateway",
@@ -12,7 +12,7 @@
     "gateway",
 ];
 
-/// Sets the log up for a node. A level that is not known counts as `info`.
+/// Initializes logging for this process. `node` is written to each line; an unknown `level` is treated as `info`.
 pub fn init(level: &str, node: &str) {
     let level = level.parse().unwrap_or(LevelFilter::Info);
     let node = node.to_string();
@@ -27,6 +27,6 @@
     for target in TARGETS {
         dispatch = dispatch.level_for(target, level);
     }
-    // A second set-up in one process keeps the first.
+    // Fails if logging is already initialized, as in tests; the first initialization stays in effect.
     let _ = dispatch.chain(std::io::stderr()).apply();
 }
--- a/crates/gateway/transport/src/program.rs
+++ b/crates/gateway/transport/src/program.rs
@@ -7,7 +7,7 @@
 use std::path::Path;
 use std::process;
 
-/// Exit code of a program that can't start, or was called wrongly.
+/// Exit code for an invalid command line, invalid settings, or a failed start.
 const EXIT_START_FAILED: i32 = 2;
 
 #[derive(Options)]
@@ -23,8 +23,8 @@
     check: bool,
 }
 
-/// Starts a program by its command line, or only checks its settings file. Ends the process with code 2 where it can't.
-/// `about` stands at the head of its help.
+/// Parses the command line, reads the settings file and calls `serve` unless `--check` is given. On failure, exits the
+/// process with code 2. `about` is the program description printed by `--help`.
 pub fn run(about: &str, serve: impl FnOnce(&Path, NodeSettings) -> Result<(), Report<StartError>>) {
     let arguments = parse_arguments(about);
     if let Err(report) = start(&arguments, serve) {
@@ -33,7 +33,7 @@
     }
 }
 
-/// Parses the command line; ends the process where that is wrong or asks for help.
+/// Parses the command line. Exits the process if it is invalid or asks for help.
 fn parse_arguments(about: &str) -> Arguments {
     let mut words = std::env::args();
     let program = words.next().unwrap_or_default();
--- a/crates/gateway/transport/src/session.rs
+++ b/crates/gateway/transport/src/session.rs
@@ -1,4 +1,4 @@
-//! A session as its owner sees it: who is on the other side, and where messages wait to be written.
+//! Handles of open sessions with their send queues, and the events that sessions emit.
 
 use rushcourse_messages::{Handshake, Message, encode};
 use rushcourse_types::SessionId;
@@ -6,18 +6,18 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Bytes that may wait for a peer that does not read; beyond, its session is closed (ours).
+/// Maximum length of a send queue in bytes. A session is closed when its peer reads too slowly to stay below it.
 const MAX_QUEUED_BYTES: usize = 8 << 20;
 
-/// Messages to one peer that wait to be written, as bytes of their frames.
+/// The encoded frames that are pending for one peer.
 struct SendQueue {
     frames: RefCell<Vec<u8>>,
-    /// Wakes the task that writes: something waits, or the session is to end.
-    writer: Notify,
+    /// Notifies the writing task that frames are pending or the session was closed.
+    writer_wakeup: Notify,
     is_closed: Cell<bool>,
 }
 
-/// A way to the send queue of a session; a clone is the same queue.
+/// Shared handle to the send queue of a session; clones refer to the same queue.
 #[derive(Clone)]
 pub(crate) struct SendHandle(Rc<SendQueue>);
 
@@ -25,12 +25,13 @@
     pub(crate) fn new() -> SendHandle {
         SendHandle(Rc::new(SendQueue {
             frames: RefCell::default(),
-            writer: Notify::new(),
+            writer_wakeup: Notify::new(),
             is_closed: Cell::new(false),
         }))
     }
 
-    /// Puts a message behind what waits. A session that can't take it is closed.
+    /// Appends a message to the queue. Closes the session if the queue exceeds its limit; drops a message that can't be
+    /// encoded.
     pub(crate) fn send(&self, message: &Message) {
         if self.is_closed() {
             return;
@@ -46,35 +47,35 @@
             return self.close();
         }
         drop(frames);
-        self.0.writer.notify_one();
+        self.0.writer_wakeup.notify_one();
     }
 
-    /// Waits until something is to be written, or the session is to end.
+    /// Waits until frames are pending or the session is closed.
     pub(crate) async fn wait(&self) {
-        self.0.writer.notified().await;
+        self.0.writer_wakeup.notified().await;
     }
 
     pub(crate) fn is_closed(&self) -> bool {
         self.0.is_closed.get()
     }
 
-    /// All that waits, as bytes to write.
+    /// Removes and returns all pending frames, concatenated.
     pub(crate) fn take_frames(&self) -> Vec<u8> {
         std::mem::take(&mut *self.0.frames.borrow_mut())
     }
 
     pub(crate) fn close(&self) {
         self.0.is_closed.set(true);
-        self.0.writer.notify_one();
+        self.0.writer_wakeup.notify_one();
     }
 }
 
-/// An open session; a clone is the same session.
+/// Handle to an open session; clones refer to the same session.
 #[derive(Clone)]
 pub struct Session {
-    /// Its number in this process.
+    /// Identifies the session within this process; never reused.
     pub id: SessionId,
-    /// The handshake of the node on the other side.
+    /// The handshake received from the peer.
     pub peer: Handshake,
     queue: SendHandle,
 }
@@ -84,28 +85,28 @@
         Session { id, peer, queue }
     }
 
-    /// Queues a message for the peer. A session that can't take it is closed.
+    /// Queues a message for the peer. Closes the session if more than 8 MiB are pending.
     pub fn send(&self, message: &Message) {
         self.queue.send(message);
     }
 
-    /// Ends the session; what waits to be written is dropped.
+    /// Closes the session and drops pending messages. `SessionEvent::Closed` follows.
     pub fn close(&self) {
         self.queue.close();
     }
 }
 
-/// What happens on sessions, in order for each.
+/// An event of a session. The events of one session arrive in order.
 pub enum SessionEvent {
-    /// Both sides have checked each other's handshake.
+    /// The peer's handshake was accepted; messages can be sent.
     Opened(Session),
-    /// The peer sent a message that a node of its role may send.
+    /// The peer sent a message that passed authorization.
     Received {
-        /// The session that it came on.
+        /// The id of the session that received the message.
         session: SessionId,
-        /// The message; never a ping.
+        /// Any message except `Message::Ping`.
         message: Message,
     },
-    /// The session is over, for whatever reason.
+    /// The session ended for any reason, including a local call of `Session::close`.
     Closed(SessionId),
 }
--- a/crates/gateway/transport/src/session_context.rs
+++ b/crates/gateway/transport/src/session_context.rs
@@ -1,4 +1,4 @@
-//! What every session of a process starts from: who this node is, its keys, and the count of rejected peers.
+//! The state shared by all sessions of a process: the local handshake, TLS keys, session ids and rejection counters.
 
 use crate::counters::ReasonCounters;
 use crate::error::SessionError;
@@ -21,12 +21,12 @@
     events: mpsc::UnboundedSender<SessionEvent>,
 }
 
-/// One for a process; a clone is the same.
+/// Shared state of all sessions of a process; clones refer to the same state.
 #[derive(Clone)]
 pub struct SessionContext(Rc<Shared>);
 
 impl SessionContext {
-    /// A context without keys, for the node of this handshake. The events of all sessions go into one queue.
+    /// Creates a context without TLS keys. `local` is sent to every peer; all sessions send their events to `events`.
     pub fn new(local: Handshake, events: mpsc::UnboundedSender<SessionEvent>) -> SessionContext {
         SessionContext(Rc::new(Shared {
             local,
@@ -37,28 +37,29 @@
         }))
     }
 
-    /// The handshake that this node opens its sessions with.
+    /// The handshake that this node sends to its peers.
     pub fn local_handshake(&self) -> &Handshake {
         &self.0.local
     }
 
-    /// New sessions are made with these keys from now on; without any, the addresses of machines count. Open sessions
-    /// go on.
+    /// Loads the TLS keys for new sessions. With `None`, new sessions use plain TCP and peers are identified by address
+    /// only. Open sessions are not affected.
     ///
     /// # Errors
-    /// The file that can't be used, and why; the keys stay as they were.
+    /// Returns an error that names the unusable file; the previous keys remain in use.
     pub fn set_keys(&self, keys: Option<&PeerKeys>) -> Result<(), KeysError> {
         let loaded = keys.map(SessionKeys::load).transpose()?;
         *self.0.keys.borrow_mut() = loaded;
         Ok(())
     }
 
-    /// The log line of the peers rejected since the last one, by reason, once the next is due.
+    /// Returns the log line that counts rejected peers by reason since the last such line. `None` if it is not due yet
+    /// or no peer was rejected.
     pub fn take_rejections_line(&self, now: Timestamp) -> Option<String> {
         self.0.rejections.borrow_mut().take_log_line(now)
     }
 
-    /// Peers rejected since the start, by reason.
+    /// Number of peers rejected since the process started, by reason.
     pub fn rejections(&self) -> BTreeMap<&'static str, u64> {
         self.0.rejections.borrow().totals().clone()
     }
@@ -67,9 +68,9 @@
         self.0.keys.borrow().clone()
     }
 
-    /// Hands an event to the owner of the sessions.
+    /// Sends an event to the owner of the context.
     pub(crate) fn emit(&self, event: SessionEvent) {
-        // The owner is gone only where the process ends.
+        // The receiver is dropped only at process exit.
         let _ = self.0.events.send(event);
     }
 
@@ -79,8 +80,9 @@
         id
     }
 
-    /// A session is over, or was none. Rejections are counted; the first of its reason in a while is logged whole.
-    pub(crate) fn record_end(&self, peer: &dyn fmt::Display, error: &SessionError) {
+    /// Records why a session ended or could not be opened. Counts rejections, and logs the first rejection for each
+    /// reason in each logging interval as a warning.
+    pub(crate) fn record_session_end(&self, peer: &dyn fmt::Display, error: &SessionError) {
         let Some(reason) = error.rejection_reason() else {
             log::debug!(
                 "event=session_ended peer={peer} why={:?}",
--- a/crates/gateway/transport/src/startup.rs
+++ b/crates/gateway/transport/src/startup.rs
@@ -1,5 +1,5 @@
-//! What both programs of the gateway do at their start: the settings file, read and checked whole, the node's handshake,
-//! sockets, and what a changed settings file changes while they run.
+//! Startup code shared by both programs of the gateway: reading and reloading the settings file, the local handshake,
+//! the runtime, and listening sockets.
 
 use crate::session_context::SessionContext;
 use error_stack::{Report, ResultExt};
@@ -13,29 +13,29 @@
 use tokio::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Names the settings file (DEPLOY.md).
+/// Environment variable with the path of the settings file; used if the command line names none.
 pub const SETTINGS_VARIABLE: &str = "RUSHCOURSE_NODE_FILE";
 
-/// Why a program can't start.
+/// A failure that prevents a program from starting.
 #[derive(Debug)]
 pub enum StartError {
     /// Neither the command line nor the environment names a settings file.
     NoSettingsFile,
-    /// The settings file can't be read.
+    /// Reading the settings file at this path failed.
     SettingsUnreadable(PathBuf),
-    /// The settings file has a line or field that can't be used.
+    /// The settings file at this path has a malformed line or an invalid field.
     SettingsInvalid(PathBuf),
-    /// The settings file lacks what this program needs.
+    /// The settings file lacks this field, which the program requires.
     MissingSetting(&'static str),
-    /// The address is taken, or not of this machine.
+    /// Binding this address failed: it is in use or does not belong to this machine.
     Listen(SocketAddrV4),
-    /// The asynchronous runtime can't start.
+    /// The Tokio runtime could not be created.
     Runtime,
-    /// The operating system refuses handlers of signals.
+    /// A signal handler could not be installed.
     Signals,
-    /// The state on disk can't be used.
+    /// The data directory or the state file is unusable.
     Disk,
-    /// The certificates and keys for sessions between nodes can't be used.
+    /// A certificate or key file for sessions between nodes (`peers.` settings) is unusable.
     Keys,
 }
 
@@ -47,18 +47,18 @@
                 "no settings file: give --settings FILE or set {SETTINGS_VARIABLE}"
             ),
             StartError::SettingsUnreadable(path) => {
-                write!(formatter, "{}: can't be read", path.display())
+                write!(formatter, "failed to read settings file {}", path.display())
             }
             StartError::SettingsInvalid(path) => {
-                write!(formatter, "{}: can't be used", path.display())
+                write!(formatter, "invalid settings file {}", path.display())
             }
             StartError::MissingSetting(field) => write!(formatter, "{field}: is missing"),
-            StartError::Listen(address) => write!(formatter, "can't listen at {address}"),
-            StartError::Runtime => formatter.write_str("the asynchronous runtime can't start"),
-            StartError::Signals => formatter.write_str("signals can't be handled"),
-            StartError::Disk => formatter.write_str("the state on disk can't be used"),
+            StartError::Listen(address) => write!(formatter, "failed to listen on {address}"),
+            StartError::Runtime => formatter.write_str("failed to create the Tokio runtime"),
+            StartError::Signals => formatter.write_str("failed to install signal handlers"),
+            StartError::Disk => formatter.write_str("failed to open the state on disk"),
             StartError::Keys => {
-                formatter.write_str("the keys for sessions between nodes (peers.) can't be used")
+                formatter.write_str("failed to load the keys for sessions between nodes (peers.)")
             }
         }
     }
@@ -66,10 +66,10 @@
 
 impl std::error::Error for StartError {}
 
-/// The settings file that the command line names, or else the environment.
+/// Returns the path of the settings file: `named` from the command line, or else the value of [`SETTINGS_VARIABLE`].
 ///
 /// # Errors
-/// [`StartError::NoSettingsFile`] where neither does.
+/// Returns [`StartError::NoSettingsFile`] if neither is set.
 pub fn settings_path(named: Option<&str>) -> Result<PathBuf, Report<StartError>> {
     let found = named
         .map(PathBuf::from)
@@ -77,18 +77,18 @@
     found.ok_or_else(|| Report::new(StartError::NoSettingsFile))
 }
 
-/// Reads a settings file whole.
+/// Reads and parses the settings file at `path`.
 ///
 /// # Errors
-/// A file that can't be read, or its first line or field that can't be used.
+/// Returns [`StartError::SettingsUnreadable`], or [`StartError::SettingsInvalid`] with the first invalid line or field.
 pub fn read_settings(path: &Path) -> Result<NodeSettings, Report<StartError>> {
     let text = std::fs::read_to_string(path)
         .change_context_lazy(|| StartError::SettingsUnreadable(path.into()))?;
     NodeSettings::parse(&text).change_context_lazy(|| StartError::SettingsInvalid(path.into()))
 }
 
-/// Reads the settings file of a running program again; its new sessions get the file's keys from now on. What can't be
-/// used is logged and changes nothing. `None`: the file as a whole.
+/// Rereads the settings file of a running program and loads its TLS keys for new sessions. If the keys are unusable,
+/// logs an error and keeps the previous keys. If the file is unusable, logs an error and returns `None`.
 pub fn reload_settings(path: &Path, context: &SessionContext) -> Option<NodeSettings> {
     let settings = match read_settings(path) {
         Ok(settings) => settings,
@@ -108,7 +108,7 @@
     Some(settings)
 }
 
-/// The nodes that a settings file names as seeds.
+/// The seed nodes named in the settings.
 pub fn seed_nodes(settings: &NodeSettings) -> impl Iterator<Item = NodeId> {
     settings
         .peers
@@ -117,7 +117,7 @@
         .map(|seed| NodeId::from(*seed.ip()))
 }
 
-/// The handshake of this process: its node by the settings, in an incarnation of its own.
+/// Creates the handshake of this process from the settings, with a new random incarnation.
 pub fn local_handshake(settings: &NodeSettings, role: Role) -> Handshake {
     Handshake {
         protocol_version: PROTOCOL_VERSION,
@@ -129,39 +129,39 @@
     }
 }
 
-/// A random number, by the seed that the standard library draws for its hash tables; not for secrets.
+/// Draws a random incarnation from the standard library's hash seed. Not cryptographically secure.
 pub fn random_incarnation() -> Incarnation {
     Incarnation(RandomState::new().build_hasher().finish())
 }
 
-/// Runs a program's work on this thread, and the tasks that it spawns.
+/// Runs a future to completion on a current-thread Tokio runtime. The future may call `spawn_local`.
 ///
 /// # Errors
-/// Those of the work; [`StartError::Runtime`] where it can't begin.
+/// Returns the error of the future, or [`StartError::Runtime`] if the runtime can't be created.
 pub fn run_on_current_thread(
-    work: impl Future<Output = Result<(), Report<StartError>>>,
+    future: impl Future<Output = Result<(), Report<StartError>>>,
 ) -> Result<(), Report<StartError>> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .change_context(StartError::Runtime)?;
-    LocalSet::new().block_on(&runtime, work)
+    LocalSet::new().block_on(&runtime, future)
 }
 
-/// Listens at an address of this machine.
+/// Binds a TCP listener to `address`.
 ///
 /// # Errors
-/// [`StartError::Listen`] where that can't be.
+/// Returns [`StartError::Listen`] if the address can't be bound.
 pub async fn listen(address: SocketAddrV4) -> Result<TcpListener, Report<StartError>> {
     TcpListener::bind(address)
         .await
         .change_context(StartError::Listen(address))
 }
 
-/// Listens where other nodes open sessions: at the first of the internal ports.
+/// Binds the listener for sessions from other nodes to the first port of `internal_port_range`.
 ///
 /// # Errors
-/// [`StartError::Listen`] where that can't be.
+/// Returns [`StartError::Listen`] if the address can't be bound.
 pub async fn listen_for_sessions(
     settings: &NodeSettings,
 ) -> Result<TcpListener, Report<StartError>> {
@@ -172,10 +172,10 @@
     .await
 }
 
-/// The address that a setting of this name holds.
+/// Unwraps the address of a setting. `field` is the setting's name in the settings file.
 ///
 /// # Errors
-/// [`StartError::MissingSetting`] where it holds none.
+/// Returns [`StartError::MissingSetting`] if `address` is `None`.
 pub fn required_address(
     address: Option<SocketAddrV4>,
     field: &'static str,
--- a/crates/gateway/transport/src/tls.rs
+++ b/crates/gateway/transport/src/tls.rs
@@ -1,4 +1,4 @@
-//! TLS between nodes: both sides show a certificate of the deployment's authority.
+//! Mutual TLS between nodes, with certificates signed by the authority of the deployment.
 
 use crate::error::SessionError;
 use rushcourse_config::{CONTROLLER_NAME, LEGACY_CONTROLLER_NAME, PeerKeys};
@@ -12,7 +12,7 @@
 use tokio_rustls::rustls::pki_types::{CertificateDer, ServerName};
 use tokio_rustls::{TlsAcceptor, TlsConnector, TlsStream};
 
-/// Files for sessions (`peers.` settings) that can't be used: which one, and why.
+/// A certificate, key or authority file (`peers.` settings) is unusable. The message names the file and the reason.
 #[derive(Debug)]
 pub struct KeysError(TlsError);
 
@@ -24,16 +24,16 @@
 
 impl std::error::Error for KeysError {}
 
-/// Which side opened a connection.
+/// The side that opened a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Direction {
-    /// The peer dialed.
+    /// Opened by the peer; this node acts as the TLS server.
     Inbound,
-    /// This node dialed.
+    /// Opened by this node, which acts as the TLS client.
     Outbound,
 }
 
-/// A node's own certificate and its authorities, ready for both directions.
+/// TLS server and client configurations with the node's certificate and its trusted authorities.
 #[derive(Clone)]
 pub(crate) struct SessionKeys {
     acceptor: TlsAcceptor,
@@ -41,10 +41,10 @@
 }
 
 impl SessionKeys {
-    /// Reads and checks the files.
+    /// Reads and validates the certificate, key and authority files.
     ///
     /// # Errors
-    /// The file that can't be used, and why.
+    /// Returns an error that names the unusable file.
     pub(crate) fn load(keys: &PeerKeys) -> Result<SessionKeys, KeysError> {
         let files = TlsFiles {
             certificate: keys.certificate.clone().into(),
@@ -57,39 +57,40 @@
         })
     }
 
-    /// Makes a connection private, and sees whose certificate the peer shows.
+    /// Performs the TLS handshake and verifies the names in the peer's certificate.
     ///
     /// # Errors
-    /// A certificate that the authorities don't vouch for; a connection that broke.
-    pub(crate) async fn secure(
+    /// Returns [`SessionError::BadCertificate`] if TLS data or a certificate is invalid, or [`SessionError::Io`] if the
+    /// connection fails.
+    pub(crate) async fn establish_tls(
         &self,
         stream: TcpStream,
         address: Ipv4Addr,
         direction: Direction,
     ) -> Result<(TlsStream<TcpStream>, PeerIdentity), SessionError> {
         let name = ServerName::from(IpAddr::from(address));
-        let secured = match direction {
+        let handshake = match direction {
             Direction::Outbound => {
                 let connecting = self.connector.connect(name, stream);
                 connecting.await.map(TlsStream::from)
             }
             Direction::Inbound => self.acceptor.accept(stream).await.map(TlsStream::from),
         };
-        let stream = secured.map_err(|error| match error.kind() {
+        let stream = handshake.map_err(|error| match error.kind() {
             io::ErrorKind::InvalidData => SessionError::BadCertificate(error),
             _ => SessionError::Io(error),
         })?;
         let (_, connection) = stream.get_ref();
-        let presented = connection.peer_certificates();
+        let chain = connection.peer_certificates();
         let identity = PeerIdentity {
             address: NodeId::from(address),
-            certificate: Some(certified_identity(presented, address)),
+            certificate: Some(certified_identity(chain, address)),
         };
         Ok((stream, identity))
     }
 }
 
-/// What the first certificate of a chain, its holder's, says of a node at this address.
+/// Verifies the names in the leaf certificate of a chain against the peer's address and the controller name.
 fn certified_identity(
     chain: Option<&[CertificateDer<'_>]>,
     address: Ipv4Addr,
--- a/crates/gateway/transport/tests/common/authority.rs
+++ b/crates/gateway/transport/tests/common/authority.rs
@@ -1,4 +1,4 @@
-//! An authority that signs certificates of nodes, and the files that they are used by.
+//! A certificate authority that issues node certificates and writes them to files.
 
 use rcgen::{BasicConstraints, CertificateParams, IsCa, Issuer, KeyPair};
 use rushcourse_config::PeerKeys;
@@ -11,34 +11,38 @@
 
 impl Authority {
     pub fn new() -> Authority {
-        let mut params = CertificateParams::new(Vec::new()).expect("parameters");
+        let mut params = CertificateParams::new(Vec::new()).expect("valid names");
         params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
-        let key = KeyPair::generate().expect("a key");
-        let certificate_pem = params.self_signed(&key).expect("a certificate").pem();
+        let key = KeyPair::generate().expect("generate a key");
+        let certificate_pem = params
+            .self_signed(&key)
+            .expect("sign the certificate")
+            .pem();
         Authority {
             issuer: Issuer::new(params, key),
             certificate_pem,
         }
     }
 
-    /// A certificate for these names, in files of this name; whoever shows it trusts `trusted`.
+    /// Issues a certificate for `names`. Writes `FILE.cert`, `FILE.key` and `FILE.ca` to `directory`; the last one
+    /// holds the certificates of the `trusted` authorities.
     pub fn issue(
         &self,
-        folder: &Path,
+        directory: &Path,
         file: &str,
         names: &[&str],
         trusted: &[&Authority],
     ) -> PeerKeys {
         let names: Vec<String> = names.iter().map(|name| name.to_string()).collect();
-        let key = KeyPair::generate().expect("a key");
-        let params = CertificateParams::new(names).expect("parameters");
+        let key = KeyPair::generate().expect("generate a key");
+        let params = CertificateParams::new(names).expect("valid names");
         let certificate = params
             .signed_by(&key, &self.issuer)
-            .expect("a certificate")
+            .expect("sign the certificate")
             .pem();
         let write = |kind: &str, text: String| {
-            let path = folder.join(format!("{file}.{kind}"));
-            std::fs::write(&path, text).expect("a file");
+            let path = directory.join(format!("{file}.{kind}"));
+            std::fs::write(&path, text).expect("write the file");
             path.to_string_lossy().into_owned()
         };
         let trusted = trusted.iter().map(|authority| &*authority.certificate_pem);
--- a/crates/gateway/transport/tests/common/node.rs
+++ b/crates/gateway/transport/tests/common/node.rs
@@ -1,4 +1,4 @@
-//! A node: an address of loopback, what its sessions start from, and what happens on them.
+//! A test node with its own loopback address, session context and event queue.
 
 use super::TEST_TIMEOUT;
 use rushcourse_messages::{Handshake, Message, PROTOCOL_VERSION, Role, encode};
@@ -9,7 +9,7 @@
 use tokio::net::{TcpListener, TcpSocket, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// Sessions that a node of a test takes at most.
+/// Maximum number of inbound sessions of a test node.
 const MAX_SESSIONS: usize = 8;
 
 pub struct Node {
@@ -46,12 +46,12 @@
         Node::new(address, Role::Gateway)
     }
 
-    /// Takes sessions; at which port.
+    /// Starts accepting sessions on a free port, and returns the port.
     pub async fn listen(&self) -> u16 {
         let listener = TcpListener::bind((self.address, 0))
             .await
-            .expect("an address of loopback");
-        let port = listener.local_addr().expect("an address").port();
+            .expect("bind the loopback address");
+        let port = listener.local_addr().expect("local address").port();
         let accepting = accept_sessions(listener, MAX_SESSIONS, self.context.clone());
         tokio::task::spawn_local(accepting);
         port
@@ -61,47 +61,49 @@
         Dialer::new(self.context.clone(), port).dial(NodeId::from(other.address));
     }
 
-    /// A connection from this node's address that no session runs on.
+    /// Opens a raw TCP connection from this node's address, without a handshake.
     pub async fn connect(&self, other: &Node, port: u16) -> TcpStream {
-        let socket = TcpSocket::new_v4().expect("a socket");
-        socket.bind((self.address, 0).into()).expect("an address");
+        let socket = TcpSocket::new_v4().expect("create a socket");
+        socket
+            .bind((self.address, 0).into())
+            .expect("bind the source address");
         socket
             .connect((other.address, port).into())
             .await
-            .expect("a connection")
+            .expect("connect")
     }
 
     pub async fn next_event(&mut self) -> SessionEvent {
         tokio::time::timeout(TEST_TIMEOUT, self.events.recv())
             .await
-            .expect("in time")
-            .expect("events")
+            .expect("an event before the timeout")
+            .expect("an open event queue")
     }
 
-    pub async fn opened(&mut self) -> Session {
+    pub async fn expect_opened(&mut self) -> Session {
         match self.next_event().await {
             SessionEvent::Opened(session) => session,
-            _ => panic!("a session was to open"),
+            _ => panic!("expected an opened session"),
         }
     }
 
-    pub async fn received(&mut self) -> Message {
+    pub async fn expect_message(&mut self) -> Message {
         match self.next_event().await {
             SessionEvent::Received { message, .. } => message,
-            SessionEvent::Opened(_) => panic!("a second session"),
-            SessionEvent::Closed(_) => panic!("the session ended"),
+            SessionEvent::Opened(_) => panic!("expected a message, but a session was opened"),
+            SessionEvent::Closed(_) => panic!("expected a message, but a session was closed"),
         }
     }
 
-    pub async fn closed(&mut self, why: &str) {
+    pub async fn expect_closed(&mut self, why: &str) {
         assert!(
             matches!(self.next_event().await, SessionEvent::Closed(_)),
             "{why}"
         );
     }
 
-    /// Waits until a peer was rejected for this reason; no session opened meanwhile.
-    pub async fn rejects(&mut self, reason: &str) {
+    /// Waits until a peer is rejected for `reason`, and asserts that no session event was emitted.
+    pub async fn expect_rejection(&mut self, reason: &str) {
         let counted = async {
             while !self.context.rejections().contains_key(reason) {
                 tokio::task::yield_now().await;
@@ -110,20 +112,20 @@
         let waited = tokio::time::timeout(TEST_TIMEOUT, counted).await;
         assert!(
             waited.is_ok(),
-            "{reason} was to be rejected: {:?}",
+            "no rejection for {reason:?}: {:?}",
             self.context.rejections()
         );
-        assert!(self.events.try_recv().is_err(), "no session came of it");
+        assert!(self.events.try_recv().is_err(), "unexpected session event");
     }
 }
 
-/// A message as it goes over the wire.
+/// Encodes a message with its frame header.
 pub fn frame(message: &Message) -> Vec<u8> {
     let mut bytes = Vec::new();
-    encode(message, &mut bytes).expect("a frame");
+    encode(message, &mut bytes).expect("encode the message");
     bytes
 }
 
 pub async fn write(stream: &mut TcpStream, bytes: &[u8]) {
-    stream.write_all(bytes).await.expect("written");
+    stream.write_all(bytes).await.expect("write to the stream");
 }
--- a/crates/gateway/transport/tests/counters.rs
+++ b/crates/gateway/transport/tests/counters.rs
@@ -1,4 +1,4 @@
-//! What was counted by reason comes as one line of the log each interval.
+//! Counters by reason are summarized in one log line per interval.
 
 use rushcourse_transport::ReasonCounters;
 use rushcourse_types::Timestamp;
@@ -8,10 +8,10 @@
 }
 
 #[test]
-fn a_line_comes_once_each_interval_and_only_where_something_was_counted() {
+fn log_line_is_emitted_once_per_interval_and_only_with_counts() {
     let mut counters = ReasonCounters::new("own_answers");
     assert!(counters.count("no host"));
-    assert!(!counters.count("no host"), "not the first");
+    assert!(!counters.count("no host"), "second occurrence");
     counters.count("time is over");
 
     assert_eq!(counters.take_log_line(at(9_999)), None);
@@ -19,7 +19,7 @@
         counters.take_log_line(at(10_000)).as_deref(),
         Some("event=own_answers span_s=10 no_host=2 time_is_over=1")
     );
-    assert_eq!(counters.take_log_line(at(20_000)), None, "nothing since");
+    assert_eq!(counters.take_log_line(at(20_000)), None, "no new counts");
 
     counters.count("no route");
     assert_eq!(
--- a/crates/gateway/transport/tests/keys.rs
+++ b/crates/gateway/transport/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Sessions on loopback with keys: who is let in, and how keys change in service.
+//! Sessions over TLS on loopback: which certificates are accepted, and key rotation without interruption.
 
 mod common;
 
@@ -10,113 +10,134 @@
 use rushcourse_transport::Session;
 use tempfile::TempDir;
 
-fn folder() -> TempDir {
-    tempfile::tempdir().expect("a folder")
+fn temp_directory() -> TempDir {
+    tempfile::tempdir().expect("create a temporary directory")
 }
 
-/// A controller that listens, with a certificate of its machine and its role.
-async fn controller_with_keys(folder: &TempDir, authority: &Authority, net: u8) -> (Node, u16) {
-    let node = Node::controller([127, 31, net, 1]);
-    let names = [&*format!("127.31.{net}.1"), "controller"];
-    let keys = authority.issue(folder.path(), "controller", &names, &[authority]);
-    node.context.set_keys(Some(&keys)).expect("keys");
+/// Starts a listening controller with a certificate for its address and the controller name.
+async fn controller_with_keys(
+    directory: &TempDir,
+    authority: &Authority,
+    subnet: u8,
+) -> (Node, u16) {
+    let node = Node::controller([127, 31, subnet, 1]);
+    let names = [&*format!("127.31.{subnet}.1"), "controller"];
+    let keys = authority.issue(directory.path(), "controller", &names, &[authority]);
+    node.context.set_keys(Some(&keys)).expect("usable keys");
     let port = node.listen().await;
     (node, port)
 }
 
-/// A node with a certificate of `named`, which may be another machine than its own.
+/// Creates a node with a certificate for `certified_name`, which need not match its address.
 fn node_with_keys(
-    folder: &TempDir,
+    directory: &TempDir,
     authority: &Authority,
     address: [u8; 4],
     role: Role,
-    named: &str,
+    certified_name: &str,
 ) -> Node {
     let node = Node::new(address, role);
     let file = format!("node-{}", address[3]);
-    let keys = authority.issue(folder.path(), &file, &[named], &[authority]);
-    node.context.set_keys(Some(&keys)).expect("keys");
+    let keys = authority.issue(directory.path(), &file, &[certified_name], &[authority]);
+    node.context.set_keys(Some(&keys)).expect("usable keys");
     node
 }
 
 #[test]
-fn a_machine_that_the_authority_names_opens_a_session() {
-    let (folder, authority) = (folder(), Authority::new());
+fn certified_machine_opens_session() {
+    let (directory, authority) = (temp_directory(), Authority::new());
     run(async {
-        let (mut controller, port) = controller_with_keys(&folder, &authority, 2).await;
+        let (mut controller, port) = controller_with_keys(&directory, &authority, 2).await;
         let address = [127, 31, 2, 11];
-        let mut gateway =
-            node_with_keys(&folder, &authority, address, Role::Gateway, "127.31.2.11");
+        let mut gateway = node_with_keys(
+            &directory,
+            &authority,
+            address,
+            Role::Gateway,
+            "127.31.2.11",
+        );
 
         gateway.dial(&controller, port);
-        assert_eq!(controller.opened().await.peer.role, Role::Gateway);
-        let session = gateway.opened().await;
+        assert_eq!(controller.expect_opened().await.peer.role, Role::Gateway);
+        let session = gateway.expect_opened().await;
         session.send(&Message::PrimarySelected(true));
-        assert_eq!(controller.received().await, Message::PrimarySelected(true));
+        assert_eq!(
+            controller.expect_message().await,
+            Message::PrimarySelected(true)
+        );
     });
 }
 
 #[test]
-fn a_machine_that_the_authority_does_not_name_opens_no_session() {
-    let (folder, authority) = (folder(), Authority::new());
+fn uncertified_machine_or_role_is_rejected() {
+    let (directory, authority) = (temp_directory(), Authority::new());
     run(async {
-        let (mut controller, port) = controller_with_keys(&folder, &authority, 5).await;
+        let (mut controller, port) = controller_with_keys(&directory, &authority, 5).await;
 
-        // Without keys: its handshake is no certificate.
+        // The peer has no keys and sends a plain-text handshake.
         Node::gateway([127, 31, 5, 12]).dial(&controller, port);
-        controller.rejects("bad certificate").await;
+        controller.expect_rejection("bad certificate").await;
 
         let address = [127, 31, 5, 13];
-        let of_another_machine =
-            node_with_keys(&folder, &authority, address, Role::Gateway, "127.31.5.99");
-        of_another_machine.dial(&controller, port);
-        controller.rejects("other machine").await;
+        let wrong_machine = node_with_keys(
+            &directory,
+            &authority,
+            address,
+            Role::Gateway,
+            "127.31.5.99",
+        );
+        wrong_machine.dial(&controller, port);
+        controller.expect_rejection("other machine").await;
 
-        // A gateway's machine that would vote.
+        // The certificate lacks the controller name.
         let address = [127, 31, 5, 14];
-        let not_certified = node_with_keys(
-            &folder,
+        let uncertified_controller = node_with_keys(
+            &directory,
             &authority,
             address,
             Role::Controller,
             "127.31.5.14",
         );
-        not_certified.dial(&controller, port);
-        controller.rejects("role not certified").await;
+        uncertified_controller.dial(&controller, port);
+        controller.expect_rejection("role not certified").await;
     });
 }
 
 #[test]
-fn who_dials_rejects_a_listener_of_another_cluster() {
-    let (folder, ours, theirs) = (folder(), Authority::new(), Authority::new());
+fn dialer_rejects_listener_of_untrusted_authority() {
+    let (directory, trusted, untrusted) = (temp_directory(), Authority::new(), Authority::new());
     run(async {
         let address = [127, 31, 6, 11];
-        let mut gateway = node_with_keys(&folder, &ours, address, Role::Gateway, "127.31.6.11");
-        let (mut stranger, port) = controller_with_keys(&folder, &theirs, 6).await;
+        let mut gateway =
+            node_with_keys(&directory, &trusted, address, Role::Gateway, "127.31.6.11");
+        let (mut controller, port) = controller_with_keys(&directory, &untrusted, 6).await;
 
-        gateway.dial(&stranger, port);
-        gateway.rejects("bad certificate").await;
-        assert!(stranger.events.try_recv().is_err());
+        gateway.dial(&controller, port);
+        gateway.expect_rejection("bad certificate").await;
+        assert!(controller.events.try_recv().is_err());
     });
 }
 
-/// A node whose certificates are exchanged in service.
-struct Rotating<'a> {
+/// A node whose keys are replaced while it runs.
+struct RotatingNode<'a> {
     node: Node,
     names: &'a [&'a str],
-    folder: &'a TempDir,
+    directory: &'a TempDir,
     file: &'a str,
 }
 
-impl Rotating<'_> {
-    /// Shows a certificate by one authority from now on, and trusts those of `trusted`.
-    fn set_keys(&self, by: &Authority, trusted: &[&Authority]) -> PeerKeys {
-        let keys = by.issue(self.folder.path(), self.file, self.names, trusted);
-        self.node.context.set_keys(Some(&keys)).expect("keys");
+impl RotatingNode<'_> {
+    /// Installs a new certificate signed by `issuer`, with the authorities in `trusted`.
+    fn set_keys(&self, issuer: &Authority, trusted: &[&Authority]) -> PeerKeys {
+        let keys = issuer.issue(self.directory.path(), self.file, self.names, trusted);
+        self.node
+            .context
+            .set_keys(Some(&keys))
+            .expect("usable keys");
         keys
     }
 
-    /// Keys of which one file holds none change nothing.
+    /// Asserts that a key file without a key is rejected with an error that names the file.
     fn set_unusable_keys(&self, keys: PeerKeys) {
         let unusable = PeerKeys {
             key: keys.certificate.clone(),
@@ -126,42 +147,42 @@
             .node
             .context
             .set_keys(Some(&unusable))
-            .expect_err("no key in it");
+            .expect_err("a file without a key");
         let text = error.to_string();
         let file = format!("{}.cert", self.file);
         assert!(text.contains(&file), "the file is named: {text}");
     }
 }
 
-/// A controller and a gateway that trust one authority, and a session between them.
-struct Pair<'a> {
-    controller: Rotating<'a>,
-    gateway: Rotating<'a>,
+/// A controller and a gateway with an open session between them.
+struct ConnectedPair<'a> {
+    controller: RotatingNode<'a>,
+    gateway: RotatingNode<'a>,
     port: u16,
     session: Session,
 }
 
-impl Pair<'_> {
-    async fn start<'a>(folder: &'a TempDir, authority: &Authority) -> Pair<'a> {
-        let mut controller = Rotating {
+impl ConnectedPair<'_> {
+    async fn start<'a>(directory: &'a TempDir, authority: &Authority) -> ConnectedPair<'a> {
+        let mut controller = RotatingNode {
             node: Node::controller([127, 31, 3, 1]),
             names: &["127.31.3.1", "controller"],
-            folder,
+            directory,
             file: "0",
         };
-        let mut gateway = Rotating {
+        let mut gateway = RotatingNode {
             node: Node::gateway([127, 31, 3, 11]),
             names: &["127.31.3.11"],
-            folder,
+            directory,
             file: "1",
         };
         controller.set_keys(authority, &[authority]);
         gateway.set_keys(authority, &[authority]);
         let port = controller.node.listen().await;
         gateway.node.dial(&controller.node, port);
-        controller.node.opened().await;
-        let session = gateway.node.opened().await;
-        Pair {
+        controller.node.expect_opened().await;
+        let session = gateway.node.expect_opened().await;
+        ConnectedPair {
             controller,
             gateway,
             port,
@@ -169,46 +190,48 @@
         }
     }
 
-    /// A new session is made, and ends.
-    async fn open_and_close_another_session(&mut self) {
+    /// Opens a second session with the current keys, and closes it.
+    async fn open_and_close_second_session(&mut self) {
         let (controller, gateway) = (&mut self.controller.node, &mut self.gateway.node);
         gateway.dial(controller, self.port);
-        controller.opened().await;
-        let second = gateway.opened().await;
+        controller.expect_opened().await;
+        let second = gateway.expect_opened().await;
         second.close();
-        gateway.closed("the second session ends").await;
-        controller.closed("the second session ends").await;
+        gateway.expect_closed("the second session is closed").await;
+        controller
+            .expect_closed("the second session is closed")
+            .await;
     }
 
-    async fn first_session_goes_on(&mut self) {
+    async fn assert_first_session_is_open(&mut self) {
         self.session.send(&Message::PrimarySelected(true));
         assert_eq!(
-            self.controller.node.received().await,
+            self.controller.node.expect_message().await,
             Message::PrimarySelected(true),
-            "the first session goes on"
+            "the first session is still open"
         );
     }
 }
 
-/// First all trust both authorities, then each shows a certificate of the new one, then the old one goes. Open sessions
-/// go on through all of it; files that can't be used change nothing.
+/// Key rotation in three steps: trust both authorities, switch to certificates of the new one, then drop the old one.
+/// Open sessions must survive each step, and unusable files must not replace the current keys.
 #[test]
-fn keys_are_exchanged_in_service_without_a_lost_session() {
-    let (folder, old, new) = (folder(), Authority::new(), Authority::new());
+fn key_rotation_keeps_open_sessions() {
+    let (directory, old, new) = (temp_directory(), Authority::new(), Authority::new());
     run(async {
-        let mut pair = Pair::start(&folder, &old).await;
+        let mut pair = ConnectedPair::start(&directory, &old).await;
         let steps: [(&Authority, &[&Authority]); 3] = [
             (&old, &[&old, &new]),
             (&new, &[&old, &new]),
             (&new, &[&new]),
         ];
-        for (by, trusted) in steps {
-            pair.controller.set_keys(by, trusted);
-            // One machine after the other: between the two, new sessions are made all the same.
-            pair.open_and_close_another_session().await;
-            let keys = pair.gateway.set_keys(by, trusted);
+        for (issuer, trusted) in steps {
+            pair.controller.set_keys(issuer, trusted);
+            // Nodes are updated one after the other, so new sessions must also work while their keys differ.
+            pair.open_and_close_second_session().await;
+            let keys = pair.gateway.set_keys(issuer, trusted);
             pair.gateway.set_unusable_keys(keys);
-            pair.first_session_goes_on().await;
+            pair.assert_first_session_is_open().await;
         }
         assert!(pair.controller.node.context.rejections().is_empty());
         assert!(pair.gateway.node.context.rejections().is_empty());
