--- a/crates/gateway/controller/src/admin.rs
+++ b/crates/gateway/controller/src/admin.rs
@@ -1,4 +1,4 @@
-//! The state of a controller as pages of JSON, which `rushctl` reads.
+//! JSON status pages of a controller, read by `rushctl`.
 
 use crate::controller::Controller;
 use crate::json::{list, quoted};
@@ -10,7 +10,7 @@
 use rushcourse_types::{NodeId, Timestamp, WallTime};
 use std::time::Duration;
 
-/// Who holds an operation key, as far as this controller has it.
+/// The JSON page of an operation key. `holder` is the claim in this controller's state; a majority may hold another.
 pub(crate) fn key_page(now: WallTime, holder: Option<HeldClaim>) -> String {
     let Some(claim) = holder else {
         return "{\"held\":false}".into();
@@ -25,7 +25,7 @@
     )
 }
 
-/// All that this controller knows of itself and of the others.
+/// The JSON status page: replica, disk, sessions, hosts and endpoint tables.
 pub(crate) fn status_page(controller: &Controller) -> String {
     let Controller {
         clock,
@@ -54,7 +54,7 @@
     quoted(&node.to_string())
 }
 
-/// Milliseconds with fractions, from whole microseconds.
+/// Converts a duration to milliseconds with microsecond precision.
 fn millis(span: Duration) -> f64 {
     span.as_micros() as f64 / 1000.0
 }
@@ -76,7 +76,7 @@
     )
 }
 
-/// `takes_writes`: the disk took the last write.
+/// The `disk` field of the status page. `takes_writes` tells whether the last write succeeded.
 fn disk_field(storage: &Storage, takes_writes: bool) -> String {
     let (disk, file_bytes) = (storage.statistics(), storage.file_bytes());
     let is_usable = takes_writes && storage.is_open();
--- a/crates/gateway/controller/src/configuration.rs
+++ b/crates/gateway/controller/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The committed configuration on its way to the gateways.
+//! Distribution of the committed configuration to gateways.
 
 use crate::controller::Controller;
 use rushcourse_consensus::CommittedConfiguration;
@@ -6,8 +6,8 @@
 use rushcourse_types::{ConfigurationVersion, SessionId};
 
 impl Controller {
-    /// Brings a version that is now committed to the gateways that take their tables from here, and names it to the
-    /// others.
+    /// Sends a newly committed configuration to the gateways that use this controller as their primary, and only its
+    /// version to all other gateways.
     pub(crate) fn announce_configuration(&mut self, committed: CommittedConfiguration) {
         self.unnotified_sessions.clear();
         let CommittedConfiguration { version, text } = committed;
@@ -23,7 +23,8 @@
         }
     }
 
-    /// Names the committed version to gateways that came while it may have been an outdated one.
+    /// Sends the committed version to gateways that connected while this controller lacked quorum contact, when its
+    /// version could have been outdated.
     pub(crate) fn notify_unnotified_sessions(&mut self) {
         let sessions = std::mem::take(&mut self.unnotified_sessions);
         if sessions.is_empty() {
@@ -39,7 +40,7 @@
         }
     }
 
-    /// A gateway asks for the committed text, if it is newer than the one that it has.
+    /// Answers a gateway's request for the committed configuration, if its version is above `newer_than`.
     pub(crate) fn send_configuration(&self, session: SessionId, newer_than: ConfigurationVersion) {
         let Some(committed) = self.consensus.committed_configuration() else {
             return;
--- a/crates/gateway/controller/src/contact.rs
+++ b/crates/gateway/controller/src/contact.rs
@@ -1,5 +1,5 @@
-//! Whether this controller may speak for the system: it is in contact with a majority of the voting set, and has not
-//! stood still since that was last proven.
+//! Quorum contact: whether this controller has sessions with a majority of the voting set and has not stalled since a
+//! majority last responded to a probe. Without it, the controller acknowledges nothing.
 
 use crate::control_request::ControlResponse;
 use crate::controller::Controller;
@@ -10,13 +10,13 @@
 use rushcourse_types::Epoch;
 
 impl Controller {
-    /// Whether there is a voting set to be in contact with.
+    /// Whether the first voting set has been formed.
     pub(crate) fn has_voting_set(&self) -> bool {
         self.consensus.voting_set().epoch > Epoch::NONE
     }
 
-    /// A turn of the event loop, before anything that waited is handled. A process that stood still may not know what
-    /// became of its sessions, so a majority is asked anew.
+    /// Detects a stall of the process; called in each iteration of the event loop before any event is handled. Sessions
+    /// may have ended unnoticed during a stall, so it starts a probe to confirm quorum contact.
     pub(crate) fn check_for_stall(&mut self) {
         if self.contact.record_turn(self.clock.now()) {
             log::info!("event=stalled");
@@ -25,14 +25,14 @@
         }
     }
 
-    /// Looks whether this controller is with a majority, and tells the cluster when that changes.
+    /// Updates quorum contact from the open sessions and reports changes to the cluster.
     pub(crate) fn update_contact(&mut self) {
         let has_contact = self.consensus.has_quorum_contact();
         if self.contact.record_contact(has_contact) {
             log::info!("event=quorum_contact has_majority={has_contact}");
             self.step_cluster(cluster::Input::QuorumContactChanged(has_contact));
             if has_contact && self.contact.needs_confirmation() {
-                // The probe of the stall may have gone to sessions that were dead.
+                // The previous probe may have been sent on sessions that were already dead.
                 self.confirm_contact();
             }
         }
@@ -41,15 +41,16 @@
         }
     }
 
-    /// Whether requests may be acknowledged. What a controller without recent contact to a majority acknowledges, the
-    /// others may not hear of. Before the first voting set there is nothing to be out of contact with.
+    /// Whether requests may be acknowledged. Without quorum contact, an acknowledged request might never reach the
+    /// other controllers. Before the first voting set of a new system is formed, requests are acknowledged without it.
     pub(crate) fn may_acknowledge(&mut self) -> bool {
         self.update_contact();
-        let precedes_first_set = self.contact.is_first_start() && !self.has_voting_set();
-        self.contact.is_current() || precedes_first_set
+        let is_before_first_set = self.contact.is_first_start() && !self.has_voting_set();
+        self.contact.is_current() || is_before_first_set
     }
 
-    /// Asks all controllers, behind what was sent to them before.
+    /// Sends a probe to all connected controllers. Messages of a session stay in order, so a response confirms that the
+    /// peer has received everything sent before.
     pub(crate) fn begin_probe(&mut self, purpose: ProbePurpose) {
         let token = self.contact.probes.begin(self.clock.now(), purpose);
         let epoch = self.consensus.voting_set().epoch;
@@ -57,13 +58,13 @@
             .send_to_controllers(&Message::ReadRequest { token, epoch });
     }
 
-    /// Asks a majority whether what is held here is current.
+    /// Starts a probe to confirm quorum contact after a stall.
     fn confirm_contact(&mut self) {
         let probed_at = self.clock.now();
         self.begin_probe(ProbePurpose::StallRecovery { probed_at });
     }
 
-    /// Carries out what the probes that are over decide.
+    /// Acts on the probes that were confirmed or have timed out.
     pub(crate) fn finish_probes(&mut self) {
         let (now, local) = (self.clock.now(), self.sessions.local_node());
         let probes = &mut self.contact.probes;
--- a/crates/gateway/controller/src/contact_state.rs
+++ b/crates/gateway/controller/src/contact_state.rs
@@ -1,21 +1,21 @@
-//! What is known of this controller's contact with a majority.
+//! The controller's record of its quorum contact.
 
 use crate::probes::PendingProbes;
 use rushcourse_cluster::QuorumContact;
 use rushcourse_types::Timestamp;
 
-/// The contact with a majority, and the probes that confirm it.
+/// Quorum contact of this controller, and the pending probes that confirm it.
 pub(crate) struct ContactState {
     quorum: QuorumContact,
-    /// What the cluster was told last.
+    /// The quorum contact last reported to the cluster state machine.
     reported_contact: bool,
-    /// All of the system starts for the first time: no voting set can be known yet.
+    /// Whether the settings declare the first start of the whole system, when no voting set exists yet.
     is_first_start: bool,
     pub(crate) probes: PendingProbes,
 }
 
 impl ContactState {
-    /// The state of a process that has no session yet.
+    /// Creates the state of a process without open sessions, which has no quorum contact.
     pub(crate) fn new(is_first_start: bool) -> ContactState {
         ContactState {
             quorum: QuorumContact::default(),
@@ -25,13 +25,13 @@
         }
     }
 
-    /// A turn of the event loop, before anything that waited is handled. True if the process stood still since the last
-    /// one: a majority has to be asked anew.
+    /// Records an iteration of the event loop, before any event is handled. Returns true if the process stalled since
+    /// the last iteration, in which case quorum contact has to be confirmed by a probe.
     pub(crate) fn record_turn(&mut self, now: Timestamp) -> bool {
         self.quorum.record_turn(now)
     }
 
-    /// Whether sessions with a majority of the voting set are open. True if that has changed.
+    /// Records whether sessions with a majority of the voting set are open. Returns true if that has changed.
     pub(crate) fn record_contact(&mut self, has_contact: bool) -> bool {
         self.quorum.record_quorum_sessions(has_contact);
         let has_changed = has_contact != self.reported_contact;
@@ -39,22 +39,22 @@
         has_changed
     }
 
-    /// A majority has answered a question of that time.
+    /// Records that a majority responded to a probe sent at `probed_at`. Probes sent before the last stall are ignored.
     pub(crate) fn confirm(&mut self, probed_at: Timestamp) {
         self.quorum.confirm(probed_at);
     }
 
-    /// Whether a majority has yet to answer a question since the last stall.
+    /// Whether no probe sent after the last stall has been confirmed yet.
     pub(crate) fn needs_confirmation(&self) -> bool {
         self.quorum.needs_confirmation()
     }
 
-    /// Whether what this controller says now may count as current.
+    /// Whether this controller has quorum contact that needs no confirmation, so that its state counts as current.
     pub(crate) fn is_current(&self) -> bool {
         self.quorum.is_current()
     }
 
-    /// Whether all of the system starts for the first time.
+    /// Whether the settings declare the first start of the whole system.
     pub(crate) fn is_first_start(&self) -> bool {
         self.is_first_start
     }
--- a/crates/gateway/controller/src/control_request.rs
+++ b/crates/gateway/controller/src/control_request.rs
@@ -1,4 +1,4 @@
-//! What the event loop works through besides sessions, in the order in which it comes.
+//! Events of the event loop's control queue: requests from the HTTP API, outcomes of disk writes, and signals.
 
 use crate::state_file::OpenedFile;
 use rushcourse_messages::HostRecord;
@@ -7,65 +7,72 @@
 use std::sync::Arc;
 use tokio::sync::{mpsc, oneshot};
 
-/// The way back to the caller of a request.
+/// Sends the response to the HTTP handler that waits for it.
 pub(crate) type Responder = oneshot::Sender<ControlResponse>;
 
-/// The event loop's queue.
+/// Sender of the event loop's control queue.
 pub(crate) type EventSender = mpsc::UnboundedSender<ControlEvent>;
 
-/// One thing for the event loop.
+/// An event in the control queue.
 pub(crate) enum ControlEvent {
-    /// A host or an operator calls.
+    /// A host or an operator sent a valid request.
     Request(ControlRequest),
-    /// The storage thread has worked through these batches.
-    Storage(Vec<WriteOutcome>),
-    /// The disk refused to open the state file at the start, and has let it be opened now.
+    /// The storage thread synced or refused these batches.
+    WriteOutcomes(Vec<WriteOutcome>),
+    /// The state file, which could not be opened at startup, is now open.
     StateFileOpened(Box<OpenedFile>),
-    /// The settings file may have changed.
+    /// SIGHUP was received: reload the settings file.
     SettingsChanged,
 }
 
-/// A request of a host or an operator, checked, with the way to its answer.
+/// A validated request of a host or an operator, with the responder for its response.
 pub(crate) enum ControlRequest {
-    /// A host registers, or sends a heartbeat.
+    /// A registration or heartbeat of a host.
     RegisterHost {
         record: HostRecord,
         responder: Responder,
     },
-    /// A host ends.
-    DeregisterHost { id: Arc<str>, responder: Responder },
-    /// An operator's configuration.
+    /// A host deregisters before it exits.
+    DeregisterHost {
+        id: Arc<str>,
+        responder: Responder,
+    },
+    /// Commit a configuration submitted by an operator.
     PutConfiguration {
         version: ConfigurationVersion,
         text: Arc<[u8]>,
         responder: Responder,
     },
-    /// An operator asks for the newest configuration.
-    GetConfiguration { responder: Responder },
-    /// The state of this controller as a page.
-    GetStatus { responder: Responder },
-    /// Who holds an operation key, as far as this controller has it.
+    /// Read the newest committed configuration.
+    GetConfiguration {
+        responder: Responder,
+    },
+    GetStatus {
+        responder: Responder,
+    },
+    /// Look up the holder of an operation key in this controller's state only.
     GetKey {
         key: KeyDigest,
         responder: Responder,
     },
 }
 
-/// What a request came to.
+/// The outcome of a request.
 #[derive(Debug, PartialEq)]
 pub(crate) enum ControlResponse {
-    /// What a host said is taken.
+    /// A host's request was applied.
     Done,
-    /// A configuration is acknowledged: it, or a higher version, is committed.
+    /// The submitted configuration, or one with a higher version, is committed.
     Acknowledged,
-    /// A configuration is acknowledged, but under its number another text is committed: nothing changed.
+    /// The submitted version is already committed with a different text; the request had no effect.
     OtherTextCommitted,
-    /// The configuration or page that was asked for.
+    /// The requested configuration or status page.
     Text(Arc<[u8]>),
-    /// No configuration was ever acknowledged.
+    /// No configuration has been committed yet.
     NoConfiguration,
-    /// No majority in time: the configuration may be committed or not.
+    /// No majority responded in time; a submitted configuration may or may not be committed.
     Unknown,
-    /// This controller has no recent contact with a majority: nothing was acknowledged, another controller may.
+    /// This controller has no quorum contact. The request is not acknowledged; the caller may retry at another
+    /// controller.
     NoQuorumContact,
 }
--- a/crates/gateway/controller/src/controller.rs
+++ b/crates/gateway/controller/src/controller.rs
@@ -1,5 +1,5 @@
-//! All state of a controller, and the two pure state machines that decide: every input of theirs goes through here, and
-//! so does what they want done.
+//! The state of a controller and its two state machines, consensus and cluster. Every input to a state machine passes
+//! through this module, which also applies the resulting effects.
 
 use crate::contact_state::ContactState;
 use crate::peer_sessions::PeerSessions;
@@ -13,26 +13,26 @@
 use rushcourse_types::SessionId;
 use std::collections::BTreeSet;
 
-/// A controller. The event loop is its only caller, so that it changes by one input at a time.
+/// The state of a controller. Owned by the event loop, which handles one event at a time.
 pub(crate) struct Controller {
     pub(crate) clock: Clock,
     pub(crate) storage: Storage,
-    /// What the consensus started from.
+    /// The parameters of the consensus node; reused when it restarts after a deferred open of the state file.
     pub(crate) setup: Setup,
-    /// What a majority of disks holds: voting set, configuration, claims.
+    /// Replicated durable state: voting set, configuration and claims.
     pub(crate) consensus: ConsensusNode,
-    /// What controllers tell each other of hosts and gateways, and the tables that come of it.
+    /// Membership of hosts and gateways, and the endpoint tables sent to gateways.
     pub(crate) cluster: Cluster,
     pub(crate) sessions: PeerSessions,
     pub(crate) contact: ContactState,
     pub(crate) pending_requests: PendingRequests,
-    /// Sessions of gateways that were not told yet which configuration is committed.
+    /// Gateway sessions to which the committed version has not been sent yet.
     pub(crate) unnotified_sessions: BTreeSet<SessionId>,
     pub(crate) shutdown: Shutdown,
 }
 
 impl Controller {
-    /// One input of the consensus, and what comes of it.
+    /// Feeds one input to the consensus node and applies the resulting effects.
     pub(crate) fn step_consensus(&mut self, input: consensus::Input) {
         let (now, wall_time) = (self.clock.now(), self.clock.wall_time());
         let effects = self.consensus.step(now, wall_time, input);
@@ -72,7 +72,7 @@
         self.sessions.send(answer.session, &response);
     }
 
-    /// One input of the cluster, and what comes of it.
+    /// Feeds one input to the cluster state machine and applies the resulting effects.
     pub(crate) fn step_cluster(&mut self, input: cluster::Input) {
         let now = self.clock.now();
         for effect in self.cluster.step(now, input) {
@@ -102,14 +102,16 @@
         }
     }
 
-    /// The process is to end: a standby may take its place among the voters first.
+    /// Begins a graceful shutdown, during which a standby may replace this controller in the voting set. Repeated calls
+    /// have no effect.
     pub(crate) fn begin_shutdown(&mut self) {
         if self.shutdown.begin(self.clock.now()) {
             self.step_consensus(consensus::Input::ShutDown);
         }
     }
 
-    /// Whether the process is to end now: its place is taken, or no standby could take it, or its time is over.
+    /// Whether the process may exit: shutdown has begun, and it was replaced in the voting set, has no possible
+    /// replacement, or its deadline has passed.
     pub(crate) fn may_stop(&self) -> bool {
         self.shutdown.has_begun()
             && (self.consensus.may_shut_down() || self.shutdown.is_due(self.clock.now()))
--- a/crates/gateway/controller/src/late_state.rs
+++ b/crates/gateway/controller/src/deferred_restore.rs
@@ -1,8 +1,8 @@
-//! The state of a controller whose disk let the state file be opened only after the start.
+//! Deferred restore of state, for a state file that could only be opened after the controller started.
 //!
-//! Until then the controller counts in the voting set that others have, without a vote: it serves reads that a majority
-//! confirms, and takes in what hosts say. With the file its consensus starts anew, as after a restart of the process: what
-//! the file holds counts, and nothing that was refused before.
+//! Until then the controller is a non-voting member of the set that its peers know: it serves reads confirmed by a
+//! majority and accepts host requests. When the file opens, consensus restarts from its contents, as after a process
+//! restart; writes that were refused before are not replayed.
 
 use crate::controller::Controller;
 use crate::state_file::OpenedFile;
@@ -12,7 +12,7 @@
 use rushcourse_transport::startup::random_incarnation;
 
 impl Controller {
-    /// The state file is open.
+    /// Starts the storage thread, restarts consensus from the stored state and restores the stored hosts.
     pub(crate) fn state_file_opened(&mut self, opened: OpenedFile) {
         let OpenedFile { store, mut stored } = opened;
         if let Err(report) = self.storage.start(store) {
@@ -31,8 +31,8 @@
         }
     }
 
-    /// The consensus starts from what the file holds, under an incarnation of its own: ballots of the one before are not
-    /// used again. It does not take part in a first set, which the others may have made by now.
+    /// Replaces the consensus node with one that starts from the stored state. Its new incarnation ensures that ballots
+    /// are not reused. It does not propose a first voting set, since the peers may have formed one already.
     fn restart_consensus(&mut self, stored: consensus::DurableState) {
         self.pending_requests.respond_all(&Outcome::Unknown);
         self.setup = Setup {
--- a/crates/gateway/controller/src/event_loop.rs
+++ b/crates/gateway/controller/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop of a controller: one queue of sessions' events, one of requests and disk writes, a tick, and signals.
+//! The event loop of a controller. It handles session events, control events, a periodic tick and signals.
 
 use crate::admin;
 use crate::control_request::{ControlEvent, ControlRequest, ControlResponse, EventSender};
@@ -14,28 +14,28 @@
 use tokio::sync::mpsc;
 use tokio::time::MissedTickBehavior;
 
-/// Time between ticks: what waits is looked at this often.
+/// Interval between ticks, which drive timeouts and periodic work.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Ticks between two looks at which controllers are to be dialed.
-const DIAL_TICKS: u64 = 3;
-/// Events of one queue that are taken at once.
-const MAX_EVENTS_PER_TURN: usize = 128;
+/// Number of ticks between two rounds of dialing disconnected controllers.
+const TICKS_PER_DIAL_ROUND: u64 = 3;
+/// Maximum number of events taken from one queue in an iteration of the loop.
+const MAX_EVENTS_PER_ITERATION: usize = 128;
 
-/// The queues of the event loop.
+/// Receivers of the session events and the control events.
 pub(crate) struct Queues {
     pub(crate) sessions: mpsc::UnboundedReceiver<SessionEvent>,
     pub(crate) control: mpsc::UnboundedReceiver<ControlEvent>,
 }
 
-/// Why the loop turns.
+/// The event that started an iteration of the loop.
 #[derive(Clone, Copy, PartialEq)]
-enum Wake {
+enum WakeReason {
     Terminate,
     Events,
     Tick,
 }
 
-/// Runs a controller until it is to end, at once where the process can't be told to.
+/// Runs a controller until it has shut down after SIGTERM. Returns at once if the SIGTERM handler can't be installed.
 pub(crate) async fn run(mut controller: Controller, mut queues: Queues, settings_path: &Path) {
     let Ok(mut terminate) = signal(SignalKind::terminate()) else {
         return;
@@ -45,19 +45,23 @@
     let (mut session_events, mut control_events) = (Vec::new(), Vec::new());
     let mut ticks = 0;
     loop {
-        // The end of the process comes first, then other nodes, then requests and disk writes, then the tick.
+        // Priorities: SIGTERM, session events, control events, tick.
         let wake = tokio::select! {
             biased;
-            _ = terminate.recv() => Wake::Terminate,
-            _ = queues.sessions.recv_many(&mut session_events, MAX_EVENTS_PER_TURN) => Wake::Events,
-            _ = queues.control.recv_many(&mut control_events, MAX_EVENTS_PER_TURN) => Wake::Events,
-            _ = interval.tick() => Wake::Tick,
+            _ = terminate.recv() => WakeReason::Terminate,
+            _ = queues.sessions.recv_many(&mut session_events, MAX_EVENTS_PER_ITERATION) => {
+                WakeReason::Events
+            }
+            _ = queues.control.recv_many(&mut control_events, MAX_EVENTS_PER_ITERATION) => {
+                WakeReason::Events
+            }
+            _ = interval.tick() => WakeReason::Tick,
         };
-        if wake == Wake::Terminate {
+        if wake == WakeReason::Terminate {
             controller.begin_shutdown();
         }
         controller.check_for_stall();
-        if wake == Wake::Tick {
+        if wake == WakeReason::Tick {
             if controller.may_stop() {
                 break;
             }
@@ -74,7 +78,7 @@
     log::info!("event=stopped why=sigterm");
 }
 
-/// Hands each SIGHUP to the event loop.
+/// Sends `ControlEvent::SettingsChanged` to the event loop on each SIGHUP. Returns if the handler can't be installed.
 pub(crate) async fn watch_hangups(events: EventSender) {
     let Ok(mut hangup) = signal(SignalKind::hangup()) else {
         return;
@@ -85,17 +89,17 @@
 }
 
 impl Controller {
-    /// `ticks`: how many there were, this one included.
+    /// Runs the periodic work. `ticks` is the number of ticks since startup, including this one.
     fn tick(&mut self, ticks: u64) {
-        if ticks.is_multiple_of(DIAL_TICKS) {
-            self.sessions.dial_missing(ticks / DIAL_TICKS);
+        if ticks.is_multiple_of(TICKS_PER_DIAL_ROUND) {
+            self.sessions.dial_missing(ticks / TICKS_PER_DIAL_ROUND);
         }
         self.step_consensus(consensus::Input::Tick);
         self.finish_probes();
         self.update_contact();
         self.step_cluster(cluster::Input::Tick);
-        let rejections = self.sessions.context();
-        if let Some(line) = rejections.take_rejections_line(self.clock.now()) {
+        let context = self.sessions.context();
+        if let Some(line) = context.take_rejections_line(self.clock.now()) {
             log::warn!("{line}");
         }
     }
@@ -103,17 +107,17 @@
     fn handle_control_event(&mut self, event: ControlEvent, settings_path: &Path) {
         match event {
             ControlEvent::Request(request) => self.handle_request(request),
-            ControlEvent::Storage(outcomes) => self.handle_storage(outcomes),
+            ControlEvent::WriteOutcomes(outcomes) => self.handle_write_outcomes(outcomes),
             ControlEvent::StateFileOpened(opened) => self.state_file_opened(*opened),
             ControlEvent::SettingsChanged => {
                 if let Some(settings) = reload_settings(settings_path, self.sessions.context()) {
-                    self.sessions.add_known(seed_nodes(&settings));
+                    self.sessions.add_known_controllers(seed_nodes(&settings));
                 }
             }
         }
     }
 
-    fn handle_storage(&mut self, outcomes: Vec<WriteOutcome>) {
+    fn handle_write_outcomes(&mut self, outcomes: Vec<WriteOutcome>) {
         for outcome in outcomes {
             self.step_consensus(match outcome {
                 WriteOutcome::Synced(batch) => consensus::Input::BatchSynced(batch),
--- a/crates/gateway/controller/src/http_api/endpoints.rs
+++ b/crates/gateway/controller/src/http_api/endpoints.rs
@@ -1,15 +1,14 @@
-//! Every endpoint for hosts and operators, in one table; what is not here gets 404 or 405.
+//! The table of HTTP endpoints for hosts and operators. Requests that match no entry get 404 or 405.
 
 use axum::http::Method;
 
-/// Who calls, for the log.
+/// The intended caller of an endpoint; only logged.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Caller {
     Host,
     Operator,
 }
 
-/// What is called.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Operation {
     RegisterHost,
@@ -20,7 +19,6 @@
     GetKey,
 }
 
-/// One line of the table.
 pub(super) struct Endpoint {
     pub(super) method: Method,
     pub(super) path: &'static str,
--- a/crates/gateway/controller/src/http_api/handler.rs
+++ b/crates/gateway/controller/src/http_api/handler.rs
@@ -1,4 +1,5 @@
-//! A request from its body to its answer.
+//! Handling of one HTTP request: reads and validates the body, forwards the request to the event loop, and awaits the
+//! response.
 
 use super::endpoints::{Endpoint, Operation};
 use super::host_body;
@@ -16,12 +17,11 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// A request is answered within this time: its caller moves on after a second (PROTOCOL.md).
+/// Timeout for the response of the event loop; below the one second after which clients give up.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(950);
-/// A body comes within this time.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Answers one request. `id`: what its path names.
+/// Handles one request. `id` is the path parameter, if the endpoint has one.
 pub(super) async fn handle(
     endpoint: &'static Endpoint,
     events: EventSender,
@@ -34,7 +34,7 @@
     }
 }
 
-/// Checks a request and hands it to the event loop. `None`: it answered nothing in time.
+/// Validates a request and forwards it to the event loop. Returns `None` if the response times out.
 async fn forward(
     endpoint: &'static Endpoint,
     events: &EventSender,
--- a/crates/gateway/controller/src/http_api/host_body.rs
+++ b/crates/gateway/controller/src/http_api/host_body.rs
@@ -1,4 +1,4 @@
-//! What a host says of itself in a registration or a heartbeat.
+//! Parsing of the JSON body that a host sends with a registration or a heartbeat.
 
 use facet_value::{VObject, Value};
 use rushcourse_config::ValidationError;
@@ -8,17 +8,17 @@
 use std::net::SocketAddrV4;
 use std::sync::Arc;
 
-/// Bytes of a host's id, service, zone or address at most (ours).
+/// Maximum length in bytes of a host's id, service, zone or address.
 const MAX_FIELD_BYTES: usize = 200;
-/// Seconds that a host is slow from its start at most (ours); more is taken for this.
+/// Upper limit of the remaining warm-up time; larger values are clamped.
 const MAX_WARM_UP_SECONDS: f64 = 3600.0;
-/// Requests that a host works on at once at most (ours); more are taken for this.
+/// Upper limit of the number of concurrent requests per host; larger values are clamped.
 const MAX_SLOTS: u64 = 1_000_000;
 
-/// Reads the body of a registration or a heartbeat of the host `id`.
+/// Parses the body of a registration or heartbeat of the host `id`.
 ///
 /// # Errors
-/// The first field that is missing or wrong, by its place.
+/// Returns an error that names the first missing or invalid field.
 pub(super) fn parse(id: &str, body: &[u8]) -> Result<HostRecord, ValidationError> {
     if id.is_empty() || id.len() > MAX_FIELD_BYTES {
         return Err(ValidationError::at("path", "names no host"));
@@ -88,12 +88,12 @@
     fields.get(name).filter(|value| !value.is_null())
 }
 
-fn text_field(value: &Value, place: &str) -> Result<Arc<str>, ValidationError> {
-    let text = json::text(value, place)?;
+fn text_field(value: &Value, field: &str) -> Result<Arc<str>, ValidationError> {
+    let text = json::text(value, field)?;
     match text.len() {
-        0 => Err(ValidationError::at(place, "is empty")),
+        0 => Err(ValidationError::at(field, "is empty")),
         length if length > MAX_FIELD_BYTES => Err(ValidationError::at(
-            place,
+            field,
             format!("has {length} letters, over {MAX_FIELD_BYTES}"),
         )),
         _ => Ok(text.into()),
--- a/crates/gateway/controller/src/http_api/mod.rs
+++ b/crates/gateway/controller/src/http_api/mod.rs
@@ -1,10 +1,10 @@
-//! The HTTP interface for hosts and operators (PROTOCOL.md): endpoints in one table, bodies read and checked, answers.
+//! The HTTP API for hosts and operators.
 //!
-//! * `server.rs`: connections.
-//! * `endpoints.rs`: what may be called.
-//! * `handler.rs`: a request from its body to its answer.
-//! * `host_body.rs`: what a host says of itself.
-//! * `responses.rs`: status and body of each outcome.
+//! * `server.rs`: accepts connections and routes requests.
+//! * `endpoints.rs`: the table of endpoints.
+//! * `handler.rs`: reads and validates a request, forwards it to the event loop and awaits the response.
+//! * `host_body.rs`: parses the body of registrations and heartbeats.
+//! * `responses.rs`: status codes and bodies.
 
 mod endpoints;
 mod handler;
--- a/crates/gateway/controller/src/http_api/responses.rs
+++ b/crates/gateway/controller/src/http_api/responses.rs
@@ -1,4 +1,4 @@
-//! Status and body of each outcome of a request.
+//! HTTP status codes and bodies for the outcomes of requests.
 
 use crate::control_request::ControlResponse;
 use crate::json::quoted;
@@ -7,26 +7,26 @@
 use rushcourse_config::ValidationError;
 use std::fmt;
 
-/// Seconds after which a caller that got no clear answer may come back.
+/// Value in seconds of the `Retry-After` header of 503 responses.
 const RETRY_AFTER_SECONDS: &str = "0.2";
-/// Why a controller that is cut off acknowledges nothing.
+/// Error text of the 503 response of a controller without quorum contact.
 const NO_QUORUM_CONTACT: &str = "no recent contact with a majority: ask another director";
-/// Why a configuration is neither acknowledged nor refused.
+/// Error text of the 503 response to a request whose outcome is unknown.
 const OUTCOME_UNKNOWN: &str = "no majority in time: it may be in force or not";
-/// The answer to a configuration under whose number another operator's text is committed: it is acknowledged, as each
-/// version that is not above the one held (PROTOCOL.md), and changed nothing.
+/// Body of the 200 response to a configuration whose version is already committed with a different text. Such a request
+/// is acknowledged, like any version that is not above the committed one, but has no effect.
 const OTHER_TEXT_COMMITTED: &str = "{\"another_text_in_force\":true}";
 
-/// Why a request is answered before the controller looks at it.
+/// The reason for rejecting a request before it reaches the event loop.
 #[derive(Debug)]
 pub(super) enum RequestRejection {
-    /// Its body is longer than its endpoint takes, or broke off.
+    /// The body exceeds the endpoint's limit, or the connection broke while reading it (413).
     BodyTooLarge { max_bytes: usize },
-    /// Its body did not come in time.
+    /// The body was not received within the timeout (408).
     BodyTimeout,
-    /// Its body can't be used.
+    /// The body is malformed or has an invalid field (400).
     Invalid(ValidationError),
-    /// The process ends.
+    /// The event loop has stopped since the process is shutting down (503).
     Stopping,
 }
 
@@ -60,7 +60,7 @@
 
 impl std::error::Error for RequestRejection {}
 
-/// The answer to a request that the controller has looked at. `None`: it gave none in time.
+/// Creates the HTTP response for a request that reached the event loop. `None` means that it timed out.
 pub(super) fn response_to(outcome: Option<ControlResponse>) -> Response<Body> {
     match outcome {
         Some(ControlResponse::Done | ControlResponse::Acknowledged) => {
@@ -98,7 +98,7 @@
     response
 }
 
-/// An answer with its reason, as JSON.
+/// Creates a response with the JSON body `{"error":reason}`.
 fn error_response(status: StatusCode, reason: &str) -> Response<Body> {
     json_response(status, format!("{{\"error\":{}}}", quoted(reason)))
 }
--- a/crates/gateway/controller/src/http_api/server.rs
+++ b/crates/gateway/controller/src/http_api/server.rs
@@ -1,4 +1,4 @@
-//! Connections of hosts and operators.
+//! HTTP server for hosts and operators: accepts connections and routes requests to endpoints.
 
 use super::endpoints::{ENDPOINTS, Endpoint};
 use super::handler::handle;
@@ -15,12 +15,11 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// The head of a request comes within this time.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(30);
-/// Bytes of a request that are held at once.
+/// Maximum size of the buffer of a connection in bytes.
 const MAX_BUFFER_BYTES: usize = 64 << 10;
 
-/// Takes connections of hosts and operators, `max_connections` at a time. Never ends.
+/// Serves connections of hosts and operators, and closes new ones beyond `max_connections`. Never returns.
 pub(crate) async fn serve_connections(
     listener: TcpListener,
     max_connections: usize,
@@ -43,7 +42,7 @@
     }
 }
 
-/// Answers the requests of one connection until it ends.
+/// Serves the requests of one connection until it ends. Errors are logged at debug level.
 async fn serve(stream: TcpStream, from: SocketAddr, router: Router) {
     let served = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
--- a/crates/gateway/controller/src/lib.rs
+++ b/crates/gateway/controller/src/lib.rs
@@ -1,17 +1,18 @@
-//! The program `controller`: requests of hosts and operators over HTTP, sessions with other nodes, the state file, and
-//! the event loop that works through all of it and carries out what the pure packages decide.
+//! The `controller` program: the I/O and the event loop around the state machines of `rushcourse-consensus` and
+//! `rushcourse-cluster`.
 //!
-//! * `startup.rs`: from the settings to a running controller.
-//! * `event_loop.rs`: the loop, its queues, and what goes where.
-//! * `controller.rs`: all state, and the steps of consensus and cluster with their effects.
-//! * `host_requests.rs`, `operator_requests.rs`, `pending_requests.rs`: what callers get.
-//! * `configuration.rs`: what gateways get.
-//! * `contact.rs`, `contact_state.rs`, `probes.rs`: whether this controller may speak for the system.
-//! * `shutdown.rs`: the end of the process.
-//! * `session_events.rs`, `peer_sessions.rs`: other nodes.
-//! * `control_request.rs`, `http_api/`: the HTTP interface.
-//! * `admin.rs`, `json.rs`: pages for operators.
-//! * `state_file.rs`, `storage_thread.rs`: the disk; `storage_opener.rs`, `late_state.rs`: one that was full at the start.
+//! * `startup.rs`: creates the controller and its tasks from the settings.
+//! * `event_loop.rs`: the event loop, its queues, and the dispatch of requests and write outcomes.
+//! * `controller.rs`: the controller's state; applies the effects of consensus and cluster.
+//! * `host_requests.rs`, `operator_requests.rs`, `pending_requests.rs`: requests of hosts and operators.
+//! * `configuration.rs`: distribution of the committed configuration to gateways.
+//! * `contact.rs`, `contact_state.rs`, `probes.rs`: quorum contact, which is required to acknowledge requests.
+//! * `shutdown.rs`: graceful shutdown.
+//! * `session_events.rs`, `peer_sessions.rs`: sessions with other nodes.
+//! * `control_request.rs`, `http_api/`: the HTTP API for hosts and operators.
+//! * `admin.rs`, `json.rs`: status pages.
+//! * `state_file.rs`, `storage_thread.rs`: the state file and the thread that writes it.
+//! * `storage_opener.rs`, `deferred_restore.rs`: a state file that can't be opened at startup.
 
 mod admin;
 mod configuration;
@@ -19,11 +20,11 @@
 mod contact_state;
 mod control_request;
 mod controller;
+mod deferred_restore;
 mod event_loop;
 mod host_requests;
 mod http_api;
 mod json;
-mod late_state;
 mod operator_requests;
 mod peer_sessions;
 mod pending_requests;
--- a/crates/gateway/controller/src/operator_requests.rs
+++ b/crates/gateway/controller/src/operator_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of operators for configurations.
+//! Operator requests to read and write the configuration.
 
 use crate::control_request::{ControlResponse, Responder};
 use crate::controller::Controller;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 impl Controller {
-    /// An operator's configuration, checked.
+    /// Proposes a validated configuration. The response is sent when the outcome is known.
     pub(crate) fn put_configuration(
         &mut self,
         version: ConfigurationVersion,
@@ -23,19 +23,20 @@
             version,
             text,
         });
-        self.limit_wait(ticket);
+        self.begin_operator_probe(ticket);
     }
 
-    /// An operator asks for the newest configuration.
+    /// Reads the newest committed configuration. The response is sent once a majority has confirmed it.
     pub(crate) fn get_configuration(&mut self, responder: Responder) {
         let Some(ticket) = self.accept_operator_request(responder) else {
             return;
         };
         self.step_consensus(consensus::Input::GetConfiguration { ticket });
-        self.limit_wait(ticket);
+        self.begin_operator_probe(ticket);
     }
 
-    /// A ticket for a request, or an answer at once where this controller is cut off.
+    /// Registers a request and returns its ticket. Without quorum contact, rejects the request at once and returns
+    /// `None`.
     fn accept_operator_request(&mut self, responder: Responder) -> Option<Ticket> {
         if self.may_acknowledge() {
             return Some(self.pending_requests.add(responder));
@@ -44,8 +45,9 @@
         None
     }
 
-    /// Ends a request early where no majority answers. One that waits for the first voting set has its whole time.
-    fn limit_wait(&mut self, ticket: Ticket) {
+    /// Starts a probe that fails the request early if no majority responds. Requests made before the first voting set
+    /// exists wait for their full timeout.
+    fn begin_operator_probe(&mut self, ticket: Ticket) {
         if self.has_voting_set() {
             self.begin_probe(ProbePurpose::OperatorRequest(ticket));
         }
--- a/crates/gateway/controller/src/peer_sessions.rs
+++ b/crates/gateway/controller/src/peer_sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions by the node on the other side, and which controllers are to be dialed.
+//! The open sessions with other nodes, and the dialing of known controllers that are not connected.
 
 use rushcourse_messages::{Message, Role};
 use rushcourse_transport::{Dialer, Session, SessionContext};
@@ -6,43 +6,39 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Controllers that are known of at most: far over what a deployment has (ours).
+/// Maximum number of known controllers; far above the size of any deployment.
 const MAX_KNOWN_CONTROLLERS: usize = 64;
-/// Of two controllers, the one with the higher address dials only in each of so many rounds.
-const PATIENT_ROUNDS: u64 = 4;
+/// Of two controllers, the one with the higher address dials only in every n-th round, as a fallback.
+const FALLBACK_DIAL_ROUNDS: u64 = 4;
 
-/// All sessions of this controller.
 pub(crate) struct PeerSessions {
     dialer: Dialer,
-    /// Other controllers, in session or not.
+    /// Other controllers, connected or not.
     known: BTreeSet<NodeId>,
     sessions: BTreeMap<SessionId, Session>,
-    /// Controllers in session.
     controllers: BTreeMap<NodeId, ControllerSessions>,
 }
 
-/// The sessions with one controller. There is more than one while both sides dial.
+/// The sessions with one controller. There may be more than one if both sides dialed.
 struct ControllerSessions {
     incarnation: Incarnation,
-    /// Newest last.
+    /// Oldest first; messages are sent on the last one.
     sessions: Vec<SessionId>,
 }
 
-/// What a session's opening or closing means.
+/// A change in connectivity that results from a session opening or closing.
 #[derive(Debug, PartialEq)]
 pub(crate) enum SessionChange {
-    /// The first session with a controller, or with a new incarnation of it, is open.
+    /// The first session with a controller, or with a new incarnation of it, was opened.
     ControllerConnected(NodeId),
-    /// The last session with a controller is closed.
+    /// The last session with a controller was closed, or the controller has restarted.
     ControllerDisconnected(NodeId),
-    /// A session with a gateway is open.
     GatewayConnected(SessionId),
-    /// A session with a gateway is closed.
     GatewayDisconnected(SessionId),
 }
 
 impl PeerSessions {
-    /// No sessions yet.
+    /// Creates a registry without sessions or known controllers.
     pub(crate) fn new(dialer: Dialer) -> PeerSessions {
         PeerSessions {
             dialer,
@@ -52,18 +48,17 @@
         }
     }
 
-    /// What the sessions start from.
+    /// The context shared with all sessions of this process.
     pub(crate) fn context(&self) -> &SessionContext {
         self.dialer.context()
     }
 
-    /// The node of this process.
     pub(crate) fn local_node(&self) -> NodeId {
         self.dialer.local_handshake().node
     }
 
-    /// Controllers that are to be dialed from now on, besides those that are already.
-    pub(crate) fn add_known(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
+    /// Adds controllers to dial. Ignores the local node, and further nodes once `MAX_KNOWN_CONTROLLERS` are known.
+    pub(crate) fn add_known_controllers(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
         for node in nodes {
             if node != self.local_node() && self.known.len() < MAX_KNOWN_CONTROLLERS {
                 self.known.insert(node);
@@ -71,28 +66,28 @@
         }
     }
 
-    /// All controllers that are known here, this one included.
-    pub(crate) fn known(&self) -> Vec<NodeId> {
+    /// All known controllers, including this one.
+    pub(crate) fn known_controllers(&self) -> Vec<NodeId> {
         let others = self.known.iter().copied();
         others.chain([self.local_node()]).collect()
     }
 
-    /// Dials the controllers that are known and not in session. Of two, the one with the lower address dials; the other
-    /// one only in some rounds, if it is not dialed itself.
+    /// Dials the known controllers that are not connected. Of two controllers, the one with the lower address dials in
+    /// every round; the other dials only in fallback rounds, in case the first can't connect.
     pub(crate) fn dial_missing(&self, round: u64) {
-        let is_patient_round = round % PATIENT_ROUNDS == PATIENT_ROUNDS - 1;
+        let is_fallback_round = round % FALLBACK_DIAL_ROUNDS == FALLBACK_DIAL_ROUNDS - 1;
         let missing = self
             .known
             .iter()
             .filter(|node| !self.controllers.contains_key(node));
         for node in missing {
-            if self.local_node() < *node || is_patient_round {
+            if self.local_node() < *node || is_fallback_round {
                 self.dialer.dial(*node);
             }
         }
     }
 
-    /// A session is open.
+    /// Registers an open session and returns the resulting changes in order.
     pub(crate) fn opened(&mut self, session: Session) -> Vec<SessionChange> {
         let (id, role) = (session.id, session.peer.role);
         let (node, incarnation) = (session.peer.node, session.peer.incarnation);
@@ -100,16 +95,16 @@
         if role == Role::Gateway {
             return vec![SessionChange::GatewayConnected(id)];
         }
-        self.add_known([node]);
+        self.add_known_controllers([node]);
         let mut changes = Vec::new();
         if let Some(controller) = self.controllers.get_mut(&node) {
             if controller.incarnation == incarnation {
                 controller.sessions.push(id);
                 return changes;
             }
-            // It started anew: what its last incarnation said no longer counts.
-            let outdated = std::mem::take(&mut controller.sessions);
-            self.close(&outdated);
+            // The controller has restarted, so the sessions of its previous incarnation are obsolete.
+            let obsolete = std::mem::take(&mut controller.sessions);
+            self.close(&obsolete);
             changes.push(SessionChange::ControllerDisconnected(node));
         }
         let controller = ControllerSessions {
@@ -129,7 +124,8 @@
         }
     }
 
-    /// A session is closed. `None`: that changes nothing, as another one with its node is open or it was closed here.
+    /// Removes a closed session. Returns `None` if another session with the same controller is open, or if the session
+    /// was already removed.
     pub(crate) fn closed(&mut self, id: SessionId) -> Option<SessionChange> {
         let session = self.sessions.remove(&id)?;
         if session.peer.role == Role::Gateway {
@@ -145,22 +141,20 @@
         Some(SessionChange::ControllerDisconnected(node))
     }
 
-    /// An open session by its number.
     pub(crate) fn get(&self, id: SessionId) -> Option<&Session> {
         self.sessions.get(&id)
     }
 
-    /// All open sessions.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Session> {
         self.sessions.values()
     }
 
-    /// Controllers in session.
+    /// The connected controllers in ascending order.
     pub(crate) fn controllers(&self) -> Vec<NodeId> {
         self.controllers.keys().copied().collect()
     }
 
-    /// The zone of a controller that is in session.
+    /// The zone of a controller, as given in its handshake; `None` if it is not connected.
     pub(crate) fn zone(&self, node: NodeId) -> Option<Arc<str>> {
         let session = self.newest_session(node)?;
         Some(session.peer.zone.as_str().into())
@@ -171,28 +165,27 @@
         self.sessions.get(id)
     }
 
-    /// Sends on one session, if it is open.
+    /// Sends a message on a session. Does nothing if it is not open.
     pub(crate) fn send(&self, id: SessionId, message: &Message) {
         if let Some(session) = self.sessions.get(&id) {
             session.send(message);
         }
     }
 
-    /// Sends to a controller, if it is in session.
+    /// Sends a message to a controller on its newest session. Does nothing if it is not connected.
     pub(crate) fn send_to_controller(&self, node: NodeId, message: &Message) {
         if let Some(session) = self.newest_session(node) {
             session.send(message);
         }
     }
 
-    /// Sends to all controllers in session.
     pub(crate) fn send_to_controllers(&self, message: &Message) {
         for node in self.controllers.keys() {
             self.send_to_controller(*node, message);
         }
     }
 
-    /// Sessions with gateways.
+    /// Ids of all open sessions with gateways. A gateway may have more than one.
     pub(crate) fn gateways(&self) -> impl Iterator<Item = SessionId> {
         self.sessions
             .values()
@@ -200,7 +193,6 @@
             .map(|session| session.id)
     }
 
-    /// Sends on all sessions with gateways.
     pub(crate) fn send_to_gateways(&self, message: &Message) {
         for session in self.gateways() {
             self.send(session, message);
--- a/crates/gateway/controller/src/pending_requests.rs
+++ b/crates/gateway/controller/src/pending_requests.rs
@@ -1,11 +1,11 @@
-//! Requests of operators that wait for their answer.
+//! Operator requests that wait for a response.
 
 use crate::control_request::{ControlResponse, Responder};
 use rushcourse_consensus::Outcome;
 use rushcourse_types::Ticket;
 use std::collections::BTreeMap;
 
-/// Requests that wait, by their tickets.
+/// Responders of pending operator requests, keyed by ticket.
 #[derive(Default)]
 pub(crate) struct PendingRequests {
     responders: BTreeMap<Ticket, Responder>,
@@ -13,14 +13,14 @@
 }
 
 impl PendingRequests {
-    /// A request that waits from now on.
+    /// Registers a request and returns its ticket.
     pub(crate) fn add(&mut self, responder: Responder) -> Ticket {
         self.last_ticket = self.last_ticket.next();
         self.responders.insert(self.last_ticket, responder);
         self.last_ticket
     }
 
-    /// Answers all requests that wait.
+    /// Responds to all pending requests with the same outcome.
     pub(crate) fn respond_all(&mut self, outcome: &Outcome) {
         let tickets: Vec<Ticket> = self.responders.keys().copied().collect();
         for ticket in tickets {
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Answers a request, unless it has been.
+    /// Responds to a request. Does nothing if it is no longer pending.
     pub(crate) fn respond(&mut self, ticket: Ticket, outcome: Outcome) {
         let Some(responder) = self.responders.remove(&ticket) else {
             return;
--- a/crates/gateway/controller/src/probes.rs
+++ b/crates/gateway/controller/src/probes.rs
@@ -1,4 +1,4 @@
-//! Contact probes that are under way, each with what its end decides.
+//! Pending contact probes, each with the action to take on its result.
 
 use crate::control_request::Responder;
 use rushcourse_cluster::ContactProbes;
@@ -6,24 +6,24 @@
 use rushcourse_types::{NodeId, RequestToken, Ticket, Timestamp};
 use std::collections::BTreeMap;
 
-/// Why a probe is sent, and what waits for its end.
+/// The purpose of a probe, which determines the action on its result.
 pub(crate) enum ProbePurpose {
-    /// Whether what is held here is current, after a stall.
+    /// Confirms quorum contact after the process stalled.
     StallRecovery { probed_at: Timestamp },
-    /// The answer to a host that leaves.
+    /// Acknowledges the request of a leaving host once a majority has received it.
     HostResponse(Responder),
-    /// An operator's request: it need not wait for a majority that is not there.
+    /// Lets an operator's request fail early if no majority responds.
     OperatorRequest(Ticket),
 }
 
-/// A probe that is over.
+/// A probe that was confirmed or timed out.
 pub(crate) struct FinishedProbe {
     pub(crate) purpose: ProbePurpose,
-    /// Whether a majority has answered in time.
+    /// Whether a majority responded before the timeout.
     pub(crate) is_confirmed: bool,
 }
 
-/// Contact probes that are under way.
+/// Probes that wait for responses, with their purposes.
 #[derive(Default)]
 pub(crate) struct PendingProbes {
     probes: ContactProbes,
@@ -31,20 +31,21 @@
 }
 
 impl PendingProbes {
-    /// Begins a probe. Its token goes to all controllers, behind what they are to have handled.
+    /// Starts a probe and returns its token. The caller sends the token to all controllers, after the messages whose
+    /// receipt the probe has to confirm.
     pub(crate) fn begin(&mut self, now: Timestamp, purpose: ProbePurpose) -> RequestToken {
         let token = self.probes.start(now);
         self.purposes.insert(token, purpose);
         token
     }
 
-    /// A controller's answer. True if it is to a probe, also to one that is over.
+    /// Records a controller's response. Returns true if the token belongs to a probe, pending or finished.
     pub(crate) fn record_response(&mut self, peer: NodeId, token: RequestToken) -> bool {
         self.probes.record_response(peer, token)
     }
 
-    /// Ends the probes that a majority of the voting set has answered, and those whose time is over. `local`: this node,
-    /// which counts where it is a member.
+    /// Removes and returns the probes that are confirmed by a majority of the voting set or have timed out. The node
+    /// `local` counts as a responder if it is a member.
     pub(crate) fn take_finished(
         &mut self,
         now: Timestamp,
--- a/crates/gateway/controller/src/session_events.rs
+++ b/crates/gateway/controller/src/session_events.rs
@@ -1,4 +1,4 @@
-//! What happens on sessions with other nodes, and what they send.
+//! Handlers for session events and for messages from other nodes.
 
 use crate::controller::Controller;
 use crate::peer_sessions::SessionChange;
@@ -9,7 +9,6 @@
 use rushcourse_types::{NodeId, SessionId};
 
 impl Controller {
-    /// One event of a session.
     pub(crate) fn handle_session_event(&mut self, event: SessionEvent) {
         match event {
             SessionEvent::Opened(session) => self.session_opened(session),
@@ -27,9 +26,9 @@
         for change in self.sessions.opened(session) {
             self.handle_session_change(change);
         }
-        let controllers = Message::Controllers(self.sessions.known());
+        let controllers = Message::Controllers(self.sessions.known_controllers());
         self.sessions.send(id, &controllers);
-        // All hear of a controller that nobody knew.
+        // Announces a controller that other nodes may not know yet.
         if role == Role::Controller {
             self.sessions.send_to_controllers(&controllers);
             self.sessions.send_to_gateways(&controllers);
@@ -92,7 +91,7 @@
 
     fn handle_controller_message(&mut self, node: NodeId, message: Message) {
         match message {
-            Message::Controllers(nodes) => self.sessions.add_known(nodes),
+            Message::Controllers(nodes) => self.sessions.add_known_controllers(nodes),
             Message::ReadResponse { token, .. }
                 if self.contact.probes.record_response(node, token) =>
             {
--- a/crates/gateway/controller/src/startup.rs
+++ b/crates/gateway/controller/src/startup.rs
@@ -1,4 +1,5 @@
-//! The start of a controller: sockets, the state file, the state machines, and the tasks around the event loop.
+//! Startup of a controller: listening sockets, the state file, the state machines, and the tasks that feed the event
+//! loop.
 
 use crate::contact_state::ContactState;
 use crate::control_request::EventSender;
@@ -8,8 +9,8 @@
 use crate::peer_sessions::PeerSessions;
 use crate::pending_requests::PendingRequests;
 use crate::shutdown::Shutdown;
-use crate::state_file::{newest_version, state_file};
-use crate::storage_opener::{may_open_later, open_when_possible};
+use crate::state_file::{newest_version, state_file_path};
+use crate::storage_opener::{is_retryable, open_in_background};
 use crate::storage_thread::Storage;
 use error_stack::{Report, ResultExt};
 use rushcourse_cluster::{self as cluster, Cluster, Topology};
@@ -30,16 +31,16 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc;
 
-/// File descriptors that are not given to connections of others (ours).
+/// File descriptors reserved for uses other than inbound connections.
 const RESERVED_DESCRIPTORS: usize = 264;
-/// Connections of others that a controller takes with however few descriptors (ours).
+/// Minimum number of inbound connections, applied even if `limits.file_descriptors` is too low for it.
 const MIN_CONNECTIONS: usize = 16;
 
-/// Runs a controller until it is to end.
+/// Runs a controller until it has shut down after SIGTERM.
 ///
 /// # Errors
-/// Settings that name no address to listen at or no folder, an address that is taken, a state file or keys that can't be
-/// used.
+/// Returns an error if the settings lack a listen address or the data directory, an address can't be bound, or the
+/// state file or the TLS keys are unusable.
 pub fn serve(settings_path: &Path, settings: NodeSettings) -> Result<(), Report<StartError>> {
     logging::init(&settings.log_level, &settings.node.name);
     run_on_current_thread(async {
@@ -52,7 +53,7 @@
         let internal = listen_for_sessions(&settings).await?;
         let (event_sender, control) = mpsc::unbounded_channel();
         let (session_sender, sessions) = mpsc::unbounded_channel();
-        let controller = start(&settings, &event_sender, session_sender)?;
+        let controller = create_controller(&settings, &event_sender, session_sender)?;
         let context = controller.sessions.context().clone();
         spawn_tasks(&settings, control_plane, internal, event_sender, context);
         event_loop::run(controller, Queues { sessions, control }, settings_path).await;
@@ -60,7 +61,7 @@
     })
 }
 
-/// Starts the tasks that feed the event loop.
+/// Spawns the tasks that feed the event loop: HTTP server, session listener and SIGHUP handler.
 fn spawn_tasks(
     settings: &NodeSettings,
     control_plane: TcpListener,
@@ -72,7 +73,7 @@
         .limits
         .file_descriptors
         .saturating_sub(RESERVED_DESCRIPTORS);
-    // Half of them for hosts and operators, half for sessions.
+    // Shared equally between the HTTP API and sessions with nodes.
     let max_connections = descriptors.max(MIN_CONNECTIONS) / 2;
     tokio::task::spawn_local(http_api::serve_connections(
         control_plane,
@@ -83,8 +84,8 @@
     tokio::task::spawn_local(event_loop::watch_hangups(events));
 }
 
-/// A controller with what its disk held.
-fn start(
+/// Creates a controller and restores its state from disk.
+fn create_controller(
     settings: &NodeSettings,
     events: &EventSender,
     session_events: mpsc::UnboundedSender<SessionEvent>,
@@ -101,36 +102,36 @@
         consensus: ConsensusNode::new(setup.clone(), stored),
         setup,
         cluster: Cluster::new(topology(settings)),
-        sessions: open_sessions(settings, handshake, session_events)?,
+        sessions: create_sessions(settings, handshake, session_events)?,
         contact: ContactState::new(settings.is_first_start),
         pending_requests: PendingRequests::default(),
         unnotified_sessions: BTreeSet::new(),
         shutdown: Shutdown::new(settings.bounds.grace_period),
     };
-    // Members that are no seeds are dialed at once as well.
-    controller.sessions.add_known(stored_members);
-    // Their tables stand before the hosts call again.
+    // Members of the stored voting set may not be among the configured seeds.
+    controller.sessions.add_known_controllers(stored_members);
+    // Restores endpoint tables before the hosts send their next heartbeats.
     if !stored_hosts.is_empty() {
         controller.step_cluster(cluster::Input::HostsRestored(stored_hosts));
     }
     Ok(controller)
 }
 
-/// Opens the state file, and starts the thread that works on it. Where the disk refuses that, all writes are refused until
-/// the file can be opened, and nothing is known of what it holds.
+/// Opens the state file and starts the storage thread. If the failure is retryable, returns storage that refuses writes
+/// and an empty state, and keeps trying to open the file in the background.
 fn open_storage(
     settings: &NodeSettings,
     events: EventSender,
 ) -> Result<(Storage, DurableState), Report<StartError>> {
-    let Some(folder) = &settings.data_directory else {
+    let Some(directory) = &settings.data_directory else {
         return Err(Report::new(StartError::Disk).attach("data_directory is missing"));
     };
-    let file = state_file(Path::new(folder))?;
+    let file = state_file_path(Path::new(directory))?;
     let mut storage = Storage::new(&file, events.clone());
     let (store, stored) = match Store::open(&file) {
         Ok(opened) => opened,
-        Err(report) if may_open_later(report.current_context()) => {
-            open_when_possible(file, events).change_context(StartError::Disk)?;
+        Err(report) if is_retryable(report.current_context()) => {
+            open_in_background(file, events).change_context(StartError::Disk)?;
             return Ok((storage, DurableState::default()));
         }
         Err(report) => return Err(report.change_context(StartError::Disk)),
@@ -173,8 +174,8 @@
     }
 }
 
-/// The sessions of a node that knows its seeds, none of them open.
-fn open_sessions(
+/// Loads the TLS keys and creates the session registry with the seeds as known controllers. No session is open yet.
+fn create_sessions(
     settings: &NodeSettings,
     handshake: Handshake,
     events: mpsc::UnboundedSender<SessionEvent>,
@@ -184,6 +185,6 @@
         .set_keys(settings.peers.keys.as_ref())
         .change_context(StartError::Keys)?;
     let mut sessions = PeerSessions::new(Dialer::new(context, settings.peers.ports.first));
-    sessions.add_known(seed_nodes(settings));
+    sessions.add_known_controllers(seed_nodes(settings));
     Ok(sessions)
 }
--- a/crates/gateway/controller/src/state_file.rs
+++ b/crates/gateway/controller/src/state_file.rs
@@ -1,4 +1,4 @@
-//! Where the state file is, and what it held at the start.
+//! The path of the state file, and the contents loaded from it when it is opened.
 
 use error_stack::{Report, ResultExt};
 use rushcourse_consensus::DurableState;
@@ -9,32 +9,37 @@
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
 
-/// Name of the state file, and the name that versions before 0.2 gave it.
+/// Name of the state file in the data directory.
 const STATE_FILE: &str = "controller.redb";
-const EARLIER_STATE_FILE: &str = "exchange.redb";
+/// Name of the state file in versions before 0.2.
+const LEGACY_STATE_FILE: &str = "exchange.redb";
 
-/// A state file that could be opened, and what it holds.
+/// An open state file with the state loaded from it.
 pub(crate) struct OpenedFile {
     pub(crate) store: Store,
     pub(crate) stored: DurableState,
 }
 
-/// The path of the state file in a folder. A file under its earlier name is renamed.
+/// Returns the path of the state file in the data directory. Renames a file that has the legacy name.
 ///
 /// # Errors
-/// [`StartError::Disk`] where it can't be renamed.
-pub(crate) fn state_file(folder: &Path) -> Result<PathBuf, Report<StartError>> {
-    let (file, earlier) = (folder.join(STATE_FILE), folder.join(EARLIER_STATE_FILE));
-    if earlier.exists() && !file.exists() {
-        fs::rename(&earlier, &file).change_context(StartError::Disk)?;
-        // The rename has to reach the disk as well.
-        let synced = File::open(folder).and_then(|folder| folder.sync_all());
+/// Returns [`StartError::Disk`] if the rename fails or can't be synced.
+pub(crate) fn state_file_path(directory: &Path) -> Result<PathBuf, Report<StartError>> {
+    let (file, legacy) = (
+        directory.join(STATE_FILE),
+        directory.join(LEGACY_STATE_FILE),
+    );
+    if legacy.exists() && !file.exists() {
+        fs::rename(&legacy, &file).change_context(StartError::Disk)?;
+        // Makes the rename durable.
+        let synced = File::open(directory).and_then(|directory| directory.sync_all());
         synced.change_context(StartError::Disk)?;
     }
     Ok(file)
 }
 
-/// The newest version of a configuration that a disk holds.
+/// The highest configuration version in the stored acceptor records, committed or not; `ConfigurationVersion::NONE` if
+/// there is none.
 pub(crate) fn newest_version(stored: &DurableState) -> ConfigurationVersion {
     let slots = stored.records.iter().map(|record| record.slot);
     let versions = slots.filter_map(|slot| match slot {
--- a/crates/gateway/controller/src/storage_opener.rs
+++ b/crates/gateway/controller/src/storage_opener.rs
@@ -1,4 +1,4 @@
-//! Opens a state file that the disk refused to open at the start: tried again until it can be.
+//! Background retries for a state file that could not be opened at startup.
 
 use crate::control_request::{ControlEvent, EventSender};
 use crate::state_file::OpenedFile;
@@ -7,26 +7,26 @@
 use std::time::{Duration, Instant};
 use std::{io, thread};
 
-/// Between two tries (ours).
+/// Delay between two attempts to open the file.
 const RETRY_INTERVAL: Duration = Duration::from_millis(500);
-/// Between two log lines about tries that fail (ours).
+/// Minimum time between two log lines about failed attempts.
 const LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Starts a thread that opens the file as soon as the disk lets it, and tells the event loop.
+/// Spawns a thread that retries until the file is open and then sends `ControlEvent::StateFileOpened`.
 ///
 /// # Errors
-/// The operating system gives no thread.
-pub(crate) fn open_when_possible(file: PathBuf, events: EventSender) -> io::Result<()> {
+/// Returns an error if the thread can't be spawned.
+pub(crate) fn open_in_background(file: PathBuf, events: EventSender) -> io::Result<()> {
     let open = move || {
-        let opened = wait_until_open(&file);
-        // The event loop is gone only where the process ends.
+        let opened = open_with_retries(&file);
+        // The receiver is dropped only at process exit.
         let _ = events.send(ControlEvent::StateFileOpened(Box::new(opened)));
     };
     thread::Builder::new().name("opener".into()).spawn(open)?;
     Ok(())
 }
 
-fn wait_until_open(file: &Path) -> OpenedFile {
+fn open_with_retries(file: &Path) -> OpenedFile {
     let mut logged_at: Option<Instant> = None;
     loop {
         match Store::open(file) {
@@ -42,8 +42,8 @@
     }
 }
 
-/// Whether the disk may let a file be opened later: it is full, or fails for now.
-pub(crate) fn may_open_later(error: &StorageError) -> bool {
+/// Whether opening the file may succeed later: the disk is full or temporarily failing.
+pub(crate) fn is_retryable(error: &StorageError) -> bool {
     matches!(
         error,
         StorageError::Unavailable | StorageError::WriteRefused
--- a/crates/gateway/controller/src/storage_thread.rs
+++ b/crates/gateway/controller/src/storage_thread.rs
@@ -1,4 +1,4 @@
-//! The state file as the event loop sees it: the thread that works on it, or the lack of one.
+//! Access to the state file through the storage thread, which does not run until the file is open.
 
 use crate::control_request::{ControlEvent, EventSender};
 use error_stack::{Report, ResultExt};
@@ -10,24 +10,24 @@
 use std::sync::mpsc;
 use std::thread;
 
-/// The stack of the storage thread.
+/// Stack size of the storage thread in bytes.
 const STACK_BYTES: usize = 512 << 10;
 
-/// The state file. While the disk does not let it be opened, each batch is refused.
+/// Write access to the state file. Refuses all batches until the file is open.
 pub(crate) struct Storage {
     file: PathBuf,
     events: EventSender,
     thread: Option<StorageThread>,
 }
 
-/// A way to the storage thread.
+/// Channel to the running storage thread, and the disk statistics that it updates.
 struct StorageThread {
     batches: mpsc::Sender<WriteBatch>,
     health: Arc<DiskHealth>,
 }
 
 impl Storage {
-    /// The state file before it is open. Outcomes of batches go to `events`.
+    /// Creates the access to a file that is not open yet. `events` receives the outcomes of batches.
     pub(crate) fn new(file: &Path, events: EventSender) -> Storage {
         Storage {
             file: file.to_path_buf(),
@@ -36,18 +36,18 @@
         }
     }
 
-    /// The file is open: starts the thread that works on it.
+    /// Spawns the storage thread, which takes ownership of the open file.
     ///
     /// # Errors
-    /// [`StartError::Disk`] where the operating system gives no thread.
+    /// Returns [`StartError::Disk`] if the thread can't be spawned.
     pub(crate) fn start(&mut self, store: Store) -> Result<(), Report<StartError>> {
         let (batches, queue) = mpsc::channel();
         let health = Arc::new(DiskHealth::default());
         let thread_health = health.clone();
         let events = self.events.clone();
         let report = move |outcomes| {
-            // The event loop is gone only where the process ends.
-            let _ = events.send(ControlEvent::Storage(outcomes));
+            // The receiver is dropped only at process exit.
+            let _ = events.send(ControlEvent::WriteOutcomes(outcomes));
         };
         thread::Builder::new()
             .name("storage".into())
@@ -58,16 +58,16 @@
         Ok(())
     }
 
-    /// Whether the file is open.
+    /// Whether the state file is open and the storage thread was started.
     pub(crate) fn is_open(&self) -> bool {
         self.thread.is_some()
     }
 
-    /// Hands a batch to the thread, which reports by its number once it is on disk.
+    /// Queues a batch for writing. Its outcome, identified by the batch id, follows as `ControlEvent::WriteOutcomes`.
     pub(crate) fn write(&self, batch: WriteBatch) {
         let Some(thread) = &self.thread else {
             let refused = vec![WriteOutcome::Refused(batch.id)];
-            let _ = self.events.send(ControlEvent::Storage(refused));
+            let _ = self.events.send(ControlEvent::WriteOutcomes(refused));
             return;
         };
         if thread.batches.send(batch).is_err() {
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Hands an operation to the thread that nobody waits for.
+    /// Queues an operation whose outcome is ignored. Drops it if the file is not open.
     pub(crate) fn write_untracked(&self, operation: WriteOperation) {
         if let Some(thread) = &self.thread {
             let _ = thread.batches.send(WriteBatch {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// What the thread has done so far.
+    /// Statistics of the storage thread; all zero until the file is open.
     pub(crate) fn statistics(&self) -> DiskStatistics {
         let thread = self.thread.as_ref();
         thread.map_or(DiskStatistics::default(), |thread| {
@@ -93,7 +93,7 @@
         })
     }
 
-    /// Bytes of the state file.
+    /// Size of the state file in bytes; 0 if it doesn't exist.
     pub(crate) fn file_bytes(&self) -> u64 {
         std::fs::metadata(&self.file).map_or(0, |metadata| metadata.len())
     }
--- a/crates/gateway/controller/tests/common/mod.rs
+++ b/crates/gateway/controller/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Three controllers as real processes on loopback, called over HTTP.
+//! Runs three controller processes on loopback addresses and sends HTTP requests to them.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time in which three controllers find each other and agree on the first voting set, on a busy machine.
-const FORMING_TIMEOUT: Duration = Duration::from_secs(20);
+/// Timeout of `wait_until`, with a margin for the formation of the first voting set on a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
@@ -17,23 +17,24 @@
 "rows":[["r1","a.example","/x/","read_only",1.5,0.25,2,"s1"]]},"services":{"columns":["name","connection_capacity"],"rows":[["s1",110]]},
 "limits":{"header_size_bytes":16384,"body_size_bytes":1000,"header_timeout_s":3,"idle_timeout_s":15}}"#;
 
-/// A configuration of a version.
+/// A valid configuration with the given version.
 pub fn configuration(version: u32) -> String {
     CONFIGURATION.replace("VERSION", &version.to_string())
 }
 
-/// What a controller answered, and after how long.
-pub struct Answer {
+/// An HTTP response and its latency.
+pub struct HttpResponse {
     pub status: u16,
-    /// Head and body.
+    /// Response head and body.
     pub text: String,
     pub elapsed: Duration,
 }
 
-/// Controllers 1 to 3; their processes end with this.
+/// The processes of controllers 1 to 3. Dropping it kills them and removes their files.
 pub struct Controllers {
-    folder: PathBuf,
-    net: String,
+    directory: PathBuf,
+    /// The first three octets of the controllers' addresses.
+    subnet: String,
     children: Vec<Child>,
 }
 
@@ -42,18 +43,19 @@
         Controllers::start_with(|_| {})
     }
 
-    /// `prepare` does something to the data folders before any controller starts.
+    /// Starts the controllers after `prepare`, which may change their data directories.
     pub fn start_with(prepare: impl Fn(&Controllers)) -> Controllers {
         let process = std::process::id();
-        let net = format!("127.{}.{}", 40 + process % 100, process / 100 % 250);
-        let folder = std::env::temp_dir().join(format!("cut-off-{process}"));
+        let subnet = format!("127.{}.{}", 40 + process % 100, process / 100 % 250);
+        let directory = std::env::temp_dir().join(format!("cut-off-{process}"));
         let mut controllers = Controllers {
-            folder,
-            net,
+            directory,
+            subnet,
             children: Vec::new(),
         };
         for number in 1..=3 {
-            std::fs::create_dir_all(controllers.data_folder(number)).expect("a folder");
+            std::fs::create_dir_all(controllers.data_directory(number))
+                .expect("create the data directory");
         }
         prepare(&controllers);
         for number in 1..=3 {
@@ -63,44 +65,52 @@
         controllers
     }
 
-    /// Where a controller keeps its state file.
-    pub fn data_folder(&self, number: u32) -> PathBuf {
-        self.folder.join(format!("core-{number}"))
+    /// The directory with the controller's settings and state file.
+    pub fn data_directory(&self, number: u32) -> PathBuf {
+        self.directory.join(format!("core-{number}"))
     }
 
     fn spawn(&self, number: u32) -> Child {
-        let net = &self.net;
-        let data = self.data_folder(number);
-        let seeds: Vec<String> = (1..=3).map(|seed| format!("{net}.{seed}:8544")).collect();
+        let subnet = &self.subnet;
+        let data = self.data_directory(number);
+        let seeds: Vec<String> = (1..=3)
+            .map(|seed| format!("{subnet}.{seed}:8544"))
+            .collect();
         let settings = format!(
-            "node_name=core-{number}\nzone=z1\nip_address={net}.{number}\n\
-             listen_addresses.control_plane={net}.{number}:8544\ninternal_port_range=7540,7555\n\
+            "node_name=core-{number}\nzone=z1\nip_address={subnet}.{number}\n\
+             listen_addresses.control_plane={subnet}.{number}:8544\ninternal_port_range=7540,7555\n\
              seed_nodes={}\nfirst_start=true\ndata_directory={}\n",
             seeds.join(","),
             data.display()
         );
         let file = data.join("settings");
-        std::fs::write(&file, settings).expect("a settings file");
+        std::fs::write(&file, settings).expect("write the settings file");
         Command::new(env!("CARGO_BIN_EXE_controller"))
             .stdout(Stdio::null())
             .stderr(Stdio::null())
             .arg("--settings")
             .arg(file)
             .spawn()
-            .expect("a controller")
+            .expect("spawn the controller")
     }
 
-    /// Kills a controller, so that it says nothing any more.
+    /// Kills the process of a controller and waits for its exit.
     pub fn kill(&mut self, number: usize) {
         let child = &mut self.children[number - 1];
-        child.kill().expect("it ran");
-        child.wait().expect("it ends");
+        child.kill().expect("kill the controller");
+        child.wait().expect("wait for the exit");
     }
 
-    /// One request to a controller. `None`: no answer.
-    pub fn request(&self, number: u32, method: &str, path: &str, body: &str) -> Option<Answer> {
-        let begun = Instant::now();
-        let mut stream = TcpStream::connect(format!("{}.{number}:8544", self.net)).ok()?;
+    /// Sends one request to a controller. Returns `None` if the connection fails or the response takes over 3 seconds.
+    pub fn request(
+        &self,
+        number: u32,
+        method: &str,
+        path: &str,
+        body: &str,
+    ) -> Option<HttpResponse> {
+        let started_at = Instant::now();
+        let mut stream = TcpStream::connect(format!("{}.{number}:8544", self.subnet)).ok()?;
         stream.set_read_timeout(Some(READ_TIMEOUT)).ok()?;
         let length = body.len();
         let head = format!(
@@ -109,41 +119,45 @@
         stream.write_all(format!("{head}{body}").as_bytes()).ok()?;
         let mut text = String::new();
         stream.read_to_string(&mut text).ok()?;
-        Some(Answer {
+        Some(HttpResponse {
             status: text.split(' ').nth(1)?.parse().ok()?,
             text,
-            elapsed: begun.elapsed(),
+            elapsed: started_at.elapsed(),
         })
     }
 
-    /// Repeats a request until it is answered with 200.
+    /// Repeats a request until the response has status 200.
     pub fn request_until_acknowledged(&self, number: u32, method: &str, path: &str, body: &str) {
-        let is_acknowledged = |answer: Answer| answer.status == 200;
+        let is_acknowledged = |response: HttpResponse| response.status == 200;
         wait_until(&format!("{method} {path} is acknowledged"), || {
             self.request(number, method, path, body)
                 .is_some_and(is_acknowledged)
         });
     }
 
-    /// The status page of a controller.
+    /// The status page of a controller, including the response head.
     pub fn status(&self, number: u32) -> Option<String> {
         self.request(number, "GET", "/-/status", "")
-            .map(|answer| answer.text)
+            .map(|response| response.text)
     }
 
-    /// Waits until a controller has noticed that all others are gone.
-    pub fn wait_until_alone(&self, number: u32) {
-        wait_until("it notices that the others are gone", || {
+    /// Waits until a controller has no sessions with other controllers.
+    pub fn wait_until_isolated(&self, number: u32) {
+        wait_until("the controller has no connected peers", || {
             self.status(number)
                 .is_some_and(|page| page.contains(r#""peers":[]"#))
         });
     }
 }
 
-pub fn wait_until(what: &str, is_so: impl Fn() -> bool) {
-    let begun = Instant::now();
-    while !is_so() {
-        assert!(begun.elapsed() < FORMING_TIMEOUT, "never: {what}");
+/// Polls `condition` until it holds. Panics with `description` after `WAIT_TIMEOUT`.
+pub fn wait_until(description: &str, condition: impl Fn() -> bool) {
+    let started_at = Instant::now();
+    while !condition() {
+        assert!(
+            started_at.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {description}"
+        );
         thread::sleep(POLL_INTERVAL);
     }
 }
@@ -154,6 +168,6 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
--- a/crates/gateway/controller/tests/cut_off.rs
+++ b/crates/gateway/controller/tests/quorum_loss.rs
@@ -1,13 +1,13 @@
-//! What a controller answers that has lost the majority, on loopback: three real processes, of which two are killed.
+//! Responses of a controller that has lost the majority, after two of three controller processes are killed.
 
 mod common;
 
 use common::{Controllers, configuration};
 use std::time::Duration;
 
-/// A controller without a majority says so within this time: under the 850 ms that an order may wait for one.
-const AT_ONCE: Duration = Duration::from_millis(700);
-/// What it says: it did not ask anybody first.
+/// Maximum latency of a response without quorum contact; below the 850 ms that a configuration may wait for a majority.
+const MAX_REJECTION_LATENCY: Duration = Duration::from_millis(700);
+/// Error text of a request that is rejected without contacting the other controllers.
 const NO_QUORUM_CONTACT: &str = "no recent contact with a majority";
 
 fn heartbeat(state: &str, sequence: u32) -> String {
@@ -16,7 +16,7 @@
     )
 }
 
-/// The state of a host on a status page; `None` where the page doesn't know it.
+/// The state of a host on a status page; `None` if the page doesn't list the host.
 fn host_state(page: &str, id: &str) -> Option<&'static str> {
     let host = page
         .split(r#"{"id":"#)
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_controller_without_a_majority_answers_503_at_once_and_still_records_what_hosts_report() {
+fn controller_without_majority_responds_503_and_still_applies_host_requests() {
     let mut controllers = Controllers::start();
     let (ready, draining) = (heartbeat("ready", 1), heartbeat("draining", 1));
     for (method, path, body) in [
@@ -41,7 +41,7 @@
 
     controllers.kill(2);
     controllers.kill(3);
-    controllers.wait_until_alone(1);
+    controllers.wait_until_isolated(1);
 
     let (ready, draining) = (heartbeat("ready", 2), heartbeat("draining", 3));
     for (method, path, body) in [
@@ -53,16 +53,19 @@
         ("PUT", "/-/instances/i-3", &*ready),
         ("DELETE", "/-/instances/i-2", ""),
     ] {
-        let answer = controllers
+        let response = controllers
             .request(1, method, path, body)
-            .expect("an answer");
-        let (text, elapsed) = (&answer.text, answer.elapsed);
-        assert_eq!(answer.status, 503, "{method} {path}: {text}");
+            .expect("a response");
+        let (text, elapsed) = (&response.text, response.elapsed);
+        assert_eq!(response.status, 503, "{method} {path}: {text}");
         assert!(text.contains(NO_QUORUM_CONTACT), "{method} {path}: {text}");
-        assert!(elapsed < AT_ONCE, "{method} {path}: after {elapsed:?}");
+        assert!(
+            elapsed < MAX_REJECTION_LATENCY,
+            "{method} {path}: after {elapsed:?}"
+        );
     }
 
-    let page = controllers.status(1).expect("a page");
+    let page = controllers.status(1).expect("a status page");
     assert_eq!(
         ["i-1", "i-2", "i-3"].map(|id| host_state(&page, id)),
         [Some("draining"), Some("gone"), Some("ready")],
@@ -70,6 +73,6 @@
     );
     assert!(
         page.contains(r#""held":1,"#),
-        "no configuration was taken: {page}"
+        "a configuration was accepted without a majority: {page}"
     );
 }
