--- a/crates/gateway/controller/src/contact_state.rs
+++ b/crates/gateway/controller/src/contact_state.rs
@@ -27,8 +27,8 @@
 
     /// Records an iteration of the event loop, before any event is handled. Returns true if the process stalled since
     /// the last iteration, in which case quorum contact has to be confirmed by a probe.
-    pub(crate) fn record_turn(&mut self, now: Timestamp) -> bool {
-        self.quorum.record_turn(now)
+    pub(crate) fn record_iteration(&mut self, now: Timestamp) -> bool {
+        self.quorum.record_iteration(now)
     }
 
     /// Records whether sessions with a majority of the voting set are open. Returns true if that has changed.
--- a/crates/gateway/controller/src/deferred_restore.rs
+++ b/crates/gateway/controller/src/deferred_restore.rs
@@ -7,7 +7,7 @@
 use crate::controller::Controller;
 use crate::state_file::OpenedFile;
 use rushcourse_cluster as cluster;
-use rushcourse_consensus::{self as consensus, ConsensusNode, Outcome, Setup};
+use rushcourse_consensus::{self as consensus, CallOutcome, ConsensusNode, ReplicaSetup};
 use rushcourse_messages::Message;
 use rushcourse_transport::startup::random_incarnation;
 
@@ -34,8 +34,8 @@
     /// Replaces the consensus node with one that starts from the stored state. Its new incarnation ensures that ballots
     /// are not reused. It does not propose a first voting set, since the peers may have formed one already.
     fn restart_consensus(&mut self, stored: consensus::DurableState) {
-        self.pending_requests.respond_all(&Outcome::Unknown);
-        self.setup = Setup {
+        self.pending_requests.respond_all(&CallOutcome::Unknown);
+        self.setup = ReplicaSetup {
             incarnation: random_incarnation(),
             is_first_start: false,
             ..self.setup.clone()
