--- a/crates/gateway/controller/src/event_loop.rs
+++ b/crates/gateway/controller/src/event_loop.rs
@@ -49,12 +49,8 @@
         let wake = tokio::select! {
             biased;
             _ = terminate.recv() => WakeReason::Terminate,
-            _ = queues.sessions.recv_many(&mut session_events, MAX_EVENTS_PER_ITERATION) => {
-                WakeReason::Events
-            }
-            _ = queues.control.recv_many(&mut control_events, MAX_EVENTS_PER_ITERATION) => {
-                WakeReason::Events
-            }
+            _ = queues.sessions.recv_many(&mut session_events, MAX_EVENTS_PER_ITERATION) => WakeReason::Events,
+            _ = queues.control.recv_many(&mut control_events, MAX_EVENTS_PER_ITERATION) => WakeReason::Events,
             _ = interval.tick() => WakeReason::Tick,
         };
         if wake == WakeReason::Terminate {
--- a/crates/gateway/messages/src/message.rs
+++ b/crates/gateway/messages/src/message.rs
@@ -45,7 +45,7 @@
 /// A message between two nodes. [`crate::authorization`] defines which role may send which variant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// Opens a session.
+    /// The first message of each side of a session; rejected afterwards.
     Handshake(Handshake),
     /// Keeps an idle session alive.
     Ping,
@@ -71,7 +71,7 @@
         epoch: Epoch,
         /// The slot for which a value is to be chosen.
         slot: Slot,
-        /// The proposal number.
+        /// The ballot under which the sender is going to propose a value.
         ballot: Ballot,
         /// For a slot of a voting set: the member that the proposed set leaves out, if any.
         removed: Option<NodeId>,
@@ -127,14 +127,14 @@
         /// The votes stored on the sender's disk.
         votes: Vec<DurableVote>,
     },
-    /// Asks for the receiver's highest accepted version, for a linearizable read or as a contact probe.
+    /// Asks for the receiver's highest accepted version, for a majority read or as a contact probe.
     ReadRequest {
         /// Chosen by the sender; the response carries the same token.
         token: RequestToken,
         /// The epoch of the sender's voting set.
         epoch: Epoch,
     },
-    /// Answers `ReadRequest`.
+    /// Answers `ReadRequest` with the highest version known to the sender.
     ReadResponse {
         /// The token of the request.
         token: RequestToken,
@@ -211,7 +211,7 @@
     },
 
     // From a controller to a gateway.
-    /// Answers `ClaimRequest`.
+    /// Answers `ClaimRequest` with the verdict of one controller.
     ClaimResponse {
         /// The epoch named in the request.
         epoch: Epoch,
@@ -273,7 +273,7 @@
         /// The receiver's claim of the key.
         claim: ClaimId,
     },
-    /// Answers `OperationQuery`.
+    /// Answers `OperationQuery` with the state of the operation and, if it completed, its response.
     OperationReply {
         /// The token of the query.
         token: RequestToken,
