--- a/crates/gateway/gateway/src/connection_pool.rs
+++ b/crates/gateway/gateway/src/connection_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to hosts, kept for the next requests, and how many connections to each host may be open.
+//! Connection pools, one for each host: idle connections for reuse, and a limit of open connections.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -10,16 +10,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Part of a host's connections that all gateways together use (ours).
-const CAPACITY_PART: f64 = 0.9;
-/// Connections that a gateway may open to a host however many gateways share it (ours).
+/// Fraction of a host's `connection_capacity` that all gateways together use.
+const CAPACITY_FRACTION: f64 = 0.9;
+/// Lower bound of a gateway's connections to a host, however many gateways share the host.
 const MIN_CONNECTIONS: usize = 2;
-/// A service's connections where the configuration has none of that name any more.
+/// `connection_capacity` of a service that the configuration does not list.
 const DEFAULT_CAPACITY: u32 = 100;
-/// How long a host's pool is remembered that has no connection and no use.
+/// A pool without open connections is removed this long after its last use.
 const UNUSED_POOL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The sending side of a connection to a host.
+/// Handle that sends requests on an upstream HTTP/1.1 connection.
 pub(crate) type UpstreamSender = SendRequest<Full<Bytes>>;
 
 struct IdleConnection {
@@ -29,31 +29,31 @@
 
 #[derive(Default)]
 struct HostPool {
-    /// The one that was used last stands at the end, and is taken first.
+    /// In the order in which they were returned. The newest, at the back, is reused first.
     idle: VecDeque<IdleConnection>,
-    /// Idle ones, those in use, and those being made.
-    open: usize,
-    /// The host takes no new requests: nothing is kept any more.
+    /// Connections that are idle, in use or being established.
+    open_count: usize,
+    /// The host accepts no new requests, so returned connections are closed.
     is_closed: bool,
     last_used_at: Timestamp,
 }
 
-/// The connections to all hosts, by the host's id.
+/// The connection pools of all hosts, keyed by host id.
 #[derive(Default)]
 pub(crate) struct ConnectionPools {
     hosts: BTreeMap<Arc<str>, HostPool>,
-    /// Connections that a host of each service takes from all callers together.
+    /// `connection_capacity` by service: connections that each of its hosts accepts in total.
     capacities: BTreeMap<String, u32>,
-    gateways: u32,
+    gateway_count: u32,
 }
 
 impl ConnectionPools {
-    /// How many gateways share the hosts' connections.
-    pub(crate) fn set_gateway_count(&mut self, gateways: u32) {
-        self.gateways = gateways;
+    /// Sets the number of gateways that share each host's capacity; 0 is treated as 1.
+    pub(crate) fn set_gateway_count(&mut self, gateway_count: u32) {
+        self.gateway_count = gateway_count;
     }
 
-    /// Takes the capacities of a configuration's services.
+    /// Replaces the capacities by those of a new configuration.
     pub(crate) fn set_capacities(&mut self, services: &IndexMap<String, Service>) {
         self.capacities = services
             .iter()
@@ -61,7 +61,7 @@
             .collect();
     }
 
-    /// A host takes no new requests any more: its idle connections are closed.
+    /// Closes the idle connections of a host that accepts no new requests, and those returned later.
     pub(crate) fn close_host(&mut self, host: &Arc<str>) {
         if let Some(pool) = self.hosts.get_mut(host) {
             pool.is_closed = true;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// An idle connection to a host that is still good, if there is one.
+    /// Takes the most recently used idle connection that has neither expired nor been closed, discarding others.
     pub(crate) fn take_idle(&mut self, now: Timestamp, host: &Arc<str>) -> Option<UpstreamSender> {
         let pool = self.hosts.get_mut(host)?;
         pool.last_used_at = now;
@@ -81,27 +81,28 @@
         None
     }
 
-    /// Counts a connection that is about to be opened. Returns whether it may be; if so, [`ConnectionPools::release`] has
-    /// to follow once it is closed.
+    /// Reserves a slot for a new connection. Returns false at the connection limit; otherwise
+    /// [`ConnectionPools::release`] has to follow once the connection is closed or could not be established.
     pub(crate) fn reserve(&mut self, now: Timestamp, service: &str, host: &Arc<str>) -> bool {
-        let max_open = self.max_connections(service);
+        let max_connections = self.max_connections(service);
         let pool = self.hosts.entry(host.clone()).or_default();
         pool.last_used_at = now;
-        if pool.open >= max_open {
+        if pool.open_count >= max_connections {
             return false;
         }
-        pool.open += 1;
+        pool.open_count += 1;
         true
     }
 
-    /// A connection that was counted is closed, or was not made.
+    /// Frees a slot taken by [`ConnectionPools::reserve`].
     pub(crate) fn release(&mut self, host: &Arc<str>) {
         if let Some(pool) = self.hosts.get_mut(host) {
-            pool.open = pool.open.saturating_sub(1);
+            pool.open_count = pool.open_count.saturating_sub(1);
         }
     }
 
-    /// Keeps a connection whose last response was read whole, for requests until `expires_at`.
+    /// Adds an idle connection, which may be reused until `expires_at`. Its last response must have been read
+    /// completely.
     pub(crate) fn return_idle(
         &mut self,
         host: &Arc<str>,
@@ -114,21 +115,21 @@
         }
     }
 
-    /// Closes idle connections whose time is over, and forgets pools that are not used.
+    /// Drops expired and closed idle connections, and removes unused pools.
     pub(crate) fn sweep(&mut self, now: Timestamp) {
         for pool in self.hosts.values_mut() {
             pool.idle
                 .retain(|connection| now < connection.expires_at && !connection.sender.is_closed());
         }
         self.hosts
-            .retain(|_, pool| pool.open > 0 || now < pool.last_used_at + UNUSED_POOL_TIMEOUT);
+            .retain(|_, pool| pool.open_count > 0 || now < pool.last_used_at + UNUSED_POOL_TIMEOUT);
     }
 
-    /// How many connections this gateway may have open to a host of a service: its share of the host's capacity.
+    /// Returns this gateway's share of the connection capacity of a host of a service.
     fn max_connections(&self, service: &str) -> usize {
         let capacity = self.capacities.get(service).copied();
         let capacity = f64::from(capacity.unwrap_or(DEFAULT_CAPACITY));
-        let share = capacity * CAPACITY_PART / f64::from(self.gateways.max(1));
+        let share = capacity * CAPACITY_FRACTION / f64::from(self.gateway_count.max(1));
         (share as usize).max(MIN_CONNECTIONS)
     }
 }
--- a/crates/gateway/gateway/src/control_plane.rs
+++ b/crates/gateway/gateway/src/control_plane.rs
@@ -1,4 +1,4 @@
-//! What the gateway has from the controllers: sessions, the primary controller, the configuration.
+//! The gateway's view of the control plane: peer sessions, the primary controller and the configuration.
 
 use crate::peer_sessions::PeerSessions;
 use rushcourse_config::Configuration;
@@ -7,72 +7,71 @@
 use rushcourse_types::{ConfigurationVersion, NodeId, Timestamp};
 use std::sync::Arc;
 
-/// Sessions with controllers and gateways, the choice of the primary controller, and the configuration.
+/// Owns the peer sessions, the selection of the primary controller and the current configuration.
 pub(crate) struct ControlPlane {
     sessions: PeerSessions,
-    controllers: ControllerSelection,
+    controller_selection: ControllerSelection,
     configuration: Option<Arc<Configuration>>,
     configuration_fetch: ConfigurationFetch,
 }
 
 impl ControlPlane {
-    /// No configuration and no primary controller yet.
-    pub(crate) fn new(sessions: PeerSessions, controllers: ControllerSelection) -> ControlPlane {
+    pub(crate) fn new(
+        sessions: PeerSessions,
+        controller_selection: ControllerSelection,
+    ) -> ControlPlane {
         ControlPlane {
             sessions,
-            controllers,
+            controller_selection,
             configuration: None,
             configuration_fetch: ConfigurationFetch::default(),
         }
     }
 
-    /// The sessions with other nodes.
     pub(crate) fn sessions(&self) -> &PeerSessions {
         &self.sessions
     }
 
-    /// The sessions with other nodes, to change them.
     pub(crate) fn sessions_mut(&mut self) -> &mut PeerSessions {
         &mut self.sessions
     }
 
-    /// The configuration that requests go by, if there is one yet.
+    /// Returns the configuration in use, `None` until a controller has sent one.
     pub(crate) fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// The controller that endpoint tables are taken from.
+    /// Returns the controller whose endpoint tables are applied, if one is selected.
     pub(crate) fn primary(&self) -> Option<NodeId> {
-        self.controllers.primary()
+        self.controller_selection.primary()
     }
 
-    /// Whether a session with a controller stands.
+    /// Whether a session with this controller is open.
     pub(crate) fn is_connected(&self, controller: NodeId) -> bool {
-        self.controllers.is_connected(controller)
+        self.controller_selection.is_connected(controller)
     }
 
-    /// A session with a controller was opened. One that stood before is taken for ended: what the controller said on it
-    /// counts no more.
+    /// Records a new session with a controller. State reported on an earlier session is discarded.
     pub(crate) fn controller_connected(&mut self, node: NodeId, zone: &str) {
         self.sessions.add_controllers([node]);
-        self.controllers.controller_disconnected(node);
-        self.controllers.controller_connected(node, zone);
+        self.controller_selection.controller_disconnected(node);
+        self.controller_selection.controller_connected(node, zone);
     }
 
-    /// The session with a controller was closed.
+    /// Discards the state of a controller whose session was closed; it stops being primary.
     pub(crate) fn controller_disconnected(&mut self, node: NodeId) {
-        self.controllers.controller_disconnected(node);
+        self.controller_selection.controller_disconnected(node);
     }
 
-    /// A controller says whether it is synchronized.
+    /// Records whether a controller is synchronized, which makes it eligible as primary.
     pub(crate) fn set_synchronized(&mut self, now: Timestamp, node: NodeId, is_synchronized: bool) {
-        self.controllers
+        self.controller_selection
             .set_synchronized(now, node, is_synchronized);
     }
 
-    /// Selects another primary controller where that is due, and tells both.
+    /// Changes the primary controller if that is due, and notifies the old and the new one.
     pub(crate) fn select_primary(&mut self, now: Timestamp) {
-        let Some(change) = self.controllers.select(now) else {
+        let Some(change) = self.controller_selection.select(now) else {
             return;
         };
         if let Some(released) = change.released {
@@ -84,36 +83,36 @@
             .send(change.selected, &Message::PrimarySelected(true));
     }
 
-    /// A controller announces the committed version.
+    /// Records that a controller holds a committed configuration version, and requests it if that is due.
     pub(crate) fn version_announced(
         &mut self,
         now: Timestamp,
         controller: NodeId,
         version: ConfigurationVersion,
     ) {
-        let current = self.version();
+        let current = self.current_version();
         self.configuration_fetch
             .version_announced(now, controller, version, current);
         self.request_configuration(now);
     }
 
-    /// Asks a controller for a configuration that was announced and has not come by itself, once that is due.
+    /// Requests a configuration that was announced but not received, if that is due.
     pub(crate) fn request_configuration(&mut self, now: Timestamp) {
-        let current = self.version();
-        let controllers = &self.controllers;
-        let holder = self
+        let current = self.current_version();
+        let controllers = &self.controller_selection;
+        let target = self
             .configuration_fetch
             .next_request(now, current, |node| controllers.is_connected(node));
-        if let Some(holder) = holder {
+        if let Some(target) = target {
             let request = Message::ConfigurationRequest {
                 newer_than: current,
             };
-            self.sessions.send(holder, &request);
+            self.sessions.send(target, &request);
         }
     }
 
-    /// Takes a committed configuration. Returns it if requests go by it from now on: the version never goes back within
-    /// this incarnation.
+    /// Applies a committed configuration and returns it. Returns `None`, without a change, if the version is not newer
+    /// than the current one or the text is invalid.
     pub(crate) fn apply_configuration(
         &mut self,
         version: ConfigurationVersion,
@@ -138,7 +137,7 @@
         }
     }
 
-    /// Sends a claim to the voters that it names.
+    /// Sends a claim to all of its voters that are connected.
     pub(crate) fn send_claim(&self, request: &ClaimRequest) {
         let message = Message::ClaimRequest {
             epoch: request.epoch,
@@ -148,7 +147,7 @@
         self.send_to_all(&request.voters, &message);
     }
 
-    /// Tells the voters that it names that nothing was sent under a claim.
+    /// Sends a withdrawal to all of its voters that are connected.
     pub(crate) fn send_withdrawal(&self, withdrawal: &ClaimWithdrawal) {
         let message = Message::ClaimWithdrawal {
             key: withdrawal.key,
@@ -163,7 +162,7 @@
         }
     }
 
-    fn version(&self) -> ConfigurationVersion {
+    fn current_version(&self) -> ConfigurationVersion {
         let current = self.configuration.as_ref();
         current.map_or(ConfigurationVersion::NONE, |current| current.version)
     }
--- a/crates/gateway/gateway/src/downstream.rs
+++ b/crates/gateway/gateway/src/downstream.rs
@@ -1,8 +1,7 @@
-//! Connections of clients: accepted within a bound, served request by request, closed by their time-outs or at the end of
-//! the process.
+//! Client connections: accepts a bounded number, serves their requests, and closes them on timeouts and on shutdown.
 
 use crate::downstream_connection::{
-    Activity, Closing, DownstreamConnection, TrackedBody, TrackedStream,
+    Activity, CloseMode, DownstreamConnection, TrackedBody, TrackedStream,
 };
 use crate::request;
 use crate::state::GatewayState;
@@ -18,22 +17,23 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// So long after the last sweep this process, or its machine, stood still (ours).
-const STANDSTILL: Duration = Duration::from_secs(1);
-/// Time-outs and size of the head as long as there is no configuration: those that one without limits has.
+/// Time since the last timeout check above which the process is considered to have stalled.
+const STALL_THRESHOLD: Duration = Duration::from_secs(1);
+/// Timeouts until a configuration arrives; equal to the configuration's own defaults.
 const DEFAULT_TIMEOUTS: Timeouts = Timeouts {
     head: Duration::from_secs(3),
     idle: Duration::from_secs(15),
 };
 const DEFAULT_HEAD_BYTES: u64 = 16_384;
-/// What hyper's buffer may be set to, whatever the configuration says of the head.
+/// Lower bound of hyper's read buffer, whatever the configured header size; hyper requires at least 8 KiB.
 const MIN_BUFFER_BYTES: usize = 8_192;
+/// Upper bound of hyper's read buffer, whatever the configured header size.
 const MAX_BUFFER_BYTES: usize = 1 << 20;
 
-/// Numbers the connections of clients.
+/// Sequence number of an accepted client connection; unique within the process.
 type ConnectionId = u64;
 
-/// The open connections of clients.
+/// Registry of the open client connections.
 #[derive(Default)]
 pub(crate) struct DownstreamConnections {
     open: RefCell<BTreeMap<ConnectionId, Rc<DownstreamConnection>>>,
@@ -43,38 +43,38 @@
 }
 
 impl DownstreamConnections {
-    /// Whether no connection is open.
     pub(crate) fn is_empty(&self) -> bool {
         self.open.borrow().is_empty()
     }
 
-    /// Closes connections whose request does not come whole in time, or that are idle for too long.
+    /// Closes connections that exceed the header timeout or the idle timeout. `limits` is `None` until a configuration
+    /// arrives.
     pub(crate) fn close_timed_out(&self, now: Timestamp, limits: Option<Limits>) {
         let last_sweep = self.last_sweep.replace(now);
-        // After a standstill, what came during it is read first.
-        if now > last_sweep + STANDSTILL {
+        // After a stall, data that arrived meanwhile has to be read before timeouts are applied.
+        if now > last_sweep + STALL_THRESHOLD {
             return;
         }
         let timeouts = limits.map_or(DEFAULT_TIMEOUTS, Timeouts::from);
         for connection in self.open.borrow().values() {
-            let (timeout, closing) = match connection.activity() {
-                Activity::Idle => (timeouts.idle, Closing::Graceful),
-                Activity::ReceivingHead => (timeouts.head, Closing::Immediate),
+            let (timeout, mode) = match connection.activity() {
+                Activity::Idle => (timeouts.idle, CloseMode::Graceful),
+                Activity::ReceivingHead => (timeouts.head, CloseMode::Immediate),
                 Activity::Serving => continue,
             };
-            if now - connection.since() > timeout {
-                connection.close(closing);
+            if now - connection.activity_started_at() > timeout {
+                connection.close(mode);
             }
         }
     }
 
-    /// Closes each connection after what is on it, now and as it is accepted.
+    /// Closes each open connection after its current request, and each connection accepted later after its first.
     pub(crate) fn close_all(&self) {
         if self.is_closing.replace(true) {
             return;
         }
         for connection in self.open.borrow().values() {
-            connection.close(Closing::Graceful);
+            connection.close(CloseMode::Graceful);
         }
     }
 
@@ -90,9 +90,11 @@
     }
 }
 
-/// How long a connection may take for a request's head, and how long it may be idle.
+/// Timeouts of a client connection.
 struct Timeouts {
+    /// From the first byte of a request to the end of its head.
     head: Duration,
+    /// Between the end of a response and the first byte of the next request.
     idle: Duration,
 }
 
@@ -105,7 +107,8 @@
     }
 }
 
-/// Accepts connections of clients, `max_connections` at a time, and serves each in a task of its own.
+/// Accepts client connections and serves each in a task of its own. Connections beyond `max_connections` are closed at
+/// once.
 pub(crate) async fn accept_connections(
     listener: TcpListener,
     max_connections: usize,
@@ -130,7 +133,7 @@
     }
 }
 
-/// Serves the requests of one connection until it ends. `is_closing`: after the first.
+/// Serves the requests of one connection until it is closed. With `is_closing`, only the first request is served.
 async fn serve_connection(
     stream: TcpStream,
     gateway: &Rc<GatewayState>,
@@ -158,9 +161,9 @@
     loop {
         tokio::select! {
             _ = serving.as_mut() => break,
-            closing = connection.close_requested() => match closing {
-                Closing::Immediate => break,
-                Closing::Graceful => serving.as_mut().graceful_shutdown(),
+            mode = connection.close_requested() => match mode {
+                CloseMode::Immediate => break,
+                CloseMode::Graceful => serving.as_mut().graceful_shutdown(),
             },
         }
     }
--- a/crates/gateway/gateway/src/downstream_connection.rs
+++ b/crates/gateway/gateway/src/downstream_connection.rs
@@ -1,4 +1,4 @@
-//! What a client's connection is doing, as its time-outs go by it.
+//! Tracks the activity of a client connection, on which its timeouts depend.
 
 use crate::response_body::ResponseBody;
 use bytes::Bytes;
@@ -15,110 +15,105 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// Where a connection is between one request and the next.
+/// Phase of a client connection's request cycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Activity {
-    /// It waits for a request.
+    /// No byte of the next request has arrived; the idle timeout applies.
     Idle,
-    /// The head of a request is coming.
+    /// A request head has arrived in part; the header timeout applies.
     ReceivingHead,
-    /// A request is on its way through the gateway, or its response on its way to the client.
+    /// From a complete request head to the end of the response body; no connection timeout applies.
     Serving,
 }
 
-/// How a connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Closing {
-    /// After the request that is on it.
+pub(crate) enum CloseMode {
+    /// Finish the request in progress, then close.
     Graceful,
-    /// With whatever of a request has come.
+    /// Close without finishing a request whose head has arrived in part.
     Immediate,
 }
 
-/// A client's connection, as it and the sweep of all connections share it.
+/// State of a client connection, shared by its task and the timeout check over all connections.
 ///
-/// One `Notify` is all that wakes it from outside, for time-outs and for the end of the process alike: a token of its own
-/// for the latter would be polled with each read and write.
+/// A single `Notify` signals both timeouts and shutdown, because the connection task polls each wake-up source again
+/// with every read and write.
 pub(crate) struct DownstreamConnection {
     clock: Clock,
     activity: Cell<Activity>,
-    /// Since when it is at that.
-    since: Cell<Timestamp>,
+    activity_started_at: Cell<Timestamp>,
     close_request: Notify,
     closes_immediately: Cell<bool>,
 }
 
 impl DownstreamConnection {
-    /// A connection that was accepted just now.
     pub(crate) fn new(clock: Clock) -> DownstreamConnection {
         DownstreamConnection {
             clock,
             activity: Cell::new(Activity::Idle),
-            since: Cell::new(clock.now()),
+            activity_started_at: Cell::new(clock.now()),
             close_request: Notify::new(),
             closes_immediately: Cell::new(false),
         }
     }
 
-    /// What it is doing.
     pub(crate) fn activity(&self) -> Activity {
         self.activity.get()
     }
 
-    /// Since when it is doing that; an idle one since its last byte.
-    pub(crate) fn since(&self) -> Timestamp {
-        self.since.get()
+    /// Returns the time of the last change of activity. While idle, each write of response bytes counts as a change.
+    pub(crate) fn activity_started_at(&self) -> Timestamp {
+        self.activity_started_at.get()
     }
 
-    /// A request's head is here.
+    /// Called when a complete request head has been parsed.
     pub(crate) fn request_started(&self) {
-        self.enter(Activity::Serving);
+        self.set_activity(Activity::Serving);
     }
 
-    /// Asks its task to close it.
-    pub(crate) fn close(&self, closing: Closing) {
-        self.closes_immediately.set(closing == Closing::Immediate);
+    /// Requests that the connection's task close it. Does not wait.
+    pub(crate) fn close(&self, mode: CloseMode) {
+        self.closes_immediately.set(mode == CloseMode::Immediate);
         self.close_request.notify_one();
     }
 
-    /// Waits until it is to be closed.
-    pub(crate) async fn close_requested(&self) -> Closing {
+    /// Waits for a call of [`DownstreamConnection::close`].
+    pub(crate) async fn close_requested(&self) -> CloseMode {
         self.close_request.notified().await;
         if self.closes_immediately.get() {
-            Closing::Immediate
+            CloseMode::Immediate
         } else {
-            Closing::Graceful
+            CloseMode::Graceful
         }
     }
 
-    fn enter(&self, activity: Activity) {
+    fn set_activity(&self, activity: Activity) {
         self.activity.set(activity);
-        self.since.set(self.clock.now());
+        self.activity_started_at.set(self.clock.now());
     }
 
-    /// Bytes came in: if it was idle, they begin a request.
+    /// Starts the header timeout if the connection was idle.
     fn bytes_received(&self) {
         if self.activity.get() == Activity::Idle {
-            self.enter(Activity::ReceivingHead);
+            self.set_activity(Activity::ReceivingHead);
         }
     }
 
-    /// Bytes go out: a response may still be leaving whose body is gone already.
+    /// Restarts the idle timeout, because hyper may still be writing a response whose body has been dropped.
     fn bytes_written(&self) {
         if self.activity.get() == Activity::Idle {
-            self.enter(Activity::Idle);
+            self.set_activity(Activity::Idle);
         }
     }
 }
 
-/// The body of a response on its way to a client; the connection is idle once this is dropped.
+/// Response body that marks its client connection idle when dropped.
 pub(crate) struct TrackedBody {
     body: ResponseBody,
     connection: Rc<DownstreamConnection>,
 }
 
 impl TrackedBody {
-    /// A body that leaves by this connection.
     pub(crate) fn new(body: ResponseBody, connection: Rc<DownstreamConnection>) -> TrackedBody {
         TrackedBody { body, connection }
     }
@@ -126,7 +121,7 @@
 
 impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.connection.enter(Activity::Idle);
+        self.connection.set_activity(Activity::Idle);
     }
 }
 
@@ -150,14 +145,13 @@
     }
 }
 
-/// A client's socket, which says when bytes come and go.
+/// Client socket that reports reads and writes to its [`DownstreamConnection`].
 pub(crate) struct TrackedStream {
     io: TokioIo<TcpStream>,
     connection: Rc<DownstreamConnection>,
 }
 
 impl TrackedStream {
-    /// The socket of this connection.
     pub(crate) fn new(stream: TcpStream, connection: Rc<DownstreamConnection>) -> TrackedStream {
         TrackedStream {
             io: TokioIo::new(stream),
--- a/crates/gateway/gateway/src/forward.rs
+++ b/crates/gateway/gateway/src/forward.rs
@@ -1,5 +1,5 @@
-//! Forwards a request: chooses a host, makes an attempt, and retries at another host where that may be (retry policy and
-//! retry budget).
+//! Forwards a request: chooses a host, makes an attempt, and retries at another host within the retry policy and the
+//! retry budget.
 
 use crate::local_response::{LocalResponse, Rejection};
 use crate::response_body::ResponseBody;
@@ -13,32 +13,31 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// Hosts that may turn out not to be reached before a request is given up (ours); they saw nothing of it, so they count
-/// neither as attempts nor against the retry budget.
+/// Failed connects after which a request is rejected. They count neither as attempts nor against the retry budget,
+/// since the hosts received nothing.
 const MAX_CONNECT_FAILURES: u32 = 3;
 
-/// A host's response, or why there is none.
-pub(crate) type ForwardOutcome = Result<Response<ResponseBody>, LocalResponse>;
+pub(crate) type ForwardResult = Result<Response<ResponseBody>, LocalResponse>;
 
-/// A request that is checked, matched to a route, and read whole.
+/// A validated request with its route and its complete body.
 pub(crate) struct RoutedRequest {
-    /// The digest of its idempotency key, on an idempotent route.
+    /// Digest of the idempotency key; `None` unless the route is idempotent.
     pub(crate) operation_key: Option<KeyDigest>,
-    /// What goes to a host.
     pub(crate) upstream: UpstreamRequest,
-    /// What may be repeated.
+    /// Decides whether an attempt that may have been executed is retried.
     pub(crate) route_kind: RouteKind,
-    /// Hosts that it may be sent to.
+    /// Attempts that may reach a host; failed connects are not counted. 0 is treated as 1.
     pub(crate) max_attempts: u32,
-    /// When its client stops waiting, less what the way back takes.
+    /// Deadline at this gateway: the client's less a transit margin, or the route's timeout if that is sooner.
     pub(crate) expires_at: Instant,
 }
 
-/// Sends a request to a host, and to another one where it can't run twice, or may, and the retry budget has room.
+/// Sends a request to a host. Retries at another host if the first did not execute the request or the route is
+/// read-only, as long as attempts, time and the retry budget allow.
 ///
 /// # Errors
-/// The last reason for which no host's response came.
-pub(crate) async fn forward(gateway: &Rc<GatewayState>, request: &RoutedRequest) -> ForwardOutcome {
+/// The failure of the last attempt, or the reason why no attempt was made.
+pub(crate) async fn forward(gateway: &Rc<GatewayState>, request: &RoutedRequest) -> ForwardResult {
     let mut attempts = Attempts::new(request);
     loop {
         let host = attempts.choose_next_host(gateway)?;
@@ -55,13 +54,13 @@
     }
 }
 
-/// The attempts of one request so far.
+/// Retry state of one request.
 struct Attempts<'a> {
     request: &'a RoutedRequest,
-    /// Hosts that were chosen, by their ids.
-    tried: Vec<Arc<str>>,
-    /// Attempts in which a host saw something of the request.
-    reached: u32,
+    /// Ids of all hosts chosen so far.
+    tried_hosts: Vec<Arc<str>>,
+    /// Attempts that did not fail at connecting. Compared with `max_attempts`.
+    reached_hosts: u32,
     connect_failures: u32,
     last_failure: LocalResponse,
 }
@@ -70,30 +69,31 @@
     fn new(request: &'a RoutedRequest) -> Attempts<'a> {
         Attempts {
             request,
-            tried: Vec::new(),
-            reached: 0,
+            tried_hosts: Vec::new(),
+            reached_hosts: 0,
             connect_failures: 0,
             last_failure: LocalResponse::Rejected(Rejection::NoHost),
         }
     }
 
-    /// The host of the next attempt, as long as there is time, a retry in the budget, and a host that was not tried.
+    /// Chooses an untried host for the next attempt. Fails if the deadline has passed, the retry budget is exhausted or
+    /// no host is left.
     fn choose_next_host(&mut self, gateway: &GatewayState) -> Result<HostChoice, LocalResponse> {
         let service = &self.request.upstream.service;
         if Instant::now() >= self.request.expires_at {
             return Err(self.failure_at_deadline());
         }
-        if self.reached > 0 && !gateway.spend_retry(service) {
+        if self.reached_hosts > 0 && !gateway.spend_retry(service) {
             return Err(self.last_failure);
         }
         let host = gateway
-            .choose_host(service, &self.tried)
+            .choose_host(service, &self.tried_hosts)
             .ok_or(self.last_failure)?;
-        self.tried.push(host.id.clone());
+        self.tried_hosts.push(host.id.clone());
         Ok(host)
     }
 
-    /// A request that may have run is not promised not to have.
+    /// Returns a rejection, which promises that the request was not executed, unless an earlier attempt may have been.
     fn failure_at_deadline(&self) -> LocalResponse {
         if self.last_failure == LocalResponse::NoValidResponse {
             self.last_failure
@@ -107,22 +107,23 @@
             self.connect_failures += 1;
             Rejection::HostsUnreachable
         } else {
-            self.reached += 1;
+            self.reached_hosts += 1;
             Rejection::HostsAtCapacity
         };
         self.last_failure = LocalResponse::Rejected(rejection);
     }
 
     fn record_failed(&mut self) {
-        self.reached += 1;
+        self.reached_hosts += 1;
         self.last_failure = LocalResponse::NoValidResponse;
     }
 
     fn may_retry(&self) -> bool {
-        let may_have_run = self.last_failure == LocalResponse::NoValidResponse;
-        let may_run_again = !may_have_run || self.request.route_kind == RouteKind::ReadOnly;
-        may_run_again
-            && self.reached < self.request.max_attempts.max(1)
+        let may_have_been_executed = self.last_failure == LocalResponse::NoValidResponse;
+        let may_be_executed_again =
+            !may_have_been_executed || self.request.route_kind == RouteKind::ReadOnly;
+        may_be_executed_again
+            && self.reached_hosts < self.request.max_attempts.max(1)
             && self.connect_failures < MAX_CONNECT_FAILURES
     }
 
@@ -133,7 +134,7 @@
             self.request.upstream.service,
             host.id,
             self.last_failure.reason(),
-            self.tried.len()
+            self.tried_hosts.len()
         );
     }
 }
--- a/crates/gateway/gateway/src/headers.rs
+++ b/crates/gateway/gateway/src/headers.rs
@@ -1,25 +1,26 @@
-//! Headers that the gateway reads or writes (PROTOCOL.md), and those that concern one connection only.
+//! Names of the headers that the gateway reads or writes (PROTOCOL.md), and removal of hop-by-hop headers.
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Names one attempt of a client; the host's response repeats it.
+/// Identifies one attempt of a client; the host has to echo it in its response.
 pub const ATTEMPT_ID: HeaderName = HeaderName::from_static("attempt-id");
-/// How long the client, or the gateway in its place, waits for the response: whole milliseconds.
+/// Time in whole milliseconds that the sender waits for the response. The gateway replaces the client's value by the
+/// time remaining when it forwards the request.
 pub const DEADLINE_MILLISECONDS: HeaderName = HeaderName::from_static("deadline-milliseconds");
-/// The idempotency key: binds all attempts of a client into one operation.
+/// Idempotency key, the same on all attempts of one operation. Required on idempotent routes, ignored on others.
 pub const OPERATION_KEY: HeaderName = HeaderName::from_static("operation-key");
-/// The host that a request is meant for; any other one answers 421 and does not run it.
+/// Id of the host that the gateway chose. A host with another id responds with 421 and does not execute the request.
 pub const EXPECTED_INSTANCE: HeaderName = HeaderName::from_static("expected-instance");
-/// A host's proof that it ran the request; each 2xx carries one.
+/// Set by a host that executed the request. A 2xx response without it is not forwarded.
 pub const RESPONSE_SEAL: HeaderName = HeaderName::from_static("response-seal");
-/// The host has not run the request and never will.
+/// Set by a host that did not execute the request and never will, so that the request may be sent to another host.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-/// How long the other side keeps an idle connection.
+/// Carries `timeout=SECONDS`, for which a host keeps an idle connection open.
 pub const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Removes the headers that concern one connection only (hop-by-hop): the usual ones, and those that `Connection` names.
+/// Removes the hop-by-hop headers, including those listed in `Connection` unless the protocol depends on them.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -46,7 +47,7 @@
     }
 }
 
-/// A client may not use `Connection` to remove the headers that the protocol depends on.
+/// Whether a header stays even if `Connection` lists it, because the protocol depends on it.
 fn is_protected(name: &HeaderName) -> bool {
     [
         ATTEMPT_ID,
--- a/crates/gateway/gateway/src/idempotency.rs
+++ b/crates/gateway/gateway/src/idempotency.rs
@@ -1,8 +1,8 @@
-//! Operations with an idempotency key: one run for each key, whichever of its attempts arrives where.
+//! Executes each operation with an idempotency key at most once, whichever gateways its attempts arrive at.
 //!
-//! A claim of the key is granted by a majority of the voters' disks before anything leaves. The run goes on if its client
-//! goes, so that repeats get its response. An operation that may have run is never sent again: its repeats get 409 until
-//! its window ends (rules TWICE and REFUSED).
+//! A majority of the voters has to persist a claim of the key before the request is forwarded. A client disconnect does
+//! not cancel the operation, so that retries get its response. An operation that may have been executed is never
+//! forwarded again: its retries get 409 until the key window ends (rules TWICE and REFUSED in RULES.md).
 
 use crate::forward::{RoutedRequest, forward};
 use crate::headers::ATTEMPT_ID;
@@ -24,19 +24,20 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// How long the gateway that holds the claim of a key is waited for.
+/// Upper bound of the wait for the reply of the gateway that holds a key.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(400);
-/// The longest response that is stored for repeats; a longer one is passed on, and its repeats get 409 (ours).
+/// Longest response body that is stored for retries. After a longer one, retries of the operation get 409.
 const MAX_STORED_RESPONSE_BYTES: usize = 1 << 20;
 
-/// Runs an operation if this is its first attempt; a repeat gets what became of the first.
+/// Executes an operation if no earlier attempt has claimed its key. A retry gets the stored response, or 409 while the
+/// operation is running or its outcome is unknown.
 pub(crate) async fn run_once(
     gateway: &Rc<GatewayState>,
     request: RoutedRequest,
     key: KeyDigest,
 ) -> Response<ResponseBody> {
     match gateway.operation_status(key) {
-        Some(OperationStatus::Completed(stored)) => return repeat(&request, &stored),
+        Some(OperationStatus::Completed(stored)) => return replay_response(&request, &stored),
         Some(OperationStatus::Running | OperationStatus::Unknown) => {
             return gateway.respond_locally(LocalResponse::OperationInProgress);
         }
@@ -45,8 +46,7 @@
     let Some(StartedClaim { claim, outcome }) = gateway.start_claim(key) else {
         return gateway.respond_locally(Rejection::NoQuorum.into());
     };
-    // From here on nothing may be dropped with its client: a claim is won, lost or withdrawn, and what is won runs to its
-    // end. So that has a task of its own.
+    // A started claim has to be finished or withdrawn, so it runs in a task that a client disconnect does not cancel.
     let operation = Operation {
         gateway: gateway.clone(),
         request,
@@ -63,7 +63,7 @@
         .unwrap_or_else(|_| gateway.respond_locally(LocalResponse::NoValidResponse))
 }
 
-/// The first attempt of an operation at this gateway, under a claim of its key.
+/// An operation that this gateway has started to claim.
 struct Operation {
     gateway: Rc<GatewayState>,
     request: RoutedRequest,
@@ -78,7 +78,7 @@
     ) -> Response<ResponseBody> {
         match outcome.await {
             Ok(ClaimOutcome::Won) => self.run().await,
-            Ok(ClaimOutcome::LostTo(holder)) => self.follow(holder).await,
+            Ok(ClaimOutcome::LostTo(holder)) => self.resolve_lost_claim(holder).await,
             Ok(ClaimOutcome::NoMajority) | Err(_) => {
                 self.withdraw();
                 self.gateway.respond_locally(Rejection::NoQuorum.into())
@@ -86,14 +86,14 @@
         }
     }
 
-    /// The claim is won: forwards the request and records what becomes of it.
+    /// Forwards the request under a won claim and records its outcome.
     async fn run(&self) -> Response<ResponseBody> {
         let _running = self.gateway.begin_running_operation();
         match forward(&self.gateway, &self.request).await {
             Ok(response) => self.record(response).await,
             Err(local) => {
                 if matches!(local, LocalResponse::Rejected(_)) {
-                    // Nothing ran and nothing will: the key is free for the next attempt.
+                    // No host executed the request, so the key is freed for a retry.
                     self.withdraw();
                 } else {
                     self.finish(OperationStatus::Unknown);
@@ -103,7 +103,8 @@
         }
     }
 
-    /// Stores a response for repeats, unless it is too long for that.
+    /// Stores a response for retries of the operation. A streamed or overlong response is not stored: the operation's
+    /// status becomes unknown and retries get 409.
     async fn record(&self, response: Response<ResponseBody>) -> Response<ResponseBody> {
         let (head, body) = response.into_parts();
         let ResponseBody::Complete(body) = body else {
@@ -122,17 +123,18 @@
         Response::from_parts(head, ResponseBody::complete(body))
     }
 
-    /// Another claim holds the key: its claimant knows what became of the operation.
-    async fn follow(&self, holder: ClaimId) -> Response<ResponseBody> {
+    /// Responds with the state of the operation under `holder`, the claim that holds the key, as reported by its
+    /// gateway.
+    async fn resolve_lost_claim(&self, holder: ClaimId) -> Response<ResponseBody> {
         self.withdraw();
         if holder.node == self.claim.node {
-            return self.follow_own(holder);
+            return self.resolve_own_claim(holder);
         }
         let OperationQuery { token, state } = self.gateway.query_operation(self.key, holder);
         let state = timeout(QUERY_TIMEOUT, state).await;
         self.gateway.end_operation_query(token);
         match state {
-            Ok(Ok(OperationState::Completed(stored))) => repeat(&self.request, &stored),
+            Ok(Ok(OperationState::Completed(stored))) => replay_response(&self.request, &stored),
             Ok(Ok(OperationState::NotFound)) => self
                 .gateway
                 .respond_locally(Rejection::ConflictingClaims.into()),
@@ -142,13 +144,13 @@
         }
     }
 
-    /// The claim that holds the key is one of this gateway, and its operation is not known here any more.
-    fn follow_own(&self, holder: ClaimId) -> Response<ResponseBody> {
-        let is_withdrawn = self.gateway.withdraw_claim_again(self.key, holder);
+    /// Handles a key held by a claim of this gateway's own that it has no record of, by resending the withdrawal.
+    fn resolve_own_claim(&self, holder: ClaimId) -> Response<ResponseBody> {
+        let is_withdrawn = self.gateway.resend_claim_withdrawal(self.key, holder);
         self.gateway.respond_locally(if is_withdrawn {
             Rejection::ConflictingClaims.into()
         } else {
-            // Of an earlier incarnation of this gateway it is not known whether it sent anything.
+            // An earlier incarnation of this gateway made the claim and may have forwarded the request.
             LocalResponse::OperationInProgress
         })
     }
@@ -162,7 +164,7 @@
     }
 }
 
-/// What is stored of a response. Each repeat gets an `Attempt-Id` of its own.
+/// Converts a response for storage, without `Attempt-Id`, which differs for each retry.
 fn stored_response(head: &Parts, body: &Bytes) -> StoredResponse {
     let headers = head.headers.iter().filter(|(name, _)| *name != ATTEMPT_ID);
     StoredResponse {
@@ -174,8 +176,8 @@
     }
 }
 
-/// A stored response as the response to a repeat.
-fn repeat(request: &RoutedRequest, stored: &StoredResponse) -> Response<ResponseBody> {
+/// Builds the response to a retry from a stored response, with the retry's own `Attempt-Id`.
+fn replay_response(request: &RoutedRequest, stored: &StoredResponse) -> Response<ResponseBody> {
     let body = ResponseBody::complete(Bytes::copy_from_slice(&stored.body));
     let mut response = Response::new(body);
     *response.status_mut() = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/crates/gateway/gateway/src/keyed_operations.rs
+++ b/crates/gateway/gateway/src/keyed_operations.rs
@@ -1,4 +1,5 @@
-//! Operations with a key that arrived at this gateway: their claims, what became of them, and who waits for either.
+//! Operations with an idempotency key: pending claims, outcomes, and the request tasks that wait for voters or for
+//! other gateways.
 
 use crate::control_plane::ControlPlane;
 use rushcourse_messages::{ClaimId, Message, OperationState, VotingSet};
@@ -11,21 +12,20 @@
 
 /// A claim that was sent to the voters.
 pub(crate) struct StartedClaim {
-    /// Its id.
     pub(crate) claim: ClaimId,
-    /// What it comes to.
+    /// Resolves once the claim is decided or times out.
     pub(crate) outcome: oneshot::Receiver<ClaimOutcome>,
 }
 
-/// A question that was sent to the gateway that holds a claim.
+/// A query sent to the gateway that made a claim.
 pub(crate) struct OperationQuery {
-    /// Binds the answer to the question.
+    /// Matches the reply to this query.
     pub(crate) token: RequestToken,
-    /// What became of the operation.
+    /// Resolves when the reply arrives; has no timeout of its own.
     pub(crate) state: oneshot::Receiver<OperationState>,
 }
 
-/// The operations of this incarnation, and those that wait for voters or other gateways.
+/// Claims and outcomes of this incarnation's operations, with the waiters for claim decisions and query replies.
 pub(crate) struct KeyedOperations {
     claims: Claims,
     operations: Operations,
@@ -35,7 +35,6 @@
 }
 
 impl KeyedOperations {
-    /// No operations yet.
     pub(crate) fn new(claims: Claims, operations: Operations) -> KeyedOperations {
         KeyedOperations {
             claims,
@@ -46,12 +45,12 @@
         }
     }
 
-    /// How far the operation of a key is, if it was claimed here.
+    /// Returns the status of the operation with this key, `None` if this gateway has no record of it.
     pub(crate) fn status(&self, key: KeyDigest) -> Option<&OperationStatus> {
         self.operations.status(key)
     }
 
-    /// Claims a key at the voters. `None`: no majority of them is connected, or too many claims are pending.
+    /// Sends a claim of a key to the voters. `None` if no majority of them is connected or too many claims are pending.
     pub(crate) fn start(
         &mut self,
         now: Timestamp,
@@ -68,12 +67,13 @@
         Some(StartedClaim { claim, outcome })
     }
 
-    /// The operation ended under this claim: completed or not known.
+    /// Records the final status of an operation: completed, or unknown if it may have been executed.
     pub(crate) fn finish(&mut self, key: KeyDigest, claim: ClaimId, status: OperationStatus) {
         self.operations.finish(key, claim, status);
     }
 
-    /// Frees a key: tells all voters that may hold the claim that nothing was sent under it, and nothing will be.
+    /// Sends a withdrawal to all voters that may hold the claim. Only valid if no host executed the request and none
+    /// will.
     pub(crate) fn withdraw(
         &mut self,
         now: Timestamp,
@@ -86,9 +86,9 @@
         control_plane.send_withdrawal(&withdrawal);
     }
 
-    /// Voters hold a claim of which nothing is known here: it was withdrawn, or its window is over, and they have not
-    /// heard so. Returns whether it is of this incarnation; of an earlier one it isn't known what was sent under it.
-    pub(crate) fn withdraw_again(
+    /// Withdraws a claim again that voters still hold, although it was withdrawn or its window ended. Does nothing and
+    /// returns false for a claim of an earlier incarnation, which may have forwarded the request.
+    pub(crate) fn resend_withdrawal(
         &mut self,
         now: Timestamp,
         key: KeyDigest,
@@ -102,7 +102,8 @@
         is_own
     }
 
-    /// Asks the gateway that holds a claim what became of the operation.
+    /// Queries the gateway that made a claim for the state of the operation. [`KeyedOperations::end_query`] has to
+    /// follow.
     pub(crate) fn query(
         &mut self,
         now: Timestamp,
@@ -119,19 +120,20 @@
         OperationQuery { token, state }
     }
 
-    /// Nobody waits for the answer to a query any more.
+    /// Discards a query, whether or not it was answered.
     pub(crate) fn end_query(&mut self, token: RequestToken) {
         self.query_waiters.remove(&token);
     }
 
-    /// Another gateway answered a query.
-    pub(crate) fn query_answered(&mut self, token: RequestToken, state: OperationState) {
+    /// Passes the reply of another gateway to the waiter, if there still is one.
+    pub(crate) fn complete_query(&mut self, token: RequestToken, state: OperationState) {
         if let Some(waiter) = self.query_waiters.remove(&token) {
             let _ = waiter.send(state);
         }
     }
 
-    /// What another gateway is told of a claim of this one.
+    /// Returns the state of an operation for another gateway's query. If it is not found, voters still hold the claim,
+    /// so the withdrawal is resent.
     pub(crate) fn state_of_claim(
         &mut self,
         now: Timestamp,
@@ -141,12 +143,12 @@
     ) -> OperationState {
         let state = self.operations.state_of_claim(key, claim);
         if state == OperationState::NotFound {
-            self.withdraw_again(now, key, claim, control_plane);
+            self.resend_withdrawal(now, key, claim, control_plane);
         }
         state
     }
 
-    /// A controller reports its voting set: pending claims go to the voters of a newer one.
+    /// Handles a controller's report of its voting set: a newer set restarts the pending claims at its voters.
     pub(crate) fn voting_set_reported(
         &mut self,
         now: Timestamp,
@@ -164,39 +166,39 @@
         for withdrawal in &actions.withdrawals {
             control_plane.send_withdrawal(withdrawal);
         }
-        self.announce(actions.decisions);
+        self.notify_waiters(actions.decisions);
     }
 
-    /// A voter answered a claim.
-    pub(crate) fn claim_answered(
+    /// Records a voter's verdict on a claim, which may decide it.
+    pub(crate) fn handle_claim_response(
         &mut self,
         now: Timestamp,
         voter: NodeId,
         response: ClaimResponse,
     ) {
         let decision = self.claims.record_response(now, voter, response);
-        self.announce(decision);
+        self.notify_waiters(decision);
     }
 
-    /// The session with a voter ended: its verdicts can no longer come.
+    /// Counts the missing verdicts of a disconnected voter as abstentions.
     pub(crate) fn voter_disconnected(&mut self, now: Timestamp, voter: NodeId) {
         let decisions = self.claims.voter_disconnected(now, voter);
-        self.announce(decisions);
+        self.notify_waiters(decisions);
     }
 
-    /// Decides claims whose time is over.
-    pub(crate) fn decide_due_claims(&mut self, now: Timestamp) {
+    /// Resolves the pending claims that have timed out.
+    pub(crate) fn resolve_due_claims(&mut self, now: Timestamp) {
         let decisions = self.claims.take_decided(now);
-        self.announce(decisions);
+        self.notify_waiters(decisions);
     }
 
-    /// Forgets operations whose window is over.
+    /// Removes operations whose key window has ended.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         self.operations.expire(now);
     }
 
-    /// Tells those who wait what their claims came to.
-    fn announce(&mut self, decisions: impl IntoIterator<Item = ClaimDecision>) {
+    /// Passes each decision to the task that waits for it.
+    fn notify_waiters(&mut self, decisions: impl IntoIterator<Item = ClaimDecision>) {
         for decision in decisions {
             if let Some(waiter) = self.claim_waiters.remove(&decision.key) {
                 let _ = waiter.send(decision.outcome);
--- a/crates/gateway/gateway/src/lib.rs
+++ b/crates/gateway/gateway/src/lib.rs
@@ -1,12 +1,12 @@
-//! The gateway program (data plane): takes requests of clients and forwards each to a host of its route's service, by the
-//! tables and the configuration that controllers send.
+//! The gateway program (data plane): accepts client requests and forwards each to a host of the service that its route
+//! names, using the endpoint tables and the configuration received from controllers.
 //!
-//! * `server.rs`: the process and its event loop; `readiness.rs`: what the platform is told.
-//! * `downstream.rs`, `downstream_connection.rs`: connections of clients.
-//! * `request.rs`: the phases of a request in their order; `request_head.rs`, `request_body.rs`, `idempotency.rs`,
-//!   `forward.rs`, `upstream.rs`, `upstream_connection.rs` and `response_check.rs` are phases of it.
-//! * `headers.rs`, `response_body.rs`, `local_response.rs`: what goes to a client.
-//! * `state.rs`: what the gateway knows, with its owners: `control_plane.rs` (configuration, primary controller),
+//! * `server.rs`: process startup, event loop and drain; `readiness.rs`: the readiness endpoint.
+//! * `downstream.rs`, `downstream_connection.rs`: client connections.
+//! * `request.rs`: the request pipeline; its phases are in `request_head.rs`, `request_body.rs`, `idempotency.rs`,
+//!   `forward.rs`, `upstream.rs`, `upstream_connection.rs` and `response_check.rs`.
+//! * `headers.rs`, `response_body.rs`, `local_response.rs`: headers and responses sent to clients.
+//! * `state.rs`: the shared state, composed of `control_plane.rs` (configuration, primary controller),
 //!   `peer_sessions.rs`, `keyed_operations.rs`, `connection_pool.rs`, and the endpoint tables and retry budget of
 //!   `rushcourse-routing`.
 
--- a/crates/gateway/gateway/src/local_response.rs
+++ b/crates/gateway/gateway/src/local_response.rs
@@ -1,7 +1,7 @@
-//! Responses that the gateway gives itself, without a host's: why, with which status, and when to come back.
+//! Responses that the gateway generates itself: reason, status and `Retry-After`.
 //!
-//! A status is a promise to the client (PROTOCOL.md): 408 and 503 say that the request has not run and never will; 502 and
-//! 504 promise nothing; 400, 404 and 413 are not worth another attempt.
+//! The status tells the client whether a retry is safe (PROTOCOL.md): after 408 and 503 the request was not executed
+//! and never will be; after 502 and 504 it may have been; after 400, 404 and 413 a retry would fail again.
 
 use crate::response_body::ResponseBody;
 use bytes::Bytes;
@@ -10,81 +10,83 @@
 use std::fmt;
 use std::time::Duration;
 
-/// `Retry-After` of a rejected request at least, and by how much more it is spread at random, so that rejected clients
-/// don't come back all at once (ours).
+/// Minimum `Retry-After` of a rejected request.
 const RETRY_DELAY: Duration = Duration::from_millis(30);
-const RETRY_DELAY_SPREAD: Duration = Duration::from_millis(90);
-/// The same where this gateway can't yet, or no longer, forward anything: who comes back sooner is rejected again (ours).
-const UNPREPARED_RETRY_DELAY: Duration = Duration::from_millis(350);
-const UNPREPARED_RETRY_DELAY_SPREAD: Duration = Duration::from_millis(350);
-
-/// Why the gateway answers a request itself.
+/// Upper bound of the random addition to [`RETRY_DELAY`], which spreads the retries of rejected clients.
+const RETRY_JITTER: Duration = Duration::from_millis(90);
+/// Minimum `Retry-After` while the gateway has no configuration, no available host or no quorum for a claim.
+const NOT_READY_RETRY_DELAY: Duration = Duration::from_millis(350);
+/// Upper bound of the random addition to [`NOT_READY_RETRY_DELAY`].
+const NOT_READY_RETRY_JITTER: Duration = Duration::from_millis(350);
+
+/// Reason why the gateway responds to a request without a host's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalResponse {
-    /// 400: the request is not one that may be sent.
+    /// 400: the request violates HTTP or the protocol of PROTOCOL.md.
     Invalid(InvalidRequest),
-    /// 404: no route of its host matches its path.
+    /// 404: no route matches the `Host` header and the path.
     NoRoute,
-    /// 408: its body did not come in time; it was not forwarded.
+    /// 408: the body was not complete by the deadline; the request was not forwarded.
     BodyTimeout,
-    /// 409: the first attempt of its operation is running, or its outcome is not known.
+    /// 409: an earlier attempt of the same operation is running, or it is unknown whether it was executed.
     OperationInProgress,
-    /// 413: its body is longer than the configuration allows.
+    /// 413: the body exceeds `body_size_bytes` of the configuration.
     BodyTooLarge,
-    /// 502: it may have run; the host's connection broke, or what came was not a response to it.
+    /// 502: the upstream connection failed or the response failed its checks; the request may have been executed.
     NoValidResponse,
-    /// 503: it has not run and never will; another attempt may be made.
+    /// 503: the request was not executed and never will be; a retry is safe.
     Rejected(Rejection),
-    /// 504: it may have run, or still run; its time is over.
+    /// 504: no response by the deadline; the request may have been executed or may still be running.
     DeadlineExceeded,
 }
 
-/// What is wrong with a request.
+/// Fault of a request that is answered with 400.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum InvalidRequest {
-    /// Its target is not a path (a `CONNECT`, or a target with an authority).
+    /// The method is `CONNECT`, or the target has an authority or is not an absolute path.
     Target,
-    /// It has a length beside chunks, which is how requests are smuggled.
-    LengthWithChunks,
-    /// One of the headers that the protocol depends on stands twice.
+    /// The head has both `Content-Length` and `Transfer-Encoding`, which enables request smuggling.
+    ConflictingFraming,
+    /// A header that may occur only once, such as `Host` or `Attempt-Id`, occurs more than once.
     DuplicateHeader,
-    /// No `Host`.
+    /// `Host` is absent or not visible ASCII.
     MissingHost,
-    /// No `Attempt-Id`.
+    /// `Attempt-Id` is absent.
     MissingAttemptId,
-    /// An `Attempt-Id` that is empty, too long, or not text.
+    /// `Attempt-Id` is empty, longer than 128 bytes or not visible ASCII.
     AttemptId,
-    /// A `Deadline-Milliseconds` that is not a number within its bounds.
+    /// `Deadline-Milliseconds` is not a whole number from 1 to 3,600,000.
     Deadline,
-    /// No `Operation-Key` on an idempotent route.
+    /// `Operation-Key` is absent on an idempotent route.
     MissingOperationKey,
-    /// An `Operation-Key` that is empty or too long.
+    /// `Operation-Key` is empty or longer than 512 bytes.
     OperationKey,
-    /// Its body ended early.
+    /// The client closed the connection, or sent malformed chunks, before the end of the body.
     IncompleteBody,
 }
 
-/// Why a request was rejected before it ran.
+/// Reason why a request is answered with 503. No host executed the request and none will.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// This gateway has not received a configuration yet.
+    /// The gateway has not received a configuration yet.
     NoConfiguration,
-    /// No host of the service may be chosen.
+    /// The service has no available host.
     NoHost,
-    /// No majority of the voting set has granted the claim of its operation key.
+    /// No majority of the voting set granted the claim of the operation key.
     NoQuorum,
-    /// Other claims of its operation key, under which nothing was sent, are not withdrawn everywhere yet.
+    /// Voters still hold earlier claims of the operation key under which nothing was executed. They are being
+    /// withdrawn.
     ConflictingClaims,
-    /// Its time was over before it was sent.
+    /// The deadline passed before any host could have executed the request.
     DeadlineExceeded,
-    /// The hosts that it was sent to did not execute it.
+    /// The last host tried did not execute the request, or this gateway's share of its connections was in use.
     HostsAtCapacity,
-    /// The hosts could not be connected to.
+    /// The last host tried could not be connected to.
     HostsUnreachable,
 }
 
 impl LocalResponse {
-    /// The status of the response.
+    /// Returns the HTTP status, which tells the client whether a retry is safe.
     pub fn status(self) -> StatusCode {
         match self {
             LocalResponse::Invalid(_) => StatusCode::BAD_REQUEST,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// The words by which it is counted, and which its body tells the client.
+    /// Returns the reason text, used in the response body and as the counter's label.
     pub fn reason(self) -> &'static str {
         match self {
             LocalResponse::Invalid(invalid) => invalid.reason(),
@@ -112,29 +114,31 @@
         }
     }
 
-    /// When the client may try again, if it is told. `fraction`: a random number from 0 up to 1.
-    fn retry_after(self, fraction: f64) -> Option<Duration> {
-        let (delay, spread) = match self {
-            LocalResponse::Rejected(rejection) if rejection.is_unprepared() => {
-                (UNPREPARED_RETRY_DELAY, UNPREPARED_RETRY_DELAY_SPREAD)
+    /// Returns the value of `Retry-After`, `None` for statuses without it. `jitter_fraction` is a random number in
+    /// `0.0..1.0`.
+    fn retry_after(self, jitter_fraction: f64) -> Option<Duration> {
+        let (delay, jitter) = match self {
+            LocalResponse::Rejected(rejection) if rejection.is_not_ready() => {
+                (NOT_READY_RETRY_DELAY, NOT_READY_RETRY_JITTER)
             }
             LocalResponse::Rejected(_) | LocalResponse::OperationInProgress => {
-                (RETRY_DELAY, RETRY_DELAY_SPREAD)
+                (RETRY_DELAY, RETRY_JITTER)
             }
             _ => return None,
         };
-        Some(delay + spread.mul_f64(fraction))
+        Some(delay + jitter.mul_f64(jitter_fraction))
     }
 
-    /// The response as it goes to the client. `fraction`: a random number from 0 up to 1 that spreads `Retry-After`.
-    pub fn into_response(self, fraction: f64) -> Response<ResponseBody> {
+    /// Builds the HTTP response. `jitter_fraction` is a random number in `0.0..1.0` that scales the jitter of
+    /// `Retry-After`.
+    pub fn into_response(self, jitter_fraction: f64) -> Response<ResponseBody> {
         let text = format!("{}\n", self.reason());
         let mut response = Response::new(ResponseBody::complete(Bytes::from(text)));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         let seconds = self
-            .retry_after(fraction)
+            .retry_after(jitter_fraction)
             .map(|delay| format!("{:.3}", delay.as_secs_f64()));
         if let Some(value) = seconds.and_then(|text| HeaderValue::from_str(&text).ok()) {
             headers.insert(header::RETRY_AFTER, value);
@@ -167,7 +171,7 @@
     fn reason(self) -> &'static str {
         match self {
             InvalidRequest::Target => "invalid request target",
-            InvalidRequest::LengthWithChunks => "content length beside chunks",
+            InvalidRequest::ConflictingFraming => "content length beside chunks",
             InvalidRequest::DuplicateHeader => "duplicate header",
             InvalidRequest::MissingHost => "no host header",
             InvalidRequest::MissingAttemptId => "no attempt id",
@@ -193,8 +197,8 @@
         }
     }
 
-    /// Whether every request like it would be rejected now: it takes longer until another attempt is worth its while.
-    fn is_unprepared(self) -> bool {
+    /// Whether the cause affects all requests of the service and lasts longer than a shortage of host capacity.
+    fn is_not_ready(self) -> bool {
         matches!(
             self,
             Rejection::NoConfiguration | Rejection::NoHost | Rejection::NoQuorum
--- a/crates/gateway/gateway/src/peer_sessions.rs
+++ b/crates/gateway/gateway/src/peer_sessions.rs
@@ -1,4 +1,5 @@
-//! Sessions with other nodes: with all controllers, and with other gateways while operations are asked for there.
+//! Sessions with other nodes: permanent ones with all controllers, and temporary ones with gateways that are queried
+//! for operations.
 
 use rushcourse_messages::{Handshake, Message, Role};
 use rushcourse_transport::{Dialer, Session};
@@ -6,18 +7,16 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Controllers that are known of at most (ours).
+/// Limit of known controllers; further ones are ignored.
 const MAX_CONTROLLERS: usize = 64;
-/// Queries that wait for a session with another gateway at most (ours).
-const MAX_WAITING_QUERIES: usize = 256;
-/// A session with another gateway is closed so long after the last query.
-const UNUSED_SESSION_TIMEOUT: Duration = Duration::from_secs(4);
+/// Limit of queries to one gateway that wait for a session; further ones are dropped.
+const MAX_PENDING_QUERIES: usize = 256;
+/// A session with another gateway is closed this long after the last query to it.
+const IDLE_SESSION_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// A node whose session was opened or closed.
+/// The node at the other end of a session.
 pub(crate) struct Peer {
-    /// Which one.
     pub(crate) node: NodeId,
-    /// What it is.
     pub(crate) role: Role,
 }
 
@@ -30,34 +29,33 @@
     }
 }
 
-/// The sessions of this node.
+/// Open sessions of this node, and queries that wait for a session.
 pub(crate) struct PeerSessions {
     dialer: Dialer,
-    /// Known ones; a session with each is wanted.
+    /// Known controllers, at most [`MAX_CONTROLLERS`]; a session with each is kept open.
     controllers: BTreeSet<NodeId>,
     sessions: BTreeMap<SessionId, Session>,
     /// The newest session with each node.
     by_node: BTreeMap<NodeId, SessionId>,
-    /// Queries for gateways with which no session stands yet.
-    waiting_queries: BTreeMap<NodeId, Vec<Message>>,
-    /// When each gateway was queried last.
-    last_queries: BTreeMap<NodeId, Timestamp>,
+    /// Queries for gateways without an open session; sent once the session opens.
+    pending_queries: BTreeMap<NodeId, Vec<Message>>,
+    /// Gateways queried within [`IDLE_SESSION_TIMEOUT`].
+    last_queried_at: BTreeMap<NodeId, Timestamp>,
 }
 
 impl PeerSessions {
-    /// No sessions yet.
     pub(crate) fn new(dialer: Dialer) -> PeerSessions {
         PeerSessions {
             dialer,
             controllers: BTreeSet::new(),
             sessions: BTreeMap::new(),
             by_node: BTreeMap::new(),
-            waiting_queries: BTreeMap::new(),
-            last_queries: BTreeMap::new(),
+            pending_queries: BTreeMap::new(),
+            last_queried_at: BTreeMap::new(),
         }
     }
 
-    /// Controllers that sessions are to be held with.
+    /// Adds controllers to keep sessions with, up to [`MAX_CONTROLLERS`].
     pub(crate) fn add_controllers(&mut self, nodes: impl IntoIterator<Item = NodeId>) {
         for node in nodes {
             if self.controllers.len() < MAX_CONTROLLERS {
@@ -66,8 +64,8 @@
         }
     }
 
-    /// Dials the controllers that no session stands with.
-    pub(crate) fn dial_missing_controllers(&self) {
+    /// Dials the known controllers without an open session.
+    pub(crate) fn dial_disconnected_controllers(&self) {
         for node in &self.controllers {
             if !self.by_node.contains_key(node) {
                 self.dialer.dial(*node);
@@ -75,27 +73,28 @@
         }
     }
 
-    /// Closes sessions with gateways that were not queried for a while. Who waits for an answer has a time-out of its own.
-    pub(crate) fn close_unused(&mut self, now: Timestamp) {
+    /// Closes sessions with gateways that were not queried for [`IDLE_SESSION_TIMEOUT`]. Queries time out earlier, so
+    /// none is still waiting for a reply.
+    pub(crate) fn close_idle_gateway_sessions(&mut self, now: Timestamp) {
         let unused: Vec<NodeId> = self
-            .last_queries
+            .last_queried_at
             .iter()
-            .filter(|(_, queried_at)| now > **queried_at + UNUSED_SESSION_TIMEOUT)
+            .filter(|(_, queried_at)| now > **queried_at + IDLE_SESSION_TIMEOUT)
             .map(|(node, _)| *node)
             .collect();
         for node in unused {
-            self.last_queries.remove(&node);
-            self.waiting_queries.remove(&node);
+            self.last_queried_at.remove(&node);
+            self.pending_queries.remove(&node);
             if let Some(session) = self.session_with(node) {
                 session.close();
             }
         }
     }
 
-    /// A session was opened: sends the queries that waited for it.
-    pub(crate) fn opened(&mut self, session: Session) -> Peer {
+    /// Adds a session and sends the queries that waited for it.
+    pub(crate) fn session_opened(&mut self, session: Session) -> Peer {
         let peer = Peer::from(&session.peer);
-        let queries = self.waiting_queries.remove(&peer.node);
+        let queries = self.pending_queries.remove(&peer.node);
         for query in queries.iter().flatten() {
             session.send(query);
         }
@@ -104,8 +103,9 @@
         peer
     }
 
-    /// A session was closed. Returns the node that is no longer connected, if this was the newest session with it.
-    pub(crate) fn closed(&mut self, id: SessionId) -> Option<Peer> {
+    /// Removes a session. Returns its peer if this was the newest session with it, that is, if the peer is now
+    /// disconnected.
+    pub(crate) fn session_closed(&mut self, id: SessionId) -> Option<Peer> {
         let session = self.sessions.remove(&id)?;
         let peer = Peer::from(&session.peer);
         if self.by_node.get(&peer.node) != Some(&id) {
@@ -115,35 +115,35 @@
         Some(peer)
     }
 
-    /// The node on the other side of a session.
+    /// Returns the peer of a session, `None` if the session has been closed.
     pub(crate) fn peer(&self, id: SessionId) -> Option<Peer> {
         self.sessions
             .get(&id)
             .map(|session| Peer::from(&session.peer))
     }
 
-    /// Sends a message on a session, if that still stands.
+    /// Sends a message on the session it replies to. Dropped if that session has been closed.
     pub(crate) fn reply(&self, id: SessionId, message: &Message) {
         if let Some(session) = self.sessions.get(&id) {
             session.send(message);
         }
     }
 
-    /// Sends a message to a node, if a session with it stands.
+    /// Sends a message on the newest session with a node. Dropped if there is none.
     pub(crate) fn send(&self, node: NodeId, message: &Message) {
         if let Some(session) = self.session_with(node) {
             session.send(message);
         }
     }
 
-    /// Sends a query to another gateway; a session is opened where none stands.
+    /// Sends a query to another gateway. Without an open session, dials the gateway and sends the query once connected.
     pub(crate) fn query(&mut self, now: Timestamp, node: NodeId, message: Message) {
-        self.last_queries.insert(node, now);
+        self.last_queried_at.insert(node, now);
         if let Some(session) = self.session_with(node) {
             return session.send(&message);
         }
-        let queries = self.waiting_queries.entry(node).or_default();
-        if queries.len() < MAX_WAITING_QUERIES {
+        let queries = self.pending_queries.entry(node).or_default();
+        if queries.len() < MAX_PENDING_QUERIES {
             queries.push(message);
         }
         self.dialer.dial(node);
--- a/crates/gateway/gateway/src/readiness.rs
+++ b/crates/gateway/gateway/src/readiness.rs
@@ -1,4 +1,4 @@
-//! `GET /-/ready`, by which the platform decides whether new clients are sent here (PROTOCOL.md).
+//! Serves `GET /-/ready`, which the platform polls to decide whether to send new clients to this gateway (PROTOCOL.md).
 
 use axum::Router;
 use axum::http::StatusCode;
@@ -13,15 +13,14 @@
 use tokio::net::TcpListener;
 use tokio::time::timeout;
 
-/// A connection of the platform is closed after this time, whatever is on it.
+/// Lifetime of a connection to the readiness endpoint, whether active or idle.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Whether this gateway is ready, as the platform is told. A clone is the same.
+/// Shared flag that the readiness endpoint reports, initially false. Clones share the same flag.
 #[derive(Clone, Default)]
 pub(crate) struct Readiness(Arc<AtomicBool>);
 
 impl Readiness {
-    /// What the platform is told from now on.
     pub(crate) fn set(&self, is_ready: bool) {
         self.0.store(is_ready, Ordering::Relaxed);
     }
@@ -35,7 +34,7 @@
     }
 }
 
-/// Answers the platform: 200 while the gateway is ready, else 503.
+/// Accepts connections and responds to `GET /-/ready` with 200 while the gateway is ready, otherwise with 503.
 pub(crate) async fn serve_readiness(listener: TcpListener, readiness: Readiness) {
     let page = move || {
         let status = readiness.status();
--- a/crates/gateway/gateway/src/request.rs
+++ b/crates/gateway/gateway/src/request.rs
@@ -1,21 +1,22 @@
-//! The way of a request through the gateway, phase by phase, in their order:
+//! The request pipeline. A request passes these phases in order:
 //!
-//! | phase | where | bounds | answer where it fails |
+//! | phase | where | bounds | outcome on failure |
 //! | --- | --- | --- | --- |
-//! | accept a connection | `downstream.rs` | half of the file descriptors; head and idle time-outs of the configuration | closed unread, or closed |
-//! | parse the head | `request_head.rs` | head: `header_size_bytes` (hyper: 431); `Attempt-Id` 128 bytes, deadline an hour | 400; 503 without a configuration |
+//! | accept the connection | `downstream.rs` | half of the available file descriptors; header and idle timeouts of the configuration | connection closed |
+//! | parse the head | `request_head.rs` | head: `header_size_bytes` (hyper: 431); `Attempt-Id` 128 bytes, deadline 1 hour | 400; 503 without a configuration |
 //! | match a route | [`match_route`] | | 404 |
-//! | read the body | `request_body.rs` | `body_size_bytes`; the request's time | 413, 408, 400 |
-//! | claim the operation key | `idempotency.rs` | a majority's grants within 450 ms; a rival's answer within 400 ms | 503, 409 |
-//! | choose a host | `forward.rs` (`choose_next_host`) | `maximum_attempts`, the retry budget, three hosts that are not reached | 503 |
-//! | forward | `upstream_connection.rs`, `upstream.rs` | a connection within 350 ms; the gateway's share of `connection_capacity` | the next host; 503, 504 |
-//! | check the response | `response_check.rs` | 256 KiB are held back until the response is whole | the next host where it has not run or may run twice; 502 |
-//! | record | `upstream.rs` (`ActiveAttempt`), `idempotency.rs` (`record`) | 1 MiB of a response is stored for repeats | |
-//! | answer | [`handle`]; `downstream.rs` | | the connection breaks off where a long response does |
+//! | read the body | `request_body.rs` | `body_size_bytes`; request deadline | 413, 408, 400 |
+//! | claim the operation key | `idempotency.rs` | grants of a majority within 450 ms; reply of the gateway that holds the key within 400 ms | 503, 409 |
+//! | choose a host | `forward.rs` (`choose_next_host`) | `maximum_attempts`, retry budget, three failed connects | 503 |
+//! | forward | `upstream_connection.rs`, `upstream.rs` | connect within 350 ms; this gateway's share of `connection_capacity` | retry at the next host; 503, 504 |
+//! | check the response | `response_check.rs` | responses up to 256 KiB are buffered completely | retry if not executed or read-only; 502 |
+//! | record | `upstream.rs` (`ActiveAttempt`), `idempotency.rs` (`record`) | responses up to 1 MiB are stored for retries of the operation | |
+//! | respond | [`handle`]; `downstream.rs` | | client connection aborted if a streamed response is truncated |
 //!
-//! A request's time ends at its client's deadline less what the way back takes, or at its route's `timeout_s`, whichever is
-//! sooner. A client that goes cancels its request (the future of [`handle`] is dropped), but for operations with a key,
-//! which run on so that repeats get their response. The statuses' meaning stands in `local_response.rs`.
+//! The request deadline is the client's deadline less [`RESPONSE_TRANSIT_MARGIN`], or the route's `timeout_s`,
+//! whichever is sooner. A client disconnect drops the future of [`handle`] and so cancels the request, except for
+//! operations with a key: they run to completion so that retries get their response. `local_response.rs` defines the
+//! meaning of statuses.
 
 use crate::forward::{RoutedRequest, forward};
 use crate::headers::{OPERATION_KEY, remove_hop_by_hop};
@@ -36,15 +37,15 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a request may take whose route names no time-out (ours).
+/// Request timeout on routes without `timeout_s`.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(60);
-/// So long before its client stops waiting a response leaves at the latest (ours: the way back takes a few ms).
-const RETURN_TIME: Duration = Duration::from_millis(8);
-/// The least that is left of a deadline that leaves no time for the way back.
+/// Subtracted from the client's deadline to leave time for the response to reach the client.
+const RESPONSE_TRANSIT_MARGIN: Duration = Duration::from_millis(8);
+/// Request timeout when the client's deadline does not exceed [`RESPONSE_TRANSIT_MARGIN`].
 const MIN_TIMEOUT: Duration = Duration::from_millis(1);
 const MAX_OPERATION_KEY_BYTES: usize = 512;
 
-/// Takes a request from its arrival to its response.
+/// Processes one client request. Failures become local responses.
 pub(crate) async fn handle(
     gateway: &Rc<GatewayState>,
     request: Request<Incoming>,
@@ -61,7 +62,7 @@
     }
 }
 
-/// Parses a request, matches its route and reads its body.
+/// Validates a request, matches its route, reads its body and prepares it for forwarding.
 async fn route(
     gateway: &GatewayState,
     request: Request<Incoming>,
@@ -72,13 +73,13 @@
     let parsed = parse_head(&head)?;
     let route = match_route(&configuration, &head, &parsed)?;
     let key = operation_key(&head, route)?;
-    // One operation goes to one side of a weighted split, whichever attempt it is.
+    // All attempts of an operation have to choose the same service of a weighted split.
     let service = route
         .choose_service(key.unwrap_or(parsed.attempt_id).as_bytes())
         .into();
     let operation_key = key.map(|key| key_digest(key.as_bytes()));
     let attempt_id = parsed.attempt_id.clone();
-    let expires_at = arrived_at + time_allowed(route, parsed.deadline);
+    let expires_at = arrived_at + request_timeout(route, parsed.deadline);
     let body = read_body(body, configuration.limits.max_body_bytes, expires_at).await?;
     prepare_for_upstream(&mut head, body.is_empty());
     gateway.count_request(&service);
@@ -96,7 +97,6 @@
     })
 }
 
-/// The route of a request by its host and path.
 fn match_route<'a>(
     configuration: &'a Configuration,
     head: &Parts,
@@ -107,7 +107,8 @@
         .ok_or(LocalResponse::NoRoute)
 }
 
-/// The idempotency key of a request on an idempotent route; elsewhere it counts for nothing.
+/// Returns the idempotency key, which an idempotent route requires; `None` on other routes, where the header is
+/// ignored.
 fn operation_key<'a>(
     head: &'a Parts,
     route: &Route,
@@ -123,19 +124,20 @@
     Ok(Some(key))
 }
 
-/// How long a request may take from its arrival on.
-fn time_allowed(route: &Route, deadline: Option<Duration>) -> Duration {
+/// Returns the timeout of a request, counted from its arrival.
+fn request_timeout(route: &Route, deadline: Option<Duration>) -> Duration {
     let timeout = route.timeout.unwrap_or(DEFAULT_TIMEOUT);
     match deadline {
         Some(deadline) => deadline
-            .saturating_sub(RETURN_TIME)
+            .saturating_sub(RESPONSE_TRANSIT_MARGIN)
             .max(MIN_TIMEOUT)
             .min(timeout),
         None => timeout,
     }
 }
 
-/// Leaves out of a head what concerns the client's connection only. The body goes along with a length of its own.
+/// Removes hop-by-hop headers and `Content-Length`, which hyper sets from the buffered body. For an empty body hyper
+/// sets none, so methods that imply a body get an explicit 0.
 fn prepare_for_upstream(head: &mut Parts, is_body_empty: bool) {
     remove_hop_by_hop(&mut head.headers);
     head.headers.remove(header::CONTENT_LENGTH);
--- a/crates/gateway/gateway/src/request_body.rs
+++ b/crates/gateway/gateway/src/request_body.rs
@@ -1,4 +1,4 @@
-//! The body of a client's request: read whole, within its limit and the request's time, before anything is forwarded.
+//! Buffers the body of a client's request, bounded in size and time, before the request is forwarded.
 
 use crate::local_response::{InvalidRequest, LocalResponse};
 use bytes::Bytes;
@@ -6,10 +6,10 @@
 use hyper::body::{Body, Incoming};
 use tokio::time::{Instant, timeout_at};
 
-/// Reads a body of at most `max_bytes`, which has to be here at `expires_at`.
+/// Reads the whole body of a request into memory.
 ///
 /// # Errors
-/// 413 if it is longer, 408 if it takes longer, 400 if it breaks off.
+/// 413 if the body exceeds `max_bytes`, 408 if it is not complete by `expires_at`, 400 if the client ends it early.
 pub(crate) async fn read_body(
     body: Incoming,
     max_bytes: u64,
--- a/crates/gateway/gateway/src/request_head.rs
+++ b/crates/gateway/gateway/src/request_head.rs
@@ -1,4 +1,4 @@
-//! The head of a client's request: what is checked before anything is done for it (rule UNASKED).
+//! Validation of a client's request head, before any other work is done for the request (rule UNASKED in RULES.md).
 
 use crate::headers::{ATTEMPT_ID, DEADLINE_MILLISECONDS};
 use crate::local_response::{InvalidRequest, LocalResponse};
@@ -10,20 +10,18 @@
 const MAX_ATTEMPT_ID_BYTES: usize = 128;
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
 
-/// What the head of a request says.
+/// Fields of a valid request head that routing needs.
 pub(crate) struct RequestHead<'a> {
-    /// `Host`.
     pub(crate) host: &'a str,
-    /// `Attempt-Id`.
     pub(crate) attempt_id: &'a HeaderValue,
-    /// How long the client waits, if it says so.
+    /// Value of `Deadline-Milliseconds`, at most [`MAX_DEADLINE`]; `None` if the header is absent.
     pub(crate) deadline: Option<Duration>,
 }
 
-/// Checks the head of a request.
+/// Validates the target, the framing and the protocol headers of a request.
 ///
 /// # Errors
-/// The first thing that is wrong with it: status 400.
+/// [`LocalResponse::Invalid`] (400) with the first fault found.
 pub(crate) fn parse_head(head: &Parts) -> Result<RequestHead<'_>, LocalResponse> {
     check_target(head)?;
     check_framing(head)?;
@@ -37,7 +35,7 @@
     })
 }
 
-/// The target has to be a path of the host that the `Host` header names.
+/// Rejects `CONNECT` and targets in absolute form; the host comes from the `Host` header only.
 fn check_target(head: &Parts) -> Result<(), InvalidRequest> {
     let is_path = head.method != Method::CONNECT
         && head.uri.authority().is_none()
@@ -45,13 +43,14 @@
     is_path.then_some(()).ok_or(InvalidRequest::Target)
 }
 
-/// A length beside chunks is how requests are smuggled; the library went by the chunks.
+/// Rejects a request with both `Content-Length` and `Transfer-Encoding` (request smuggling); hyper would accept it and
+/// use the chunked framing.
 fn check_framing(head: &Parts) -> Result<(), InvalidRequest> {
     let has_both = head.headers.contains_key(header::TRANSFER_ENCODING)
         && head.headers.contains_key(header::CONTENT_LENGTH);
     (!has_both)
         .then_some(())
-        .ok_or(InvalidRequest::LengthWithChunks)
+        .ok_or(InvalidRequest::ConflictingFraming)
 }
 
 fn attempt_id(head: &Parts) -> Result<&HeaderValue, InvalidRequest> {
@@ -75,10 +74,10 @@
         .ok_or(InvalidRequest::Deadline)
 }
 
-/// The value of a header, if there is one.
+/// Returns the value of a header that may occur at most once.
 ///
 /// # Errors
-/// The header stands twice.
+/// [`InvalidRequest::DuplicateHeader`] if it occurs more than once.
 pub(crate) fn single_header<'a>(
     head: &'a Parts,
     name: &HeaderName,
--- a/crates/gateway/gateway/src/response_body.rs
+++ b/crates/gateway/gateway/src/response_body.rs
@@ -1,4 +1,4 @@
-//! The body of a response on its way to a client.
+//! The response body type of client connections: buffered or streamed.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -7,21 +7,21 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// The body of a response: complete, or streamed from the host as it comes.
+/// Body of a response to a client: held in memory, or streamed from the host.
 pub enum ResponseBody {
-    /// All of it is here.
+    /// The whole body, held in memory.
     Complete(Full<Bytes>),
-    /// A long one, of which the host has sent the beginning.
+    /// A body that exceeds the buffer limit and is relayed as the host sends it.
     Streaming {
-        /// What was read before the streaming began.
+        /// Chunks read before streaming began; sent first.
         buffered: VecDeque<Bytes>,
-        /// The rest. If the host breaks off, the client's connection breaks off too.
+        /// Remaining body of the host's response. An error in it aborts the response to the client.
         rest: Box<Incoming>,
     },
 }
 
 impl ResponseBody {
-    /// A body that is all here.
+    /// Creates a body from bytes that are already in memory.
     pub fn complete(bytes: Bytes) -> ResponseBody {
         ResponseBody::Complete(Full::new(bytes))
     }
@@ -58,7 +58,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             ResponseBody::Complete(body) => body.size_hint(),
-            // The host's `Content-Length` goes along, if there is one.
+            // The host's `Content-Length` header is forwarded if there is one, so no size is needed for framing.
             ResponseBody::Streaming { .. } => SizeHint::default(),
         }
     }
--- a/crates/gateway/gateway/src/response_check.rs
+++ b/crates/gateway/gateway/src/response_check.rs
@@ -1,5 +1,5 @@
-//! Whether what a host sent is the response to a request: it names the request's attempt, promises nothing that the host
-//! did not say, and its end can be told from its breaking off. What fails here is never passed on (rule MIXED).
+//! Validates host responses. A response is forwarded only if it echoes the attempt id, its status does not imply that
+//! the request was not executed, and its framing reveals truncation (rule MIXED in RULES.md).
 
 use crate::headers::{ATTEMPT_ID, KEEP_ALIVE, NOT_EXECUTED, RESPONSE_SEAL};
 use hyper::StatusCode;
@@ -9,48 +9,50 @@
 use rushcourse_routing::Observed;
 use std::time::Duration;
 
-/// Part of a host's idle limit for which a connection is kept: beyond it, the host's closing could cross a request (ours).
-const IDLE_LIMIT_PART: (u32, u32) = (4, 5);
-/// How long an idle connection is kept where the host names no limit: one under a second can't be named (ours).
-const UNNAMED_IDLE_TIMEOUT: Duration = Duration::from_millis(200);
-/// The longest idle limit that is believed.
-const MAX_IDLE_LIMIT: Duration = Duration::from_secs(3_600);
+/// Fraction (numerator, denominator) of the host's `Keep-Alive` timeout for which an idle connection is reused, so that
+/// the host does not close it while a request is being sent.
+const IDLE_TIMEOUT_FRACTION: (u32, u32) = (4, 5);
+/// Idle timeout of connections to hosts that send no `Keep-Alive` timeout. Below 1 second, because the header can't
+/// express shorter timeouts.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Upper bound applied to the `Keep-Alive` timeout of a host.
+const MAX_KEEP_ALIVE_TIMEOUT: Duration = Duration::from_secs(3_600);
 
-/// What the head of a response says.
+/// Result of validating a response head.
 pub(crate) enum HeadVerdict {
-    /// It is the response to the request.
+    /// The response belongs to the request and may be forwarded.
     Response,
-    /// The host says that it did not run the request, and never will.
+    /// The host did not execute the request and never will.
     NotExecuted(Observed),
-    /// It is not a response to the request, or not one that may be passed on: the request may have run.
+    /// The response belongs to another request or may not be forwarded. The request may have been executed.
     Invalid,
 }
 
-/// Checks the head of a response. `is_reused`: other requests went by the connection before.
+/// Validates the head of a response. `is_reused` is true if the connection has carried other requests before.
 pub(crate) fn check_head(
     head: &Parts,
     body: &Incoming,
     attempt_id: &HeaderValue,
     is_reused: bool,
 ) -> HeadVerdict {
-    let refusal = refusal(head);
-    if !names_attempt(head, attempt_id) {
-        // An answer with another id, or none, belongs to no request here: what follows on this connection can't be
-        // trusted either. Only where nothing else was ever asked is a refusal without an id this request's.
+    let not_executed = not_executed_reason(head);
+    if !matches_attempt_id(head, attempt_id) {
+        // The response may belong to another request on this connection. Without an attempt id it is certain to be this
+        // request's only if the connection has carried no other.
         let is_only_request = !is_reused && !head.headers.contains_key(ATTEMPT_ID);
-        return refusal
+        return not_executed
             .filter(|_| is_only_request)
             .map_or(HeadVerdict::Invalid, HeadVerdict::NotExecuted);
     }
-    match refusal {
+    match not_executed {
         Some(observed) => HeadVerdict::NotExecuted(observed),
-        None if may_be_passed_on(head) && has_certain_end(head, body) => HeadVerdict::Response,
+        None if is_forwardable(head) && is_self_delimited(head, body) => HeadVerdict::Response,
         None => HeadVerdict::Invalid,
     }
 }
 
-/// How a host says that it did not run a request, if it does.
-fn refusal(head: &Parts) -> Option<Observed> {
+/// Returns the reason if the host reports that it did not execute the request: a `Not-Executed` header or status 421.
+fn not_executed_reason(head: &Parts) -> Option<Observed> {
     if head.headers.contains_key(NOT_EXECUTED) {
         Some(Observed::Rejected)
     } else if head.status == StatusCode::MISDIRECTED_REQUEST {
@@ -60,27 +62,28 @@
     }
 }
 
-/// Whether a response names the attempt that was sent, and no other.
-fn names_attempt(head: &Parts, attempt_id: &HeaderValue) -> bool {
+/// Whether a response has exactly one `Attempt-Id`, equal to the request's.
+fn matches_attempt_id(head: &Parts, attempt_id: &HeaderValue) -> bool {
     let mut ids = head.headers.get_all(ATTEMPT_ID).iter();
     ids.next() == Some(attempt_id) && ids.next().is_none()
 }
 
-/// Whether a response means to the client what it means here.
-fn may_be_passed_on(head: &Parts) -> bool {
-    // These promise the client that the request has not run, which the host did not say.
-    let promises_not_run = [
+/// Whether a response may be forwarded: its status must not tell the client that the request was not executed, since
+/// the host did not send `Not-Executed`, and a 2xx response needs a seal.
+fn is_forwardable(head: &Parts) -> bool {
+    // Clients treat these statuses as a guarantee that the request was not executed.
+    let implies_not_executed = [
         StatusCode::SERVICE_UNAVAILABLE,
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::REQUEST_TIMEOUT,
     ]
     .contains(&head.status);
     let lacks_seal = head.status.is_success() && !head.headers.contains_key(RESPONSE_SEAL);
-    !head.status.is_informational() && !promises_not_run && !lacks_seal
+    !head.status.is_informational() && !implies_not_executed && !lacks_seal
 }
 
-/// Whether the end of a response can be told from its breaking off: by its length or its last chunk, not both.
-fn has_certain_end(head: &Parts, body: &Incoming) -> bool {
+/// Whether a truncated body can be detected: framed by `Content-Length` or by chunks, but not by both.
+fn is_self_delimited(head: &Parts, body: &Incoming) -> bool {
     let is_chunked = head.headers.contains_key(header::TRANSFER_ENCODING);
     if is_chunked && head.headers.contains_key(header::CONTENT_LENGTH) {
         return false;
@@ -88,21 +91,23 @@
     is_chunked || body.is_end_stream() || body.size_hint().exact().is_some()
 }
 
-/// How long a connection may rest after a response with these headers.
+/// Returns how long a connection may stay idle in the pool after a response with these headers.
 pub(crate) fn idle_timeout(headers: &HeaderMap) -> Duration {
     let value = headers
         .get(KEEP_ALIVE)
         .and_then(|value| value.to_str().ok());
-    let limit = value.and_then(idle_limit).filter(|limit| !limit.is_zero());
-    let (part, of) = IDLE_LIMIT_PART;
-    limit.map_or(UNNAMED_IDLE_TIMEOUT, |limit| limit * part / of)
+    let limit = value
+        .and_then(keep_alive_timeout)
+        .filter(|limit| !limit.is_zero());
+    let (part, of) = IDLE_TIMEOUT_FRACTION;
+    limit.map_or(DEFAULT_IDLE_TIMEOUT, |limit| limit * part / of)
 }
 
-/// The limit that a `Keep-Alive` names, as in `timeout=8`: whole seconds.
-fn idle_limit(keep_alive: &str) -> Option<Duration> {
+/// Parses the timeout, in whole seconds, from a `Keep-Alive` header such as `timeout=8, max=100`.
+fn keep_alive_timeout(keep_alive: &str) -> Option<Duration> {
     let seconds = keep_alive
         .split(',')
         .find_map(|parameter| parameter.trim().strip_prefix("timeout="))?;
     let limit = Duration::from_secs(seconds.trim().parse().ok()?);
-    Some(limit.min(MAX_IDLE_LIMIT))
+    Some(limit.min(MAX_KEEP_ALIVE_TIMEOUT))
 }
--- a/crates/gateway/gateway/src/server.rs
+++ b/crates/gateway/gateway/src/server.rs
@@ -1,4 +1,5 @@
-//! The process: its sockets, the loop that everything but clients' requests goes through, and its end.
+//! The gateway process: listening sockets, the event loop for session events, ticks and signals, and draining on
+//! SIGTERM.
 
 use crate::downstream::{DownstreamConnections, accept_connections};
 use crate::peer_sessions::PeerSessions;
@@ -24,24 +25,27 @@
 use tokio::time::MissedTickBehavior;
 
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// Events of sessions that are worked through at once.
+/// Session events handled per iteration of the event loop.
 const MAX_EVENT_BATCH: usize = 128;
-/// Part of the grace period after which a process that was told to end does so, finished or not (ours).
-const GRACE_PERIOD_PART: f64 = 0.85;
-/// How long a process that was told to end goes on taking connections: the platform asks once a second whether it is
-/// ready, and stops sending clients after two misses.
-const LINGER_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// File descriptors that are left for connections to hosts, files and the like, and what there is at least (ours).
+/// Fraction of the grace period after which a draining process exits even if requests are still in flight, so that it
+/// exits before the platform kills it.
+const GRACE_PERIOD_FRACTION: f64 = 0.85;
+/// How long a draining process keeps accepting connections. The platform polls readiness once a second and stops
+/// sending clients after two failed polls.
+const DRAIN_DELAY: Duration = Duration::from_millis(2_300);
+/// File descriptors set aside for upstream connections, files and listening sockets.
 const RESERVED_DESCRIPTORS: usize = 264;
+/// Lower bound of the descriptors available for sessions and clients when the limit is small.
 const MIN_DESCRIPTORS: usize = 32;
-/// Parts of the other descriptors for sessions of other nodes and for connections of clients: an eighth and a half.
+/// Sessions with other nodes may use an eighth of the unreserved descriptors.
 const SESSION_DESCRIPTORS_DIVISOR: usize = 8;
+/// Client connections may use half of the unreserved descriptors.
 const CLIENT_DESCRIPTORS_DIVISOR: usize = 2;
 
-/// Runs a gateway until it is told to end.
+/// Runs a gateway until it has drained after SIGTERM. `settings_path` is read again on SIGHUP.
 ///
 /// # Errors
-/// Settings that name no address to listen at, an address that is taken, or keys that can't be used.
+/// A listen address is missing or can't be bound, the peer keys can't be loaded, or signal handlers can't be installed.
 pub fn serve(settings_path: &Path, settings: NodeSettings) -> Result<(), Report<StartError>> {
     logging::init(&settings.log_level, &settings.node.name);
     run_on_this_thread(run(settings_path.to_path_buf(), settings))
@@ -75,7 +79,7 @@
     Ok(())
 }
 
-/// The sockets that connections are accepted at.
+/// Listening sockets, one for each kind of connection.
 struct Listeners {
     clients: TcpListener,
     readiness: TcpListener,
@@ -96,10 +100,11 @@
     }
 }
 
-/// What the platform tells the process by.
+/// Streams of the Unix signals that the process handles.
 struct Signals {
+    /// SIGTERM: drain, then exit.
     terminate: Signal,
-    /// The settings file has changed.
+    /// SIGHUP: reload the settings file.
     hangup: Signal,
 }
 
@@ -113,35 +118,36 @@
     }
 }
 
-/// The end of a process that was told to end: for a while it takes connections as before, then it closes those that have
-/// nothing on them, and ends once all are closed and no operation runs, or its time is over.
+/// Progress of the shutdown after SIGTERM. The process serves connections as before for `close_delay`, then closes each
+/// one after its current request, and exits once all are closed and no operation is running, or after `timeout`.
 struct Drain {
+    /// `None` until SIGTERM arrives.
     started_at: Option<Timestamp>,
-    /// How long it takes connections as before.
-    linger: Duration,
-    /// How long it may take at most.
-    grace: Duration,
+    /// Counted from `started_at`; at most half of `timeout`.
+    close_delay: Duration,
+    /// Counted from `started_at`.
+    timeout: Duration,
 }
 
 impl Drain {
     fn new(grace_period: Duration) -> Drain {
-        let grace_ms = grace_period.as_secs_f64() * GRACE_PERIOD_PART * 1000.0;
-        let grace = Duration::from_millis(grace_ms as u64);
+        let timeout_ms = grace_period.as_secs_f64() * GRACE_PERIOD_FRACTION * 1000.0;
+        let timeout = Duration::from_millis(timeout_ms as u64);
         Drain {
             started_at: None,
-            linger: LINGER_TIMEOUT.min(grace / 2),
-            grace,
+            close_delay: DRAIN_DELAY.min(timeout / 2),
+            timeout,
         }
     }
 
-    fn has_lingered(&self, now: Timestamp) -> bool {
+    fn has_close_delay_elapsed(&self, now: Timestamp) -> bool {
         self.started_at
-            .is_some_and(|started_at| now >= started_at + self.linger)
+            .is_some_and(|started_at| now >= started_at + self.close_delay)
     }
 
-    fn is_over(&self, now: Timestamp) -> bool {
+    fn has_timed_out(&self, now: Timestamp) -> bool {
         self.started_at
-            .is_some_and(|started_at| now >= started_at + self.grace)
+            .is_some_and(|started_at| now >= started_at + self.timeout)
     }
 }
 
@@ -173,7 +179,7 @@
         ));
     }
 
-    /// Works through events, ticks and signals until the process ends.
+    /// Runs the event loop until the process has drained.
     async fn run(mut self, mut events: UnboundedReceiver<SessionEvent>, mut signals: Signals) {
         let mut ticks = tokio::time::interval(TICK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -184,7 +190,7 @@
                 _ = ticks.tick() => {
                     let now = self.gateway.now();
                     self.tick(now);
-                    if self.may_end(now) {
+                    if self.should_exit(now) {
                         break;
                     }
                 }
@@ -210,14 +216,14 @@
         }
         self.readiness.set(self.gateway.is_ready());
         self.connections.close_timed_out(now, self.gateway.limits());
-        if self.drain.has_lingered(now) {
+        if self.drain.has_close_delay_elapsed(now) {
             self.connections.close_all();
         }
     }
 
-    fn may_end(&self, now: Timestamp) -> bool {
+    fn should_exit(&self, now: Timestamp) -> bool {
         let is_idle = self.gateway.running_operations() == 0 && self.connections.is_empty();
-        self.drain.is_over(now) || self.drain.has_lingered(now) && is_idle
+        self.drain.has_timed_out(now) || self.drain.has_close_delay_elapsed(now) && is_idle
     }
 
     fn start_draining(&mut self) {
--- a/crates/gateway/gateway/src/state.rs
+++ b/crates/gateway/gateway/src/state.rs
@@ -1,14 +1,14 @@
-//! What a gateway knows, shared by all tasks of its one thread. Its parts are borrowed only within methods of this module
-//! and its children, none of which waits: no borrow is ever held across an `await`.
+//! State of a gateway, shared by all tasks of its single thread. The `RefCell`s are borrowed only within methods of
+//! this module and its children, which are not `async`, so no borrow is held across an `await`.
 //!
-//! * `session_events.rs`: what controllers and other gateways say.
-//! * `upkeep.rs`: what is done at each tick.
-//! * `upstreams.rs`: hosts, attempts at them and connections to them, for a request on its way.
-//! * `operations.rs`: operations with a key, for a request on its way.
+//! * `session_events.rs`: handles messages from controllers and other gateways.
+//! * `maintenance.rs`: periodic work.
+//! * `upstreams.rs`: host choice, attempts and upstream connections, called by request tasks.
+//! * `operations.rs`: operations with an idempotency key, called by request tasks.
 
+mod maintenance;
 mod operations;
 mod session_events;
-mod upkeep;
 mod upstreams;
 
 use crate::connection_pool::ConnectionPools;
@@ -26,11 +26,10 @@
 use std::cell::{Cell, RefCell};
 use std::sync::Arc;
 
-/// Part of the machine's memory that stored responses of operations may take (ours).
-const STORED_RESPONSES_PART: f64 = 0.15;
+/// Fraction of `limits.memory_mb` that stored responses of operations may take.
+const STORED_RESPONSES_MEMORY_FRACTION: f64 = 0.15;
 const BYTES_PER_MEGABYTE: f64 = 1_000_000.0;
 
-/// The state of a gateway.
 pub(crate) struct GatewayState {
     clock: Clock,
     random: RandomSource,
@@ -39,17 +38,17 @@
     retry_budget: RefCell<RetryBudget>,
     pools: RefCell<ConnectionPools>,
     operations: RefCell<KeyedOperations>,
-    /// The gateway's own responses, counted by their reason.
+    /// Local responses counted by reason.
     local_responses: RefCell<Counters>,
     last_load_report: Cell<Timestamp>,
-    /// Told to end: it takes no new clients.
+    /// Set on SIGTERM and never cleared; the gateway is not ready while it is set.
     is_draining: Cell<bool>,
-    /// Operations that were sent to a host and have not ended.
+    /// Operations being forwarded under a won claim.
     running_operations: Cell<usize>,
 }
 
 impl GatewayState {
-    /// The state at the start of an incarnation: no tables, no configuration.
+    /// Creates a state without endpoint tables or configuration; both come from controllers.
     pub(crate) fn new(
         settings: &NodeSettings,
         clock: Clock,
@@ -57,11 +56,12 @@
         sessions: PeerSessions,
     ) -> GatewayState {
         let node = NodeId::from(settings.node.ip_address);
-        let controllers = ControllerSelection::new(node, &settings.node.zone);
+        let controller_selection = ControllerSelection::new(node, &settings.node.zone);
         let claims = Claims::new(node, incarnation);
         let operations = Operations::new(
             settings.bounds.key_window,
-            (settings.limits.memory_mb * STORED_RESPONSES_PART * BYTES_PER_MEGABYTE) as usize,
+            (settings.limits.memory_mb * STORED_RESPONSES_MEMORY_FRACTION * BYTES_PER_MEGABYTE)
+                as usize,
         );
         let retry_budget = RetryBudget::new(
             settings.bounds.retry_budget_ratio,
@@ -71,7 +71,7 @@
         GatewayState {
             clock,
             random: RandomSource::new(incarnation),
-            control_plane: RefCell::new(ControlPlane::new(sessions, controllers)),
+            control_plane: RefCell::new(ControlPlane::new(sessions, controller_selection)),
             endpoints: RefCell::new(EndpointTables::new(&settings.node.zone)),
             retry_budget: RefCell::new(retry_budget),
             pools: RefCell::default(),
@@ -83,22 +83,21 @@
         }
     }
 
-    /// The clocks of this process.
     pub(crate) fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The present moment by the steady clock.
+    /// Returns the current time of the monotonic clock.
     pub(crate) fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The configuration that requests go by, if there is one yet.
+    /// Returns the configuration in use, `None` until a controller has sent one.
     pub(crate) fn configuration(&self) -> Option<Arc<Configuration>> {
         self.control_plane.borrow().configuration().cloned()
     }
 
-    /// What clients may send and how long they may take, if there is a configuration yet.
+    /// Returns the size and time limits for clients, `None` until a controller has sent a configuration.
     pub(crate) fn limits(&self) -> Option<Limits> {
         let control_plane = self.control_plane.borrow();
         control_plane
@@ -106,14 +105,14 @@
             .map(|configuration| configuration.limits)
     }
 
-    /// Controllers that sessions are to be held with.
+    /// Adds controllers to those that the gateway keeps sessions with.
     pub(crate) fn add_controllers(&self, nodes: impl IntoIterator<Item = NodeId>) {
         let mut control_plane = self.control_plane.borrow_mut();
         control_plane.sessions_mut().add_controllers(nodes);
     }
 
-    /// Whether clients may be sent here: it has a configuration, hosts of some route, and a primary controller, and was
-    /// not told to end.
+    /// Whether the platform may send clients to this gateway: it has a configuration, a primary controller and an
+    /// available host for at least one route, and is not draining.
     pub(crate) fn is_ready(&self) -> bool {
         let control_plane = self.control_plane.borrow();
         let Some(configuration) = control_plane.configuration() else {
@@ -121,10 +120,10 @@
         };
         !self.is_draining.get()
             && control_plane.primary().is_some()
-            && self.has_host_of_a_route(configuration)
+            && self.has_routable_host(configuration)
     }
 
-    fn has_host_of_a_route(&self, configuration: &Configuration) -> bool {
+    fn has_routable_host(&self, configuration: &Configuration) -> bool {
         let is_routed = |service: &str| {
             let routes = configuration.routes.iter();
             let mut parts = routes.flat_map(|route| &route.services);
@@ -135,12 +134,12 @@
         services.any(|service| is_routed(service) && endpoints.has_available_host(service))
     }
 
-    /// The process was told to end: it is no longer ready.
+    /// Makes the gateway not ready for the rest of the process.
     pub(crate) fn start_draining(&self) {
         self.is_draining.set(true);
     }
 
-    /// Answers a request without a host, and counts why.
+    /// Builds a response that the gateway generates itself and counts its reason.
     pub(crate) fn respond_locally(&self, local: LocalResponse) -> Response<ResponseBody> {
         self.local_responses.borrow_mut().count(local.reason());
         local.into_response(self.random.fraction())
--- a/crates/gateway/gateway/src/state/upkeep.rs
+++ b/crates/gateway/gateway/src/state/maintenance.rs
@@ -1,22 +1,22 @@
-//! What is done at each tick of the process.
+//! Periodic work of the gateway: timeouts, reconnects and load reports.
 
 use super::GatewayState;
 use rushcourse_messages::Message;
 use rushcourse_types::Timestamp;
 use std::time::Duration;
 
-/// Between two reports of what arrived for each service.
+/// Interval between reports of each service's attempts and failures.
 const LOAD_REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// The longest interval that a report names: the first one, or one after the process stood still.
+/// Upper bound of the interval stated in a report, applied to the first report and after a stall of the process.
 const MAX_REPORTED_INTERVAL: Duration = Duration::from_secs(10);
 
 impl GatewayState {
-    /// Ends what is over by now, and does what is due.
+    /// Runs all periodic work that is due at `now`.
     pub(crate) fn tick(&self, now: Timestamp) {
         if let Some(line) = self.local_responses.borrow_mut().take_log_line(now) {
             log::info!("{line}");
         }
-        self.operations.borrow_mut().decide_due_claims(now);
+        self.operations.borrow_mut().resolve_due_claims(now);
         self.control_plane.borrow_mut().request_configuration(now);
         self.control_plane.borrow_mut().select_primary(now);
         self.operations.borrow_mut().expire(now);
@@ -28,11 +28,11 @@
     fn maintain_sessions(&self, now: Timestamp) {
         let mut control_plane = self.control_plane.borrow_mut();
         let sessions = control_plane.sessions_mut();
-        sessions.dial_missing_controllers();
-        sessions.close_unused(now);
+        sessions.dial_disconnected_controllers();
+        sessions.close_idle_gateway_sessions(now);
     }
 
-    /// Reports attempts and failures to the primary controller. What was counted while there was none is dropped.
+    /// Reports attempts and failures to the primary controller. Without a primary controller the counts are discarded.
     fn report_load(&self, now: Timestamp) {
         let last_report = self.last_load_report.get();
         if now < last_report + LOAD_REPORT_INTERVAL {
--- a/crates/gateway/gateway/src/state/operations.rs
+++ b/crates/gateway/gateway/src/state/operations.rs
@@ -1,4 +1,4 @@
-//! Operations with a key, as a request on its way asks for them.
+//! Operations with an idempotency key, as called by request tasks.
 
 use super::GatewayState;
 use crate::keyed_operations::{OperationQuery, StartedClaim};
@@ -8,19 +8,19 @@
 use std::rc::Rc;
 
 impl GatewayState {
-    /// How far the operation of a key is, if it was claimed here.
+    /// Returns the status of the operation with this key, `None` if this gateway has no record of it.
     pub(crate) fn operation_status(&self, key: KeyDigest) -> Option<OperationStatus> {
         self.operations.borrow().status(key).cloned()
     }
 
-    /// Claims a key at the voters. `None`: no majority of them is connected, or too many claims are pending.
+    /// Sends a claim of a key to the voters. `None` if no majority of them is connected or too many claims are pending.
     pub(crate) fn start_claim(&self, key: KeyDigest) -> Option<StartedClaim> {
         let now = self.now();
         let control_plane = self.control_plane.borrow();
         self.operations.borrow_mut().start(now, key, &control_plane)
     }
 
-    /// Frees a key: nothing was sent under this claim, and nothing will be.
+    /// Withdraws a claim at the voters, which frees its key. Only valid if no host executed the request and none will.
     pub(crate) fn withdraw_claim(&self, key: KeyDigest, claim: ClaimId) {
         let now = self.now();
         let control_plane = self.control_plane.borrow();
@@ -29,21 +29,23 @@
             .withdraw(now, key, claim, &control_plane);
     }
 
-    /// Withdraws a claim again that voters still hold, if it is of this incarnation. Returns whether it is.
-    pub(crate) fn withdraw_claim_again(&self, key: KeyDigest, claim: ClaimId) -> bool {
+    /// Withdraws a claim again that voters still hold. Does nothing and returns false if the claim is of an earlier
+    /// incarnation of this gateway.
+    pub(crate) fn resend_claim_withdrawal(&self, key: KeyDigest, claim: ClaimId) -> bool {
         let now = self.now();
         let control_plane = self.control_plane.borrow();
         self.operations
             .borrow_mut()
-            .withdraw_again(now, key, claim, &control_plane)
+            .resend_withdrawal(now, key, claim, &control_plane)
     }
 
-    /// The operation ended under this claim: completed or not known.
+    /// Records the final status of an operation: completed, or unknown if it may have been executed.
     pub(crate) fn finish_operation(&self, key: KeyDigest, claim: ClaimId, status: OperationStatus) {
         self.operations.borrow_mut().finish(key, claim, status);
     }
 
-    /// Asks the gateway that holds a claim what became of the operation; [`GatewayState::end_operation_query`] has to follow.
+    /// Queries the gateway that made a claim for the state of the operation. [`GatewayState::end_operation_query`] has
+    /// to follow.
     pub(crate) fn query_operation(&self, key: KeyDigest, claim: ClaimId) -> OperationQuery {
         let now = self.now();
         let mut control_plane = self.control_plane.borrow_mut();
@@ -52,25 +54,24 @@
             .query(now, key, claim, &mut control_plane)
     }
 
-    /// Nobody waits for the answer to a query any more.
+    /// Discards a query, whether or not it was answered.
     pub(crate) fn end_operation_query(&self, token: RequestToken) {
         self.operations.borrow_mut().end_query(token);
     }
 
-    /// Counts an operation that is sent to hosts: a process that drains waits for it.
+    /// Counts a running operation until the returned guard is dropped. A draining process waits for running operations.
     pub(crate) fn begin_running_operation(self: &Rc<Self>) -> RunningOperation {
         let running = self.running_operations.get();
         self.running_operations.set(running + 1);
         RunningOperation(self.clone())
     }
 
-    /// How many operations are being sent to hosts.
     pub(crate) fn running_operations(&self) -> usize {
         self.running_operations.get()
     }
 }
 
-/// An operation that is counted until this is dropped.
+/// Guard that counts one operation as running; see [`GatewayState::begin_running_operation`].
 pub(crate) struct RunningOperation(Rc<GatewayState>);
 
 impl Drop for RunningOperation {
--- a/crates/gateway/gateway/src/state/session_events.rs
+++ b/crates/gateway/gateway/src/state/session_events.rs
@@ -1,4 +1,4 @@
-//! What happens on sessions with controllers and other gateways.
+//! Handles session events: sessions opened and closed, and messages of controllers and other gateways.
 
 use super::GatewayState;
 use rushcourse_messages::{Message, Role};
@@ -7,7 +7,6 @@
 use rushcourse_types::{ConfigurationVersion, NodeId, SessionId, Timestamp};
 
 impl GatewayState {
-    /// Takes in an event of a session.
     pub(crate) fn handle_session_event(&self, event: SessionEvent) {
         let now = self.now();
         match event {
@@ -25,7 +24,7 @@
         log::info!("event=session_opened peer={name} role={role:?}");
         let zone = session.peer.zone.clone();
         let mut control_plane = self.control_plane.borrow_mut();
-        let peer = control_plane.sessions_mut().opened(session);
+        let peer = control_plane.sessions_mut().session_opened(session);
         if peer.role == Role::Controller {
             control_plane.controller_connected(peer.node, &zone);
         }
@@ -33,7 +32,7 @@
 
     fn session_closed(&self, now: Timestamp, session: SessionId) {
         let mut control_plane = self.control_plane.borrow_mut();
-        let Some(peer) = control_plane.sessions_mut().closed(session) else {
+        let Some(peer) = control_plane.sessions_mut().session_closed(session) else {
             return;
         };
         if peer.role == Role::Controller {
@@ -91,14 +90,14 @@
                     verdict,
                 };
                 let mut operations = self.operations.borrow_mut();
-                operations.claim_answered(now, controller, response);
+                operations.handle_claim_response(now, controller, response);
             }
             _ => self.handle_endpoint_message(controller, message),
         }
     }
 
-    /// Host states count whoever sends them: a drain must reach each gateway. Tables are taken from the primary
-    /// controller alone, and acknowledged.
+    /// Applies host states from any controller, so that a drain takes effect on every gateway. Applies and acknowledges
+    /// endpoint tables only from the primary controller.
     fn handle_endpoint_message(&self, controller: NodeId, message: Message) {
         match message {
             Message::HostStates(hosts) => {
@@ -165,7 +164,7 @@
                 control_plane.sessions().reply(session, &reply);
             }
             Message::OperationReply { token, state } => {
-                self.operations.borrow_mut().query_answered(token, state);
+                self.operations.borrow_mut().complete_query(token, state);
             }
             _ => {}
         }
--- a/crates/gateway/gateway/src/state/upstreams.rs
+++ b/crates/gateway/gateway/src/state/upstreams.rs
@@ -1,4 +1,4 @@
-//! Hosts, attempts at them and connections to them, as a request on its way asks for them.
+//! Host choice, attempts and upstream connections, as called by request tasks.
 
 use super::GatewayState;
 use crate::connection_pool::UpstreamSender;
@@ -8,25 +8,30 @@
 use std::sync::Arc;
 
 impl GatewayState {
-    /// A request for a service arrived: retries may be made in proportion.
+    /// Counts a client request, which raises the retry budget of its service.
     pub(crate) fn count_request(&self, service: &Arc<str>) {
         let now = self.now();
         self.retry_budget.borrow_mut().record_request(now, service);
     }
 
-    /// Spends one retry if the budget has room for it. Returns whether it had.
+    /// Takes one retry from the budget of a service. Returns false if the budget is exhausted.
     pub(crate) fn spend_retry(&self, service: &Arc<str>) -> bool {
         let now = self.now();
         self.retry_budget.borrow_mut().try_spend(now, service)
     }
 
-    /// Chooses a host that was not tried yet and counts an attempt on it.
-    pub(crate) fn choose_host(&self, service: &Arc<str>, tried: &[Arc<str>]) -> Option<HostChoice> {
+    /// Chooses an available host outside `tried_hosts` and counts an attempt on it. `record_attempt` or
+    /// `cancel_attempt` has to follow.
+    pub(crate) fn choose_host(
+        &self,
+        service: &Arc<str>,
+        tried_hosts: &[Arc<str>],
+    ) -> Option<HostChoice> {
         let now = self.now();
         let random = || self.random.fraction();
         self.endpoints
             .borrow_mut()
-            .choose_host(now, service, tried, random)
+            .choose_host(now, service, tried_hosts, random)
     }
 
     /// Whether new requests for a service may go to a host.
@@ -34,7 +39,7 @@
         self.endpoints.borrow().is_available(service, host)
     }
 
-    /// An attempt at a chosen host ended.
+    /// Ends an attempt that `choose_host` counted and records its result.
     pub(crate) fn record_attempt(&self, service: &str, host: &Arc<str>, observed: Observed) {
         let now = self.now();
         self.endpoints
@@ -42,18 +47,18 @@
             .record_attempt(now, service, host, observed);
     }
 
-    /// An attempt at a chosen host was cancelled by its client.
+    /// Ends an attempt that `choose_host` counted without a result, because the client disconnected.
     pub(crate) fn cancel_attempt(&self, service: &str, host: &Arc<str>) {
         self.endpoints.borrow_mut().cancel_attempt(service, host);
     }
 
-    /// An idle connection to a host that is still good, if there is one.
+    /// Takes a usable idle connection to a host out of the pool.
     pub(crate) fn take_idle_connection(&self, host: &Arc<str>) -> Option<UpstreamSender> {
         let now = self.now();
         self.pools.borrow_mut().take_idle(now, host)
     }
 
-    /// Keeps a connection for further requests until `expires_at`.
+    /// Returns a connection to the pool, where it may be reused until `expires_at`.
     pub(crate) fn return_connection(
         &self,
         host: &Arc<str>,
@@ -65,7 +70,7 @@
             .return_idle(host, sender, expires_at);
     }
 
-    /// Counts a connection that is about to be opened, if one more may be.
+    /// Reserves a slot for a new connection. `None` if this gateway's share of the host's capacity is in use.
     pub(crate) fn reserve_connection(
         self: &Rc<Self>,
         service: &str,
@@ -80,7 +85,7 @@
     }
 }
 
-/// A connection to a host that is counted until this is dropped.
+/// Reservation for one connection to a host; dropping it releases the slot.
 pub(crate) struct ConnectionSlot {
     gateway: Rc<GatewayState>,
     host: Arc<str>,
--- a/crates/gateway/gateway/src/upstream.rs
+++ b/crates/gateway/gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request at a host: a connection, the sending, and what came of it.
+//! One attempt of a request at a host: acquires a connection, sends the request and receives the response.
 
 use crate::headers::{DEADLINE_MILLISECONDS, EXPECTED_INSTANCE, remove_hop_by_hop};
 use crate::response_body::ResponseBody;
@@ -18,39 +18,37 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// With less time left than this, a request is not sent.
+/// Minimum time before the deadline at which a request is still sent.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(2);
-/// Bytes of a response that are held back until it is whole, so that one that breaks off can be told apart (ours). A
-/// longer one is streamed, and breaks off for the client where it breaks off here.
+/// Response bodies up to this size are buffered completely before they are forwarded, so that a truncated one becomes a
+/// 502. Longer ones are streamed, and a truncation aborts the response to the client.
 const MAX_BUFFERED_BYTES: usize = 256 << 10;
 
-/// What came of one attempt.
+/// Result of one attempt at a host.
 pub(crate) enum AttemptOutcome {
-    /// The host's response: whole, or long and streamed from here on.
+    /// A valid response. Its body is complete, or streamed if it exceeds [`MAX_BUFFERED_BYTES`].
     Response(Response<ResponseBody>),
-    /// It has not run there and never will: why.
+    /// The host did not execute the request and never will, so a retry is safe.
     NotExecuted(Observed),
-    /// The connection broke, or what came was no valid response: it may have run.
+    /// The connection failed or the response was invalid. The request may have been executed.
     Failed,
-    /// Its time is over: it may have run, or still run.
+    /// No response by the deadline. The request may have been executed or may still be running.
     TimedOut,
 }
 
-/// What goes to a host.
+/// A client's request in the form sent to every host that is tried.
 pub(crate) struct UpstreamRequest {
-    /// The service whose hosts may get it.
     pub(crate) service: Arc<str>,
-    /// Method, target and headers.
+    /// Method, target and headers, without hop-by-hop headers and `Content-Length`.
     pub(crate) head: request::Parts,
-    /// The whole body.
     pub(crate) body: Bytes,
-    /// The `Attempt-Id` that the response has to repeat.
+    /// `Attempt-Id` that the host has to echo.
     pub(crate) attempt_id: HeaderValue,
 }
 
 impl UpstreamRequest {
-    /// The request to one host, which stops its work after `time_left`.
-    fn to_host(&self, host: &HostChoice, time_left: Duration) -> Request<Full<Bytes>> {
+    /// Builds the request for one host, with the host's id and `time_left` as its deadline.
+    fn build_for_host(&self, host: &HostChoice, time_left: Duration) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.head.method.clone();
         *request.uri_mut() = self.head.uri.clone();
@@ -65,7 +63,8 @@
     }
 }
 
-/// Makes one attempt at a host that was chosen. `expires_at`: when its client stops waiting.
+/// Makes one attempt at a chosen host and records its result for load balancing. `expires_at` is the request's
+/// deadline.
 pub(crate) async fn attempt(
     gateway: &Rc<GatewayState>,
     request: &UpstreamRequest,
@@ -73,13 +72,13 @@
     expires_at: Instant,
 ) -> AttemptOutcome {
     let active = ActiveAttempt::start(gateway, request, host);
-    let outcome = send(gateway, request, host, expires_at).await;
+    let outcome = send_request(gateway, request, host, expires_at).await;
     active.finish(&outcome);
     outcome
 }
 
-/// Sends the request; a pooled connection that turns out to be closed is replaced by the next.
-async fn send(
+/// Sends the request. If a reused connection was closed before any byte was sent, tries the next connection.
+async fn send_request(
     gateway: &Rc<GatewayState>,
     request: &UpstreamRequest,
     host: &HostChoice,
@@ -90,7 +89,7 @@
             Ok(connection) => connection,
             Err(observed) => return AttemptOutcome::NotExecuted(observed),
         };
-        // The table may have changed while the connection was made: nothing leaves for a host that drains.
+        // The host may have started to drain while the connection was being established.
         if !gateway.is_host_available(&request.service, &host.id) {
             return AttemptOutcome::NotExecuted(Observed::WrongInstance);
         }
@@ -98,11 +97,12 @@
         if time_left < MIN_TIME_LEFT {
             return AttemptOutcome::NotExecuted(Observed::Rejected);
         }
-        let message = request.to_host(host, time_left);
-        let sending = connection.sender.try_send_request(message);
+        let http_request = request.build_for_host(host, time_left);
+        let sending = connection.sender.try_send_request(http_request);
         match timeout_at(expires_at, sending).await {
             Ok(Ok(response)) => {
-                return receive(gateway, request, host, connection, response, expires_at).await;
+                return receive_response(gateway, request, host, connection, response, expires_at)
+                    .await;
             }
             Ok(Err(mut error)) => {
                 let nothing_sent = error.take_message().is_some();
@@ -115,9 +115,9 @@
     }
 }
 
-/// Checks a response, and reads it whole unless it is long. The connection goes back to the pool once all of the response
-/// has come.
-async fn receive(
+/// Validates a response and buffers its body up to [`MAX_BUFFERED_BYTES`]. The connection returns to the pool only
+/// after a completely buffered response.
+async fn receive_response(
     gateway: &GatewayState,
     request: &UpstreamRequest,
     host: &HostChoice,
@@ -127,16 +127,20 @@
 ) -> AttemptOutcome {
     let (mut head, body) = response.into_parts();
     let verdict = check_head(&head, &body, &request.attempt_id, connection.is_reused);
-    let refusal = match verdict {
+    let not_executed = match verdict {
         HeadVerdict::Response => None,
         HeadVerdict::NotExecuted(observed) => Some(observed),
         HeadVerdict::Invalid => return AttemptOutcome::Failed,
     };
     let idle_timeout = idle_timeout(&head.headers);
-    let buffered = match timeout_at(expires_at, buffer(body)).await {
+    let buffered = match timeout_at(expires_at, buffer_body(body)).await {
         Ok(Ok(buffered)) => buffered,
-        Ok(Err(_)) => return refusal.map_or(AttemptOutcome::Failed, AttemptOutcome::NotExecuted),
-        Err(_) => return refusal.map_or(AttemptOutcome::TimedOut, AttemptOutcome::NotExecuted),
+        Ok(Err(_)) => {
+            return not_executed.map_or(AttemptOutcome::Failed, AttemptOutcome::NotExecuted);
+        }
+        Err(_) => {
+            return not_executed.map_or(AttemptOutcome::TimedOut, AttemptOutcome::NotExecuted);
+        }
     };
     remove_hop_by_hop(&mut head.headers);
     let body = match buffered {
@@ -144,7 +148,7 @@
         BufferedBody::Whole(parts) => {
             let idle_until = gateway.now() + idle_timeout;
             gateway.return_connection(&host.id, connection.sender, idle_until);
-            if let Some(observed) = refusal {
+            if let Some(observed) = not_executed {
                 return AttemptOutcome::NotExecuted(observed);
             }
             ResponseBody::complete(concatenate(parts))
@@ -153,19 +157,19 @@
     AttemptOutcome::Response(Response::from_parts(head, body))
 }
 
-/// What was read of a body.
+/// Result of [`buffer_body`].
 enum BufferedBody {
-    /// All of it, in parts as they came.
+    /// All chunks of the body.
     Whole(VecDeque<Bytes>),
-    /// Its beginning, which is more than is held back.
+    /// The body exceeds [`MAX_BUFFERED_BYTES`]; `rest` has not been read.
     Long {
         buffered: VecDeque<Bytes>,
         rest: Box<Incoming>,
     },
 }
 
-/// Reads a body until it is whole, or longer than what is held back.
-async fn buffer(mut body: Incoming) -> Result<BufferedBody, hyper::Error> {
+/// Reads a body to its end, or until more than [`MAX_BUFFERED_BYTES`] have arrived.
+async fn buffer_body(mut body: Incoming) -> Result<BufferedBody, hyper::Error> {
     let mut parts = VecDeque::new();
     let mut bytes = 0;
     while !body.is_end_stream() {
@@ -186,7 +190,7 @@
     Ok(BufferedBody::Whole(parts))
 }
 
-/// The parts of a body as one; a single part is not copied.
+/// Joins the chunks of a body. Does not copy if there is only one.
 fn concatenate(mut parts: VecDeque<Bytes>) -> Bytes {
     if parts.len() <= 1 {
         return parts.pop_front().unwrap_or_default();
@@ -198,7 +202,8 @@
     whole.into()
 }
 
-/// An attempt that is counted on a host until it ends, or until its client goes and this is dropped.
+/// Guard of an attempt that `choose_host` counted. Dropping it without [`ActiveAttempt::finish`], on a client
+/// disconnect, cancels the attempt.
 struct ActiveAttempt {
     gateway: Rc<GatewayState>,
     service: Arc<str>,
@@ -222,7 +227,7 @@
         }
     }
 
-    /// Records what the attempt met. A time-out counts with the time that it took, like a response.
+    /// Records the result of the attempt. A timeout counts as a response with the latency until the deadline.
     fn finish(mut self, outcome: &AttemptOutcome) {
         self.has_ended = true;
         let observed = match outcome {
--- a/crates/gateway/gateway/src/upstream_connection.rs
+++ b/crates/gateway/gateway/src/upstream_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a host for one attempt: an idle one from the pool, or a new one.
+//! Acquires a connection to a host for one attempt, from the pool or by connecting.
 
 use crate::connection_pool::UpstreamSender;
 use crate::state::GatewayState;
@@ -10,24 +10,23 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout_at};
 
-/// A connection to a host is made in this time, or the host counts as not reached (ours: a way takes a few ms).
+/// Upper bound of the time to connect to a host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(350);
-/// What is buffered of a host's head, and of each part of its body.
+/// Limit of hyper's read buffer, and so of a response head.
 const MAX_BUFFER_BYTES: usize = 64 << 10;
 
 /// A connection to a host, ready for a request.
 pub(crate) struct UpstreamConnection {
-    /// Its sending side.
     pub(crate) sender: UpstreamSender,
-    /// Other requests went by it before.
+    /// The connection came from the pool, so it has carried other requests before.
     pub(crate) is_reused: bool,
 }
 
-/// An idle connection to a host, or else a new one, made by `expires_at`.
+/// Takes an idle connection from the pool, or connects before `expires_at`.
 ///
 /// # Errors
-/// [`Observed::Rejected`] where no further connection may be opened, [`Observed::ConnectFailed`] where none was made: the
-/// host saw nothing of the request.
+/// [`Observed::Rejected`] if this gateway's share of the host's connections is in use, [`Observed::ConnectFailed`] if
+/// connecting failed. In both cases the host received nothing of the request.
 pub(crate) async fn acquire(
     gateway: &Rc<GatewayState>,
     service: &str,
--- a/crates/gateway/gateway/tests/connection_reuse.rs
+++ b/crates/gateway/gateway/tests/connection_reuse.rs
@@ -1,116 +1,133 @@
-//! How long connections to hosts are kept, and what becomes of a request on one that was closed meanwhile.
+//! Reuse of upstream connections: idle timeouts, and connections that the host closes while they are pooled.
 
-mod world;
+mod harness;
 
+use harness::{
+    Harness, HostAction, Setup, Signal, pause, run_scenario, valid_response, wait_until,
+};
 use std::time::Duration;
 use tokio::time::Instant;
-use world::{HostAction, Setup, Signal, World, pause, run_scenario, valid_response, wait_until};
 
-/// What became of the second of two requests.
-struct Reuse {
-    /// It went by the connection of the first.
+/// Result of [`reuse_after_idle`].
+struct ReuseResult {
+    /// The second request used the connection of the first.
     is_reused: bool,
-    /// How long that had rested. A busy machine rests longer, so what was measured counts.
-    rested: Duration,
+    /// Time between the two responses; on a busy machine considerably longer than requested.
+    idle_for: Duration,
 }
 
-/// Sends a request whose response says this of keeping its connection, and after `rest` another one.
-async fn reuse_after(
-    world: &World,
+/// Sends a request whose response has `keep_alive` as its `Keep-Alive` header, and a second one after `idle_time`.
+async fn reuse_after_idle(
+    harness: &Harness,
     keep_alive: &'static str,
     ids: [&str; 2],
-    rest: Duration,
-) -> Reuse {
-    world.hosts.respond_next(move |request| {
-        let text = String::from_utf8(valid_response(request.id())).expect("text");
+    idle_time: Duration,
+) -> ReuseResult {
+    harness.hosts.respond_next(move |request| {
+        let text = String::from_utf8(valid_response(request.id())).expect("the response is UTF-8");
         text.replace("Keep-Alive: timeout=10\r\n", keep_alive)
             .into_bytes()
     });
-    world.expect_valid_exchange(ids[0]).await;
-    let answered = Instant::now();
-    pause(rest).await;
-    world.expect_valid_exchange(ids[1]).await;
-    Reuse {
-        is_reused: world.hosts.connection_of(ids[0]) == world.hosts.connection_of(ids[1]),
-        rested: answered.elapsed(),
+    harness.expect_valid_exchange(ids[0]).await;
+    let answered_at = Instant::now();
+    pause(idle_time).await;
+    harness.expect_valid_exchange(ids[1]).await;
+    ReuseResult {
+        is_reused: harness.hosts.connection_of(ids[0]) == harness.hosts.connection_of(ids[1]),
+        idle_for: answered_at.elapsed(),
     }
 }
 
 #[test]
-fn a_request_is_sent_again_where_its_pooled_connection_was_closed() {
-    run_scenario(Setup::DEFAULT, async |world| {
-        world.hosts.script_next(|request| {
+fn request_is_resent_when_its_pooled_connection_is_closed() {
+    run_scenario(Setup::DEFAULT, async |harness| {
+        harness.hosts.script_next(|request| {
             vec![
                 HostAction::Write(valid_response(request.id())),
                 HostAction::Close,
             ]
         });
-        world.expect_valid_exchange("a1").await;
-        wait_until("it is closed", || world.hosts.is_closed(0)).await;
-        world.expect_valid_exchange("a2").await;
+        harness.expect_valid_exchange("a1").await;
+        wait_until("the connection is closed", || harness.hosts.is_closed(0)).await;
+        harness.expect_valid_exchange("a2").await;
 
-        // The end reaches the gateway together with the next request.
+        // The gateway sees the close and the next request at the same time.
         let close = Signal::default();
-        let waits = close.clone();
-        world.hosts.script_next(move |request| {
+        let host_signal = close.clone();
+        harness.hosts.script_next(move |request| {
             vec![
                 HostAction::Write(valid_response(request.id())),
-                HostAction::Wait(waits),
+                HostAction::Wait(host_signal),
                 HostAction::Close,
             ]
         });
-        let kept = world.make_idle_connection("a3").await;
-        world.freeze_gateway().await;
-        close.give();
-        wait_until("it is closed", || world.hosts.is_closed(kept)).await;
-        let mut client = world.connect_client().await;
+        let kept = harness.make_idle_connection("a3").await;
+        harness.suspend_gateway().await;
+        close.notify();
+        wait_until("the connection is closed", || harness.hosts.is_closed(kept)).await;
+        let mut client = harness.connect_client().await;
         client.send_request("POST", "/m/x", "a4", "", b"").await;
-        world.thaw_gateway();
+        harness.resume_gateway();
 
         let response = client.expect_response().await;
         assert!(
-            response.answers("a4"),
-            "nothing of it had left: {response:?}"
+            response.is_valid_for("a4"),
+            "nothing was sent on the closed connection: {response:?}"
         );
-        assert_eq!(world.hosts.arrivals("a4"), 1);
+        assert_eq!(harness.hosts.request_count("a4"), 1);
     });
 }
 
 #[test]
-fn a_connection_is_used_up_to_four_fifths_of_the_hosts_limit() {
-    run_scenario(Setup::DEFAULT, async |world| {
+fn connection_is_reused_within_four_fifths_of_keep_alive_timeout() {
+    run_scenario(Setup::DEFAULT, async |harness| {
         for ids in [["a1", "a2"], ["a3", "a4"], ["a5", "a6"]] {
-            let rest = Duration::from_millis(720);
-            let reuse = reuse_after(&world, "Keep-Alive: timeout=1\r\n", ids, rest).await;
-            if reuse.rested < Duration::from_millis(790) {
-                let rested = reuse.rested;
-                assert!(reuse.is_reused, "a new one after {rested:?} of a second");
+            let idle_time = Duration::from_millis(720);
+            let reuse =
+                reuse_after_idle(&harness, "Keep-Alive: timeout=1\r\n", ids, idle_time).await;
+            if reuse.idle_for < Duration::from_millis(790) {
+                let idle_for = reuse.idle_for;
+                assert!(
+                    reuse.is_reused,
+                    "not reused after {idle_for:?} with a timeout of 1 s"
+                );
                 return;
             }
         }
-        panic!("this machine is too busy to rest for 0.72 s");
+        panic!("the machine is too busy to measure an idle time of 0.72 s");
     });
 }
 
 #[test]
-fn a_connection_is_not_used_beyond_four_fifths_of_the_hosts_limit() {
-    run_scenario(Setup::DEFAULT, async |world| {
-        let rest = Duration::from_millis(4_850);
-        let reuse = reuse_after(&world, "Keep-Alive: timeout=6\r\n", ["a1", "a2"], rest).await;
-        assert!(!reuse.is_reused, "after {:?} of 6 s", reuse.rested);
+fn connection_is_not_reused_beyond_four_fifths_of_keep_alive_timeout() {
+    run_scenario(Setup::DEFAULT, async |harness| {
+        let idle_time = Duration::from_millis(4_850);
+        let reuse = reuse_after_idle(
+            &harness,
+            "Keep-Alive: timeout=6\r\n",
+            ["a1", "a2"],
+            idle_time,
+        )
+        .await;
+        assert!(
+            !reuse.is_reused,
+            "reused after {:?} with a timeout of 6 s",
+            reuse.idle_for
+        );
     });
 }
 
 #[test]
-fn a_connection_whose_limit_is_not_named_is_hardly_kept() {
-    run_scenario(Setup::DEFAULT, async |world| {
-        // A limit that holds no whole second is not named at all.
+fn connection_without_keep_alive_timeout_expires_within_300_ms() {
+    run_scenario(Setup::DEFAULT, async |harness| {
+        // A timeout of 0 counts as absent.
         for (keep_alive, ids) in [
             ("", ["a1", "a2"]),
             ("Keep-Alive: timeout=0\r\n", ["a3", "a4"]),
         ] {
-            let reuse = reuse_after(&world, keep_alive, ids, Duration::from_millis(300)).await;
-            assert!(!reuse.is_reused, "after {:?}", reuse.rested);
+            let reuse =
+                reuse_after_idle(&harness, keep_alive, ids, Duration::from_millis(300)).await;
+            assert!(!reuse.is_reused, "reused after {:?}", reuse.idle_for);
         }
     });
 }
--- a/crates/gateway/gateway/tests/world/client.rs
+++ b/crates/gateway/gateway/tests/harness/client.rs
@@ -1,4 +1,4 @@
-//! A client that writes what it is told and reads responses strictly by their length.
+//! HTTP/1.1 client that sends arbitrary bytes and reads responses strictly by their framing.
 
 use super::waiting::TIMEOUT;
 use std::io;
@@ -7,14 +7,14 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A response as the client received it.
+/// A response received by the client, possibly truncated.
 #[derive(Debug)]
 pub struct ClientResponse {
     pub status: u16,
     pub head: String,
     pub body: Vec<u8>,
-    /// The body came whole, by its length or its last chunk.
-    pub whole: bool,
+    /// The body reached its `Content-Length` or its last chunk.
+    pub is_complete: bool,
 }
 
 impl ClientResponse {
@@ -25,21 +25,22 @@
             .map(|(_, value)| value)
     }
 
-    /// It is the response that hosts give to this request, and all of it.
-    pub fn answers(&self, id: &str) -> bool {
+    /// Whether this is the complete response of [`valid_response`](super::valid_response) to the request with this id.
+    pub fn is_valid_for(&self, id: &str) -> bool {
         self.status == 200
-            && self.whole
+            && self.is_complete
             && self.header("attempt-id") == Some(id)
             && self.header("response-seal") == Some(&format!("seal-{id}"))
             && self.body == format!("answer to {id}").into_bytes()
     }
 }
 
-/// Whether a response has a body beside its head.
+/// How the client finds the body of a response.
 #[derive(Clone, Copy, PartialEq)]
 enum ExpectedBody {
-    ByItsHead,
-    /// None, whatever the head says: the request was a HEAD.
+    /// By `Content-Length` or `Transfer-Encoding`.
+    FromHeaders,
+    /// There is none, whatever the headers say, because the request method was HEAD.
     None,
 }
 
@@ -56,7 +57,7 @@
             .get_mut()
             .write_all(bytes)
             .await
-            .expect("the gateway reads");
+            .expect("the gateway reads from the connection");
     }
 
     pub async fn send_request(
@@ -80,32 +81,34 @@
         self.write(&bytes).await;
     }
 
-    /// The next response. `None`: the connection ended before one began.
+    /// Reads the next response, `None` if the connection ends before its status line.
     pub async fn next_response(&mut self) -> Option<ClientResponse> {
-        timeout(2 * TIMEOUT, self.read_response(ExpectedBody::ByItsHead))
+        timeout(2 * TIMEOUT, self.read_response(ExpectedBody::FromHeaders))
             .await
-            .expect("an answer or an end in time")
+            .expect("a response or the end of the connection in time")
     }
 
-    /// The next response, which has to begin.
+    /// Reads the next response and panics if the connection ends before its status line.
     pub async fn expect_response(&mut self) -> ClientResponse {
-        self.next_response().await.expect("an answer")
+        self.next_response()
+            .await
+            .expect("a response before the end of the connection")
     }
 
-    /// The next response, to a HEAD.
+    /// Reads the response to a HEAD request, which has no body.
     pub async fn expect_response_to_head(&mut self) -> ClientResponse {
         timeout(2 * TIMEOUT, self.read_response(ExpectedBody::None))
             .await
-            .expect("an answer or an end in time")
-            .expect("an answer")
+            .expect("a response or the end of the connection in time")
+            .expect("a response before the end of the connection")
     }
 
-    /// Whether the gateway ends this connection without a further byte.
+    /// Waits for the gateway to close the connection. Returns false if a byte arrives first.
     pub async fn is_closed_by_gateway(&mut self) -> bool {
         let mut byte = [0];
         let read = timeout(2 * TIMEOUT, self.0.read(&mut byte))
             .await
-            .expect("an end in time");
+            .expect("data or the end of the connection in time");
         !matches!(read, Ok(1))
     }
 
@@ -123,17 +126,17 @@
             .split(' ')
             .nth(1)
             .and_then(|status| status.parse().ok())
-            .expect("a status line");
+            .expect("the status line has a numeric status");
         let mut response = ClientResponse {
             status,
             head: String::new(),
             body: Vec::new(),
-            whole: false,
+            is_complete: false,
         };
         if self.read_headers(&mut response.head).await.is_none() {
             return Some(response);
         }
-        response.whole =
+        response.is_complete =
             expected_body == ExpectedBody::None || self.read_body(&mut response).await.is_some();
         Some(response)
     }
@@ -153,9 +156,9 @@
         if response.header("transfer-encoding") == Some("chunked") {
             return self.read_chunks(&mut response.body).await;
         }
-        let length: usize = response
-            .header("content-length")
-            .map_or(0, |length| length.parse().expect("a length"));
+        let length: usize = response.header("content-length").map_or(0, |length| {
+            length.parse().expect("Content-Length is a number")
+        });
         self.read_bytes(length, &mut response.body).await
     }
 
@@ -172,7 +175,7 @@
     async fn read_chunks(&mut self, body: &mut Vec<u8>) -> Option<()> {
         loop {
             let line = self.read_line().await?;
-            let length = usize::from_str_radix(&line, 16).expect("a chunk's length");
+            let length = usize::from_str_radix(&line, 16).expect("the chunk size is hexadecimal");
             self.read_bytes(length, body).await?;
             self.read_line().await?;
             if length == 0 {
--- a/crates/gateway/gateway/tests/world/controllers.rs
+++ b/crates/gateway/gateway/tests/harness/controllers.rs
@@ -1,5 +1,5 @@
-//! Stand-in controllers: they send the gateway one configuration, one table and a voting set, and answer claims as the
-//! test says. Controllers are named by their number in the world, from 0 on.
+//! Fake controllers: they send the gateway a configuration, an endpoint table and a voting set, and respond to claims
+//! with a verdict set by the test. A controller is identified by its index, from 0.
 
 use super::SERVICE;
 use rushcourse_messages::{
@@ -13,7 +13,7 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// Sessions that a controller of a test takes at most.
+/// Limit of sessions that each fake controller accepts.
 const MAX_SESSIONS: usize = 8;
 const FIRST_EPOCH: Epoch = Epoch(1);
 
@@ -27,19 +27,19 @@
     message: Message,
 }
 
-struct Shared {
+struct SharedState {
     nodes: Vec<NodeId>,
     configuration: Rc<[u8]>,
     endpoints: Vec<EndpointWeight>,
-    /// How claims are answered as they come; `None`: they wait for the test.
+    /// Verdict sent for each claim on arrival; `None` leaves claims pending until the test answers them.
     verdict: Cell<Option<ClaimVerdict>>,
     sessions: RefCell<Vec<ControllerSession>>,
     received: RefCell<Vec<ReceivedMessage>>,
 }
 
-/// All controllers of a world.
+/// Handle to all fake controllers of a harness.
 #[derive(Clone)]
-pub struct Controllers(Rc<Shared>);
+pub struct Controllers(Rc<SharedState>);
 
 impl Controllers {
     pub async fn start(
@@ -48,7 +48,7 @@
         configuration: String,
         endpoints: Vec<EndpointWeight>,
     ) -> Controllers {
-        let shared = Rc::new(Shared {
+        let shared = Rc::new(SharedState {
             nodes: addresses.iter().copied().map(NodeId::from).collect(),
             configuration: configuration.into_bytes().into(),
             endpoints,
@@ -68,49 +68,55 @@
         Controllers(shared)
     }
 
-    /// Claims are granted as they come, or wait for the test.
-    pub fn grant_claims(&self, grants: bool) {
-        let verdict = grants.then_some(ClaimVerdict::Granted);
+    /// Grants claims on arrival, or leaves them pending until [`Controllers::answer_newest_claim`].
+    pub fn set_auto_grant(&self, is_enabled: bool) {
+        let verdict = is_enabled.then_some(ClaimVerdict::Granted);
         self.0.verdict.set(verdict);
     }
 
-    /// Another claim holds whatever is claimed.
-    pub fn report_held_by(&self, holder: ClaimId) {
+    /// Answers every claim with the verdict that `holder` holds the key.
+    pub fn set_claims_held_by(&self, holder: ClaimId) {
         self.0.verdict.set(Some(ClaimVerdict::HeldBy(holder)));
     }
 
-    /// A controller reports a voting set of these members.
+    /// Sends a voting set from a controller to the gateway. `members` are controller indices.
     pub fn report_voting_set(&self, controller: usize, epoch: Epoch, members: &[usize]) {
         let members = members.iter().map(|member| self.0.nodes[*member]).collect();
         let message = Message::VotingSet(voting_set(epoch, members));
         self.send(controller, &message);
     }
 
-    /// A controller's answer to the newest claim that it received.
+    /// Sends a controller's verdict on the newest claim that it received.
     pub fn answer_newest_claim(&self, controller: usize, verdict: ClaimVerdict) {
-        let request = self.claim_requests(controller).pop().expect("a claim");
+        let request = self
+            .claim_requests(controller)
+            .pop()
+            .expect("the controller received a claim");
         self.send(controller, &claim_response(request, verdict));
     }
 
-    /// The newest claim that a controller received.
+    /// Returns key and id of the newest claim that a controller received.
     pub fn newest_claim(&self, controller: usize) -> (KeyDigest, ClaimId) {
-        let request = self.claim_requests(controller).pop().expect("a claim");
+        let request = self
+            .claim_requests(controller)
+            .pop()
+            .expect("the controller received a claim");
         (request.key, request.claim)
     }
 
-    /// The epochs under which claims came to a controller.
+    /// Returns the epochs of all claims that a controller received, in order.
     pub fn claim_epochs(&self, controller: usize) -> Vec<Epoch> {
         let requests = self.claim_requests(controller);
         requests.iter().map(|request| request.epoch).collect()
     }
 
-    /// How often a controller was told of any claim that nothing was sent under it.
-    pub fn withdrawals(&self, controller: usize) -> usize {
+    /// Returns how many withdrawals a controller received.
+    pub fn withdrawal_count(&self, controller: usize) -> usize {
         self.withdrawn_claims(controller).len()
     }
 
-    /// How often a controller was told that nothing was sent under this claim.
-    pub fn withdrawals_of(&self, controller: usize, claim: ClaimId) -> usize {
+    /// Returns how many withdrawals of this claim a controller received.
+    pub fn withdrawal_count_of(&self, controller: usize, claim: ClaimId) -> usize {
         let withdrawn = self.withdrawn_claims(controller);
         withdrawn.iter().filter(|other| **other == claim).count()
     }
@@ -121,7 +127,10 @@
             .iter()
             .rev()
             .find(|session| session.controller == controller);
-        newest.expect("a session").session.send(message);
+        newest
+            .expect("the gateway is connected to the controller")
+            .session
+            .send(message);
     }
 
     fn claim_requests(&self, controller: usize) -> Vec<ClaimRequest> {
@@ -157,7 +166,7 @@
     }
 }
 
-/// A claim as it came to a controller.
+/// A claim received by a controller.
 struct ClaimRequest {
     epoch: Epoch,
     key: KeyDigest,
@@ -186,7 +195,7 @@
 
 #[allow(
     clippy::needless_update,
-    reason = "the set gains fields that don't matter here"
+    reason = "the test does not depend on further fields of the type"
 )]
 fn voting_set(epoch: Epoch, members: Vec<NodeId>) -> VotingSet {
     VotingSet {
@@ -196,11 +205,11 @@
     }
 }
 
-/// Works through one controller's sessions.
+/// Handles the session events of one controller.
 async fn run_controller(
     controller: usize,
     mut events: UnboundedReceiver<SessionEvent>,
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
 ) {
     while let Some(event) = events.recv().await {
         match event {
@@ -224,7 +233,7 @@
     }
 }
 
-fn message_received(shared: &Shared, controller: usize, id: SessionId, message: Message) {
+fn message_received(shared: &SharedState, controller: usize, id: SessionId, message: Message) {
     let sessions = shared.sessions.borrow();
     let Some(open) = sessions
         .iter()
@@ -241,7 +250,7 @@
     });
 }
 
-fn initial_messages(shared: &Shared) -> [Message; 4] {
+fn initial_messages(shared: &SharedState) -> [Message; 4] {
     [
         Message::Controllers(shared.nodes.clone()),
         Message::VotingSet(voting_set(FIRST_EPOCH, shared.nodes.clone())),
@@ -256,7 +265,7 @@
     ]
 }
 
-fn reply(shared: &Shared, message: &Message) -> Option<Message> {
+fn reply(shared: &SharedState, message: &Message) -> Option<Message> {
     match message {
         Message::PrimarySelected(true) => Some(Message::TableReplacement {
             service: SERVICE.into(),
--- a/crates/gateway/gateway/tests/world/expectations.rs
+++ b/crates/gateway/gateway/tests/harness/expectations.rs
@@ -1,11 +1,12 @@
-//! What several tests expect of a gateway and its hosts.
+//! Expectations shared by several test files.
 
-use super::World;
+use super::Harness;
 use super::hosts::{HostAction, HostRequest};
 use super::waiting::wait_until;
 
-impl World {
-    /// A mutating request to whose host this happens gets 502, and was sent once. The connection is not used again.
+impl Harness {
+    /// Sends a mutating request whose host acts by `script`, and expects that the client gets 502, that the request is
+    /// not retried, and that the upstream connection is closed.
     pub async fn expect_bad_gateway(
         &self,
         id: &str,
@@ -14,11 +15,11 @@
         self.hosts.script_next(script);
         let response = self.request("POST", "/m/x", id).await;
         assert_eq!(
-            (response.status, response.whole),
+            (response.status, response.is_complete),
             (502, true),
             "{id}: {response:?}"
         );
-        assert_eq!(self.hosts.arrivals(id), 1, "{id}: sent again");
+        assert_eq!(self.hosts.request_count(id), 1, "{id}: retried");
         let connection = self.hosts.connection_of(id);
         wait_until("the connection is closed", || {
             self.hosts.is_closed(connection)
@@ -27,14 +28,14 @@
         self.expect_valid_exchange(&format!("after-{id}")).await;
     }
 
-    /// A further request is answered as if nothing had been.
+    /// Sends a mutating request and expects a valid response after a single attempt.
     pub async fn expect_valid_exchange(&self, id: &str) {
         let response = self.request("POST", "/m/x", id).await;
-        assert!(response.answers(id), "{id}: {response:?}");
-        assert_eq!(self.hosts.arrivals(id), 1, "{id}");
+        assert!(response.is_valid_for(id), "{id}: {response:?}");
+        assert_eq!(self.hosts.request_count(id), 1, "{id}");
     }
 
-    /// Makes sure that there is an idle connection to a host, and returns it.
+    /// Completes one exchange, which leaves an idle upstream connection, and returns the connection's number.
     pub async fn make_idle_connection(&self, id: &str) -> usize {
         self.expect_valid_exchange(id).await;
         self.hosts.connection_of(id)
--- a/crates/gateway/gateway/tests/world/gateway.rs
+++ b/crates/gateway/gateway/tests/harness/gateway.rs
@@ -1,4 +1,4 @@
-//! The gateway process that is tested.
+//! The gateway process under test.
 
 use super::client::Client;
 use super::waiting::{POLL_INTERVAL, TIMEOUT, wait_until};
@@ -8,31 +8,33 @@
 use std::process::{Child, Command, Stdio};
 use tokio::time::Instant;
 
-/// Ports of a gateway. Below those that outgoing connections take, and free: each world has a network of its own.
+/// Below the ephemeral port range, and free because each harness has a network of its own.
 const CLIENT_PORT: u16 = 8548;
+/// Below the ephemeral port range, and free because each harness has a network of its own.
 const READINESS_PORT: u16 = 8542;
-/// Where nodes open sessions with each other.
+/// Port for sessions between nodes.
 pub const INTERNAL_PORT: u16 = 7540;
 
-/// A running gateway. It is killed when this goes; its log is printed if the test failed.
+/// A running gateway. Dropping it kills the process, and prints its log if the test failed.
 pub struct Gateway {
     address: Ipv4Addr,
     process: Child,
-    folder: PathBuf,
+    directory: PathBuf,
 }
 
 impl Gateway {
-    /// Starts the program at an address, with these controllers as seeds.
+    /// Starts the `gateway` binary with `controllers` as its seed nodes.
     pub fn start(address: Ipv4Addr, controllers: &[Ipv4Addr]) -> Gateway {
         let [_, second, third, _] = address.octets();
-        let folder = std::env::temp_dir().join(format!(
+        let directory = std::env::temp_dir().join(format!(
             "gateway-test-{}-{second}-{third}",
             std::process::id()
         ));
-        std::fs::create_dir_all(&folder).expect("a folder");
-        let file = folder.join("front.conf");
-        std::fs::write(&file, settings(address, controllers)).expect("a settings file");
-        let log = File::create(folder.join("log")).expect("a log");
+        std::fs::create_dir_all(&directory).expect("the directory is created");
+        let file = directory.join("front.conf");
+        std::fs::write(&file, settings(address, controllers))
+            .expect("the settings file is written");
+        let log = File::create(directory.join("log")).expect("the log file is created");
         let process = Command::new(env!("CARGO_BIN_EXE_gateway"))
             .arg("--settings")
             .arg(&file)
@@ -43,7 +45,7 @@
         Gateway {
             address,
             process,
-            folder,
+            directory,
         }
     }
 
@@ -51,31 +53,31 @@
         SocketAddrV4::new(self.address, CLIENT_PORT)
     }
 
-    /// Waits until the gateway says that it is ready.
+    /// Polls the readiness endpoint until it responds with 200.
     pub async fn wait_until_ready(&self) {
         let address = SocketAddrV4::new(self.address, READINESS_PORT);
         let end = Instant::now() + TIMEOUT;
         while !is_ready(address).await {
-            assert!(Instant::now() < end, "the gateway is never ready");
+            assert!(Instant::now() < end, "the gateway is not ready in time");
             tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Stops the process; nothing of it runs any more once this returns.
-    pub async fn freeze(&self) {
+    /// Sends SIGSTOP and waits until the process is stopped.
+    pub async fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.process.id());
         let is_stopped = |stat: String| {
             let after_name = stat.rsplit(')').next();
             after_name.is_some_and(|fields| fields.starts_with(" T"))
         };
-        wait_until("the gateway stands still", || {
+        wait_until("the gateway process is stopped", || {
             std::fs::read_to_string(&stat).is_ok_and(is_stopped)
         })
         .await;
     }
 
-    pub fn thaw(&self) {
+    pub fn resume(&self) {
         self.signal("-CONT");
     }
 
@@ -84,7 +86,7 @@
             .arg(name)
             .arg(self.process.id().to_string())
             .status();
-        assert!(status.expect("kill").success(), "{name}");
+        assert!(status.expect("kill runs").success(), "kill {name} failed");
     }
 }
 
@@ -93,11 +95,11 @@
         let _ = self.process.kill();
         let _ = self.process.wait();
         if std::thread::panicking()
-            && let Ok(log) = std::fs::read_to_string(self.folder.join("log"))
+            && let Ok(log) = std::fs::read_to_string(self.directory.join("log"))
         {
             eprintln!("log of the gateway:\n{log}");
         }
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
 
--- a/crates/gateway/gateway/tests/world/hosts.rs
+++ b/crates/gateway/gateway/tests/harness/hosts.rs
@@ -1,5 +1,5 @@
-//! Stand-in hosts. All share one script, in the order in which requests come to any of them; what it does not say is
-//! answered well.
+//! Fake hosts. They share one queue of scripts: each request to any host takes the next script, or gets a valid
+//! response if the queue is empty.
 
 use super::waiting::Signal;
 use socket2::SockRef;
@@ -11,11 +11,11 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A request as it came to a host.
+/// A complete request received by a host.
 #[derive(Clone, Debug)]
 pub struct HostRequest {
     pub host: usize,
-    /// Counted over all hosts.
+    /// Number of the connection, from 0 across all hosts.
     pub connection: usize,
     pub head: String,
     pub body: Vec<u8>,
@@ -29,41 +29,44 @@
             .map(|(_, value)| value)
     }
 
-    /// Its `Attempt-Id`.
+    /// Returns the `Attempt-Id`, or "none" if the header is absent.
     pub fn id(&self) -> &str {
         self.header("attempt-id").unwrap_or("none")
     }
 }
 
-/// What a host does once it has read a request.
+/// A step of a host's script, run after it has read a request.
 pub enum HostAction {
     Write(Vec<u8>),
-    /// Until the test says so.
+    /// Waits until the test notifies the signal.
     Wait(Signal),
+    /// Closes the connection with FIN.
     Close,
+    /// Closes the connection with RST.
     Reset,
-    /// Sends nothing any more, until the other side closes.
+    /// Sends nothing more and closes once the gateway closes the connection.
     StopResponding,
 }
 
 type Script = Box<dyn FnOnce(&HostRequest) -> Vec<HostAction>>;
 
-/// What a host does with a new connection.
+/// How a host treats a new connection.
 #[derive(Clone, Copy, PartialEq)]
 pub enum ConnectionBehavior {
+    /// Reads requests and runs their scripts.
     Serves,
-    /// Resets after the first byte of a request.
+    /// Resets the connection after the first byte of a request.
     ResetsAtFirstByte,
-    /// Takes the connection and never reads.
+    /// Accepts the connection and never reads from it.
     NeverReads,
 }
 
-/// A response with this status, attempt id, further headers and body.
+/// Encodes a response. `status` is code and reason phrase; each line of `headers` ends with CRLF.
 pub fn response(status: &str, id: &str, headers: &str, body: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status}\r\nAttempt-Id: {id}\r\n{headers}\r\n{body}").into_bytes()
 }
 
-/// The response that a host in order gives to a request: head with its id, seal and length, then the body.
+/// Encodes the default response to the request with this id: 200 with attempt id, seal, keep-alive timeout and length.
 pub fn valid_response(id: &str) -> Vec<u8> {
     let body = format!("answer to {id}");
     let headers = format!(
@@ -73,26 +76,26 @@
     response("200 OK", id, &headers, &body)
 }
 
-struct Shared {
+struct SharedState {
     requests: RefCell<Vec<HostRequest>>,
     scripts: RefCell<VecDeque<Script>>,
     behavior: Cell<ConnectionBehavior>,
     connections: Cell<usize>,
     closed: RefCell<Vec<usize>>,
-    /// Requests of which bytes came, and not all of them.
+    /// Requests of which a host with `ResetsAtFirstByte` received the first byte.
     started_requests: Cell<usize>,
 }
 
-/// All hosts of a world.
+/// Handle to all fake hosts of a harness.
 #[derive(Clone)]
 pub struct Hosts {
-    shared: Rc<Shared>,
+    shared: Rc<SharedState>,
     addresses: Rc<Vec<SocketAddr>>,
 }
 
 impl Hosts {
     pub async fn start(address: Ipv4Addr, count: usize) -> Hosts {
-        let shared = Rc::new(Shared {
+        let shared = Rc::new(SharedState {
             requests: RefCell::default(),
             scripts: RefCell::default(),
             behavior: Cell::new(ConnectionBehavior::Serves),
@@ -104,8 +107,8 @@
         for host in 0..count {
             let listener = TcpListener::bind((address, 0))
                 .await
-                .expect("an address of loopback");
-            addresses.push(listener.local_addr().expect("an address"));
+                .expect("a loopback port is free");
+            addresses.push(listener.local_addr().expect("the listener is bound"));
             tokio::task::spawn_local(accept_connections(host, listener, shared.clone()));
         }
         Hosts {
@@ -118,63 +121,63 @@
         &self.addresses
     }
 
-    /// What is done with the next request that the script says nothing of yet.
+    /// Appends a script for the next request without one.
     pub fn script_next(&self, script: impl FnOnce(&HostRequest) -> Vec<HostAction> + 'static) {
         self.shared.scripts.borrow_mut().push_back(Box::new(script));
     }
 
-    /// The next request gets these bytes as its response.
+    /// Appends a script that writes these bytes as the response.
     pub fn respond_next(&self, bytes: impl FnOnce(&HostRequest) -> Vec<u8> + 'static) {
         self.script_next(|request| vec![HostAction::Write(bytes(request))]);
     }
 
-    /// The next request gets a valid response once the test gives the signal that this returns.
+    /// Appends a script that sends a valid response once the returned signal is notified.
     pub fn delay_next(&self) -> Signal {
         let signal = Signal::default();
-        let waits = signal.clone();
+        let host_signal = signal.clone();
         self.script_next(move |request| {
             vec![
-                HostAction::Wait(waits),
+                HostAction::Wait(host_signal),
                 HostAction::Write(valid_response(request.id())),
             ]
         });
         signal
     }
 
-    /// What hosts do with connections that come from now on.
+    /// Sets how hosts treat connections accepted from now on.
     pub fn set_behavior(&self, behavior: ConnectionBehavior) {
         self.shared.behavior.set(behavior);
     }
 
-    /// The whole requests that came, in their order.
+    /// Returns all complete requests in the order of their arrival.
     pub fn requests(&self) -> Vec<HostRequest> {
         self.shared.requests.borrow().clone()
     }
 
-    /// How often requests with this id came to hosts.
-    pub fn arrivals(&self, id: &str) -> usize {
+    /// Returns how many requests with this attempt id hosts received.
+    pub fn request_count(&self, id: &str) -> usize {
         let requests = self.shared.requests.borrow();
         requests.iter().filter(|request| request.id() == id).count()
     }
 
-    /// The connection by which a request came.
+    /// Returns the number of the connection on which the first request with this attempt id arrived.
     pub fn connection_of(&self, id: &str) -> usize {
         let requests = self.shared.requests.borrow();
         let request = requests.iter().find(|request| request.id() == id);
-        request.expect("it came").connection
+        request.expect("a host received the request").connection
     }
 
-    /// How many connections came.
+    /// Returns how many connections hosts accepted.
     pub fn connection_count(&self) -> usize {
         self.shared.connections.get()
     }
 
-    /// Whether the gateway, or the script, ended a connection.
+    /// Whether the gateway or a script closed a connection.
     pub fn is_closed(&self, connection: usize) -> bool {
         self.shared.closed.borrow().contains(&connection)
     }
 
-    /// How many requests were begun at hosts that read no whole one.
+    /// Returns how many requests were reset after their first byte.
     pub fn started_requests(&self) -> usize {
         self.shared.started_requests.get()
     }
@@ -183,12 +186,12 @@
 fn reset(stream: &TcpStream) {
     SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
-        .expect("a reset");
+        .expect("SO_LINGER is set");
 }
 
-async fn accept_connections(host: usize, listener: TcpListener, shared: Rc<Shared>) {
+async fn accept_connections(host: usize, listener: TcpListener, shared: Rc<SharedState>) {
     loop {
-        let (stream, _) = listener.accept().await.expect("a connection");
+        let (stream, _) = listener.accept().await.expect("accept succeeds");
         let connection = shared.connections.get();
         shared.connections.set(connection + 1);
         let shared = shared.clone();
@@ -211,8 +214,8 @@
     }
 }
 
-async fn serve(host: usize, connection: usize, mut stream: TcpStream, shared: &Shared) {
-    stream.set_nodelay(true).expect("small answers at once");
+async fn serve(host: usize, connection: usize, mut stream: TcpStream, shared: &SharedState) {
+    stream.set_nodelay(true).expect("TCP_NODELAY is set");
     while let Some(request) = read_request(host, connection, &mut stream).await {
         shared.requests.borrow_mut().push(request.clone());
         let script = shared.scripts.borrow_mut().pop_front();
@@ -227,7 +230,7 @@
                         return;
                     }
                 }
-                HostAction::Wait(signal) => signal.given().await,
+                HostAction::Wait(signal) => signal.notified().await,
                 HostAction::Close => return,
                 HostAction::Reset => return reset(&stream),
                 HostAction::StopResponding => {
@@ -239,7 +242,7 @@
     }
 }
 
-/// One whole request.
+/// Reads a request by its `Content-Length`. `None` if the connection ends before its last byte.
 async fn read_request(
     host: usize,
     connection: usize,
@@ -253,29 +256,29 @@
         read_some(stream, &mut bytes).await?;
     };
     let mut body = bytes.split_off(head_end);
-    let head = String::from_utf8(bytes).expect("a head in text");
+    let head = String::from_utf8(bytes).expect("the head is UTF-8");
     let mut request = HostRequest {
         host,
         connection,
         head,
         body: Vec::new(),
     };
-    let length: usize = request
-        .header("content-length")
-        .map_or(0, |length| length.parse().expect("a length"));
+    let length: usize = request.header("content-length").map_or(0, |length| {
+        length.parse().expect("Content-Length is a number")
+    });
     while body.len() < length {
         read_some(stream, &mut body).await?;
     }
     assert_eq!(
         body.len(),
         length,
-        "bytes behind a request that waits for its answer"
+        "the gateway sent bytes beyond a request that has no response yet"
     );
     request.body = body;
     Some(request)
 }
 
-/// Adds what comes next to these bytes. `None`: the connection ended.
+/// Reads available bytes into `bytes`. `None` if the connection has ended.
 async fn read_some(stream: &mut TcpStream, bytes: &mut Vec<u8>) -> Option<()> {
     let mut part = [0; 4096];
     let read = stream.read(&mut part).await.ok().filter(|read| *read > 0)?;
--- a/crates/gateway/gateway/tests/world/mod.rs
+++ b/crates/gateway/gateway/tests/harness/mod.rs
@@ -1,10 +1,10 @@
-//! A gateway process on loopback between clients, stand-in hosts and stand-in controllers of the test. Nothing here waits
-//! for a fixed time: each wait is for what is expected, and fails after [`TIMEOUT`].
+//! Runs a gateway process on loopback with in-process clients, fake hosts and fake controllers. Waits poll for a
+//! condition and fail after [`TIMEOUT`].
 
 #![allow(
     dead_code,
     unused_imports,
-    reason = "each test file uses its part of it"
+    reason = "each test file uses only some of the helpers"
 )]
 
 pub mod client;
@@ -29,22 +29,22 @@
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::time::Duration;
 
-/// The one service of the configuration.
+/// The only service of the configuration.
 pub const SERVICE: &str = "s";
-/// Worlds of one test process at most.
-const MAX_WORLDS: u8 = 32;
+/// Limit of harnesses in one test process, set by the addresses that [`unique_network`] has for a process.
+const MAX_HARNESSES: u8 = 32;
 
-/// What a test's world is made of.
+/// Parameters of a [`Harness`].
 #[derive(Clone, Copy)]
 pub struct Setup {
     pub hosts: usize,
     pub controllers: usize,
-    /// Of clients' connections.
+    /// `idle_timeout_s` for client connections.
     pub idle_timeout: Duration,
 }
 
 impl Setup {
-    /// One host, one controller, and an idle time-out that no test reaches.
+    /// One host, one controller, and an idle timeout that no test with this setup reaches.
     pub const DEFAULT: Setup = Setup {
         hosts: 1,
         controllers: 1,
@@ -56,32 +56,32 @@
     };
 }
 
-/// A gateway that is ready, and all that is around it.
-pub struct World {
+/// A ready gateway process with its fake hosts and controllers.
+pub struct Harness {
     pub hosts: Hosts,
     pub controllers: Controllers,
-    /// An address of this world that nothing uses.
+    /// A free address in the harness's network, for a further node.
     pub unused_address: Ipv4Addr,
     gateway: Gateway,
 }
 
-/// Plays a scenario against a gateway that is ready.
-pub fn run_scenario<F: Future<Output = ()>>(setup: Setup, scenario: impl FnOnce(Rc<World>) -> F) {
+/// Starts a [`Harness`], waits until its gateway is ready and runs the scenario within four times [`TIMEOUT`].
+pub fn run_scenario<F: Future<Output = ()>>(setup: Setup, scenario: impl FnOnce(Rc<Harness>) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the runtime is built");
     let tasks = tokio::task::LocalSet::new();
     tasks.block_on(&runtime, async move {
-        let world = Rc::new(World::start(setup).await);
-        tokio::time::timeout(4 * TIMEOUT, scenario(world))
+        let harness = Rc::new(Harness::start(setup).await);
+        tokio::time::timeout(4 * TIMEOUT, scenario(harness))
             .await
             .expect("the scenario ends in time");
     });
 }
 
-impl World {
-    async fn start(setup: Setup) -> World {
+impl Harness {
+    async fn start(setup: Setup) -> Harness {
         let [second, third] = unique_network();
         let address = |fourth: u8| Ipv4Addr::new(127, second, third, fourth);
         let hosts = Hosts::start(address(100), setup.hosts).await;
@@ -98,7 +98,7 @@
             Controllers::start(&nodes, INTERNAL_PORT, configuration(setup), endpoints).await;
         let gateway = Gateway::start(address(1), &nodes);
         gateway.wait_until_ready().await;
-        World {
+        Harness {
             hosts,
             controllers,
             unused_address: address(50),
@@ -106,26 +106,24 @@
         }
     }
 
-    /// Where the gateway takes clients.
     pub fn gateway_address(&self) -> SocketAddrV4 {
         self.gateway.client_address()
     }
 
-    /// A client that is connected to the gateway.
     pub async fn connect_client(&self) -> Client {
         Client::connect(self.gateway_address())
             .await
-            .expect("the gateway takes clients")
+            .expect("the gateway accepts client connections")
     }
 
-    /// The response to one request on a connection of its own.
+    /// Sends a request without a body on a new connection and returns the response.
     pub async fn request(&self, method: &str, path: &str, id: &str) -> ClientResponse {
         let mut client = self.connect_client().await;
         client.send_request(method, path, id, "", b"").await;
         client.expect_response().await
     }
 
-    /// The response to one attempt of an operation, on a connection of its own.
+    /// Sends one attempt of an operation, on the idempotent route and on a new connection, and returns the response.
     pub async fn request_operation(&self, key: &str, id: &str) -> ClientResponse {
         let mut client = self.connect_client().await;
         let headers = format!("Operation-Key: {key}\r\n");
@@ -133,30 +131,31 @@
         client.expect_response().await
     }
 
-    /// The gateway stands still, and nothing of it runs any more once this returns.
-    pub async fn freeze_gateway(&self) {
-        self.gateway.freeze().await;
+    /// Stops the gateway process with SIGSTOP and waits until it is stopped.
+    pub async fn suspend_gateway(&self) {
+        self.gateway.suspend().await;
     }
 
-    /// The gateway runs again.
-    pub fn thaw_gateway(&self) {
-        self.gateway.thaw();
+    /// Continues the gateway process after [`Harness::suspend_gateway`].
+    pub fn resume_gateway(&self) {
+        self.gateway.resume();
     }
 }
 
-/// A network of loopback for one world: tests of several processes run beside each other.
+/// Returns the second and third octet of a loopback network that no other harness uses, so that test processes can run
+/// in parallel.
 fn unique_network() -> [u8; 2] {
     static NEXT: AtomicU8 = AtomicU8::new(0);
     let number = NEXT.fetch_add(1, Ordering::Relaxed);
-    assert!(number < MAX_WORLDS, "too many worlds in one process");
+    assert!(number < MAX_HARNESSES, "too many harnesses in one process");
     let process = std::process::id();
     [
         (process % 200) as u8 + 20,
-        (process / 200 % 8) as u8 * MAX_WORLDS + number,
+        (process / 200 % 8) as u8 * MAX_HARNESSES + number,
     ]
 }
 
-/// A route of each kind: `/r/` (read only), `/m/` (mutating) and `/k/` (idempotent).
+/// Configuration with one route of each kind: `/r/` (read-only), `/m/` (mutating) and `/k/` (idempotent).
 fn configuration(setup: Setup) -> String {
     let route = |kind: &str, path: &str| {
         format!(r#"["{path}","a.example","/{path}/","{kind}",10,0.25,null,2,"{SERVICE}"]"#)
--- a/crates/gateway/gateway/tests/idempotency.rs
+++ b/crates/gateway/gateway/tests/idempotency.rs
@@ -1,7 +1,11 @@
-//! Operations with a key: one run, whatever becomes of its client, of its claim, or of the voting set.
+//! Operations with an idempotency key are executed at most once, across client disconnects, lost claims and changes of
+//! the voting set.
 
-mod world;
+mod harness;
 
+use harness::{
+    ClientResponse, Harness, HostAction, INTERNAL_PORT, Setup, pause, run_scenario, wait_until,
+};
 use rushcourse_messages::{
     ClaimId, ClaimVerdict, Handshake, Message, OperationState, PROTOCOL_VERSION, Role,
 };
@@ -11,9 +15,6 @@
 use std::time::Duration;
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 use tokio::task::JoinHandle;
-use world::{
-    ClientResponse, HostAction, INTERNAL_PORT, Setup, World, pause, run_scenario, wait_until,
-};
 
 const THREE_CONTROLLERS: Setup = Setup {
     controllers: 3,
@@ -24,52 +25,59 @@
     ..Setup::DEFAULT
 };
 
-/// Begins an operation whose claim waits for the test at all controllers.
-async fn start_undecided_operation(
-    world: &Rc<World>,
+/// Starts operation `k1` and leaves its claim pending at the first `controllers` controllers.
+async fn start_operation_with_pending_claim(
+    harness: &Rc<Harness>,
     controllers: usize,
 ) -> JoinHandle<ClientResponse> {
-    world.controllers.grant_claims(false);
-    let asking_world = world.clone();
+    harness.controllers.set_auto_grant(false);
+    let operation_harness = harness.clone();
     let operation =
-        tokio::task::spawn_local(async move { asking_world.request_operation("k1", "a1").await });
-    wait_until("all are asked", || {
-        (0..controllers).all(|controller| world.controllers.claim_epochs(controller) == [Epoch(1)])
+        tokio::task::spawn_local(
+            async move { operation_harness.request_operation("k1", "a1").await },
+        );
+    wait_until("all controllers received the claim", || {
+        (0..controllers)
+            .all(|controller| harness.controllers.claim_epochs(controller) == [Epoch(1)])
     })
     .await;
     operation
 }
 
-/// Gives up an operation's claim, and returns it: nobody votes. There are three controllers.
-async fn give_up_a_claim(world: &World, key: &str, id: &str) -> (KeyDigest, ClaimId) {
-    world.controllers.grant_claims(false);
-    let response = world.request_operation(key, id).await;
-    assert_eq!(response.status, 503, "nobody votes");
-    let (key, claim) = world.controllers.newest_claim(0);
-    wait_until("all are told", || {
-        (0..3).all(|controller| world.controllers.withdrawals_of(controller, claim) == 1)
+/// Lets the claim of an operation time out without a verdict and be withdrawn from three controllers. Returns the key
+/// and the claim.
+async fn abandon_claim(harness: &Harness, key: &str, id: &str) -> (KeyDigest, ClaimId) {
+    harness.controllers.set_auto_grant(false);
+    let response = harness.request_operation(key, id).await;
+    assert_eq!(response.status, 503, "no voter grants the claim");
+    let (key, claim) = harness.controllers.newest_claim(0);
+    wait_until("all controllers received the withdrawal", || {
+        (0..3).all(|controller| harness.controllers.withdrawal_count_of(controller, claim) == 1)
     })
     .await;
     (key, claim)
 }
 
 #[test]
-fn an_operation_runs_on_without_its_client_and_its_repeat_gets_its_response() {
-    run_scenario(Setup::TWO_HOSTS, async |world| {
-        let first_response = world.hosts.delay_next();
-        let mut client = world.connect_client().await;
+fn operation_survives_client_disconnect_and_its_retry_gets_the_response() {
+    run_scenario(Setup::TWO_HOSTS, async |harness| {
+        let first_response = harness.hosts.delay_next();
+        let mut client = harness.connect_client().await;
         client
             .send_request("POST", "/k/x", "a1", "Operation-Key: k1\r\n", b"")
             .await;
-        wait_until("it came", || world.hosts.arrivals("a1") == 1).await;
+        wait_until("the request arrives", || {
+            harness.hosts.request_count("a1") == 1
+        })
+        .await;
 
         drop(client);
-        let response = world.request_operation("k1", "a2").await;
-        assert_eq!(response.status, 409, "at work");
-        first_response.give();
-        let mut response = world.request_operation("k1", "a3").await;
+        let response = harness.request_operation("k1", "a2").await;
+        assert_eq!(response.status, 409, "the operation is running");
+        first_response.notify();
+        let mut response = harness.request_operation("k1", "a3").await;
         while response.status == 409 {
-            response = world.request_operation("k1", "a3").await;
+            response = harness.request_operation("k1", "a3").await;
         }
 
         assert_eq!(
@@ -80,163 +88,172 @@
             (response.body.as_slice(), response.header("attempt-id")),
             (b"answer to a1".as_slice(), Some("a3"))
         );
-        assert_eq!(world.hosts.requests().len(), 1, "one run");
+        assert_eq!(harness.hosts.requests().len(), 1, "executed once");
     });
 }
 
 #[test]
-fn an_operation_is_not_retried_after_a_reset_or_a_timeout() {
-    run_scenario(Setup::TWO_HOSTS, async |world| {
-        world.hosts.script_next(|_| vec![HostAction::Reset]);
-        assert_eq!(world.request_operation("k1", "a1").await.status, 502);
+fn operation_is_not_retried_after_a_reset_or_timeout() {
+    run_scenario(Setup::TWO_HOSTS, async |harness| {
+        harness.hosts.script_next(|_| vec![HostAction::Reset]);
+        assert_eq!(harness.request_operation("k1", "a1").await.status, 502);
         assert_eq!(
-            world.request_operation("k1", "a2").await.status,
+            harness.request_operation("k1", "a2").await.status,
             409,
-            "whether it ran is not known"
+            "the operation may have been executed"
         );
 
-        world
+        harness
             .hosts
             .script_next(|_| vec![HostAction::StopResponding]);
-        let mut client = world.connect_client().await;
+        let mut client = harness.connect_client().await;
         let headers = "Operation-Key: k2\r\nDeadline-Milliseconds: 300\r\n";
         client
             .send_request("POST", "/k/x", "a3", headers, b"")
             .await;
         assert_eq!(client.expect_response().await.status, 504);
-        assert_eq!(world.request_operation("k2", "a4").await.status, 409);
+        assert_eq!(harness.request_operation("k2", "a4").await.status, 409);
 
-        assert_eq!(world.hosts.requests().len(), 2);
+        assert_eq!(harness.hosts.requests().len(), 2);
     });
 }
 
 #[test]
-fn a_pending_claim_wins_under_a_new_voting_set() {
-    run_scenario(FIVE_CONTROLLERS, async |world| {
-        let operation = start_undecided_operation(&world, 5).await;
+fn pending_claim_is_granted_under_a_new_voting_set() {
+    run_scenario(FIVE_CONTROLLERS, async |harness| {
+        let operation = start_operation_with_pending_claim(&harness, 5).await;
 
-        // The first set is all five; the second one has lost the last of them.
-        let controllers = &world.controllers;
+        // Epoch 1 has all five controllers, epoch 2 all but the last.
+        let controllers = &harness.controllers;
         controllers.answer_newest_claim(0, ClaimVerdict::Granted);
         controllers.answer_newest_claim(4, ClaimVerdict::Granted);
         controllers.report_voting_set(1, Epoch(2), &[0, 1, 2, 3]);
         controllers.answer_newest_claim(1, ClaimVerdict::Abstained);
-        wait_until("the new set is asked", || {
+        wait_until("the new voting set received the claim", || {
             (0..4).all(|voter| controllers.claim_epochs(voter) == [Epoch(1), Epoch(2)])
         })
         .await;
         assert_eq!(controllers.claim_epochs(4), [Epoch(1)]);
 
-        // Two of the former set and two of the new one are no majority; three of the new one are.
+        // Grants of different epochs do not add up: the claim needs three grants of the new set.
         controllers.answer_newest_claim(1, ClaimVerdict::Granted);
         controllers.answer_newest_claim(2, ClaimVerdict::Granted);
-        assert_eq!(world.hosts.requests().len(), 0);
+        assert_eq!(harness.hosts.requests().len(), 0);
         controllers.answer_newest_claim(0, ClaimVerdict::Granted);
-        let response = operation.await.expect("an answer");
-        assert!(response.answers("a1"), "{response:?}");
+        let response = operation.await.expect("the client task ends");
+        assert!(response.is_valid_for("a1"), "{response:?}");
         assert_eq!(
-            (world.hosts.arrivals("a1"), controllers.withdrawals(4)),
+            (
+                harness.hosts.request_count("a1"),
+                controllers.withdrawal_count(4)
+            ),
             (1, 0)
         );
     });
 }
 
 #[test]
-fn a_claim_that_is_given_up_is_withdrawn_at_the_voters_of_both_sets() {
-    run_scenario(THREE_CONTROLLERS, async |world| {
-        let operation = start_undecided_operation(&world, 3).await;
+fn abandoned_claim_is_withdrawn_from_voters_of_both_sets() {
+    run_scenario(THREE_CONTROLLERS, async |harness| {
+        let operation = start_operation_with_pending_claim(&harness, 3).await;
 
-        world.controllers.report_voting_set(0, Epoch(2), &[0, 1]);
+        harness.controllers.report_voting_set(0, Epoch(2), &[0, 1]);
 
-        let response = operation.await.expect("an answer");
-        assert_eq!(response.status, 503, "nobody votes");
-        wait_until("all are told", || {
-            (0..3).all(|voter| world.controllers.withdrawals(voter) == 1)
+        let response = operation.await.expect("the client task ends");
+        assert_eq!(response.status, 503, "no voter grants the claim");
+        wait_until("all controllers received the withdrawal", || {
+            (0..3).all(|voter| harness.controllers.withdrawal_count(voter) == 1)
         })
         .await;
-        assert_eq!(world.hosts.requests().len(), 0);
-        // The key is free again, and three later votes of the first claim are nobody's.
+        assert_eq!(harness.hosts.requests().len(), 0);
+        // The key is free again, and late grants for the withdrawn claim are ignored.
         for voter in 0..3 {
-            world
+            harness
                 .controllers
                 .answer_newest_claim(voter, ClaimVerdict::Granted);
         }
-        world.controllers.grant_claims(true);
-        assert!(world.request_operation("k1", "a2").await.answers("a2"));
+        harness.controllers.set_auto_grant(true);
+        assert!(
+            harness
+                .request_operation("k1", "a2")
+                .await
+                .is_valid_for("a2")
+        );
     });
 }
 
 #[test]
-fn grants_that_a_frozen_gateway_reads_late_do_not_count() {
-    run_scenario(THREE_CONTROLLERS, async |world| {
-        let operation = start_undecided_operation(&world, 3).await;
+fn grants_read_after_the_claim_timeout_are_ignored() {
+    run_scenario(THREE_CONTROLLERS, async |harness| {
+        let operation = start_operation_with_pending_claim(&harness, 3).await;
 
-        world.freeze_gateway().await;
+        harness.suspend_gateway().await;
         for voter in 0..3 {
-            world
+            harness
                 .controllers
                 .answer_newest_claim(voter, ClaimVerdict::Granted);
         }
         pause(Duration::from_millis(500)).await;
-        world.thaw_gateway();
+        harness.resume_gateway();
 
-        assert_eq!(operation.await.expect("an answer").status, 503);
-        wait_until("all are told", || {
-            (0..3).all(|voter| world.controllers.withdrawals(voter) == 1)
+        assert_eq!(operation.await.expect("the client task ends").status, 503);
+        wait_until("all controllers received the withdrawal", || {
+            (0..3).all(|voter| harness.controllers.withdrawal_count(voter) == 1)
         })
         .await;
-        assert_eq!(world.hosts.requests().len(), 0);
+        assert_eq!(harness.hosts.requests().len(), 0);
     });
 }
 
 #[test]
-fn voters_that_missed_a_withdrawal_get_it_again() {
-    run_scenario(THREE_CONTROLLERS, async |world| {
-        let (_, claim) = give_up_a_claim(&world, "k1", "a1").await;
+fn withdrawal_is_resent_to_voters_that_missed_it() {
+    run_scenario(THREE_CONTROLLERS, async |harness| {
+        let (_, claim) = abandon_claim(&harness, "k1", "a1").await;
 
-        // They never heard that the first claim was withdrawn.
-        world.controllers.report_held_by(claim);
+        // The voters missed the withdrawal and still hold the first claim.
+        harness.controllers.set_claims_held_by(claim);
 
         assert_eq!(
-            world.request_operation("k1", "a2").await.status,
+            harness.request_operation("k1", "a2").await.status,
             503,
-            "nothing was sent, and the key comes free"
+            "the request was not executed and the key is being freed"
         );
-        wait_until("all are told again", || {
-            (0..3).all(|voter| world.controllers.withdrawals_of(voter, claim) == 2)
+        wait_until("all controllers received a second withdrawal", || {
+            (0..3).all(|voter| harness.controllers.withdrawal_count_of(voter, claim) == 2)
         })
         .await;
-        assert_eq!(world.hosts.requests().len(), 0);
+        assert_eq!(harness.hosts.requests().len(), 0);
     });
 }
 
 #[test]
-fn a_claim_of_an_earlier_incarnation_is_not_withdrawn() {
-    run_scenario(THREE_CONTROLLERS, async |world| {
-        let (_, claim) = give_up_a_claim(&world, "k1", "a1").await;
+fn claim_of_an_earlier_incarnation_is_not_withdrawn() {
+    run_scenario(THREE_CONTROLLERS, async |harness| {
+        let (_, claim) = abandon_claim(&harness, "k1", "a1").await;
 
         let earlier = ClaimId {
             incarnation: Incarnation(claim.incarnation.0 ^ 1),
             ..claim
         };
-        world.controllers.report_held_by(earlier);
+        harness.controllers.set_claims_held_by(earlier);
 
         assert_eq!(
-            world.request_operation("k1", "a2").await.status,
+            harness.request_operation("k1", "a2").await.status,
             409,
-            "whether it was sent is not known"
+            "the earlier incarnation may have forwarded the request"
         );
-        let withdrawals = (0..3).map(|voter| world.controllers.withdrawals_of(voter, earlier));
-        assert_eq!(withdrawals.sum::<usize>(), 0);
+        let withdrawal_count =
+            (0..3).map(|voter| harness.controllers.withdrawal_count_of(voter, earlier));
+        assert_eq!(withdrawal_count.sum::<usize>(), 0);
     });
 }
 
 #[test]
-fn a_gateway_that_is_asked_for_a_withdrawn_claim_withdraws_it_again() {
-    run_scenario(THREE_CONTROLLERS, async |world| {
-        let (key, claim) = give_up_a_claim(&world, "k1", "a1").await;
+fn query_for_a_withdrawn_claim_resends_the_withdrawal() {
+    run_scenario(THREE_CONTROLLERS, async |harness| {
+        let (key, claim) = abandon_claim(&harness, "k1", "a1").await;
 
-        let (session, mut events) = open_session_as_gateway(&world).await;
+        let (session, mut events) = open_session_as_gateway(&harness).await;
         session.send(&Message::OperationQuery {
             token: RequestToken(7),
             key,
@@ -244,7 +261,7 @@
         });
 
         let Some(SessionEvent::Received { message, .. }) = events.recv().await else {
-            panic!("no answer")
+            panic!("the session ended without a reply")
         };
         assert_eq!(
             message,
@@ -253,29 +270,29 @@
                 state: OperationState::NotFound
             }
         );
-        wait_until("all are told again", || {
-            (0..3).all(|voter| world.controllers.withdrawals_of(voter, claim) == 2)
+        wait_until("all controllers received a second withdrawal", || {
+            (0..3).all(|voter| harness.controllers.withdrawal_count_of(voter, claim) == 2)
         })
         .await;
     });
 }
 
-/// Another gateway's session with the one that is tested.
-async fn open_session_as_gateway(world: &World) -> (Session, UnboundedReceiver<SessionEvent>) {
+/// Opens a session with the gateway under test in the role of another gateway.
+async fn open_session_as_gateway(harness: &Harness) -> (Session, UnboundedReceiver<SessionEvent>) {
     let (event_sender, mut events) = unbounded_channel();
     let handshake = Handshake {
         protocol_version: PROTOCOL_VERSION,
         role: Role::Gateway,
-        node: NodeId::from(world.unused_address),
+        node: NodeId::from(harness.unused_address),
         incarnation: Incarnation(1),
         name: "front-2".into(),
         zone: "z".into(),
     };
     let factory = SessionFactory::new(handshake, event_sender);
-    let gateway = NodeId::from(*world.gateway_address().ip());
+    let gateway = NodeId::from(*harness.gateway_address().ip());
     Dialer::new(factory, INTERNAL_PORT).dial(gateway);
     let Some(SessionEvent::Opened(session)) = events.recv().await else {
-        panic!("no session")
+        panic!("the session was not opened")
     };
     (session, events)
 }
