--- a/crates/gateway/gateway/src/forward.rs
+++ b/crates/gateway/gateway/src/forward.rs
@@ -7,7 +7,7 @@
 use crate::upstream::{AttemptOutcome, UpstreamRequest, attempt};
 use hyper::Response;
 use rushcourse_config::RouteKind;
-use rushcourse_routing::{HostChoice, Observed};
+use rushcourse_routing::{HostChoice, HostObservation};
 use rushcourse_types::KeyDigest;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -43,7 +43,7 @@
         let host = attempts.choose_next_host(gateway)?;
         match attempt(gateway, &request.upstream, &host, request.expires_at).await {
             AttemptOutcome::Response(response) => return Ok(response),
-            AttemptOutcome::NotExecuted(observed) => attempts.record_not_executed(observed),
+            AttemptOutcome::NotExecuted(observation) => attempts.record_not_executed(observation),
             AttemptOutcome::Failed => attempts.record_failed(),
             AttemptOutcome::TimedOut => return Err(LocalResponse::DeadlineExceeded),
         }
@@ -102,8 +102,8 @@
         }
     }
 
-    fn record_not_executed(&mut self, observed: Observed) {
-        let rejection = if observed == Observed::ConnectFailed {
+    fn record_not_executed(&mut self, observation: HostObservation) {
+        let rejection = if observation == HostObservation::ConnectFailed {
             self.connect_failures += 1;
             Rejection::HostsUnreachable
         } else {
--- a/crates/gateway/gateway/src/response_check.rs
+++ b/crates/gateway/gateway/src/response_check.rs
@@ -6,7 +6,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
-use rushcourse_routing::Observed;
+use rushcourse_routing::HostObservation;
 use std::time::Duration;
 
 /// Fraction (numerator, denominator) of the host's `Keep-Alive` timeout for which an idle connection is reused, so that
@@ -23,7 +23,7 @@
     /// The response belongs to the request and may be forwarded.
     Response,
     /// The host did not execute the request and never will.
-    NotExecuted(Observed),
+    NotExecuted(HostObservation),
     /// The response belongs to another request or may not be forwarded. The request may have been executed.
     Invalid,
 }
@@ -45,18 +45,18 @@
             .map_or(HeadVerdict::Invalid, HeadVerdict::NotExecuted);
     }
     match not_executed {
-        Some(observed) => HeadVerdict::NotExecuted(observed),
+        Some(observation) => HeadVerdict::NotExecuted(observation),
         None if is_forwardable(head) && is_self_delimited(head, body) => HeadVerdict::Response,
         None => HeadVerdict::Invalid,
     }
 }
 
 /// Returns the reason if the host reports that it did not execute the request: a `Not-Executed` header or status 421.
-fn not_executed_reason(head: &Parts) -> Option<Observed> {
+fn not_executed_reason(head: &Parts) -> Option<HostObservation> {
     if head.headers.contains_key(NOT_EXECUTED) {
-        Some(Observed::Rejected)
+        Some(HostObservation::Rejected)
     } else if head.status == StatusCode::MISDIRECTED_REQUEST {
-        Some(Observed::WrongInstance)
+        Some(HostObservation::WrongInstance)
     } else {
         None
     }
--- a/crates/gateway/gateway/src/server.rs
+++ b/crates/gateway/gateway/src/server.rs
@@ -10,10 +10,10 @@
 use rushcourse_messages::Role;
 use rushcourse_transport::startup::{
     listen, listen_for_sessions, local_handshake, reload_settings, required_address,
-    run_on_this_thread, seed_nodes,
+    run_on_current_thread, seed_nodes,
 };
 use rushcourse_transport::{
-    Clock, Dialer, SessionEvent, SessionFactory, StartError, accept_sessions, logging,
+    Clock, Dialer, SessionContext, SessionEvent, StartError, accept_sessions, logging,
 };
 use rushcourse_types::Timestamp;
 use std::path::{Path, PathBuf};
@@ -48,7 +48,7 @@
 /// A listen address is missing or can't be bound, the peer keys can't be loaded, or signal handlers can't be installed.
 pub fn serve(settings_path: &Path, settings: NodeSettings) -> Result<(), Report<StartError>> {
     logging::init(&settings.log_level, &settings.node.name);
-    run_on_this_thread(run(settings_path.to_path_buf(), settings))
+    run_on_current_thread(run(settings_path.to_path_buf(), settings))
 }
 
 async fn run(settings_path: PathBuf, settings: NodeSettings) -> Result<(), Report<StartError>> {
@@ -57,11 +57,11 @@
     let handshake = local_handshake(&settings, Role::Gateway);
     let incarnation = handshake.incarnation;
     let (event_sender, events) = unbounded_channel();
-    let sessions = SessionFactory::new(handshake, event_sender);
-    sessions
+    let session_context = SessionContext::new(handshake, event_sender);
+    session_context
         .set_keys(settings.peers.keys.as_ref())
         .change_context(StartError::Keys)?;
-    let dialer = Dialer::new(sessions.clone(), settings.peers.ports.first);
+    let dialer = Dialer::new(session_context.clone(), settings.peers.ports.first);
     let peers = PeerSessions::new(dialer);
     let gateway = Rc::new(GatewayState::new(&settings, clock, incarnation, peers));
     gateway.add_controllers(seed_nodes(&settings));
@@ -69,7 +69,7 @@
     let server = Server {
         settings_path,
         gateway,
-        sessions,
+        session_context,
         connections: Rc::default(),
         readiness: Readiness::default(),
         drain: Drain::new(settings.bounds.grace_period),
@@ -154,7 +154,7 @@
 struct Server {
     settings_path: PathBuf,
     gateway: Rc<GatewayState>,
-    sessions: SessionFactory,
+    session_context: SessionContext,
     connections: Rc<DownstreamConnections>,
     readiness: Readiness,
     drain: Drain,
@@ -168,7 +168,7 @@
         tokio::task::spawn_local(accept_sessions(
             listeners.sessions,
             descriptors / SESSION_DESCRIPTORS_DIVISOR,
-            self.sessions.clone(),
+            self.session_context.clone(),
         ));
         tokio::task::spawn_local(serve_readiness(listeners.readiness, self.readiness.clone()));
         tokio::task::spawn_local(accept_connections(
@@ -211,7 +211,7 @@
 
     fn tick(&self, now: Timestamp) {
         self.gateway.tick(now);
-        if let Some(line) = self.sessions.take_rejections_line(now) {
+        if let Some(line) = self.session_context.take_rejections_line(now) {
             log::warn!("{line}");
         }
         self.readiness.set(self.gateway.is_ready());
@@ -234,7 +234,7 @@
     }
 
     fn reload_settings(&self) {
-        if let Some(settings) = reload_settings(&self.settings_path, &self.sessions) {
+        if let Some(settings) = reload_settings(&self.settings_path, &self.session_context) {
             self.gateway.add_controllers(seed_nodes(&settings));
         }
     }
--- a/crates/gateway/gateway/src/state/upstreams.rs
+++ b/crates/gateway/gateway/src/state/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::GatewayState;
 use crate::connection_pool::UpstreamSender;
-use rushcourse_routing::{HostChoice, Observed};
+use rushcourse_routing::{HostChoice, HostObservation};
 use rushcourse_types::Timestamp;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -40,11 +40,16 @@
     }
 
     /// Ends an attempt that `choose_host` counted and records its result.
-    pub(crate) fn record_attempt(&self, service: &str, host: &Arc<str>, observed: Observed) {
+    pub(crate) fn record_attempt(
+        &self,
+        service: &str,
+        host: &Arc<str>,
+        observation: HostObservation,
+    ) {
         let now = self.now();
         self.endpoints
             .borrow_mut()
-            .record_attempt(now, service, host, observed);
+            .record_attempt(now, service, host, observation);
     }
 
     /// Ends an attempt that `choose_host` counted without a result, because the client disconnected.
--- a/crates/gateway/gateway/src/upstream.rs
+++ b/crates/gateway/gateway/src/upstream.rs
@@ -11,7 +11,7 @@
 use hyper::header::HeaderValue;
 use hyper::http::request;
 use hyper::{Request, Response};
-use rushcourse_routing::{HostChoice, Observed};
+use rushcourse_routing::{HostChoice, HostObservation};
 use std::collections::VecDeque;
 use std::rc::Rc;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
     /// A valid response. Its body is complete, or streamed if it exceeds [`MAX_BUFFERED_BYTES`].
     Response(Response<ResponseBody>),
     /// The host did not execute the request and never will, so a retry is safe.
-    NotExecuted(Observed),
+    NotExecuted(HostObservation),
     /// The connection failed or the response was invalid. The request may have been executed.
     Failed,
     /// No response by the deadline. The request may have been executed or may still be running.
@@ -87,15 +87,15 @@
     loop {
         let mut connection = match acquire(gateway, &request.service, host, expires_at).await {
             Ok(connection) => connection,
-            Err(observed) => return AttemptOutcome::NotExecuted(observed),
+            Err(observation) => return AttemptOutcome::NotExecuted(observation),
         };
         // The host may have started to drain while the connection was being established.
         if !gateway.is_host_available(&request.service, &host.id) {
-            return AttemptOutcome::NotExecuted(Observed::WrongInstance);
+            return AttemptOutcome::NotExecuted(HostObservation::WrongInstance);
         }
         let time_left = expires_at.saturating_duration_since(Instant::now());
         if time_left < MIN_TIME_LEFT {
-            return AttemptOutcome::NotExecuted(Observed::Rejected);
+            return AttemptOutcome::NotExecuted(HostObservation::Rejected);
         }
         let http_request = request.build_for_host(host, time_left);
         let sending = connection.sender.try_send_request(http_request);
@@ -129,7 +129,7 @@
     let verdict = check_head(&head, &body, &request.attempt_id, connection.is_reused);
     let not_executed = match verdict {
         HeadVerdict::Response => None,
-        HeadVerdict::NotExecuted(observed) => Some(observed),
+        HeadVerdict::NotExecuted(observation) => Some(observation),
         HeadVerdict::Invalid => return AttemptOutcome::Failed,
     };
     let idle_timeout = idle_timeout(&head.headers);
@@ -148,8 +148,8 @@
         BufferedBody::Whole(parts) => {
             let idle_until = gateway.now() + idle_timeout;
             gateway.return_connection(&host.id, connection.sender, idle_until);
-            if let Some(observed) = not_executed {
-                return AttemptOutcome::NotExecuted(observed);
+            if let Some(observation) = not_executed {
+                return AttemptOutcome::NotExecuted(observation);
             }
             ResponseBody::complete(concatenate(parts))
         }
@@ -230,15 +230,15 @@
     /// Records the result of the attempt. A timeout counts as a response with the latency until the deadline.
     fn finish(mut self, outcome: &AttemptOutcome) {
         self.has_ended = true;
-        let observed = match outcome {
-            AttemptOutcome::Response(_) | AttemptOutcome::TimedOut => Observed::Response {
+        let observation = match outcome {
+            AttemptOutcome::Response(_) | AttemptOutcome::TimedOut => HostObservation::Response {
                 latency_ms: self.gateway.clock().precise_millis() - self.started_at_ms,
             },
-            AttemptOutcome::NotExecuted(observed) => *observed,
-            AttemptOutcome::Failed => Observed::Failed,
+            AttemptOutcome::NotExecuted(observation) => *observation,
+            AttemptOutcome::Failed => HostObservation::Failed,
         };
         self.gateway
-            .record_attempt(&self.service, &self.host, observed);
+            .record_attempt(&self.service, &self.host, observation);
     }
 }
 
--- a/crates/gateway/gateway/tests/idempotency.rs
+++ b/crates/gateway/gateway/tests/idempotency.rs
@@ -9,7 +9,7 @@
 use rushcourse_messages::{
     ClaimId, ClaimVerdict, Handshake, Message, OperationState, PROTOCOL_VERSION, Role,
 };
-use rushcourse_transport::{Dialer, Session, SessionEvent, SessionFactory};
+use rushcourse_transport::{Dialer, Session, SessionContext, SessionEvent};
 use rushcourse_types::{Epoch, Incarnation, KeyDigest, NodeId, RequestToken};
 use std::rc::Rc;
 use std::time::Duration;
@@ -288,9 +288,9 @@
         name: "front-2".into(),
         zone: "z".into(),
     };
-    let factory = SessionFactory::new(handshake, event_sender);
+    let context = SessionContext::new(handshake, event_sender);
     let gateway = NodeId::from(*harness.gateway_address().ip());
-    Dialer::new(factory, INTERNAL_PORT).dial(gateway);
+    Dialer::new(context, INTERNAL_PORT).dial(gateway);
     let Some(SessionEvent::Opened(session)) = events.recv().await else {
         panic!("the session was not opened")
     };
