--- a/crates/gateway/gateway/src/upstream.rs
+++ b/crates/gateway/gateway/src/upstream.rs
@@ -127,7 +127,7 @@
 ) -> AttemptOutcome {
     let (mut head, body) = response.into_parts();
     let verdict = check_head(&head, &body, &request.attempt_id, connection.is_reused);
-    let not_executed = match verdict {
+    let refusal = match verdict {
         HeadVerdict::Response => None,
         HeadVerdict::NotExecuted(observation) => Some(observation),
         HeadVerdict::Invalid => return AttemptOutcome::Failed,
@@ -135,12 +135,8 @@
     let idle_timeout = idle_timeout(&head.headers);
     let buffered = match timeout_at(expires_at, buffer_body(body)).await {
         Ok(Ok(buffered)) => buffered,
-        Ok(Err(_)) => {
-            return not_executed.map_or(AttemptOutcome::Failed, AttemptOutcome::NotExecuted);
-        }
-        Err(_) => {
-            return not_executed.map_or(AttemptOutcome::TimedOut, AttemptOutcome::NotExecuted);
-        }
+        Ok(Err(_)) => return refusal.map_or(AttemptOutcome::Failed, AttemptOutcome::NotExecuted),
+        Err(_) => return refusal.map_or(AttemptOutcome::TimedOut, AttemptOutcome::NotExecuted),
     };
     remove_hop_by_hop(&mut head.headers);
     let body = match buffered {
@@ -148,7 +144,7 @@
         BufferedBody::Whole(parts) => {
             let idle_until = gateway.now() + idle_timeout;
             gateway.return_connection(&host.id, connection.sender, idle_until);
-            if let Some(observation) = not_executed {
+            if let Some(observation) = refusal {
                 return AttemptOutcome::NotExecuted(observation);
             }
             ResponseBody::complete(concatenate(parts))
