--- a/crates/director/starlark/src/error.rs
+++ b/crates/director/starlark/src/error.rs
@@ -1,49 +1,49 @@
-//! What can be wrong with an operators' file.
+//! Errors of operators' configuration files.
 
 use std::error::Error;
 use std::fmt;
 use std::io;
 
-/// A place in a file, both counted from 1.
+/// A position in a file; line and column count from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Position {
-    /// The line.
+    /// Line number, from 1.
     pub line: usize,
-    /// The column.
+    /// Column number, from 1.
     pub column: usize,
 }
 
-/// Why a file of fronts can't be used.
+/// Why a fronts file can't be used.
 #[derive(Debug)]
 pub enum FrontsError {
     /// The file can't be read.
     Unreadable {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Why.
+        /// The error from the file system.
         source: io::Error,
     },
-    /// The file is too large to be one of settings.
+    /// The file exceeds the size limit.
     TooLarge {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Its size in bytes.
+        /// Size of the file in bytes.
         size: u64,
-        /// The largest size in bytes.
+        /// Size limit in bytes.
         max: usize,
     },
-    /// The script can't be parsed, or its evaluation failed or went beyond its bounds.
+    /// The script has a syntax error, or its evaluation failed or exceeded a limit.
     Script {
-        /// The file.
+        /// Path of the file.
         file: String,
-        /// Where, if that is known.
+        /// Position of the error; `None` if it is unknown.
         position: Option<Position>,
-        /// What is wrong there. Where an argument is wrong, the text of a [`FieldError`].
+        /// The evaluator's error message; for an invalid argument, the text of a [`FieldError`].
         message: String,
     },
-    /// The file leaves no way to reach a proxy.
+    /// The file disables the relay and configures no gRPC front, so that no proxy could connect.
     NoFront {
-        /// The file.
+        /// Path of the file.
         file: String,
     },
 }
@@ -55,7 +55,10 @@
                 write!(f, "{file}: can't be read: {source}")
             }
             FrontsError::TooLarge { file, size, max } => {
-                write!(f, "{file}: {size} bytes, {max} at most")
+                write!(
+                    f,
+                    "{file}: size of {size} bytes exceeds the limit of {max} bytes"
+                )
             }
             FrontsError::Script {
                 file,
@@ -69,7 +72,7 @@
             } => write!(f, "{file}: {message}"),
             FrontsError::NoFront { file } => write!(
                 f,
-                "{file}: platform(relay = False) without grpc(...): no proxy could be reached"
+                "{file}: platform(relay = False) requires grpc(...): no proxy could connect"
             ),
         }
     }
@@ -84,45 +87,45 @@
     }
 }
 
-/// What is wrong with an argument of a call.
+/// An invalid argument of a function call in a script.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FieldError {
-    /// `listen` is no address and port.
+    /// `listen` isn't an IP address with a port; contains the given text.
     Listen(String),
-    /// Neither a prefix nor names: no node id could name a proxy.
+    /// `node_prefix` and `node_names` are both empty, so that no node id maps to a proxy.
     NoNodeIds,
     /// `node_names` has too many entries.
     TooManyNodeNames {
-        /// How many there are.
+        /// Number of entries given.
         count: usize,
-        /// How many there may be.
+        /// Largest number of entries allowed.
         max: usize,
     },
-    /// `node_names` gives a proxy's number to two names.
+    /// `node_names` maps two node ids to the same proxy.
     NodeNamedTwice {
-        /// The number.
+        /// Number of the proxy.
         proxy: u32,
-        /// The name that came first.
+        /// The node id that comes first.
         first: String,
-        /// The other name.
+        /// The node id that comes second.
         second: String,
     },
-    /// A number is out of its range.
+    /// A number is out of range.
     OutOfRange {
-        /// The field.
+        /// Name of the argument, with the key if it is an entry of `node_names`.
         field: String,
-        /// The least value.
+        /// Smallest valid value.
         min: i32,
-        /// The largest value.
+        /// Largest valid value.
         max: i32,
-        /// What was given.
+        /// The value given.
         value: i32,
     },
-    /// One of `tls_cert` and `tls_key` is missing.
+    /// Only one of `tls_cert` and `tls_key` is given.
     IncompleteTls,
-    /// `tls_client_ca` without `tls_cert` and `tls_key`.
+    /// `tls_client_ca` is given without `tls_cert` and `tls_key`.
     ClientCaWithoutTls,
-    /// A function is called a second time.
+    /// A function that may be called once is called again; contains its name.
     CalledTwice(&'static str),
 }
 
@@ -132,10 +135,10 @@
             FieldError::Listen(text) => write!(f, "listen is no address and port: {text:?}"),
             FieldError::NoNodeIds => write!(
                 f,
-                "node_prefix is empty and node_names too: no relay could say who it is"
+                "node_prefix and node_names are both empty: no relay could be identified"
             ),
             FieldError::TooManyNodeNames { count, max } => {
-                write!(f, "node_names has {count} entries, {max} at most")
+                write!(f, "node_names has {count} entries, the limit is {max}")
             }
             FieldError::NodeNamedTwice {
                 proxy,
@@ -143,23 +146,20 @@
                 second,
             } => write!(
                 f,
-                "node_names gives relay {proxy} to {first:?} and to {second:?}"
+                "node_names maps both {first:?} and {second:?} to relay {proxy}"
             ),
             FieldError::OutOfRange {
                 field,
                 min,
                 max,
                 value,
-            } => write!(f, "{field} must be {min} to {max}, it is {value}"),
-            FieldError::IncompleteTls => write!(
-                f,
-                "tls_cert and tls_key go together: one of them is missing"
-            ),
+            } => write!(f, "{field} must be {min} to {max}, got {value}"),
+            FieldError::IncompleteTls => write!(f, "tls_cert and tls_key must be given together"),
             FieldError::ClientCaWithoutTls => {
-                write!(f, "tls_client_ca needs tls_cert and tls_key")
+                write!(f, "tls_client_ca requires tls_cert and tls_key")
             }
             FieldError::CalledTwice(function) => {
-                write!(f, "{function}(...) is called twice: a director has one")
+                write!(f, "{function}(...) may be called only once")
             }
         }
     }
--- a/crates/director/starlark/src/evaluation.rs
+++ b/crates/director/starlark/src/evaluation.rs
@@ -1,21 +1,20 @@
-//! Evaluation of a script within bounds.
+//! Evaluation of scripts with limits on size, time and memory.
 
 use crate::error::{FrontsError, Position};
 use starlark::environment::{Globals, Module};
 use starlark::eval::Evaluator;
 use starlark::syntax::{AstModule, Dialect};
 
-/// Bytes of a script. A file of settings needs a hundredth of each of these bounds.
+/// Largest script, in bytes.
 pub(crate) const MAX_SCRIPT_SIZE: usize = 64 << 10;
-/// Calls and turns of loops that a script may make.
+/// Limit on function calls and loop iterations.
 const MAX_TICKS: u64 = 200_000;
-/// Bytes that its values may take.
+/// Limit on the memory used by the script's values, in bytes.
 const MAX_HEAP_SIZE: usize = 4 << 20;
-/// Calls within calls.
+/// Limit on nested function calls.
 const MAX_CALL_DEPTH: usize = 40;
 
-/// Evaluates a script with the functions of `globals`, which keep what they are called with. `file` is what errors call
-/// it.
+/// Evaluates a script, which may call the functions in `globals`. Errors refer to the script as `file`.
 pub(crate) fn evaluate(file: &str, script: &str, globals: &Globals) -> Result<(), FrontsError> {
     if script.len() > MAX_SCRIPT_SIZE {
         return Err(FrontsError::TooLarge {
@@ -33,7 +32,7 @@
         .map_err(|error| script_error(file, &error))?;
     Module::with_temp_heap(|module| {
         let mut evaluator = Evaluator::new(&module);
-        set_bounds(&mut evaluator).map_err(|error| FrontsError::Script {
+        set_limits(&mut evaluator).map_err(|error| FrontsError::Script {
             file: file.into(),
             position: None,
             message: error.to_string(),
@@ -45,7 +44,7 @@
     })
 }
 
-fn set_bounds(evaluator: &mut Evaluator<'_, '_, '_>) -> anyhow::Result<()> {
+fn set_limits(evaluator: &mut Evaluator<'_, '_, '_>) -> anyhow::Result<()> {
     evaluator.set_max_tick_count(MAX_TICKS)?;
     evaluator.set_max_heap_size(MAX_HEAP_SIZE)?;
     evaluator.set_max_callstack_size(MAX_CALL_DEPTH)
--- a/crates/director/starlark/src/fronts.rs
+++ b/crates/director/starlark/src/fronts.rs
@@ -1,6 +1,6 @@
-//! The file of fronts: `grpc(...)` opens the gRPC front, `platform(relay = False)` goes without the platform's relay.
+//! The fronts file: `grpc(...)` configures the gRPC front, and `platform(relay = False)` disables the platform's relay.
 
-// A function of a script takes each setting by its name; the macro drops an attribute nearer to it.
+// Each setting is a named argument of a script function. The `starlark_module` macro drops an `allow` on the function.
 #![allow(clippy::too_many_arguments)]
 
 use crate::error::{FieldError, FrontsError};
@@ -13,12 +13,12 @@
 use std::cell::RefCell;
 use std::path::Path;
 
-/// What a file of fronts says.
+/// The configuration in a fronts file.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FrontsConfig {
-    /// The gRPC front, if there is one.
+    /// Configuration of the gRPC front; `None` if the front is disabled.
     pub grpc: Option<GrpcConfig>,
-    /// Whether proxies are reached by the platform's relay.
+    /// Whether proxies are served through the platform's relay.
     pub relay: bool,
 }
 
@@ -31,21 +31,21 @@
     }
 }
 
-/// What the calls of a script have set so far.
+/// The configuration that the script's calls have built so far.
 #[derive(Debug, Default)]
 struct ScriptResult {
     fronts: FrontsConfig,
-    /// The functions that were called.
+    /// Names of the functions called so far.
     called: Vec<&'static str>,
 }
 
 thread_local! {
-    /// Of the script that is being evaluated on this thread. A place in the evaluator would take a derive that writes
-    /// unsafe code.
+    /// Result of the script being evaluated on this thread. Storing it in the evaluator would need a derive that
+    /// generates unsafe code.
     static RESULT: RefCell<ScriptResult> = RefCell::default();
 }
 
-/// Keeps what a call sets. Each function may be called once.
+/// Applies the settings of a call, or fails if the function was called before.
 fn record_call(
     function: &'static str,
     set: impl FnOnce(&mut FrontsConfig),
@@ -62,7 +62,7 @@
 
 #[starlark_module]
 fn script_functions(builder: &mut GlobalsBuilder) {
-    /// Serves proxies, and asks hosts, over gRPC.
+    /// Configures the gRPC front, which serves proxies and optionally requests load reports from hosts.
     fn grpc(
         #[starlark(require = named)] listen: &str,
         #[starlark(require = named, default = "relay-")] node_prefix: &str,
@@ -99,7 +99,7 @@
         Ok(NoneType)
     }
 
-    /// The platform's own parts.
+    /// Configures the connection to the platform.
     fn platform(
         #[starlark(require = named, default = true)] relay: bool,
     ) -> anyhow::Result<NoneType> {
@@ -108,10 +108,10 @@
     }
 }
 
-/// Parses the text of a file of fronts; `file` is what errors call it.
+/// Parses the text of a fronts file. Errors refer to the text as `file`.
 ///
 /// # Errors
-/// What is wrong, with the place where that is known.
+/// The script is invalid, or leaves no front; the error names the position if it is known.
 pub fn parse_fronts(file: &str, script: &str) -> Result<FrontsConfig, FrontsError> {
     let globals: Globals = GlobalsBuilder::standard().with(script_functions).build();
     RESULT.set(ScriptResult::default());
@@ -124,10 +124,10 @@
     Ok(fronts)
 }
 
-/// Reads a file of fronts.
+/// Reads and parses a fronts file.
 ///
 /// # Errors
-/// The file can't be read, or as for `parse_fronts`.
+/// The file can't be read or is too large, or `parse_fronts` fails.
 pub fn read_fronts(path: &Path) -> Result<FrontsConfig, FrontsError> {
     let file = path.display().to_string();
     let unreadable = |source| FrontsError::Unreadable {
--- a/crates/director/starlark/src/grpc.rs
+++ b/crates/director/starlark/src/grpc.rs
@@ -1,4 +1,4 @@
-//! The arguments of `grpc(...)`: how proxies and hosts are reached over gRPC.
+//! Validation of the arguments of `grpc(...)`.
 
 use crate::error::FieldError;
 use std::collections::BTreeMap;
@@ -6,52 +6,53 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Entries of `node_names`: no more are needed than there are proxies.
+/// Limit on the entries of `node_names`.
 const MAX_NODE_NAMES: usize = 10_000;
-/// The largest number of a proxy.
+/// Largest proxy number in `node_names`.
 const MAX_PROXY_NUMBER: i32 = 1_000_000;
-/// The largest value of `streams`.
+/// Largest value of `streams`.
 const MAX_STREAMS: i32 = 100_000;
-/// The largest value of every time, in ms.
+/// Largest value of all durations, in ms.
 const MAX_MILLIS: i32 = 600_000;
 
-/// The gRPC front, as an operator sets it.
+/// Configuration of the gRPC front.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GrpcConfig {
     /// The address to listen on.
     pub listen: SocketAddr,
-    /// A node's id is this and the proxy's number.
+    /// A node id consists of this prefix and the proxy's number.
     pub node_prefix: String,
-    /// Ids that don't follow the prefix, and their proxies' numbers.
+    /// Node ids that don't have the prefix, with the proxy number of each.
     pub node_names: BTreeMap<String, u32>,
-    /// Streams at a time; nothing: as many as the process's limits allow.
+    /// Limit on concurrent streams (`streams`); `None` derives it from the process's limits.
     pub max_streams: Option<usize>,
-    /// Hosts are asked for their load, out of band.
+    /// Whether hosts are asked for out-of-band load reports.
     pub ask_hosts: bool,
-    /// A stream has to identify itself within this (`join_within_ms`).
+    /// Time in which a stream has to identify itself (`join_within_ms`).
     pub join_timeout: Duration,
-    /// A stream that reads nothing is ended after this (`take_within_ms`).
+    /// Time in which the transport has to accept a response before the stream is ended (`take_within_ms`).
     pub accept_timeout: Duration,
-    /// Between two HTTP/2 pings (`ping_every_ms`).
+    /// Interval between two HTTP/2 pings on a connection (`ping_every_ms`).
     pub ping_interval: Duration,
-    /// For the answer to a ping (`ping_within_ms`).
+    /// Time in which a ping has to be answered (`ping_within_ms`).
     pub ping_timeout: Duration,
-    /// Where the TLS files are; without, connections are plain.
+    /// TLS files; connections are unencrypted if this is `None`.
     pub tls: Option<TlsPaths>,
 }
 
-/// Files in PEM form.
+/// Paths of PEM files.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TlsPaths {
-    /// The server's certificate (`tls_cert`).
+    /// The server's certificate chain (`tls_cert`).
     pub certificate: PathBuf,
-    /// Its private key (`tls_key`).
+    /// The private key of `certificate` (`tls_key`).
     pub private_key: PathBuf,
-    /// The authorities of whom clients must show a certificate (`tls_client_ca`).
+    /// CA certificates that client certificates are verified against (`tls_client_ca`); without them, clients need no
+    /// certificate.
     pub client_authorities: Option<PathBuf>,
 }
 
-/// The arguments as the script gives them.
+/// Arguments of `grpc(...)`, not yet validated.
 pub(crate) struct GrpcArguments<'a> {
     pub(crate) listen: &'a str,
     pub(crate) node_prefix: &'a str,
@@ -68,7 +69,7 @@
 }
 
 impl GrpcArguments<'_> {
-    /// Checks the arguments; the first that is wrong is named.
+    /// Validates the arguments; reports the first invalid one.
     pub(crate) fn check(self) -> Result<GrpcConfig, FieldError> {
         let listen = self
             .listen
@@ -78,7 +79,7 @@
             return Err(FieldError::NoNodeIds);
         }
         let node_names = check_node_names(self.node_names)?;
-        let streams = in_range("streams", self.streams, 0, MAX_STREAMS)? as usize;
+        let streams = check_range("streams", self.streams, 0, MAX_STREAMS)? as usize;
         let tls = check_tls(self.tls_cert, self.tls_key, self.tls_client_ca)?;
         Ok(GrpcConfig {
             listen,
@@ -86,16 +87,16 @@
             node_names,
             max_streams: (streams > 0).then_some(streams),
             ask_hosts: self.ask_hosts,
-            join_timeout: millis("join_within_ms", self.join_within_ms, 100)?,
-            accept_timeout: millis("take_within_ms", self.take_within_ms, 1000)?,
-            ping_interval: millis("ping_every_ms", self.ping_every_ms, 100)?,
-            ping_timeout: millis("ping_within_ms", self.ping_within_ms, 100)?,
+            join_timeout: check_duration("join_within_ms", self.join_within_ms, 100)?,
+            accept_timeout: check_duration("take_within_ms", self.take_within_ms, 1000)?,
+            ping_interval: check_duration("ping_every_ms", self.ping_every_ms, 100)?,
+            ping_timeout: check_duration("ping_within_ms", self.ping_within_ms, 100)?,
             tls,
         })
     }
 }
 
-/// Each name has a number of its own.
+/// Checks that the proxy numbers are in range and distinct.
 fn check_node_names(node_names: Vec<(String, i32)>) -> Result<BTreeMap<String, u32>, FieldError> {
     if node_names.len() > MAX_NODE_NAMES {
         return Err(FieldError::TooManyNodeNames {
@@ -104,11 +105,11 @@
         });
     }
     let mut checked = BTreeMap::new();
-    let mut named: BTreeMap<u32, String> = BTreeMap::new();
+    let mut names_by_proxy: BTreeMap<u32, String> = BTreeMap::new();
     for (name, number) in node_names {
         let field = format!("node_names[{name:?}]");
-        let proxy = in_range(&field, number, 0, MAX_PROXY_NUMBER)? as u32;
-        if let Some(first) = named.insert(proxy, name.clone()) {
+        let proxy = check_range(&field, number, 0, MAX_PROXY_NUMBER)? as u32;
+        if let Some(first) = names_by_proxy.insert(proxy, name.clone()) {
             return Err(FieldError::NodeNamedTwice {
                 proxy,
                 first,
@@ -120,7 +121,7 @@
     Ok(checked)
 }
 
-/// Certificate and key go together; empty stands for none.
+/// Checks that certificate and key are both present or both empty. Returns `None` if TLS is disabled.
 fn check_tls(
     certificate: &str,
     private_key: &str,
@@ -143,7 +144,7 @@
     }))
 }
 
-fn in_range(field: &str, value: i32, min: i32, max: i32) -> Result<i32, FieldError> {
+fn check_range(field: &str, value: i32, min: i32, max: i32) -> Result<i32, FieldError> {
     if (min..=max).contains(&value) {
         Ok(value)
     } else {
@@ -156,7 +157,7 @@
     }
 }
 
-fn millis(field: &str, value: i32, min: i32) -> Result<Duration, FieldError> {
-    let value = in_range(field, value, min, MAX_MILLIS)?;
+fn check_duration(field: &str, value: i32, min: i32) -> Result<Duration, FieldError> {
+    let value = check_range(field, value, min, MAX_MILLIS)?;
     Ok(Duration::from_millis(value as u64))
 }
--- a/crates/director/starlark/src/lib.rs
+++ b/crates/director/starlark/src/lib.rs
@@ -1,10 +1,10 @@
-//! Operators' files in Starlark. A script calls what is offered here, each function at most once, and does no more;
-//! its arguments are checked where it calls, so that an error names file, line, column and field.
+//! Operators' configuration files in Starlark. A script configures the director by calling the functions provided here,
+//! each at most once. Arguments are validated during the call, so that errors name file, line, column and argument.
 //!
-//! * `fronts.rs`: the file of fronts and the functions that it may call.
-//! * `grpc.rs`: the arguments of `grpc(...)`.
-//! * `evaluation.rs`: evaluation of a script within bounds.
-//! * `error.rs`: what can be wrong with a file.
+//! * `fronts.rs`: the fronts file and the functions that it may call.
+//! * `grpc.rs`: validation of the arguments of `grpc(...)`.
+//! * `evaluation.rs`: evaluation of scripts with resource limits.
+//! * `error.rs`: errors of configuration files.
 
 mod error;
 mod evaluation;
--- a/crates/director/starlark/tests/fronts.rs
+++ b/crates/director/starlark/tests/fronts.rs
@@ -1,17 +1,17 @@
-//! Files of fronts: what they may say, and how they are rejected.
+//! Fronts files: valid scripts, and the errors for invalid ones.
 
 use rushcourse_starlark::{FrontsConfig, parse_fronts};
 use std::time::Duration;
 
 fn rejection(script: &str) -> String {
     parse_fronts("fronts.star", script)
-        .expect_err("rejected")
+        .expect_err("an invalid script")
         .to_string()
 }
 
 #[test]
-fn an_empty_file_opens_nothing() {
-    let fronts = parse_fronts("f", "# nothing\n").expect("a file");
+fn empty_file_gives_the_defaults() {
+    let fronts = parse_fronts("f", "# nothing\n").expect("a valid script");
     assert_eq!(
         fronts,
         FrontsConfig {
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_script_sets_what_it_names_and_leaves_the_rest_at_its_defaults() {
+fn script_sets_named_arguments_and_keeps_other_defaults() {
     let script = r#"
 def names(n):
     return {"edge-%d" % k: k for k in range(n)}
@@ -30,8 +30,8 @@
 grpc(listen = "127.0.0.1:7900", node_names = names(3), ask_hosts = True, streams = 40)
 platform(relay = False)
 "#;
-    let fronts = parse_fronts("f", script).expect("a file");
-    let grpc = fronts.grpc.expect("gRPC");
+    let fronts = parse_fronts("f", script).expect("a valid script");
+    let grpc = fronts.grpc.expect("a gRPC front");
     assert_eq!(
         (
             grpc.listen.to_string().as_str(),
@@ -63,29 +63,29 @@
         ),
         (
             "grpc(listen = \"127.0.0.1:80\", streams = -1)",
-            "streams must be 0 to 100000, it is -1",
+            "streams must be 0 to 100000, got -1",
         ),
         (
             "grpc(listen = \"127.0.0.1:80\", take_within_ms = 5)",
-            "take_within_ms must be 1000 to 600000, it is 5",
+            "take_within_ms must be 1000 to 600000, got 5",
         ),
         (
             "grpc(listen = \"127.0.0.1:80\", node_names = {\"a\": 1, \"b\": 1})",
-            "node_names gives relay 1",
+            "node_names maps both \"a\" and \"b\" to relay 1",
         ),
         (
             "grpc(listen = \"127.0.0.1:80\")\ngrpc(listen = \"127.0.0.1:81\")",
-            "fronts.star:2:1: grpc(...) is called twice",
+            "fronts.star:2:1: grpc(...) may be called only once",
         ),
         (
             "grpc(listen = \"127.0.0.1:80\", tls_key = \"k\")",
-            "tls_cert and tls_key go together",
+            "tls_cert and tls_key must be given together",
         ),
         (
             "grpc(listen = \"127.0.0.1:80\", tls_client_ca = \"c\")",
-            "tls_client_ca needs",
+            "tls_client_ca requires tls_cert and tls_key",
         ),
-        ("platform(relay = False)", "no proxy could be reached"),
+        ("platform(relay = False)", "no proxy could connect"),
         ("load(\"other.star\", \"x\")", "fronts.star:1:"),
         ("tls(cert = 4)", "fronts.star:1:1"),
     ];
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn a_script_that_does_not_end_or_grows_without_end_is_stopped() {
+fn endless_or_oversized_script_is_stopped() {
     for script in [
         "def f():\n    for a in range(1000000):\n        for b in range(1000000):\n            pass\nf()",
         "def f(n):\n    return f(n + 1)\nf(0)",
@@ -107,6 +107,6 @@
         let error = rejection(script);
         assert!(error.starts_with("fronts.star"), "{error}");
     }
-    let long = format!("# {}", "x".repeat(70_000));
-    assert!(rejection(&long).contains("65536 at most"));
+    let oversized = format!("# {}", "x".repeat(70_000));
+    assert!(rejection(&oversized).contains("exceeds the limit of 65536 bytes"));
 }
--- a/crates/director/xds/src/backoff.rs
+++ b/crates/director/xds/src/backoff.rs
@@ -1,13 +1,13 @@
-//! Delays between attempts: each about twice the one before, up to a longest, with jitter, so that many who lost the
-//! same peer don't come back at one moment.
+//! Exponential backoff with jitter. The jitter keeps peers that lost the same connection from reconnecting at the same
+//! time.
 
 use rushcourse_policy::interface::Ms;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Doublings after which a delay grows no more, whatever the longest is.
+/// Caps the exponent, so that the delay stays finite however many attempts fail.
 const MAX_DOUBLINGS: u32 = 30;
 
-/// Exponential backoff whose jitter follows from a seed, so that a run can be repeated exactly.
+/// Exponential backoff whose jitter is derived from a seed, which makes simulation runs reproducible.
 #[derive(Clone, Debug)]
 pub struct Backoff {
     first_delay: Ms,
@@ -17,7 +17,7 @@
 }
 
 impl Backoff {
-    /// Delays from `first_delay` to `max_delay` ms. `key` tells those apart that share a seed.
+    /// Delays grow from `first_delay` to `max_delay` ms. `key` gives instances that share a seed different jitter.
     pub fn new(first_delay: Ms, max_delay: Ms, seed: u64, key: &str) -> Backoff {
         Backoff {
             first_delay,
@@ -27,17 +27,17 @@
         }
     }
 
-    /// The delay after one more failed attempt: between half of the full delay and all of it.
+    /// The delay after one more failed attempt, in ms: between half of the full delay and all of it.
     pub fn next_delay(&mut self) -> Ms {
         let doublings = self.failures.min(MAX_DOUBLINGS);
-        let full = (self.first_delay * 2f64.powi(doublings as i32)).min(self.max_delay);
+        let full_delay = (self.first_delay * 2f64.powi(doublings as i32)).min(self.max_delay);
         let jitter =
             xxh3_64_with_seed(&self.failures.to_le_bytes(), self.seed) as f64 / u64::MAX as f64;
         self.failures += 1;
-        full * (0.5 + 0.5 * jitter)
+        full_delay * (0.5 + 0.5 * jitter)
     }
 
-    /// An attempt has succeeded: the next delay is the first one again.
+    /// Restarts at the first delay; called after a successful attempt.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/director/xds/src/config.rs
+++ b/crates/director/xds/src/config.rs
@@ -1,14 +1,14 @@
-//! What operators set for streams, and the limits that follow from a process's memory and descriptors.
+//! Operator settings for streams, and the limits derived from the process's memory and file descriptors.
 
 use rushcourse_policy::interface::{Ms, ProxyId};
 use std::collections::BTreeMap;
 
-/// How a node's id names a proxy.
+/// The mapping from node ids to proxies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NodeIdentities {
-    /// An id is this and the proxy's number, as `relay-17`.
+    /// A node id consists of this prefix and the proxy's number, as in `relay-17`.
     pub prefix: String,
-    /// Ids that don't follow the prefix, and their proxies.
+    /// Node ids that don't have the prefix, with the proxy of each. Looked up before the prefix is tried.
     pub names: BTreeMap<String, ProxyId>,
 }
 
@@ -21,31 +21,31 @@
     }
 }
 
-/// How many streams are held at a time.
+/// Upper bounds on concurrent streams.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct StreamLimits {
-    /// Streams that peers opened.
+    /// Streams opened by peers.
     pub max_streams: usize,
-    /// Those of them that have not identified themselves.
+    /// Streams opened by peers that have not identified themselves yet; counted in `max_streams` too.
     pub max_unidentified: usize,
     /// Report streams to hosts.
     pub max_report_streams: usize,
 }
 
-/// Settings of all streams.
+/// Configuration of all streams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StreamConfig {
-    /// How node ids name proxies.
+    /// Maps node ids to proxies.
     pub identities: NodeIdentities,
-    /// This run of the process. It is part of each version, so that a version of an earlier run is never taken for one
-    /// that this run has sent.
+    /// Identifies this run of the process. It is part of every resource version, so that a version from an earlier run
+    /// never matches one that this run has sent.
     pub incarnation: u64,
-    /// How many streams are held at a time.
+    /// Upper bounds on concurrent streams.
     pub limits: StreamLimits,
-    /// ms within which a stream has to identify itself (`join_within_ms`).
+    /// Time in which a stream has to identify itself, in ms (`join_within_ms`).
     pub join_timeout: Ms,
-    /// ms after which a stream ends whose transport does not accept a response (`take_within_ms`).
+    /// Time in which the transport has to accept a response before the stream is ended, in ms (`take_within_ms`).
     pub accept_timeout: Ms,
-    /// Whether hosts are asked to report their load out of band (`ask_hosts`).
+    /// Whether hosts are asked for out-of-band load reports (`ask_hosts`).
     pub request_host_reports: bool,
 }
--- a/crates/director/xds/src/counters.rs
+++ b/crates/director/xds/src/counters.rs
@@ -1,5 +1,4 @@
-//! The counters of streams, with the help text that `/metrics` gives each. Names and texts are what operators' monitors
-//! read: `streams_nameless` and the like keep their words.
+//! Counters of streams, with the help text that `/metrics` shows. Operators' monitoring depends on the names and texts.
 
 /// Name and help text of each counter.
 pub const COUNTERS: [(&str, &str); 37] = [
--- a/crates/director/xds/src/discovery/ack_numbers.rs
+++ b/crates/director/xds/src/discovery/ack_numbers.rs
@@ -1,30 +1,29 @@
-//! Numbers that the policy gives its batches of actions. Once a proxy holds what a batch asked for, the policy is given
-//! its number back. They have nothing to do with the nonces of responses, which ACKs and NACKs name.
+//! Ack numbers: the policy numbers its batches of actions, and gets a number back once the proxy has applied the
+//! batches up to it. They are independent of the nonces that ACKs and NACKs of responses carry.
 
 use rushcourse_policy::interface::Ms;
 
-/// ms for a response to leave; later, the policy is told what is not applied.
-pub(super) const SEND_DELAY_TOLERATED: Ms = 500.0;
+/// Longest wait for a response to be sent, in ms. After it, the policy is informed that its actions aren't applied.
+pub(super) const MAX_SEND_DELAY: Ms = 500.0;
 
-/// Consecutive numbers that one response stands for.
+/// A range of consecutive ack numbers, which may wrap around.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct AckRange {
-    /// The oldest.
+    /// The oldest number of the range.
     pub(crate) first: u16,
-    /// The newest.
+    /// The newest number of the range.
     pub(crate) last: u16,
 }
 
 impl AckRange {
-    /// One number.
-    pub(crate) fn of(ack_number: u16) -> AckRange {
+    pub(crate) fn single(ack_number: u16) -> AckRange {
         AckRange {
             first: ack_number,
             last: ack_number,
         }
     }
 
-    /// The range that spans both.
+    /// The smallest range that contains both.
     fn join(self, other: AckRange) -> AckRange {
         AckRange {
             first: if is_newer(self.first, other.first) {
@@ -41,7 +40,7 @@
     }
 }
 
-/// The range that spans both, or the one that there is.
+/// The smallest range that contains both, or the only one present.
 pub(crate) fn join(a: Option<AckRange>, b: Option<AckRange>) -> Option<AckRange> {
     match (a, b) {
         (Some(a), Some(b)) => Some(a.join(b)),
@@ -49,50 +48,49 @@
     }
 }
 
-/// Whether a number came after another: numbers begin anew after the largest.
+/// Compares ack numbers modulo 2^16, so that the order survives a wraparound.
 fn is_newer(number: u16, other: u16) -> bool {
     number.wrapping_sub(other) < u16::MAX / 2
 }
 
-/// Numbers of batches whose response has not been sent.
+/// Ack numbers of batches for which no response has been sent.
 #[derive(Debug, Default)]
 pub(super) struct UnsentAcks {
     range: Option<AckRange>,
-    /// When the first of them came.
+    /// When the range became non-empty.
     since: Ms,
 }
 
 impl UnsentAcks {
-    /// All of them.
     pub(super) fn range(&self) -> Option<AckRange> {
         self.range
     }
 
-    /// All of them, which are handed over to a response.
+    /// Empties the range and returns it; called when a response is sent.
     pub(super) fn take(&mut self) -> Option<AckRange> {
         self.range.take()
     }
 
-    /// A batch came under this number.
+    /// Adds the number of a new batch.
     pub(super) fn add(&mut self, now: Ms, ack_number: u16) {
-        self.start(now);
-        self.range = join(self.range, Some(AckRange::of(ack_number)));
+        self.start_if_empty(now);
+        self.range = join(self.range, Some(AckRange::single(ack_number)));
     }
 
-    /// These numbers rested on a response that was rejected: they are older than those that have come since.
+    /// Puts back the numbers of a rejected response. They are older than those in the range.
     pub(super) fn restore(&mut self, now: Ms, acks: AckRange) {
-        self.start(now);
+        self.start_if_empty(now);
         self.range = join(Some(acks), self.range);
     }
 
-    fn start(&mut self, now: Ms) {
+    fn start_if_empty(&mut self, now: Ms) {
         if self.range.is_none() {
             self.since = now;
         }
     }
 
-    /// Whether they have waited for longer than a response may.
-    pub(super) fn are_late(&self, now: Ms) -> bool {
-        self.range.is_some() && now - self.since >= SEND_DELAY_TOLERATED
+    /// Whether the oldest batch has waited for longer than `MAX_SEND_DELAY`.
+    pub(super) fn is_overdue(&self, now: Ms) -> bool {
+        self.range.is_some() && now - self.since >= MAX_SEND_DELAY
     }
 }
--- a/crates/director/xds/src/discovery/mod.rs
+++ b/crates/director/xds/src/discovery/mod.rs
@@ -1,10 +1,12 @@
-//! One stream of aggregated discovery: its subscription, what it was sent, and what its ACKs and NACKs prove.
+//! State of one aggregated discovery stream.
 //!
-//! * `stream.rs`: the state of a stream. `requests.rs`, `responses.rs`: what comes on it and what is sent.
-//! * `subscription.rs`: the names that it asks for, and what it claims to hold from before.
-//! * `pending.rs`: responses that no ACK or NACK has answered.
-//! * `rejections.rs`: versions that were rejected, and when they are sent again.
-//! * `ack_numbers.rs`: the numbers that the policy asks its replies to be acknowledged by.
+//! * `stream.rs`: the stream's state as a whole.
+//! * `requests.rs`: subscriptions, ACKs and NACKs.
+//! * `responses.rs`: what is sent, and when.
+//! * `subscription.rs`: subscribed names, and versions that the proxy holds from an earlier stream.
+//! * `pending.rs`: responses without an ACK or NACK.
+//! * `rejections.rs`: rejected versions, and when they are sent again.
+//! * `ack_numbers.rs`: ack numbers of the policy.
 
 mod ack_numbers;
 mod pending;
@@ -14,4 +16,4 @@
 mod stream;
 mod subscription;
 
-pub(crate) use stream::{DiscoveryStream, Outcome};
+pub(crate) use stream::{DiscoveryOutcome, DiscoveryStream};
--- a/crates/director/xds/src/discovery/pending.rs
+++ b/crates/director/xds/src/discovery/pending.rs
@@ -1,47 +1,47 @@
-//! Responses that no ACK or NACK has answered. Only a response's own nonce answers it; on a state-of-the-world stream a
-//! later response holds all that earlier ones did, so its answer speaks for those too.
+//! Responses that no ACK or NACK has answered yet. An answer names the nonce of one response. On a state-of-the-world
+//! stream, where each response replaces the previous ones, it also answers all earlier responses.
 
 use super::ack_numbers::{AckRange, join};
 use rushcourse_policy::interface::{ClassId, Ms};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Responses whose answers are waited for. A proxy that reads and never answers is sent new tables on and on: of the
-/// oldest ones nothing is believed any more.
+/// Bounds the memory used for a proxy that reads responses and never answers. When there are more, the oldest response
+/// is dropped and a later answer to it is ignored.
 const MAX_PENDING: usize = 32;
 
-/// Versions by class.
+/// Resource versions by class.
 pub(super) type Versions = BTreeMap<ClassId, String>;
 
 #[derive(Debug)]
 struct PendingResponse {
     nonce: u64,
     sent_at: Ms,
-    /// What its ACK proves.
+    /// Ack numbers that are confirmed by an ACK of this response.
     acks: Option<AckRange>,
     versions: Versions,
-    /// It has its ACK, while an earlier one has none (delta streams only).
+    /// Set once the response has an ACK while an earlier response has none (delta streams only).
     is_acknowledged: bool,
 }
 
-/// What an ACK proves: the proxy holds all that the policy asked for up to a number.
+/// Confirmation that a proxy has applied all batches of actions up to an ack number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Acknowledged {
-    /// The newest number that is proved.
+    /// The newest confirmed number.
     pub(crate) ack_number: u16,
-    /// ms from the response to its answer.
+    /// Time from sending the response to its ACK, in ms.
     pub(crate) elapsed: Ms,
 }
 
-/// A response that had a NACK.
+/// The contents of a response that got a NACK.
 #[derive(Debug)]
-pub(super) struct Rejected {
-    /// What it held.
+pub(super) struct RejectedResponse {
+    /// Versions of the rejected resources.
     pub(super) versions: Versions,
-    /// Numbers that no response on its way stands for any more.
-    pub(super) unproved: Option<AckRange>,
+    /// Ack numbers that no pending response carries any more.
+    pub(super) unacknowledged: Option<AckRange>,
 }
 
-/// The responses of one stream, oldest first.
+/// The pending responses of one stream, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct PendingResponses {
     queue: VecDeque<PendingResponse>,
@@ -49,34 +49,34 @@
 }
 
 impl PendingResponses {
-    /// How many wait for an answer.
     pub(super) fn len(&self) -> usize {
         self.queue.len()
     }
 
-    /// The nonce of the newest response; 0 before the first.
+    /// Nonce of the newest response; 0 before the first one.
     pub(super) fn last_nonce(&self) -> u64 {
         self.last_nonce
     }
 
-    /// Where the response of a nonce stands, if it waits.
+    /// Index of the pending response with this nonce, if there is one.
     pub(super) fn position(&self, nonce: &str) -> Option<usize> {
         let nonce = nonce.parse::<u64>().ok()?;
         self.queue.iter().position(|pending| pending.nonce == nonce)
     }
 
-    /// The classes that a response holds.
+    /// Classes of the resources in a pending response.
     pub(super) fn classes(&self, position: usize) -> impl Iterator<Item = ClassId> + '_ {
         self.queue[position].versions.keys().copied()
     }
 
-    /// The numbers that the first of the responses on their way stands for.
-    pub(super) fn first_acks(&self) -> Option<AckRange> {
+    /// Ack numbers of the oldest pending response that carries any.
+    pub(super) fn oldest_acks(&self) -> Option<AckRange> {
         self.queue.iter().find_map(|pending| pending.acks)
     }
 
-    /// Adds numbers to the newest response, which holds what they ask for. Returns them where there is no response.
-    pub(super) fn add_to_newest(&mut self, acks: Option<AckRange>) -> Option<AckRange> {
+    /// Attaches ack numbers to the newest pending response, whose resources are already up to date. Returns them if no
+    /// response is pending.
+    pub(super) fn attach_to_newest(&mut self, acks: Option<AckRange>) -> Option<AckRange> {
         match self.queue.back_mut() {
             Some(newest) => {
                 newest.acks = join(newest.acks, acks);
@@ -86,7 +86,8 @@
         }
     }
 
-    /// A response is sent now, under the next nonce. Returns whether the oldest one was given up for it.
+    /// Adds a response that is sent at `now` under the next nonce. Returns whether the oldest response was dropped to
+    /// stay within `MAX_PENDING`.
     pub(super) fn push(&mut self, now: Ms, acks: Option<AckRange>, versions: Versions) -> bool {
         self.last_nonce += 1;
         self.queue.push_back(PendingResponse {
@@ -106,68 +107,74 @@
         true
     }
 
-    /// State of the world: an ACK of a response, which speaks for those before it too.
+    /// Handles an ACK on a state-of-the-world stream, which also confirms all earlier responses.
     pub(super) fn acknowledge_through(&mut self, now: Ms, position: usize) -> Option<Acknowledged> {
-        let mut proof = Proof::default();
+        let mut accumulator = AckAccumulator::default();
         for pending in self.queue.drain(..=position) {
-            proof.add(now, &pending);
+            accumulator.add(now, &pending);
         }
-        proof.acknowledged()
+        accumulator.acknowledged()
     }
 
-    /// Delta: an ACK of a response. It proves its numbers once all responses before it have their ACK.
+    /// Handles an ACK on a delta stream. Ack numbers are confirmed only once all earlier responses have an ACK.
     pub(super) fn acknowledge(&mut self, now: Ms, position: usize) -> Option<Acknowledged> {
         self.queue[position].is_acknowledged = true;
-        let mut proof = Proof::default();
+        let mut accumulator = AckAccumulator::default();
         while let Some(pending) = self.queue.pop_front_if(|first| first.is_acknowledged) {
-            proof.add(now, &pending);
+            accumulator.add(now, &pending);
         }
-        proof.acknowledged()
+        accumulator.acknowledged()
     }
 
-    /// State of the world: a NACK of a response, which speaks for those before it too. A later response holds all that
-    /// this one did and stands for its numbers from now on.
-    pub(super) fn reject_through(&mut self, position: usize) -> Rejected {
+    /// Handles a NACK on a state-of-the-world stream, which also rejects all earlier responses. Their ack numbers pass
+    /// to the next pending response, which contains the same resources or newer ones.
+    pub(super) fn reject_through(&mut self, position: usize) -> RejectedResponse {
         let mut versions = Versions::new();
         let mut acks = None;
         for pending in self.queue.drain(..=position) {
             acks = join(acks, pending.acks);
             versions = pending.versions;
         }
-        let unproved = match self.queue.front_mut() {
+        let unacknowledged = match self.queue.front_mut() {
             Some(next) => {
                 next.acks = join(acks, next.acks);
                 None
             }
             None => acks,
         };
-        Rejected { versions, unproved }
+        RejectedResponse {
+            versions,
+            unacknowledged,
+        }
     }
 
-    /// Delta: a NACK of a response. A number stands for all before it, as the policy sees it: responses that were sent
-    /// since prove none of theirs before the rejected one was sent again.
-    pub(super) fn reject(&mut self, position: usize) -> Rejected {
+    /// Handles a NACK on a delta stream. An ack number confirms all earlier ones too, so the later responses lose their
+    /// ack numbers until the rejected resources have been sent again.
+    pub(super) fn reject(&mut self, position: usize) -> RejectedResponse {
         let mut versions = Versions::new();
-        let mut unproved = None;
+        let mut unacknowledged = None;
         if let Some(rejected) = self.queue.remove(position) {
-            (versions, unproved) = (rejected.versions, rejected.acks);
+            (versions, unacknowledged) = (rejected.versions, rejected.acks);
         }
         for later in self.queue.iter_mut().skip(position) {
-            unproved = join(unproved, later.acks.take());
+            unacknowledged = join(unacknowledged, later.acks.take());
+        }
+        RejectedResponse {
+            versions,
+            unacknowledged,
         }
-        Rejected { versions, unproved }
     }
 }
 
-/// What several ACKs prove together.
+/// Combines the ack numbers of several confirmed responses.
 #[derive(Default)]
-struct Proof {
+struct AckAccumulator {
     acks: Option<AckRange>,
-    /// Of the newest response.
+    /// Time from sending the newest response to its ACK, in ms.
     elapsed: Ms,
 }
 
-impl Proof {
+impl AckAccumulator {
     fn add(&mut self, now: Ms, pending: &PendingResponse) {
         self.acks = join(self.acks, pending.acks);
         self.elapsed = now - pending.sent_at;
--- a/crates/director/xds/src/discovery/rejections.rs
+++ b/crates/director/xds/src/discovery/rejections.rs
@@ -1,81 +1,79 @@
-//! Versions that the proxy has rejected. What was rejected goes out again after a delay, or at once when its content
-//! has changed.
+//! Resource versions that the proxy rejected. A rejected version is sent again after a delay, or replaced at once when
+//! the resource changes.
 
 use super::pending::Versions;
 use rushcourse_policy::interface::{ClassId, Ms};
 
-/// First and longest delay before a rejected version is sent again as it was, in ms.
+/// Bounds of the exponential backoff before a rejected version is sent again, in ms.
 const FIRST_RESEND_DELAY: Ms = 5000.0;
 const MAX_RESEND_DELAY: Ms = 60_000.0;
-/// Doublings after which the delay grows no more.
+/// Caps the exponent of the backoff.
 const MAX_DOUBLINGS: u32 = 10;
 
-/// The rejections of one stream.
+/// Rejected versions of one stream.
 #[derive(Debug, Default)]
 pub(super) struct Rejections {
-    /// By class: the version that was rejected last.
+    /// The last rejected version of each class.
     versions: Versions,
-    /// NACKs without an ACK of all in between.
-    consecutive: u32,
+    /// NACKs since everything sent was last accepted.
+    consecutive_nacks: u32,
     resend_at: Ms,
 }
 
 impl Rejections {
-    /// Whether nothing is rejected that has not been sent again.
+    /// Whether all rejected versions have been replaced, accepted or sent again.
     pub(super) fn is_empty(&self) -> bool {
         self.versions.is_empty()
     }
 
-    /// When rejected versions are sent again as they were.
     pub(super) fn resend_at(&self) -> Ms {
         self.resend_at
     }
 
-    /// Whether just this version of a class was rejected.
+    /// Whether this version of the class is the rejected one.
     pub(super) fn contains(&self, class: ClassId, version: &str) -> bool {
         self.versions
             .get(&class)
             .is_some_and(|rejected| rejected == version)
     }
 
-    /// Whether a class was rejected, in this version or an earlier one.
+    /// Whether any version of the class is rejected.
     pub(super) fn has_class(&self, class: ClassId) -> bool {
         self.versions.contains_key(&class)
     }
 
-    /// A class's version was rejected.
     pub(super) fn add(&mut self, class: ClassId, version: String) {
         self.versions.insert(class, version);
     }
 
-    /// A NACK came: the delay grows.
+    /// Schedules the resend of rejected versions; called for each NACK.
     pub(super) fn back_off(&mut self, now: Ms) {
-        let doublings = self.consecutive.min(MAX_DOUBLINGS);
+        let doublings = self.consecutive_nacks.min(MAX_DOUBLINGS);
         let delay = FIRST_RESEND_DELAY * 2f64.powi(doublings as i32);
-        self.consecutive += 1;
+        self.consecutive_nacks += 1;
         self.resend_at = now + delay.min(MAX_RESEND_DELAY);
     }
 
-    /// A class was sent again, or was accepted in another version.
+    /// Removes a class; called when it is sent again, or accepted in another version.
     pub(super) fn remove(&mut self, class: ClassId) {
         self.versions.remove(&class);
     }
 
-    /// Keeps the classes that the proxy is still subscribed to.
+    /// Drops classes that the proxy no longer subscribes to.
     pub(super) fn retain(&mut self, classes: &[ClassId]) {
         self.versions.retain(|class, _| classes.contains(class));
     }
 
-    /// All was accepted.
+    /// Removes all rejections and resets the backoff.
     pub(super) fn clear(&mut self) {
         self.versions.clear();
-        self.consecutive = 0;
+        self.consecutive_nacks = 0;
     }
 
-    /// An ACK came: the delay starts anew if nothing is rejected any more.
+    /// Resets the backoff if no rejection is left; called after an ACK.
     pub(super) fn reset_delay_if_empty(&mut self) {
         if self.versions.is_empty() {
-            self.consecutive = 0;
+            self.consecutive_nacks = 0;
         }
     }
 }
--- a/crates/director/xds/src/discovery/requests.rs
+++ b/crates/director/xds/src/discovery/requests.rs
@@ -1,63 +1,71 @@
-//! Requests on a stream: subscriptions, ACKs and NACKs.
+//! Handling of requests: subscriptions, ACKs and NACKs.
 
 use super::pending::Acknowledged;
-use super::stream::{DiscoveryStream, Outcome};
+use super::stream::{DiscoveryOutcome, DiscoveryStream};
 use crate::messages::{DeltaDiscoveryRequest, DiscoveryRequest};
 use crate::resources::ResourceCache;
 use rushcourse_policy::interface::Ms;
 
-/// Characters of a NACK's text that are kept.
+/// Longest NACK message that is kept for the log, in characters.
 const MAX_ERROR_DETAIL: usize = 200;
 
 impl DiscoveryStream {
-    /// State of the world: the first request, an ACK or NACK, or a changed subscription.
-    pub(crate) fn on_request(&mut self, now: Ms, request: &DiscoveryRequest) -> Outcome {
-        let mut outcome = Outcome::default();
+    /// Handles a request on a state-of-the-world stream: the first one, an ACK, a NACK, or a changed subscription.
+    pub(crate) fn on_request(&mut self, now: Ms, request: &DiscoveryRequest) -> DiscoveryOutcome {
+        let mut outcome = DiscoveryOutcome::default();
         let is_first = self.pending.last_nonce() == 0 && !self.subscription.is_unanswered();
         let nonce = &request.response_nonce;
         if !nonce.is_empty() {
-            self.on_answer(now, nonce, request.error_detail.as_deref(), &mut outcome);
-            // Under a nonce that is not the newest, the names are of before: the protocol has them ignored.
+            self.on_ack_or_nack(now, nonce, request.error_detail.as_deref(), &mut outcome);
+            // The protocol has the server ignore the names of a request with a stale nonce.
             if *nonce != self.pending.last_nonce().to_string() {
                 outcome.increments.push("nonces_stale");
                 return outcome;
             }
         } else if is_first && !request.version_info.is_empty() {
-            self.claimed.set_combined(&request.version_info);
+            self.initial_versions.set_combined(&request.version_info);
         }
         self.subscription.replace(&request.resource_names, is_first);
         outcome
     }
 
-    /// Delta: the first request, an ACK or NACK, or a change of the subscription.
+    /// Handles a request on a delta stream: the first one, an ACK, a NACK, or a changed subscription.
     pub(crate) fn on_delta_request(
         &mut self,
         now: Ms,
         request: &DeltaDiscoveryRequest,
         cache: &ResourceCache,
-    ) -> Outcome {
-        let mut outcome = Outcome::default();
+    ) -> DiscoveryOutcome {
+        let mut outcome = DiscoveryOutcome::default();
         let nonce = &request.response_nonce;
         if !nonce.is_empty() {
-            self.on_answer(now, nonce, request.error_detail.as_deref(), &mut outcome);
+            self.on_ack_or_nack(now, nonce, request.error_detail.as_deref(), &mut outcome);
         }
         if self.pending.last_nonce() == 0 {
-            self.claimed.add(&request.initial_resource_versions);
+            self.initial_versions
+                .add(&request.initial_resource_versions);
         }
         let change = self.subscription.change(request, cache);
-        for class in change.repeated {
-            self.sent.remove(&class);
+        for class in change.resubscribed {
+            self.sent_versions.remove(&class);
         }
         for _ in 0..change.unknown_count {
             outcome.increments.push("names_unknown");
         }
         let classes = self.subscription.classes(cache);
-        self.sent.retain(|class, _| classes.contains(class));
+        self.sent_versions
+            .retain(|class, _| classes.contains(class));
         self.rejections.retain(&classes);
         outcome
     }
 
-    fn on_answer(&mut self, now: Ms, nonce: &str, error: Option<&str>, outcome: &mut Outcome) {
+    fn on_ack_or_nack(
+        &mut self,
+        now: Ms,
+        nonce: &str,
+        error: Option<&str>,
+        outcome: &mut DiscoveryOutcome,
+    ) {
         let Some(position) = self.pending.position(nonce) else {
             return outcome.increments.push("nonces_unknown");
         };
@@ -82,12 +90,12 @@
             self.pending.reject(position)
         };
         for (class, version) in rejected.versions {
-            // Where another version was sent since, that one's own answer counts.
-            if self.sent.get(&class) == Some(&version) {
+            // If a newer version has been sent since, the answer to that one decides.
+            if self.sent_versions.get(&class) == Some(&version) {
                 self.rejections.add(class, version);
             }
         }
-        if let Some(acks) = rejected.unproved {
+        if let Some(acks) = rejected.unacknowledged {
             self.unsent_acks.restore(now, acks);
         }
         self.rejections.back_off(now);
--- a/crates/director/xds/src/discovery/responses.rs
+++ b/crates/director/xds/src/discovery/responses.rs
@@ -1,42 +1,43 @@
-//! Responses on a stream: what is sent, and when.
+//! Sending of responses: their content and timing.
 
-use super::ack_numbers::SEND_DELAY_TOLERATED;
+use super::ack_numbers::MAX_SEND_DELAY;
 use super::pending::{Acknowledged, Versions};
-use super::stream::{DiscoveryStream, Outcome};
+use super::stream::{DiscoveryOutcome, DiscoveryStream};
 use crate::messages::{DeltaDiscoveryResponse, DiscoveryResponse, Resource, Response};
 use crate::resources::{self, ResourceCache};
 use rushcourse_policy::interface::{ClassId, Ms, ProxyId};
 
-/// A resource that the proxy is subscribed to.
+/// A resource of the subscription, in its current version.
 #[derive(Debug)]
-struct Subscribed {
+struct SubscribedResource {
     class: ClassId,
     resource: Resource,
 }
 
 impl DiscoveryStream {
-    /// From when on the policy has to be told what is not applied: a response has not left, or was rejected.
-    fn late_from(&self) -> Ms {
+    /// Time from which the policy has to be informed that the proxy hasn't applied its actions: at once after a NACK,
+    /// or `MAX_SEND_DELAY` after a response that the transport hasn't accepted.
+    fn not_applied_from(&self) -> Ms {
         if !self.rejections.is_empty() {
             return 0.0;
         }
         self.accepting_since
-            .map_or(f64::INFINITY, |since| since + SEND_DELAY_TOLERATED)
+            .map_or(f64::INFINITY, |since| since + MAX_SEND_DELAY)
     }
 
-    /// Sends what is due, if the transport has room, and tells what follows from time alone.
+    /// Sends a response if one is due and the transport has room, and reports actions that aren't applied in time.
     pub(crate) fn advance(
         &mut self,
         now: Ms,
         proxy: ProxyId,
         cache: &mut ResourceCache,
-    ) -> Outcome {
-        let mut outcome = Outcome::default();
+    ) -> DiscoveryOutcome {
+        let mut outcome = DiscoveryOutcome::default();
         if self.accepting_since.is_none() {
             self.send(now, proxy, cache, &mut outcome);
         }
         if outcome.not_applied.is_none()
-            && now >= self.late_from()
+            && now >= self.not_applied_from()
             && now >= self.next_not_applied_at
         {
             outcome.not_applied = self.report_not_applied(now, false);
@@ -44,13 +45,13 @@
         outcome
     }
 
-    /// When there is something to do next, if nothing comes before.
+    /// Time of the next `advance`, unless an input comes first.
     pub(crate) fn due_at(&self, now: Ms) -> Ms {
-        let report_at = self.late_from().max(self.next_not_applied_at);
+        let report_at = self.not_applied_from().max(self.next_not_applied_at);
         if self.accepting_since.is_some() {
             return report_at;
         }
-        // What the rate limit holds back goes out once it allows that.
+        // Responses held back by the rate limit are sent once it permits.
         let allowed_at = self.limiter.next_allowed_at(now);
         let mut due_at = report_at;
         if !self.rejections.is_empty() {
@@ -62,7 +63,13 @@
         due_at
     }
 
-    fn send(&mut self, now: Ms, proxy: ProxyId, cache: &mut ResourceCache, outcome: &mut Outcome) {
+    fn send(
+        &mut self,
+        now: Ms,
+        proxy: ProxyId,
+        cache: &mut ResourceCache,
+        outcome: &mut DiscoveryOutcome,
+    ) {
         let mut subscribed = self.subscribed(proxy, cache);
         let has_changes = subscribed.iter().any(|entry| self.has_changed(now, entry));
         if !self.is_state_of_the_world {
@@ -71,19 +78,19 @@
         if !has_changes && !self.owes_response(&subscribed) {
             return self.settle_acks(cache, outcome);
         }
-        // The rate limit bounds what the proxy itself brings about; what the policy orders is within the cap by its
-        // own count.
+        // The rate limit applies only to responses that the proxy's own requests cause. The policy limits the messages
+        // for its actions itself.
         if self.unsent_acks.range().is_none() && self.limiter.next_allowed_at(now) > now {
             return;
         }
-        let is_repeated = subscribed.iter().any(|entry| {
+        let is_resend = subscribed.iter().any(|entry| {
             self.rejections
                 .contains(entry.class, &entry.resource.version)
         });
-        if is_repeated || self.unsent_acks.are_late(now) {
+        if is_resend || self.unsent_acks.is_overdue(now) {
             outcome.not_applied = self.report_not_applied(now, true);
         }
-        if is_repeated {
+        if is_resend {
             outcome.increments.push("tables_repeated");
         }
         if self.record_sent(now, &subscribed) {
@@ -92,77 +99,85 @@
         outcome.response = Some(self.response(subscribed));
     }
 
-    /// The resources of the subscription that exist. Claims of the proxy are compared with them.
-    fn subscribed(&mut self, proxy: ProxyId, cache: &mut ResourceCache) -> Vec<Subscribed> {
+    /// Collects the existing resources of the subscription, and compares them with the versions that the proxy holds
+    /// from an earlier stream.
+    fn subscribed(&mut self, proxy: ProxyId, cache: &mut ResourceCache) -> Vec<SubscribedResource> {
         let mut subscribed = Vec::new();
         for class in self.subscription.classes(cache) {
             if let Some(resource) = cache.resource(proxy, class) {
-                subscribed.push(Subscribed { class, resource });
+                subscribed.push(SubscribedResource { class, resource });
             }
         }
         if !subscribed.is_empty() {
-            self.compare_claims(&subscribed);
+            self.match_initial_versions(&subscribed);
         }
         subscribed
     }
 
-    /// What the proxy claims to hold counts as sent, if it is just what it is to hold now.
-    fn compare_claims(&mut self, subscribed: &[Subscribed]) {
+    /// Treats a resource as sent if the proxy already holds its current version from an earlier stream.
+    fn match_initial_versions(&mut self, subscribed: &[SubscribedResource]) {
         let versions = subscribed
             .iter()
             .map(|entry| entry.resource.version.as_str());
-        if self.claimed.take_combined_match(self.incarnation, versions) {
-            self.sent.extend(versions_by_class(subscribed));
+        if self
+            .initial_versions
+            .take_combined_match(self.incarnation, versions)
+        {
+            self.sent_versions.extend(versions_by_class(subscribed));
             self.subscription.mark_answered();
         }
         for entry in subscribed {
-            if self.claimed.take_match(&entry.resource) {
-                self.sent
+            if self.initial_versions.take_match(&entry.resource) {
+                self.sent_versions
                     .insert(entry.class, entry.resource.version.clone());
             }
         }
     }
 
-    /// Whether the proxy is to be sent a resource that it was not sent, or that it rejected some time ago.
-    fn has_changed(&self, now: Ms, entry: &Subscribed) -> bool {
+    /// Whether the resource needs sending: its version was not sent yet, or was rejected and its resend is due.
+    fn has_changed(&self, now: Ms, entry: &SubscribedResource) -> bool {
         let version = &entry.resource.version;
         if self.rejections.has_class(entry.class) {
             return !self.rejections.contains(entry.class, version)
                 || now >= self.rejections.resend_at();
         }
-        self.sent.get(&entry.class) != Some(version)
+        self.sent_versions.get(&entry.class) != Some(version)
     }
 
-    /// Whether a response is owed though no resource has changed.
-    fn owes_response(&self, subscribed: &[Subscribed]) -> bool {
+    /// Whether a response is required although no resource has changed.
+    fn owes_response(&self, subscribed: &[SubscribedResource]) -> bool {
         if self.is_state_of_the_world {
-            // A subscription is answered once there is something to answer with.
+            // Until a subscribed resource exists, the answer is postponed.
             self.subscription.is_unanswered() && !subscribed.is_empty()
         } else {
             self.subscription.has_unknown_names()
         }
     }
 
-    /// Nothing is to be sent: the proxy holds all this already, or will once it has answered what is on its way.
-    fn settle_acks(&mut self, cache: &ResourceCache, outcome: &mut Outcome) {
+    /// Disposes of unsent ack numbers when there is nothing to send: they are attached to the newest pending response,
+    /// or confirmed at once if no response is pending.
+    fn settle_acks(&mut self, cache: &ResourceCache, outcome: &mut DiscoveryOutcome) {
         if self.rejections.is_empty() && !self.subscription.classes(cache).is_empty() {
             let acks = self.unsent_acks.take();
-            outcome.acknowledged = self.pending.add_to_newest(acks).map(|acks| Acknowledged {
-                ack_number: acks.last,
-                elapsed: 0.0,
-            });
+            outcome.acknowledged = self
+                .pending
+                .attach_to_newest(acks)
+                .map(|acks| Acknowledged {
+                    ack_number: acks.last,
+                    elapsed: 0.0,
+                });
         }
     }
 
-    /// Records a response that is sent now. Returns whether an old one was given up for it.
-    fn record_sent(&mut self, now: Ms, subscribed: &[Subscribed]) -> bool {
+    /// Updates the state for a response that is sent at `now`. Returns whether an old pending response was dropped.
+    fn record_sent(&mut self, now: Ms, subscribed: &[SubscribedResource]) -> bool {
         let versions = versions_by_class(subscribed);
-        self.sent.extend(versions.clone());
-        // These wait for an answer now, and are no longer known to be rejected.
+        self.sent_versions.extend(versions.clone());
+        // A resent class is pending again, not rejected.
         for class in versions.keys() {
             self.rejections.remove(*class);
         }
-        // While another class is rejected, this response proves nothing.
+        // While another class is rejected, an ACK of this response can't confirm any ack number.
         let acks = if self.rejections.is_empty() {
             self.unsent_acks.take()
         } else {
@@ -174,7 +189,7 @@
         self.pending.push(now, acks, versions)
     }
 
-    fn response(&mut self, subscribed: Vec<Subscribed>) -> Response {
+    fn response(&mut self, subscribed: Vec<SubscribedResource>) -> Response {
         let nonce = self.pending.last_nonce().to_string();
         let versions = subscribed
             .iter()
@@ -198,7 +213,7 @@
     }
 }
 
-fn versions_by_class(subscribed: &[Subscribed]) -> Versions {
+fn versions_by_class(subscribed: &[SubscribedResource]) -> Versions {
     subscribed
         .iter()
         .map(|entry| (entry.class, entry.resource.version.clone()))
--- a/crates/director/xds/src/discovery/subscription.rs
+++ b/crates/director/xds/src/discovery/subscription.rs
@@ -1,44 +1,43 @@
-//! The resources that a stream asks for, and what it claims to hold from an earlier stream.
+//! The resource names that a stream subscribes to, and the versions that the proxy holds from an earlier stream.
 
 use crate::messages::{DeltaDiscoveryRequest, Resource};
 use crate::resources::{self, ResourceCache};
 use rushcourse_policy::interface::ClassId;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Stands for all resources.
+/// Subscribes to all resources.
 const WILDCARD: &str = "*";
-/// Names that a stream may subscribe to, and versions that it may claim.
+/// Limit on the subscribed names of a stream, and on the initial versions in its first request.
 const MAX_NAMES: usize = 256;
-/// Characters of a name that doesn't exist which are told back.
+/// Longest unknown name that is returned in `removed_resources`, in characters.
 const MAX_UNKNOWN_NAME: usize = 120;
 
-/// The names of one stream's subscription.
+/// The subscription of one stream.
 #[derive(Debug, Default)]
 pub(super) struct Subscription {
     names: BTreeSet<String>,
     has_wildcard: bool,
-    /// Names that don't exist, to be told as removed (delta streams only).
-    unknown: BTreeSet<String>,
-    /// It was changed, and no response has answered that (state-of-the-world streams only).
+    /// Subscribed names that don't exist, to be returned in `removed_resources` (delta streams only).
+    unknown_names: BTreeSet<String>,
+    /// Set while a changed subscription has no response (state-of-the-world streams only).
     is_unanswered: bool,
 }
 
-/// What a change of a delta subscription leaves to do.
+/// Consequences of a changed delta subscription.
 #[derive(Debug, Default)]
 pub(super) struct SubscriptionChange {
-    /// Classes that are subscribed to once more: they are sent, whatever was sent before.
-    pub(super) repeated: Vec<ClassId>,
-    /// How many names don't exist.
+    /// Classes that were already subscribed to: the protocol has them sent again.
+    pub(super) resubscribed: Vec<ClassId>,
+    /// Number of names in the request that don't exist.
     pub(super) unknown_count: usize,
 }
 
 impl Subscription {
-    /// Whether there are more names than a stream may have.
     pub(super) fn is_too_large(&self) -> bool {
         self.names.len() > MAX_NAMES
     }
 
-    /// Classes that are subscribed to and exist.
+    /// Existing classes that the subscription covers.
     pub(super) fn classes(&self, cache: &ResourceCache) -> Vec<ClassId> {
         let names = cache.class_names();
         (0..names.len())
@@ -46,8 +45,8 @@
             .collect()
     }
 
-    /// State of the world: a request names the subscription as a whole. A name that is new, or was left out for a
-    /// while, is answered, and so is the first request.
+    /// Replaces the names of a state-of-the-world subscription. A response is required if the names were extended, or
+    /// if the request is the stream's first.
     pub(super) fn replace(&mut self, resource_names: &[String], is_first: bool) {
         let (wildcards, names): (Vec<&String>, Vec<&String>) =
             resource_names.iter().partition(|name| *name == WILDCARD);
@@ -58,7 +57,7 @@
         self.is_unanswered |= has_grown || is_first;
     }
 
-    /// Delta: a request adds names and removes others.
+    /// Applies the added and removed names of a delta request.
     pub(super) fn change(
         &mut self,
         request: &DeltaDiscoveryRequest,
@@ -74,12 +73,12 @@
                 Some(class) => {
                     let is_new = self.names.insert(name.clone());
                     if !is_new {
-                        change.repeated.push(class);
+                        change.resubscribed.push(class);
                     }
                 }
                 None => {
                     change.unknown_count += 1;
-                    self.unknown
+                    self.unknown_names
                         .insert(name.chars().take(MAX_UNKNOWN_NAME).collect());
                 }
             }
@@ -87,58 +86,59 @@
         for name in &request.resource_names_unsubscribe {
             self.has_wildcard &= name != WILDCARD;
             self.names.remove(name);
-            self.unknown.remove(name);
+            self.unknown_names.remove(name);
         }
         change
     }
 
-    /// Whether a response is owed though nothing has changed.
+    /// Whether a response is required even if no resource has changed.
     pub(super) fn is_unanswered(&self) -> bool {
         self.is_unanswered
     }
 
-    /// A response has answered it, or none is needed.
     pub(super) fn mark_answered(&mut self) {
         self.is_unanswered = false;
     }
 
-    /// Whether there are names to be told as removed.
+    /// Whether unknown names have to be returned in `removed_resources`.
     pub(super) fn has_unknown_names(&self) -> bool {
-        !self.unknown.is_empty()
+        !self.unknown_names.is_empty()
     }
 
-    /// The names to be told as removed; they are told once.
+    /// Returns the unknown names for `removed_resources` and clears them.
     pub(super) fn take_unknown_names(&mut self) -> Vec<String> {
-        std::mem::take(&mut self.unknown).into_iter().collect()
+        std::mem::take(&mut self.unknown_names)
+            .into_iter()
+            .collect()
     }
 }
 
-/// Versions that a proxy says it holds from an earlier stream, until they can be compared.
+/// Versions that the proxy reports to hold from an earlier stream. Each is compared once, with the first current
+/// version of its resource.
 #[derive(Debug, Default)]
-pub(super) struct ClaimedVersions {
-    /// By resource name (delta streams).
+pub(super) struct InitialVersions {
+    /// Versions by resource name (delta streams).
     by_name: BTreeMap<String, String>,
-    /// Of all resources together (state-of-the-world streams).
+    /// Combined version of all resources (state-of-the-world streams).
     combined: Option<String>,
 }
 
-impl ClaimedVersions {
-    /// Whether there are more claims than a stream may make.
+impl InitialVersions {
     pub(super) fn is_too_large(&self) -> bool {
         self.by_name.len() > MAX_NAMES
     }
 
-    /// A delta stream's first request makes these claims.
+    /// Stores the versions of a delta stream's first request.
     pub(super) fn add(&mut self, initial_resource_versions: &BTreeMap<String, String>) {
         self.by_name.extend(initial_resource_versions.clone());
     }
 
-    /// A state-of-the-world stream's first request makes this claim.
+    /// Stores the version of a state-of-the-world stream's first request.
     pub(super) fn set_combined(&mut self, version_info: &str) {
         self.combined = Some(version_info.into());
     }
 
-    /// Whether all resources together are just what was claimed. The claim is compared once.
+    /// Removes the combined version and returns whether it equals that of the current resources.
     pub(super) fn take_combined_match<'a>(
         &mut self,
         incarnation: u64,
@@ -146,13 +146,13 @@
     ) -> bool {
         self.combined
             .take()
-            .is_some_and(|claim| claim == resources::combined_version(incarnation, versions))
+            .is_some_and(|version| version == resources::combined_version(incarnation, versions))
     }
 
-    /// Whether a resource is just what was claimed. The claim is compared once.
+    /// Removes the version stored for a resource and returns whether it equals the current one.
     pub(super) fn take_match(&mut self, resource: &Resource) -> bool {
         self.by_name
             .remove(&resource.assignment.cluster_name)
-            .is_some_and(|claim| claim == resource.version)
+            .is_some_and(|version| version == resource.version)
     }
 }
--- a/crates/director/xds/src/interface.rs
+++ b/crates/director/xds/src/interface.rs
@@ -1,21 +1,21 @@
-//! What crosses the package's boundary: inputs that were read from sockets, and effects to be carried out on them.
+//! The state machine's boundary: inputs read from the network, and effects for the transport to execute.
 
 use crate::messages::{OrcaLoadReport, Request, Response};
 use rushcourse_policy::interface::{HostId, Ms};
 
-/// A stream that a peer opened. Numbers rise and are never used twice in a run of the process.
+/// A stream opened by a peer. Ids increase and aren't reused within a run of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StreamId(pub u64);
 
-/// A connection, which may carry many streams. Numbers rise and are never used twice in a run of the process.
+/// A connection, which may carry many streams. Ids increase and aren't reused within a run of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConnectionId(pub u64);
 
-/// One attempt to hold a report stream to a host; tells its inputs from those of earlier attempts.
+/// One attempt to open a report stream to a host. Inputs that carry the id of an earlier attempt are ignored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DialId(pub u64);
 
-/// The method of the service that a stream calls.
+/// The RPC that a stream belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamKind {
     /// Aggregated discovery, state of the world (`StreamAggregatedResources`).
@@ -26,62 +26,62 @@
     LoadReporting,
 }
 
-/// What was read from a socket, or happened to one.
+/// A network event for [`Streams::step`](crate::Streams::step).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
     /// A peer opened a stream.
     StreamOpened {
-        /// The new stream.
+        /// Id of the new stream.
         stream: StreamId,
-        /// The connection that carries it.
+        /// The connection that carries the stream.
         connection: ConnectionId,
-        /// What it is for.
+        /// The RPC that the peer called.
         kind: StreamKind,
-        /// The peer's address, for the log.
+        /// The peer's address; used in log lines.
         peer: String,
     },
-    /// A request came on a stream.
+    /// A stream received a request.
     RequestReceived {
-        /// The stream.
+        /// The stream that received the request.
         stream: StreamId,
-        /// What came.
+        /// The decoded request.
         request: Request,
     },
-    /// The transport has accepted the last response: there is room for another one.
+    /// The transport accepted the previous response and has room for another one.
     ResponseAccepted {
-        /// The stream.
+        /// The stream that the response was sent on.
         stream: StreamId,
     },
-    /// The stream has ended, by its peer or by the transport.
+    /// The peer or the transport ended the stream.
     StreamClosed {
-        /// The stream.
+        /// The stream that has ended.
         stream: StreamId,
-        /// What went wrong; empty where its peer ended it properly.
+        /// What failed; empty if the peer ended the stream normally.
         reason: String,
     },
     /// A report stream to a host is open.
     ReportStreamOpened {
-        /// The host.
+        /// Name of the host in the membership list.
         host: HostId,
-        /// The attempt that succeeded.
+        /// The dial attempt that opened the stream.
         dial: DialId,
     },
     /// A host reported its load.
     ReportReceived {
-        /// The host.
+        /// Name of the host in the membership list.
         host: HostId,
-        /// The report stream's attempt.
+        /// The dial attempt that opened the report stream.
         dial: DialId,
-        /// What it reported.
+        /// The decoded report, not yet validated.
         report: OrcaLoadReport,
     },
-    /// A report stream ended, or could not be opened.
+    /// A report stream ended or couldn't be opened.
     ReportStreamClosed {
-        /// The host.
+        /// Name of the host in the membership list.
         host: HostId,
-        /// The attempt that failed or ended.
+        /// The dial attempt that failed or whose stream ended.
         dial: DialId,
-        /// Why.
+        /// The transport's error text; used in log lines.
         reason: String,
     },
 }
@@ -89,57 +89,57 @@
 /// The gRPC status that a stream ends with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusCode {
-    /// The first request names no node, or a zone that doesn't exist.
+    /// The first request has no node, or names an unknown zone.
     InvalidArgument,
-    /// It didn't identify itself, or report, in time.
+    /// The peer didn't identify itself or didn't report in time.
     DeadlineExceeded,
-    /// Its node is not known here.
+    /// The node id maps to no proxy.
     PermissionDenied,
-    /// Another stream of its proxy is alive.
+    /// Another active stream belongs to the same proxy.
     AlreadyExists,
-    /// Too many streams, proxies or names.
+    /// A limit on streams, proxies or resource names is exceeded.
     ResourceExhausted,
-    /// Another stream took its place.
+    /// A newer stream of the same proxy, or its connection through the platform's relay, replaced this one.
     Aborted,
-    /// It reads nothing, or the director ends.
+    /// The peer doesn't read its responses, or the director is shutting down.
     Unavailable,
 }
 
-/// What is to be done on sockets.
+/// An operation for the transport to execute.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Send a response. At most one is with the transport: the next one comes after `Input::ResponseAccepted`.
+    /// Send a response. The next one on the stream follows only after `Input::ResponseAccepted`.
     SendResponse {
-        /// The stream.
+        /// The stream to send on.
         stream: StreamId,
-        /// What to send.
+        /// The response to encode and send.
         response: Response,
     },
-    /// End a stream.
+    /// End a stream with a gRPC status.
     EndStream {
-        /// The stream.
+        /// The stream to end.
         stream: StreamId,
-        /// Its status code.
+        /// The gRPC status code.
         status: StatusCode,
-        /// Its status message.
+        /// The gRPC status message.
         message: String,
     },
     /// Open a report stream to a host.
     OpenReportStream {
-        /// The host.
+        /// Name of the host in the membership list.
         host: HostId,
-        /// This attempt; all inputs of the stream name it.
+        /// Id of this attempt; all inputs that concern the stream carry it.
         dial: DialId,
-        /// Where the host listens: host:port.
+        /// The host's address, as host:port.
         address: String,
-        /// ms between two reports, as asked of the host.
+        /// Interval between two reports to request from the host, in ms.
         report_interval: Ms,
     },
-    /// Give up a report stream, open or not.
+    /// Close a report stream, or abandon the attempt to open it.
     CloseReportStream {
-        /// The host.
+        /// Name of the host in the membership list.
         host: HostId,
-        /// The attempt to give up.
+        /// The attempt whose stream is closed.
         dial: DialId,
     },
 }
--- a/crates/director/xds/src/lib.rs
+++ b/crates/director/xds/src/lib.rs
@@ -1,9 +1,9 @@
-//! The director's side of xDS as pure state: proxies that take their tables over gRPC (ADS), report their load over it
-//! (LRS), and hosts that are asked for theirs (ORCA). Nothing here does I/O, reads a clock or knows an encoding;
-//! `rushcourse-grpc` turns the published messages into these types and back.
+//! The director's xDS server as a state machine: the aggregated discovery (ADS) and load reporting (LRS) streams of
+//! proxies, and the ORCA load report streams to hosts. It does no I/O, reads no clock and knows no encoding;
+//! `rushcourse-grpc` converts between these types and the protobuf messages.
 //!
-//! [`Streams::step`] takes what was read and [`Streams::advance`] does what is due; what comes of it waits in the
-//! [`Outbox`]. Times are milliseconds of one steady clock, as the policy has them.
+//! [`Streams::step`] handles an input, [`Streams::advance`] runs the timers that have expired, and both append their
+//! results to the [`Outbox`]. Times are milliseconds on the monotonic clock that the policy uses.
 
 pub mod backoff;
 mod config;
--- a/crates/director/xds/src/load_reports/burst_filter.rs
+++ b/crates/director/xds/src/load_reports/burst_filter.rs
@@ -1,85 +1,87 @@
-//! Keeps late reports from passing for fresh ones: what a proxy could not send for a while comes all at once.
+//! Detects load reports that were delayed in transit. After a stall they arrive in a burst, and only the last one
+//! describes the present.
 
 use rushcourse_policy::interface::{Event, Ms};
 
-/// Report intervals that a report may cover: what it says of earlier times is too old to judge a host by.
+/// Longest period that a report may cover, in report intervals. Data from a longer period is too old to judge a host
+/// by.
 pub(super) const MAX_INTERVALS_COVERED: f64 = 2.5;
-/// ms without a further report after which the last one of a burst is believed.
+/// Time without a further report after which the last report of a burst is accepted, in ms.
 const BURST_DELAY: Ms = 200.0;
-/// Report intervals of silence after which a stream ends, so that its proxy dials anew.
-const SILENT_INTERVALS: f64 = 6.0;
+/// Report intervals without a report after which the stream is ended, so that the proxy reconnects.
+const STALL_INTERVALS: f64 = 6.0;
 
-/// What is done with a report.
+/// The filter's decision on a report.
 #[derive(Debug)]
-pub(crate) enum Admission {
-    /// It is of now.
-    Believed(Vec<Event>),
-    /// It follows a silence: it waits for a later one of the same burst.
-    HeldBack,
-    /// It waits in the place of the one before, which is dropped as too old.
-    ReplacesOlder,
+pub(crate) enum FilterDecision {
+    /// The report is current; contains its events.
+    Accepted(Vec<Event>),
+    /// The report follows a silence and is held until `BURST_DELAY` has passed without another one.
+    Deferred,
+    /// The report is held instead of an earlier one of the burst, which is discarded.
+    ReplacedDeferred,
 }
 
 #[derive(Debug)]
-struct HeldReport {
+struct DeferredReport {
     since: Ms,
     events: Vec<Event>,
 }
 
-/// The reports on one stream.
+/// Burst filter of one load reporting stream.
 #[derive(Debug)]
 pub(crate) struct BurstFilter {
     report_interval: Ms,
-    /// When a report last came, or the stream was opened.
+    /// When the last report arrived, or the stream was opened.
     last_report_at: Ms,
-    /// The newest report after a silence.
-    held: Option<HeldReport>,
+    /// The newest report of a burst, while it is held.
+    deferred: Option<DeferredReport>,
 }
 
 impl BurstFilter {
-    /// A stream that was opened now, for reports at this interval in ms.
+    /// Creates the filter of a stream that is opened at `now`; `report_interval` is in ms.
     pub(crate) fn new(now: Ms, report_interval: Ms) -> BurstFilter {
         BurstFilter {
             report_interval,
             last_report_at: now,
-            held: None,
+            deferred: None,
         }
     }
 
-    /// A report came that says these events.
-    pub(crate) fn admit(&mut self, now: Ms, events: Vec<Event>) -> Admission {
+    /// Decides on a report that has been converted to `events`.
+    pub(crate) fn admit(&mut self, now: Ms, events: Vec<Event>) -> FilterDecision {
         let silence = now - self.last_report_at;
         let follows_silence = silence > MAX_INTERVALS_COVERED * self.report_interval;
         self.last_report_at = now;
-        if self.held.is_none() && !follows_silence {
-            return Admission::Believed(events);
+        if self.deferred.is_none() && !follows_silence {
+            return FilterDecision::Accepted(events);
         }
-        let held = HeldReport { since: now, events };
-        match self.held.replace(held) {
-            // Only the last report of a burst is of now.
-            Some(_) => Admission::ReplacesOlder,
-            None => Admission::HeldBack,
+        let deferred = DeferredReport { since: now, events };
+        match self.deferred.replace(deferred) {
+            // Only the last report of a burst is current.
+            Some(_) => FilterDecision::ReplacedDeferred,
+            None => FilterDecision::Deferred,
         }
     }
 
-    /// The events of the report that was held back, once no later one came.
+    /// Returns the events of a held report whose `BURST_DELAY` has passed; empty if there is none.
     pub(crate) fn release(&mut self, now: Ms) -> Vec<Event> {
-        self.held
-            .take_if(|held| now - held.since >= BURST_DELAY)
-            .map_or_else(Vec::new, |held| held.events)
+        self.deferred
+            .take_if(|deferred| now - deferred.since >= BURST_DELAY)
+            .map_or_else(Vec::new, |deferred| deferred.events)
     }
 
-    /// When the stream counts as stalled, if no report comes before.
+    /// When the stream counts as stalled, unless a report arrives first.
     pub(crate) fn stalled_at(&self) -> Ms {
-        self.last_report_at + SILENT_INTERVALS * self.report_interval
+        self.last_report_at + STALL_INTERVALS * self.report_interval
     }
 
-    /// When there is something to do next, if no report comes before.
+    /// When the filter needs attention next, unless a report arrives first.
     pub(crate) fn due_at(&self) -> Ms {
         let release_at = self
-            .held
+            .deferred
             .as_ref()
-            .map_or(f64::INFINITY, |held| held.since + BURST_DELAY);
+            .map_or(f64::INFINITY, |deferred| deferred.since + BURST_DELAY);
         release_at.min(self.stalled_at())
     }
 }
--- a/crates/director/xds/src/load_reports/conversion.rs
+++ b/crates/director/xds/src/load_reports/conversion.rs
@@ -1,4 +1,4 @@
-//! What a report says, in events for the policy. A report is believed as a whole or not at all.
+//! Converts load reports to events for the policy. An invalid report is rejected as a whole.
 
 use super::burst_filter::MAX_INTERVALS_COVERED;
 use crate::messages::{ClusterStats, EndpointStats, LoadStatsRequest};
@@ -8,31 +8,31 @@
 use rushcourse_policy::interface::{ClassId, Event, HostId, HostLoad, Ms, Settings};
 use std::fmt;
 
-/// The metric that carries the latency of successful requests, in ms.
+/// Name of the metric with the latency of successful requests, in ms.
 const LATENCY_METRIC: &str = "latency_ms";
-/// Characters of a cluster's name that are quoted in the log.
+/// Longest cluster name quoted in a log line, in characters.
 const MAX_QUOTED_NAME: usize = 40;
-/// The shortest report interval, in ms, that a report's span is measured by.
+/// Lower bound on the configured report interval, in ms, when checking the period that a report covers.
 const MIN_REPORT_INTERVAL: Ms = 1.0;
 
-/// What is wrong with a report: the first thing found.
+/// The first error found in a load report.
 #[derive(Debug)]
 pub(crate) struct InvalidReport {
     cluster_name: String,
-    problem: Problem,
+    problem: ReportProblem,
 }
 
 #[derive(Debug)]
-enum Problem {
+enum ReportProblem {
     UnknownCluster,
-    Interval,
+    InvalidInterval,
     TooOld,
-    ClusterFigure(&'static str),
-    EndpointFigure {
+    InvalidClusterValue(&'static str),
+    InvalidEndpointValue {
         address: String,
         reason: &'static str,
     },
-    NoLatency {
+    MissingLatency {
         address: String,
     },
     LatencyOutOfRange {
@@ -41,14 +41,18 @@
 }
 
 impl InvalidReport {
-    /// The counter that it raises.
+    /// Name of the counter for this kind of error.
     pub(crate) fn counter(&self) -> &'static str {
         match self.problem {
-            Problem::UnknownCluster => "loads_unknown",
-            Problem::Interval => "loads_interval",
-            Problem::TooOld => "loads_old",
-            Problem::ClusterFigure(_) | Problem::EndpointFigure { .. } => "loads_figures",
-            Problem::NoLatency { .. } | Problem::LatencyOutOfRange { .. } => "loads_latency",
+            ReportProblem::UnknownCluster => "loads_unknown",
+            ReportProblem::InvalidInterval => "loads_interval",
+            ReportProblem::TooOld => "loads_old",
+            ReportProblem::InvalidClusterValue(_) | ReportProblem::InvalidEndpointValue { .. } => {
+                "loads_figures"
+            }
+            ReportProblem::MissingLatency { .. } | ReportProblem::LatencyOutOfRange { .. } => {
+                "loads_latency"
+            }
         }
     }
 }
@@ -57,13 +61,19 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "cluster {:.MAX_QUOTED_NAME$}: ", self.cluster_name)?;
         match &self.problem {
-            Problem::UnknownCluster => write!(f, "no class of that name"),
-            Problem::Interval => write!(f, "load_report_interval is missing or out of range"),
-            Problem::TooOld => write!(f, "it covers more than what is judged by"),
-            Problem::ClusterFigure(reason) => write!(f, "{reason}"),
-            Problem::EndpointFigure { address, reason } => write!(f, "{address}: {reason}"),
-            Problem::NoLatency { address } => write!(f, "{address}: no metric {LATENCY_METRIC}"),
-            Problem::LatencyOutOfRange { address } => {
+            ReportProblem::UnknownCluster => write!(f, "no class has this name"),
+            ReportProblem::InvalidInterval => {
+                write!(f, "load_report_interval is missing or out of range")
+            }
+            ReportProblem::TooOld => write!(f, "load_report_interval is too long"),
+            ReportProblem::InvalidClusterValue(reason) => write!(f, "{reason}"),
+            ReportProblem::InvalidEndpointValue { address, reason } => {
+                write!(f, "{address}: {reason}")
+            }
+            ReportProblem::MissingLatency { address } => {
+                write!(f, "{address}: no metric {LATENCY_METRIC}")
+            }
+            ReportProblem::LatencyOutOfRange { address } => {
                 write!(f, "{address}: {LATENCY_METRIC} is out of range")
             }
         }
@@ -72,31 +82,30 @@
 
 impl std::error::Error for InvalidReport {}
 
-/// What a report is read with.
+/// Everything besides the report that the conversion needs.
 pub(crate) struct ReportContext<'a, L: Fn(&HostId) -> HostLoad> {
-    /// Who reports.
+    /// The proxy that sent the report.
     pub(crate) reporter: ProxyIdentity,
-    /// The settings in force.
     pub(crate) settings: &'a Settings,
-    /// Knows classes and hosts.
+    /// Resolves cluster names and host addresses.
     pub(crate) cache: &'a ResourceCache,
-    /// The load that a host reports itself.
+    /// Returns the load that a host reports itself.
     pub(crate) load_of: L,
 }
 
-/// What a report says.
+/// A successfully converted report.
 #[derive(Debug, Default)]
 pub(crate) struct ConvertedReport {
-    /// For the policy: of each cluster the proxy's usage, then what it saw of each host.
+    /// For each cluster, the proxy's traffic followed by its observation of each host.
     pub(crate) events: Vec<Event>,
-    /// Hosts that are left out as the membership list names none at their address.
+    /// Number of endpoints left out because no listed host has their address.
     pub(crate) unlisted_hosts: u64,
 }
 
-/// Converts a report as a whole.
+/// Converts a load report.
 ///
 /// # Errors
-/// The first thing that is wrong with it.
+/// The first error found in the report; no event of it is used then.
 pub(crate) fn convert<L: Fn(&HostId) -> HostLoad>(
     request: &LoadStatsRequest,
     context: &ReportContext<'_, L>,
@@ -118,11 +127,11 @@
         &self,
         cluster: &ClusterStats,
         report: &mut ConvertedReport,
-    ) -> Result<(), Problem> {
+    ) -> Result<(), ReportProblem> {
         let class = self
             .cache
             .class(&cluster.cluster_name)
-            .ok_or(Problem::UnknownCluster)?;
+            .ok_or(ReportProblem::UnknownCluster)?;
         let span = self.span(cluster)?;
         report.events.push(self.usage(class, cluster, span)?);
         for endpoint in &cluster.endpoints {
@@ -134,25 +143,30 @@
         Ok(())
     }
 
-    /// The span that the report covers, in ms.
-    fn span(&self, cluster: &ClusterStats) -> Result<Ms, Problem> {
+    /// Validates the period that a cluster's statistics cover and returns it in ms.
+    fn span(&self, cluster: &ClusterStats) -> Result<Ms, ReportProblem> {
         let span = cluster
             .load_report_interval
             .filter(|span| *span > 0.0 && *span <= report_limits::MAX_SPAN)
-            .ok_or(Problem::Interval)?;
+            .ok_or(ReportProblem::InvalidInterval)?;
         let report_interval = self.settings.report_interval.max(MIN_REPORT_INTERVAL);
         if span > MAX_INTERVALS_COVERED * report_interval {
-            return Err(Problem::TooOld);
+            return Err(ReportProblem::TooOld);
         }
         Ok(span)
     }
 
-    /// What came to the proxy for a class.
-    fn usage(&self, class: ClassId, cluster: &ClusterStats, span: Ms) -> Result<Event, Problem> {
+    /// Event for the requests that the proxy received for a class.
+    fn usage(
+        &self,
+        class: ClassId,
+        cluster: &ClusterStats,
+        span: Ms,
+    ) -> Result<Event, ReportProblem> {
         let failed = cluster.error_requests as f64;
         let attempts = cluster.successful_requests as f64 + failed;
         report_limits::check_counts(attempts, failed, span)
-            .map_err(|number| Problem::ClusterFigure(number.reason()))?;
+            .map_err(|number| ReportProblem::InvalidClusterValue(number.reason()))?;
         Ok(Event::TrafficReported {
             proxy: self.reporter.proxy,
             class,
@@ -162,23 +176,23 @@
         })
     }
 
-    /// What the proxy saw of a host.
+    /// Event for the proxy's observation of one host.
     fn observation(
         &self,
         host: &HostId,
         endpoint: &EndpointStats,
         span: Ms,
-    ) -> Result<Event, Problem> {
-        let invalid_figure = |reason| Problem::EndpointFigure {
+    ) -> Result<Event, ReportProblem> {
+        let invalid_value = |reason| ReportProblem::InvalidEndpointValue {
             address: endpoint.address.clone(),
             reason,
         };
         let attempts = endpoint.issued_requests as f64;
         let failed = endpoint.error_requests as f64;
         report_limits::check_counts(attempts, failed, span)
-            .map_err(|number| invalid_figure(number.reason()))?;
+            .map_err(|number| invalid_value(number.reason()))?;
         if failed > attempts {
-            return Err(invalid_figure("more errors than requests"));
+            return Err(invalid_value("more errors than requests"));
         }
         let mean = self.mean_latency(endpoint)?;
         let load = HostLoad {
@@ -196,19 +210,19 @@
         })
     }
 
-    /// The mean latency of successful requests, in ms; 0 where there were none.
-    fn mean_latency(&self, endpoint: &EndpointStats) -> Result<Ms, Problem> {
+    /// Mean latency of successful requests, in ms; 0 if there were none.
+    fn mean_latency(&self, endpoint: &EndpointStats) -> Result<Ms, ReportProblem> {
         let address = || endpoint.address.clone();
         let has_successes = endpoint.issued_requests as f64 > endpoint.error_requests as f64;
         let mean = match endpoint.load_metrics.get(LATENCY_METRIC) {
             Some(metric) if metric.finished_requests > 0 => {
                 metric.total_value / metric.finished_requests as f64
             }
-            _ if has_successes => return Err(Problem::NoLatency { address: address() }),
+            _ if has_successes => return Err(ReportProblem::MissingLatency { address: address() }),
             _ => 0.0,
         };
         if !report_limits::is_plausible_mean(mean, self.settings) {
-            return Err(Problem::LatencyOutOfRange { address: address() });
+            return Err(ReportProblem::LatencyOutOfRange { address: address() });
         }
         Ok(mean)
     }
--- a/crates/director/xds/src/load_reports/mod.rs
+++ b/crates/director/xds/src/load_reports/mod.rs
@@ -1,10 +1,10 @@
-//! Load reports of proxies (LRS): which of them are believed, and what they say.
+//! Load reports of proxies (LRS).
 //!
-//! * `burst_filter.rs`: holds back reports that may be of an earlier time.
-//! * `conversion.rs`: from a report to events for the policy, and what makes a report invalid.
+//! * `burst_filter.rs`: discards reports that were delayed in transit.
+//! * `conversion.rs`: validates reports and converts them to events for the policy.
 
 mod burst_filter;
 mod conversion;
 
-pub(crate) use burst_filter::{Admission, BurstFilter};
+pub(crate) use burst_filter::{BurstFilter, FilterDecision};
 pub(crate) use conversion::{ReportContext, convert};
--- a/crates/director/xds/src/messages.rs
+++ b/crates/director/xds/src/messages.rs
@@ -1,132 +1,133 @@
-//! The protocol's messages, as far as they are used, without their encoding: aggregated discovery (ADS, state of the
-//! world and delta), load reporting (LRS) and out-of-band load reports of hosts (ORCA). Types and fields carry the
-//! names of the published messages; what `rushcourse-grpc` doesn't read of a message is not here.
+//! Decoded protocol messages: aggregated discovery (ADS, state of the world and delta), load reporting (LRS) and
+//! out-of-band load reports of hosts (ORCA). Types and fields keep the names of the protobuf messages; fields that
+//! `rushcourse-grpc` doesn't read are left out.
 
 use rushcourse_policy::interface::{HostId, Ms, RetryPolicy};
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// The one type of resource that is served: a class's endpoint table.
+/// The only resource type that is served. Each request class has one resource: its endpoint table.
 pub const CLUSTER_LOAD_ASSIGNMENT_TYPE_URL: &str =
     "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
 
-/// The sender of a stream, as its first request names it (`envoy.config.core.v3.Node`).
+/// The proxy at the other end of a stream, from the stream's first request (`envoy.config.core.v3.Node`).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Node {
-    /// `id`: names the proxy.
+    /// `id`: resolved to a proxy by [`NodeIdentities`](crate::NodeIdentities).
     pub id: String,
-    /// `locality.zone`.
+    /// `locality.zone`: has to be a zone of the settings.
     pub zone: String,
-    /// `metadata.rate`: a rough number of requests a second that it serves, if it gives one.
+    /// `metadata.rate`: approximate requests per second that the proxy serves; `None` if the node doesn't state it.
     pub rate: Option<f64>,
 }
 
 /// A request on a state-of-the-world stream: the first one, an ACK, a NACK, or a changed subscription.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DiscoveryRequest {
-    /// Present on the first request of a stream.
+    /// Identifies the proxy; required on the first request of a stream.
     pub node: Option<Node>,
-    /// The type of resource that is asked for.
+    /// The requested resource type.
     pub type_url: String,
-    /// The subscription as a whole; `*` stands for all resources.
+    /// The complete subscription; `*` stands for all resources.
     pub resource_names: Vec<String>,
     /// The version that the proxy holds; empty if it holds none.
     pub version_info: String,
-    /// The response that this request answers; empty on the first request.
+    /// Nonce of the response that this request answers; empty on the first request.
     pub response_nonce: String,
-    /// `error_detail.message`: why the response of this nonce is rejected (NACK).
+    /// `error_detail.message`: why the proxy rejected the response (NACK); `None` for an ACK.
     pub error_detail: Option<String>,
 }
 
 /// A request on a delta stream: the first one, an ACK, a NACK, or a change of the subscription.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DeltaDiscoveryRequest {
-    /// Present on the first request of a stream.
+    /// Identifies the proxy; required on the first request of a stream.
     pub node: Option<Node>,
-    /// The type of resource that is asked for.
+    /// The requested resource type.
     pub type_url: String,
-    /// Names that are added to the subscription; `*` stands for all resources.
+    /// Names to add to the subscription; `*` stands for all resources.
     pub resource_names_subscribe: Vec<String>,
-    /// Names that are removed from the subscription.
+    /// Names to remove from the subscription.
     pub resource_names_unsubscribe: Vec<String>,
-    /// Versions that the proxy holds from an earlier stream, by resource name. Read on the first request only.
+    /// Versions that the proxy still holds from an earlier stream, by resource name. Used only before the first
+    /// response of a stream.
     pub initial_resource_versions: BTreeMap<String, String>,
-    /// The response that this request answers; empty where it answers none.
+    /// Nonce of the response that this request answers; empty if it answers none.
     pub response_nonce: String,
-    /// `error_detail.message`: why the response of this nonce is rejected (NACK).
+    /// `error_detail.message`: why the proxy rejected the response (NACK); `None` for an ACK.
     pub error_detail: Option<String>,
 }
 
-/// What a proxy's requests came to, by cluster, since its last report.
+/// A proxy's load report: the outcome of its requests since the previous report, by cluster.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadStatsRequest {
-    /// Present on the first request of a stream, which reports nothing.
+    /// Identifies the proxy; required on the first request of a stream, which carries no statistics.
     pub node: Option<Node>,
-    /// One entry for each cluster.
+    /// One entry per cluster; empty on the first request of a stream.
     pub cluster_stats: Vec<ClusterStats>,
 }
 
-/// Requests of one class that came to a proxy since its last report.
+/// Statistics of one request class since the proxy's previous report.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ClusterStats {
-    /// The class.
+    /// Name of the request class.
     pub cluster_name: String,
-    /// The span that the report covers, in ms; nothing where the field is missing or negative.
+    /// The period that the report covers, in ms; `None` if the field is missing or negative.
     pub load_report_interval: Option<Ms>,
     /// Sum of `total_successful_requests` over all localities.
     pub successful_requests: u64,
     /// Sum of `total_error_requests` over all localities.
     pub error_requests: u64,
-    /// One entry for each host that was sent requests.
+    /// One entry per host that the proxy sent requests to.
     pub endpoints: Vec<EndpointStats>,
 }
 
-/// What a proxy saw of one host since its last report (`UpstreamEndpointStats`).
+/// A proxy's statistics of one host since its previous report (`UpstreamEndpointStats`).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EndpointStats {
     /// `address.socket_address`, as host:port.
     pub address: String,
-    /// `total_issued_requests`.
+    /// `total_issued_requests`: requests sent to the host in the period.
     pub issued_requests: u64,
-    /// `total_error_requests`.
+    /// `total_error_requests`: requests to the host that failed in the period.
     pub error_requests: u64,
-    /// `total_requests_in_progress`.
+    /// `total_requests_in_progress`: requests in flight when the report was made.
     pub requests_in_progress: u64,
-    /// `load_metric_stats`, by the metric's name.
+    /// `load_metric_stats`, by metric name.
     pub load_metrics: BTreeMap<String, LoadMetric>,
 }
 
 /// A metric summed over requests (`EndpointLoadMetricStats`).
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadMetric {
-    /// Requests that finished with this metric.
+    /// Number of finished requests that contributed to `total_value`.
     pub finished_requests: u64,
-    /// The sum of their values, in the metric's unit.
+    /// Sum over those requests, in the metric's unit.
     pub total_value: f64,
 }
 
-/// A host's report of its own load, out of band (`xds.data.orca.v3.OrcaLoadReport`).
+/// A host's out-of-band report of its own load (`xds.data.orca.v3.OrcaLoadReport`).
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OrcaLoadReport {
-    /// `application_utilization`, or `cpu_utilization` where that is 0: share of its processors in use.
+    /// `application_utilization`, or `cpu_utilization` if that is 0: the used share of the host's processors.
     pub utilization: f64,
-    /// `named_metrics["queue"]`: requests that wait.
+    /// `named_metrics["queue"]`: number of queued requests; `None` if the host doesn't report it.
     pub queue: Option<f64>,
 }
 
 /// A request on a stream of any kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Request {
-    /// On a state-of-the-world stream.
+    /// Received on a state-of-the-world stream.
     Discovery(DiscoveryRequest),
-    /// On a delta stream.
+    /// Received on a delta stream.
     Delta(DeltaDiscoveryRequest),
-    /// On a load reporting stream.
+    /// Received on a load reporting stream.
     LoadStats(LoadStatsRequest),
 }
 
 impl Request {
-    /// Who sends it; present on a stream's first request.
+    /// The sending proxy; required on a stream's first request and usually absent later.
     pub fn node(&self) -> Option<&Node> {
         match self {
             Request::Discovery(request) => request.node.as_ref(),
@@ -136,94 +137,95 @@
     }
 }
 
-/// A host of a class's table (`LbEndpoint`).
+/// A host in a class's endpoint table (`LbEndpoint`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
     /// The host's name in the membership list.
     pub host: HostId,
-    /// As the membership list gives it: host:port.
+    /// The host's address in the membership list, as host:port.
     pub address: String,
-    /// `load_balancing_weight`: 1 or more, in units of 1 / `WEIGHT_SCALE`.
+    /// `load_balancing_weight`: at least 1, in units of 1 / `WEIGHT_SCALE`.
     pub weight: u32,
-    /// `health_status` is `DRAINING`: no new requests.
+    /// Sets `health_status` to `DRAINING`, so that the proxy sends the host no new requests.
     pub draining: bool,
 }
 
-/// The hosts of a zone (`LocalityLbEndpoints`).
+/// The hosts of one zone (`LocalityLbEndpoints`).
 #[derive(Clone, Debug, PartialEq)]
 pub struct Locality {
-    /// `locality.zone`.
+    /// `locality.zone`: the zone's name in the settings.
     pub zone: String,
-    /// Its hosts, in the order of their names.
+    /// The zone's hosts, sorted by name.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// A class's table as a proxy is to follow it.
+/// The endpoint table of one request class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterLoadAssignment {
-    /// The class.
+    /// Name of the request class.
     pub cluster_name: String,
-    /// The hosts, by zone.
+    /// The hosts, grouped by zone.
     pub localities: Vec<Locality>,
-    /// Requests to reject, in millionths (`policy.drop_overloads`, category `admission`).
+    /// Requests that the proxy rejects, per million (`policy.drop_overloads`, category `admission`).
     pub drop_per_million: u32,
-    /// Which failed requests a proxy may send to another host.
+    /// Which failed requests the proxy may retry on another host.
     pub retry_policy: RetryPolicy,
 }
 
-/// An assignment with its version.
+/// An endpoint table with its version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Resource {
-    /// Follows from the content: equal assignments of one incarnation have equal versions.
+    /// Hash of the content, prefixed with the incarnation: equal assignments have equal versions within one run of the
+    /// director.
     pub version: String,
-    /// The content.
+    /// The endpoint table; shared between the streams that are sent it.
     pub assignment: Arc<ClusterLoadAssignment>,
 }
 
 /// A response on a state-of-the-world stream: all resources of the subscription.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscoveryResponse {
-    /// The version of all resources together.
+    /// Combined version of all resources in the response.
     pub version_info: String,
-    /// What the proxy's ACK or NACK names.
+    /// Identifies the response; the proxy returns it in its ACK or NACK.
     pub nonce: String,
-    /// All resources that the proxy is subscribed to and that exist.
+    /// All existing resources that the proxy subscribes to.
     pub resources: Vec<Resource>,
 }
 
 /// A response on a delta stream: the resources that have changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DeltaDiscoveryResponse {
-    /// The version of the resources in this response; for people who debug, nothing compares it.
+    /// Combined version of the resources in the response. For debugging only: neither side compares it.
     pub system_version_info: String,
-    /// What the proxy's ACK or NACK names.
+    /// Identifies the response; the proxy returns it in its ACK or NACK.
     pub nonce: String,
-    /// Resources that are new to the proxy or have changed.
+    /// Resources that the proxy doesn't hold in their current version.
     pub resources: Vec<Resource>,
-    /// Names of the subscription that don't exist.
+    /// Subscribed names that don't exist.
     pub removed_resources: Vec<String>,
 }
 
-/// The response on a load reporting stream: report on all clusters, by endpoint.
+/// The response on a load reporting stream. It asks for reports on all clusters, broken down by endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadStatsResponse {
-    /// ms between two reports.
+    /// Interval between two load reports, in ms.
     pub load_reporting_interval: Ms,
 }
 
 /// A response on a stream of any kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Response {
-    /// On a state-of-the-world stream.
+    /// Sent on a state-of-the-world stream.
     Discovery(DiscoveryResponse),
-    /// On a delta stream.
+    /// Sent on a delta stream.
     Delta(DeltaDiscoveryResponse),
-    /// On a load reporting stream.
+    /// Sent on a load reporting stream.
     LoadStats(LoadStatsResponse),
 }
 
 impl Response {
-    /// What the answer to a discovery response names; nothing on a load reporting stream.
+    /// The nonce of a discovery response; `None` for a load reporting response.
     pub fn nonce(&self) -> Option<&str> {
         match self {
             Response::Discovery(response) => Some(&response.nonce),
@@ -232,7 +234,7 @@
         }
     }
 
-    /// The version of all resources that it holds together; nothing on a load reporting stream.
+    /// The combined version of a discovery response; `None` for a load reporting response.
     pub fn version(&self) -> Option<&str> {
         match self {
             Response::Discovery(response) => Some(&response.version_info),
@@ -241,7 +243,7 @@
         }
     }
 
-    /// The resources that it holds; none on a load reporting stream.
+    /// The resources of a discovery response; empty for a load reporting response.
     pub fn resources(&self) -> &[Resource] {
         match self {
             Response::Discovery(response) => &response.resources,
--- a/crates/director/xds/src/outbox.rs
+++ b/crates/director/xds/src/outbox.rs
@@ -1,60 +1,56 @@
-//! What a step leaves behind: events for the policy, effects, log entries and counters.
+//! The results of steps: events for the policy, effects, log entries and counter increments.
 
 use crate::interface::Effect;
 use rushcourse_policy::interface::Event;
 
-/// How much a log entry matters.
+/// Severity of a log entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// Usual.
+    /// Expected in normal operation.
     Info,
-    /// Somebody should look at it.
+    /// Needs an operator's attention.
     Warning,
 }
 
-/// An entry for the log. Whoever writes it limits the entries of one kind.
+/// A log entry. The writer rate-limits entries of the same kind.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogEntry {
-    /// How much it matters.
+    /// Severity that the line is written with.
     pub severity: Severity,
-    /// What is limited together; the words that the line begins with.
+    /// Rate-limiting key; also the first words of the line.
     pub kind: &'static str,
-    /// The rest of the line.
+    /// The rest of the line, after the kind.
     pub text: String,
 }
 
-/// What steps have brought about and nobody has taken over yet, in the order in which it happened.
+/// Results that the caller has not taken yet, each list in order of occurrence.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// For the policy.
+    /// Events for the policy.
     pub events: Vec<Event>,
-    /// For the sockets.
+    /// Operations for the transport.
     pub effects: Vec<Effect>,
-    /// For the log.
+    /// Lines for the log.
     pub log_entries: Vec<LogEntry>,
-    /// Names of counters (see `COUNTERS`) and by how much they rise.
+    /// Names of counters (see `COUNTERS`), each with the amount to add.
     pub increments: Vec<(&'static str, u64)>,
-    /// Invariants that did not hold.
+    /// Descriptions of invariants that did not hold.
     pub violations: Vec<&'static str>,
 }
 
 impl Outbox {
-    /// Hands an event to the policy.
     pub(crate) fn event(&mut self, event: Event) {
         self.events.push(event);
     }
 
-    /// Asks for an effect.
     pub(crate) fn effect(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    /// Raises a counter.
     pub(crate) fn count(&mut self, counter: &'static str, by: u64) {
         self.increments.push((counter, by));
     }
 
-    /// Writes an entry to the log.
     pub(crate) fn log(&mut self, severity: Severity, kind: &'static str, text: String) {
         self.log_entries.push(LogEntry {
             severity,
@@ -63,8 +59,7 @@
         });
     }
 
-    /// Reports an invariant that does not hold.
-    pub(crate) fn violated(&mut self, invariant: &'static str) {
+    pub(crate) fn record_violation(&mut self, invariant: &'static str) {
         self.violations.push(invariant);
     }
 }
--- a/crates/director/xds/src/rate_limiter.rs
+++ b/crates/director/xds/src/rate_limiter.rs
@@ -1,10 +1,10 @@
-//! Limits the messages that a proxy itself brings about: who subscribes again and again must not use up the messages
-//! that the policy may send to it.
+//! Rate limit on the responses that a proxy's own requests cause, so that a proxy which resubscribes in a loop doesn't
+//! use up the message budget that the policy has for it.
 
 use rushcourse_policy::interface::Ms;
 use std::collections::VecDeque;
 
-/// A sliding window over the messages that were sent.
+/// A sliding-window rate limiter.
 #[derive(Debug)]
 pub struct RateLimiter {
     max_messages: usize,
@@ -13,7 +13,7 @@
 }
 
 impl RateLimiter {
-    /// At most `max_messages` within any `window` ms; 0 is no limit.
+    /// Allows at most `max_messages` within any `window` ms; 0 means no limit.
     pub fn new(max_messages: usize, window: Ms) -> RateLimiter {
         RateLimiter {
             max_messages,
@@ -22,13 +22,13 @@
         }
     }
 
-    /// Records a message that is sent now.
+    /// Counts a message that is sent at `now`.
     pub fn record(&mut self, now: Ms) {
         self.sent_at.push_back(now);
         self.sent_at.retain(|at| now - at <= self.window);
     }
 
-    /// The earliest time for one more message: now, or later.
+    /// The earliest time at which one more message is allowed; `now` if it is allowed at once.
     pub fn next_allowed_at(&self, now: Ms) -> Ms {
         let in_window: Vec<Ms> = self
             .sent_at
--- a/crates/director/xds/src/registry.rs
+++ b/crates/director/xds/src/registry.rs
@@ -1,4 +1,5 @@
-//! Which stream is which proxy's. A proxy is who its node says; where two streams name the same one, one is served.
+//! Maps each proxy to its discovery stream. A proxy is identified by its node; of two streams with the same node, one
+//! is served.
 
 use crate::config::NodeIdentities;
 use crate::interface::{ConnectionId, StatusCode, StreamId};
@@ -7,66 +8,66 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
 
-/// ms since the last request on any stream of a proxy within which its process counts as alive: its stream was not
-/// lost unnoticed then, and another one of its name is rejected.
+/// A proxy that sent a request on any of its streams within this time (ms) counts as alive, and another connection
+/// can't take over its stream.
 const ALIVE_WINDOW: Ms = 2500.0;
-/// Streams of one proxy that may replace each other within `TAKEOVER_WINDOW`; further ones are rejected. Without this,
-/// two processes that were given one name would end each other's streams for ever.
+/// Takeovers of one proxy's stream that are allowed within `TAKEOVER_WINDOW`. Without a limit, two processes that are
+/// configured with the same node id would end each other's streams forever.
 const MAX_TAKEOVERS: usize = 3;
-/// ms for which a takeover counts.
+/// Time for which a takeover counts towards `MAX_TAKEOVERS`, in ms.
 const TAKEOVER_WINDOW: Ms = 30_000.0;
-/// Proxies whose takeovers are remembered; beyond, those of the smallest numbers are forgotten.
-const MAX_REMEMBERED_PROXIES: usize = 4096;
-/// Characters of a node's id that are quoted in a status message.
+/// Proxies with a takeover history. When there are more, the histories of the lowest proxy numbers are dropped.
+const MAX_TAKEOVER_HISTORIES: usize = 4096;
+/// Longest node id that a status message quotes, in characters.
 const MAX_QUOTED_ID: usize = 80;
 
-/// Who a node is.
+/// A proxy, identified from its node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProxyIdentity {
-    /// The proxy's number.
+    /// The proxy's number, from its node id.
     pub proxy: ProxyId,
-    /// The zone that it runs in.
+    /// The proxy's zone, as an index into the zones of the settings.
     pub zone: ZoneId,
 }
 
-/// Why a stream is not served. Its text is the status message that the peer gets.
+/// Why a stream is rejected. The `Display` text becomes the gRPC status message.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Rejection {
-    /// The first request names no node.
+    /// The first request has no node, or the node has no id.
     MissingNode,
-    /// The id follows neither the prefix nor the list of names.
+    /// The node id neither has the prefix nor is a listed name.
     UnknownNode {
-        /// The id, shortened.
+        /// The node id, truncated.
         id: String,
     },
-    /// The proxy's number is beyond the settings' number of proxies.
+    /// The proxy's number is not below the number of proxies in the settings.
     TooManyProxies {
-        /// The id, shortened.
+        /// The node id, truncated.
         id: String,
-        /// The settings' number of proxies.
+        /// Number of proxies in the settings.
         max: usize,
     },
-    /// The node's zone is none of the settings.
+    /// The node's zone is not in the settings.
     UnknownZone {
-        /// The id, shortened.
+        /// The node id, truncated.
         id: String,
-        /// The zone that it names.
+        /// The zone that the node names.
         zone: String,
     },
-    /// Another stream of the proxy is alive.
+    /// Another stream of the proxy is active.
     AlreadyJoined {
-        /// The proxy.
+        /// Number of the proxy that both streams identify as.
         proxy: ProxyId,
     },
-    /// Streams of the proxy replace each other again and again.
+    /// The proxy's stream was taken over too often within `TAKEOVER_WINDOW`.
     RepeatedTakeovers {
-        /// The proxy.
+        /// Number of the proxy that both streams identify as.
         proxy: ProxyId,
     },
 }
 
 impl Rejection {
-    /// The status that the stream ends with.
+    /// The status code that the stream ends with.
     pub fn status(&self) -> StatusCode {
         match self {
             Rejection::MissingNode | Rejection::UnknownZone { .. } => StatusCode::InvalidArgument,
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The counter that it raises.
+    /// Name of the counter for this kind of rejection.
     pub(crate) fn counter(&self) -> &'static str {
         match self {
             Rejection::MissingNode => "streams_nameless",
@@ -127,24 +128,24 @@
 struct JoinedStream {
     stream: StreamId,
     connection: ConnectionId,
-    /// When a request last came on any of the proxy's streams.
+    /// Time of the last request on any of the proxy's streams.
     last_active: Ms,
 }
 
-/// The proxies that have joined by a stream.
+/// The proxies that have joined, each with its discovery stream.
 #[derive(Debug, Default)]
 pub struct ProxyRegistry {
     identities: NodeIdentities,
     zones: Vec<String>,
-    /// Proxies that the settings name; 0: any number.
+    /// Number of proxies in the settings; 0 means no limit.
     max_proxies: usize,
     joined: BTreeMap<ProxyId, JoinedStream>,
-    /// When streams of a proxy replaced each other.
+    /// Times of recent takeovers, by proxy.
     takeovers: BTreeMap<ProxyId, VecDeque<Ms>>,
 }
 
 impl ProxyRegistry {
-    /// No proxy yet. `max_proxies` 0 is no limit.
+    /// Creates a registry without proxies. `max_proxies` 0 means no limit.
     pub fn new(
         identities: NodeIdentities,
         zones: Vec<String>,
@@ -158,70 +159,71 @@
         }
     }
 
-    /// From now on nodes are identified by these. Who has joined stays.
+    /// Replaces the mapping from node ids to proxies. Proxies that have already joined aren't affected.
     pub fn set_identities(&mut self, identities: NodeIdentities) {
         self.identities = identities;
     }
 
-    /// How many proxies have joined.
+    /// Number of proxies that have joined.
     pub fn joined_count(&self) -> usize {
         self.joined.len()
     }
 
-    /// How many proxies' takeovers are remembered.
-    pub fn takeover_count(&self) -> usize {
+    /// Number of proxies with a takeover history.
+    pub fn takeover_history_count(&self) -> usize {
         self.takeovers.len()
     }
 
-    /// The stream that a proxy has joined by.
+    /// The discovery stream of a proxy, if it has joined.
     pub fn stream(&self, proxy: ProxyId) -> Option<StreamId> {
         self.joined.get(&proxy).map(|joined| joined.stream)
     }
 
-    /// Who a node is.
+    /// Identifies the proxy of a stream's first request.
     ///
     /// # Errors
-    /// A node that is missing or unknown, or beyond what the settings name.
+    /// The node is missing, maps to no proxy of the settings, or names an unknown zone.
     pub fn identify(&self, node: Option<&Node>) -> Result<ProxyIdentity, Rejection> {
         let node = node
             .filter(|node| !node.id.is_empty())
             .ok_or(Rejection::MissingNode)?;
-        let id = || node.id.chars().take(MAX_QUOTED_ID).collect();
+        let quoted_id = || node.id.chars().take(MAX_QUOTED_ID).collect();
         let proxy = self
-            .proxy_of(&node.id)
-            .ok_or_else(|| Rejection::UnknownNode { id: id() })?;
+            .proxy_for_node_id(&node.id)
+            .ok_or_else(|| Rejection::UnknownNode { id: quoted_id() })?;
         if self.max_proxies > 0 && proxy as usize >= self.max_proxies {
             return Err(Rejection::TooManyProxies {
-                id: id(),
+                id: quoted_id(),
                 max: self.max_proxies,
             });
         }
         let zone = self.zones.iter().position(|zone| *zone == node.zone);
         zone.map(|zone| ProxyIdentity { proxy, zone })
             .ok_or_else(|| Rejection::UnknownZone {
-                id: id(),
+                id: quoted_id(),
                 zone: node.zone.clone(),
             })
     }
 
-    /// The proxy that a node id names: by the list of names, else by the number after the prefix.
-    fn proxy_of(&self, node_id: &str) -> Option<ProxyId> {
+    /// Resolves a node id: first by the list of names, then by the number after the prefix.
+    fn proxy_for_node_id(&self, node_id: &str) -> Option<ProxyId> {
         if let Some(proxy) = self.identities.names.get(node_id) {
             return Some(*proxy);
         }
         let number = node_id.strip_prefix(&self.identities.prefix)?;
-        // `parse` alone would take a sign.
+        // `parse` alone would accept a leading `+`.
         let is_number = !number.is_empty() && number.bytes().all(|byte| byte.is_ascii_digit());
         if is_number { number.parse().ok() } else { None }
     }
 
-    /// Makes a stream a proxy's. Returns the stream that it replaces, if there is one.
+    /// Assigns a stream to a proxy and returns the stream that it replaces, if any.
     ///
-    /// On the connection of the old stream, the same process has opened it anew. On another connection, the old stream
-    /// was lost unnoticed, unless something came on it lately: then two processes go by one name.
+    /// A new stream on the same connection comes from the same process and replaces the old one. On another connection
+    /// it replaces the old one only if that has been idle for `ALIVE_WINDOW`: a recent request means that a second
+    /// process uses the same node id.
     ///
     /// # Errors
-    /// Another stream of that proxy is alive, or too many have replaced each other.
+    /// Another stream of the proxy is active, or its stream was taken over too often.
     pub fn claim(
         &mut self,
         now: Ms,
@@ -249,33 +251,33 @@
         takeovers.push_back(now);
         let replaced = old.stream;
         self.joined.insert(proxy, joined);
-        self.forget_old_takeovers(now);
+        self.prune_takeovers(now);
         Ok(Some(replaced))
     }
 
-    /// Keeps memory bounded: proxies without a takeover of late have no history, and the number of the others is
-    /// limited.
-    fn forget_old_takeovers(&mut self, now: Ms) {
+    /// Drops expired takeover histories and enforces `MAX_TAKEOVER_HISTORIES`.
+    fn prune_takeovers(&mut self, now: Ms) {
         self.takeovers
             .retain(|_, times| times.back().is_some_and(|at| now - at <= TAKEOVER_WINDOW));
-        while self.takeovers.len() > MAX_REMEMBERED_PROXIES {
+        while self.takeovers.len() > MAX_TAKEOVER_HISTORIES {
             self.takeovers.pop_first();
         }
     }
 
-    /// Something came from the proxy, on any of its streams.
+    /// Records that the proxy sent a request on any of its streams.
     pub fn record_activity(&mut self, now: Ms, proxy: ProxyId) {
         if let Some(joined) = self.joined.get_mut(&proxy) {
             joined.last_active = now;
         }
     }
 
-    /// A stream has ended. Returns whether the proxy had joined by it, so that the proxy has left.
+    /// Handles the end of a stream. Returns true if it was the proxy's current stream, which means that the proxy has
+    /// left.
     pub fn release(&mut self, now: Ms, proxy: ProxyId, stream: StreamId) -> bool {
         let has_left = self.stream(proxy) == Some(stream);
         if has_left {
             self.joined.remove(&proxy);
-            self.forget_old_takeovers(now);
+            self.prune_takeovers(now);
         }
         has_left
     }
--- a/crates/director/xds/src/report_streams.rs
+++ b/crates/director/xds/src/report_streams.rs
@@ -1,5 +1,5 @@
-//! Report streams to hosts (ORCA out of band, `StreamCoreMetrics`): which hosts are asked, when a lost stream is opened
-//! anew, and how long a report counts.
+//! Out-of-band load report streams to hosts (ORCA, `StreamCoreMetrics`): selection of hosts, reconnection, and expiry
+//! of reports.
 
 use crate::backoff::Backoff;
 use crate::interface::{DialId, Effect};
@@ -8,31 +8,31 @@
 use rushcourse_policy::interface::{ByHost, Event, HostId, HostLoad, Ms};
 use std::collections::BTreeMap;
 
-/// First and longest delay between attempts to reach a host, in ms.
+/// Bounds of the exponential backoff between dial attempts, in ms.
 const FIRST_DIAL_DELAY: Ms = 200.0;
 const MAX_DIAL_DELAY: Ms = 20_000.0;
-/// ms within which a stream has to open.
+/// Time in which a dialed stream has to open, in ms.
 const DIAL_TIMEOUT: Ms = 2000.0;
-/// The shortest interval between reports, in ms, whatever the settings say.
+/// Lower bound on the configured report interval, in ms.
 const MIN_REPORT_INTERVAL: Ms = 100.0;
-/// Report intervals for which a report counts.
-const FRESH_INTERVALS: f64 = 2.5;
-/// Report intervals without a report after which a stream is opened anew: its host may be dead, may answer pings and
-/// nothing else, or may hang in the middle of a message.
-const SILENT_INTERVALS: f64 = 4.0;
-/// The largest share of its processors that a host may report. Above 1 is usual where more than one core counts.
+/// Report intervals after which a report expires.
+const REPORT_TTL_INTERVALS: f64 = 2.5;
+/// Report intervals without a report after which a stream is closed and redialed. Covers hosts that still answer pings
+/// or stop in the middle of a message.
+const STALL_INTERVALS: f64 = 4.0;
+/// Largest valid utilization. Values above 1 are normal for hosts that sum over several cores.
 const MAX_UTILIZATION: f64 = 64.0;
-/// The largest number of waiting requests that a host may report.
+/// Largest valid number of queued requests.
 const MAX_QUEUE: f64 = 1e6;
 
-/// A host that can be asked for reports.
+/// A host from which load reports can be requested.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportingHost {
-    /// Its name in the membership list.
+    /// The host, as named in the membership list.
     pub host: HostId,
-    /// Where it listens: host:port.
+    /// The host's address, as host:port.
     pub address: String,
-    /// When it started, as the list has it.
+    /// When the host's process started, from the membership list; a change means a restart.
     pub started_at: Ms,
 }
 
@@ -40,16 +40,16 @@
 enum Connection {
     Closed { dial_at: Ms },
     Dialing { deadline: Ms },
-    Open { silent_at: Ms },
+    Open { report_deadline: Ms },
 }
 
 impl Connection {
-    /// When there is something to do next, if nothing is read before.
+    /// When the connection needs attention next, unless an input comes first.
     fn due_at(self) -> Ms {
         match self {
             Connection::Closed { dial_at } => dial_at,
             Connection::Dialing { deadline } => deadline,
-            Connection::Open { silent_at } => silent_at,
+            Connection::Open { report_deadline } => report_deadline,
         }
     }
 }
@@ -59,7 +59,7 @@
     address: String,
     started_at: Ms,
     connection: Connection,
-    /// The latest attempt.
+    /// Id of the latest dial attempt.
     dial: DialId,
     backoff: Backoff,
     last_report: Option<ReceivedReport>,
@@ -67,7 +67,7 @@
 
 #[derive(Debug)]
 struct ReceivedReport {
-    at: Ms,
+    received_at: Ms,
     load: HostLoad,
 }
 
@@ -76,8 +76,8 @@
         matches!(self.connection, Connection::Closed { .. })
     }
 
-    /// Gives up the stream, if there is one.
-    fn hang_up(&self, host: &HostId, outbox: &mut Outbox) {
+    /// Requests the close of the stream unless it is closed already.
+    fn close(&self, host: &HostId, outbox: &mut Outbox) {
         if !self.is_closed() {
             outbox.effect(Effect::CloseReportStream {
                 host: host.clone(),
@@ -86,8 +86,8 @@
         }
     }
 
-    /// The stream is lost, or did not open: it is dialed anew after a delay.
-    fn lost(&mut self, now: Ms, host: &HostId, reason: &str, outbox: &mut Outbox) {
+    /// Marks the stream as closed and schedules the next dial attempt.
+    fn schedule_redial(&mut self, now: Ms, host: &HostId, reason: &str, outbox: &mut Outbox) {
         self.connection = Connection::Closed {
             dial_at: now + self.backoff.next_delay(),
         };
@@ -100,7 +100,7 @@
     }
 }
 
-/// The report streams to all hosts that are asked.
+/// Report streams to all selected hosts.
 #[derive(Debug)]
 pub struct ReportStreams {
     report_interval: Ms,
@@ -108,12 +108,13 @@
     seed: u64,
     last_dial: DialId,
     streams: ByHost<ReportStream>,
-    /// Hosts that are not asked as there are too many.
+    /// Number of hosts left out because of `max_streams`.
     hosts_over_limit: usize,
 }
 
 impl ReportStreams {
-    /// No stream yet; at most `max_streams` later. `seed` spreads the delays between attempts.
+    /// Creates an empty set of at most `max_streams` streams, with reports every `report_interval` ms. `seed`
+    /// determines the jitter of the backoff.
     pub fn new(report_interval: Ms, max_streams: usize, seed: u64) -> ReportStreams {
         ReportStreams {
             report_interval: report_interval.max(MIN_REPORT_INTERVAL),
@@ -125,17 +126,17 @@
         }
     }
 
-    /// From the next list of hosts on, so many are asked at most.
+    /// Changes the limit on streams; takes effect with the next `update_hosts`.
     pub fn set_max_streams(&mut self, max_streams: usize) {
         self.max_streams = max_streams;
     }
 
-    /// How many hosts are asked.
+    /// Number of hosts selected for reporting.
     pub fn host_count(&self) -> usize {
         self.streams.len()
     }
 
-    /// How many of their streams are open.
+    /// Number of report streams that are open.
     pub fn open_count(&self) -> usize {
         self.streams
             .values()
@@ -143,40 +144,42 @@
             .count()
     }
 
-    /// How many hosts of the last list are not asked.
+    /// Number of hosts in the last list that were left out because of `max_streams`.
     pub fn hosts_over_limit(&self) -> usize {
         self.hosts_over_limit
     }
 
-    /// A host's own report, while it counts; else a load that says nothing.
+    /// The last reported load of a host; empty if there is none or it has expired.
     pub fn load(&self, now: Ms, host: &HostId) -> HostLoad {
         let report = self
             .streams
             .get(host)
             .and_then(|stream| stream.last_report.as_ref());
         report
-            .filter(|report| now - report.at <= FRESH_INTERVALS * self.report_interval)
+            .filter(|report| {
+                now - report.received_at <= REPORT_TTL_INTERVALS * self.report_interval
+            })
             .map(|report| report.load.clone())
             .unwrap_or_default()
     }
 
-    /// The hosts to ask from now on. One that restarted or moved is dialed anew, and its earlier report is forgotten:
-    /// a restarted host is cold, whatever it reported before.
+    /// Sets the hosts to request reports from. A host that restarted or moved is redialed and its last report dropped,
+    /// since a restarted host is cold and its earlier load no longer applies.
     pub fn update_hosts(&mut self, now: Ms, hosts: Vec<ReportingHost>, outbox: &mut Outbox) {
         self.hosts_over_limit = hosts.len().saturating_sub(self.max_streams);
-        let chosen = self.choose(hosts);
-        self.remove_all_but(&chosen, outbox);
-        for host in chosen.into_values() {
+        let selected = self.select_hosts(hosts);
+        self.retain_streams(&selected, outbox);
+        for host in selected.into_values() {
             self.update_host(now, host, outbox);
         }
     }
 
-    /// As many hosts as may be asked. Those that are asked already stay; new ones get what is left.
-    fn choose(&self, hosts: Vec<ReportingHost>) -> ByHost<ReportingHost> {
-        let (asked, new): (Vec<_>, Vec<_>) = hosts
+    /// Limits the hosts to `max_streams`, preferring those that already have a stream.
+    fn select_hosts(&self, hosts: Vec<ReportingHost>) -> ByHost<ReportingHost> {
+        let (existing, new): (Vec<_>, Vec<_>) = hosts
             .into_iter()
             .partition(|host| self.streams.contains_key(&host.host));
-        asked
+        existing
             .into_iter()
             .chain(new)
             .take(self.max_streams)
@@ -184,13 +187,13 @@
             .collect()
     }
 
-    fn remove_all_but(&mut self, chosen: &ByHost<ReportingHost>, outbox: &mut Outbox) {
+    fn retain_streams(&mut self, selected: &ByHost<ReportingHost>, outbox: &mut Outbox) {
         self.streams.retain(|host, stream| {
-            let stays = chosen.contains_key(host);
-            if !stays {
-                stream.hang_up(host, outbox);
+            let is_selected = selected.contains_key(host);
+            if !is_selected {
+                stream.close(host, outbox);
             }
-            stays
+            is_selected
         });
     }
 
@@ -203,7 +206,7 @@
             if has_restarted {
                 outbox.count("node_restarts", 1);
             }
-            stream.hang_up(&host.host, outbox);
+            stream.close(&host.host, outbox);
         }
         let stream = ReportStream {
             backoff: Backoff::new(FIRST_DIAL_DELAY, MAX_DIAL_DELAY, self.seed, &host.host),
@@ -216,23 +219,23 @@
         self.streams.insert(host.host, stream);
     }
 
-    /// The stream that an input belongs to; nothing where the input is of an earlier attempt.
-    fn current(&mut self, host: &HostId, dial: DialId) -> Option<&mut ReportStream> {
+    /// The stream that an input refers to; `None` if the input belongs to an earlier dial attempt.
+    fn current_stream(&mut self, host: &HostId, dial: DialId) -> Option<&mut ReportStream> {
         self.streams
             .get_mut(host)
             .filter(|stream| stream.dial == dial && !stream.is_closed())
     }
 
-    /// A stream has opened.
-    pub fn opened(&mut self, now: Ms, host: &HostId, dial: DialId) {
-        let silent_at = now + SILENT_INTERVALS * self.report_interval;
-        if let Some(stream) = self.current(host, dial) {
-            stream.connection = Connection::Open { silent_at };
+    /// Starts the report deadline of a stream that has opened.
+    pub fn on_opened(&mut self, now: Ms, host: &HostId, dial: DialId) {
+        let report_deadline = now + STALL_INTERVALS * self.report_interval;
+        if let Some(stream) = self.current_stream(host, dial) {
+            stream.connection = Connection::Open { report_deadline };
         }
     }
 
-    /// A host has reported. A report is believed as a whole or not at all.
-    pub fn report(
+    /// Handles a host's report. An invalid report is discarded as a whole.
+    pub fn on_report(
         &mut self,
         now: Ms,
         host: &HostId,
@@ -240,11 +243,11 @@
         report: &OrcaLoadReport,
         outbox: &mut Outbox,
     ) {
-        let silent_at = now + SILENT_INTERVALS * self.report_interval;
-        let Some(stream) = self.current(host, dial) else {
+        let report_deadline = now + STALL_INTERVALS * self.report_interval;
+        let Some(stream) = self.current_stream(host, dial) else {
             return;
         };
-        stream.connection = Connection::Open { silent_at };
+        stream.connection = Connection::Open { report_deadline };
         stream.backoff.reset();
         let queue = report.queue.unwrap_or(0.0);
         let is_valid = (0.0..=MAX_UTILIZATION).contains(&report.utilization)
@@ -252,7 +255,7 @@
         if !is_valid {
             outbox.count("node_reports_spoilt", 1);
             let text = format!(
-                "{host}: util {}, queue {queue} are out of range",
+                "{host}: utilization {} or queue {queue} is out of range",
                 report.utilization
             );
             return outbox.log(Severity::Info, "host report skipped", text);
@@ -264,7 +267,7 @@
             in_flight: None,
         };
         stream.last_report = Some(ReceivedReport {
-            at: now,
+            received_at: now,
             load: load.clone(),
         });
         outbox.event(Event::HealthChecked {
@@ -275,8 +278,8 @@
         });
     }
 
-    /// A stream has ended, or could not be opened.
-    pub fn closed(
+    /// Schedules a redial of a stream that has ended or could not be opened.
+    pub fn on_closed(
         &mut self,
         now: Ms,
         host: &HostId,
@@ -284,24 +287,24 @@
         reason: &str,
         outbox: &mut Outbox,
     ) {
-        if let Some(stream) = self.current(host, dial) {
-            stream.lost(now, host, reason, outbox);
+        if let Some(stream) = self.current_stream(host, dial) {
+            stream.schedule_redial(now, host, reason, outbox);
         }
     }
 
-    /// Dials the hosts that are due and gives up silent streams. Returns when there is something to do next.
+    /// Dials hosts whose backoff has expired and closes streams that time out. Returns the time of the next call.
     pub fn advance(&mut self, now: Ms, outbox: &mut Outbox) -> Ms {
         let mut next = f64::INFINITY;
         for (host, stream) in &mut self.streams {
             match stream.connection {
                 Connection::Dialing { deadline } if now >= deadline => {
-                    stream.hang_up(host, outbox);
-                    stream.lost(now, host, "no stream in time", outbox);
+                    stream.close(host, outbox);
+                    stream.schedule_redial(now, host, "timeout opening the stream", outbox);
                 }
-                Connection::Open { silent_at } if now >= silent_at => {
-                    stream.hang_up(host, outbox);
+                Connection::Open { report_deadline } if now >= report_deadline => {
+                    stream.close(host, outbox);
                     outbox.count("node_stalls", 1);
-                    stream.lost(now, host, "no report for too long", outbox);
+                    stream.schedule_redial(now, host, "timeout waiting for a report", outbox);
                 }
                 _ => {}
             }
--- a/crates/director/xds/src/resources/cache.rs
+++ b/crates/director/xds/src/resources/cache.rs
@@ -1,4 +1,4 @@
-//! The policy's tables and bindings, and the resources made of them.
+//! Mirrors the policy's tables and proxy bindings, and builds resources from them.
 
 use super::locations::{HostLocation, HostLocations};
 use super::versions;
@@ -12,10 +12,10 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// How much of a class's requests a proxy lets in, and which failed ones it may send again.
+/// Admission level and retry policy of one class.
 #[derive(Clone, Copy, Debug)]
 struct Admission {
-    /// 0 to 1.
+    /// Share of requests that is admitted, 0 to 1.
     level: f64,
     retry_policy: RetryPolicy,
 }
@@ -26,37 +26,36 @@
     admissions: BTreeMap<ClassId, Admission>,
 }
 
-/// What actions have changed since it was last asked.
+/// Changes since the last `take_changed_proxies`.
 #[derive(Debug, Default)]
 struct Changes {
     tables: BTreeSet<TableId>,
-    /// Proxies that were bound to other tables.
-    bound: BTreeSet<ProxyId>,
+    /// Proxies with a new binding.
+    bound_proxies: BTreeSet<ProxyId>,
 }
 
-/// The tables for streams, and what each proxy is to hold of them.
+/// The policy's dedicated tables, the proxies bound to them, and the resources built from them.
 #[derive(Debug)]
 pub(crate) struct ResourceCache {
     zones: Vec<String>,
     classes: Vec<String>,
-    /// For a class that no action has set a level for.
+    /// Applies to classes for which no action has set an admission level.
     default_admission: Admission,
-    /// Whether proxies follow admission levels, as shares.
-    follows_levels: bool,
+    /// Whether the settings have proxies enforce admission levels as a ratio; if not, the drop rate is always 0.
+    uses_admission_ratio: bool,
     incarnation: u64,
     tables: BTreeMap<TableId, Table>,
     bindings: BTreeMap<ProxyId, BTreeMap<ClassId, TableId>>,
     draining: BTreeSet<HostId>,
     locations: HostLocations,
-    /// Resources that are still as their tables are.
+    /// Resources built so far; a change of a table removes those built from it.
     resources: BTreeMap<(TableId, ClassId), Resource>,
     changes: Changes,
-    /// Weights left out so far as their host had no address.
-    unaddressed_count: u64,
+    /// Total number of endpoints left out of resources because the host's address is unknown.
+    omitted_endpoint_count: u64,
 }
 
 impl ResourceCache {
-    /// No table yet.
     pub(crate) fn new(settings: &Settings, names: &Names, incarnation: u64) -> ResourceCache {
         ResourceCache {
             zones: names.zones.clone(),
@@ -65,7 +64,7 @@
                 level: 1.0,
                 retry_policy: settings.proxies.retry_policy,
             },
-            follows_levels: settings.proxies.admission_kind == AdmissionKind::Ratio,
+            uses_admission_ratio: settings.proxies.admission_kind == AdmissionKind::Ratio,
             incarnation,
             tables: BTreeMap::new(),
             bindings: BTreeMap::new(),
@@ -73,26 +72,25 @@
             locations: HostLocations::default(),
             resources: BTreeMap::new(),
             changes: Changes::default(),
-            unaddressed_count: 0,
+            omitted_endpoint_count: 0,
         }
     }
 
-    /// The class of a name.
+    /// Index of the class with this name.
     pub(crate) fn class(&self, name: &str) -> Option<ClassId> {
         self.classes.iter().position(|class| class == name)
     }
 
-    /// The names of all classes, by their index.
+    /// Names of all classes, by class index.
     pub(crate) fn class_names(&self) -> &[String] {
         &self.classes
     }
 
-    /// The host that listens at an address.
     pub(crate) fn host_at(&self, address: &str) -> Option<&HostId> {
         self.locations.host_at(address)
     }
 
-    /// How many entries are kept in all.
+    /// Size of the mirrored state, for the gauge of stored entries.
     pub(crate) fn entry_count(&self) -> usize {
         let in_tables: usize = self
             .tables
@@ -106,45 +104,42 @@
             + self.draining.len()
     }
 
-    /// How many weights were left out of resources as their host had no address.
-    pub(crate) fn unaddressed_count(&self) -> u64 {
-        self.unaddressed_count
+    pub(crate) fn omitted_endpoint_count(&self) -> u64 {
+        self.omitted_endpoint_count
     }
 
-    // Changes.
-
-    /// Carries out an action of the policy. Those for the shared channel are not kept.
+    /// Applies an action of the policy. Actions for the shared channel are ignored.
     pub(crate) fn apply(&mut self, action: &Action) {
-        let is_own = |table: &TableId| Channel::of(*table) == Channel::Dedicated;
+        let is_dedicated = |table: &TableId| Channel::of(*table) == Channel::Dedicated;
         match action {
             Action::SetEndpoint {
                 table,
                 host,
                 weight,
-            } if is_own(table) => self.set_weight(*table, host, *weight),
-            Action::ClearTable { table } if is_own(table) => {
+            } if is_dedicated(table) => self.set_weight(*table, host, *weight),
+            Action::ClearTable { table } if is_dedicated(table) => {
                 self.tables.remove(table);
-                self.table_changed(*table);
+                self.mark_table_changed(*table);
             }
             Action::BindProxy {
                 proxy,
                 table,
                 classes,
-            } if is_own(table) => self.bind(*proxy, *table, *classes),
+            } if is_dedicated(table) => self.bind(*proxy, *table, *classes),
             Action::SetWithdrawn {
                 host,
-                is_withdrawn: out,
+                is_withdrawn: withdrawn,
                 channel: Channel::Dedicated,
-            } => self.set_draining(host, *out),
+            } => self.set_draining(host, *withdrawn),
             Action::SetAdmission {
                 table,
                 classes,
                 quota,
-                retry_policy: again,
-            } if is_own(table) => {
+                retry_policy: policy,
+            } if is_dedicated(table) => {
                 let admission = Admission {
                     level: *quota,
-                    retry_policy: *again,
+                    retry_policy: *policy,
                 };
                 self.set_admission(*table, *classes, admission);
             }
@@ -156,16 +151,16 @@
         let weights = &mut self.tables.entry(table).or_default().weights;
         weights.insert(host.clone(), weight);
         weights.retain(|_, weight| *weight > 0.0);
-        self.table_changed(table);
+        self.mark_table_changed(table);
     }
 
     fn bind(&mut self, proxy: ProxyId, table: TableId, classes: u32) {
-        let classes = self.classes_of(classes);
+        let classes = self.expand_class_mask(classes);
         let bindings = self.bindings.entry(proxy).or_default();
         for class in classes {
             bindings.insert(class, table);
         }
-        self.changes.bound.insert(proxy);
+        self.changes.bound_proxies.insert(proxy);
     }
 
     fn set_draining(&mut self, host: &HostId, is_draining: bool) {
@@ -174,32 +169,32 @@
         } else {
             self.draining.remove(host);
         }
-        self.host_changed(host);
+        self.mark_host_changed(host);
     }
 
     fn set_admission(&mut self, table: TableId, classes: u32, admission: Admission) {
-        let classes = self.classes_of(classes);
+        let classes = self.expand_class_mask(classes);
         let admissions = &mut self.tables.entry(table).or_default().admissions;
         for class in classes {
             admissions.insert(class, admission);
         }
-        self.table_changed(table);
+        self.mark_table_changed(table);
     }
 
-    /// The classes of a mask; 0 stands for all.
-    fn classes_of(&self, mask: u32) -> Vec<ClassId> {
+    /// Expands a bit mask of classes; 0 means all.
+    fn expand_class_mask(&self, mask: u32) -> Vec<ClassId> {
         (0..self.classes.len())
             .filter(|class| mask == 0 || mask >> class & 1 == 1)
             .collect()
     }
 
-    fn table_changed(&mut self, table: TableId) {
+    fn mark_table_changed(&mut self, table: TableId) {
         self.changes.tables.insert(table);
-        self.resources.retain(|(of, _), _| *of != table);
+        self.resources.retain(|(id, _), _| *id != table);
     }
 
-    /// All tables that name a host have changed with it.
-    fn host_changed(&mut self, host: &HostId) {
+    /// Marks all tables that contain the host as changed.
+    fn mark_host_changed(&mut self, host: &HostId) {
         let tables: Vec<TableId> = self
             .tables
             .iter()
@@ -207,11 +202,12 @@
             .map(|(id, _)| *id)
             .collect();
         for table in tables {
-            self.table_changed(table);
+            self.mark_table_changed(table);
         }
     }
 
-    /// The hosts as the list has them now. One that it dropped keeps its location while a table names it.
+    /// Replaces the host locations with those of the membership list. A delisted host keeps its location while a table
+    /// contains it.
     pub(crate) fn update_hosts(&mut self, hosts: impl Iterator<Item = (HostId, HostLocation)>) {
         let named_by_tables: BTreeSet<HostId> = self
             .tables
@@ -220,20 +216,20 @@
             .cloned()
             .collect();
         for host in self.locations.update(hosts.collect(), &named_by_tables) {
-            self.host_changed(&host);
+            self.mark_host_changed(&host);
         }
     }
 
-    /// The proxy has left, or holds nothing of what it was bound to.
-    pub(crate) fn forget(&mut self, proxy: ProxyId) {
+    /// Drops the proxy's bindings; called when it leaves or joins anew.
+    pub(crate) fn remove_proxy(&mut self, proxy: ProxyId) {
         self.bindings.remove(&proxy);
-        self.changes.bound.remove(&proxy);
+        self.changes.bound_proxies.remove(&proxy);
     }
 
-    /// The proxies whose resources may have changed since this was last asked.
+    /// Returns the proxies whose resources may have changed since the previous call.
     pub(crate) fn take_changed_proxies(&mut self) -> BTreeSet<ProxyId> {
         let changes = std::mem::take(&mut self.changes);
-        let mut proxies = changes.bound;
+        let mut proxies = changes.bound_proxies;
         if !changes.tables.is_empty() {
             let is_changed = |tables: &BTreeMap<ClassId, TableId>| {
                 tables.values().any(|table| changes.tables.contains(table))
@@ -247,20 +243,18 @@
         proxies
     }
 
-    // Resources.
-
-    /// What a proxy is to hold for a class, once it is bound to a table.
+    /// The resource of a class for a proxy; `None` until the proxy is bound to a table for that class.
     pub(crate) fn resource(&mut self, proxy: ProxyId, class: ClassId) -> Option<Resource> {
         let table = *self.bindings.get(&proxy)?.get(&class)?;
         if let Some(resource) = self.resources.get(&(table, class)) {
             return Some(resource.clone());
         }
-        let resource = self.build(table, class);
+        let resource = self.build_resource(table, class);
         self.resources.insert((table, class), resource.clone());
         Some(resource)
     }
 
-    fn build(&mut self, table: TableId, class: ClassId) -> Resource {
+    fn build_resource(&mut self, table: TableId, class: ClassId) -> Resource {
         let empty = Table::default();
         let table = self.tables.get(&table).unwrap_or(&empty);
         let admission = table
@@ -268,35 +262,40 @@
             .get(&class)
             .copied()
             .unwrap_or(self.default_admission);
-        let (localities, unaddressed_count) = self.localities(table);
+        let (localities, omitted_endpoint_count) = self.localities(table);
         let assignment = ClusterLoadAssignment {
             cluster_name: self.classes[class].clone(),
             localities,
-            drop_per_million: if self.follows_levels {
+            drop_per_million: if self.uses_admission_ratio {
                 drop_per_million(admission.level)
             } else {
                 0
             },
             retry_policy: admission.retry_policy,
         };
-        self.unaddressed_count += unaddressed_count;
+        self.omitted_endpoint_count += omitted_endpoint_count;
         Resource {
             version: versions::version(self.incarnation, &assignment),
             assignment: Arc::new(assignment),
         }
     }
 
-    /// A table's hosts by zone, and how many are left out as they have no address.
+    /// Groups a table's endpoints by zone. Also returns the number of endpoints omitted for lack of an address.
     fn localities(&self, table: &Table) -> (Vec<Locality>, u64) {
-        let located: Vec<(&HostId, f64, &HostLocation)> = table
+        let located_endpoints: Vec<(&HostId, f64, &HostLocation)> = table
             .weights
             .iter()
-            .filter_map(|(host, weight)| Some((host, *weight, self.locations.of(host)?)))
+            .filter_map(|(host, weight)| Some((host, *weight, self.locations.get(host)?)))
+            .collect();
+        let omitted_endpoint_count = (table.weights.len() - located_endpoints.len()) as u64;
+        let weights: Vec<f64> = located_endpoints
+            .iter()
+            .map(|(_, weight, _)| *weight)
             .collect();
-        let unaddressed_count = (table.weights.len() - located.len()) as u64;
-        let weights: Vec<f64> = located.iter().map(|(_, weight, _)| *weight).collect();
         let mut by_zone: BTreeMap<ZoneId, Vec<Endpoint>> = BTreeMap::new();
-        for ((host, _, location), weight) in located.into_iter().zip(scale_weights(&weights)) {
+        for ((host, _, location), weight) in
+            located_endpoints.into_iter().zip(scale_weights(&weights))
+        {
             by_zone.entry(location.zone).or_default().push(Endpoint {
                 host: host.clone(),
                 address: location.address.clone(),
@@ -311,6 +310,6 @@
                 endpoints,
             })
             .collect();
-        (localities, unaddressed_count)
+        (localities, omitted_endpoint_count)
     }
 }
--- a/crates/director/xds/src/resources/locations.rs
+++ b/crates/director/xds/src/resources/locations.rs
@@ -1,18 +1,18 @@
-//! Where hosts are, as the membership list last had it.
+//! Zones and addresses of hosts, from the membership list.
 
 use rushcourse_policy::interface::{HostId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Where a host is.
+/// Zone and address of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct HostLocation {
-    /// The zone that it runs in.
+    /// Index into the zones of the settings.
     pub(crate) zone: ZoneId,
-    /// host:port; empty where the list names none.
+    /// host:port; empty if the membership list has no address.
     pub(crate) address: String,
 }
 
-/// The locations of all hosts that are listed, or that a table names.
+/// Locations of all hosts that are listed or that a table contains.
 #[derive(Debug, Default)]
 pub(super) struct HostLocations {
     by_host: BTreeMap<HostId, HostLocation>,
@@ -20,25 +20,23 @@
 }
 
 impl HostLocations {
-    /// How many hosts have a location.
     pub(super) fn len(&self) -> usize {
         self.by_host.len()
     }
 
-    /// The host that listens at an address.
     pub(super) fn host_at(&self, address: &str) -> Option<&HostId> {
         self.by_address.get(address)
     }
 
-    /// Where a host is, if it has an address.
-    pub(super) fn of(&self, host: &HostId) -> Option<&HostLocation> {
+    /// The host's location; `None` if the host is unknown or has no address.
+    pub(super) fn get(&self, host: &HostId) -> Option<&HostLocation> {
         self.by_host
             .get(host)
             .filter(|location| !location.address.is_empty())
     }
 
-    /// The list has changed. Hosts that it dropped keep their location while a table names them. Returns the hosts that
-    /// are new or have moved.
+    /// Replaces the locations with those of the membership list, except that hosts in `named_by_tables` are kept.
+    /// Returns the hosts that are new or have moved.
     pub(super) fn update(
         &mut self,
         listed: BTreeMap<HostId, HostLocation>,
@@ -47,7 +45,7 @@
         let count_before = self.by_host.len();
         self.by_host
             .retain(|host, _| listed.contains_key(host) || named_by_tables.contains(host));
-        let has_dropped = self.by_host.len() != count_before;
+        let has_removed = self.by_host.len() != count_before;
         let mut moved = Vec::new();
         for (host, location) in listed {
             if self.by_host.get(&host) != Some(&location) {
@@ -55,7 +53,7 @@
                 moved.push(host);
             }
         }
-        if has_dropped || !moved.is_empty() {
+        if has_removed || !moved.is_empty() {
             self.index_addresses();
         }
         moved
--- a/crates/director/xds/src/resources/mod.rs
+++ b/crates/director/xds/src/resources/mod.rs
@@ -1,9 +1,9 @@
-//! The tables as they stand for proxies that have joined by a stream: a mirror of what the policy ordered, and each
-//! proxy's resources made of it. Actions in, assignments out; nothing is decided here.
+//! Builds the resources for discovery streams: mirrors the policy's tables and bindings and converts them to endpoint
+//! assignments.
 //!
-//! * `cache.rs`: tables, bindings, and the resources made of them.
-//! * `locations.rs`: where hosts are.
-//! * `versions.rs`: versions of resources.
+//! * `cache.rs`: tables, bindings, and the resources built from them.
+//! * `locations.rs`: zones and addresses of hosts.
+//! * `versions.rs`: resource versions.
 
 mod cache;
 mod locations;
--- a/crates/director/xds/src/streams/deadlines.rs
+++ b/crates/director/xds/src/streams/deadlines.rs
@@ -1,40 +1,40 @@
-//! What is due by time.
+//! Timers of streams: timeouts, and responses and reports that become due.
 
-use super::open_streams::StreamUse;
+use super::open_streams::StreamRole;
 use super::state::Streams;
 use crate::interface::{StatusCode, StreamId};
 use rushcourse_policy::interface::{Ms, ProxyId};
 
 impl Streams {
-    /// Does all that is due. Returns when there is something to do next.
+    /// Runs all timers that have expired. Returns the time of the next one.
     pub fn advance(&mut self, now: Ms) -> Ms {
-        for stream in self.open.take_ready(now) {
+        for stream in self.open_streams.take_ready(now) {
             self.advance_stream(now, stream);
         }
         let report_streams_due_at = self.report_streams.advance(now, &mut self.outbox);
-        report_streams_due_at.min(self.open.next_due_at())
+        report_streams_due_at.min(self.open_streams.next_due_at())
     }
 
     fn advance_stream(&mut self, now: Ms, stream: StreamId) {
-        let Some(open) = self.open.get(stream) else {
+        let Some(open) = self.open_streams.get(stream) else {
             return;
         };
-        match &open.used_for {
-            StreamUse::Unidentified => {
+        match &open.role {
+            StreamRole::Unidentified => {
                 let deadline = open.opened_at + self.config.join_timeout;
-                self.await_identification(now, stream, deadline);
+                self.advance_unidentified(now, stream, deadline);
             }
-            StreamUse::Discovery(identity, _) => {
+            StreamRole::Discovery(identity, _) => {
                 let proxy = identity.proxy;
                 self.advance_discovery(now, stream, proxy);
             }
-            StreamUse::LoadReporting(..) => self.advance_reporting(now, stream),
+            StreamRole::LoadReporting(..) => self.advance_reporting(now, stream),
         }
     }
 
-    fn await_identification(&mut self, now: Ms, stream: StreamId, deadline: Ms) {
+    fn advance_unidentified(&mut self, now: Ms, stream: StreamId, deadline: Ms) {
         if now < deadline {
-            return self.open.schedule(stream, deadline);
+            return self.open_streams.schedule(stream, deadline);
         }
         self.outbox.count("streams_silent", 1);
         self.end(
@@ -47,13 +47,13 @@
 
     fn advance_discovery(&mut self, now: Ms, stream: StreamId, proxy: ProxyId) {
         let accept_timeout = self.config.accept_timeout;
-        let Some(discovery) = self.open.discovery_mut(stream) else {
+        let Some(discovery) = self.open_streams.discovery_mut(stream) else {
             return;
         };
-        let is_stuck = discovery
+        let is_stalled = discovery
             .accepting_since()
             .is_some_and(|since| now - since >= accept_timeout);
-        if is_stuck {
+        if is_stalled {
             self.outbox.count("streams_untaken", 1);
             return self.end(
                 now,
@@ -67,12 +67,12 @@
             .accepting_since()
             .map_or(f64::INFINITY, |since| since + accept_timeout);
         let due_at = discovery.due_at(now).min(accept_deadline);
-        self.carry_out(stream, proxy, outcome);
-        self.open.schedule(stream, due_at);
+        self.apply_outcome(stream, proxy, outcome);
+        self.open_streams.schedule(stream, due_at);
     }
 
     fn advance_reporting(&mut self, now: Ms, stream: StreamId) {
-        let Some(filter) = self.open.burst_filter_mut(stream) else {
+        let Some(filter) = self.open_streams.burst_filter_mut(stream) else {
             return;
         };
         if now >= filter.stalled_at() {
@@ -89,6 +89,6 @@
             self.outbox.count("loads_taken", 1);
             self.outbox.events.extend(events);
         }
-        self.open.schedule(stream, due_at);
+        self.open_streams.schedule(stream, due_at);
     }
 }
--- a/crates/director/xds/src/streams/gauges.rs
+++ b/crates/director/xds/src/streams/gauges.rs
@@ -1,6 +1,6 @@
-//! Figures of the streams for `/metrics`.
+//! Gauges of the streams for `/metrics`.
 
-use super::open_streams::{OpenStreams, StreamUse};
+use super::open_streams::{OpenStreams, StreamRole};
 use super::state::Streams;
 use crate::discovery::DiscoveryStream;
 use crate::interface::StreamKind;
@@ -17,8 +17,8 @@
     }
 
     fn discovery_streams(&self) -> impl Iterator<Item = &DiscoveryStream> {
-        self.iter().filter_map(|(_, open)| match &open.used_for {
-            StreamUse::Discovery(_, discovery) => Some(&**discovery),
+        self.iter().filter_map(|(_, open)| match &open.role {
+            StreamRole::Discovery(_, discovery) => Some(&**discovery),
             _ => None,
         })
     }
@@ -40,7 +40,7 @@
 type Gauge = (&'static str, &'static str, usize);
 
 impl Streams {
-    /// Name, help text and value of each gauge.
+    /// Returns name, help text and value of each gauge.
     pub fn gauges(&self) -> Vec<(&'static str, &'static str, f64)> {
         self.kind_gauges()
             .into_iter()
@@ -55,22 +55,22 @@
             (
                 "streams_whole",
                 "Streams of relays for tables, state of the world.",
-                self.open.count_kind(StreamKind::StateOfTheWorld),
+                self.open_streams.count_kind(StreamKind::StateOfTheWorld),
             ),
             (
                 "streams_delta",
                 "Streams of relays for tables, incremental.",
-                self.open.count_kind(StreamKind::Delta),
+                self.open_streams.count_kind(StreamKind::Delta),
             ),
             (
                 "streams_load",
                 "Streams of relays for load reports.",
-                self.open.count_kind(StreamKind::LoadReporting),
+                self.open_streams.count_kind(StreamKind::LoadReporting),
             ),
             (
                 "streams_strange",
                 "Streams that have not said who they are.",
-                self.open.unidentified_count(),
+                self.open_streams.unidentified_count(),
             ),
         ]
     }
@@ -85,12 +85,12 @@
             (
                 "streams_unanswered",
                 "Responses with tables that no answer has come to.",
-                self.open.pending_response_count(),
+                self.open_streams.pending_response_count(),
             ),
             (
                 "streams_stalled",
                 "Streams whose transport has not taken the last response.",
-                self.open.stalled_count(),
+                self.open_streams.stalled_count(),
             ),
             (
                 "streams_entries",
@@ -100,7 +100,7 @@
             (
                 "streams_lines_lost",
                 "Lines left out of tables as their host had no address.",
-                self.cache.unaddressed_count() as usize,
+                self.cache.omitted_endpoint_count() as usize,
             ),
         ]
     }
--- a/crates/director/xds/src/streams/inputs.rs
+++ b/crates/director/xds/src/streams/inputs.rs
@@ -1,23 +1,23 @@
-//! Streams are opened, identify themselves, send requests, and close.
+//! Handling of inputs: opening, identification, requests and end of streams.
 
-use super::open_streams::{OpenStream, StreamUse};
+use super::open_streams::{OpenStream, StreamRole};
 use super::state::Streams;
-use crate::discovery::{DiscoveryStream, Outcome};
+use crate::discovery::{DiscoveryOutcome, DiscoveryStream};
 use crate::interface::{ConnectionId, Effect, Input, StatusCode, StreamId, StreamKind};
 use crate::messages::{CLUSTER_LOAD_ASSIGNMENT_TYPE_URL, Request};
 use crate::outbox::Severity;
 use crate::registry::ProxyIdentity;
 use rushcourse_policy::interface::{Channel, Event, Ms, ProxyId};
 
-/// Requests a second that a proxy is taken to serve where its node names no rate.
+/// Assumed rate of a proxy whose node states none, in requests per second.
 const DEFAULT_RATE: f64 = 1.0;
-/// The highest rate that is believed.
+/// Highest plausible rate, in requests per second. A node's rate above it is ignored.
 const MAX_RATE: f64 = 1e6;
-/// The status message of streams that end with the process.
+/// Status message of streams that are ended by the shutdown of the director.
 const SHUTTING_DOWN: &str = "this director is about to end";
 
 impl Streams {
-    /// Takes what was read; what comes of it waits in the outbox.
+    /// Handles an input; results are appended to the outbox.
     pub fn step(&mut self, now: Ms, input: Input) {
         match input {
             Input::StreamOpened {
@@ -28,32 +28,33 @@
             } => self.on_opened(now, stream, OpenStream::new(now, kind, connection, peer)),
             Input::RequestReceived { stream, request } => self.on_request(now, stream, request),
             Input::ResponseAccepted { stream } => {
-                if let Some(discovery) = self.open.discovery_mut(stream) {
+                if let Some(discovery) = self.open_streams.discovery_mut(stream) {
                     discovery.on_response_accepted();
-                    self.open.touch(stream);
+                    self.open_streams.mark_ready(stream);
                 }
             }
             Input::StreamClosed { stream, reason } => self.on_closed(now, stream, &reason),
             Input::ReportStreamOpened { host, dial } => {
-                self.report_streams.opened(now, &host, dial);
+                self.report_streams.on_opened(now, &host, dial);
             }
             Input::ReportReceived { host, dial, report } => {
                 self.report_streams
-                    .report(now, &host, dial, &report, &mut self.outbox);
+                    .on_report(now, &host, dial, &report, &mut self.outbox);
             }
             Input::ReportStreamClosed { host, dial, reason } => {
                 self.report_streams
-                    .closed(now, &host, dial, &reason, &mut self.outbox);
+                    .on_closed(now, &host, dial, &reason, &mut self.outbox);
             }
         }
     }
 
-    /// A stream was opened. Where too many have not identified themselves, the oldest of them ends; where there are too
-    /// many streams in all, the new one does: proxies that have joined are served on.
+    /// Handles a new stream. Beyond `max_unidentified`, the oldest unidentified stream is ended. Beyond `max_streams`,
+    /// the new stream is ended, so that joined proxies keep theirs.
     fn on_opened(&mut self, now: Ms, stream: StreamId, open: OpenStream) {
         self.outbox.count("streams_opened", 1);
-        self.open.insert(stream, open);
-        self.open.schedule(stream, now + self.config.join_timeout);
+        self.open_streams.insert(stream, open);
+        self.open_streams
+            .schedule(stream, now + self.config.join_timeout);
         if self.is_shutting_down {
             return self.end(now, stream, StatusCode::Unavailable, SHUTTING_DOWN);
         }
@@ -63,7 +64,7 @@
             let message = "too many that don't say who they are";
             self.end(now, oldest, StatusCode::ResourceExhausted, message);
         }
-        if self.open.len() > limits.max_streams {
+        if self.open_streams.len() > limits.max_streams {
             self.outbox.count("streams_crowded", 1);
             self.end(
                 now,
@@ -74,10 +75,10 @@
         }
     }
 
-    /// The oldest stream that has not identified itself, where there are more than `max` such streams.
+    /// The oldest unidentified stream, if there are more than `max` of them.
     fn oldest_unidentified_beyond(&self, max: usize) -> Option<StreamId> {
         let mut unidentified = self
-            .open
+            .open_streams
             .iter()
             .filter(|(_, open)| open.is_unidentified())
             .map(|(stream, _)| stream);
@@ -100,11 +101,11 @@
         }
     }
 
-    /// The proxy has joined by the platform's relay: its stream is not its any more.
+    /// Ends a proxy's discovery stream after the proxy has joined through the platform's relay.
     pub fn supersede(&mut self, now: Ms, proxy: ProxyId) {
         if let Some(stream) = self.registry.stream(proxy) {
             self.registry.release(now, proxy, stream);
-            self.cache.forget(proxy);
+            self.cache.remove_proxy(proxy);
             self.outbox.count("streams_superseded", 1);
             self.end(
                 now,
@@ -115,18 +116,18 @@
         }
     }
 
-    /// The director is about to end, or to serve no streams: all of them end, and none is accepted.
+    /// Ends all streams and rejects new ones; called when the director shuts down or stops serving streams.
     pub fn shut_down(&mut self, now: Ms) {
         self.is_shutting_down = true;
-        let all: Vec<StreamId> = self.open.iter().map(|(stream, _)| stream).collect();
+        let all: Vec<StreamId> = self.open_streams.iter().map(|(stream, _)| stream).collect();
         for stream in all {
             self.end(now, stream, StatusCode::Unavailable, SHUTTING_DOWN);
         }
     }
 
-    /// A request: the first one identifies the stream.
+    /// Handles a request; the first one of a stream identifies the proxy.
     fn on_request(&mut self, now: Ms, stream: StreamId, request: Request) {
-        let Some(open) = self.open.get(stream) else {
+        let Some(open) = self.open_streams.get(stream) else {
             return;
         };
         if open.is_unidentified() {
@@ -135,11 +136,11 @@
                 return;
             }
         }
-        self.open.touch(stream);
+        self.open_streams.mark_ready(stream);
         self.dispatch(now, stream, &request);
     }
 
-    /// Identifies a stream by its first request. Returns whether it may be served.
+    /// Identifies the proxy of a stream's first request. Returns false if the stream was rejected.
     fn identify(
         &mut self,
         now: Ms,
@@ -176,7 +177,7 @@
         }
     }
 
-    /// A proxy joins by a stream.
+    /// Registers a proxy with the policy and sets up its discovery stream.
     fn join(
         &mut self,
         stream: StreamId,
@@ -185,8 +186,8 @@
         request: &Request,
     ) {
         let proxy = identity.proxy;
-        // The policy binds it anew, whatever it held: nothing is sent before that.
-        self.cache.forget(proxy);
+        // No response may be sent on old bindings: the policy binds the proxy again after it joins.
+        self.cache.remove_proxy(proxy);
         let rate = request.node().and_then(|node| node.rate);
         self.outbox.event(Event::ProxyJoined {
             proxy,
@@ -194,63 +195,69 @@
             rate: rate
                 .filter(|rate| rate.is_finite() && *rate > 0.0 && *rate <= MAX_RATE)
                 .unwrap_or(DEFAULT_RATE),
-            is_fresh: holds_nothing(request),
+            is_fresh: holds_no_resources(request),
             channel: Channel::Dedicated,
         });
-        if let Some(open) = self.open.get_mut(stream) {
+        if let Some(open) = self.open_streams.get_mut(stream) {
             let discovery = DiscoveryStream::new(
                 kind == StreamKind::StateOfTheWorld,
                 self.config.incarnation,
                 self.settings.channel.max_messages,
                 self.settings.channel.message_window,
             );
-            open.used_for = StreamUse::Discovery(identity, Box::new(discovery));
+            open.role = StreamRole::Discovery(identity, Box::new(discovery));
             let text = format!("{} is relay {proxy}", open.peer);
             self.outbox.log(Severity::Info, "relay", text);
         }
     }
 
-    /// A request on a stream that has identified itself.
+    /// Passes a request of an identified stream to its handler.
     fn dispatch(&mut self, now: Ms, stream: StreamId, request: &Request) {
-        let Some(open) = self.open.get_mut(stream) else {
+        let Some(open) = self.open_streams.get_mut(stream) else {
             return;
         };
-        match (&mut open.used_for, request) {
-            (StreamUse::Discovery(identity, discovery), Request::Discovery(request))
+        match (&mut open.role, request) {
+            (StreamRole::Discovery(identity, discovery), Request::Discovery(request))
                 if open.kind == StreamKind::StateOfTheWorld =>
             {
                 let proxy = identity.proxy;
                 let outcome =
-                    is_served(&request.type_url).then(|| discovery.on_request(now, request));
-                self.on_outcome(now, stream, proxy, outcome);
+                    is_served_type(&request.type_url).then(|| discovery.on_request(now, request));
+                self.on_discovery_outcome(now, stream, proxy, outcome);
             }
-            (StreamUse::Discovery(identity, discovery), Request::Delta(request))
+            (StreamRole::Discovery(identity, discovery), Request::Delta(request))
                 if open.kind == StreamKind::Delta =>
             {
                 let proxy = identity.proxy;
-                let outcome = is_served(&request.type_url)
+                let outcome = is_served_type(&request.type_url)
                     .then(|| discovery.on_delta_request(now, request, &self.cache));
-                self.on_outcome(now, stream, proxy, outcome);
+                self.on_discovery_outcome(now, stream, proxy, outcome);
             }
-            (StreamUse::LoadReporting(identity, _), Request::LoadStats(request)) => {
+            (StreamRole::LoadReporting(identity, _), Request::LoadStats(request)) => {
                 let reporter = *identity;
                 self.on_load_report(now, stream, reporter, request);
             }
             _ => self
                 .outbox
-                .violated("a stream bears messages of its service"),
+                .record_violation("a stream carries only requests of its own kind"),
         }
     }
 
-    /// Does what came of a discovery request; nothing came of it where its type of resource is not served.
-    fn on_outcome(&mut self, now: Ms, stream: StreamId, proxy: ProxyId, outcome: Option<Outcome>) {
+    /// Applies the outcome of a discovery request; `None` stands for a request of a resource type that is not served.
+    fn on_discovery_outcome(
+        &mut self,
+        now: Ms,
+        stream: StreamId,
+        proxy: ProxyId,
+        outcome: Option<DiscoveryOutcome>,
+    ) {
         self.registry.record_activity(now, proxy);
         match outcome {
-            Some(outcome) => self.carry_out(stream, proxy, outcome),
-            // Types of resources that are not served here are never answered, as the protocol has it.
+            Some(outcome) => self.apply_outcome(stream, proxy, outcome),
+            // The protocol has requests for unsupported resource types left unanswered.
             None => self.outbox.count("types_unserved", 1),
         }
-        let discovery = self.open.discovery_mut(stream);
+        let discovery = self.open_streams.discovery_mut(stream);
         if discovery.is_some_and(|discovery| discovery.has_too_many_names()) {
             self.outbox.count("streams_refused", 1);
             self.end(
@@ -262,13 +269,18 @@
         }
     }
 
-    /// Counters, log entries, events and the response that came of one look at a discovery stream.
-    pub(super) fn carry_out(&mut self, stream: StreamId, proxy: ProxyId, outcome: Outcome) {
+    /// Passes counters, log entries, events and the response of an outcome to the outbox.
+    pub(super) fn apply_outcome(
+        &mut self,
+        stream: StreamId,
+        proxy: ProxyId,
+        outcome: DiscoveryOutcome,
+    ) {
         for counter in outcome.increments {
             self.outbox.count(counter, 1);
         }
         if let Some(error) = outcome.nack {
-            let text = format!("relay {proxy} does not take its tables: {error}");
+            let text = format!("relay {proxy} rejected a response: {error}");
             self.outbox.log(Severity::Warning, "tables refused", text);
         }
         if let Some(acknowledged) = outcome.acknowledged {
@@ -294,12 +306,12 @@
     }
 }
 
-fn is_served(type_url: &str) -> bool {
+fn is_served_type(type_url: &str) -> bool {
     type_url == CLUSTER_LOAD_ASSIGNMENT_TYPE_URL
 }
 
-/// Whether a proxy holds no table from an earlier stream, by its first request.
-fn holds_nothing(request: &Request) -> bool {
+/// Whether the first request shows that the proxy holds no resource from an earlier stream.
+fn holds_no_resources(request: &Request) -> bool {
     match request {
         Request::Discovery(request) => request.version_info.is_empty(),
         Request::Delta(request) => request.initial_resource_versions.is_empty(),
--- a/crates/director/xds/src/streams/mod.rs
+++ b/crates/director/xds/src/streams/mod.rs
@@ -1,13 +1,12 @@
-//! All streams of proxies, and the report streams to hosts: the way to proxies beside the platform's relay. It owns
-//! the state of every stream and removes it when the stream ends.
+//! All streams of proxies, and the report streams to hosts. Proxies that use these streams bypass the platform's relay.
 //!
 //! * `state.rs`: the state as a whole, and how a stream is ended.
-//! * `open_streams.rs`: the streams that are open, and when each is due.
-//! * `inputs.rs`: streams are opened, identify themselves, send requests, and close.
-//! * `policy.rs`: the policy's actions and the membership list.
+//! * `open_streams.rs`: open streams and their timers.
+//! * `inputs.rs`: opening, identification, requests and end of streams.
+//! * `policy.rs`: actions of the policy, and the membership list.
 //! * `reports.rs`: load reports of proxies.
-//! * `deadlines.rs`: what is due by time.
-//! * `gauges.rs`: figures for `/metrics`.
+//! * `deadlines.rs`: expired timers.
+//! * `gauges.rs`: gauges for `/metrics`.
 
 mod deadlines;
 mod gauges;
--- a/crates/director/xds/src/streams/open_streams.rs
+++ b/crates/director/xds/src/streams/open_streams.rs
@@ -1,4 +1,4 @@
-//! The streams that are open, and when each is looked at next.
+//! The open streams and their timers.
 
 use crate::discovery::DiscoveryStream;
 use crate::interface::{ConnectionId, StreamId, StreamKind};
@@ -7,36 +7,36 @@
 use rushcourse_policy::interface::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Microseconds, whole, so that times can be ordered.
+/// Whole microseconds, because `f64` times have no total order.
 type Micros = u64;
-/// When a stream is due that waits for nothing.
+/// Due time of a stream without a timer.
 const NEVER: Micros = u64::MAX;
 
-/// What a stream is used for.
+/// What a stream is used for, known once it has identified itself.
 #[derive(Debug)]
-pub(super) enum StreamUse {
-    /// It has not identified itself.
+pub(super) enum StreamRole {
+    /// The first request has not arrived yet.
     Unidentified,
-    /// It is a proxy's discovery stream.
+    /// A proxy's discovery stream.
     Discovery(ProxyIdentity, Box<DiscoveryStream>),
-    /// It is a proxy's load reporting stream.
+    /// A proxy's load reporting stream.
     LoadReporting(ProxyIdentity, BurstFilter),
 }
 
-/// A stream that is open.
+/// A stream opened by a peer.
 #[derive(Debug)]
 pub(super) struct OpenStream {
     pub(super) kind: StreamKind,
     pub(super) connection: ConnectionId,
-    /// The peer's address, for the log.
+    /// The peer's address, for log lines.
     pub(super) peer: String,
     pub(super) opened_at: Ms,
-    pub(super) used_for: StreamUse,
+    pub(super) role: StreamRole,
     due_at: Micros,
 }
 
 impl OpenStream {
-    /// A stream that was opened now and has not identified itself.
+    /// Creates a stream that is opened at `now` and has not identified itself.
     pub(super) fn new(
         now: Ms,
         kind: StreamKind,
@@ -48,83 +48,78 @@
             connection,
             peer,
             opened_at: now,
-            used_for: StreamUse::Unidentified,
+            role: StreamRole::Unidentified,
             due_at: NEVER,
         }
     }
 
-    /// Whether it has not identified itself.
     pub(super) fn is_unidentified(&self) -> bool {
-        matches!(self.used_for, StreamUse::Unidentified)
+        matches!(self.role, StreamRole::Unidentified)
     }
 }
 
-/// All open streams, with their schedule. Invariant: `due` holds just the streams whose `due_at` is not `NEVER`, and
-/// `touched` and `due` name open streams only.
+/// All open streams with their timers. Invariants: `due` contains exactly the streams whose `due_at` isn't `NEVER`, and
+/// `ready` and `due` contain only open streams.
 #[derive(Debug, Default)]
 pub(super) struct OpenStreams {
     by_id: BTreeMap<StreamId, OpenStream>,
-    /// Streams that something has happened to.
-    touched: BTreeSet<StreamId>,
+    /// Streams to process in the next `advance`.
+    ready: BTreeSet<StreamId>,
     due: BTreeSet<(Micros, StreamId)>,
 }
 
 impl OpenStreams {
-    /// How many are open.
     pub(super) fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// All of them, oldest first.
+    /// All open streams, oldest first.
     pub(super) fn iter(&self) -> impl Iterator<Item = (StreamId, &OpenStream)> {
         self.by_id.iter().map(|(id, stream)| (*id, stream))
     }
 
-    /// One of them.
     pub(super) fn get(&self, id: StreamId) -> Option<&OpenStream> {
         self.by_id.get(&id)
     }
 
-    /// One of them, to change what it is used for.
     pub(super) fn get_mut(&mut self, id: StreamId) -> Option<&mut OpenStream> {
         self.by_id.get_mut(&id)
     }
 
-    /// The discovery stream of this number, if it is one.
+    /// State of a discovery stream; `None` for streams of other kinds.
     pub(super) fn discovery_mut(&mut self, id: StreamId) -> Option<&mut DiscoveryStream> {
-        match &mut self.by_id.get_mut(&id)?.used_for {
-            StreamUse::Discovery(_, discovery) => Some(discovery),
+        match &mut self.by_id.get_mut(&id)?.role {
+            StreamRole::Discovery(_, discovery) => Some(discovery),
             _ => None,
         }
     }
 
-    /// The reports on the load reporting stream of this number, if it is one.
+    /// Burst filter of a load reporting stream; `None` for streams of other kinds.
     pub(super) fn burst_filter_mut(&mut self, id: StreamId) -> Option<&mut BurstFilter> {
-        match &mut self.by_id.get_mut(&id)?.used_for {
-            StreamUse::LoadReporting(_, filter) => Some(filter),
+        match &mut self.by_id.get_mut(&id)?.role {
+            StreamRole::LoadReporting(_, filter) => Some(filter),
             _ => None,
         }
     }
 
-    /// A stream was opened.
     pub(super) fn insert(&mut self, id: StreamId, stream: OpenStream) {
         self.by_id.insert(id, stream);
     }
 
-    /// A stream has ended.
+    /// Removes a stream together with its timer.
     pub(super) fn remove(&mut self, id: StreamId) -> Option<OpenStream> {
         let stream = self.by_id.remove(&id)?;
         self.due.remove(&(stream.due_at, id));
-        self.touched.remove(&id);
+        self.ready.remove(&id);
         Some(stream)
     }
 
-    /// Something has happened to a stream: it is looked at in the next advance.
-    pub(super) fn touch(&mut self, id: StreamId) {
-        self.touched.insert(id);
+    /// Schedules a stream for the next `advance`.
+    pub(super) fn mark_ready(&mut self, id: StreamId) {
+        self.ready.insert(id);
     }
 
-    /// Looks at a stream at this time next.
+    /// Sets the stream's timer, replacing an earlier one; an infinite time clears it.
     pub(super) fn schedule(&mut self, id: StreamId, at: Ms) {
         let Some(stream) = self.by_id.get_mut(&id) else {
             return;
@@ -139,7 +134,7 @@
         }
     }
 
-    /// The streams to look at now: those that were touched or are due.
+    /// Returns the streams that are marked ready or whose timer has expired, and clears both.
     pub(super) fn take_ready(&mut self, now: Ms) -> BTreeSet<StreamId> {
         while let Some((at, id)) = self.due.first().copied()
             && at <= micros(now)
@@ -148,12 +143,12 @@
             if let Some(stream) = self.by_id.get_mut(&id) {
                 stream.due_at = NEVER;
             }
-            self.touched.insert(id);
+            self.ready.insert(id);
         }
-        std::mem::take(&mut self.touched)
+        std::mem::take(&mut self.ready)
     }
 
-    /// When the first stream is due.
+    /// Time of the earliest timer, in ms; infinite if none is set.
     pub(super) fn next_due_at(&self) -> Ms {
         self.due
             .first()
--- a/crates/director/xds/src/streams/policy.rs
+++ b/crates/director/xds/src/streams/policy.rs
@@ -1,4 +1,4 @@
-//! The policy's actions and the membership list reach the streams.
+//! Applies actions of the policy and changes of the membership list to the streams.
 
 use super::state::Streams;
 use crate::report_streams::ReportingHost;
@@ -6,7 +6,8 @@
 use rushcourse_policy::interface::{Action, HostEntry, Ms, Readiness};
 
 impl Streams {
-    /// A batch of the policy's actions.
+    /// Applies a batch of the policy's actions. The proxies that it affects acknowledge it under the ack number that
+    /// the batch requests.
     pub fn apply_actions(&mut self, now: Ms, actions: &[Action]) {
         for action in actions {
             self.cache.apply(action);
@@ -19,8 +20,8 @@
             let Some(stream) = self.registry.stream(proxy) else {
                 continue;
             };
-            self.open.touch(stream);
-            if let Some(discovery) = self.open.discovery_mut(stream)
+            self.open_streams.mark_ready(stream);
+            if let Some(discovery) = self.open_streams.discovery_mut(stream)
                 && let Some(ack_number) = ack_number
             {
                 discovery.add_ack_number(now, ack_number);
@@ -28,7 +29,7 @@
         }
     }
 
-    /// The hosts as the membership list has them now, with their addresses.
+    /// Applies a new membership list; each host comes with its address.
     pub fn update_hosts<'a>(
         &mut self,
         now: Ms,
@@ -44,10 +45,10 @@
         self.cache.update_hosts(hosts.clone().map(location));
         for proxy in self.cache.take_changed_proxies() {
             if let Some(stream) = self.registry.stream(proxy) {
-                self.open.touch(stream);
+                self.open_streams.mark_ready(stream);
             }
         }
-        // Hosts that were asked before the configuration changed are let go with the next list.
+        // After reports are disabled, this call removes the streams that remain.
         if self.config.request_host_reports || self.report_streams.host_count() > 0 {
             let reporting = hosts
                 .filter(|(entry, address)| {
--- a/crates/director/xds/src/streams/reports.rs
+++ b/crates/director/xds/src/streams/reports.rs
@@ -1,16 +1,16 @@
-//! Load reports of proxies.
+//! Load reporting streams of proxies.
 
-use super::open_streams::StreamUse;
+use super::open_streams::StreamRole;
 use super::state::{Streams, report_interval};
 use crate::interface::{Effect, StatusCode, StreamId};
-use crate::load_reports::{Admission, BurstFilter, ReportContext, convert};
+use crate::load_reports::{BurstFilter, FilterDecision, ReportContext, convert};
 use crate::messages::{LoadStatsRequest, LoadStatsResponse, Response};
 use crate::outbox::Severity;
 use crate::registry::ProxyIdentity;
 use rushcourse_policy::interface::{HostId, Ms, ProxyId};
 
 impl Streams {
-    /// A stream is a proxy's load reporting stream from now on. It reports on one stream: an earlier one ends.
+    /// Turns a stream into the proxy's load reporting stream, ending an earlier one, and requests reports on it.
     pub(super) fn start_reporting(&mut self, now: Ms, stream: StreamId, reporter: ProxyIdentity) {
         let report_interval = report_interval(&self.settings);
         if let Some(earlier) = self.reporting_stream(reporter.proxy) {
@@ -21,9 +21,8 @@
                 "its relay reports on a newer stream",
             );
         }
-        if let Some(open) = self.open.get_mut(stream) {
-            open.used_for =
-                StreamUse::LoadReporting(reporter, BurstFilter::new(now, report_interval));
+        if let Some(open) = self.open_streams.get_mut(stream) {
+            open.role = StreamRole::LoadReporting(reporter, BurstFilter::new(now, report_interval));
             self.outbox.effect(Effect::SendResponse {
                 stream,
                 response: Response::LoadStats(LoadStatsResponse {
@@ -34,14 +33,14 @@
     }
 
     fn reporting_stream(&self, proxy: ProxyId) -> Option<StreamId> {
-        let is_reporting = |used_for: &StreamUse| matches!(used_for, StreamUse::LoadReporting(reporter, _) if reporter.proxy == proxy);
-        self.open
+        let is_reporting = |role: &StreamRole| matches!(role, StreamRole::LoadReporting(reporter, _) if reporter.proxy == proxy);
+        self.open_streams
             .iter()
-            .find(|(_, open)| is_reporting(&open.used_for))
+            .find(|(_, open)| is_reporting(&open.role))
             .map(|(stream, _)| stream)
     }
 
-    /// A request with load reports. The first one only identifies the stream.
+    /// Handles a load report. A request without statistics only identifies the stream.
     pub(super) fn on_load_report(
         &mut self,
         now: Ms,
@@ -64,16 +63,16 @@
                 if report.unlisted_hosts > 0 {
                     self.outbox.count("loads_unlisted", report.unlisted_hosts);
                 }
-                let Some(filter) = self.open.burst_filter_mut(stream) else {
+                let Some(filter) = self.open_streams.burst_filter_mut(stream) else {
                     return;
                 };
                 match filter.admit(now, report.events) {
-                    Admission::Believed(events) => {
+                    FilterDecision::Accepted(events) => {
                         self.outbox.count("loads_taken", 1);
                         self.outbox.events.extend(events);
                     }
-                    Admission::ReplacesOlder => self.outbox.count("loads_old", 1),
-                    Admission::HeldBack => {}
+                    FilterDecision::ReplacedDeferred => self.outbox.count("loads_old", 1),
+                    FilterDecision::Deferred => {}
                 }
             }
             Err(invalid) => {
