--- a/crates/director/xds/src/streams/state.rs
+++ b/crates/director/xds/src/streams/state.rs
@@ -1,6 +1,6 @@
-//! The state of all streams as a whole, and how a stream is ended.
+//! The state of all streams, and how a stream is ended.
 
-use super::open_streams::{OpenStream, OpenStreams, StreamUse};
+use super::open_streams::{OpenStream, OpenStreams, StreamRole};
 use crate::config::StreamConfig;
 use crate::interface::{Effect, StatusCode, StreamId};
 use crate::outbox::{Outbox, Severity};
@@ -10,11 +10,10 @@
 use rushcourse_director_settings::Names;
 use rushcourse_policy::interface::{Channel, Event, Ms, Settings};
 
-/// The shortest interval between load reports that is asked for, in ms.
+/// Lower bound on the configured report interval, in ms.
 const MIN_REPORT_INTERVAL: Ms = 100.0;
 
-/// All streams of this director. `step` takes what was read, `advance` does what is due; events for the policy,
-/// effects, log entries and counters wait in the outbox.
+/// All streams of the director. Results of `step` and `advance` are collected in the outbox.
 #[derive(Debug)]
 pub struct Streams {
     pub(super) config: StreamConfig,
@@ -22,13 +21,13 @@
     pub(super) cache: ResourceCache,
     pub(super) registry: ProxyRegistry,
     pub(super) report_streams: ReportStreams,
-    pub(super) open: OpenStreams,
-    /// No stream is accepted any more.
+    pub(super) open_streams: OpenStreams,
+    /// Set by `shut_down`; new streams are rejected from then on.
     pub(super) is_shutting_down: bool,
     pub(super) outbox: Outbox,
 }
 
-/// ms between two load reports of a proxy or host.
+/// Interval between two load reports of a proxy or host, in ms.
 pub(super) fn report_interval(settings: &Settings) -> Ms {
     settings.report_interval.max(MIN_REPORT_INTERVAL)
 }
@@ -42,7 +41,7 @@
 }
 
 impl Streams {
-    /// No stream yet.
+    /// Creates the state without any stream.
     pub fn new(config: StreamConfig, settings: &Settings, names: &Names) -> Streams {
         Streams {
             cache: ResourceCache::new(settings, names, config.incarnation),
@@ -58,14 +57,14 @@
             ),
             settings: settings.clone(),
             config,
-            open: OpenStreams::default(),
+            open_streams: OpenStreams::default(),
             is_shutting_down: false,
             outbox: Outbox::default(),
         }
     }
 
-    /// Follows another configuration from now on. The incarnation stays, as it is this run's; who has joined stays,
-    /// whatever its name.
+    /// Replaces the configuration, except for the incarnation. Proxies that have joined keep their streams even if
+    /// their node ids no longer resolve.
     pub fn set_config(&mut self, config: StreamConfig) {
         self.registry.set_identities(config.identities.clone());
         self.report_streams
@@ -76,18 +75,18 @@
         };
     }
 
-    /// Hands over all that the steps so far have brought about.
+    /// Returns the results collected since the previous call.
     pub fn take_outbox(&mut self) -> Outbox {
         std::mem::take(&mut self.outbox)
     }
 
-    /// Forgets a stream and all that rests on it.
+    /// Removes a stream; if it was a proxy's discovery stream, the proxy leaves.
     pub(super) fn remove(&mut self, now: Ms, stream: StreamId) -> Option<OpenStream> {
-        let open = self.open.remove(stream)?;
-        if let StreamUse::Discovery(identity, _) = &open.used_for
+        let open = self.open_streams.remove(stream)?;
+        if let StreamRole::Discovery(identity, _) = &open.role
             && self.registry.release(now, identity.proxy, stream)
         {
-            self.cache.forget(identity.proxy);
+            self.cache.remove_proxy(identity.proxy);
             self.outbox.event(Event::ProxyLeft {
                 proxy: identity.proxy,
                 channel: Channel::Dedicated,
@@ -113,7 +112,7 @@
         }
     }
 
-    /// Ends a stream that may not be served, and counts why.
+    /// Ends a stream that is rejected, and counts the reason.
     pub(super) fn reject(&mut self, now: Ms, stream: StreamId, rejection: &Rejection) {
         self.outbox.count("streams_refused", 1);
         self.outbox.count(rejection.counter(), 1);
--- a/crates/director/xds/src/weights.rs
+++ b/crates/director/xds/src/weights.rs
@@ -1,25 +1,25 @@
-//! Weights and admission levels as the published messages carry them: as whole numbers.
+//! Conversion of weights and admission levels to the integers of the protobuf messages.
 
-/// A weight of 1 in a table is this much in `load_balancing_weight`: four decimal places are kept.
+/// The `load_balancing_weight` of a host with weight 1; keeps four decimal places.
 pub const WEIGHT_SCALE: f64 = 10_000.0;
-/// The sum of a table's weights must stay within 32 bits (`LbEndpoint.load_balancing_weight`); half of that is used,
-/// so that what rounding adds has room.
+/// Upper bound on the scaled weights of a table. The protocol requires the sum to fit in 32 bits
+/// (`LbEndpoint.load_balancing_weight`); half of that leaves room for rounding up.
 const MAX_WEIGHT_SUM: f64 = 2_147_483_648.0;
-/// All requests, in millionths (`FractionalPercent`, `MILLION`).
+/// Denominator of drop rates (`FractionalPercent`, `MILLION`).
 const MILLION: f64 = 1_000_000.0;
 
-/// Weights as whole numbers in the same proportions and the same order. A weight above 0 stays above 0, so that no host
-/// leaves a table by rounding; what is negative or not finite is 0. The scale is `WEIGHT_SCALE` unless the sum would
-/// not fit; then all are scaled down alike.
+/// Scales weights to integers, keeping their proportions and order. A positive weight becomes at least 1, so that no
+/// host drops out of a table by rounding; negative and non-finite weights become 0. The scale is `WEIGHT_SCALE`, or
+/// less if the sum would exceed the 32 bits of the protocol.
 pub fn scale_weights(weights: &[f64]) -> Vec<u32> {
-    let usable = |weight: &f64| {
+    let valid_or_zero = |weight: &f64| {
         if weight.is_finite() && *weight > 0.0 {
             *weight
         } else {
             0.0
         }
     };
-    let sum: f64 = weights.iter().map(usable).sum();
+    let sum: f64 = weights.iter().map(valid_or_zero).sum();
     let scale = WEIGHT_SCALE.min(MAX_WEIGHT_SUM / sum.max(f64::MIN_POSITIVE));
     let scaled = |weight: f64| {
         if weight > 0.0 {
@@ -28,11 +28,11 @@
             0
         }
     };
-    weights.iter().map(usable).map(scaled).collect()
+    weights.iter().map(valid_or_zero).map(scaled).collect()
 }
 
-/// The requests that an admission level (0 to 1) drops, in millionths. A level of 1 drops none, and one above 0 never
-/// drops all. What is not finite counts as 1.
+/// The share of requests that a proxy drops at an admission level (0 to 1), per million. Level 1 drops none, and a
+/// level above 0 never drops all. A non-finite level counts as 1.
 pub fn drop_per_million(level: f64) -> u32 {
     let level = if level.is_finite() {
         level.clamp(0.0, 1.0)
--- a/crates/director/xds/tests/common/mod.rs
+++ b/crates/director/xds/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Streams on a fake clock, with the policy's actions given by hand.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! Test harness that drives `Streams` with a simulated clock and hand-written policy actions.
+#![allow(dead_code)] // No test binary uses all helpers.
 
 use rushcourse_director_settings::Names;
 use rushcourse_policy::interface::{
@@ -19,9 +19,9 @@
     max_unidentified: 8,
     max_report_streams: 16,
 };
-/// Both kinds of discovery streams.
+/// The stream kinds that carry discovery requests.
 pub const DISCOVERY_KINDS: [StreamKind; 2] = [StreamKind::StateOfTheWorld, StreamKind::Delta];
-/// Steps after which a state that wakes itself again and again is taken to do so for ever.
+/// Limit on calls of `advance` within one `advance_time`, to detect timers that fire without end.
 const MAX_STEPS: usize = 100_000;
 
 pub fn settings() -> Settings {
@@ -76,18 +76,18 @@
     }
 }
 
-/// The streams under test, and what came of the last step.
+/// The streams under test, with the results of the last step.
 pub struct Harness {
     pub streams: Streams,
     pub now: Ms,
     pub events: Vec<Event>,
-    /// By the number of the stream.
+    /// Stream ids with the responses sent.
     pub responses: Vec<(u64, Response)>,
-    /// Streams that were ended, by their numbers.
+    /// Ids and status codes of the streams that were ended.
     pub ended: Vec<(u64, StatusCode)>,
-    /// Names of counters that rose.
+    /// Names of the counters that were incremented.
     pub counters: Vec<&'static str>,
-    /// The transport accepts each response at once.
+    /// Whether the transport accepts each response at once.
     pub accepts_responses: bool,
 }
 
@@ -106,11 +106,11 @@
             counters: Vec::new(),
             accepts_responses: true,
         };
-        harness.list_hosts(&["a1", "a2", "b1"]);
+        harness.set_hosts(&["a1", "a2", "b1"]);
         harness
     }
 
-    /// Proxy 3 has joined by stream 1 and was bound to its table under number 1.
+    /// Proxy 3 has joined on stream 1, and is bound to `TABLE` under ack number 1.
     pub fn with_bound_proxy(kind: StreamKind) -> Harness {
         let mut harness = Harness::new();
         harness.join(1, 3, kind);
@@ -118,8 +118,8 @@
         harness
     }
 
-    /// The membership list, each host with a port of its own; names that begin with `b` are in the other zone.
-    pub fn list_hosts(&mut self, hosts: &[&str]) {
+    /// Sets the membership list, with one port per host. Hosts whose name starts with `b` are in the second zone.
+    pub fn set_hosts(&mut self, hosts: &[&str]) {
         let listed = |(index, host): (usize, &&str)| {
             let entry = HostEntry {
                 host: (*host).into(),
@@ -152,18 +152,22 @@
         self.collect();
     }
 
-    /// Lets time pass, and collects all that comes of it.
-    pub fn pass(&mut self, ms: Ms) {
+    /// Advances the clock by `ms`, runs all timers, and collects the results.
+    pub fn advance_time(&mut self, ms: Ms) {
         self.clear();
         let end = self.now + ms;
         for steps in 0.. {
             let next = self.streams.advance(self.now);
             self.collect();
-            assert!(steps < MAX_STEPS, "it does not wake itself without end");
+            assert!(steps < MAX_STEPS, "timers keep firing without end");
             if next > end {
                 break;
             }
-            assert!(next > self.now, "time goes on: {next} at {}", self.now);
+            assert!(
+                next > self.now,
+                "the next timer {next} is not after {}",
+                self.now
+            );
             self.now = next;
         }
         self.now = end;
@@ -171,7 +175,7 @@
         self.collect();
     }
 
-    /// Collects what came of the steps so far, and accepts responses, until nothing more comes.
+    /// Collects the results of the steps so far and accepts responses, until no more are sent.
     fn collect(&mut self) {
         loop {
             self.streams.advance(self.now);
@@ -201,8 +205,6 @@
         }
     }
 
-    // Streams.
-
     pub fn open(&mut self, stream: u64, connection: u64, kind: StreamKind) {
         self.step(Input::StreamOpened {
             stream: StreamId(stream),
@@ -212,7 +214,7 @@
         });
     }
 
-    /// A stream ends.
+    /// Reports that the transport or the peer ended a stream.
     pub fn close(&mut self, stream: u64, reason: &str) {
         self.step(Input::StreamClosed {
             stream: StreamId(stream),
@@ -243,14 +245,14 @@
         self.request(stream, Request::Delta(request));
     }
 
-    /// The transport accepts the last response of a stream.
+    /// Reports that the transport accepted the last response of a stream.
     pub fn accept_response(&mut self, stream: u64) {
         self.step(Input::ResponseAccepted {
             stream: StreamId(stream),
         });
     }
 
-    /// A proxy joins and subscribes to both classes.
+    /// Opens a stream on which a proxy joins and subscribes to both classes.
     pub fn join(&mut self, stream: u64, proxy: ProxyId, kind: StreamKind) {
         self.open(stream, stream, kind);
         self.first_request(stream, proxy, kind);
@@ -261,7 +263,7 @@
         );
     }
 
-    /// The first request of a stream: it identifies the proxy, and subscribes to both classes.
+    /// Sends the first request of a stream, which identifies the proxy and subscribes to both classes.
     pub fn first_request(&mut self, stream: u64, proxy: ProxyId, kind: StreamKind) {
         let node = Some(node(proxy));
         match kind {
@@ -322,9 +324,7 @@
         }
     }
 
-    // The policy.
-
-    /// A batch of the policy's actions, to be acknowledged under a number.
+    /// Applies a batch of policy actions that requests an ack number.
     pub fn apply(&mut self, ack_number: u16, mut actions: Vec<Action>) {
         self.clear();
         actions.push(Action::RequestAck { ack_number });
@@ -332,7 +332,7 @@
         self.collect();
     }
 
-    /// Binds proxies to a filled table.
+    /// Fills `TABLE` and binds the proxies to it.
     pub fn bind(&mut self, ack_number: u16, proxies: &[ProxyId]) {
         let mut actions = vec![set_weight("a1", 1.0), set_weight("b1", 0.25)];
         actions.extend(proxies.iter().map(|proxy| Action::BindProxy {
@@ -343,29 +343,28 @@
         self.apply(ack_number, actions);
     }
 
-    /// Numbers that were acknowledged to the policy in the last step, by proxy.
+    /// Ack numbers confirmed to the policy in the last step, by proxy.
     pub fn acknowledged(&self) -> Vec<(ProxyId, u16)> {
         let acknowledged = |event: &Event| match event {
             Event::Acknowledged {
                 proxy,
-                ack_number: mark,
+                ack_number: number,
                 channel: Channel::Dedicated,
                 ..
-            } => Some((*proxy, *mark)),
+            } => Some((*proxy, *number)),
             _ => None,
         };
         self.events.iter().filter_map(acknowledged).collect()
     }
 
-    /// What the policy was told not to be applied: by which proxy, from which number on, and whether one more message
-    /// leaves.
+    /// `NotApplied` events of the last step: proxy, first ack number, and whether a message is sent now.
     pub fn not_applied(&self) -> Vec<(ProxyId, u16, bool)> {
         let not_applied = |event: &Event| match event {
             Event::NotApplied {
                 proxy,
-                ack_number: mark,
-                is_resent: again,
-            } => Some((*proxy, *mark, *again)),
+                ack_number: number,
+                is_resent: resent,
+            } => Some((*proxy, *number, *resent)),
             _ => None,
         };
         self.events.iter().filter_map(not_applied).collect()
@@ -374,7 +373,7 @@
     pub fn gauge(&self, name: &str) -> f64 {
         let gauges = self.streams.gauges();
         let found = gauges.iter().find(|(gauge, _, _)| *gauge == name);
-        let (_, _, value) = found.expect("a gauge");
+        let (_, _, value) = found.expect("a known gauge");
         *value
     }
 }
@@ -399,12 +398,12 @@
     }
 }
 
-pub fn set_pay_level(quota: f64, again: RetryPolicy) -> Action {
+pub fn set_pay_level(quota: f64, policy: RetryPolicy) -> Action {
     Action::SetAdmission {
         table: TABLE,
         classes: 0b10,
         quota,
-        retry_policy: again,
+        retry_policy: policy,
     }
 }
 
@@ -420,7 +419,7 @@
     response.nonce().expect("a discovery response").into()
 }
 
-/// The classes of a response's resources.
+/// Names of the classes in a response.
 pub fn classes(response: &Response) -> Vec<&str> {
     response
         .resources()
@@ -429,7 +428,7 @@
         .collect()
 }
 
-/// Host, weight, and whether it is draining, of a response's resource for a class.
+/// Host, weight and draining flag of each endpoint in a class's resource.
 pub fn endpoints(response: &Response, class: &str) -> Vec<(String, u32, bool)> {
     response
         .resources()
--- a/crates/director/xds/tests/discovery.rs
+++ b/crates/director/xds/tests/discovery.rs
@@ -1,4 +1,5 @@
-//! Resources on discovery streams: what is sent, and what an ACK or a NACK proves, for both kinds of streams.
+//! Discovery streams: which resources are sent, and which ack numbers an ACK or NACK confirms. Most tests run on both
+//! kinds of streams.
 
 mod common;
 
@@ -9,8 +10,7 @@
 use rushcourse_policy::interface::{Action, Channel, RetryPolicy};
 use rushcourse_xds::{DeltaDiscoveryRequest, DiscoveryRequest, Response, StreamKind};
 
-/// A bound proxy that was sent another change, under number 2, and has answered nothing. Also the nonces of both
-/// responses.
+/// A bound proxy with two pending responses, for ack numbers 1 and 2, and the nonces of the two.
 fn with_two_pending_responses(kind: StreamKind) -> (Harness, String, String) {
     let mut harness = Harness::with_bound_proxy(kind);
     let first = nonce(&harness.responses[0].1);
@@ -20,14 +20,17 @@
 }
 
 #[test]
-fn a_proxy_joins_is_sent_its_resources_and_its_ack_proves_what_was_ordered() {
+fn joined_proxy_gets_its_resources_and_its_ack_confirms_the_batch() {
     for kind in DISCOVERY_KINDS {
         let mut harness = Harness::new();
         harness.join(1, 3, kind);
-        assert!(harness.responses.is_empty(), "nothing before it is bound");
+        assert!(
+            harness.responses.is_empty(),
+            "no response before the proxy is bound"
+        );
         harness.bind(41, &[3]);
         let [(1, response)] = &harness.responses[..] else {
-            panic!("one response: {:?}", harness.responses)
+            panic!("expected one response: {:?}", harness.responses)
         };
         let expected = [
             ("a1".to_string(), 10_000, false),
@@ -37,7 +40,7 @@
         assert_eq!(endpoints(response, "pay"), expected);
         assert!(
             harness.acknowledged().is_empty(),
-            "nothing is proved by sending"
+            "sending alone confirms nothing"
         );
         let nonce = nonce(response);
         harness.ack(1, kind, &nonce);
@@ -46,18 +49,18 @@
         harness.ack(1, kind, &nonce);
         assert!(
             harness.acknowledged().is_empty() && harness.counters.contains(&"nonces_unknown"),
-            "it is proved once"
+            "a repeated ACK confirms nothing"
         );
     }
 }
 
 #[test]
-fn draining_is_shown_as_such_and_sent_while_an_answer_is_pending() {
+fn draining_host_is_sent_while_a_response_is_pending() {
     for kind in DISCOVERY_KINDS {
         let mut harness = Harness::with_bound_proxy(kind);
         harness.apply(2, vec![withdraw("a1", Channel::Dedicated)]);
         let [(1, response)] = &harness.responses[..] else {
-            panic!("one response")
+            panic!("expected one response")
         };
         assert_eq!(
             endpoints(response, "look")[0],
@@ -66,7 +69,7 @@
         harness.apply(3, vec![withdraw("a1", Channel::Shared)]);
         assert!(
             harness.responses.is_empty(),
-            "that is for proxies at the relay"
+            "actions for the shared channel are ignored"
         );
     }
 }
@@ -74,13 +77,13 @@
 #[test]
 fn admission_levels_and_retry_policies_are_sent() {
     let mut harness = Harness::with_bound_proxy(StreamKind::Delta);
-    let again = RetryPolicy::OnceIfNotRun;
-    harness.apply(2, vec![set_pay_level(0.9, again)]);
+    let policy = RetryPolicy::OnceIfNotRun;
+    harness.apply(2, vec![set_pay_level(0.9, policy)]);
     let [(1, response)] = &harness.responses[..] else {
-        panic!("one response")
+        panic!("expected one response")
     };
     let [pay] = response.resources() else {
-        panic!("only what changed: {response:?}")
+        panic!("expected only the changed resource: {response:?}")
     };
     assert_eq!(
         (
@@ -88,12 +91,12 @@
             pay.assignment.drop_per_million,
             pay.assignment.retry_policy
         ),
-        ("pay", 100_000, again)
+        ("pay", 100_000, policy)
     );
 }
 
 #[test]
-fn an_ack_of_an_older_response_proves_that_one_alone() {
+fn ack_of_an_older_response_confirms_only_that_response() {
     for kind in DISCOVERY_KINDS {
         let (mut harness, first, second) = with_two_pending_responses(kind);
         harness.ack(1, kind, &first);
@@ -104,7 +107,7 @@
 }
 
 #[test]
-fn a_later_ack_speaks_for_earlier_responses_in_state_of_the_world_and_not_in_delta() {
+fn later_ack_confirms_earlier_responses_only_in_state_of_the_world() {
     for (kind, expected) in [
         (StreamKind::StateOfTheWorld, vec![(3, 2)]),
         (StreamKind::Delta, vec![]),
@@ -123,7 +126,7 @@
 }
 
 #[test]
-fn a_rejected_resource_proves_nothing_is_reported_as_not_applied_and_is_sent_again_after_a_delay() {
+fn rejected_resource_is_reported_as_not_applied_and_resent_after_a_delay() {
     for kind in DISCOVERY_KINDS {
         let mut harness = Harness::new();
         harness.join(1, 3, kind);
@@ -132,58 +135,61 @@
         harness.nack(1, kind, &rejected, "no such locality");
         assert!(harness.acknowledged().is_empty());
         assert_eq!(harness.not_applied(), [(3, 5, false)]);
-        harness.pass(4500.0);
-        assert!(harness.responses.is_empty(), "not at once");
+        harness.advance_time(4500.0);
+        assert!(
+            harness.responses.is_empty(),
+            "no resend before the backoff expires"
+        );
         assert!(
             harness.not_applied().len() >= 4,
-            "the policy is told each second: {:?}",
+            "NotApplied is reported once per second: {:?}",
             harness.not_applied()
         );
-        harness.pass(600.0);
-        let [(1, again)] = &harness.responses[..] else {
-            panic!("{kind:?}: it is sent again")
+        harness.advance_time(600.0);
+        let [(1, resent)] = &harness.responses[..] else {
+            panic!("{kind:?}: expected a resend")
         };
-        let again = nonce(again);
+        let resent = nonce(resent);
         assert!(
             harness.not_applied().contains(&(3, 5, true)),
-            "one more message: {:?}",
+            "the resend is reported: {:?}",
             harness.not_applied()
         );
-        harness.ack(1, kind, &again);
+        harness.ack(1, kind, &resent);
         assert_eq!(harness.acknowledged(), [(3, 5)]);
-        harness.pass(30_000.0);
+        harness.advance_time(30_000.0);
         assert!(harness.responses.is_empty() && harness.not_applied().is_empty());
     }
 }
 
 #[test]
-fn what_is_sent_after_a_nack_does_not_prove_what_was_rejected() {
+fn ack_after_a_nack_does_not_confirm_the_rejected_resources() {
     let mut harness = Harness::with_bound_proxy(StreamKind::Delta);
     let first = nonce(&harness.responses[0].1);
     harness.apply(2, vec![set_pay_level(0.5, RetryPolicy::Never)]);
     let second = nonce(&harness.responses[0].1);
     harness.nack(1, StreamKind::Delta, &first, "no");
-    // The rejected response held both classes; "pay" has been sent anew since, "look" has not.
+    // The rejected response contained both classes. A newer "pay" has been sent since, but not "look".
     harness.ack(1, StreamKind::Delta, &second);
     assert!(
         harness.acknowledged().is_empty(),
-        "look is still rejected: {:?}",
+        "\"look\" is still rejected: {:?}",
         harness.acknowledged()
     );
     harness.apply(3, vec![set_pay_level(0.4, RetryPolicy::Never)]);
     let third = nonce(&harness.responses[0].1);
     harness.ack(1, StreamKind::Delta, &third);
     assert!(harness.acknowledged().is_empty());
-    harness.pass(6000.0);
-    let (_, again) = harness.responses.last().expect("look is sent again");
-    assert_eq!(classes(again), ["look"]);
-    let again = nonce(again);
-    harness.ack(1, StreamKind::Delta, &again);
+    harness.advance_time(6000.0);
+    let (_, resent) = harness.responses.last().expect("a resend of \"look\"");
+    assert_eq!(classes(resent), ["look"]);
+    let resent = nonce(resent);
+    harness.ack(1, StreamKind::Delta, &resent);
     assert_eq!(harness.acknowledged(), [(3, 3)]);
 }
 
 #[test]
-fn a_proxy_that_reads_nothing_has_one_response_waiting_and_then_gets_the_newest_state() {
+fn stalled_proxy_has_one_pending_response_and_then_gets_the_newest_state() {
     for kind in DISCOVERY_KINDS {
         let mut harness = Harness::new();
         harness.join(1, 3, kind);
@@ -194,10 +200,10 @@
             harness.apply(ack_number, vec![set_weight("a1", f64::from(ack_number))]);
             assert!(
                 harness.responses.is_empty(),
-                "it is not read, so no more is handed over"
+                "no response while the transport is busy"
             );
         }
-        harness.pass(2000.0);
+        harness.advance_time(2000.0);
         let not_applied = harness.not_applied();
         assert!(
             not_applied.len() >= 2 && not_applied.iter().all(|b| *b == (3, 1, false)),
@@ -206,7 +212,7 @@
         harness.accepts_responses = true;
         harness.accept_response(1);
         let [(1, newest)] = &harness.responses[..] else {
-            panic!("one for all that came meanwhile")
+            panic!("expected one response with all changes")
         };
         assert_eq!(
             endpoints(newest, "look")[0],
@@ -214,7 +220,7 @@
         );
         assert!(
             harness.not_applied().contains(&(3, 1, true)),
-            "a message leaves now: {:?}",
+            "the late response is reported: {:?}",
             harness.not_applied()
         );
         let (first, newest) = ("1", nonce(newest));
@@ -225,12 +231,16 @@
 }
 
 #[test]
-fn a_proxy_that_never_answers_is_remembered_within_bounds() {
+fn pending_responses_of_a_proxy_that_never_answers_are_bounded() {
     let mut harness = Harness::with_bound_proxy(StreamKind::StateOfTheWorld);
     for ack_number in 2..200 {
         harness.now += 800.0;
         harness.apply(ack_number, vec![set_weight("a1", f64::from(ack_number))]);
-        assert_eq!(harness.responses.len(), 1, "it reads, so it is sent more");
+        assert_eq!(
+            harness.responses.len(),
+            1,
+            "responses don't wait for an ACK"
+        );
     }
     let pending = harness.gauge("streams_unanswered");
     assert!(pending <= 32.0, "{pending}");
@@ -239,35 +249,35 @@
     assert_eq!(
         harness.acknowledged(),
         [(3, 199)],
-        "its ACK comes late, and is one"
+        "a late ACK confirms all batches"
     );
 }
 
 #[test]
-fn an_old_nonce_changes_no_names() {
+fn stale_nonce_does_not_change_the_subscription() {
     let mut harness = Harness::with_bound_proxy(StreamKind::StateOfTheWorld);
-    let look_alone = |response_nonce: String| DiscoveryRequest {
+    let look_only = |response_nonce: String| DiscoveryRequest {
         response_nonce,
         resource_names: vec!["look".into()],
         ..DiscoveryRequest::default()
     };
     harness.apply(2, vec![set_weight("a2", 1.0)]);
-    harness.discovery_request(1, look_alone("1".into()));
+    harness.discovery_request(1, look_only("1".into()));
     assert!(harness.counters.contains(&"nonces_stale"));
     harness.apply(3, vec![set_weight("a2", 2.0)]);
     assert_eq!(
         harness.responses[0].1.resources().len(),
         2,
-        "both classes are still subscribed to"
+        "the subscription still has both classes"
     );
     let newest = nonce(&harness.responses[0].1);
-    harness.discovery_request(1, look_alone(newest));
+    harness.discovery_request(1, look_only(newest));
     harness.apply(4, vec![set_weight("a2", 3.0)]);
     assert_eq!(harness.responses[0].1.resources().len(), 1);
 }
 
 #[test]
-fn a_nonce_that_was_never_given_proves_nothing() {
+fn unknown_nonce_confirms_nothing() {
     for kind in DISCOVERY_KINDS {
         let mut harness = Harness::with_bound_proxy(kind);
         for nonce in ["99", "0", "-1", "x", "184467440737095516160"] {
@@ -281,7 +291,7 @@
 }
 
 #[test]
-fn a_subscription_is_answered_and_subscribing_without_end_is_not() {
+fn subscription_is_answered_and_repeated_subscribing_is_rate_limited() {
     let mut harness = Harness::new();
     let subscribe = |names: &[&str]| DeltaDiscoveryRequest {
         resource_names_subscribe: names.iter().map(|name| name.to_string()).collect(),
@@ -296,36 +306,36 @@
         },
     );
     let Some((_, Response::Delta(response))) = harness.responses.first() else {
-        panic!("an answer")
+        panic!("expected a delta response")
     };
     assert_eq!(
         &response.removed_resources,
         &["nope"],
-        "a name that does not exist is told as removed"
+        "an unknown name is returned as removed"
     );
     harness.bind(1, &[3]);
     assert_eq!(harness.responses[0].1.resources().len(), 1);
     harness.delta_request(1, subscribe(&["pay"]));
     assert_eq!(classes(&harness.responses[0].1)[0], "pay");
-    let mut sent = 0;
+    let mut response_count = 0;
     for _ in 0..200 {
         harness.now += 10.0;
         harness.delta_request(1, subscribe(&["pay"]));
-        sent += harness.responses.len();
+        response_count += harness.responses.len();
     }
     assert!(
-        sent <= 6,
-        "{sent} of 200: subscribing again does not get round the cap"
+        response_count <= 6,
+        "{response_count} responses to 200 requests exceed the rate limit"
     );
     harness.apply(2, vec![set_weight("a2", 1.0)]);
     assert_eq!(
         harness.responses.len(),
         1,
-        "what the policy orders is still sent"
+        "the policy's actions are not rate-limited"
     );
 }
 
-/// The first request of a proxy that holds what a response of an earlier stream brought.
+/// Opens stream 2 for proxy 3, which reports the versions in `held` as its initial versions.
 fn reconnect(harness: &mut Harness, kind: StreamKind, held: &Response) {
     let node = Some(node(3));
     harness.open(2, 2, kind);
@@ -352,9 +362,9 @@
 }
 
 #[test]
-fn a_reconnecting_proxy_is_sent_nothing_it_holds_and_everything_after_a_restart_of_the_director() {
+fn reconnecting_proxy_is_resent_held_resources_only_after_a_director_restart() {
     for kind in DISCOVERY_KINDS {
-        // The stream broke (7), or the director died and came back as another incarnation (8).
+        // Incarnation 7 is the same run of the director, 8 a restarted one.
         for (incarnation, expected) in [(7, 0), (8, 1)] {
             let before = Harness::with_bound_proxy(kind);
             let held = before.responses[0].1.clone();
@@ -365,27 +375,34 @@
             assert_eq!(
                 harness.acknowledged().len(),
                 1 - expected,
-                "what it holds needs no ACK"
+                "held resources are confirmed without an ACK"
             );
         }
     }
 }
 
 #[test]
-fn a_moved_host_is_sent_and_one_that_the_list_drops_keeps_its_address_while_a_table_names_it() {
+fn moved_host_is_sent_and_a_delisted_host_keeps_its_address_while_in_a_table() {
     let mut harness = Harness::with_bound_proxy(StreamKind::StateOfTheWorld);
     harness.responses.clear();
-    harness.list_hosts(&["a2", "a1"]);
-    let (_, response) = harness.responses.last().expect("addresses have changed");
-    assert_eq!(endpoints(response, "look").len(), 2, "b1 is still there");
+    harness.set_hosts(&["a2", "a1"]);
+    let (_, response) = harness
+        .responses
+        .last()
+        .expect("a response with the new addresses");
+    assert_eq!(
+        endpoints(response, "look").len(),
+        2,
+        "the delisted b1 is kept"
+    );
 }
 
 #[test]
-fn all_that_is_remembered_goes_with_its_stream() {
+fn closed_streams_leave_no_state() {
     let mut harness = Harness::new();
-    let remembered =
+    let state_size =
         |harness: &Harness| -> f64 { harness.streams.gauges().iter().map(|g| g.2).sum() };
-    let nothing = remembered(&harness);
+    let initial_size = state_size(&harness);
     for round in 0..50u64 {
         for proxy in 0..6u32 {
             let stream = round * 10 + u64::from(proxy) + 1;
@@ -396,7 +413,7 @@
             harness.close(round * 10 + proxy + 1, "");
         }
         harness.apply(60_000, vec![Action::ClearTable { table: TABLE }]);
-        harness.pass(100.0);
+        harness.advance_time(100.0);
     }
-    assert_eq!(remembered(&harness), nothing);
+    assert_eq!(state_size(&harness), initial_size);
 }
--- a/crates/director/xds/tests/lifecycle.rs
+++ b/crates/director/xds/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Streams are opened, identified, replaced and ended.
+//! Lifecycle of streams: opening, identification, replacement and end.
 
 mod common;
 
@@ -7,7 +7,7 @@
 use rushcourse_xds::{DiscoveryRequest, StatusCode, StreamKind};
 
 #[test]
-fn unknown_and_doubled_and_too_many_streams_get_their_status_and_the_joined_stay() {
+fn rejected_streams_get_a_status_and_joined_streams_are_kept() {
     let mut harness = Harness::new();
     harness.join(1, 3, StreamKind::StateOfTheWorld);
     harness.open(2, 2, StreamKind::StateOfTheWorld);
@@ -18,10 +18,10 @@
     assert_eq!(
         harness.ended,
         [(3, StatusCode::AlreadyExists)],
-        "relay 3 is alive"
+        "proxy 3 has an active stream"
     );
     harness.open(4, 4, StreamKind::StateOfTheWorld);
-    harness.pass(1300.0);
+    harness.advance_time(1300.0);
     assert_eq!(harness.ended, [(4, StatusCode::DeadlineExceeded)]);
     for stream in 10..40 {
         harness.open(stream, stream, StreamKind::StateOfTheWorld);
@@ -31,11 +31,15 @@
         LIMITS.max_unidentified as f64
     );
     harness.bind(1, &[3]);
-    assert_eq!(harness.responses.len(), 1, "who has joined is served");
+    assert_eq!(
+        harness.responses.len(),
+        1,
+        "the joined proxy is still served"
+    );
 }
 
 #[test]
-fn a_proxy_that_comes_back_before_its_old_stream_was_seen_to_be_lost_replaces_it() {
+fn reconnecting_proxy_replaces_a_stream_that_was_lost_unnoticed() {
     let mut harness = Harness::with_bound_proxy(StreamKind::StateOfTheWorld);
     harness.now += 3000.0;
     harness.open(2, 2, StreamKind::StateOfTheWorld);
@@ -43,27 +47,27 @@
     assert_eq!(harness.ended, [(1, StatusCode::Aborted)]);
     assert!(
         matches!(harness.events[..], [Event::ProxyJoined { proxy: 3, .. }]),
-        "it did not leave: {:?}",
+        "the proxy must not leave: {:?}",
         harness.events
     );
     harness.close(1, "reset");
     assert!(
         harness.events.is_empty(),
-        "the old one's end changes nothing"
+        "the end of the replaced stream has no effect"
     );
     harness.bind(2, &[3]);
     assert_eq!(harness.responses[0].0, 2);
 }
 
 #[test]
-fn a_stream_that_accepts_nothing_for_long_is_ended_and_its_proxy_has_left() {
+fn stream_that_accepts_no_response_times_out_and_its_proxy_leaves() {
     let mut harness = Harness::new();
     harness.join(1, 3, StreamKind::StateOfTheWorld);
     harness.accepts_responses = false;
     harness.bind(1, &[3]);
-    harness.pass(9900.0);
+    harness.advance_time(9900.0);
     assert!(harness.ended.is_empty());
-    harness.pass(200.0);
+    harness.advance_time(200.0);
     assert_eq!(harness.ended, [(1, StatusCode::Unavailable)]);
     assert!(
         matches!(
@@ -79,14 +83,14 @@
 }
 
 #[test]
-fn one_stalled_stream_costs_the_others_nothing() {
+fn stalled_stream_does_not_delay_other_streams() {
     let mut harness = Harness::new();
     harness.accepts_responses = false;
     for proxy in 0..6 {
         harness.join(u64::from(proxy) + 1, proxy, StreamKind::Delta);
     }
     harness.bind(1, &[0, 1, 2, 3, 4, 5]);
-    // All but the first read and acknowledge; the first never does.
+    // Stream 1 never reads its response; the others read and acknowledge each one.
     for round in 2..12 {
         for stream in 2..=6 {
             harness.accept_response(stream);
--- a/crates/director/xds/tests/load_reports.rs
+++ b/crates/director/xds/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of proxies: each is believed as a whole or not at all, and a stream that stalls judges no host.
+//! Load reports of proxies: conversion to events, rejection of invalid or delayed reports, and stalled streams.
 
 mod common;
 
@@ -9,7 +9,7 @@
     Response, StatusCode, StreamKind,
 };
 
-/// What a proxy saw of the host at a port; `mean` is the latency of successful requests, in ms.
+/// Statistics of the host at a port; `mean` is the mean latency of successful requests, in ms.
 fn endpoint(port: u16, issued: u64, errors: u64, mean: f64) -> EndpointStats {
     let latency = LoadMetric {
         finished_requests: issued - errors,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Proxy 3 has opened stream 1 for its reports.
+/// A harness in which proxy 3 has opened load reporting stream 1.
 fn reporting() -> Harness {
     let mut harness = Harness::new();
     harness.open(1, 1, StreamKind::LoadReporting);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_report_says_what_came_to_the_proxy_and_what_it_saw_of_each_host() {
+fn report_is_converted_to_traffic_and_host_events() {
     let mut harness = reporting();
     harness.now += 1000.0;
     report(
@@ -89,12 +89,12 @@
     assert_eq!((&**host, load.in_flight), ("a1", Some(2.0)));
     assert!(
         harness.counters.contains(&"loads_unlisted"),
-        "no host listens at the other address"
+        "the second address belongs to no listed host"
     );
 }
 
 #[test]
-fn an_invalid_report_is_not_believed_in_part() {
+fn invalid_report_is_rejected_as_a_whole() {
     type Change<'a> = &'a dyn Fn(&mut LoadStatsRequest);
     let valid = || endpoint(7000, 12, 2, 80.0);
     let cases: [(&str, Change); 8] = [
@@ -140,23 +140,23 @@
             harness.counters
         );
         report(&mut harness, stats(vec![valid()]));
-        assert_eq!(harness.events.len(), 2, "the reports around it are valid");
+        assert_eq!(harness.events.len(), 2, "the next valid one is accepted");
     }
 }
 
 #[test]
-fn what_a_proxy_could_not_send_for_a_while_judges_no_host_when_it_comes() {
+fn delayed_reports_of_a_burst_are_discarded_except_the_last() {
     let mut harness = reporting();
     harness.now += 1000.0;
     report(&mut harness, stats(vec![endpoint(7000, 10, 0, 50.0)]));
-    // Silent for 4 s, then all at once: bad reports of before, and a good one of now.
+    // After 4 s of silence, a burst arrives: four delayed reports with errors, then a current one without.
     harness.now += 4000.0;
     for _ in 0..4 {
         report(&mut harness, stats(vec![endpoint(7000, 10, 10, 0.0)]));
         assert!(harness.events.is_empty());
     }
     report(&mut harness, stats(vec![endpoint(7000, 10, 0, 60.0)]));
-    harness.pass(250.0);
+    harness.advance_time(250.0);
     let [
         Event::TrafficReported { .. },
         Event::HostReported {
@@ -166,19 +166,26 @@
         },
     ] = &harness.events[..]
     else {
-        panic!("the last one counts, once: {:?}", harness.events)
+        panic!(
+            "expected the events of the last report only: {:?}",
+            harness.events
+        )
     };
     harness.now += 750.0;
     report(&mut harness, stats(vec![endpoint(7000, 10, 0, 70.0)]));
-    assert_eq!(harness.events.len(), 2, "from then on as before");
+    assert_eq!(
+        harness.events.len(),
+        2,
+        "later reports are accepted at once"
+    );
 }
 
 #[test]
-fn a_stream_without_further_reports_is_ended_and_a_newer_one_takes_its_place() {
+fn silent_stream_is_ended_and_a_newer_stream_replaces_the_old_one() {
     let mut harness = reporting();
-    harness.pass(5900.0);
+    harness.advance_time(5900.0);
     assert!(harness.ended.is_empty());
-    harness.pass(200.0);
+    harness.advance_time(200.0);
     assert_eq!(harness.ended, [(1, StatusCode::DeadlineExceeded)]);
     let mut harness = reporting();
     harness.open(2, 2, StreamKind::LoadReporting);
@@ -187,6 +194,6 @@
     report(&mut harness, stats(vec![endpoint(7000, 10, 0, 50.0)]));
     assert!(
         harness.events.is_empty(),
-        "what still comes on the old one counts for nothing"
+        "reports on the replaced stream are ignored"
     );
 }
--- a/crates/director/xds/tests/rate_limiter.rs
+++ b/crates/director/xds/tests/rate_limiter.rs
@@ -1,9 +1,9 @@
-//! The rate limiter's sliding window.
+//! Tests of the sliding-window rate limiter.
 
 use rushcourse_xds::rate_limiter::RateLimiter;
 
 #[test]
-fn a_window_holds_no_more_messages_than_allowed() {
+fn window_never_exceeds_the_message_limit() {
     let mut limiter = RateLimiter::new(2, 1000.0);
     assert_eq!(limiter.next_allowed_at(5.0), 5.0);
     limiter.record(5.0);
--- a/crates/director/xds/tests/registry.rs
+++ b/crates/director/xds/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Who a node is, and which of two streams of one proxy is served.
+//! Identification of nodes, and the choice between two streams of one proxy.
 
 use rushcourse_xds::registry::{ProxyIdentity, ProxyRegistry};
 use rushcourse_xds::{ConnectionId, Node, NodeIdentities, StatusCode, StreamId};
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_node_is_identified_or_gets_the_status_that_says_why_not() {
+fn node_is_identified_or_rejected_with_a_specific_status() {
     let registry = registry();
     assert_eq!(
         registry.identify(Some(&node("relay-3", "west"))),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_proxy_that_comes_back_replaces_its_stream_and_a_second_process_does_not() {
+fn reconnecting_proxy_replaces_its_stream_but_a_second_process_is_rejected() {
     let mut registry = registry();
     assert_eq!(
         registry.claim(0.0, 3, StreamId(1), ConnectionId(10)),
@@ -55,28 +55,28 @@
     assert_eq!(
         registry.claim(100.0, 3, StreamId(2), ConnectionId(10)),
         Ok(Some(StreamId(1))),
-        "the same connection: the same process"
+        "the same connection belongs to the same process"
     );
     registry.record_activity(5000.0, 3);
     let rejection = registry
         .claim(6000.0, 3, StreamId(3), ConnectionId(11))
-        .expect_err("the other one is alive");
+        .expect_err("the other stream is active");
     assert_eq!(rejection.status(), StatusCode::AlreadyExists);
     assert_eq!(
         registry.claim(9000.0, 3, StreamId(4), ConnectionId(11)),
         Ok(Some(StreamId(2))),
-        "it was lost unnoticed"
+        "an idle stream counts as lost"
     );
     assert!(
         !registry.release(9100.0, 3, StreamId(2)),
-        "the old one's end changes nothing"
+        "releasing the replaced stream has no effect"
     );
     assert!(registry.release(9200.0, 3, StreamId(4)));
     assert_eq!(registry.joined_count(), 0);
 }
 
 #[test]
-fn two_processes_of_one_name_do_not_replace_each_other_without_end() {
+fn processes_sharing_a_node_id_cannot_take_over_endlessly() {
     let mut registry = registry();
     _ = registry.claim(0.0, 3, StreamId(1), ConnectionId(1));
     let mut takeovers = 0;
@@ -84,6 +84,9 @@
         let claim = registry.claim(k as f64 * 3000.0, 3, StreamId(k + 1), ConnectionId(k + 1));
         takeovers += usize::from(claim.is_ok());
     }
-    assert!(takeovers <= 8, "{takeovers} of 19: three in 30 s");
-    assert!(registry.takeover_count() <= 1);
+    assert!(
+        takeovers <= 8,
+        "{takeovers} of 19 takeovers exceed three per 30 s"
+    );
+    assert!(registry.takeover_history_count() <= 1);
 }
--- a/crates/director/xds/tests/report_streams.rs
+++ b/crates/director/xds/tests/report_streams.rs
@@ -1,4 +1,4 @@
-//! Report streams to hosts: which are asked, when a stream is dialed anew, and which reports are believed.
+//! Report streams to hosts: selection of hosts, redialing, and validity of reports.
 
 use rushcourse_policy::interface::{HostId, HostLoad, Ms};
 use rushcourse_xds::report_streams::{ReportStreams, ReportingHost};
@@ -12,7 +12,7 @@
     }
 }
 
-/// Hosts that were dialed since the last look, with the numbers of the attempts.
+/// Takes the hosts dialed since the previous call, with the ids of the dial attempts.
 fn take_dials(outbox: &mut Outbox) -> Vec<(String, u64)> {
     std::mem::take(&mut outbox.effects)
         .into_iter()
@@ -30,7 +30,7 @@
     }
 }
 
-/// Report streams of which that of host `a` is being dialed for the first time, at time 0.
+/// Report streams in which host `a` is being dialed for the first time, at time 0.
 fn dialing() -> (ReportStreams, Outbox, HostId) {
     let (mut streams, mut outbox) = (ReportStreams::new(1000.0, 8, 1), Outbox::default());
     streams.update_hosts(0.0, vec![reporting_host("a", 0.0)], &mut outbox);
@@ -39,16 +39,16 @@
 }
 
 #[test]
-fn a_stalled_stream_is_dialed_anew_and_its_last_report_expires() {
+fn stalled_stream_is_redialed_and_its_last_report_expires() {
     let (mut streams, mut outbox, host) = dialing();
     assert_eq!(take_dials(&mut outbox), [("a".into(), 1)]);
-    streams.opened(10.0, &host, DialId(1));
-    streams.report(1000.0, &host, DialId(1), &report(0.5), &mut outbox);
+    streams.on_opened(10.0, &host, DialId(1));
+    streams.on_report(1000.0, &host, DialId(1), &report(0.5), &mut outbox);
     assert_eq!(streams.load(3000.0, &host).cpu_utilization, Some(0.5));
     assert_eq!(
         streams.load(3600.0, &host).cpu_utilization,
         None,
-        "too old by now"
+        "the report has expired"
     );
     let next = streams.advance(3600.0, &mut outbox);
     assert_eq!(next, 5000.0);
@@ -57,37 +57,40 @@
         host: "a".into(),
         dial: DialId(1)
     }));
-    let again = streams.advance(5000.0, &mut outbox);
-    assert!(again > 5000.0 && again <= 5200.0, "after a delay: {again}");
-    streams.advance(again, &mut outbox);
+    let redial_at = streams.advance(5000.0, &mut outbox);
+    assert!(
+        redial_at > 5000.0 && redial_at <= 5200.0,
+        "redial is delayed by the first backoff: {redial_at}"
+    );
+    streams.advance(redial_at, &mut outbox);
     assert_eq!(take_dials(&mut outbox), [("a".into(), 2)]);
-    streams.report(again, &host, DialId(1), &report(0.9), &mut outbox);
+    streams.on_report(redial_at, &host, DialId(1), &report(0.9), &mut outbox);
     assert_eq!(
-        streams.load(again, &host).cpu_utilization,
+        streams.load(redial_at, &host).cpu_utilization,
         None,
-        "of an earlier stream"
+        "the report belongs to an earlier dial attempt"
     );
 }
 
 #[test]
-fn reports_from_before_a_restart_of_the_host_are_not_believed() {
+fn reports_from_before_a_host_restart_are_ignored() {
     let (mut streams, mut outbox, host) = dialing();
-    streams.report(100.0, &host, DialId(1), &report(0.5), &mut outbox);
+    streams.on_report(100.0, &host, DialId(1), &report(0.5), &mut outbox);
     streams.update_hosts(200.0, vec![reporting_host("a", 150.0)], &mut outbox);
     assert_eq!(streams.load(201.0, &host), HostLoad::default());
-    streams.report(210.0, &host, DialId(1), &report(0.5), &mut outbox);
+    streams.on_report(210.0, &host, DialId(1), &report(0.5), &mut outbox);
     assert_eq!(
         streams.load(211.0, &host),
         HostLoad::default(),
-        "it was on its way in the old stream"
+        "the report belongs to the stream from before the restart"
     );
     streams.advance(220.0, &mut outbox);
-    streams.report(230.0, &host, DialId(2), &report(0.1), &mut outbox);
+    streams.on_report(230.0, &host, DialId(2), &report(0.1), &mut outbox);
     assert_eq!(streams.load(231.0, &host).cpu_utilization, Some(0.1));
 }
 
 #[test]
-fn invalid_reports_are_not_believed_in_part() {
+fn invalid_report_is_rejected_as_a_whole() {
     let (mut streams, mut outbox, host) = dialing();
     for (utilization, queue) in [
         (f64::NAN, 1.0),
@@ -100,7 +103,7 @@
             utilization,
             queue: Some(queue),
         };
-        streams.report(1.0, &host, DialId(1), &report, &mut outbox);
+        streams.on_report(1.0, &host, DialId(1), &report, &mut outbox);
     }
     assert_eq!(streams.load(2.0, &host), HostLoad::default());
     assert_eq!(
@@ -115,7 +118,7 @@
 }
 
 #[test]
-fn no_more_hosts_are_asked_than_allowed_and_the_first_stay() {
+fn host_limit_is_enforced_and_existing_streams_are_kept() {
     let (mut streams, mut outbox) = (ReportStreams::new(1000.0, 2, 1), Outbox::default());
     let hosts = |names: &[&str]| {
         names
--- a/crates/director/xds/tests/weights.rs
+++ b/crates/director/xds/tests/weights.rs
@@ -1,10 +1,10 @@
-//! Weights and admission levels as whole numbers.
+//! Conversion of weights and admission levels to integers.
 
 use proptest::prelude::*;
 use rushcourse_xds::{drop_per_million, scale_weights};
 
 #[test]
-fn weights_keep_their_proportions_and_none_is_lost() {
+fn scaled_weights_keep_proportions_and_stay_positive() {
     assert_eq!(
         scale_weights(&[1.0, 0.5, 0.01, 0.0]),
         [10_000, 5_000, 100, 0]
@@ -12,14 +12,14 @@
     assert_eq!(
         scale_weights(&[1.0, 1e-9]),
         [10_000, 1],
-        "a small one does not round away"
+        "a small weight does not round to 0"
     );
     assert_eq!(scale_weights(&[f64::NAN, -1.0, f64::INFINITY]), [0, 0, 0]);
     assert_eq!(scale_weights(&[]), []);
 }
 
 #[test]
-fn levels_drop_what_they_say() {
+fn drop_rate_is_the_complement_of_the_admission_level() {
     assert_eq!(
         (
             drop_per_million(1.0),
@@ -31,7 +31,7 @@
     assert_eq!(
         drop_per_million(1e-12),
         999_999,
-        "a level above 0 lets something in"
+        "a level above 0 admits some requests"
     );
     assert_eq!(
         (drop_per_million(0.0), drop_per_million(f64::NAN)),
@@ -43,7 +43,7 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn any_weights_fit_and_keep_their_order(weights in proptest::collection::vec(1e-6f64..1e6, 1..30)) {
+    fn scaled_weights_fit_in_32_bits_and_keep_their_order(weights in proptest::collection::vec(1e-6f64..1e6, 1..30)) {
         let scaled = scale_weights(&weights);
         prop_assert!(scaled.iter().map(|w| u64::from(*w)).sum::<u64>() <= u64::from(u32::MAX));
         for (a, x) in weights.iter().zip(&scaled) {
