--- a/crates/director/xds/src/resources/cache.rs
+++ b/crates/director/xds/src/resources/cache.rs
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Drops the proxy's bindings; called when it leaves or joins anew.
+    /// Drops the proxy's bindings; called when it leaves or joins again.
     pub(crate) fn remove_proxy(&mut self, proxy: ProxyId) {
         self.bindings.remove(&proxy);
         self.changes.bound_proxies.remove(&proxy);
