--- a/crates/director/director-state/src/lib.rs
+++ b/crates/director/director-state/src/lib.rs
@@ -50,5 +50,7 @@
 pub use histogram::{Bucket, DelayHistogram};
 pub use identifiers::{FetchId, InboundId, RelayConnectionId, RelayLink};
 pub use input::Input;
-pub use limits::{GRPC_CONNECTION_KIB, GrpcLimits, OWN_DESCRIPTORS, ProcessLimits, SessionLimits};
+pub use limits::{
+    GRPC_CONNECTION_KIB, GrpcLimits, ProcessLimits, RESERVED_DESCRIPTORS, SessionLimits,
+};
 pub use session::Session;
--- a/crates/director/director-state/src/limits.rs
+++ b/crates/director/director-state/src/limits.rs
@@ -43,7 +43,7 @@
 }
 
 /// Descriptors of the director's own: log, signals, timers, listener, relay, discovery, health checks; some to spare.
-pub const OWN_DESCRIPTORS: usize = 64;
+pub const RESERVED_DESCRIPTORS: usize = 64;
 /// KiB that a connection of a proxy takes at most: its window, a message in the making, responses, and what HTTP/2 keeps.
 pub const GRPC_CONNECTION_KIB: usize = 64 + GRPC_MESSAGE_KIB + 32;
 
@@ -67,11 +67,11 @@
 
 impl ProcessLimits {
     /// What a session may hold without gRPC.
-    pub fn session(self) -> SessionLimits {
+    pub fn session_limits(self) -> SessionLimits {
         let kib = self.memory_kib(MAX_SESSION_MEMORY_MB);
         let max_inbound = self
             .descriptors
-            .saturating_sub(self.own_descriptors())
+            .saturating_sub(self.reserved_descriptors())
             .clamp(16, MAX_INBOUND);
         // A message that is not complete takes up to 1 MiB.
         let max_collectors = (kib / 4 / 1024)
@@ -87,8 +87,8 @@
     }
 
     /// What a session may hold beside gRPC.
-    pub fn session_beside_grpc(self) -> SessionLimits {
-        let alone = self.session();
+    pub fn session_limits_with_grpc(self) -> SessionLimits {
+        let alone = self.session_limits();
         let max_inbound = alone
             .max_inbound
             .min(MAX_INBOUND_BESIDE_GRPC)
@@ -104,15 +104,19 @@
         }
     }
 
-    /// What gRPC may hold. `allowed_streams` is what an operator allows, `asks_hosts` whether hosts are asked for their load.
-    pub fn grpc(self, allowed_streams: Option<usize>, asks_hosts: bool) -> GrpcLimits {
+    /// What gRPC may hold. `allowed_streams` is what an operator allows, `request_host_reports` whether hosts are asked for their load.
+    pub fn grpc_limits(
+        self,
+        allowed_streams: Option<usize>,
+        request_host_reports: bool,
+    ) -> GrpcLimits {
         // What proxies may take follows the whole limit: an install of thousands has it.
         let kib = self.memory_kib(MAX_GRPC_MEMORY_MB);
-        let max_inbound = self.session_beside_grpc().max_inbound;
+        let max_inbound = self.session_limits_with_grpc().max_inbound;
         let free = self
             .descriptors
-            .saturating_sub(self.own_descriptors() + max_inbound);
-        let for_hosts = if asks_hosts { free / 4 } else { 0 };
+            .saturating_sub(self.reserved_descriptors() + max_inbound);
+        let for_hosts = if request_host_reports { free / 4 } else { 0 };
         let max_connections = (kib / 4 / GRPC_CONNECTION_KIB).min(free - for_hosts).max(4);
         let max_streams =
             (STREAMS_PER_CONNECTION * max_connections).min(allowed_streams.unwrap_or(usize::MAX));
@@ -137,7 +141,7 @@
     }
 
     /// Descriptors that stay for the director's own.
-    fn own_descriptors(self) -> usize {
-        OWN_DESCRIPTORS.max(self.descriptors / 4)
+    fn reserved_descriptors(self) -> usize {
+        RESERVED_DESCRIPTORS.max(self.descriptors / 4)
     }
 }
--- a/crates/director/director-state/tests/common/harness.rs
+++ b/crates/director/director-state/tests/common/harness.rs
@@ -50,7 +50,7 @@
         memory_mb: 32.0,
         descriptors: 256,
     };
-    process.session()
+    process.session_limits()
 }
 
 /// How streams are served in these tests.
--- a/crates/director/director-state/tests/limits.rs
+++ b/crates/director/director-state/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Limits that follow from those of the process.
 
 use rushcourse_director_state::{
-    GRPC_CONNECTION_KIB, OWN_DESCRIPTORS, ProcessLimits, SessionLimits,
+    GRPC_CONNECTION_KIB, ProcessLimits, RESERVED_DESCRIPTORS, SessionLimits,
 };
 
 /// From the smallest process to the largest.
@@ -34,9 +34,9 @@
 #[test]
 fn all_together_stay_within_the_limits_of_the_process() {
     for process in PROCESSES {
-        let session = process.session();
+        let session = process.session_limits();
         assert!(
-            session.max_inbound + OWN_DESCRIPTORS <= process.descriptors,
+            session.max_inbound + RESERVED_DESCRIPTORS <= process.descriptors,
             "{session:?}"
         );
         assert!(
@@ -55,11 +55,11 @@
 fn with_grpc_all_together_stay_within_the_limits_of_the_process_too() {
     for process in PROCESSES {
         for asks_hosts in [false, true] {
-            let session = process.session_beside_grpc();
-            let grpc = process.grpc(None, asks_hosts);
+            let session = process.session_limits_with_grpc();
+            let grpc = process.grpc_limits(None, asks_hosts);
             let for_hosts = grpc.streams.max_report_streams;
             assert!(
-                session.max_inbound + grpc.max_connections + for_hosts + OWN_DESCRIPTORS
+                session.max_inbound + grpc.max_connections + for_hosts + RESERVED_DESCRIPTORS
                     <= process.descriptors,
                 "{session:?} {grpc:?}"
             );
@@ -82,6 +82,6 @@
 
 #[test]
 fn an_operator_may_allow_fewer_streams() {
-    let grpc = process(192.0, 1024).grpc(Some(10), false);
+    let grpc = process(192.0, 1024).grpc_limits(Some(10), false);
     assert_eq!(grpc.streams.max_streams, 10);
 }
--- a/crates/director/director/src/fronts.rs
+++ b/crates/director/director/src/fronts.rs
@@ -66,14 +66,14 @@
         let Some(grpc) = grpc else {
             return Ok(Fronts {
                 relay,
-                limits: process.session(),
+                limits: process.session_limits(),
                 grpc: None,
             });
         };
-        let limits = process.grpc(grpc.max_streams, grpc.ask_hosts);
+        let limits = process.grpc_limits(grpc.max_streams, grpc.ask_hosts);
         Ok(Fronts {
             relay,
-            limits: process.session_beside_grpc(),
+            limits: process.session_limits_with_grpc(),
             grpc: Some(GrpcFront {
                 streams: stream_config(&grpc, limits, incarnation),
                 server: server_config(&grpc, limits),
--- a/crates/tools/bench-adapter/tests/fronts/session.rs
+++ b/crates/tools/bench-adapter/tests/fronts/session.rs
@@ -196,7 +196,7 @@
             relay: nowhere,
             discovery: nowhere,
         },
-        limits: limits.session(),
+        limits: limits.session_limits(),
         has_relay: true,
         streams: None,
         names: Names::from(&settings),
--- a/crates/tools/simulation/src/world/setup.rs
+++ b/crates/tools/simulation/src/world/setup.rs
@@ -79,7 +79,7 @@
             relay: nowhere,
             discovery: nowhere,
         },
-        limits: PROCESS_LIMITS.session(),
+        limits: PROCESS_LIMITS.session_limits(),
         has_relay: true,
         streams: Some(stream_config(starts)),
         cached_endpoints: known.to_string().into(),
