--- a/crates/director/director-state/src/backoff.rs
+++ b/crates/director/director-state/src/backoff.rs
@@ -1,33 +1,33 @@
-//! Delays between attempts that fail: each twice the one before, up to a longest.
+//! Exponential backoff between failed attempts: the delay doubles with each failure, up to a maximum.
 
 use std::time::Duration;
 
-/// Doublings beyond which the delay is the longest in any case.
+/// Caps the exponent so that the multiplication cannot overflow.
 const MAX_DOUBLINGS: u32 = 20;
 
 pub(crate) struct Backoff {
-    first: Duration,
-    longest: Duration,
+    initial: Duration,
+    max: Duration,
     failures: u32,
 }
 
 impl Backoff {
-    pub(crate) fn new(first: Duration, longest: Duration) -> Backoff {
+    pub(crate) fn new(initial: Duration, max: Duration) -> Backoff {
         Backoff {
-            first,
-            longest,
+            initial,
+            max,
             failures: 0,
         }
     }
 
-    /// The delay after one more attempt that failed.
+    /// Records a failure and returns the delay before the next attempt.
     pub(crate) fn next_delay(&mut self) -> Duration {
-        let delay = self.first * (1 << self.failures.min(MAX_DOUBLINGS));
+        let delay = self.initial * (1 << self.failures.min(MAX_DOUBLINGS));
         self.failures += 1;
-        delay.min(self.longest)
+        delay.min(self.max)
     }
 
-    /// An attempt has succeeded: the next delay is the first again.
+    /// Records a success: the delay after the next failure is the initial one.
     pub(crate) fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/director/director-state/src/call_queue.rs
+++ b/crates/director/director-state/src/call_queue.rs
@@ -1,30 +1,30 @@
-//! Calls that wait for the relay or are in flight: one batch of the policy is one call, and the order is kept.
+//! FIFO queue of calls to the relay. A batch of the policy becomes one call, or several if it exceeds the size limit.
 
 use rushcourse_director_protocol::relay::{MAX_ORDER_BYTES, Order};
 use rushcourse_policy::interface::{AckNumber, Event, Ms};
 use std::collections::VecDeque;
 
-/// Calls that may wait, beside the bound of their bytes; while there are as many, the policy is not asked for more.
+/// Queue length from which on the policy is not run; the queue is bounded in bytes as well.
 const MAX_CALLS: usize = 256;
-/// So many times more may wait while proxies are reached by streams.
-const FACTOR_WITH_STREAMS: usize = 4;
+/// Multiplies [`MAX_CALLS`] while some proxies are reached by streams, which need the policy to keep running.
+const STREAMS_QUEUE_FACTOR: usize = 4;
 
-/// The orders of one batch of the policy.
+/// Orders for the relay from one run of the policy.
 pub(crate) struct Batch {
     pub(crate) orders: Vec<Order>,
-    /// The number by which proxies acknowledge the batch, if any is reached.
+    /// Number with which proxies acknowledge the batch; `None` if it reaches no proxy.
     pub(crate) ack_number: Option<AckNumber>,
-    /// When the first input that led to it came.
-    pub(crate) caused_at: Ms,
+    /// Time at which the oldest event of the batch was queued.
+    pub(crate) triggered_at: Ms,
 }
 
 impl Batch {
-    /// Whether its orders reach any proxy: a request to acknowledge alone does not.
+    /// Whether any order has an effect on proxies. A batch with nothing but an acknowledgement request has none.
     pub(crate) fn reaches_proxies(&self) -> bool {
         reach_proxies(&self.orders)
     }
 
-    /// The orders as calls, in order, none of them over the limit of a call.
+    /// Splits the batch into calls of at most [`MAX_ORDER_BYTES`], keeping the order. A single larger order is sent alone.
     fn split(self) -> Vec<Call> {
         let (mut parts, mut size): (Vec<Vec<Order>>, usize) = (Vec::new(), 0);
         for order in self.orders {
@@ -43,7 +43,7 @@
             .map(|orders| Call {
                 orders,
                 ack_number: self.ack_number,
-                caused_at: self.caused_at,
+                triggered_at: self.triggered_at,
                 is_sent: false,
                 is_acknowledged: false,
             })
@@ -55,21 +55,22 @@
     orders.iter().any(|order| !order.is_ack_request())
 }
 
-/// A call, which is a batch or a part of one.
+/// A call to the relay, with all orders of a batch or a part of them.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) orders: Vec<Order>,
-    /// The number by which proxies acknowledge the batch, also in those parts of a split one that don't ask for it.
+    /// Acknowledgement number of the batch, set in all parts of a split batch although only the last one requests it.
     pub(crate) ack_number: Option<AckNumber>,
-    /// When the first input that led to it came.
-    pub(crate) caused_at: Ms,
+    /// Time at which the oldest event of the batch was queued.
+    pub(crate) triggered_at: Ms,
+    /// The call was written to the relay at least once.
     pub(crate) is_sent: bool,
-    /// A proxy has acknowledged it: it was carried out.
+    /// A proxy acknowledged the call, which proves that the relay executed it.
     pub(crate) is_acknowledged: bool,
 }
 
 impl Call {
-    /// Whether proxies acknowledge it by this number: of the parts of a split batch only the last one asks for that.
+    /// Whether an acknowledgement with this number proves the call: the request is in the last part of a split batch only.
     pub(crate) fn requests_ack(&self, ack_number: AckNumber) -> bool {
         self.ack_number == Some(ack_number) && self.orders.last().is_some_and(Order::is_ack_request)
     }
@@ -79,18 +80,18 @@
     }
 }
 
-/// What became of a call whose orders were not all accepted.
+/// Result of a call of which the relay accepted only the leading orders.
 pub(crate) struct PartialAcceptance {
-    /// The first order that was not accepted.
+    /// First order that was not accepted; it is not sent again.
     pub(crate) dropped: Option<Order>,
-    /// What follows it goes out as a call of its own.
-    pub(crate) has_rest: bool,
+    /// The orders after the dropped one were queued as a call of their own.
+    pub(crate) has_remainder: bool,
 }
 
-/// Calls in the order in which they go out. The first one may be in flight.
+/// Queued calls in sending order. The first one may be in flight.
 pub(crate) struct CallQueue {
     calls: VecDeque<Call>,
-    /// Bytes of orders that may wait.
+    /// Bytes of queued orders from which on the queue has no room.
     max_bytes: usize,
 }
 
@@ -110,15 +111,15 @@
         self.calls.is_empty()
     }
 
-    /// Whether the policy may be asked for more. A relay that is silent holds up its own proxies; those that are reached
-    /// by streams are served on, until far more calls wait than ever do.
+    /// Whether the policy may be run. With `has_streams`, more calls may be queued, so that an unresponsive relay does not
+    /// delay updates to proxies that are reached by streams.
     pub(crate) fn has_room(&self, has_streams: bool) -> bool {
-        let factor = if has_streams { FACTOR_WITH_STREAMS } else { 1 };
+        let factor = if has_streams { STREAMS_QUEUE_FACTOR } else { 1 };
         let bytes = || self.calls.iter().map(Call::order_bytes).sum::<usize>();
         self.calls.len() < factor * MAX_CALLS && bytes() < self.max_bytes
     }
 
-    /// Adds a batch; returns how many calls it takes.
+    /// Appends a batch; returns the number of calls that it was split into.
     pub(crate) fn push(&mut self, batch: Batch) -> usize {
         let calls = batch.split();
         let count = calls.len();
@@ -138,29 +139,32 @@
         self.calls.pop_front()
     }
 
-    /// So many orders of the first call were accepted. If there are more, the next one is bad and is dropped, and the rest
-    /// goes out as a call of its own.
+    /// Removes the first call after `accepted` of its orders were accepted. If it had more, the next order is invalid and
+    /// is dropped, and the remaining orders are put back as the first call.
     pub(crate) fn accept_first(&mut self, accepted: usize) -> Option<PartialAcceptance> {
         let mut call = self.remove_first()?;
         if accepted >= call.orders.len() {
             return None;
         }
-        let rest = call.orders.split_off(accepted + 1);
+        let remainder = call.orders.split_off(accepted + 1);
         let dropped = call.orders.pop();
-        let has_rest = reach_proxies(&rest);
-        if has_rest {
+        let has_remainder = reach_proxies(&remainder);
+        if has_remainder {
             self.calls.push_front(Call {
-                orders: rest,
+                orders: remainder,
                 is_sent: true,
                 ..call
             });
         }
-        Some(PartialAcceptance { dropped, has_rest })
+        Some(PartialAcceptance {
+            dropped,
+            has_remainder,
+        })
     }
 
-    /// The event that nothing which waits here is known to be carried out yet. `may_have_run`: the first call may have
-    /// been.
-    pub(crate) fn unconfirmed(&self, may_have_run: bool) -> Option<Event> {
+    /// Returns the event that tells the policy that no queued call is confirmed, or `None` if there is none to confirm.
+    /// `may_have_run`: the relay may have executed the first call.
+    pub(crate) fn unconfirmed_event(&self, may_have_run: bool) -> Option<Event> {
         let (position, ack_number) = self
             .calls
             .iter()
--- a/crates/director/director-state/src/call_sender.rs
+++ b/crates/director/director-state/src/call_sender.rs
@@ -1,11 +1,11 @@
-//! Sends calls to the relay, one at a time. A call whose outcome is unknown is repeated before any later one, and the
-//! policy is told.
+//! Sends calls to the relay, one at a time. A call with an unknown outcome is resent before any later call, and the
+//! policy is notified that it is unconfirmed.
 
 use crate::call_queue::{Batch, CallQueue};
 use crate::counter::Counter;
 use crate::effect::Severity;
 use crate::identifiers::{RelayConnectionId, RelayLink};
-use crate::relay_connection::{BUSY_DELAY, RelayConnection};
+use crate::relay_connection::{REJECTION_DELAY, RelayConnection};
 use crate::step_context::StepContext;
 use crate::time::millis;
 use rushcourse_director_protocol::relay::{self, Reply};
@@ -13,23 +13,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Within this the relay replies or never does.
+/// Time within which the relay replies to a call, by its protocol.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(50);
-/// What the way to the relay and the director's own loop may add to it.
+/// Allowance for network latency and scheduling of the director's event loop.
 const REPLY_SLACK: Duration = Duration::from_millis(15);
-/// After this an idle connection is not trusted: the relay closes it after about 10 s or less.
-const MAX_IDLE: Duration = Duration::from_secs(4);
-/// Delays before a call of unknown outcome goes out again. At once is best for what waits; later ones leave time for a
-/// proxy's acknowledgement, which shows that the call was carried out. All are far under the time after which the policy
-/// takes an unacknowledged endpoint for held. How many repeats there may be is the policy's decision.
-const REPEAT_DELAYS: [Duration; 4] = [
+/// An idle connection is replaced after this time, because the relay closes idle connections after up to 10 s.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
+/// Delays before a call with an unknown outcome is resent; the last one applies to all further attempts. The delays grow
+/// to leave time for the acknowledgement of a proxy, which makes the resend unnecessary. The number of resends is limited
+/// by the policy's message cap.
+const RESEND_DELAYS: [Duration; 4] = [
     Duration::ZERO,
     Duration::from_millis(100),
     Duration::from_millis(400),
     Duration::from_millis(800),
 ];
-/// After this a repeat that the policy holds back is looked at again.
-const HELD_BACK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which the policy is asked again about a resend that it has deferred.
+const DEFERRED_RESEND_INTERVAL: Duration = Duration::from_millis(500);
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum State {
@@ -42,7 +42,7 @@
     Idle {
         since: Ms,
     },
-    /// The relay rejected a call: the connection stays, the call waits.
+    /// The relay rejected a call. The connection stays open and the call is sent again on it.
     Rejected {
         retry_at: Ms,
     },
@@ -53,8 +53,7 @@
 }
 
 impl State {
-    /// A call left at this time.
-    fn sent(sent_at: Ms) -> State {
+    fn awaiting_reply(sent_at: Ms) -> State {
         State::AwaitingReply {
             sent_at,
             deadline: sent_at + millis(REPLY_TIMEOUT + REPLY_SLACK),
@@ -66,45 +65,45 @@
     queue: CallQueue,
     state: State,
     connection: RelayConnection,
-    /// Unknown outcomes in a row.
-    unknown_outcomes: usize,
-    /// A call was accepted: the relay's run has begun.
-    has_run_begun: bool,
-    /// The connection that stands is to where the relay was before.
-    has_moved: bool,
+    /// Unknown outcomes since the last reply that accepted orders or the last confirmation by a proxy.
+    consecutive_unknown_outcomes: usize,
+    /// The relay has accepted a call. From then on it has no reason to reject one.
+    has_accepted_call: bool,
+    /// The address changed and the current connection still uses the previous one.
+    has_address_changed: bool,
 }
 
 impl CallSender {
-    /// `max_bytes`: how much may wait.
+    /// `max_bytes` bounds the orders of queued calls.
     pub(crate) fn new(relay: SocketAddr, max_bytes: usize) -> CallSender {
         CallSender {
             queue: CallQueue::new(max_bytes),
             state: State::Disconnected { retry_at: 0.0 },
             connection: RelayConnection::new(RelayLink::Calls, relay),
-            unknown_outcomes: 0,
-            has_run_begun: false,
-            has_moved: false,
+            consecutive_unknown_outcomes: 0,
+            has_accepted_call: false,
+            has_address_changed: false,
         }
     }
 
-    /// Calls that wait or are in flight.
+    /// Number of queued calls, including one in flight.
     pub(crate) fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Whether the policy may be asked for more, see [`CallQueue::has_room`].
+    /// Whether the policy may be run, see [`CallQueue::has_room`].
     pub(crate) fn has_room(&self, has_streams: bool) -> bool {
         self.queue.has_room(has_streams)
     }
 
-    /// The relay is elsewhere from now on. A call in flight gets its reply where it was sent.
-    pub(crate) fn move_to(&mut self, relay: SocketAddr) {
+    /// Changes the relay's address. The current connection is replaced once no call is in flight.
+    pub(crate) fn set_address(&mut self, relay: SocketAddr) {
         self.connection.address = relay;
-        self.has_moved = true;
+        self.has_address_changed = true;
     }
 
-    /// Adds a batch. One too long for one call is split: each further part is one more message to proxies, and the policy
-    /// is told.
+    /// Queues a batch. Each additional call of a split batch is an additional message to proxies, which is reported to the
+    /// policy for its message cap.
     pub(crate) fn push(&mut self, context: &mut StepContext, batch: Batch) {
         let ack_number = batch.ack_number;
         let calls = self.queue.push(batch);
@@ -113,7 +112,7 @@
         }
         context.counters.add(Counter::CallsSplit, calls as u64 - 1);
         context.log(Severity::Warning, "split", || {
-            format!("a reply was sent in {calls} calls")
+            format!("batch exceeds the size limit; sent in {calls} calls")
         });
         if let Some(ack_number) = ack_number {
             for _ in 1..calls {
@@ -126,15 +125,17 @@
     }
 
     fn report_unconfirmed(&self, context: &mut StepContext, may_have_run: bool) {
-        if let Some(event) = self.queue.unconfirmed(may_have_run) {
+        if let Some(event) = self.queue.unconfirmed_event(may_have_run) {
             context.emit(event);
         }
     }
 
-    /// The call in flight may have been carried out or not.
-    fn outcome_unknown(&mut self, context: &mut StepContext, reason: &str) {
-        let delay = REPEAT_DELAYS[self.unknown_outcomes.min(REPEAT_DELAYS.len() - 1)];
-        self.unknown_outcomes += 1;
+    /// Schedules a resend of the call in flight, which the relay may have executed, unless a proxy has acknowledged it.
+    fn on_unknown_outcome(&mut self, context: &mut StepContext, reason: &str) {
+        let delay = RESEND_DELAYS[self
+            .consecutive_unknown_outcomes
+            .min(RESEND_DELAYS.len() - 1)];
+        self.consecutive_unknown_outcomes += 1;
         self.state = State::Disconnected {
             retry_at: context.after(delay),
         };
@@ -150,22 +151,22 @@
             format!("{reason}; {next}")
         });
         if is_acknowledged {
-            self.outcome_confirmed(context);
+            self.on_confirmed_outcome(context);
         }
     }
 
-    /// The call of unknown outcome was carried out.
-    fn outcome_confirmed(&mut self, context: &mut StepContext) {
+    /// Removes the first call, whose outcome was unknown, after an acknowledgement proved that it was executed.
+    fn on_confirmed_outcome(&mut self, context: &mut StepContext) {
         self.queue.remove_first();
-        self.unknown_outcomes = 0;
+        self.consecutive_unknown_outcomes = 0;
         context.count(Counter::CallsAcknowledged);
         if let State::Disconnected { retry_at } = &mut self.state {
             *retry_at = retry_at.min(context.now);
         }
     }
 
-    /// No connection was established: nothing was carried out.
-    fn connect_failed(&mut self, context: &mut StepContext, reason: &str) {
+    /// Schedules another attempt to connect. The waiting call was not sent.
+    fn on_connect_failed(&mut self, context: &mut StepContext, reason: &str) {
         let delay = self.connection.backoff.next_delay();
         self.state = State::Disconnected {
             retry_at: context.after(delay),
@@ -175,24 +176,28 @@
         context.log(Severity::Warning, "relay", || format!("calls: {reason}"));
     }
 
-    pub(crate) fn connected(&mut self, context: &mut StepContext, connection: RelayConnectionId) {
+    pub(crate) fn on_connected(
+        &mut self,
+        context: &mut StepContext,
+        connection: RelayConnectionId,
+    ) {
         if self.connection.is_current(connection) && matches!(self.state, State::Connecting { .. })
         {
             self.state = State::Idle { since: context.now };
         }
     }
 
-    /// The call's last byte was written: the relay's time runs from here. A step that ordered much takes long by itself,
-    /// and counted as the relay's silence it had the largest calls written twice (herd+mass 13: 57 ms of 65).
-    pub(crate) fn written(&mut self, context: &StepContext, connection: RelayConnectionId) {
+    /// Restarts the reply timeout when the last byte of the call was written, so that time spent on a long step or a slow
+    /// write is not counted as the relay's.
+    pub(crate) fn on_written(&mut self, context: &StepContext, connection: RelayConnectionId) {
         if self.connection.is_current(connection)
             && matches!(self.state, State::AwaitingReply { .. })
         {
-            self.state = State::sent(context.now);
+            self.state = State::awaiting_reply(context.now);
         }
     }
 
-    pub(crate) fn disconnected(
+    pub(crate) fn on_disconnected(
         &mut self,
         context: &mut StepContext,
         connection: RelayConnectionId,
@@ -203,10 +208,10 @@
         }
         match self.state {
             State::AwaitingReply { .. } => {
-                self.outcome_unknown(context, &format!("the relay broke a call ({reason})"));
+                self.on_unknown_outcome(context, &format!("the relay broke a call ({reason})"));
             }
             State::Connecting { .. } => {
-                self.connect_failed(context, &format!("no connection ({reason})"));
+                self.on_connect_failed(context, &format!("no connection ({reason})"));
             }
             State::Idle { .. } => {
                 self.state = State::Disconnected {
@@ -218,7 +223,7 @@
         }
     }
 
-    pub(crate) fn line_received(
+    pub(crate) fn on_line(
         &mut self,
         context: &mut StepContext,
         connection: RelayConnectionId,
@@ -228,15 +233,15 @@
             return;
         }
         match self.state {
-            State::AwaitingReply { sent_at, .. } => self.reply_received(context, sent_at, line),
-            _ => self.unexpected_line(context),
+            State::AwaitingReply { sent_at, .. } => self.on_reply(context, sent_at, line),
+            _ => self.on_unexpected_line(context),
         }
     }
 
-    fn unexpected_line(&mut self, context: &mut StepContext) {
+    fn on_unexpected_line(&mut self, context: &mut StepContext) {
         self.connection.disconnect(context);
         context.log(Severity::Warning, "relay", || {
-            "calls: a line that answers nothing".into()
+            "calls: unexpected line without a call in flight".into()
         });
         if !matches!(self.state, State::Disconnected { .. }) {
             self.state = State::Disconnected {
@@ -245,42 +250,42 @@
         }
     }
 
-    fn reply_received(&mut self, context: &mut StepContext, sent_at: Ms, line: &str) {
+    fn on_reply(&mut self, context: &mut StepContext, sent_at: Ms, line: &str) {
         let orders = self.queue.first().map_or(0, |call| call.orders.len());
         match relay::parse_reply(line) {
             Reply::Accepted(count) if count <= orders => {
                 let elapsed = context.now - sent_at;
                 context.counters.call_to_reply.observe(elapsed);
                 self.connection.backoff.reset();
-                self.unknown_outcomes = 0;
-                self.has_run_begun = true;
+                self.consecutive_unknown_outcomes = 0;
+                self.has_accepted_call = true;
                 self.state = State::Idle { since: context.now };
-                self.accepted(context, count);
+                self.on_accepted(context, count);
             }
-            // Once calls are accepted, none is rejected, and ours can be read: such a reply is spoilt, and proves
-            // nothing. Nothing is given up, so the model believes no endpoint that was never sent to the end.
-            Reply::Busy | Reply::SyntaxError if self.has_run_begun => {
+            // After its first accepted call the relay does not reject well-formed ones. Such a reply is corrupt and does
+            // not prove that the call was not executed, so the outcome is unknown.
+            Reply::Busy | Reply::SyntaxError if self.has_accepted_call => {
                 context.count(Counter::CallsRejected);
                 self.connection.disconnect(context);
-                self.outcome_unknown(
+                self.on_unknown_outcome(
                     context,
                     &format!("the relay takes calls, yet its answer is {line:.60?}"),
                 );
             }
             Reply::Busy => {
                 context.count(Counter::CallsBusy);
-                self.rejected(context);
+                self.on_rejected(context);
             }
             Reply::SyntaxError => {
                 context.count(Counter::CallsRejected);
-                self.rejected(context);
+                self.on_rejected(context);
                 context.log(Severity::Error, "call refused", || {
                     format!("it goes out again: {line:.60}")
                 });
             }
             Reply::Accepted(_) | Reply::Watching | Reply::Unreadable => {
                 self.connection.disconnect(context);
-                self.outcome_unknown(
+                self.on_unknown_outcome(
                     context,
                     &format!("the relay's answer can't be read ({line:.60?})"),
                 );
@@ -288,16 +293,16 @@
         }
     }
 
-    /// The relay's run has not begun: nothing was carried out.
-    fn rejected(&mut self, context: &mut StepContext) {
+    /// Schedules the rejected call again. The relay did not execute any of its orders.
+    fn on_rejected(&mut self, context: &mut StepContext) {
         self.state = State::Rejected {
-            retry_at: context.after(BUSY_DELAY),
+            retry_at: context.after(REJECTION_DELAY),
         };
         self.report_unconfirmed(context, false);
     }
 
-    /// So many orders of the call in flight were accepted.
-    fn accepted(&mut self, context: &mut StepContext, count: usize) {
+    /// Completes the call in flight, of which the relay accepted the first `count` orders.
+    fn on_accepted(&mut self, context: &mut StepContext, count: usize) {
         if self.queue.is_empty() {
             return;
         }
@@ -312,50 +317,52 @@
                 format!("the relay does not take {order}")
             });
         }
-        if partial.has_rest {
+        if partial.has_remainder {
             self.report_unconfirmed(context, count > 0);
         }
     }
 
-    /// A proxy has acknowledged a call. Where its outcome was unknown, it is known now: all orders were accepted, as the
-    /// request to acknowledge is the last of them.
-    pub(crate) fn acknowledged(&mut self, context: &mut StepContext, ack_number: AckNumber) {
+    /// Handles the acknowledgement of a proxy. If it belongs to the first call, all orders of that call were executed, as
+    /// the acknowledgement request is the last of them.
+    pub(crate) fn on_acknowledged(&mut self, context: &mut StepContext, ack_number: AckNumber) {
         let first = self.queue.first_mut();
         let Some(call) = first.filter(|call| call.is_sent && call.requests_ack(ack_number)) else {
             return;
         };
         call.is_acknowledged = true;
         if !matches!(self.state, State::AwaitingReply { .. }) {
-            self.outcome_confirmed(context);
+            self.on_confirmed_outcome(context);
         }
     }
 
-    /// The number of the next call if it repeats one of unknown outcome, whose messages may exceed the cap.
-    fn repeated_ack_number(&self) -> Option<AckNumber> {
+    /// Acknowledgement number of the first call if it is a resend after an unknown outcome, which needs the consent of the
+    /// policy because it may exceed the message cap of proxies.
+    fn resend_ack_number(&self) -> Option<AckNumber> {
         let call = self.queue.first()?;
-        if call.is_sent && self.unknown_outcomes > 0 {
+        if call.is_sent && self.consecutive_unknown_outcomes > 0 {
             call.ack_number
         } else {
             None
         }
     }
 
-    /// Does what is due; returns when it wants to be called again. `may_repeat` is the policy's decision on a call.
+    /// Handles expired deadlines and sends the next call if possible; returns the next deadline. `may_resend` tells whether
+    /// the message cap permits resending a call with this acknowledgement number.
     pub(crate) fn advance(
         &mut self,
         context: &mut StepContext,
-        may_repeat: impl Fn(AckNumber) -> bool,
+        may_resend: impl Fn(AckNumber) -> bool,
     ) -> Option<Ms> {
         let now = context.now;
         loop {
-            if self.has_moved && !matches!(self.state, State::AwaitingReply { .. }) {
-                self.leave_former_address(context);
+            if self.has_address_changed && !matches!(self.state, State::AwaitingReply { .. }) {
+                self.leave_previous_address(context);
             }
             match self.state {
                 State::Disconnected { retry_at } if self.queue.is_empty() || now < retry_at => {
                     return (!self.queue.is_empty()).then_some(retry_at);
                 }
-                State::Disconnected { .. } => self.reconnect(context, &may_repeat),
+                State::Disconnected { .. } => self.reconnect(context, &may_resend),
                 State::Connecting { deadline } | State::AwaitingReply { deadline, .. }
                     if now < deadline =>
                 {
@@ -363,15 +370,15 @@
                 }
                 State::Connecting { .. } => {
                     self.connection.disconnect(context);
-                    self.connect_failed(context, "no connection in time");
+                    self.on_connect_failed(context, "no connection in time");
                 }
                 State::AwaitingReply { .. } => {
                     self.connection.disconnect(context);
-                    self.outcome_unknown(context, "the relay gave no answer in time");
+                    self.on_unknown_outcome(context, "the relay gave no answer in time");
                 }
                 State::Rejected { retry_at } if now < retry_at => return Some(retry_at),
                 State::Rejected { .. } => self.state = State::Idle { since: now },
-                State::Idle { since } if now - since > millis(MAX_IDLE) => {
+                State::Idle { since } if now - since > millis(MAX_IDLE_TIME) => {
                     self.connection.disconnect(context);
                     self.state = State::Disconnected { retry_at: now };
                 }
@@ -380,13 +387,13 @@
         }
     }
 
-    /// Leaves a connection to where the relay was, with no call in flight on it.
-    fn leave_former_address(&mut self, context: &mut StepContext) {
-        self.has_moved = false;
+    /// Closes the connection to the previous address. No call is in flight.
+    fn leave_previous_address(&mut self, context: &mut StepContext) {
+        self.has_address_changed = false;
         self.connection.backoff.reset();
         let retry_at = match self.state {
             State::Rejected { retry_at } => retry_at,
-            State::Disconnected { retry_at } if self.unknown_outcomes > 0 => retry_at,
+            State::Disconnected { retry_at } if self.consecutive_unknown_outcomes > 0 => retry_at,
             _ => context.now,
         };
         if !matches!(self.state, State::Disconnected { .. }) {
@@ -395,16 +402,16 @@
         self.state = State::Disconnected { retry_at };
     }
 
-    /// Connects for the next call, unless the policy holds its repeat back.
-    fn reconnect(&mut self, context: &mut StepContext, may_repeat: &impl Fn(AckNumber) -> bool) {
-        let is_held_back = self
-            .repeated_ack_number()
-            .is_some_and(|ack_number| !may_repeat(ack_number));
-        self.state = if is_held_back {
-            context.count(Counter::RepeatsHeldBack);
+    /// Connects for the first call, unless the policy defers its resend.
+    fn reconnect(&mut self, context: &mut StepContext, may_resend: &impl Fn(AckNumber) -> bool) {
+        let is_deferred = self
+            .resend_ack_number()
+            .is_some_and(|ack_number| !may_resend(ack_number));
+        self.state = if is_deferred {
+            context.count(Counter::ResendsDeferred);
             self.report_unconfirmed(context, false);
             State::Disconnected {
-                retry_at: context.after(HELD_BACK_INTERVAL),
+                retry_at: context.after(DEFERRED_RESEND_INTERVAL),
             }
         } else {
             State::Connecting {
@@ -413,19 +420,19 @@
         };
     }
 
-    /// Sends the next call; nothing if none waits.
+    /// Sends the first call; `None` if the queue is empty.
     fn send_next(&mut self, context: &mut StepContext) -> Option<()> {
         let call = self.queue.first_mut()?;
         context.count(Counter::CallsSent);
         if std::mem::replace(&mut call.is_sent, true) {
-            context.count(Counter::CallsRepeated);
+            context.count(Counter::CallsResent);
         } else {
-            let elapsed = context.now - call.caused_at;
+            let elapsed = context.now - call.triggered_at;
             context.counters.input_to_call.observe(elapsed);
         }
         let line = relay::encode_call(&call.orders);
         self.connection.send(context, line);
-        self.state = State::sent(context.now);
+        self.state = State::awaiting_reply(context.now);
         Some(())
     }
 }
--- a/crates/director/director-state/src/config.rs
+++ b/crates/director/director-state/src/config.rs
@@ -1,4 +1,4 @@
-//! What a session starts from, and what of it a reload may change.
+//! Configuration of a session, and the part of it that a reload may replace.
 
 use crate::limits::SessionLimits;
 use bytes::Bytes;
@@ -7,42 +7,42 @@
 use rushcourse_xds::StreamConfig;
 use std::net::SocketAddr;
 
-/// Where the services are that a director connects to.
+/// Addresses of the services that a director connects to. A reload may change them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServiceAddresses {
-    /// The relay.
+    /// Address of the relay, which delivers orders to proxies.
     pub relay: SocketAddr,
-    /// Discovery.
+    /// Address of the discovery service, which lists the hosts.
     pub discovery: SocketAddr,
 }
 
-/// What a session starts from.
+/// Configuration that a session is created with.
 pub struct SessionConfig {
-    /// Settings of the policy.
+    /// Settings of the policy, fixed until the next restart.
     pub settings: Settings,
-    /// Names of zones and request classes.
+    /// Names of zones and request classes, in the order of their numeric identifiers.
     pub names: Names,
-    /// How long inputs are collected before the policy is asked what follows from them.
+    /// Time in milliseconds over which events are collected into one batch for the policy.
     pub batch_interval: Ms,
-    /// Where the services are.
+    /// Initial addresses of the relay and the discovery service.
     pub addresses: ServiceAddresses,
-    /// What may be held at a time.
+    /// Bounds on connections and buffers, derived from the limits of the process.
     pub limits: SessionLimits,
-    /// Whether there is a relay: without one, proxies are reached by streams alone.
+    /// Whether a relay is used; without it, proxies are reached by xDS streams only.
     pub has_relay: bool,
-    /// How streams of proxies and hosts are served, if they are.
+    /// Configuration of the xDS streams; `None` if no streams are served.
     pub streams: Option<StreamConfig>,
-    /// Discovery's list as last known, in its own form.
+    /// The last known list of hosts in discovery's encoding, used until discovery responds.
     pub cached_endpoints: Bytes,
 }
 
-/// What a configuration that was read again changes.
+/// Values of a reloaded configuration that apply without a restart.
 #[derive(Debug)]
 pub struct ReloadedConfig {
-    /// Where the services are from now on.
+    /// New addresses; connections to changed addresses are replaced.
     pub addresses: ServiceAddresses,
-    /// How streams of proxies and hosts are served from now on, if they are.
+    /// New configuration of the xDS streams; `None` ends all streams.
     pub streams: Option<StreamConfig>,
-    /// What differs and needs a restart, a line for the log each.
+    /// Log lines, one for each changed setting that takes effect only after a restart.
     pub needs_restart: Vec<String>,
 }
--- a/crates/director/director-state/src/config_reload.rs
+++ b/crates/director/director-state/src/config_reload.rs
@@ -1,4 +1,4 @@
-//! A configuration that is read again, and when a file that could not be used is looked at once more.
+//! Configuration reloads, with retries while the file is invalid.
 
 use crate::config::{ReloadedConfig, ServiceAddresses};
 use crate::counter::Counter;
@@ -7,7 +7,7 @@
 use rushcourse_policy::interface::Ms;
 use std::time::Duration;
 
-/// A file that could not be used is looked at again after this: it may be half written.
+/// Delay before an invalid file is read again; it may have been read while it was being written.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 const MAX_RETRIES: u32 = 25;
 
@@ -18,14 +18,14 @@
 }
 
 impl ConfigReload {
-    /// An operator asks for a reload: a new set of retries.
-    pub(crate) fn requested(&mut self, context: &mut StepContext) {
+    /// Handles a reload request of an operator, which restarts the count of retries.
+    pub(crate) fn on_requested(&mut self, context: &mut StepContext) {
         *self = ConfigReload::default();
         context.request(Effect::ReloadConfig);
     }
 
-    /// The file could be used. `current`: where the services were until now.
-    pub(crate) fn succeeded(
+    /// Logs a successful reload. `current` holds the addresses used so far.
+    pub(crate) fn on_succeeded(
         &mut self,
         context: &mut StepContext,
         current: ServiceAddresses,
@@ -50,8 +50,8 @@
         }
     }
 
-    /// The file could not be used; the first time it is logged.
-    pub(crate) fn failed(&mut self, context: &mut StepContext, reason: &str) {
+    /// Schedules a retry after a failed reload. Only the first failure since the request is counted and logged.
+    pub(crate) fn on_failed(&mut self, context: &mut StepContext, reason: &str) {
         if self.failures == 0 {
             context.count(Counter::ReloadsFailed);
             context.log(Severity::Error, "reload", || {
@@ -63,7 +63,7 @@
         self.retry_at = may_retry.then(|| context.after(RETRY_DELAY));
     }
 
-    /// Does what is due; returns when it wants to be called again.
+    /// Requests the retry if it is due; returns the time of the next one.
     pub(crate) fn advance(&mut self, context: &mut StepContext) -> Option<Ms> {
         if self.retry_at.is_some_and(|at| context.now >= at) {
             self.retry_at = None;
--- a/crates/director/director-state/src/counter.rs
+++ b/crates/director/director-state/src/counter.rs
@@ -1,29 +1,29 @@
-//! What a session counts, and how much of it there was.
+//! Counters of a session and their values.
 
 use crate::histogram::DelayHistogram;
 use std::collections::BTreeMap;
 
-/// Defines [`Counter`]: for each variant the name under which monitors read it, and its help text.
+/// Defines [`Counter`]: each row holds a variant, its metric name and its help text.
 macro_rules! counters {
     ($($variant:ident, $name:literal, $help:literal;)*) => {
-        /// Something that is counted.
+        /// A monotonic event counter, exported to monitoring.
         #[derive(Clone, Copy, Debug, PartialEq, Eq)]
         pub enum Counter {
             $(#[doc = $help] $variant,)*
         }
 
         impl Counter {
-            /// All counters, in the order in which they are shown.
+            /// All counters in export order.
             const ALL: &[Counter] = &[$(Counter::$variant,)*];
 
-            /// The name under which monitors read it.
+            /// Metric name.
             const fn name(self) -> &'static str {
                 match self {
                     $(Counter::$variant => $name,)*
                 }
             }
 
-            /// What is counted, for monitors and people.
+            /// Help text exported with the metric.
             const fn help(self) -> &'static str {
                 match self {
                     $(Counter::$variant => $help,)*
@@ -34,65 +34,65 @@
 }
 
 counters! {
-    PolicyBatches, "ticks", "Times the policy was asked, each with all that came within a batch interval.";
-    PolicyEvents, "events", "Events handed to the policy.";
-    CallsSent, "calls_sent", "Calls written to the relay, repeats included.";
+    PolicyBatches, "ticks", "Batches of events passed to the policy, at most one per batch interval.";
+    PolicyEvents, "events", "Events passed to the policy.";
+    CallsSent, "calls_sent", "Calls written to the relay, including resends.";
     CallsReplied, "calls_answered", "Calls that the relay answered with a number of accepted orders.";
-    CallsUnknown, "calls_unknown", "Calls whose outcome is unknown: broken, unanswered, or answered unreadably.";
-    CallsAcknowledged, "calls_proved", "Calls of unknown outcome that the acknowledgement of a proxy showed to be carried out.";
-    RepeatsHeldBack, "repeats_held", "Half seconds in which a repeat waited for room under the cap of messages.";
-    CallsRepeated, "calls_repeated", "Calls written again, after an unknown outcome, a refusal or a bad order.";
-    CallConnectionsFailed, "calls_unconnected", "Failed attempts to reach the relay for calls.";
-    CallsBusy, "calls_busy", "Calls rejected with BUSY.";
-    CallsRejected, "calls_refused", "Calls answered with SYNTAX, or with BUSY while the relay accepts calls.";
-    CallsSplit, "calls_split", "Calls beyond the first that batches of over 60,000 bytes took.";
+    CallsUnknown, "calls_unknown", "Calls with an unknown outcome: connection lost, reply timeout or unreadable reply.";
+    CallsAcknowledged, "calls_proved", "Calls with an unknown outcome that a proxy's acknowledgement proved to be executed.";
+    ResendsDeferred, "repeats_held", "Resends deferred by half a second because proxies had reached their message cap.";
+    CallsResent, "calls_repeated", "Calls resent after an unknown outcome, a rejection or an invalid order.";
+    CallConnectionsFailed, "calls_unconnected", "Failed attempts to connect to the relay for calls.";
+    CallsBusy, "calls_busy", "Calls rejected with BUSY before the relay accepted any call.";
+    CallsRejected, "calls_refused", "Calls answered with SYNTAX, or with BUSY after the relay has accepted a call.";
+    CallsSplit, "calls_split", "Additional calls needed for batches of more than 60,000 bytes.";
     OrdersAccepted, "orders_taken", "Orders that the relay accepted.";
-    OrdersDropped, "orders_dropped", "Orders that the relay did not accept, dropped.";
-    WatchesLost, "news_breaks", "Watches of the relay that broke, fell silent or did not come up.";
-    NotificationsSkipped, "news_odd", "Notifications that were skipped: of an unknown kind or zone.";
-    ProxiesRebound, "proxies_bound_anew", "Proxies bound anew as they may have left and come back unseen.";
-    FetchesFailed, "lists_failed", "Requests to discovery that failed.";
-    ListsOutdated, "lists_old", "Lists that were older than the one held.";
-    EntriesSkipped, "list_entries_odd", "Entries of lists that could not be used.";
-    HostReports, "reports_heard", "Reports on hosts that came from collectors.";
-    TrafficReports, "reports_usage", "Reports on usage that came from collectors.";
-    ReportsDropped, "reports_dropped", "Reports dropped as too many events waited.";
-    HostReportsUnlisted, "heard_unlisted", "Reports on hosts that no list names: of one just gone, or of none.";
-    HostReportsInvalid, "heard_spoilt", "Reports on hosts that were skipped: a number out of range, or an unknown name.";
-    TrafficReportsInvalid, "usage_spoilt", "Reports on usage that were skipped: a number out of range, or an unknown name.";
-    MessagesInvalid, "fields_spoilt", "Messages that were skipped: a field was missing or of another type.";
-    MessagesUnexpected, "messages_odd", "Messages of collectors that were skipped: of a kind that is no report.";
-    InboundRejected, "peers_refused", "Connections that were rejected and closed for what they sent.";
-    MessagesUnreadable, "frames_malformed", "Messages that could not be read; each ended its connection.";
-    InboundClosed, "peers_closed", "Connections that the director closed.";
-    InboundBroken, "peers_broken", "Connections that ended with an error.";
-    Reloads, "reloads", "Configurations read again that could be used.";
-    ReloadsFailed, "reloads_failed", "Configurations that could not be used when they were to be read again.";
-    HealthChecksSent, "probes_sent", "Health checks of hosts.";
-    HealthChecksNotSent, "probes_not_sent", "Health checks that were wanted and not sent: no address, too many, or not allowed.";
-    PeerMessagesNotSent, "tells_not_sent", "Messages to other directors, which are not sent on sockets.";
-    LogLinesLimited, "log_lines_limited", "Log lines left out as too many of their kind came within a second.";
-    InvariantFailures, "invariant_failures", "Invariants that did not hold.";
+    OrdersDropped, "orders_dropped", "Orders dropped because the relay did not accept them.";
+    WatchesLost, "news_breaks", "Watches of the relay that failed: not established, disconnected, silent or unreadable.";
+    NotificationsSkipped, "news_odd", "Notifications skipped because their kind or zone is unknown.";
+    ProxiesRebound, "proxies_bound_anew", "Proxies rebound because they may have left and rejoined while no watch was established.";
+    FetchesFailed, "lists_failed", "Requests to discovery that failed or returned an unusable list.";
+    ListsOutdated, "lists_old", "Lists ignored because their revision is lower than the current one.";
+    EntriesSkipped, "list_entries_odd", "List entries skipped because they are malformed or have an unknown phase or zone.";
+    HostReports, "reports_heard", "Host reports accepted from collectors.";
+    TrafficReports, "reports_usage", "Traffic reports accepted from collectors.";
+    ReportsDropped, "reports_dropped", "Reports dropped because the event queue was full.";
+    HostReportsUnlisted, "heard_unlisted", "Host reports skipped because the host is not listed, for example just after its removal.";
+    HostReportsInvalid, "heard_spoilt", "Host reports skipped because a number is out of range or a name is unknown.";
+    TrafficReportsInvalid, "usage_spoilt", "Traffic reports skipped because a number is out of range or a name is unknown.";
+    MessagesInvalid, "fields_spoilt", "Messages skipped because a field is missing or has the wrong type.";
+    MessagesUnexpected, "messages_odd", "Messages of collectors skipped because they are not reports.";
+    InboundRejected, "peers_refused", "Inbound connections closed because of a message that they sent.";
+    MessagesUnreadable, "frames_malformed", "Messages that are not JSON objects; each closes its connection.";
+    InboundClosed, "peers_closed", "Inbound connections closed by the director.";
+    InboundFailed, "peers_broken", "Inbound connections that ended with an I/O error.";
+    Reloads, "reloads", "Successful configuration reloads.";
+    ReloadsFailed, "reloads_failed", "Failed configuration reloads, not counting retries.";
+    HealthChecksSent, "probes_sent", "Health checks sent to hosts.";
+    HealthChecksNotSent, "probes_not_sent", "Health checks not sent: address unknown, queue full, already pending or disabled.";
+    PeerMessagesNotSent, "tells_not_sent", "Messages to other directors, which are not delivered.";
+    LogLinesLimited, "log_lines_limited", "Log lines dropped by the rate limit for lines of the same kind.";
+    InvariantFailures, "invariant_failures", "Invariant violations.";
 }
 
-/// A counter as it stands.
+/// The current value of a counter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CounterSample {
-    /// Its name.
+    /// Metric name, unique among the counters of a session.
     pub name: &'static str,
-    /// What it counts.
+    /// Help text, exported with the metric.
     pub help: &'static str,
-    /// How much there was since the start.
+    /// Count since the session was created.
     pub value: u64,
 }
 
-/// All counters of a session, and its delays.
+/// Counter values and delay histograms of a session.
 #[derive(Default)]
 pub struct Counters {
     values: BTreeMap<&'static str, u64>,
-    /// From the first input of a batch to the call that came of it.
+    /// Delay from the first event of a batch to the first transmission of a call with its orders.
     pub input_to_call: DelayHistogram,
-    /// From a call to its reply.
+    /// Delay from the transmission of a call to a reply that accepts orders.
     pub call_to_reply: DelayHistogram,
 }
 
@@ -101,23 +101,23 @@
         *self.values.entry(counter.name()).or_default() += count;
     }
 
-    /// Raises one of the counters of streams, by its name.
-    pub(crate) fn add_of_streams(&mut self, name: &'static str, count: u64) {
+    /// Adds to one of [`rushcourse_xds::COUNTERS`], identified by its name.
+    pub(crate) fn add_stream_counter(&mut self, name: &'static str, count: u64) {
         debug_assert!(
             rushcourse_xds::COUNTERS
                 .iter()
                 .any(|counter| counter.0 == name),
-            "{name} is no counter"
+            "{name} is not a stream counter"
         );
         *self.values.entry(name).or_default() += count;
     }
 
-    /// How much there was of a counter, by its name.
+    /// Returns the value of a counter by metric name; 0 for an unknown name.
     pub fn get(&self, name: &str) -> u64 {
         self.values.get(name).copied().unwrap_or(0)
     }
 
-    /// All counters; those of streams once there was something to count.
+    /// Returns all session counters, followed by the stream counters that are not zero.
     pub fn samples(&self) -> impl Iterator<Item = CounterSample> + '_ {
         let own = Counter::ALL
             .iter()
--- a/crates/director/director-state/src/effect.rs
+++ b/crates/director/director-state/src/effect.rs
@@ -1,4 +1,4 @@
-//! What a session asks for.
+//! Effects that a session requests from the I/O layer.
 
 use crate::identifiers::{FetchId, InboundId, RelayConnectionId};
 use bytes::Bytes;
@@ -6,91 +6,92 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What is to be done outside.
+/// An action for the I/O layer, returned by [`Session::step`](crate::Session::step).
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// Write to a connection to the director's address.
+    /// Writes a message to a connection at the director's listening address.
     SendInbound {
-        /// The connection.
+        /// Connection to write to.
         inbound: InboundId,
-        /// A message with its length before it.
+        /// Encoded message including its length prefix.
         frame: Bytes,
     },
-    /// End a connection to the director's address.
+    /// Closes a connection at the director's listening address.
     CloseInbound {
-        /// The connection.
+        /// Connection to close; no further inputs are expected from it.
         inbound: InboundId,
-        /// What to write before, if anything.
+        /// Encoded message to write before closing; `None` closes at once.
         last_frame: Option<Bytes>,
     },
-    /// Connect to the relay.
+    /// Opens a connection to the relay.
     ConnectRelay {
-        /// The name of the new connection.
+        /// Identifier of the new connection, which later inputs and effects refer to.
         connection: RelayConnectionId,
-        /// Where the relay is.
+        /// Address to connect to.
         address: SocketAddr,
     },
-    /// Write to the relay.
+    /// Writes a line to the relay and reports completion as [`Input::RelayWritten`](crate::Input::RelayWritten).
     SendRelay {
-        /// The connection.
+        /// Established connection to write to.
         connection: RelayConnectionId,
-        /// A line with its end.
+        /// Text including the line terminator.
         line: String,
     },
-    /// End a connection to the relay. Nothing more is expected from it.
+    /// Closes a connection to the relay, established or not; its later inputs are ignored.
     DisconnectRelay {
-        /// The connection.
+        /// Connection to close.
         connection: RelayConnectionId,
     },
-    /// Ask discovery for its list of hosts.
+    /// Sends an HTTP GET request to discovery.
     FetchEndpoints {
-        /// The request.
+        /// Identifier to return with the result.
         request: FetchId,
-        /// Where discovery is.
+        /// Address of the discovery service.
         address: SocketAddr,
-        /// What to ask for.
+        /// Request path with query: the complete list, or a watch from a revision on.
         path: String,
-        /// When to give up.
+        /// Time limit for the whole request; on expiry it fails with [`Input::FetchFailed`](crate::Input::FetchFailed).
         timeout: Duration,
     },
-    /// Check the health of a host.
+    /// Sends an HTTP GET request to a host and reports [`Input::HealthChecked`](crate::Input::HealthChecked).
     CheckHealth {
-        /// The host.
+        /// Host to check, returned with the result.
         host: HostId,
-        /// Where it listens.
+        /// Listening address of the host, as discovery lists it.
         address: String,
-        /// What to ask for.
+        /// Request path, which depends on whether hosts report their load.
         path: &'static str,
-        /// When to give up.
+        /// Time limit for the whole request; on expiry the host counts as not responding.
         timeout: Duration,
     },
-    /// Something is to be done with a stream of a proxy or a host.
+    /// Effect of the xDS streams of proxies or the load report streams of hosts.
     Stream(rushcourse_xds::Effect),
-    /// Read the configuration again and hand in what came of it.
+    /// Reads the configuration file and reports [`Input::Reloaded`](crate::Input::Reloaded) or
+    /// [`Input::ReloadFailed`](crate::Input::ReloadFailed).
     ReloadConfig,
-    /// Hand in [`Input::Wake`](crate::Input::Wake) at this time at the latest. It replaces the time asked for before.
+    /// Sets the time of the next [`Input::Wake`](crate::Input::Wake), replacing any earlier one. Earlier wakes are allowed.
     ScheduleWake {
-        /// By the clock that inputs are handed in with.
+        /// Time on the session's clock; infinite if nothing is scheduled.
         at: Ms,
     },
-    /// Write a line to the log.
+    /// Writes a line to the log.
     Log {
-        /// How much it matters.
+        /// Level to log at.
         severity: Severity,
-        /// The line.
+        /// Text of the line, which starts with its kind.
         text: String,
     },
-    /// End the program.
+    /// Terminates the process; requested once, by [`Input::Stop`](crate::Input::Stop).
     Exit,
 }
 
-/// How much a line of the log matters.
+/// Level of a log line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Severity {
-    /// Usual.
+    /// Normal operation.
     Info,
-    /// Somebody should look at it.
+    /// Unexpected input or a failing peer; the session continues.
     Warning,
-    /// Something is wrong here, not outside.
+    /// A configuration error or a defect of the director itself.
     Error,
 }
--- a/crates/director/director-state/src/endpoint_discovery.rs
+++ b/crates/director/director-state/src/endpoint_discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery: the complete list of hosts at first and after a gap, then one watch after the other, in order of revision.
+//! Client of the discovery service. It fetches the complete list of hosts at startup and after a gap, and follows changes
+//! with consecutive watches (long polls) in order of revision.
 
 use crate::backoff::Backoff;
 use crate::counter::Counter;
@@ -12,20 +13,21 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a watch waits for something newer. What discovery has to tell counts as told 2 s later, come or not.
+/// Time after which discovery answers a watch without changes.
 const WATCH_WAIT: Duration = Duration::from_secs(4);
-/// How long a request may take beyond its wait. The director's I/O keeps this time-out; if it says nothing, the request is
-/// given up after as long again.
+/// Timeout of a request beyond its wait time, enforced by the I/O layer. The session itself gives up after twice that.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(700);
-/// A watch is continued if the next one begins within this after its end.
+/// Longest time between two watches; after a longer one the complete list is fetched.
 const MAX_WATCH_GAP: Duration = Duration::from_millis(200);
-/// First and longest delay between attempts.
-const FIRST_DELAY: Duration = Duration::from_millis(25);
+/// Bounds of the backoff between failed requests.
+const INITIAL_DELAY: Duration = Duration::from_millis(25);
 const MAX_DELAY: Duration = Duration::from_millis(400);
-/// A watch that ends this early with nothing new is followed by the next one after a delay only.
-const EARLY_END: Duration = Duration::from_millis(50);
+/// A watch that ends sooner than this without changes is followed by [`EARLY_END_DELAY`], so that a discovery service that
+/// does not wait is not polled in a tight loop.
+const EARLY_END_THRESHOLD: Duration = Duration::from_millis(50);
 const EARLY_END_DELAY: Duration = Duration::from_millis(100);
-/// Complete lists in a row that are older than the one held, after which the older one is believed.
+/// Number of consecutive responses with an old revision after which a complete list is accepted anyway, because the
+/// discovery service must have lost its state.
 const MAX_OUTDATED_LISTS: u32 = 3;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -33,7 +35,7 @@
     Idle {
         until: Ms,
     },
-    /// A request is open. `is_full`: for the complete list.
+    /// A request is pending; `is_full` if it is for the complete list.
     AwaitingList {
         deadline: Ms,
         is_full: bool,
@@ -42,23 +44,22 @@
 
 pub(crate) struct EndpointDiscovery {
     state: State,
-    /// Where discovery is.
     address: SocketAddr,
-    /// It has moved, and nothing was told at the new address yet: its revisions count anew.
-    has_moved: bool,
-    /// The last request, and when it was made.
+    /// The address changed and no complete list was received from the new one yet. Its revisions are unrelated.
+    has_address_changed: bool,
+    /// Identifier and time of the latest request.
     request: FetchId,
     requested_at: Ms,
-    /// The request to where discovery was before that may still be answered.
-    former_request: Option<FetchId>,
+    /// Watch at the previous address that may still be answered.
+    previous_request: Option<FetchId>,
     backoff: Backoff,
-    /// The complete list is wanted: at first, and after a gap.
-    wants_full: bool,
+    /// The next request is for the complete list.
+    needs_full_list: bool,
     revision: u64,
-    /// Answers in a row that were older than the list held.
+    /// Consecutive responses with a revision lower than the current one.
     outdated_lists: u32,
-    /// When the last answer came that could be used.
-    answered_at: Option<Ms>,
+    /// Time of the last response that was not outdated.
+    last_response_at: Option<Ms>,
     table: EndpointTable,
 }
 
@@ -67,20 +68,19 @@
         EndpointDiscovery {
             state: State::Idle { until: 0.0 },
             address,
-            has_moved: false,
+            has_address_changed: false,
             request: FetchId::default(),
             requested_at: 0.0,
-            former_request: None,
-            backoff: Backoff::new(FIRST_DELAY, MAX_DELAY),
-            wants_full: true,
+            previous_request: None,
+            backoff: Backoff::new(INITIAL_DELAY, MAX_DELAY),
+            needs_full_list: true,
             revision: 0,
             outdated_lists: 0,
-            answered_at: None,
+            last_response_at: None,
             table: EndpointTable::default(),
         }
     }
 
-    /// What was last told of each host.
     pub(crate) fn table(&self) -> &EndpointTable {
         &self.table
     }
@@ -89,31 +89,31 @@
         self.revision
     }
 
-    /// Time since the last answer that could be used.
+    /// Time since the last response that was not outdated; `None` before the first.
     pub(crate) fn age(&self, now: Ms) -> Option<Ms> {
-        self.answered_at.map(|at| now - at)
+        self.last_response_at.map(|at| now - at)
     }
 
-    /// Discovery is elsewhere from now on: the complete list is asked for there at once. A watch at the former address
-    /// that is open still counts until then.
-    pub(crate) fn move_to(&mut self, context: &StepContext, address: SocketAddr) {
+    /// Changes the address of the discovery service and schedules a request for its complete list. A pending watch at the
+    /// previous address is still used until that list arrives.
+    pub(crate) fn set_address(&mut self, context: &StepContext, address: SocketAddr) {
         if let State::AwaitingList { is_full: false, .. } = self.state {
-            self.former_request = Some(self.request);
+            self.previous_request = Some(self.request);
         }
         self.address = address;
-        self.has_moved = true;
-        self.wants_full = true;
+        self.has_address_changed = true;
+        self.needs_full_list = true;
         self.outdated_lists = 0;
         self.backoff.reset();
         self.state = State::Idle { until: context.now };
     }
 
-    /// Asks for the complete list with the next request.
+    /// Makes the next request one for the complete list.
     pub(crate) fn request_full_list(&mut self) {
-        self.wants_full = true;
+        self.needs_full_list = true;
     }
 
-    /// The list that the director had before its start; it may be old.
+    /// Applies the list cached before startup, which may be out of date. The revision stays 0.
     pub(crate) fn load_cached(
         &mut self,
         context: &mut StepContext,
@@ -143,16 +143,16 @@
         }
     }
 
-    /// Discovery answered a request.
-    pub(crate) fn fetched(
+    /// Handles a response; one that belongs neither to the pending request nor to the previous address is ignored.
+    pub(crate) fn on_fetched(
         &mut self,
         context: &mut StepContext,
         request: FetchId,
         body: &[u8],
         zones: &[String],
     ) {
-        if self.former_request == Some(request) {
-            return self.former_fetched(context, body, zones);
+        if self.previous_request == Some(request) {
+            return self.on_previous_fetched(context, body, zones);
         }
         let State::AwaitingList { is_full, .. } = self.state else {
             return;
@@ -161,57 +161,58 @@
             return;
         }
         match discovery::decode(body) {
-            Ok(list) => self.list_received(context, &list, is_full, zones),
-            Err(error) => self.failed(context, &format!("its answer can't be read ({error})")),
+            Ok(list) => self.on_list(context, &list, is_full, zones),
+            Err(error) => self.on_failed(context, &format!("invalid response ({error})")),
         }
     }
 
-    /// `was_full`: the complete list was asked for.
-    fn list_received(
+    /// Applies a decoded response to the pending request; `requested_full` if that was for the complete list.
+    fn on_list(
         &mut self,
         context: &mut StepContext,
         list: &EndpointList,
-        was_full: bool,
+        requested_full: bool,
         zones: &[String],
     ) {
         self.state = State::Idle { until: context.now };
         self.backoff.reset();
-        if self.is_outdated(list, was_full) {
+        if self.is_outdated(list, requested_full) {
             return self.reject_outdated(context, list.revision);
         }
-        self.answered_at = Some(context.now);
+        self.last_response_at = Some(context.now);
         if list.is_complete {
-            self.has_moved = false;
-            self.former_request = None;
+            self.has_address_changed = false;
+            self.previous_request = None;
         }
         let is_newer = list.revision > self.revision;
-        if list.is_complete && (is_newer || was_full) {
+        if list.is_complete && (is_newer || requested_full) {
             self.apply(context, list, HostListKind::Full, zones);
-        } else if was_full {
-            return self.failed(context, "asked for the whole list, it told changes");
+        } else if requested_full {
+            return self.on_failed(context, "received a delta instead of the complete list");
         } else if is_newer {
             self.apply(context, list, HostListKind::Delta, zones);
         }
         self.revision = list.revision;
-        self.wants_full &= !list.is_complete;
-        let is_early = context.now - self.requested_at < millis(EARLY_END);
-        if !is_newer && is_early && !was_full {
+        self.needs_full_list &= !list.is_complete;
+        let is_early = context.now - self.requested_at < millis(EARLY_END_THRESHOLD);
+        if !is_newer && is_early && !requested_full {
             self.state = State::Idle {
                 until: context.after(EARLY_END_DELAY),
             };
         }
     }
 
-    /// Whether a list is older than the one held, and not believed yet.
-    fn is_outdated(&mut self, list: &EndpointList, was_full: bool) -> bool {
-        let counts_anew = self.has_moved && list.is_complete;
-        if list.revision >= self.revision || counts_anew {
+    /// Whether to ignore a list because its revision is lower than the current one.
+    fn is_outdated(&mut self, list: &EndpointList, requested_full: bool) -> bool {
+        let revisions_restart = self.has_address_changed && list.is_complete;
+        if list.revision >= self.revision || revisions_restart {
             self.outdated_lists = 0;
             return false;
         }
         self.outdated_lists += 1;
-        let is_believed = was_full && list.is_complete && self.outdated_lists >= MAX_OUTDATED_LISTS;
-        !is_believed
+        let is_accepted =
+            requested_full && list.is_complete && self.outdated_lists >= MAX_OUTDATED_LISTS;
+        !is_accepted
     }
 
     fn reject_outdated(&mut self, context: &mut StepContext, revision: u64) {
@@ -220,15 +221,15 @@
         context.log(Severity::Warning, "list outdated", || {
             format!("{revision} while {held} is held")
         });
-        self.wants_full = true;
+        self.needs_full_list = true;
         self.state = State::Idle {
             until: context.after(MAX_DELAY),
         };
     }
 
-    /// Changes told by the watch that was open when discovery moved.
-    fn former_fetched(&mut self, context: &mut StepContext, body: &[u8], zones: &[String]) {
-        self.former_request = None;
+    /// Applies the response to the watch that was pending when the address changed.
+    fn on_previous_fetched(&mut self, context: &mut StepContext, body: &[u8], zones: &[String]) {
+        self.previous_request = None;
         let Ok(list) = discovery::decode(body) else {
             return;
         };
@@ -244,21 +245,21 @@
         self.apply(context, &list, kind, zones);
     }
 
-    /// Discovery did not answer a request as it should.
-    pub(crate) fn fetch_failed(
+    /// Handles the failure of a request; ignored unless the request is pending.
+    pub(crate) fn on_fetch_failed(
         &mut self,
         context: &mut StepContext,
         request: FetchId,
         reason: &str,
     ) {
         if request == self.request && matches!(self.state, State::AwaitingList { .. }) {
-            self.failed(context, reason);
+            self.on_failed(context, reason);
         }
     }
 
-    /// No answer, or none that can be used: what changed meanwhile is in the complete list only.
-    fn failed(&mut self, context: &mut StepContext, reason: &str) {
-        self.wants_full = true;
+    /// Schedules a request for the complete list after a failure, because changes may have been missed.
+    fn on_failed(&mut self, context: &mut StepContext, reason: &str) {
+        self.needs_full_list = true;
         self.state = State::Idle {
             until: context.after(self.backoff.next_delay()),
         };
@@ -268,13 +269,13 @@
         });
     }
 
-    /// Does what is due; returns when it wants to be called again.
+    /// Sends the next request or times out the pending one, if due; returns the next deadline.
     pub(crate) fn advance(&mut self, context: &mut StepContext) -> Ms {
         match self.state {
             State::Idle { until } if context.now < until => {}
             State::Idle { .. } => self.fetch(context),
             State::AwaitingList { deadline, .. } if context.now >= deadline => {
-                self.failed(context, "no answer");
+                self.on_failed(context, "no response in time");
             }
             State::AwaitingList { .. } => {}
         }
@@ -284,14 +285,14 @@
         }
     }
 
-    /// Asks for the complete list, or for what is newer than the one held.
+    /// Requests the complete list, or a watch for changes after the current revision.
     fn fetch(&mut self, context: &mut StepContext) {
-        self.wants_full |= self
+        self.needs_full_list |= self
             .age(context.now)
             .is_none_or(|age| age > millis(MAX_WATCH_GAP));
         self.request.0 += 1;
         self.requested_at = context.now;
-        let (path, wait) = if self.wants_full {
+        let (path, wait) = if self.needs_full_list {
             (discovery::LIST_PATH.to_string(), Duration::ZERO)
         } else {
             let path = discovery::watch_path(self.revision, WATCH_WAIT);
@@ -306,7 +307,7 @@
         });
         self.state = State::AwaitingList {
             deadline: context.after(timeout + FETCH_TIMEOUT),
-            is_full: self.wants_full,
+            is_full: self.needs_full_list,
         };
     }
 }
--- a/crates/director/director-state/src/endpoint_table.rs
+++ b/crates/director/director-state/src/endpoint_table.rs
@@ -1,30 +1,30 @@
-//! What discovery last told of each host.
+//! Hosts as last listed by the discovery service.
 
 use rushcourse_director_protocol::discovery::{EndpointList, EntryError, ListedHost};
 use rushcourse_policy::interface::{HostEntry, HostId, HostListKind, Readiness, ZoneId};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A host as it was last listed.
+/// Latest usable list entry of a host.
 #[derive(Clone, Debug)]
 struct KnownHost {
     entry: HostEntry,
-    /// Where it listens; empty if the list does not say.
+    /// Listening address; empty if the entry has none.
     address: String,
 }
 
-/// Why an entry of a list was skipped.
+/// Reason for skipping an entry of a list.
 #[derive(Debug)]
 pub enum SkippedEntry {
-    /// It can't be read.
+    /// The entry is malformed or its host name is invalid.
     Unreadable(EntryError),
-    /// Its phase or its zone is unknown.
+    /// The entry has an unknown phase or zone.
     Unknown {
-        /// The host's name.
+        /// Name of the listed host.
         host: HostId,
-        /// Its phase, as listed.
+        /// Phase as listed, known or not.
         phase: String,
-        /// Its zone, as listed.
+        /// Zone name as listed, known or not.
         zone: String,
     },
 }
@@ -49,23 +49,25 @@
     }
 }
 
-/// What a list says, as far as it can be used.
+/// Result of [`EndpointTable::apply`].
 #[derive(Debug, Default)]
 pub struct AppliedList {
-    /// The hosts that it names.
+    /// Entries for the policy, in list order. A known host whose entry was skipped for its phase or zone keeps its former
+    /// entry.
     pub entries: Vec<HostEntry>,
-    /// Entries that could not be used. A host that was known stays as it was.
+    /// Entries that could not be used, in list order.
     pub skipped: Vec<SkippedEntry>,
 }
 
-/// The hosts that are known, by their names.
+/// Table of known hosts by name, kept up to date from complete lists and deltas.
 #[derive(Default)]
 pub struct EndpointTable {
     hosts: BTreeMap<HostId, KnownHost>,
 }
 
 impl EndpointTable {
-    /// Applies a list. All but a [`HostListKind::Delta`] replace what was known.
+    /// Applies a list. A [`HostListKind::Delta`] updates the hosts that it names; any other list replaces the table. Hosts
+    /// listed as gone are removed. `zones` holds the zone names in the order of their identifiers.
     pub fn apply(
         &mut self,
         list: &EndpointList,
@@ -75,7 +77,7 @@
         let mut applied = AppliedList::default();
         for host in list.hosts() {
             let known = match host {
-                Ok(host) => self.read(&host, zones).or_else(|skipped| {
+                Ok(host) => self.convert(&host, zones).or_else(|skipped| {
                     applied.skipped.push(skipped);
                     self.hosts.get(host.id.as_ref()).cloned().ok_or(())
                 }),
@@ -90,12 +92,12 @@
                 applied.entries.push(entry);
             }
         }
-        self.forget_unlisted(kind, &applied.entries);
+        self.remove_unlisted(kind, &applied.entries);
         applied
     }
 
-    /// Only what the list still names is remembered.
-    fn forget_unlisted(&mut self, kind: HostListKind, entries: &[HostEntry]) {
+    /// Removes gone hosts and, unless the list is a delta, hosts that it does not name.
+    fn remove_unlisted(&mut self, kind: HostListKind, entries: &[HostEntry]) {
         let is_listed = |host: &HostId| entries.iter().any(|entry| entry.host == *host);
         self.hosts.retain(|host, known| {
             known.entry.readiness != Readiness::Gone
@@ -103,13 +105,13 @@
         });
     }
 
-    fn read(&self, listed: &ListedHost, zones: &[String]) -> Result<KnownHost, SkippedEntry> {
+    fn convert(&self, listed: &ListedHost, zones: &[String]) -> Result<KnownHost, SkippedEntry> {
         let host: HostId = listed.id.as_ref().into();
         let readiness = readiness(&listed.phase);
         let zone = zones
             .iter()
             .position(|zone| *zone == listed.zone)
-            .or_else(|| self.zone_of_gone(&host, readiness));
+            .or_else(|| self.known_zone_if_gone(&host, readiness));
         let (Some(readiness), Some(zone)) = (readiness, zone) else {
             return Err(SkippedEntry::Unknown {
                 host,
@@ -130,43 +132,43 @@
         })
     }
 
-    /// A host that has gone may be listed without its zone.
-    fn zone_of_gone(&self, host: &HostId, readiness: Option<Readiness>) -> Option<ZoneId> {
+    /// Zone of a known host that is listed as gone, because such an entry may lack its zone.
+    fn known_zone_if_gone(&self, host: &HostId, readiness: Option<Readiness>) -> Option<ZoneId> {
         let known = self.hosts.get(host)?;
         (readiness == Some(Readiness::Gone)).then_some(known.entry.zone)
     }
 
-    /// Hosts that are known.
+    /// Number of known hosts.
     pub fn len(&self) -> usize {
         self.hosts.len()
     }
 
-    /// Whether no host is known.
+    /// Whether the table holds no hosts, as before the first list.
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
 
-    /// All hosts: what was last told of each, and where it listens.
+    /// Iterates over all known hosts with their listening addresses, which are empty where unknown.
     pub fn iter(&self) -> impl Iterator<Item = (&HostEntry, &String)> + Clone {
         self.hosts
             .values()
             .map(|known| (&known.entry, &known.address))
     }
 
-    /// Where a host listens, if the list says so.
+    /// Returns the listening address of a host, or `None` if the host or its address is unknown.
     pub fn address(&self, host: &HostId) -> Option<&String> {
         let known = self.hosts.get(host)?;
         (!known.address.is_empty()).then_some(&known.address)
     }
 
-    /// A host by its name, if it is known.
+    /// Returns the identifier of a known host by name.
     pub fn find(&self, name: &str) -> Option<HostId> {
         let (host, _) = self.hosts.get_key_value(name)?;
         Some(host.clone())
     }
 }
 
-/// A phase of the list; nothing if it is none that directors know.
+/// Converts a listed phase; `None` if it is unknown.
 fn readiness(phase: &str) -> Option<Readiness> {
     match phase {
         "Ready" => Some(Readiness::Ready),
--- a/crates/director/director-state/src/event_queue.rs
+++ b/crates/director/director-state/src/event_queue.rs
@@ -1,27 +1,27 @@
-//! Events that wait until the policy is asked, and by which channel each proxy is reached.
+//! Events queued for the next policy batch, and the channel by which each proxy is reached.
 
 use rushcourse_policy::interface::{Channel, Event, Ms, ProxyId};
 use std::collections::BTreeSet;
 
-/// Events that may wait; beyond, reports are dropped.
+/// Queue length from which on reports are dropped. Events of other kinds are always queued.
 const MAX_EVENTS: usize = 8192;
 
-/// Why an event does not wait.
+/// Error returned when a report is dropped because the queue is full.
 pub(crate) struct ReportDropped;
 
 #[derive(Default)]
 pub(crate) struct EventQueue {
     events: Vec<Event>,
-    /// When the first of the events came.
+    /// Time at which the oldest queued event was added.
     first_at: Option<Ms>,
-    /// Proxies that have joined by a stream of their own.
+    /// Proxies whose latest join was on a dedicated xDS stream.
     streamed: BTreeSet<ProxyId>,
-    /// Those of them that have joined at the relay since.
+    /// Proxies that joined at the relay after joining on a dedicated stream; that stream has to be ended.
     superseded: Vec<ProxyId>,
 }
 
 impl EventQueue {
-    /// Adds an event that happened now. Reports are dropped where too many events wait; others never are.
+    /// Queues an event. Reports are rejected while the queue is full; other events never are.
     pub(crate) fn push(&mut self, now: Ms, event: Event) -> Result<(), ReportDropped> {
         let is_report = matches!(
             event,
@@ -30,14 +30,14 @@
         if is_report && self.is_full() {
             return Err(ReportDropped);
         }
-        self.note_channel(&event);
+        self.track_channel(&event);
         self.first_at.get_or_insert(now);
         self.events.push(event);
         Ok(())
     }
 
-    /// The newest joining counts, whichever channel it came by.
-    fn note_channel(&mut self, event: &Event) {
+    /// Updates the channel of a proxy from a join or leave event. The latest join takes precedence on either channel.
+    fn track_channel(&mut self, event: &Event) {
         match event {
             Event::ProxyJoined {
                 proxy,
@@ -59,32 +59,31 @@
         self.events.len()
     }
 
-    /// Whether as many events wait as may.
+    /// Whether the queue has reached [`MAX_EVENTS`].
     pub(crate) fn is_full(&self) -> bool {
         self.events.len() >= MAX_EVENTS
     }
 
-    /// When the first of the events that wait came.
     pub(crate) fn first_at(&self) -> Option<Ms> {
         self.first_at
     }
 
-    /// All that wait, with the time at which the first of them came.
+    /// Removes and returns all queued events with the time at which the oldest was added.
     pub(crate) fn take(&mut self) -> (Vec<Event>, Option<Ms>) {
         (std::mem::take(&mut self.events), self.first_at.take())
     }
 
-    /// Whether a proxy is reached by a stream of its own.
+    /// Whether the latest join of a proxy was on a dedicated stream.
     pub(crate) fn is_streamed(&self, proxy: ProxyId) -> bool {
         self.streamed.contains(&proxy)
     }
 
-    /// Whether any proxy is reached by a stream of its own.
-    pub(crate) fn has_streamed(&self) -> bool {
+    /// Whether any proxy is reached by a dedicated stream.
+    pub(crate) fn has_streamed_proxies(&self) -> bool {
         !self.streamed.is_empty()
     }
 
-    /// Proxies whose streams have been superseded since the last call.
+    /// Removes and returns the proxies whose streams were superseded since the last call.
     pub(crate) fn take_superseded(&mut self) -> Vec<ProxyId> {
         std::mem::take(&mut self.superseded)
     }
--- a/crates/director/director-state/src/gauge.rs
+++ b/crates/director/director-state/src/gauge.rs
@@ -1,12 +1,12 @@
-//! A size or an age, as monitors read it.
+//! Gauges as exported to monitoring.
 
-/// A gauge as it stands.
+/// The current value of a gauge.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GaugeSample {
-    /// Its name.
+    /// Metric name, unique among the gauges of a session.
     pub name: &'static str,
-    /// What it shows.
+    /// Help text, exported with the metric.
     pub help: &'static str,
-    /// Its value.
+    /// Current value; ages are in seconds, and -1 if the event has not occurred yet.
     pub value: f64,
 }
--- a/crates/director/director-state/src/health_checks.rs
+++ b/crates/director/director-state/src/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of hosts: few in flight, few that wait, none where the settings forbid them.
+//! Queue of host health checks with bounds on the checks in flight and waiting.
 
 use crate::effect::Effect;
 use bytes::Bytes;
@@ -7,22 +7,21 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Health checks in flight at a time.
+/// Maximum number of health checks in flight.
 pub const MAX_IN_FLIGHT: usize = 8;
-/// Health checks that may wait.
+/// Maximum number of health checks waiting to be started; further ones count as unanswered.
 pub const MAX_WAITING: usize = 64;
-/// After this a health check is given up.
-const TIMEOUT: Duration = Duration::from_millis(500);
-/// The status of a healthy host.
+/// Time limit for the response of a host.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
+/// HTTP status code of a healthy host.
 const STATUS_OK: u16 = 200;
 
-/// A health check that waits.
 struct PendingCheck {
     host: HostId,
     address: String,
 }
 
-/// Health checks that wait or are in flight.
+/// Health checks waiting or in flight, at most one per host.
 #[derive(Default)]
 pub struct HealthChecks {
     in_flight: BTreeSet<HostId>,
@@ -30,8 +29,8 @@
 }
 
 impl HealthChecks {
-    /// Adds the check of a host that listens at this address. Returns the event of one that can't be made: it counts as
-    /// unanswered.
+    /// Queues a check of a host. If it cannot be sent (no address, disabled in the settings, a check of the host pending, or
+    /// queue full), returns the event of an unanswered check instead.
     pub fn request(
         &mut self,
         settings: &Settings,
@@ -53,14 +52,14 @@
         }
     }
 
-    /// Whether one more check may wait; a host is checked once at a time.
+    /// Whether the queue is not full and no check of this host is pending.
     fn has_room_for(&self, host: &HostId) -> bool {
         let is_pending = self.in_flight.contains(host)
             || self.waiting.iter().any(|pending| pending.host == *host);
         !is_pending && self.waiting.len() < MAX_WAITING
     }
 
-    /// A check has ended. Returns its event; nothing if nobody waited for it.
+    /// Completes a check and returns its event, or `None` if no check of this host is in flight.
     pub fn complete(
         &mut self,
         host: HostId,
@@ -79,7 +78,7 @@
         })
     }
 
-    /// The effect of the next check that may start; nothing if enough are in flight or none waits.
+    /// Starts the next check and returns its effect, or `None` if [`MAX_IN_FLIGHT`] is reached or none is waiting.
     pub fn start_next(&mut self, settings: &Settings) -> Option<Effect> {
         if self.in_flight.len() >= MAX_IN_FLIGHT {
             return None;
@@ -89,14 +88,14 @@
         Some(Effect::CheckHealth {
             host,
             address,
-            path: path(settings.load_source),
-            timeout: TIMEOUT,
+            path: check_path(settings.load_source),
+            timeout: CHECK_TIMEOUT,
         })
     }
 }
 
-/// What a host is asked for.
-fn path(load_source: LoadSource) -> &'static str {
+/// Request path of a health check, which also returns a load report if hosts provide one.
+fn check_path(load_source: LoadSource) -> &'static str {
     if load_source == LoadSource::Unreported {
         "/health"
     } else {
--- a/crates/director/director-state/src/identifiers.rs
+++ b/crates/director/director-state/src/identifiers.rs
@@ -1,27 +1,27 @@
-//! Names of connections and requests. By them, what comes back late is told from what belongs to a successor.
+//! Identifiers of connections and requests. They allow late inputs of an earlier connection or request to be ignored.
 
-/// A connection that somebody opened to the director's address. Numbers are never used twice.
+/// Identifies a connection accepted at the director's listening address. Never reused within a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct InboundId(pub u64);
 
-/// What a connection to the relay is for.
+/// Purpose of a connection to the relay; each has at most one current connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RelayLink {
-    /// Calls with orders, one in flight.
+    /// Carries calls with orders, at most one in flight.
     Calls,
-    /// Notifications of proxies.
+    /// Carries notifications about proxies that join, leave or apply a call.
     Watch,
 }
 
-/// A connection that the director holds to the relay.
+/// Identifies a connection from the director to the relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RelayConnectionId {
-    /// What it is for.
+    /// Link that the connection serves.
     pub link: RelayLink,
-    /// Rises with each connection of the link.
+    /// Incremented for each new connection of the link, starting at 1.
     pub generation: u64,
 }
 
-/// A request to discovery. Numbers are never used twice.
+/// Identifies a request to the discovery service. Never reused within a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FetchId(pub u64);
--- a/crates/director/director-state/src/inbound_connections.rs
+++ b/crates/director/director-state/src/inbound_connections.rs
@@ -1,5 +1,5 @@
-//! Whoever connects to the director's address. A connection is unidentified until it registers as a collector; only then
-//! it may report. All others get the answer that they are owed, and are closed.
+//! Connections to the director's listening address. A connection is unidentified until it registers as a collector or
+//! sends an HTTP request. Unidentified connections may only ping; anything else is answered with an error and closes them.
 
 use crate::counter::Counter;
 use crate::effect::{Effect, Severity};
@@ -17,34 +17,34 @@
 use std::fmt::Display;
 use std::time::Duration;
 
-/// Within this a connection must have registered: a stranger is owed an answer or a close within 3 s.
+/// Time within which a connection has to register. The protocol requires an answer or a close within 3 s.
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Within this a page must have been served.
-const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// After this without a message a collector may be closed for another one that registers: it reports each second.
-const COLLECTOR_SILENCE: Duration = Duration::from_secs(5);
+/// Time within which an HTTP request has to be served.
+const HTTP_TIMEOUT: Duration = Duration::from_secs(2);
+/// A collector that has been silent for this long may be closed in favour of a new one; collectors report every second.
+const COLLECTOR_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a peer is told that sends anything but a ping before it has registered.
+/// Reason sent to an unregistered peer for any message but a ping or the registration of a collector of a known zone.
 const NOT_SERVED: &str = "only a collector of a known zone is served";
-/// What a peer is told whose message can't be read.
+/// Reason sent to a peer whose message is not a JSON object.
 const UNREADABLE: &str = "a message can't be read";
 
-/// What a connection is for. One that is closed is forgotten.
+/// Purpose of an open connection, which determines what it may send and when it expires.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Purpose {
     Unidentified,
-    /// It has asked for a page by HTTP.
-    Page,
-    /// It has registered as a collector.
+    /// The peer sent an HTTP request, which the I/O layer serves.
+    Http,
+    /// The peer registered as a collector and may send reports.
     Collector,
 }
 
 struct InboundConnection {
     purpose: Purpose,
-    /// Who it is, for the log.
+    /// Peer address for log lines.
     peer: String,
-    /// When its purpose became known; its beginning before that.
-    since: Ms,
+    /// Time of the last change of `purpose`, or of the connect while unidentified.
+    purpose_since: Ms,
     last_message_at: Ms,
 }
 
@@ -53,11 +53,11 @@
         self.purpose == Purpose::Collector
     }
 
-    /// When it is closed if nothing more is known of it.
+    /// Time at which the connection expires unless its purpose changes; `None` for collectors.
     fn deadline(&self) -> Option<Ms> {
         match self.purpose {
-            Purpose::Unidentified => Some(self.since + millis(REGISTRATION_TIMEOUT)),
-            Purpose::Page => Some(self.since + millis(PAGE_TIMEOUT)),
+            Purpose::Unidentified => Some(self.purpose_since + millis(REGISTRATION_TIMEOUT)),
+            Purpose::Http => Some(self.purpose_since + millis(HTTP_TIMEOUT)),
             Purpose::Collector => None,
         }
     }
@@ -87,20 +87,24 @@
             .count()
     }
 
-    /// Whether a connection has registered as a collector.
     pub(crate) fn is_collector(&self, inbound: InboundId) -> bool {
         self.open
             .get(&inbound)
             .is_some_and(InboundConnection::is_collector)
     }
 
-    /// Somebody connected. Where there are too many, the first of those that have not registered is closed: that is never a
-    /// collector, which registers at once.
-    pub(crate) fn opened(&mut self, context: &mut StepContext, inbound: InboundId, peer: String) {
+    /// Adds a connection. If there are too many, the oldest one that is not a collector is closed; collectors register
+    /// immediately after connecting, so they are not affected.
+    pub(crate) fn on_opened(
+        &mut self,
+        context: &mut StepContext,
+        inbound: InboundId,
+        peer: String,
+    ) {
         let connection = InboundConnection {
             purpose: Purpose::Unidentified,
             peer,
-            since: context.now,
+            purpose_since: context.now,
             last_message_at: context.now,
         };
         self.open.insert(inbound, connection);
@@ -109,30 +113,30 @@
                 .open
                 .iter()
                 .filter(|(_, connection)| !connection.is_collector())
-                .min_by(|a, b| a.1.since.total_cmp(&b.1.since))
+                .min_by(|a, b| a.1.purpose_since.total_cmp(&b.1.purpose_since))
                 .map(|(first, _)| *first);
             let first = first.unwrap_or(inbound);
             self.close(context, first, "too many connections", None);
         }
     }
 
-    /// A connection asks for a page.
-    pub(crate) fn page_requested(&mut self, context: &StepContext, inbound: InboundId) {
+    /// Marks a connection as HTTP and restarts its deadline.
+    pub(crate) fn on_http_request(&mut self, context: &StepContext, inbound: InboundId) {
         if let Some(connection) = self.open.get_mut(&inbound) {
-            connection.purpose = Purpose::Page;
-            connection.since = context.now;
+            connection.purpose = Purpose::Http;
+            connection.purpose_since = context.now;
         }
     }
 
-    /// A connection has ended, with an error or as usual.
-    pub(crate) fn closed(
+    /// Removes a connection that the peer closed or that failed with an I/O error.
+    pub(crate) fn on_closed(
         &mut self,
         context: &mut StepContext,
         inbound: InboundId,
         error: Option<&str>,
     ) {
         if let (Some(connection), Some(error)) = (self.open.remove(&inbound), error) {
-            context.count(Counter::InboundBroken);
+            context.count(Counter::InboundFailed);
             context.log(Severity::Info, "connection ended", || {
                 format!("{}: {error}", connection.peer)
             });
@@ -158,14 +162,14 @@
         }
     }
 
-    /// Closes a connection that may not send what it sent, and tells it why.
+    /// Closes a connection because of its last message, after sending it the reason.
     fn reject(&mut self, context: &mut StepContext, inbound: InboundId, reason: &'static str) {
         context.count(Counter::InboundRejected);
         self.close(context, inbound, reason, Some(frames::refused(reason)));
     }
 
-    /// A message came.
-    pub(crate) fn message_received(
+    /// Handles a message: a ping, a registration or, from collectors, a report.
+    pub(crate) fn on_message(
         &mut self,
         context: &mut StepContext,
         inbound: InboundId,
@@ -196,14 +200,15 @@
             }
             _ if !is_collector => self.reject(context, inbound, NOT_SERVED),
             decoded => {
-                if let Err(skipped) = take_report(context, decoded, validator) {
+                if let Err(skipped) = handle_report(context, decoded, validator) {
                     skipped.log(context, message);
                 }
             }
         }
     }
 
-    /// Registers a collector. Where there are too many, it takes the place of one that has long been silent.
+    /// Registers a collector. If there are too many, it replaces the one that has been silent longest, or is rejected if
+    /// none has been silent for [`COLLECTOR_SILENCE_TIMEOUT`].
     fn register_collector(&mut self, context: &mut StepContext, inbound: InboundId, zone: &str) {
         if self.collector_count() >= self.limits.max_collectors {
             match self.silent_collector(context.now) {
@@ -215,24 +220,24 @@
         }
         if let Some(connection) = self.open.get_mut(&inbound) {
             connection.purpose = Purpose::Collector;
-            connection.since = context.now;
+            connection.purpose_since = context.now;
             context.log(Severity::Info, "collector", || {
                 format!("{} collects for {zone}", connection.peer)
             });
         }
     }
 
-    /// The collector that has been silent the longest, if that is too long.
+    /// Returns the collector that has been silent longest, if it exceeds [`COLLECTOR_SILENCE_TIMEOUT`].
     fn silent_collector(&self, now: Ms) -> Option<InboundId> {
         let (inbound, connection) = self
             .open
             .iter()
             .filter(|(_, connection)| connection.is_collector())
             .min_by(|a, b| a.1.last_message_at.total_cmp(&b.1.last_message_at))?;
-        (now - connection.last_message_at > millis(COLLECTOR_SILENCE)).then_some(*inbound)
+        (now - connection.last_message_at > millis(COLLECTOR_SILENCE_TIMEOUT)).then_some(*inbound)
     }
 
-    /// Does what is due; returns when it wants to be called again.
+    /// Closes expired connections; returns the next deadline.
     pub(crate) fn advance(&mut self, context: &mut StepContext) -> Option<Ms> {
         let now = context.now;
         let expired: Vec<InboundId> = self
@@ -251,7 +256,7 @@
     }
 }
 
-/// A message of a collector that does not reach the policy. The messages around it are good.
+/// A message of a collector that is counted, logged and ignored; the connection stays open.
 struct SkippedMessage {
     counter: Counter,
     reason: String,
@@ -273,22 +278,22 @@
     }
 }
 
-/// Hands the report of a collector to the policy.
-fn take_report(
+/// Validates a message of a collector and queues it as an event for the policy.
+fn handle_report(
     context: &mut StepContext,
     decoded: Result<Message, MessageError>,
     validator: &ReportValidator,
 ) -> Result<(), SkippedMessage> {
     match decoded {
-        Ok(Message::HostReport(report)) => take_host_report(context, report, validator),
-        Ok(Message::TrafficReport(report)) => take_traffic_report(context, &report, validator),
+        Ok(Message::HostReport(report)) => handle_host_report(context, report, validator),
+        Ok(Message::TrafficReport(report)) => handle_traffic_report(context, &report, validator),
         Ok(Message::RegisterCollector { .. }) => Err(SkippedMessage::new(
             Counter::MessagesUnexpected,
             "collector of an unknown zone",
         )),
         Ok(Message::Unknown(_) | Message::Ping) => Err(SkippedMessage::new(
             Counter::MessagesUnexpected,
-            "of a kind that is no report",
+            "not a report",
         )),
         Err(MessageError::InvalidField(name)) => {
             Err(SkippedMessage::new(Counter::MessagesInvalid, name))
@@ -299,24 +304,24 @@
     }
 }
 
-fn take_host_report(
+fn handle_host_report(
     context: &mut StepContext,
     report: HostReport,
     validator: &ReportValidator,
 ) -> Result<(), SkippedMessage> {
     let Some(host) = validator.host(&report.host) else {
-        // The last reports on a host may come after the list has forgotten it.
+        // Reports on a host may arrive after its removal from the list and are not worth a log line.
         context.count(Counter::HostReportsUnlisted);
         return Ok(());
     };
     let event = validator
         .host_report(report, host)
         .map_err(|error| SkippedMessage::new(Counter::HostReportsInvalid, error))?;
-    accept(context, Counter::HostReports, event);
+    emit_report(context, Counter::HostReports, event);
     Ok(())
 }
 
-fn take_traffic_report(
+fn handle_traffic_report(
     context: &mut StepContext,
     report: &TrafficReport,
     validator: &ReportValidator,
@@ -324,11 +329,11 @@
     let event = validator
         .traffic_report(report)
         .map_err(|error| SkippedMessage::new(Counter::TrafficReportsInvalid, error))?;
-    accept(context, Counter::TrafficReports, event);
+    emit_report(context, Counter::TrafficReports, event);
     Ok(())
 }
 
-fn accept(context: &mut StepContext, counter: Counter, event: Event) {
+fn emit_report(context: &mut StepContext, counter: Counter, event: Event) {
     context.count(counter);
     context.emit(event);
 }
--- a/crates/director/director-state/src/input.rs
+++ b/crates/director/director-state/src/input.rs
@@ -1,104 +1,105 @@
-//! What comes into a session: what was read, and what came of its effects.
+//! Inputs of a session: received data, and results of the effects that it requested.
 
 use crate::config::ReloadedConfig;
 use crate::identifiers::{FetchId, InboundId, RelayConnectionId};
 use bytes::Bytes;
 use rushcourse_policy::interface::{HostId, Ms};
 
-/// What was read, or what came of an effect.
+/// An event passed to [`Session::step`](crate::Session::step).
 #[derive(Debug)]
 pub enum Input {
-    /// The director starts.
+    /// Starts the session. Deadlines and timers are not handled before it.
     Start,
-    /// Somebody connected to the director's address.
+    /// A peer connected to the director's listening address.
     InboundOpened {
-        /// The connection.
+        /// Identifier assigned by the listener; later inputs and effects refer to the connection by it.
         inbound: InboundId,
-        /// Who it is, for the log.
+        /// Peer address, used in log lines only.
         peer: String,
     },
-    /// A message came on a connection to the director's address.
+    /// A complete message arrived on a connection to the director's listening address.
     InboundMessage {
-        /// The connection.
+        /// Connection that the message arrived on; messages of connections that were closed are ignored.
         inbound: InboundId,
-        /// The message, without the length before it.
+        /// Message payload without its length prefix.
         message: Bytes,
     },
-    /// A connection to the director's address asks for a page by HTTP.
+    /// A peer sent an HTTP request instead of framed messages. The I/O layer serves the page.
     InboundHttp {
-        /// The connection.
+        /// Connection that carries the request; it is closed if the page is not served in time.
         inbound: InboundId,
     },
-    /// A connection to the director's address has ended.
+    /// A connection to the director's listening address ended. Ignored for connections that the session closed.
     InboundClosed {
-        /// The connection.
+        /// Connection that ended; its identifier is not used again.
         inbound: InboundId,
-        /// Why, if not in the usual way.
+        /// I/O error that ended the connection; `None` after a regular close by the peer.
         error: Option<String>,
     },
-    /// A connection to the relay stands.
+    /// A connection requested by [`Effect::ConnectRelay`](crate::Effect::ConnectRelay) was established.
     RelayConnected {
-        /// The connection.
+        /// Identifier given in the effect; stale identifiers are ignored.
         connection: RelayConnectionId,
     },
-    /// The relay sent a line.
+    /// The relay sent a complete line.
     RelayLine {
-        /// The connection.
+        /// Connection that the line arrived on; stale identifiers are ignored.
         connection: RelayConnectionId,
-        /// The line, without its end.
+        /// Text of the line without its terminator.
         line: String,
     },
-    /// The last byte of what was sent to the relay was written.
+    /// All bytes of the last [`Effect::SendRelay`](crate::Effect::SendRelay) were written to the socket.
     RelayWritten {
-        /// The connection.
+        /// Connection that was written to; stale identifiers are ignored.
         connection: RelayConnectionId,
     },
-    /// A connection to the relay could not be established, or has ended.
+    /// A connection to the relay could not be established or has ended.
     RelayDisconnected {
-        /// The connection.
+        /// Connection that failed; stale identifiers are ignored.
         connection: RelayConnectionId,
-        /// Why.
+        /// Cause of the failure, used in log lines only.
         reason: String,
     },
-    /// Discovery answered.
+    /// Discovery sent a successful response to a request.
     EndpointsFetched {
-        /// The request.
+        /// Identifier given in [`Effect::FetchEndpoints`](crate::Effect::FetchEndpoints).
         request: FetchId,
-        /// The list of hosts, in discovery's form.
+        /// Undecoded response body: a complete list of hosts or a delta.
         body: Bytes,
     },
-    /// Discovery did not answer as it should.
+    /// A request to discovery failed: connection error, timeout or unsuccessful status.
     FetchFailed {
-        /// The request.
+        /// Identifier given in [`Effect::FetchEndpoints`](crate::Effect::FetchEndpoints).
         request: FetchId,
-        /// Why.
+        /// Cause of the failure, used in log lines only.
         reason: String,
     },
-    /// A health check has ended.
+    /// A health check requested by [`Effect::CheckHealth`](crate::Effect::CheckHealth) completed or failed.
     HealthChecked {
-        /// The host.
+        /// Host that was checked.
         host: HostId,
-        /// Time since it was asked for.
+        /// Milliseconds from the effect to the response or failure.
         elapsed: Ms,
-        /// The status that the host answered with; nothing if it did not answer.
+        /// HTTP status code of the response; `None` if the host did not respond.
         status: Option<u16>,
-        /// The host's load report, as text.
+        /// Response body, which may hold a load report in text form.
         body: Bytes,
     },
-    /// Something came by a stream of a proxy or a host.
+    /// Input for the xDS streams of proxies or the load report streams of hosts; ignored while streams are not served.
     Stream(rushcourse_xds::Input),
-    /// An operator asks that the configuration be read again.
+    /// An operator requested a configuration reload.
     ReloadRequested,
-    /// The configuration was read again.
+    /// The configuration file was read again and is valid.
     Reloaded(ReloadedConfig),
-    /// The configuration could not be read again, or makes no sense.
+    /// The configuration file could not be read or is invalid. The session keeps its configuration and
+    /// retries a limited number of times.
     ReloadFailed {
-        /// Why.
+        /// Error to log.
         reason: String,
     },
-    /// All that came by this time was handed in: what is due is done now, and not before. So an answer that lies in a
-    /// buffer while the process sleeps is never taken for missing.
+    /// All inputs received up to now have been passed to the session. Expired deadlines are handled by this input only,
+    /// so that a reply still in a socket buffer after the process was suspended is not mistaken for a timeout.
     Wake,
-    /// The director ends.
+    /// Shuts the session down; all later inputs are ignored.
     Stop,
 }
--- a/crates/director/director-state/src/lib.rs
+++ b/crates/director/director-state/src/lib.rs
@@ -1,16 +1,16 @@
-//! One director's session as a pure state machine: what was read comes in as an [`Input`], what is to be written,
-//! connected, asked or waited for goes out as an [`Effect`]. Nothing here does I/O or reads a clock.
+//! The session of one director as a sans-I/O state machine: [`Session::step`] takes an [`Input`] and the current time,
+//! and returns the [`Effect`]s that the caller has to carry out. Nothing here does I/O or reads a clock.
 //!
-//! * `session`: [`Session::step`], the policy's batches, and how a session stands.
-//! * `relay_client`: the relay over two connections; `call_sender` and `call_queue` send orders to it, `membership_watch`
-//!   and `membership` know who is joined, `relay_connection` is what both have in common.
-//! * `endpoint_discovery`, `endpoint_table`: the list of hosts.
-//! * `inbound_connections`, `report_validation`: whoever connects to the director's address, and what collectors report.
-//! * `stream_outbox`: what came of streams of proxies and hosts, which `rushcourse-xds` serves.
-//! * `health_checks`, `config_reload`, `policy_timers`: what their names say.
-//! * `step_context`, `event_queue`, `log_limiter`, `counter`, `gauge`, `histogram`, `backoff`, `time`: what the others
-//!   share.
-//! * `config`, `limits`, `input`, `effect`, `identifiers`: the boundary.
+//! * `session`: the state machine itself, policy batches, deadlines, gauges and the status line.
+//! * `relay_client`: the client of the relay, with one connection for calls and one for notifications. `call_sender` and
+//!   `call_queue` deliver orders, `membership_watch` and `membership` track the joined proxies, and `relay_connection`
+//!   holds the connection state that both use.
+//! * `endpoint_discovery`, `endpoint_table`: the client of the discovery service and the list of hosts.
+//! * `inbound_connections`, `report_validation`: connections to the listening address and the reports of collectors.
+//! * `stream_outbox`: forwards the output of the streams that `rushcourse-xds` serves.
+//! * `health_checks`, `config_reload`, `policy_timers`: host health checks, configuration reloads, timers of the policy.
+//! * `step_context`, `event_queue`, `log_limiter`, `counter`, `gauge`, `histogram`, `backoff`, `time`: shared helpers.
+//! * `config`, `limits`, `input`, `effect`, `identifiers`: types of the public interface.
 
 mod backoff;
 mod call_queue;
--- a/crates/director/director-state/src/limits.rs
+++ b/crates/director/director-state/src/limits.rs
@@ -1,79 +1,83 @@
-//! What may be held at a time, derived from the limits of the process: the one place where they meet.
+//! Bounds on connections and buffers, derived from the memory and descriptor limits of the process.
 //!
-//! Memory, in parts of the limit: messages that wait for the loop an eighth, messages of collectors that are not
-//! complete a quarter, lists an eighth, calls that wait an eighth. The program itself, its model of 400 proxies
-//! and 256 strangers with a small message each take 8 MB. Descriptors: a quarter stays for the director's own.
+//! Without gRPC, the memory limit is divided as follows: an eighth each for buffered inbound messages, for the list of
+//! hosts and for queued calls, and a quarter for incomplete messages of collectors. The remainder covers the program
+//! itself and unregistered connections. A quarter of the descriptors is reserved for the director's own use.
 //!
-//! With gRPC, connections of proxies take a quarter of the memory, messages of collectors an eighth, and connections at
-//! the director's own address are fewer: what descriptors are left go to proxies, and a quarter of them to hosts.
+//! With gRPC, a quarter of the memory goes to connections of proxies, and incomplete messages of collectors get an
+//! eighth. Fewer connections are accepted at the director's listening address, and the remaining descriptors are used
+//! for proxies, except for a quarter that is used for load report streams to hosts if those are enabled.
 
-/// What the process may use.
+/// Resource limits of the process, as configured by the operator.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessLimits {
-    /// Memory in MB.
+    /// Memory in MiB; an infinite value means no limit.
     pub memory_mb: f64,
-    /// File descriptors.
+    /// Maximum number of open file descriptors.
     pub descriptors: usize,
 }
 
-/// What a session may hold.
+/// Bounds on the connections and buffers of a session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionLimits {
-    /// Connections at the director's address.
+    /// Connections at the director's listening address.
     pub max_inbound: usize,
-    /// Those of them that may have registered as collectors.
+    /// Connections at the listening address that may be registered as collectors.
     pub max_collectors: usize,
-    /// KiB of messages at the director's address that are being read or wait for the loop.
+    /// KiB of inbound messages that are being read or wait for the event loop.
     pub max_buffered_kib: usize,
-    /// Bytes of a list of discovery.
+    /// Size limit for a response of the discovery service, in bytes.
     pub max_list_bytes: usize,
-    /// Bytes of calls that wait.
+    /// Bytes of orders in queued calls from which on the policy is not run.
     pub max_queued_call_bytes: usize,
 }
 
-/// What gRPC may hold beside that.
+/// Bounds on the gRPC server, in addition to [`SessionLimits`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrpcLimits {
-    /// Connections of proxies.
+    /// Connections accepted from proxies.
     pub max_connections: usize,
-    /// Bytes of a proxy's message.
+    /// Size limit for a message of a proxy, in bytes.
     pub max_message_bytes: usize,
-    /// Streams on these connections, and streams to hosts.
+    /// Limits for the streams on these connections and for load report streams to hosts.
     pub streams: rushcourse_xds::StreamLimits,
 }
 
-/// Descriptors of the director's own: log, signals, timers, listener, relay, discovery, health checks; some to spare.
+/// Minimum number of descriptors reserved for the log, signals, timers, the listener, the relay, discovery and health
+/// checks.
 pub const RESERVED_DESCRIPTORS: usize = 64;
-/// KiB that a connection of a proxy takes at most: its window, a message in the making, responses, and what HTTP/2 keeps.
+/// Upper bound on the memory of a proxy connection in KiB: flow-control window, a partial message, responses and HTTP/2
+/// state.
 pub const GRPC_CONNECTION_KIB: usize = 64 + GRPC_MESSAGE_KIB + 32;
 
-/// More connections than this are never of use.
+/// Upper bound on connections at the listening address, whatever the descriptor limit.
 const MAX_INBOUND: usize = 256;
 const MAX_COLLECTORS: usize = 64;
-/// Connections at the director's own address where proxies come by gRPC.
+/// Upper bound on connections at the listening address if proxies connect by gRPC.
 const MAX_INBOUND_BESIDE_GRPC: usize = 64;
-/// KiB of a proxy's message: a report on 30 hosts in four classes takes 16.
+/// Size limit for a message of a proxy in KiB; a load report on 30 hosts and four classes takes 16 KiB.
 const GRPC_MESSAGE_KIB: usize = 64;
-/// Streams to a connection: tables, loads, and their successors while a proxy changes over.
+/// One stream for tables and one for load reports, doubled to let a proxy open replacements before it closes them.
 const STREAMS_PER_CONNECTION: usize = 4;
 const MAX_UNIDENTIFIED_STREAMS: usize = 256;
-/// MB of memory beyond which a session does not grow any more.
+/// Memory limit in MiB above which [`SessionLimits`] do not increase further.
 const MAX_SESSION_MEMORY_MB: f64 = 1024.0;
-/// MB of memory beyond which nothing grows any more.
+/// Memory limit in MiB above which [`GrpcLimits`] do not increase further.
 const MAX_GRPC_MEMORY_MB: f64 = 16_384.0;
-/// MB that the smallest process is taken to have, and one without a limit where proxies come by gRPC.
+/// Smallest memory limit in MiB that bounds are derived from.
 const MIN_MEMORY_MB: f64 = 8.0;
+/// Memory in MiB that bounds are derived from if the process has no limit.
 const UNLIMITED_MEMORY_MB: f64 = 1024.0;
 
 impl ProcessLimits {
-    /// What a session may hold without gRPC.
+    /// Returns the bounds of a session whose proxies are all reached by the relay.
     pub fn session_limits(self) -> SessionLimits {
         let kib = self.memory_kib(MAX_SESSION_MEMORY_MB);
         let max_inbound = self
             .descriptors
             .saturating_sub(self.reserved_descriptors())
             .clamp(16, MAX_INBOUND);
-        // A message that is not complete takes up to 1 MiB.
+        // An incomplete message of a collector takes up to 1 MiB.
         let max_collectors = (kib / 4 / 1024)
             .clamp(4, MAX_COLLECTORS)
             .min(max_inbound / 2);
@@ -86,38 +90,45 @@
         }
     }
 
-    /// What a session may hold beside gRPC.
+    /// Returns the bounds of a session that runs next to a gRPC server.
     pub fn session_limits_with_grpc(self) -> SessionLimits {
-        let alone = self.session_limits();
-        let max_inbound = alone
+        let without_grpc = self.session_limits();
+        let max_inbound = without_grpc
             .max_inbound
             .min(MAX_INBOUND_BESIDE_GRPC)
             .min(self.descriptors / 4)
             .max(8);
-        let max_collectors = (alone.max_buffered_kib / 1024)
+        let max_collectors = (without_grpc.max_buffered_kib / 1024)
             .clamp(4, MAX_COLLECTORS)
             .min(max_inbound / 2);
         SessionLimits {
             max_inbound,
             max_collectors,
-            ..alone
+            ..without_grpc
         }
     }
 
-    /// What gRPC may hold. `allowed_streams` is what an operator allows, `request_host_reports` whether hosts are asked for their load.
+    /// Returns the bounds of the gRPC server. `allowed_streams` is the limit set by the operator, if any;
+    /// `request_host_reports` reserves descriptors for load report streams to hosts.
     pub fn grpc_limits(
         self,
         allowed_streams: Option<usize>,
         request_host_reports: bool,
     ) -> GrpcLimits {
-        // What proxies may take follows the whole limit: an install of thousands has it.
+        // Deployments with thousands of proxies need more than a session may use.
         let kib = self.memory_kib(MAX_GRPC_MEMORY_MB);
         let max_inbound = self.session_limits_with_grpc().max_inbound;
-        let free = self
+        let available = self
             .descriptors
             .saturating_sub(self.reserved_descriptors() + max_inbound);
-        let for_hosts = if request_host_reports { free / 4 } else { 0 };
-        let max_connections = (kib / 4 / GRPC_CONNECTION_KIB).min(free - for_hosts).max(4);
+        let for_hosts = if request_host_reports {
+            available / 4
+        } else {
+            0
+        };
+        let max_connections = (kib / 4 / GRPC_CONNECTION_KIB)
+            .min(available - for_hosts)
+            .max(4);
         let max_streams =
             (STREAMS_PER_CONNECTION * max_connections).min(allowed_streams.unwrap_or(usize::MAX));
         GrpcLimits {
@@ -140,7 +151,7 @@
         (mb * 1024.0) as usize
     }
 
-    /// Descriptors that stay for the director's own.
+    /// Descriptors that are not available to inbound connections, proxies or hosts.
     fn reserved_descriptors(self) -> usize {
         RESERVED_DESCRIPTORS.max(self.descriptors / 4)
     }
--- a/crates/director/director-state/src/membership.rs
+++ b/crates/director/director-state/src/membership.rs
@@ -1,4 +1,4 @@
-//! Who is joined at the relay, as its notifications tell, and what may have changed while there were none.
+//! Proxies joined at the relay, tracked from its notifications and reconciled after a gap in them.
 
 use crate::counter::Counter;
 use crate::effect::Severity;
@@ -8,22 +8,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Without notifications for no longer than this, no proxy can have left and come back: a new stream takes longer to
-/// dial.
-const SAFE_GAP: Duration = Duration::from_millis(150);
+/// Longest gap in notifications within which no proxy can have left and rejoined, because dialling a new stream takes
+/// longer.
+const MAX_SAFE_GAP: Duration = Duration::from_millis(150);
 
-/// What the relay tells of a proxy that is joined.
+/// A proxy as announced by the relay.
 #[derive(Clone, Copy)]
-pub(crate) struct ProxyNotice {
+pub(crate) struct JoinNotice {
     pub(crate) proxy: ProxyId,
     pub(crate) zone: ZoneId,
     pub(crate) rate: f64,
-    /// It holds no table that was ordered.
+    /// The proxy holds no table ordered by a director, as after its start.
     pub(crate) is_fresh: bool,
 }
 
-impl ProxyNotice {
-    fn event(self) -> Event {
+impl JoinNotice {
+    fn joined_event(self) -> Event {
         Event::ProxyJoined {
             proxy: self.proxy,
             zone: self.zone,
@@ -34,81 +34,82 @@
     }
 }
 
-fn left(proxy: ProxyId) -> Event {
+fn left_event(proxy: ProxyId) -> Event {
     Event::ProxyLeft {
         proxy,
         channel: Channel::Shared,
     }
 }
 
-/// A proxy that is joined at the relay.
+/// State kept for a proxy that is joined at the relay.
 struct JoinedProxy {
     zone: ZoneId,
     rate: f64,
-    /// It has applied an order of this director since it joined.
+    /// The proxy has acknowledged a call of this director since it joined.
     has_applied: bool,
 }
 
 #[derive(Default)]
 pub(crate) struct Membership {
     joined: BTreeMap<ProxyId, JoinedProxy>,
-    /// Proxies that the watch has named since it stands.
-    named: BTreeSet<ProxyId>,
-    /// Since when notifications may be missing.
+    /// Proxies announced by the current watch.
+    announced: BTreeSet<ProxyId>,
+    /// Start of the gap in notifications; `None` if none were missed.
     gap_since: Option<Ms>,
 }
 
 impl Membership {
-    /// Proxies that are joined.
     pub(crate) fn count(&self) -> usize {
         self.joined.len()
     }
 
-    /// Notifications may be missing from this moment on.
+    /// Marks notifications as possibly missed from `since` on, unless a gap has begun before.
     pub(crate) fn begin_gap(&mut self, since: Ms) {
         self.gap_since.get_or_insert(since);
     }
 
-    /// A new watch stands: it names all proxies that are joined first.
-    pub(crate) fn begin_initial_set(&mut self) {
-        self.named.clear();
+    /// Starts the snapshot of a new watch, in which the relay announces all joined proxies.
+    pub(crate) fn begin_snapshot(&mut self) {
+        self.announced.clear();
     }
 
-    /// A proxy has joined.
-    pub(crate) fn join(&mut self, context: &mut StepContext, notice: ProxyNotice) {
-        self.named.insert(notice.proxy);
+    /// Handles a join outside a snapshot. A proxy that was joined already must have left and rejoined.
+    pub(crate) fn join(&mut self, context: &mut StepContext, notice: JoinNotice) {
+        self.announced.insert(notice.proxy);
         if self.insert(notice).is_some() {
-            context.emit(left(notice.proxy));
+            context.emit(left_event(notice.proxy));
         }
-        context.emit(notice.event());
+        context.emit(notice.joined_event());
     }
 
-    /// A new watch names a proxy that is joined. It may have stayed all the time, or have left and come back.
-    pub(crate) fn join_in_initial_set(&mut self, context: &mut StepContext, notice: ProxyNotice) {
-        self.named.insert(notice.proxy);
+    /// Handles a proxy announced in a snapshot, which may have stayed joined during the gap or have left and rejoined.
+    pub(crate) fn join_in_snapshot(&mut self, context: &mut StepContext, notice: JoinNotice) {
+        self.announced.insert(notice.proxy);
         let gap = self.gap_since.map_or(0.0, |since| context.now - since);
         match self.insert(notice) {
-            None => context.emit(notice.event()),
-            // It holds nothing of what it had applied: it has started anew.
-            Some(former) if notice.is_fresh && former.has_applied => {
-                context.emit(left(notice.proxy));
-                context.emit(notice.event());
+            None => context.emit(notice.joined_event()),
+            // It lost the tables that it had applied, so it has restarted.
+            Some(previous) if notice.is_fresh && previous.has_applied => {
+                context.emit(left_event(notice.proxy));
+                context.emit(notice.joined_event());
             }
-            // That it still stands here says nothing of one that has joined by a stream since.
-            Some(former) if gap <= millis(SAFE_GAP) || context.events.is_streamed(notice.proxy) => {
-                self.joined.insert(notice.proxy, former);
+            // It cannot have rejoined, or it is reached by a dedicated stream, which takes precedence.
+            Some(previous)
+                if gap <= millis(MAX_SAFE_GAP) || context.events.is_streamed(notice.proxy) =>
+            {
+                self.joined.insert(notice.proxy, previous);
             }
-            // It may have left and come back unseen: then it is bound to none of the tables. It is bound anew, and what
-            // was written to it counts on.
+            // It may have rejoined and lost its bindings. Without a leave event the policy binds it again and keeps its
+            // count of messages sent to the proxy.
             Some(_) => {
                 context.count(Counter::ProxiesRebound);
-                context.emit(notice.event());
+                context.emit(notice.joined_event());
             }
         }
     }
 
-    /// Remembers a proxy as it is told; returns what was known of it.
-    fn insert(&mut self, notice: ProxyNotice) -> Option<JoinedProxy> {
+    /// Stores a proxy as announced; returns its previous state.
+    fn insert(&mut self, notice: JoinNotice) -> Option<JoinedProxy> {
         let joined = JoinedProxy {
             zone: notice.zone,
             rate: notice.rate,
@@ -117,14 +118,14 @@
         self.joined.insert(notice.proxy, joined)
     }
 
-    /// A proxy has left.
+    /// Handles a leave; ignored for a proxy that is not joined.
     pub(crate) fn leave(&mut self, context: &mut StepContext, proxy: ProxyId) {
         if self.joined.remove(&proxy).is_some() {
-            context.emit(left(proxy));
+            context.emit(left_event(proxy));
         }
     }
 
-    /// A proxy has applied a call.
+    /// Handles the acknowledgement of a call, which may come from a proxy that has left since.
     pub(crate) fn acknowledge(
         &mut self,
         context: &mut StepContext,
@@ -144,29 +145,29 @@
         }
     }
 
-    /// A proxy that had joined by a stream has left that: it is joined here alone, if it still is.
+    /// Emits a join event for a proxy whose dedicated stream ended, if it is still joined at the relay.
     pub(crate) fn rejoin(&self, context: &mut StepContext, proxy: ProxyId) {
         if let Some(joined) = self.joined.get(&proxy) {
-            let notice = ProxyNotice {
+            let notice = JoinNotice {
                 proxy,
                 zone: joined.zone,
                 rate: joined.rate,
                 is_fresh: false,
             };
-            context.emit(notice.event());
+            context.emit(notice.joined_event());
         }
     }
 
-    /// The new watch has named all: who was not named has left.
-    pub(crate) fn complete_initial_set(&mut self, context: &mut StepContext) {
+    /// Ends the snapshot and the gap. Joined proxies that were not announced have left.
+    pub(crate) fn complete_snapshot(&mut self, context: &mut StepContext) {
         let gone: Vec<ProxyId> = self
             .joined
             .keys()
-            .filter(|proxy| !self.named.contains(proxy))
+            .filter(|proxy| !self.announced.contains(proxy))
             .copied()
             .collect();
         if let Some(since) = self.gap_since.take() {
-            let (gap, joined) = (context.now - since, self.named.len());
+            let (gap, joined) = (context.now - since, self.announced.len());
             context.log(Severity::Info, "watch restored", || {
                 format!(
                     "after {gap:.0} ms; {joined} proxies stand, {} are gone",
--- a/crates/director/director-state/src/membership_watch.rs
+++ b/crates/director/director-state/src/membership_watch.rs
@@ -1,10 +1,11 @@
-//! The watch of the relay: it notifies of proxies that join, leave or apply what was ordered, and sends signs of life.
+//! Watch of the relay: a connection on which it announces the joined proxies, notifies of joins, leaves and applied calls,
+//! and sends keep-alives.
 
 use crate::counter::Counter;
 use crate::effect::{Effect, Severity};
 use crate::identifiers::{RelayConnectionId, RelayLink};
-use crate::membership::{Membership, ProxyNotice};
-use crate::relay_connection::{BUSY_DELAY, RelayConnection};
+use crate::membership::{JoinNotice, Membership};
+use crate::relay_connection::{REJECTION_DELAY, RelayConnection};
 use crate::step_context::StepContext;
 use crate::time::millis;
 use rushcourse_director_protocol::relay::{self, Notification, Reply};
@@ -12,16 +13,16 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long the relay may take to reply to a request to watch.
+/// Time limit for the reply to a watch request.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
-/// After this without a line the watch is given up: a sign of life comes each second.
+/// A watch without notifications for this long is considered lost; the relay sends a keep-alive every second.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2200);
-/// After this without a further line, the proxies that stand are taken to be all named.
-const INITIAL_SET_QUIET: Duration = Duration::from_millis(300);
-/// A watch that stood for longer is asked for again at once.
-const STABLE_AFTER: Duration = Duration::from_secs(1);
-/// How long acknowledgements are still read where the relay was, once the watch stands where it is now.
-const LAST_ACKS: Duration = Duration::from_secs(1);
+/// A snapshot is complete after this time without a further notification.
+const SNAPSHOT_QUIET_PERIOD: Duration = Duration::from_millis(300);
+/// After a watch that was established for longer than this, the next one is requested without backoff.
+const MIN_STABLE_TIME: Duration = Duration::from_secs(1);
+/// Time for which acknowledgements from the previous address are still read after its watch was replaced.
+const LATE_ACK_PERIOD: Duration = Duration::from_secs(1);
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum State {
@@ -34,8 +35,8 @@
     AwaitingReply {
         deadline: Ms,
     },
-    /// The proxies that stand are being named.
-    InitialSet {
+    /// The relay is announcing the proxies that are joined.
+    Snapshot {
         complete_at: Ms,
     },
     Live {
@@ -43,25 +44,26 @@
     },
 }
 
-/// The watch of a relay that has moved. It is read until the one at the new address stands, so that nothing is missed.
-struct FormerWatch {
+/// Watch at the previous address after an address change. It is read until the new watch is established, so that no
+/// notifications are missed.
+struct PreviousWatch {
     connection: RelayConnectionId,
-    /// It is given up then: as silent, or as all that is new stands at the new address.
+    /// Time at which the watch is closed, because it is silent or has been replaced.
     expires_at: Ms,
-    /// The watch at the new address stands: who joins or leaves is told there.
+    /// The watch at the new address is established; only acknowledgements are read from this one.
     is_replaced: bool,
 }
 
 pub(crate) struct MembershipWatch {
     state: State,
     connection: RelayConnection,
-    former: Option<FormerWatch>,
-    /// The relay is elsewhere; the connection that stands is still the one to where it was.
-    has_moved: bool,
+    previous: Option<PreviousWatch>,
+    /// The address changed and the current connection still uses the previous one.
+    has_address_changed: bool,
     membership: Membership,
-    /// When the watch came to stand.
+    /// Time at which the current watch was established; 0 before the first.
     established_at: Ms,
-    /// When the last line came; 0 before the first.
+    /// Time of the last notification; 0 before the first.
     last_line_at: Ms,
 }
 
@@ -70,36 +72,40 @@
         MembershipWatch {
             state: State::Disconnected { retry_at: 0.0 },
             connection: RelayConnection::new(RelayLink::Watch, relay),
-            former: None,
-            has_moved: false,
+            previous: None,
+            has_address_changed: false,
             membership: Membership::default(),
             established_at: 0.0,
             last_line_at: 0.0,
         }
     }
 
-    /// Proxies that are joined.
+    /// Number of proxies joined at the relay.
     pub(crate) fn joined_count(&self) -> usize {
         self.membership.count()
     }
 
-    /// Time since the last line, where there was one.
+    /// Time since the last notification; `None` before the first.
     pub(crate) fn age(&self, now: Ms) -> Option<Ms> {
         (self.last_line_at > 0.0).then_some(now - self.last_line_at)
     }
 
-    /// A proxy that had joined by a stream has left that, see [`Membership::rejoin`].
+    /// See [`Membership::rejoin`].
     pub(crate) fn rejoin(&self, context: &mut StepContext, proxy: ProxyId) {
         self.membership.rejoin(context, proxy);
     }
 
-    /// The relay is elsewhere from now on.
-    pub(crate) fn move_to(&mut self, relay: SocketAddr) {
+    /// Changes the relay's address. An established watch is kept until its replacement is established.
+    pub(crate) fn set_address(&mut self, relay: SocketAddr) {
         self.connection.address = relay;
-        self.has_moved = true;
+        self.has_address_changed = true;
     }
 
-    pub(crate) fn connected(&mut self, context: &mut StepContext, connection: RelayConnectionId) {
+    pub(crate) fn on_connected(
+        &mut self,
+        context: &mut StepContext,
+        connection: RelayConnectionId,
+    ) {
         if self.connection.is_current(connection) && matches!(self.state, State::Connecting { .. })
         {
             self.state = State::AwaitingReply {
@@ -109,7 +115,7 @@
         }
     }
 
-    pub(crate) fn disconnected(
+    pub(crate) fn on_disconnected(
         &mut self,
         context: &mut StepContext,
         connection: RelayConnectionId,
@@ -118,99 +124,97 @@
         if self.connection.is_current(connection)
             && !matches!(self.state, State::Disconnected { .. })
         {
-            self.lost(context, context.now, reason);
-        } else if self.is_former(connection) {
-            self.former_lost(context, context.now, reason);
+            self.on_lost(context, context.now, reason);
+        } else if self.is_previous(connection) {
+            self.on_previous_lost(context, context.now, reason);
         }
     }
 
-    pub(crate) fn line_received(
+    pub(crate) fn on_line(
         &mut self,
         context: &mut StepContext,
         connection: RelayConnectionId,
         line: &str,
         zones: &[String],
     ) {
-        if self.is_former(connection) {
-            return self.former_line(context, line, zones);
+        if self.is_previous(connection) {
+            return self.on_previous_line(context, line, zones);
         }
         if !self.connection.is_current(connection) {
             return;
         }
         match self.state {
             State::Disconnected { .. } | State::Connecting { .. } => {}
-            State::AwaitingReply { .. } => self.reply_received(context, line),
-            State::InitialSet { .. } | State::Live { .. } => {
-                match relay::parse_notification(line) {
-                    Some(notification) => self.notified(context, &notification, zones),
-                    None => self.unreadable(context, line),
-                }
-            }
+            State::AwaitingReply { .. } => self.on_reply(context, line),
+            State::Snapshot { .. } | State::Live { .. } => match relay::parse_notification(line) {
+                Some(notification) => self.on_notification(context, &notification, zones),
+                None => self.on_unreadable(context, line),
+            },
         }
     }
 
-    fn reply_received(&mut self, context: &mut StepContext, line: &str) {
+    fn on_reply(&mut self, context: &mut StepContext, line: &str) {
         match relay::parse_reply(line) {
-            Reply::Watching => self.established(context),
+            Reply::Watching => self.on_established(context),
             Reply::Busy => {
                 self.connection.disconnect(context);
                 self.state = State::Disconnected {
-                    retry_at: context.after(BUSY_DELAY),
+                    retry_at: context.after(REJECTION_DELAY),
                 };
             }
-            _ => self.unreadable(context, line),
+            _ => self.on_unreadable(context, line),
         }
     }
 
-    fn established(&mut self, context: &mut StepContext) {
+    fn on_established(&mut self, context: &mut StepContext) {
         self.established_at = context.now;
         self.last_line_at = context.now;
-        self.membership.begin_initial_set();
-        // From here on who joins or leaves is told by this watch.
-        if let Some(former) = &mut self.former {
-            former.expires_at = context.after(LAST_ACKS);
-            former.is_replaced = true;
+        self.membership.begin_snapshot();
+        // Joins and leaves are read from the new watch from here on.
+        if let Some(previous) = &mut self.previous {
+            previous.expires_at = context.after(LATE_ACK_PERIOD);
+            previous.is_replaced = true;
         }
-        self.state = State::InitialSet {
+        self.state = State::Snapshot {
             complete_at: context.after(SILENCE_TIMEOUT),
         };
     }
 
-    fn unreadable(&mut self, context: &mut StepContext, line: &str) {
+    fn on_unreadable(&mut self, context: &mut StepContext, line: &str) {
         self.connection.disconnect(context);
-        // All before this line was read: only from here on something is missing.
-        self.lost(context, context.now, &unreadable(line));
+        // All earlier notifications were read, so the gap begins now.
+        self.on_lost(context, context.now, &unreadable_reason(line));
     }
 
-    fn notified(
+    fn on_notification(
         &mut self,
         context: &mut StepContext,
         notification: &Notification,
         zones: &[String],
     ) {
-        let is_initial = matches!(self.state, State::InitialSet { .. });
-        if is_initial && !matches!(notification, Notification::ProxyJoined { .. }) {
-            self.complete_initial_set(context);
+        let in_snapshot = matches!(self.state, State::Snapshot { .. });
+        if in_snapshot && !matches!(notification, Notification::ProxyJoined { .. }) {
+            self.complete_snapshot(context);
         }
         self.last_line_at = context.now;
         self.state = match self.state {
-            State::InitialSet { .. } => State::InitialSet {
-                complete_at: context.after(INITIAL_SET_QUIET),
+            State::Snapshot { .. } => State::Snapshot {
+                complete_at: context.after(SNAPSHOT_QUIET_PERIOD),
             },
             _ => State::Live {
                 expires_at: context.after(SILENCE_TIMEOUT),
             },
         };
-        self.apply(context, notification, zones, is_initial);
+        self.apply(context, notification, zones, in_snapshot);
     }
 
-    /// `is_initial`: the watch named the proxies that stand until now.
+    /// Applies a notification; `in_snapshot` if the watch was announcing the joined proxies when it arrived.
     fn apply(
         &mut self,
         context: &mut StepContext,
         notification: &Notification,
         zones: &[String],
-        is_initial: bool,
+        in_snapshot: bool,
     ) {
         match *notification {
             Notification::ProxyJoined {
@@ -225,14 +229,14 @@
                         format!("{proxy} in unknown zone {zone}")
                     });
                 };
-                let notice = ProxyNotice {
+                let notice = JoinNotice {
                     proxy,
                     zone,
                     rate,
                     is_fresh,
                 };
-                if is_initial {
-                    self.membership.join_in_initial_set(context, notice);
+                if in_snapshot {
+                    self.membership.join_in_snapshot(context, notice);
                 } else {
                     self.membership.join(context, notice);
                 }
@@ -250,17 +254,18 @@
         }
     }
 
-    fn complete_initial_set(&mut self, context: &mut StepContext) {
-        self.membership.complete_initial_set(context);
+    fn complete_snapshot(&mut self, context: &mut StepContext) {
+        self.membership.complete_snapshot(context);
         self.state = State::Live {
             expires_at: context.after(SILENCE_TIMEOUT),
         };
     }
 
-    /// Notifications may be missing from `since` on.
-    fn lost(&mut self, context: &mut StepContext, since: Ms, reason: &str) {
-        let stood = matches!(self.state, State::InitialSet { .. } | State::Live { .. });
-        let was_stable = stood && context.now - self.established_at > millis(STABLE_AFTER);
+    /// Schedules a new watch after the current one failed. Notifications may be missing from `since` on.
+    fn on_lost(&mut self, context: &mut StepContext, since: Ms, reason: &str) {
+        let was_established = matches!(self.state, State::Snapshot { .. } | State::Live { .. });
+        let was_stable =
+            was_established && context.now - self.established_at > millis(MIN_STABLE_TIME);
         let retry_at = if was_stable {
             self.connection.backoff.reset();
             context.now
@@ -268,7 +273,11 @@
             context.after(self.connection.backoff.next_delay())
         };
         self.state = State::Disconnected { retry_at };
-        if self.former.as_ref().is_none_or(|former| former.is_replaced) {
+        if self
+            .previous
+            .as_ref()
+            .is_none_or(|previous| previous.is_replaced)
+        {
             self.membership.begin_gap(since);
         }
         context.count(Counter::WatchesLost);
@@ -277,15 +286,15 @@
         });
     }
 
-    fn is_former(&self, connection: RelayConnectionId) -> bool {
-        self.former
+    fn is_previous(&self, connection: RelayConnectionId) -> bool {
+        self.previous
             .as_ref()
-            .is_some_and(|former| former.connection == connection)
+            .is_some_and(|previous| previous.connection == connection)
     }
 
-    /// A line came where the relay was before.
-    fn former_line(&mut self, context: &mut StepContext, line: &str, zones: &[String]) {
-        let Some(former) = &mut self.former else {
+    /// Handles a notification from the previous address. After its replacement only acknowledgements are used.
+    fn on_previous_line(&mut self, context: &mut StepContext, line: &str, zones: &[String]) {
+        let Some(previous) = &mut self.previous else {
             return;
         };
         match relay::parse_notification(line) {
@@ -296,65 +305,69 @@
             }) => self
                 .membership
                 .acknowledge(context, proxy, ack_number, elapsed),
-            Some(_) if former.is_replaced => {}
+            Some(_) if previous.is_replaced => {}
             Some(notification) => {
-                former.expires_at = context.after(SILENCE_TIMEOUT);
+                previous.expires_at = context.after(SILENCE_TIMEOUT);
                 self.last_line_at = context.now;
                 self.apply(context, &notification, zones, false);
             }
             None => {
-                let connection = former.connection;
+                let connection = previous.connection;
                 context.request(Effect::DisconnectRelay { connection });
-                self.former_lost(context, context.now, &unreadable(line));
+                self.on_previous_lost(context, context.now, &unreadable_reason(line));
             }
         }
     }
 
-    /// The former watch has ended. While the new one does not stand yet, notifications may be missing from `since` on.
-    fn former_lost(&mut self, context: &mut StepContext, since: Ms, reason: &str) {
-        if let Some(former) = self.former.take().filter(|former| !former.is_replaced) {
+    /// Drops the previous watch after it failed. If it was not replaced yet, notifications may be missing from `since` on.
+    fn on_previous_lost(&mut self, context: &mut StepContext, since: Ms, reason: &str) {
+        if let Some(previous) = self
+            .previous
+            .take()
+            .filter(|previous| !previous.is_replaced)
+        {
             self.membership.begin_gap(since);
             context.count(Counter::WatchesLost);
-            let generation = former.connection.generation;
+            let generation = previous.connection.generation;
             context.log(Severity::Warning, "watch lost", || {
-                format!("{reason} (watch {generation}, of before the reload)")
+                format!("{reason} (watch {generation}, opened before the reload)")
             });
         }
     }
 
-    fn disconnect_former(&mut self, context: &mut StepContext) {
-        if let Some(former) = self.former.take() {
-            let connection = former.connection;
+    fn disconnect_previous(&mut self, context: &mut StepContext) {
+        if let Some(previous) = self.previous.take() {
+            let connection = previous.connection;
             context.request(Effect::DisconnectRelay { connection });
         }
     }
 
-    /// Does what is due; returns when it wants to be called again.
+    /// Handles expired deadlines of the current and the previous watch; returns the next deadline.
     pub(crate) fn advance(&mut self, context: &mut StepContext) -> Option<Ms> {
-        if let Some(former) = &self.former
-            && context.now >= former.expires_at
+        if let Some(previous) = &self.previous
+            && context.now >= previous.expires_at
         {
-            let connection = former.connection;
+            let connection = previous.connection;
             context.request(Effect::DisconnectRelay { connection });
-            self.former_lost(context, self.last_line_at, "no sign of life");
+            self.on_previous_lost(context, self.last_line_at, "no sign of life");
         }
         let next = self.advance_current(context);
-        let former = self.former.as_ref().map(|former| former.expires_at);
-        next.into_iter().chain(former).reduce(f64::min)
+        let previous = self.previous.as_ref().map(|previous| previous.expires_at);
+        next.into_iter().chain(previous).reduce(f64::min)
     }
 
     fn advance_current(&mut self, context: &mut StepContext) -> Option<Ms> {
         let now = context.now;
         loop {
-            // A set of proxies that is being named is read to its end first.
-            if self.has_moved && !matches!(self.state, State::InitialSet { .. }) {
-                self.leave_former_address(context);
+            // A snapshot in progress is completed first.
+            if self.has_address_changed && !matches!(self.state, State::Snapshot { .. }) {
+                self.leave_previous_address(context);
             }
             match self.state {
                 State::Disconnected { retry_at: next }
                 | State::Connecting { deadline: next }
                 | State::AwaitingReply { deadline: next }
-                | State::InitialSet { complete_at: next }
+                | State::Snapshot { complete_at: next }
                 | State::Live { expires_at: next }
                     if now < next =>
                 {
@@ -365,27 +378,27 @@
                         deadline: self.connection.connect(context),
                     };
                 }
-                State::InitialSet { .. } => self.complete_initial_set(context),
+                State::Snapshot { .. } => self.complete_snapshot(context),
                 State::Connecting { .. } | State::AwaitingReply { .. } => {
-                    self.timed_out(context, "no watch in time");
+                    self.on_timeout(context, "watch not established in time");
                 }
-                State::Live { .. } => self.timed_out(context, "no sign of life"),
+                State::Live { .. } => self.on_timeout(context, "no sign of life"),
             }
         }
     }
 
-    fn timed_out(&mut self, context: &mut StepContext, reason: &str) {
+    fn on_timeout(&mut self, context: &mut StepContext, reason: &str) {
         self.connection.disconnect(context);
-        self.lost(context, self.last_line_at, reason);
+        self.on_lost(context, self.last_line_at, reason);
     }
 
-    /// Watches at the new address; a watch that stands is read until the new one does.
-    fn leave_former_address(&mut self, context: &mut StepContext) {
-        self.has_moved = false;
+    /// Starts a watch at the new address. An established watch is kept as the previous one until then.
+    fn leave_previous_address(&mut self, context: &mut StepContext) {
+        self.has_address_changed = false;
         self.connection.backoff.reset();
         if let State::Live { expires_at } = self.state {
-            self.disconnect_former(context);
-            self.former = Some(FormerWatch {
+            self.disconnect_previous(context);
+            self.previous = Some(PreviousWatch {
                 connection: self.connection.current(),
                 expires_at,
                 is_replaced: false,
@@ -399,7 +412,7 @@
     }
 }
 
-/// Why a watch is given up that sent this line.
-fn unreadable(line: &str) -> String {
+/// Log text for a watch that is closed because of this line.
+fn unreadable_reason(line: &str) -> String {
     format!("a notification can't be read ({line:.60?})")
 }
--- a/crates/director/director-state/src/relay_client.rs
+++ b/crates/director/director-state/src/relay_client.rs
@@ -1,4 +1,4 @@
-//! The relay, over two connections: calls on one, notifications on the other.
+//! Client of the relay, with one connection for calls and one for notifications.
 
 use crate::call_sender::CallSender;
 use crate::identifiers::{RelayConnectionId, RelayLink};
@@ -13,28 +13,33 @@
 }
 
 impl RelayClient {
-    /// `max_call_bytes`: how much of calls may wait.
-    pub(crate) fn new(relay: SocketAddr, max_call_bytes: usize) -> RelayClient {
+    /// `max_queued_call_bytes` bounds the orders of queued calls.
+    pub(crate) fn new(relay: SocketAddr, max_queued_call_bytes: usize) -> RelayClient {
         RelayClient {
-            calls: CallSender::new(relay, max_call_bytes),
+            calls: CallSender::new(relay, max_queued_call_bytes),
             watch: MembershipWatch::new(relay),
         }
     }
 
-    /// The relay is elsewhere from now on. What stands is kept until its successor does.
-    pub(crate) fn move_to(&mut self, relay: SocketAddr) {
-        self.calls.move_to(relay);
-        self.watch.move_to(relay);
+    /// Changes the relay's address. The call connection is replaced when no call is in flight, the watch when a new one is
+    /// established.
+    pub(crate) fn set_address(&mut self, relay: SocketAddr) {
+        self.calls.set_address(relay);
+        self.watch.set_address(relay);
     }
 
-    pub(crate) fn connected(&mut self, context: &mut StepContext, connection: RelayConnectionId) {
+    pub(crate) fn on_connected(
+        &mut self,
+        context: &mut StepContext,
+        connection: RelayConnectionId,
+    ) {
         match connection.link {
-            RelayLink::Calls => self.calls.connected(context, connection),
-            RelayLink::Watch => self.watch.connected(context, connection),
+            RelayLink::Calls => self.calls.on_connected(context, connection),
+            RelayLink::Watch => self.watch.on_connected(context, connection),
         }
     }
 
-    pub(crate) fn line_received(
+    pub(crate) fn on_line(
         &mut self,
         context: &mut StepContext,
         connection: RelayConnectionId,
@@ -42,42 +47,43 @@
         zones: &[String],
     ) {
         match connection.link {
-            RelayLink::Calls => self.calls.line_received(context, connection, line),
+            RelayLink::Calls => self.calls.on_line(context, connection, line),
             RelayLink::Watch => {
-                self.watch.line_received(context, connection, line, zones);
+                self.watch.on_line(context, connection, line, zones);
                 for ack_number in context.take_acknowledged() {
-                    self.calls.acknowledged(context, ack_number);
+                    self.calls.on_acknowledged(context, ack_number);
                 }
             }
         }
     }
 
-    pub(crate) fn written(&mut self, context: &StepContext, connection: RelayConnectionId) {
+    pub(crate) fn on_written(&mut self, context: &StepContext, connection: RelayConnectionId) {
         match connection.link {
-            RelayLink::Calls => self.calls.written(context, connection),
+            RelayLink::Calls => self.calls.on_written(context, connection),
             RelayLink::Watch => {}
         }
     }
 
-    pub(crate) fn disconnected(
+    pub(crate) fn on_disconnected(
         &mut self,
         context: &mut StepContext,
         connection: RelayConnectionId,
         reason: &str,
     ) {
         match connection.link {
-            RelayLink::Calls => self.calls.disconnected(context, connection, reason),
-            RelayLink::Watch => self.watch.disconnected(context, connection, reason),
+            RelayLink::Calls => self.calls.on_disconnected(context, connection, reason),
+            RelayLink::Watch => self.watch.on_disconnected(context, connection, reason),
         }
     }
 
-    /// Does what is due; returns when it wants to be called again. `may_repeat` is the policy's decision on a call.
+    /// Handles expired deadlines of both connections; returns the next deadline. `may_resend` is passed to
+    /// [`CallSender::advance`].
     pub(crate) fn advance(
         &mut self,
         context: &mut StepContext,
-        may_repeat: impl Fn(AckNumber) -> bool,
+        may_resend: impl Fn(AckNumber) -> bool,
     ) -> Option<Ms> {
-        let calls = self.calls.advance(context, may_repeat);
+        let calls = self.calls.advance(context, may_resend);
         let watch = self.watch.advance(context);
         calls.into_iter().chain(watch).reduce(f64::min)
     }
--- a/crates/director/director-state/src/relay_connection.rs
+++ b/crates/director/director-state/src/relay_connection.rs
@@ -1,5 +1,5 @@
-//! What calls and notifications have in common: one connection to the relay at a time, told from earlier ones by its
-//! generation, and delays between attempts to connect.
+//! Connection state shared by the call sender and the membership watch: the identifier of the current connection, the
+//! address and the backoff between attempts to connect.
 
 use crate::backoff::Backoff;
 use crate::effect::Effect;
@@ -10,15 +10,15 @@
 use std::time::Duration;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// First and longest delay between attempts to connect.
-const FIRST_DELAY: Duration = Duration::from_millis(10);
+/// Bounds of the backoff between attempts to connect.
+const INITIAL_DELAY: Duration = Duration::from_millis(10);
 const MAX_DELAY: Duration = Duration::from_millis(400);
-/// How long to wait after the relay rejected something with `BUSY`, as its run has not begun.
-pub(crate) const BUSY_DELAY: Duration = Duration::from_millis(100);
+/// Delay before a request that the relay rejected, usually with `BUSY` because it is starting, is sent again.
+pub(crate) const REJECTION_DELAY: Duration = Duration::from_millis(100);
 
 pub(crate) struct RelayConnection {
     current: RelayConnectionId,
-    /// Where the relay is; holds from the next connection on.
+    /// Address for the next attempt to connect; an existing connection may use an earlier one.
     pub(crate) address: SocketAddr,
     pub(crate) backoff: Backoff,
 }
@@ -31,21 +31,21 @@
                 generation: 0,
             },
             address,
-            backoff: Backoff::new(FIRST_DELAY, MAX_DELAY),
+            backoff: Backoff::new(INITIAL_DELAY, MAX_DELAY),
         }
     }
 
-    /// The connection that stands or is being established.
+    /// Identifier of the latest connection, whether established, pending or closed; generation 0 before the first.
     pub(crate) fn current(&self) -> RelayConnectionId {
         self.current
     }
 
-    /// Whether something belongs to the connection that stands or is being established, not to an earlier one.
+    /// Whether an input belongs to the latest connection rather than an earlier one.
     pub(crate) fn is_current(&self, connection: RelayConnectionId) -> bool {
         connection == self.current
     }
 
-    /// Connects anew; returns the moment until which that may take.
+    /// Requests a new connection with the next generation; returns the deadline for establishing it.
     pub(crate) fn connect(&mut self, context: &mut StepContext) -> Ms {
         self.current.generation += 1;
         context.request(Effect::ConnectRelay {
--- a/crates/director/director-state/src/report_validation.rs
+++ b/crates/director/director-state/src/report_validation.rs
@@ -1,4 +1,4 @@
-//! The one place that checks reports: a report reaches the policy whole or not at all, as it came.
+//! Validation of collector reports. A report is passed to the policy unchanged, or rejected as a whole.
 
 use crate::endpoint_table::EndpointTable;
 use rushcourse_director_protocol::frames::{HostReport, TrafficReport};
@@ -7,7 +7,7 @@
 use rushcourse_policy::interface::{Event, HostId, Ms, Settings, ZoneId};
 use std::fmt;
 
-/// Why a report does not reach the policy. Shown by the names of the platform's protocol.
+/// Reason for rejecting a report. Messages use the field names of the platform's protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ReportError {
     UnknownZone,
@@ -21,11 +21,11 @@
 impl fmt::Display for ReportError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ReportError::UnknownZone => "az is no known zone",
-            ReportError::UnknownClass => "kind is no known class",
-            ReportError::UnknownProxy => "sidecar is no proxy",
+            ReportError::UnknownZone => "unknown zone in az",
+            ReportError::UnknownClass => "unknown class in kind",
+            ReportError::UnknownProxy => "unknown proxy in sidecar",
             ReportError::OutOfRange(number) => number.reason(),
-            ReportError::MoreFailedThanAttempts => "bad is more than n",
+            ReportError::MoreFailedThanAttempts => "bad exceeds n",
             ReportError::ImplausibleMean => "avg is out of range",
         })
     }
@@ -37,7 +37,7 @@
     }
 }
 
-/// Checks reports against what they may speak of.
+/// Validates reports against the configured names and settings and the listed hosts.
 pub(crate) struct ReportValidator<'a> {
     pub(crate) names: &'a Names,
     pub(crate) settings: &'a Settings,
@@ -45,17 +45,16 @@
 }
 
 impl ReportValidator<'_> {
-    /// A zone by its name.
     pub(crate) fn zone(&self, name: &str) -> Option<ZoneId> {
         self.names.zones.iter().position(|zone| zone == name)
     }
 
-    /// A host by its name, if a list names it.
+    /// Looks up a host by name; `None` if it is not listed.
     pub(crate) fn host(&self, name: &str) -> Option<HostId> {
         self.hosts.find(name)
     }
 
-    /// What proxies met at a host that a list names.
+    /// Converts a report on the attempts that proxies of a zone made at `host`.
     pub(crate) fn host_report(
         &self,
         report: HostReport,
@@ -63,8 +62,7 @@
     ) -> Result<Event, ReportError> {
         let zone = self.zone(&report.zone).ok_or(ReportError::UnknownZone)?;
         report_limits::check_counts(report.attempts, report.failed, report.span)?;
-        // Failed attempts are a part of the attempts; of a traffic report they are not: what fails there was admitted
-        // earlier, or not at all.
+        // Does not apply to traffic reports, whose failed requests may have been admitted in an earlier period.
         if report.failed > report.attempts {
             return Err(ReportError::MoreFailedThanAttempts);
         }
@@ -79,7 +77,7 @@
         })
     }
 
-    /// The mean time of successful attempts; 0 where there are none.
+    /// Mean latency of successful attempts; 0 if no attempt succeeded.
     fn mean_latency(&self, report: &HostReport) -> Result<Ms, ReportError> {
         match report.mean_latency {
             Some(mean) if report_limits::is_plausible_mean(mean, self.settings) => Ok(mean),
@@ -88,7 +86,7 @@
         }
     }
 
-    /// What clients sent to a proxy.
+    /// Converts a report on the requests that a proxy received from clients.
     pub(crate) fn traffic_report(&self, report: &TrafficReport) -> Result<Event, ReportError> {
         let mut classes = self.names.classes.iter();
         let class = classes
--- a/crates/director/director-state/src/session/deadlines.rs
+++ b/crates/director/director-state/src/session/deadlines.rs
@@ -1,4 +1,4 @@
-//! What is due by time.
+//! Handling of expired deadlines and scheduling of the next wake-up.
 
 use super::{Phase, Session};
 use crate::effect::Effect;
@@ -6,33 +6,37 @@
 use rushcourse_policy::interface::{Event, Ms};
 use std::time::Duration;
 
-/// How often the log is told how the session stands.
+/// Interval between status lines in the log.
 const STATUS_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Session {
-    /// The time of the next status line.
     pub(super) fn next_status(&self) -> Ms {
         self.context.now + millis(STATUS_INTERVAL)
     }
 
-    /// Does all that is due, and asks to be woken for what comes next. Before the start nothing is.
+    /// Handles all expired deadlines and schedules the next wake-up. Does nothing before the session is started.
     pub(super) fn advance(&mut self) {
         if matches!(self.phase, Phase::Created { .. }) {
             return;
         }
         self.fire_timers();
         let status = self.advance_status();
-        // While many calls wait, events wait too; but those that may not be dropped stay bounded as well.
-        let may_ask = self
+        // Events are held back while the call queue is full, unless the event queue is full as well: not all kinds of
+        // events may be dropped.
+        let may_run_batch = self
             .relay
             .calls
-            .has_room(self.context.events.has_streamed())
+            .has_room(self.context.events.has_streamed_proxies())
             || self.context.events.is_full();
-        if may_ask && self.batch_due().is_some_and(|at| self.context.now >= at) {
+        if may_run_batch
+            && self
+                .batch_deadline()
+                .is_some_and(|at| self.context.now >= at)
+        {
             self.run_batch();
         }
         let streams = self.advance_streams();
-        let timer = self.timers.next();
+        let timer = self.timers.next_deadline();
         let relay = self.advance_relay();
         let due = [
             relay,
@@ -40,8 +44,8 @@
             Some(self.discovery.advance(&mut self.context)),
             self.inbound.advance(&mut self.context),
             self.reload.advance(&mut self.context),
-            // What the parts above had to tell the policy waits for an interval too.
-            self.batch_due().filter(|_| may_ask),
+            // Evaluated last, because the calls above may have queued events.
+            self.batch_deadline().filter(|_| may_run_batch),
             timer,
             status,
         ];
@@ -55,7 +59,7 @@
         }
     }
 
-    /// Tells the log how the session stands, if it is time; returns when it is next told.
+    /// Logs the status line if it is due; returns the time of the next one.
     fn advance_status(&mut self) -> Option<Ms> {
         let Phase::Running { next_status } = self.phase else {
             return None;
@@ -69,8 +73,8 @@
         Some(next_status)
     }
 
-    /// When the policy is asked about the events that wait.
-    fn batch_due(&self) -> Option<Ms> {
+    /// Time at which the policy is run on the queued events; `None` if there are none.
+    fn batch_deadline(&self) -> Option<Ms> {
         let first_at = self.context.events.first_at()?;
         Some(first_at + self.config.batch_interval)
     }
@@ -78,7 +82,7 @@
     fn advance_streams(&mut self) -> Option<Ms> {
         let now = self.context.now;
         let next = self.streams.as_mut().map(|streams| streams.advance(now));
-        self.settle_channels();
+        self.reconcile_channels();
         next
     }
 
--- a/crates/director/director-state/src/session/inputs.rs
+++ b/crates/director/director-state/src/session/inputs.rs
@@ -1,4 +1,4 @@
-//! What each input changes.
+//! Dispatch of inputs to the parts of a session.
 
 use super::{ActiveConfig, Phase, Session};
 use crate::config::{ReloadedConfig, ServiceAddresses};
@@ -17,23 +17,27 @@
         let zones = &self.config.names.zones;
         match input {
             Input::Start => self.start(),
-            Input::InboundOpened { inbound, peer } => self.inbound.opened(context, inbound, peer),
-            Input::InboundMessage { inbound, message } => self.inbound_message(inbound, &message),
-            Input::InboundHttp { inbound } => self.inbound.page_requested(context, inbound),
+            Input::InboundOpened { inbound, peer } => {
+                self.inbound.on_opened(context, inbound, peer)
+            }
+            Input::InboundMessage { inbound, message } => {
+                self.on_inbound_message(inbound, &message)
+            }
+            Input::InboundHttp { inbound } => self.inbound.on_http_request(context, inbound),
             Input::InboundClosed { inbound, error } => {
-                self.inbound.closed(context, inbound, error.as_deref());
+                self.inbound.on_closed(context, inbound, error.as_deref());
             }
-            Input::RelayConnected { connection } => self.relay.connected(context, connection),
+            Input::RelayConnected { connection } => self.relay.on_connected(context, connection),
             Input::RelayLine { connection, line } => {
-                self.relay.line_received(context, connection, &line, zones);
+                self.relay.on_line(context, connection, &line, zones);
             }
-            Input::RelayWritten { connection } => self.relay.written(context, connection),
+            Input::RelayWritten { connection } => self.relay.on_written(context, connection),
             Input::RelayDisconnected { connection, reason } => {
-                self.relay.disconnected(context, connection, &reason);
+                self.relay.on_disconnected(context, connection, &reason);
             }
-            Input::EndpointsFetched { request, body } => self.endpoints_fetched(request, &body),
+            Input::EndpointsFetched { request, body } => self.on_endpoints_fetched(request, &body),
             Input::FetchFailed { request, reason } => {
-                self.discovery.fetch_failed(context, request, &reason);
+                self.discovery.on_fetch_failed(context, request, &reason);
             }
             Input::HealthChecked {
                 host,
@@ -50,9 +54,9 @@
                     streams.step(context.now, input);
                 }
             }
-            Input::ReloadRequested => self.reload.requested(context),
-            Input::Reloaded(reloaded) => self.reloaded(reloaded),
-            Input::ReloadFailed { reason } => self.reload.failed(context, &reason),
+            Input::ReloadRequested => self.reload.on_requested(context),
+            Input::Reloaded(reloaded) => self.on_reloaded(reloaded),
+            Input::ReloadFailed { reason } => self.reload.on_failed(context, &reason),
             Input::Wake => self.advance(),
             Input::Stop => self.stop(),
         }
@@ -83,61 +87,63 @@
         self.context.request(Effect::Exit);
     }
 
-    fn inbound_message(&mut self, inbound: InboundId, message: &Bytes) {
+    fn on_inbound_message(&mut self, inbound: InboundId, message: &Bytes) {
         let validator = ReportValidator {
             names: &self.config.names,
             settings: &self.config.settings,
             hosts: self.discovery.table(),
         };
         self.inbound
-            .message_received(&mut self.context, inbound, message, &validator);
+            .on_message(&mut self.context, inbound, message, &validator);
     }
 
-    fn endpoints_fetched(&mut self, request: FetchId, body: &[u8]) {
+    fn on_endpoints_fetched(&mut self, request: FetchId, body: &[u8]) {
         let zones = &self.config.names.zones;
         self.discovery
-            .fetched(&mut self.context, request, body, zones);
+            .on_fetched(&mut self.context, request, body, zones);
         self.update_stream_hosts();
     }
 
-    /// The list of hosts may have changed: streams learn where hosts are.
+    /// Passes the current list of hosts with their addresses to the streams.
     fn update_stream_hosts(&mut self) {
         if let Some(streams) = &mut self.streams {
             streams.update_hosts(self.context.now, self.discovery.table().iter());
         }
     }
 
-    fn reloaded(&mut self, reloaded: ReloadedConfig) {
+    fn on_reloaded(&mut self, reloaded: ReloadedConfig) {
         let current = self.config.addresses;
-        self.reload.succeeded(&mut self.context, current, &reloaded);
-        self.move_to(reloaded.addresses);
-        self.serve_streams(reloaded.streams);
+        self.reload
+            .on_succeeded(&mut self.context, current, &reloaded);
+        self.set_addresses(reloaded.addresses);
+        self.set_stream_config(reloaded.streams);
     }
 
-    /// Services are at these addresses from now on. What stands is kept until its successor does.
-    fn move_to(&mut self, addresses: ServiceAddresses) {
+    /// Replaces connections to services whose address changed; established ones are kept until then.
+    fn set_addresses(&mut self, addresses: ServiceAddresses) {
         let current = std::mem::replace(&mut self.config.addresses, addresses);
         if addresses.relay != current.relay {
-            self.relay.move_to(addresses.relay);
+            self.relay.set_address(addresses.relay);
         }
         if addresses.discovery != current.discovery {
-            self.discovery.move_to(&self.context, addresses.discovery);
+            self.discovery
+                .set_address(&self.context, addresses.discovery);
         }
     }
 
-    /// Streams are served like this from now on, or not any more.
-    fn serve_streams(&mut self, config: Option<StreamConfig>) {
+    /// Starts, reconfigures or ends the xDS streams; `None` ends them.
+    fn set_stream_config(&mut self, config: Option<StreamConfig>) {
         match (&mut self.streams, config) {
             (Some(streams), Some(config)) => streams.set_config(config),
             (Some(_), None) => {
                 self.shut_down_streams();
                 self.streams = None;
             }
-            (none, Some(config)) => {
+            (streams, Some(config)) => {
                 let ActiveConfig {
                     settings, names, ..
                 } = &self.config;
-                *none = Some(Streams::new(config, settings, names));
+                *streams = Some(Streams::new(config, settings, names));
             }
             (None, None) => {}
         }
@@ -148,19 +154,19 @@
         if let Some(streams) = &mut self.streams {
             streams.shut_down(self.context.now);
         }
-        self.settle_channels();
+        self.reconcile_channels();
     }
 
-    /// Proxies may change the channel by which they are reached: the newest joining counts, and one that has left a stream
-    /// is reached by the relay if it still stands there.
-    pub(super) fn settle_channels(&mut self) {
+    /// Applies channel changes of proxies. A stream is ended if its proxy joined at the relay later, and a proxy whose
+    /// stream ended is reached by the relay if it is still joined there.
+    pub(super) fn reconcile_channels(&mut self) {
         let Some(streams) = &mut self.streams else {
             return;
         };
         for proxy in self.context.events.take_superseded() {
             streams.supersede(self.context.now, proxy);
         }
-        for proxy in stream_outbox::hand_over(streams, &mut self.context) {
+        for proxy in stream_outbox::forward_outbox(streams, &mut self.context) {
             self.relay.watch.rejoin(&mut self.context, proxy);
         }
     }
--- a/crates/director/director-state/src/session/mod.rs
+++ b/crates/director/director-state/src/session/mod.rs
@@ -1,9 +1,9 @@
-//! The session of one director. It owns the policy and everything that is remembered of the outside, and all of it
-//! changes in [`Session::step`] alone.
+//! The session of one director. It owns the policy and all state of peers and services, which changes only in
+//! [`Session::step`].
 //!
-//! * `inputs`: what each input changes.
-//! * `deadlines`: what is due by time.
-//! * `batch`: the policy is asked, and its actions are carried out.
+//! * `inputs`: dispatch of inputs.
+//! * `deadlines`: expired deadlines and wake-ups.
+//! * `batch`: runs of the policy and the execution of its actions.
 //! * `report`: gauges and the status line.
 
 mod batch;
@@ -29,29 +29,29 @@
 use rushcourse_policy::interface::{DirectorView, Ms, Settings};
 use rushcourse_xds::Streams;
 
-/// How far a session is.
+/// Lifecycle of a session.
 enum Phase {
-    /// It was made, and waits for its start with the list of hosts as last known.
+    /// Waiting for [`Input::Start`], with the cached list of hosts to apply then.
     Created { cached_endpoints: Bytes },
     Running {
-        /// When the log is next told how it stands.
+        /// Time of the next status line.
         next_status: Ms,
     },
-    /// It has ended: nothing changes any more.
+    /// Terminal state in which all inputs are ignored.
     Stopped,
 }
 
-/// What a session was configured with and still needs.
+/// Configuration that is needed after startup.
 struct ActiveConfig {
     settings: Settings,
     names: Names,
     batch_interval: Ms,
     addresses: ServiceAddresses,
-    /// Whether there is a relay.
+    /// Whether a relay is used; without it, proxies are reached by streams only.
     has_relay: bool,
 }
 
-/// One director's session.
+/// State machine of one director, driven by [`Session::step`].
 pub struct Session {
     phase: Phase,
     config: ActiveConfig,
@@ -62,13 +62,13 @@
     discovery: EndpointDiscovery,
     inbound: InboundConnections,
     health_checks: HealthChecks,
-    /// Streams of proxies and hosts, where they are served.
+    /// xDS streams of proxies and load report streams of hosts; `None` if not configured.
     streams: Option<Streams>,
     reload: ConfigReload,
 }
 
 impl Session {
-    /// A session that waits for [`Input::Start`].
+    /// Creates a session that waits for [`Input::Start`].
     pub fn new(config: SessionConfig) -> Session {
         let SessionConfig {
             settings,
@@ -101,37 +101,38 @@
         }
     }
 
-    /// What was counted since the start.
+    /// Returns the counters and delay histograms, for export to monitoring.
     pub fn counters(&self) -> &Counters {
         &self.context.counters
     }
 
-    /// What the policy holds of proxies and tables.
+    /// Returns a snapshot of the policy's state of proxies and tables.
     pub fn view(&self) -> DirectorView {
         self.policy.view()
     }
 
-    /// Names of zones and request classes.
+    /// Returns the configured names of zones and request classes.
     pub fn names(&self) -> &Names {
         &self.config.names
     }
 
-    /// Whether a connection to the director's address has registered as a collector.
+    /// Whether an open connection at the listening address has registered as a collector.
     pub fn is_collector(&self, inbound: InboundId) -> bool {
         self.inbound.is_collector(inbound)
     }
 
-    /// Handles what came at this time; returns what is to be done, in order. Time never goes back.
+    /// Handles an input received at time `now` and returns the effects to carry out, in order. `now` must not decrease
+    /// between calls; a lower value is replaced by the latest one.
     pub fn step(&mut self, now: Ms, input: Input) -> Vec<Effect> {
         let is_forward = now >= self.context.now;
         self.context
-            .check_invariant(is_forward, "time goes forward");
+            .check_invariant(is_forward, "time does not go backwards");
         self.context.now = now.max(self.context.now);
         if matches!(self.phase, Phase::Stopped) {
             return Vec::new();
         }
         self.handle(input);
-        self.settle_channels();
+        self.reconcile_channels();
         self.context.take_effects()
     }
 }
--- a/crates/director/director-state/src/session/report.rs
+++ b/crates/director/director-state/src/session/report.rs
@@ -1,4 +1,4 @@
-//! How a session stands, for monitors and for the log.
+//! Gauges for monitoring and the periodic status line of the log.
 
 use super::Session;
 use crate::effect::Severity;
@@ -8,11 +8,11 @@
 use rushcourse_xds::Streams;
 
 impl Session {
-    /// Current sizes and ages. An age is in seconds, and -1 where there was nothing yet.
+    /// Returns all gauges. Ages are in seconds, or -1 if the event has not occurred yet.
     pub fn gauges(&self) -> Vec<GaugeSample> {
         let mut gauges = self.queue_gauges();
         gauges.extend(self.relay_and_list_gauges());
-        gauges.extend(self.holdings_gauges());
+        gauges.extend(self.connection_and_policy_gauges());
         let streams = self.streams.iter().flat_map(Streams::gauges);
         gauges.extend(streams.map(|(name, help, value)| gauge(name, help, value)));
         gauges
@@ -22,12 +22,12 @@
         vec![
             gauge(
                 "calls_waiting",
-                "Calls that wait for the relay.",
+                "Calls to the relay that are queued or in flight.",
                 self.relay.calls.queued() as f64,
             ),
             gauge(
                 "events_waiting",
-                "Events that wait until the policy is next asked.",
+                "Events queued for the next batch of the policy.",
                 self.context.events.len() as f64,
             ),
         ]
@@ -38,58 +38,58 @@
         vec![
             gauge(
                 "proxies_joined",
-                "Proxies that are joined, as the relay tells.",
+                "Proxies joined at the relay.",
                 self.relay.watch.joined_count() as f64,
             ),
             gauge(
                 "hosts_known",
-                "Hosts that the list names.",
+                "Hosts in the list of the discovery service.",
                 self.discovery.table().len() as f64,
             ),
             gauge(
                 "list_revision",
-                "Revision of the list.",
+                "Revision of the list of hosts.",
                 self.discovery.revision() as f64,
             ),
             gauge(
                 "list_age_seconds",
-                "Time since discovery last answered.",
+                "Time since the last usable response of the discovery service.",
                 age_seconds(self.discovery.age(now)),
             ),
             gauge(
                 "news_age_seconds",
-                "Time since the relay's last notification.",
+                "Time since the last notification of the relay.",
                 age_seconds(self.relay.watch.age(now)),
             ),
         ]
     }
 
-    fn holdings_gauges(&self) -> Vec<GaugeSample> {
+    fn connection_and_policy_gauges(&self) -> Vec<GaugeSample> {
         vec![
             gauge(
                 "peers_open",
-                "Connections at the director's address.",
+                "Open connections at the director's listening address.",
                 self.inbound.count() as f64,
             ),
             gauge(
                 "collectors_joined",
-                "Connections that have registered as collectors.",
+                "Open connections that are registered as collectors.",
                 self.inbound.collector_count() as f64,
             ),
             gauge(
                 "timers_pending",
-                "Timers of the policy.",
+                "Pending timers of the policy.",
                 self.timers.len() as f64,
             ),
             gauge(
                 "module_entries",
-                "What the policy remembers of hosts, tables, messages.",
+                "Records of hosts, tables and messages held by the policy.",
                 self.policy.record_count() as f64,
             ),
         ]
     }
 
-    /// Tells the log how the session stands.
+    /// Logs the periodic status line.
     pub(super) fn log_status(&mut self) {
         let (joined, revision, queued) = (
             self.relay.watch.joined_count(),
--- a/crates/director/director-state/src/step_context.rs
+++ b/crates/director/director-state/src/step_context.rs
@@ -1,4 +1,4 @@
-//! What one step works on: the time, events for the policy, effects, counters and the log.
+//! State that all parts of a session use during a step: the time, the event queue, effects, counters and the log.
 
 use crate::counter::{Counter, Counters};
 use crate::effect::{Effect, Severity};
@@ -10,40 +10,40 @@
 
 #[derive(Default)]
 pub(crate) struct StepContext {
-    /// The time of this step.
+    /// Time of the current step; never decreases.
     pub(crate) now: Ms,
     pub(crate) events: EventQueue,
     effects: Vec<Effect>,
-    /// Calls that proxies have acknowledged in this step: they were carried out.
+    /// Numbers of calls that a proxy acknowledged in this step, which proves that the relay executed them.
     acknowledged: Vec<AckNumber>,
     pub(crate) counters: Counters,
     log_limiter: LogLimiter,
 }
 
 impl StepContext {
-    /// The moment a span after this step.
-    pub(crate) fn after(&self, span: Duration) -> Ms {
-        self.now + millis(span)
+    /// Timestamp at a delay after the current step.
+    pub(crate) fn after(&self, delay: Duration) -> Ms {
+        self.now + millis(delay)
     }
 
-    /// An event for the policy, which is asked later.
+    /// Queues an event for the next policy batch. A report that exceeds the queue limit is dropped and counted.
     pub(crate) fn emit(&mut self, event: Event) {
         if self.events.push(self.now, event).is_err() {
             self.count(Counter::ReportsDropped);
         }
     }
 
-    /// Asks for something to be done outside.
+    /// Adds an effect to those returned by the current step.
     pub(crate) fn request(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
 
-    /// All that was asked for since the last call, in order.
+    /// Removes and returns the effects requested since the last call, in order.
     pub(crate) fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// A proxy has acknowledged a call.
+    /// Records that a proxy acknowledged a call, for the call sender to process in the same step.
     pub(crate) fn acknowledge(&mut self, ack_number: AckNumber) {
         self.acknowledged.push(ack_number);
     }
@@ -52,13 +52,11 @@
         std::mem::take(&mut self.acknowledged)
     }
 
-    /// Raises a counter by one.
     pub(crate) fn count(&mut self, counter: Counter) {
         self.counters.add(counter, 1);
     }
 
-    /// Writes a line to the log that begins with its kind. Lines of one kind are limited; the text of one that is left
-    /// out is not made.
+    /// Logs a line prefixed with its kind, unless too many lines of this kind were logged within a second.
     pub(crate) fn log(
         &mut self,
         severity: Severity,
@@ -71,7 +69,7 @@
         }
     }
 
-    /// Checks an invariant: asserted in debug builds, counted and logged in release builds.
+    /// Checks an invariant: a violation panics in debug builds, and is counted and logged in release builds.
     pub(crate) fn check_invariant(&mut self, holds: bool, invariant: &'static str) {
         debug_assert!(holds, "{invariant}");
         if !holds {
--- a/crates/director/director-state/src/stream_outbox.rs
+++ b/crates/director/director-state/src/stream_outbox.rs
@@ -1,22 +1,21 @@
-//! Proxies that are reached by streams of their own: what came of the streams' state goes to the policy, the log and the
-//! counters.
+//! Forwards the output of the xDS streams to the event queue, the effects, the counters and the log of a session.
 
 use crate::effect::{Effect, Severity};
 use crate::step_context::StepContext;
 use rushcourse_policy::interface::{Channel, Event, ProxyId};
 use rushcourse_xds::{Severity as StreamSeverity, Streams};
 
-/// Hands over what streams left behind; returns the proxies whose streams have ended.
-pub(crate) fn hand_over(streams: &mut Streams, context: &mut StepContext) -> Vec<ProxyId> {
+/// Forwards and clears the outbox of the streams; returns the proxies whose dedicated stream has ended.
+pub(crate) fn forward_outbox(streams: &mut Streams, context: &mut StepContext) -> Vec<ProxyId> {
     let outbox = streams.take_outbox();
-    let mut left = Vec::new();
+    let mut left_proxies = Vec::new();
     for event in outbox.events {
         if let Event::ProxyLeft {
             proxy,
             channel: Channel::Dedicated,
         } = event
         {
-            left.push(proxy);
+            left_proxies.push(proxy);
         }
         context.emit(event);
     }
@@ -24,7 +23,7 @@
         context.request(Effect::Stream(effect));
     }
     for (counter, count) in outbox.increments {
-        context.counters.add_of_streams(counter, count);
+        context.counters.add_stream_counter(counter, count);
     }
     for invariant in outbox.violations {
         context.check_invariant(false, invariant);
@@ -36,5 +35,5 @@
         };
         context.log(severity, entry.kind, || entry.text);
     }
-    left
+    left_proxies
 }
--- a/crates/director/director-state/src/time.rs
+++ b/crates/director/director-state/src/time.rs
@@ -1,12 +1,12 @@
-//! Spans in the unit of the session's clock.
+//! Conversion of durations to the unit of the session's clock.
 //!
-//! Moments are [`Ms`]: milliseconds with fractions by the one clock of the director, which starts at the Unix time and
-//! never goes back. The policy and discovery's list count in the same unit, so that no moment has to be converted.
+//! Timestamps are [`Ms`]: fractional milliseconds on a monotonic clock that is set to the Unix time when the director
+//! starts. The policy and the discovery service use the same unit, so timestamps need no conversion.
 
 use rushcourse_policy::interface::Ms;
 use std::time::Duration;
 
-/// A span in milliseconds. Whole milliseconds are exact.
-pub(crate) fn millis(span: Duration) -> Ms {
-    span.as_micros() as f64 / 1000.0
+/// Converts a duration to milliseconds, truncated to whole microseconds.
+pub(crate) fn millis(duration: Duration) -> Ms {
+    duration.as_micros() as f64 / 1000.0
 }
--- a/crates/director/director-state/tests/call_outcomes.rs
+++ b/crates/director/director-state/tests/call_outcomes.rs
@@ -29,7 +29,7 @@
 
 /// Each kind of unknown outcome: the same call again, before any later one, and it counts as a repeat.
 #[test]
-fn a_call_of_unknown_outcome_is_repeated_before_any_later_one() {
+fn call_with_unknown_outcome_is_resent_before_later_calls() {
     for outcome in [
         CallOutcome::Disconnect,
         CallOutcome::Silence,
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_reply_within_the_relays_time_is_waited_for() {
+fn reply_within_the_timeout_is_accepted() {
     let (mut harness, call) = with_outcomes(vec![CallOutcome::Silence]);
     harness.run_for(50.0);
     harness.accept(call);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_reply_that_came_counts_even_if_this_process_slept_past_the_deadline() {
+fn received_reply_is_accepted_after_a_process_suspension() {
     let (mut harness, call) = with_outcomes(vec![CallOutcome::Silence]);
     harness.run_for(10.0);
     // Both are there at once: the line that was read, and the deadline.
@@ -82,7 +82,7 @@
 
 /// A spoilt reply proves nothing, whatever its words: the call is neither taken for undone nor given up.
 #[test]
-fn a_rejection_while_the_relay_accepts_calls_is_of_unknown_outcome() {
+fn rejection_after_an_accepted_call_is_an_unknown_outcome() {
     for reply in [
         "SYNTAX", "BUSY", "OK +1", "OK -1", "OK 1.0", "OK 99", "OK", "", "OK 1 2",
     ] {
@@ -117,9 +117,9 @@
 
 /// Whether a host's endpoint is removed at once when it drains, after five seconds and a call that hung until now, or was
 /// accepted at once.
-fn is_removed_after(hangs: bool) -> bool {
+fn is_removed_after(relay_hangs: bool) -> bool {
     let mut harness = Harness::started();
-    if hangs {
+    if relay_hangs {
         harness.relay.outcomes = vec![CallOutcome::Silence; 60].into();
     }
     harness.notify("* joined 1 east 5.0 1");
@@ -133,7 +133,7 @@
     harness.notify("*");
     harness.run_for(1000.0);
     assert!(
-        !hangs || harness.relay.calls.len() > before,
+        !relay_hangs || harness.relay.calls.len() > before,
         "it goes out once more, and is accepted"
     );
     harness.drain_host(6, "a1", "east");
@@ -145,9 +145,9 @@
         .any(|order| order.starts_with("share,") && order.contains(",a1,0"))
 }
 
-/// The order that makes room for time to settle endpoints: a call that hangs for long keeps its endpoints uncertain.
+/// The order that makes room for time to settle endpoints: a call that relay_hangs for long keeps its endpoints uncertain.
 #[test]
-fn no_endpoint_of_a_call_that_hangs_turns_certain_by_time() {
+fn endpoints_of_an_unconfirmed_call_stay_uncertain() {
     assert!(
         is_removed_after(false),
         "the call was accepted five seconds ago: time has settled its endpoints"
@@ -160,7 +160,7 @@
 
 /// Each repeat may be a message to a proxy, and a proxy gets twelve in ten seconds.
 #[test]
-fn a_call_that_never_gets_a_clear_reply_is_repeated_within_the_cap() {
+fn resends_stay_within_the_message_cap() {
     let (mut harness, before) = with_outcomes(vec![CallOutcome::reply("?"); 1000]);
     let mut sent_at = Vec::new();
     for _ in 0..400 {
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn an_acknowledgement_shows_that_a_call_was_carried_out() {
+fn acknowledgement_confirms_a_call_with_unknown_outcome() {
     // Given a call whose repeat is under way.
     let (mut harness, before) = with_outcomes(vec![CallOutcome::Disconnect, CallOutcome::Silence]);
     harness.run_for(10.0);
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn the_acknowledgement_of_an_earlier_call_shows_nothing() {
+fn acknowledgement_of_an_earlier_call_confirms_nothing() {
     let earlier = Harness::with_bound_proxies().ack_number();
     let (mut harness, before) = with_outcomes(vec![CallOutcome::Disconnect, CallOutcome::Silence]);
     harness.run_for(10.0);
@@ -226,7 +226,7 @@
 /// A step that ordered much took 57 of the 65 ms that the relay has: its reply was on the way, and the call, the largest
 /// of the day, went out twice (herd+mass 13: backlog).
 #[test]
-fn the_relays_time_runs_from_the_last_byte_not_from_the_step() {
+fn reply_timeout_starts_when_the_call_is_written() {
     // Given a call whose last byte is written 50 ms after the step.
     let (mut harness, call) = with_outcomes(vec![CallOutcome::Silence]);
     harness.run_for(8.0);
--- a/crates/director/director-state/tests/calls.rs
+++ b/crates/director/director-state/tests/calls.rs
@@ -10,7 +10,7 @@
 const JOINED: &str = "* joined 1 east 5.0 1";
 
 #[test]
-fn a_batch_is_one_call_that_ends_with_its_request_to_acknowledge() {
+fn batch_is_one_call_that_ends_with_its_ack_request() {
     let harness = Harness::with_bound_proxies();
     let first = &harness.relay.calls[0];
     let last_order = first.split(';').next_back().expect("an order");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_bad_order_is_dropped_with_a_line_in_the_log_and_the_rest_goes_out() {
+fn invalid_order_is_logged_and_the_remaining_orders_are_sent() {
     // Given a relay that accepts two orders of the next call.
     let mut harness = Harness::started();
     harness.relay.outcomes = [CallOutcome::reply("OK 2")].into();
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_request_to_acknowledge_that_is_left_alone_is_not_sent() {
+fn remaining_ack_request_alone_is_not_sent() {
     // Given a call that waits for its reply.
     let mut harness = Harness::started();
     harness.notify(JOINED);
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn busy_is_waited_for_within_bounds_on_the_same_connection() {
+fn busy_call_is_resent_on_the_same_connection() {
     let mut harness = Harness::started();
     harness.relay.outcomes = vec![CallOutcome::reply("BUSY"); 5].into();
     harness.notify(JOINED);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_call_rejected_before_the_run_is_sent_until_it_is_accepted() {
+fn call_rejected_at_startup_is_resent_until_accepted() {
     let mut harness = Harness::started();
     harness.relay.outcomes = vec![CallOutcome::reply("SYNTAX"); 5].into();
     harness.notify(JOINED);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_relay_that_can_not_be_reached_is_tried_again_with_delays() {
+fn unreachable_relay_is_retried_with_backoff() {
     // Given a relay that goes out of reach.
     let mut harness = Harness::with_bound_proxies();
     let (calls, connects) = (
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn what_waits_for_the_relay_stays_bounded() {
+fn call_queue_stays_bounded_while_the_relay_is_unreachable() {
     // Nobody is joined: no order costs a line, so nothing but the queue's own bound holds them back.
     let mut harness = Harness::started();
     harness.relay.is_reachable = false;
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_replaced_before_a_call_is_risked_on_it() {
+fn idle_connection_is_replaced_before_the_next_call() {
     // Given a connection that has been idle for six seconds.
     let mut harness = Harness::with_bound_proxies();
     let connects = harness.relay.connect_count(RelayLink::Calls);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_connection_that_the_relay_closes_while_idle_costs_no_call() {
+fn idle_disconnect_does_not_affect_the_next_call() {
     let mut harness = Harness::with_bound_proxies();
     harness.run_for(1000.0);
     harness.disconnect(RelayLink::Calls);
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn lines_and_ends_of_earlier_connections_mean_nothing() {
+fn inputs_of_earlier_connections_are_ignored() {
     // Given a call that was repeated by a new connection and waits for its reply.
     let mut harness = Harness::with_bound_proxies();
     let earlier = harness.relay.current(RelayLink::Calls);
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_batch_over_the_limit_is_split_in_order_and_its_parts_count_as_messages() {
+fn oversized_batch_is_split_in_order_and_its_parts_are_counted() {
     // Given hosts with long names: one table is far over the limit of a call.
     let mut harness = Harness::new();
     let members: Vec<String> = (0..20)
--- a/crates/director/director-state/tests/common/discovery.rs
+++ b/crates/director/director-state/tests/common/discovery.rs
@@ -1,11 +1,11 @@
-//! A discovery that does as it is told.
+//! Fake discovery service with scripted responses.
 
 use rushcourse_director_state::{FetchId, Input};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A request to discovery.
+/// A request that the session sent to the discovery service.
 #[derive(Clone, Debug)]
 pub struct Fetch {
     pub request: FetchId,
@@ -13,32 +13,31 @@
     pub path: String,
 }
 
-/// Discovery, and what the session asked it.
-pub struct DiscoveryStandIn {
-    /// Requests for the complete list are answered at once; without, none is.
+/// Fake discovery service that records all requests of the session.
+pub struct FakeDiscovery {
+    /// Whether requests for the complete list are answered at once. Watches are answered by the test only.
     pub is_reachable: bool,
-    /// The complete list.
+    /// Encoded response to requests for the complete list.
     pub list: String,
-    /// All requests, the latest last.
+    /// All requests in the order of sending.
     pub requests: Vec<Fetch>,
 }
 
-impl DiscoveryStandIn {
-    /// A discovery with this complete list.
-    pub(super) fn new(list: String) -> DiscoveryStandIn {
-        DiscoveryStandIn {
+impl FakeDiscovery {
+    pub(super) fn new(list: String) -> FakeDiscovery {
+        FakeDiscovery {
             is_reachable: true,
             list,
             requests: Vec::new(),
         }
     }
 
-    /// The latest request.
+    /// Returns the latest request, which the session must have sent.
     pub fn latest(&self) -> &Fetch {
         self.requests.last().expect("a request")
     }
 
-    /// How often the complete list was asked for.
+    /// Number of requests for the complete list.
     pub fn full_list_count(&self) -> usize {
         self.requests
             .iter()
@@ -49,7 +48,7 @@
     pub(super) fn fetch(&mut self, fetch: Fetch, timeout: Duration, inputs: &mut VecDeque<Input>) {
         assert!(
             timeout > Duration::ZERO && timeout < Duration::from_secs(10),
-            "a time-out for every request"
+            "every request has a timeout below ten seconds"
         );
         if self.is_reachable && !fetch.path.contains('?') {
             inputs.push_back(Input::EndpointsFetched {
