--- a/crates/director/director-state/tests/common/harness.rs
+++ b/crates/director/director-state/tests/common/harness.rs
@@ -1,8 +1,8 @@
-//! A session on a fake clock, with a relay and a discovery that do as they are told.
+//! A session driven with a fake clock, a fake relay and a fake discovery service.
 
-use super::discovery::{DiscoveryStandIn, Fetch};
-use super::platform::{addresses, fleet, last_ack_number, list, member, settings};
-use super::relay::{Connection, RelayStandIn};
+use super::discovery::{FakeDiscovery, Fetch};
+use super::platform::{addresses, all_members, last_ack_number, list, member, settings};
+use super::relay::{Connection, FakeRelay};
 use bytes::Bytes;
 use rushcourse_director_settings::{DeploymentSettings, Names};
 use rushcourse_director_state::{
@@ -12,39 +12,39 @@
 use rushcourse_xds::{NodeIdentities, StreamConfig, StreamLimits};
 use std::collections::VecDeque;
 
-/// The time at which tests begin, in ms.
-pub const START: f64 = 1_700_000_000_000.0;
-/// Wake-ups after which a session is taken to wake itself without end.
+/// Initial time of the fake clock in milliseconds.
+pub const START_TIME: f64 = 1_700_000_000_000.0;
+/// Number of wake-ups in one [`Harness::run_for`] that indicates an endless loop.
 const MAX_WAKE_UPS: usize = 200_000;
 
-/// What the session did with connections to the director's address.
+/// Effects of the session on connections at the director's listening address.
 #[derive(Default)]
 pub struct InboundRecord {
     pub sent: Vec<(InboundId, Bytes)>,
     pub closed: Vec<InboundId>,
-    /// Connections that were closed with a last message.
+    /// Connections closed with a final message that states the reason.
     pub rejected: Vec<InboundId>,
 }
 
-/// A session and everything around it.
+/// A session with its fake environment and the effects recorded from it.
 pub struct Harness {
     pub session: Session,
     pub now: f64,
     wake_at: f64,
-    pub relay: RelayStandIn,
-    pub discovery: DiscoveryStandIn,
+    pub relay: FakeRelay,
+    pub discovery: FakeDiscovery,
     pub inbound: InboundRecord,
     pub log: Vec<String>,
-    /// What the configuration says when it is read again.
+    /// Addresses, or the error, returned by the next configuration reload.
     pub config_file: Result<ServiceAddresses, String>,
-    /// How streams are served, as the configuration says when it is read again.
+    /// Stream configuration returned by the next configuration reload.
     pub stream_config: Option<StreamConfig>,
-    /// What is to be done with streams.
+    /// Stream effects that were requested and not removed by the test yet.
     pub stream_effects: Vec<rushcourse_xds::Effect>,
     pub has_exited: bool,
 }
 
-/// What the smallest process may hold.
+/// Limits of a session in a process with 32 MiB of memory and 256 descriptors.
 pub fn session_limits() -> SessionLimits {
     let process = ProcessLimits {
         memory_mb: 32.0,
@@ -53,7 +53,7 @@
     process.session_limits()
 }
 
-/// How streams are served in these tests.
+/// Stream configuration with low limits and without load report streams.
 pub fn stream_config() -> StreamConfig {
     StreamConfig {
         identities: NodeIdentities::default(),
@@ -70,12 +70,12 @@
 }
 
 impl Harness {
-    /// A session that has not started.
+    /// Creates a session with default settings and without streams; it is not started.
     pub fn new() -> Harness {
         Harness::with(settings(), None)
     }
 
-    /// A session that has not started, with these settings and streams.
+    /// Creates a session with the given settings and streams; it is not started.
     pub fn with(settings: DeploymentSettings, streams: Option<StreamConfig>) -> Harness {
         let session = Session::new(SessionConfig {
             names: Names::from(&settings),
@@ -85,14 +85,14 @@
             limits: session_limits(),
             has_relay: true,
             streams,
-            cached_endpoints: list(5, true, &fleet()).into(),
+            cached_endpoints: list(5, true, &all_members()).into(),
         });
         Harness {
             session,
-            now: START,
+            now: START_TIME,
             wake_at: f64::INFINITY,
-            relay: RelayStandIn::new(),
-            discovery: DiscoveryStandIn::new(list(5, true, &fleet())),
+            relay: FakeRelay::new(),
+            discovery: FakeDiscovery::new(list(5, true, &all_members())),
             inbound: InboundRecord::default(),
             log: Vec::new(),
             config_file: Ok(addresses(0)),
@@ -102,27 +102,27 @@
         }
     }
 
-    /// A session that started a second ago.
+    /// Creates a session and runs it for its first second.
     pub fn started() -> Harness {
         let mut harness = Harness::new();
         harness.start();
         harness
     }
 
-    /// Starts the session and lets a second pass.
+    /// Starts the session and runs it for a second.
     pub fn start(&mut self) {
         self.handle(Input::Start);
         self.run_for(1000.0);
     }
 
-    /// A session where a proxy of each zone has joined, is bound, and has acknowledged that.
+    /// Creates a started session with one bound proxy in each zone, see [`Harness::join_two_proxies`].
     pub fn with_bound_proxies() -> Harness {
         let mut harness = Harness::started();
         harness.join_two_proxies();
         harness
     }
 
-    /// A proxy of each zone joins, is bound, and acknowledges that.
+    /// Lets proxy 1 join in zone `east` and proxy 2 in `west`, and acknowledges the call that binds them.
     pub fn join_two_proxies(&mut self) {
         self.relay.joined = vec![
             "* joined 1 east 5.0 1".into(),
@@ -136,7 +136,7 @@
         self.run_for(300.0);
     }
 
-    /// Hands an input over and carries out what comes of it.
+    /// Passes an input to the session and executes its effects, including the inputs that follow from them.
     pub fn handle(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input]);
         loop {
@@ -152,11 +152,11 @@
 
     fn step(&mut self, input: Input, inputs: &mut VecDeque<Input>) {
         for effect in self.session.step(self.now, input) {
-            self.carry_out(effect, inputs);
+            self.execute(effect, inputs);
         }
     }
 
-    fn carry_out(&mut self, effect: Effect, inputs: &mut VecDeque<Input>) {
+    fn execute(&mut self, effect: Effect, inputs: &mut VecDeque<Input>) {
         match effect {
             Effect::SendInbound { inbound, frame } => self.inbound.sent.push((inbound, frame)),
             Effect::CloseInbound {
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Lets ms pass; the session is woken when it asked for it.
+    /// Advances the clock by `ms`, waking the session at the times that it scheduled.
     pub fn run_for(&mut self, ms: f64) {
         let end = self.now + ms;
         let mut wake_ups = 0;
@@ -219,19 +219,19 @@
             wake_ups += 1;
             assert!(
                 wake_ups < MAX_WAKE_UPS,
-                "it does not wake itself without end"
+                "the session wakes itself in an endless loop"
             );
         }
         self.now = end;
         self.handle(Input::Wake);
     }
 
-    /// The relay notifies, by the latest watch.
+    /// Delivers a notification line on the latest watch.
     pub fn notify(&mut self, line: &str) {
         self.notify_by(self.relay.current(RelayLink::Watch), line);
     }
 
-    /// The relay notifies, by one of the watches.
+    /// Delivers a notification line on the given watch connection.
     pub fn notify_by(&mut self, connection: RelayConnectionId, line: &str) {
         self.handle(Input::RelayLine {
             connection,
@@ -239,7 +239,7 @@
         });
     }
 
-    /// The latest connection of a link breaks.
+    /// Breaks the latest connection of a link.
     pub fn disconnect(&mut self, link: RelayLink) {
         self.handle(Input::RelayDisconnected {
             connection: self.relay.current(link),
@@ -247,7 +247,7 @@
         });
     }
 
-    /// The relay replies to the call that is open.
+    /// Delivers a reply to the call in flight.
     pub fn reply(&mut self, line: &str) {
         self.relay.is_call_open = false;
         self.handle(Input::RelayLine {
@@ -256,18 +256,18 @@
         });
     }
 
-    /// The relay accepts all orders of this call, which is open.
+    /// Accepts all orders of the call in flight, whose index is `call`.
     pub fn accept(&mut self, call: usize) {
         let orders = self.relay.calls[call].split(';').count();
         self.reply(&format!("OK {orders}"));
     }
 
-    /// The number of the last acknowledgement that was asked for.
+    /// Number of the latest acknowledgement request.
     pub fn ack_number(&self) -> u16 {
-        last_ack_number(&self.relay.calls).expect("an acknowledgement was asked for")
+        last_ack_number(&self.relay.calls).expect("an acknowledgement was requested")
     }
 
-    /// Proxies acknowledge the last call that asked for it.
+    /// Acknowledges the latest acknowledgement request on behalf of the given proxies.
     pub fn acknowledge(&mut self, proxies: &[u32]) {
         let ack_number = self.ack_number();
         for proxy in proxies {
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Discovery answers the latest request.
+    /// Answers the latest request to the discovery service.
     pub fn answer_fetch(&mut self, body: &str) {
         self.handle(Input::EndpointsFetched {
             request: self.discovery.latest().request,
@@ -283,7 +283,7 @@
         });
     }
 
-    /// Discovery does not answer the latest request as it should.
+    /// Fails the latest request to the discovery service.
     pub fn fail_fetch(&mut self, reason: &str) {
         self.handle(Input::FetchFailed {
             request: self.discovery.latest().request,
@@ -291,17 +291,17 @@
         });
     }
 
-    /// Discovery answers the watch that is open with changes.
+    /// Answers the pending watch with a delta.
     pub fn change_list(&mut self, revision: u64, members: &[String]) {
         self.answer_fetch(&list(revision, false, members));
     }
 
-    /// Discovery tells that a host terminates.
+    /// Answers the pending watch with a delta in which a host terminates.
     pub fn drain_host(&mut self, revision: u64, id: &str, zone: &str) {
         self.change_list(revision, &[member(id, zone, "Terminating", 0.0)]);
     }
 
-    /// Somebody connects to the director's address.
+    /// Opens a connection to the director's listening address.
     pub fn open_inbound(&mut self, inbound: u64) {
         self.handle(Input::InboundOpened {
             inbound: InboundId(inbound),
@@ -309,7 +309,7 @@
         });
     }
 
-    /// A message comes on a connection to the director's address.
+    /// Delivers a message on a connection to the director's listening address.
     pub fn receive(&mut self, inbound: u64, json: &str) {
         self.handle(Input::InboundMessage {
             inbound: InboundId(inbound),
@@ -317,7 +317,7 @@
         });
     }
 
-    /// A collector connects and registers for a zone.
+    /// Opens a connection and registers it as a collector of a zone.
     pub fn open_collector(&mut self, inbound: u64, zone: &str) {
         self.open_inbound(inbound);
         self.receive(
@@ -333,10 +333,10 @@
     pub fn gauge(&self, name: &str) -> f64 {
         let gauges = self.session.gauges();
         let gauge = gauges.iter().find(|gauge| gauge.name == name);
-        gauge.expect("a gauge").value
+        gauge.expect("gauge exists").value
     }
 
-    /// Whether the log has a line with all of these parts.
+    /// Whether a log line contains all of these parts.
     pub fn has_logged(&self, parts: &[&str]) -> bool {
         self.log
             .iter()
--- a/crates/director/director-state/tests/common/mod.rs
+++ b/crates/director/director-state/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! What the tests share: a session on a fake clock ([`harness`]) with a relay and a discovery that do as they are told, and
-//! the platform's texts ([`platform`]). Each test binary uses a part of it.
+//! Shared test support: a session with a fake clock, relay and discovery service ([`harness`]), and sample settings and lists
+//! ([`platform`]). Each test binary uses a part of it.
 #![allow(dead_code)]
 
 pub mod discovery;
--- a/crates/director/director-state/tests/common/platform.rs
+++ b/crates/director/director-state/tests/common/platform.rs
@@ -1,10 +1,10 @@
-//! Settings, lists of hosts and addresses, in the platform's own form.
+//! Sample settings, lists of hosts and addresses in the platform's encoding.
 
 use rushcourse_director_settings::DeploymentSettings;
 use rushcourse_director_state::ServiceAddresses;
 use std::net::SocketAddr;
 
-/// Where relay and discovery are: the first addresses, the second, and so on.
+/// Addresses of relay and discovery service; each index yields distinct ports.
 pub fn addresses(index: u16) -> ServiceAddresses {
     let at = |port: u16| SocketAddr::from(([127, 0, 0, 1], port + index));
     ServiceAddresses {
@@ -13,7 +13,7 @@
     }
 }
 
-/// Two zones, two classes, eight proxies; health checks are allowed.
+/// Settings with two zones, two classes and eight proxies; health checks are enabled.
 pub fn settings() -> DeploymentSettings {
     let text = r#"{
       "categories": [
@@ -28,17 +28,17 @@
       "penalties": {"cross-zone": 0.12},
       "reporting": {"source": "inline"},
       "zones": ["east", "west"], "my-zone": 0, "balancers": 2, "quantum-ms": 4.0, "weight-source": "rough"}"#;
-    serde_json::from_str(text).expect("settings")
+    serde_json::from_str(text).expect("valid settings")
 }
 
-/// An entry of discovery's list.
+/// An encoded entry of discovery's list.
 pub fn member(id: &str, zone: &str, phase: &str, up_since_ms: f64) -> String {
     format!(
         r#"{{"id":"{id}","host_port":"127.0.0.1:8100","locality":"{zone}","flavor":"m","cell":1,"phase":"{phase}","size":1.0,"up_since_ms":{up_since_ms}}}"#
     )
 }
 
-/// A list of discovery.
+/// An encoded list of discovery with the given entries.
 pub fn list(revision: u64, is_complete: bool, members: &[String]) -> String {
     format!(
         r#"{{"revision":{revision},"complete":{is_complete},"members":[{}]}}"#,
@@ -46,7 +46,7 @@
     )
 }
 
-/// Two hosts a zone.
+/// Names and zones of the sample hosts, two in each zone.
 pub const HOSTS: [(&str, &str); 4] = [
     ("a1", "east"),
     ("a2", "east"),
@@ -54,14 +54,14 @@
     ("b2", "west"),
 ];
 
-/// The entries of all hosts.
-pub fn fleet() -> Vec<String> {
+/// List entries of all sample hosts, ready and started long ago.
+pub fn all_members() -> Vec<String> {
     HOSTS
         .map(|(id, zone)| member(id, zone, "Ready", 0.0))
         .to_vec()
 }
 
-/// The number of the last acknowledgement that orders ask for, if any do.
+/// Number of the last acknowledgement request in these calls, if any.
 pub fn last_ack_number(calls: &[String]) -> Option<u16> {
     calls
         .iter()
--- a/crates/director/director-state/tests/common/relay.rs
+++ b/crates/director/director-state/tests/common/relay.rs
@@ -1,20 +1,20 @@
-//! A relay that does as it is told.
+//! Fake relay with scripted outcomes of calls.
 
 use rushcourse_director_protocol::relay;
 use rushcourse_director_state::{Input, RelayConnectionId, RelayLink};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// What the relay does with a call.
+/// Scripted reaction of the relay to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CallOutcome {
-    /// Accepts all orders.
+    /// Replies that all orders are accepted.
     Accept,
     /// Replies with this line.
     Reply(String),
-    /// Breaks the connection.
+    /// Breaks the connection without a reply.
     Disconnect,
-    /// Does not reply.
+    /// Keeps the connection open without a reply.
     Silence,
 }
 
@@ -24,34 +24,34 @@
     }
 }
 
-/// A connection to the relay that the session asked for.
+/// A connection to the relay requested by the session.
 #[derive(Clone, Copy, Debug)]
 pub struct Connection {
     pub id: RelayConnectionId,
     pub address: SocketAddr,
 }
 
-/// The relay, and what the session did with it.
-pub struct RelayStandIn {
-    /// Connections are established at once; without, they never are.
+/// Fake relay that records the calls and connections of the session.
+pub struct FakeRelay {
+    /// Whether connections are established at once; otherwise they stay pending.
     pub is_reachable: bool,
-    /// For the calls to come; after those, each is accepted.
+    /// Outcomes of the next calls; calls beyond them are accepted.
     pub outcomes: VecDeque<CallOutcome>,
-    /// The orders of each call that came.
+    /// Orders of each received call, separated by semicolons.
     pub calls: Vec<String>,
-    /// A call waits for its reply.
+    /// Whether a call is in flight.
     pub is_call_open: bool,
-    /// Notifications of the proxies that are joined, sent to a new watch.
+    /// Notifications sent to a new watch as its snapshot of joined proxies.
     pub joined: Vec<String>,
-    /// All connections that the session asked for, the latest last.
+    /// All connections requested by the session, in order.
     pub connections: Vec<Connection>,
-    /// All connections that the session ended.
+    /// All connections closed by the session, in order.
     pub disconnected: Vec<RelayConnectionId>,
 }
 
-impl RelayStandIn {
-    pub(super) fn new() -> RelayStandIn {
-        RelayStandIn {
+impl FakeRelay {
+    pub(super) fn new() -> FakeRelay {
+        FakeRelay {
             is_reachable: true,
             outcomes: VecDeque::new(),
             calls: Vec::new(),
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The latest connection of a link.
+    /// Returns the latest connection of a link, established or not.
     pub fn latest(&self, link: RelayLink) -> Option<Connection> {
         self.connections
             .iter()
@@ -70,7 +70,7 @@
             .copied()
     }
 
-    /// The name of the latest connection of a link; before the first, one that never stood.
+    /// Identifier of the latest connection of a link; generation 0, which is never used, before the first.
     pub fn current(&self, link: RelayLink) -> RelayConnectionId {
         let none = RelayConnectionId {
             link,
@@ -79,7 +79,7 @@
         self.latest(link).map_or(none, |connection| connection.id)
     }
 
-    /// How often the session connected.
+    /// Number of connections of a link that the session requested.
     pub fn connect_count(&self, link: RelayLink) -> usize {
         self.connections
             .iter()
@@ -87,7 +87,7 @@
             .count()
     }
 
-    /// How often the session ended a connection.
+    /// Number of connections of a link that the session closed.
     pub fn disconnect_count(&self, link: RelayLink) -> usize {
         self.disconnected
             .iter()
@@ -95,7 +95,7 @@
             .count()
     }
 
-    /// The orders of all calls from one of them on.
+    /// Orders of all calls starting with the call at index `first_call`.
     pub fn orders_from(&self, first_call: usize) -> Vec<String> {
         self.calls[first_call..]
             .iter()
@@ -104,7 +104,7 @@
             .collect()
     }
 
-    /// How often a proxy was bound, from a call on.
+    /// Number of orders that bind a proxy, starting with the call at index `first_call`.
     pub fn bind_count(&self, first_call: usize, proxy: u32) -> usize {
         let bind = format!("bind,{proxy},");
         self.orders_from(first_call)
@@ -126,11 +126,11 @@
 
     pub(super) fn disconnect(&mut self, connection: RelayConnectionId) {
         let is_known = self.connections.iter().any(|known| known.id == connection);
-        assert!(is_known, "what was connected is ended");
+        assert!(is_known, "only requested connections are closed");
         let is_latest = connection == self.current(connection.link);
         assert!(
             is_latest || connection.link == RelayLink::Watch,
-            "only a watch is kept beside its successor"
+            "only a watch may be closed after its replacement was requested"
         );
         self.disconnected.push(connection);
         if connection.link == RelayLink::Calls {
@@ -158,9 +158,12 @@
         line: &str,
         inputs: &mut VecDeque<Input>,
     ) {
-        assert!(!self.is_call_open, "one call is in flight");
+        assert!(!self.is_call_open, "at most one call is in flight");
         assert!(line.ends_with("\r\n") && line.len() <= relay::MAX_ORDER_BYTES + 8);
-        let orders = line.trim_end().strip_prefix("APPLY ").expect("a call");
+        let orders = line
+            .trim_end()
+            .strip_prefix("APPLY ")
+            .expect("line is a call");
         let accepted = format!("OK {}", orders.split(';').count());
         self.calls.push(orders.to_string());
         self.is_call_open = true;
--- a/crates/director/director-state/tests/discovery.rs
+++ b/crates/director/director-state/tests/discovery.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::harness::Harness;
-use common::platform::{fleet, list, member};
+use common::platform::{all_members, list, member};
 use rushcourse_director_state::Input;
 
 fn is_withdrawn(harness: &Harness, host: &str) -> bool {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_complete_list_first_then_watches_from_its_revision() {
+fn complete_list_is_followed_by_watches_from_its_revision() {
     let mut harness = Harness::with_bound_proxies();
     let paths: Vec<&str> = harness
         .discovery
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_empty_answer_is_no_change() {
+fn empty_delta_changes_nothing() {
     let mut harness = Harness::with_bound_proxies();
     let calls = harness.relay.calls.len();
     harness.change_list(5, &[]);
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn the_cached_list_may_be_old() {
+fn cached_list_is_replaced_by_the_fetched_list() {
     // Given a director that knew host a1 before its start, and a list that names a9 in its place.
     let mut harness = Harness::new();
-    let mut members = fleet();
+    let mut members = all_members();
     members[0] = member("a9", "east", "Ready", 0.0);
     harness.discovery.list = list(40, true, &members);
     harness.start();
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn a_revision_that_is_older_is_not_believed_and_the_complete_list_is_asked_for() {
+fn outdated_revision_is_ignored_and_the_complete_list_requested() {
     let mut harness = Harness::with_bound_proxies();
     harness.drain_host(9, "a1", "east");
-    harness.discovery.list = list(9, true, &fleet());
+    harness.discovery.list = list(9, true, &all_members());
     harness.drain_host(7, "b1", "west");
     harness.run_for(1000.0);
     assert!(!is_withdrawn(&harness, "b1"));
@@ -74,10 +74,10 @@
 }
 
 #[test]
-fn a_discovery_that_began_anew_is_believed_in_the_end() {
+fn lower_revision_is_accepted_after_repeated_complete_lists() {
     let mut harness = Harness::with_bound_proxies();
     harness.drain_host(900, "a1", "east");
-    harness.discovery.list = list(3, true, &fleet()[..3]);
+    harness.discovery.list = list(3, true, &all_members()[..3]);
     harness.change_list(2, &[]);
     harness.run_for(4000.0);
     assert!(
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_repeated_revision_changes_nothing() {
+fn repeated_revision_is_ignored() {
     let mut harness = Harness::with_bound_proxies();
     harness.drain_host(9, "a1", "east");
     harness.change_list(9, &[member("b1", "west", "Gone", 0.0)]);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn silence_and_errors_lead_to_the_complete_list() {
+fn failed_request_is_followed_by_requests_for_the_complete_list() {
     // Given a discovery that does not answer.
     let mut harness = Harness::with_bound_proxies();
     harness.discovery.is_reachable = false;
@@ -114,7 +114,7 @@
     assert!((2..20).contains(&attempts), "{attempts} attempts");
     // When it answers again, then its changes hold, and watches go on from there.
     harness.discovery.is_reachable = true;
-    let mut members = fleet();
+    let mut members = all_members();
     members[3] = member("b2", "west", "Terminating", 0.0);
     harness.discovery.list = list(12, true, &members);
     harness.run_for(2000.0);
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_deadline_is_kept_even_if_nothing_at_all_comes_back() {
+fn request_without_any_result_times_out() {
     let mut harness = Harness::with_bound_proxies();
     harness.discovery.is_reachable = false;
     let requests = harness.discovery.requests.len();
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn what_is_no_list_is_a_failure() {
+fn undecodable_list_is_a_failure() {
     for body in [
         "",
         "no json",
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_entry_that_can_not_be_used_does_not_cost_the_others() {
+fn unusable_entries_do_not_affect_the_others() {
     let mut harness = Harness::with_bound_proxies();
     let members = [
         member("b1", "west", "Resting", 0.0),
@@ -173,9 +173,9 @@
 }
 
 #[test]
-fn a_host_of_unknown_phase_in_a_complete_list_stays_as_it_was() {
+fn listed_host_with_unknown_phase_keeps_its_state() {
     let mut harness = Harness::with_bound_proxies();
-    let mut members = fleet();
+    let mut members = all_members();
     members[2] = member("b1", "west", "Resting", 0.0);
     harness.answer_fetch(&list(9, true, &members));
     harness.run_for(100.0);
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_late_watch_begins_with_the_complete_list() {
+fn late_watch_is_replaced_by_the_complete_list() {
     // Given a process that sleeps over the end of a watch, and then for longer.
     let mut harness = Harness::with_bound_proxies();
     harness.handle(Input::Wake);
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn times_of_starts_are_on_the_sessions_clock() {
+fn host_start_times_use_the_session_clock() {
     let mut harness = Harness::with_bound_proxies();
     let before = harness.relay.calls.len();
     // When a1 says that it started two seconds ago, then it must not carry its full part.
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_discovery_that_does_not_wait_is_not_asked_in_a_loop() {
+fn early_empty_responses_do_not_cause_a_request_loop() {
     let mut harness = Harness::with_bound_proxies();
     let before = harness.discovery.requests.len();
     for _ in 0..1000 {
--- a/crates/director/director-state/tests/endpoint_table.rs
+++ b/crates/director/director-state/tests/endpoint_table.rs
@@ -1,4 +1,4 @@
-//! What is remembered of each host from list to list.
+//! Updates of the endpoint table from complete lists and deltas.
 
 mod common;
 
@@ -7,25 +7,25 @@
 use rushcourse_director_state::EndpointTable;
 use rushcourse_policy::interface::HostListKind;
 
-/// The entry of host `h` with its address.
+/// An encoded entry of host `h` that listens at this port.
 fn entry(port: u32, phase: &str) -> String {
     format!(r#"{{"id":"h","host_port":"127.0.0.1:{port}","locality":"east","phase":"{phase}"}}"#)
 }
 
-/// Applies a list with these entries; returns where host `h` is reached then.
+/// Applies a list with these entries; returns the resulting address of host `h`.
 fn address_after(
     table: &mut EndpointTable,
     kind: HostListKind,
     entries: &[String],
 ) -> Option<String> {
     let text = list(1, true, entries);
-    let list = discovery::decode(text.as_bytes()).expect("a list");
+    let list = discovery::decode(text.as_bytes()).expect("valid list");
     table.apply(&list, kind, &["east".to_string()]);
     table.address(&"h".into()).cloned()
 }
 
 #[test]
-fn a_host_is_reached_where_it_was_last_listed() {
+fn host_address_follows_the_latest_list_entry() {
     use HostListKind::{Delta, Full};
     let mut table = EndpointTable::default();
     let mut after = |kind, entries: &[String]| address_after(&mut table, kind, entries);
@@ -49,6 +49,6 @@
     assert_eq!(
         after(Full, &[]),
         None,
-        "a list that does not name it forgets it"
+        "a complete list removes hosts that it does not name"
     );
 }
--- a/crates/director/director-state/tests/health_checks.rs
+++ b/crates/director/director-state/tests/health_checks.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn few_are_in_flight_few_wait_and_the_rest_count_as_unanswered() {
+fn checks_beyond_the_limits_are_unanswered() {
     // When 200 hosts are to be checked.
     let settings = settings(LoadSource::Reports, true);
     let mut checks = HealthChecks::default();
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_host_is_checked_once_at_a_time_and_only_where_it_is_allowed_and_known() {
+fn duplicate_unaddressed_and_disabled_checks_are_unanswered() {
     let allowed = settings(LoadSource::Unreported, true);
     let mut checks = HealthChecks::default();
     let unanswered = Some((false, HostLoad::default()));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_host_that_refuses_or_reports_oddly_is_told_as_such() {
+fn error_status_is_unanswered_and_invalid_load_is_ignored() {
     let settings = settings(LoadSource::Reports, true);
     let mut checks = HealthChecks::default();
     let outcomes = [
--- a/crates/director/director-state/tests/inbound.rs
+++ b/crates/director/director-state/tests/inbound.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_ping_is_answered_before_anything_else_is_known() {
+fn ping_is_answered_without_relay_and_discovery() {
     let mut harness = Harness::new();
     harness.relay.is_reachable = false;
     harness.discovery.is_reachable = false;
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn collectors_reports_reach_the_policy() {
+fn collector_reports_reach_the_policy() {
     let mut harness = Harness::with_bound_proxies();
     for collector in [1, 2] {
         harness.open_collector(collector, "east");
@@ -53,7 +53,7 @@
 
 /// Whoever has not registered as a collector of a known zone may ping, and nothing else.
 #[test]
-fn a_stranger_that_sends_anything_but_a_ping_is_rejected() {
+fn unregistered_peer_that_sends_anything_but_a_ping_is_rejected() {
     let messages = [
         HOST_REPORT,
         TRAFFIC_REPORT,
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_end_a_collector_alone() {
+fn malformed_message_closes_only_its_connection() {
     for message in ["", "{", "[1]", "\u{0}\u{1}"] {
         let mut harness = Harness::with_bound_proxies();
         harness.open_collector(1, "east");
@@ -100,8 +100,8 @@
 }
 
 #[test]
-fn who_has_not_registered_in_time_is_closed_and_collectors_are_not() {
-    // Given a stranger, a collector, a page, and one that pings.
+fn unregistered_connections_expire_and_collectors_do_not() {
+    // Given a peer, a collector, a page, and one that pings.
     let mut harness = Harness::with_bound_proxies();
     harness.open_inbound(1);
     harness.open_collector(2, "west");
@@ -137,12 +137,12 @@
 }
 
 #[test]
-fn connections_stay_bounded_and_collectors_outlive_strangers() {
+fn connection_limit_evicts_unregistered_peers_first() {
     let limits = session_limits();
     let mut harness = Harness::with_bound_proxies();
     harness.open_collector(1, "east");
-    for stranger in 2..2000 {
-        harness.open_inbound(stranger);
+    for peer in 2..2000 {
+        harness.open_inbound(peer);
     }
     assert_eq!(harness.gauge("peers_open"), limits.max_inbound as f64);
     assert!(!harness.inbound.closed.contains(&InboundId(1)));
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn collectors_are_bounded_and_only_a_silent_one_makes_room_for_another() {
+fn new_collector_at_the_limit_replaces_only_a_silent_one() {
     // Given more collectors than there may be: those that come last are rejected.
     let max = session_limits().max_collectors as u64;
     let mut harness = Harness::with_bound_proxies();
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn a_flood_of_reports_is_bounded_while_nothing_can_be_ordered() {
+fn report_flood_is_bounded() {
     let mut harness = Harness::with_bound_proxies();
     harness.open_collector(1, "east");
     for _ in 0..20_000 {
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_long_text_of_a_stranger_is_cut_in_the_log() {
+fn long_messages_are_truncated_in_the_log() {
     let mut harness = Harness::with_bound_proxies();
     harness.open_collector(1, "east");
     let message = format!(r#"{{"@type":"{}"}}"#, "x".repeat(900_000));
@@ -209,7 +209,7 @@
 }
 
 #[test]
-fn a_session_that_is_stopped_ends_at_once_whatever_is_under_way() {
+fn stop_takes_effect_with_a_call_in_flight() {
     let mut harness = Harness::with_bound_proxies();
     harness.relay.outcomes = [CallOutcome::Silence].into();
     harness.drain_host(6, "a1", "east");
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn inputs_of_one_interval_are_one_batch() {
+fn inputs_within_an_interval_form_one_batch() {
     let mut harness = Harness::with_bound_proxies();
     let before = harness.counter("ticks");
     harness.open_collector(1, "east");
--- a/crates/director/director-state/tests/limits.rs
+++ b/crates/director/director-state/tests/limits.rs
@@ -11,9 +11,9 @@
     process(192.0, 1024),
     process(2048.0, 65_536),
 ];
-/// Bytes of an incomplete message of a collector, and of what a stranger sends.
+/// Bytes of an incomplete message of a collector, and of what a peer sends.
 const COLLECTOR_BYTES: usize = 1 << 20;
-const STRANGER_BYTES: usize = 16 * 1024;
+const UNREGISTERED_BYTES: usize = 16 * 1024;
 
 const fn process(memory_mb: f64, descriptors: usize) -> ProcessLimits {
     ProcessLimits {
@@ -28,11 +28,11 @@
         + session.max_collectors * COLLECTOR_BYTES
         + session.max_list_bytes
         + session.max_queued_call_bytes
-        + session.max_inbound * STRANGER_BYTES
+        + session.max_inbound * UNREGISTERED_BYTES
 }
 
 #[test]
-fn all_together_stay_within_the_limits_of_the_process() {
+fn session_limits_fit_into_the_process_limits() {
     for process in PROCESSES {
         let session = process.session_limits();
         assert!(
@@ -52,11 +52,11 @@
 }
 
 #[test]
-fn with_grpc_all_together_stay_within_the_limits_of_the_process_too() {
+fn session_and_grpc_limits_fit_into_the_process_limits() {
     for process in PROCESSES {
-        for asks_hosts in [false, true] {
+        for request_host_reports in [false, true] {
             let session = process.session_limits_with_grpc();
-            let grpc = process.grpc_limits(None, asks_hosts);
+            let grpc = process.grpc_limits(None, request_host_reports);
             let for_hosts = grpc.streams.max_report_streams;
             assert!(
                 session.max_inbound + grpc.max_connections + for_hosts + RESERVED_DESCRIPTORS
@@ -66,7 +66,7 @@
             assert!(
                 session.max_collectors >= 4
                     && grpc.max_connections >= 40
-                    && (for_hosts >= 16) == asks_hosts,
+                    && (for_hosts >= 16) == request_host_reports,
                 "{session:?} {grpc:?}"
             );
             let bytes = session_bytes(session)
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn an_operator_may_allow_fewer_streams() {
+fn stream_limit_of_the_operator_is_applied() {
     let grpc = process(192.0, 1024).grpc_limits(Some(10), false);
     assert_eq!(grpc.streams.max_streams, 10);
 }
--- a/crates/director/director-state/tests/long_run.rs
+++ b/crates/director/director-state/tests/long_run.rs
@@ -22,10 +22,10 @@
 ];
 /// Hosts that are listed at a time.
 const LIVE_HOSTS: usize = 4;
-/// Half minutes to play: two hours, in which 240 hosts come and go.
-const HALF_MINUTES: usize = 240;
+/// Half minutes to run_random: two hours, in which 240 hosts come and go.
+const HALF_MINUTE_COUNT: usize = 240;
 /// The second of a half minute in which the host that drains is gone.
-const GONE_AT: usize = 8;
+const GONE_AT_SECOND: usize = 8;
 
 fn zone(index: usize) -> &'static str {
     ["east", "west"][index % 2]
@@ -64,7 +64,7 @@
     }
 
     /// Half a minute in which a host is replaced by a new one, streams break and strangers come.
-    fn half_minute(&mut self) {
+    fn run_half_minute(&mut self) {
         let now = self.harness.now;
         let (old, new) = (self.hosts.len() - LIVE_HOSTS, self.hosts.len());
         self.hosts.push(format!("s-{new:08x}"));
@@ -74,13 +74,13 @@
         self.harness
             .change_list(self.revision, &[started.clone(), draining]);
         for second in 0..30 {
-            if second == GONE_AT {
+            if second == GONE_AT_SECOND {
                 self.list_hosts(old, new, "Gone", &started);
                 self.remove_host(old);
             }
             self.report(old, new, second);
-            self.connect_strangers();
-            self.disturb();
+            self.connect_unregistered_peers();
+            self.inject_fault();
             self.replace_collector();
             self.harness.notify("*");
             if last_ack_number(&self.harness.relay.calls).is_some() {
@@ -88,7 +88,7 @@
             }
             self.harness.run_for(1000.0);
         }
-        self.forget_records();
+        self.clear_records();
     }
 
     fn old_host(&self, old: usize, phase: &str) -> String {
@@ -136,8 +136,8 @@
         self.harness.receive(self.collector, &unknown);
     }
 
-    /// A stranger that pings and holds on, and one that sends nothing.
-    fn connect_strangers(&mut self) {
+    /// A peer that pings and holds on, and one that sends nothing.
+    fn connect_unregistered_peers(&mut self) {
         for pings in [true, false] {
             self.last_inbound += 1;
             self.harness.open_inbound(self.last_inbound);
@@ -149,7 +149,7 @@
     }
 
     /// A proxy rejoins, or a connection to the relay breaks.
-    fn disturb(&mut self) {
+    fn inject_fault(&mut self) {
         let proxy = self.rng.random_range(1..9u32);
         match self.rng.random_range(0..6) {
             0 => {
@@ -182,7 +182,7 @@
     }
 
     /// The harness' own records are not what is measured.
-    fn forget_records(&mut self) {
+    fn clear_records(&mut self) {
         let calls = &mut self.harness.relay.calls;
         calls.drain(..calls.len().saturating_sub(50));
         self.harness.log.clear();
@@ -192,13 +192,13 @@
 }
 
 #[test]
-fn hours_of_churn_leave_sizes_flat() {
+fn state_size_stays_flat_over_hours_of_churn() {
     let mut churn = Churn::new();
     // The highest value of each size, in the first half and in the second.
     let mut peaks = [[0.0f64; SIZES.len()]; 2];
-    for half_minute in 0..HALF_MINUTES {
-        churn.half_minute();
-        let peaks = &mut peaks[half_minute / (HALF_MINUTES / 2)];
+    for half_minute in 0..HALF_MINUTE_COUNT {
+        churn.run_half_minute();
+        let peaks = &mut peaks[half_minute / (HALF_MINUTE_COUNT / 2)];
         for (peak, name) in peaks.iter_mut().zip(SIZES) {
             *peak = peak.max(churn.harness.gauge(name));
         }
--- a/crates/director/director-state/tests/membership.rs
+++ b/crates/director/director-state/tests/membership.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn joined_proxies_are_bound_and_left_ones_are_not_ordered_for() {
+fn joined_and_rejoined_proxies_are_bound() {
     let mut harness = Harness::with_bound_proxies();
     assert_eq!(bind_counts(&harness, 0, [1, 2]), [1, 1]);
     harness.notify("* left 1");
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_short_break_judges_nobody_anew() {
+fn short_disconnect_does_not_rebind_proxies() {
     let mut harness = with_joined(&BOTH);
     let before = harness.relay.calls.len();
     harness.disconnect(RelayLink::Watch);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn after_a_gap_who_is_not_named_has_left_and_new_ones_are_bound() {
+fn after_a_gap_missing_proxies_have_left_and_new_ones_are_bound() {
     // Given a relay where proxy 1 has left and proxy 3 has joined.
     let mut harness = with_joined(&["* joined 2 west 5.0 0", "* joined 3 east 5.0 1"]);
     let before = harness.relay.calls.len();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn one_that_started_anew_in_a_gap_is_bound() {
+fn proxy_restarted_during_a_gap_is_bound() {
     let mut harness = with_joined(&["* joined 1 east 5.0 1", "* joined 2 west 5.0 0"]);
     let before = harness.relay.calls.len();
     harness.disconnect(RelayLink::Watch);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn after_a_long_gap_all_are_bound_anew_as_they_may_have_left_unseen() {
+fn all_proxies_are_rebound_after_a_long_gap() {
     let mut harness = with_joined(&BOTH);
     let before = harness.relay.calls.len();
     harness.relay.is_reachable = false;
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn silence_ends_a_watch_and_signs_of_life_are_enough() {
+fn silence_ends_a_watch_and_keep_alives_prevent_it() {
     let mut harness = Harness::with_bound_proxies();
     for _ in 0..10 {
         harness.run_for(1000.0);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_notification_that_can_not_be_read_ends_the_watch_and_it_is_asked_for_again() {
+fn unreadable_notification_restarts_the_watch() {
     for line in [
         "garbage",
         "* joined 1",
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn all_before_a_notification_that_can_not_be_read_is_known() {
+fn notifications_before_an_unreadable_one_are_kept() {
     let mut harness = Harness::with_bound_proxies();
     harness.run_for(900.0);
     set_joined(&mut harness, &BOTH);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn notifications_of_a_kind_or_zone_that_is_not_known_are_skipped() {
+fn notifications_of_unknown_kind_or_zone_are_skipped() {
     let mut harness = Harness::with_bound_proxies();
     harness.notify("* moved 1 5");
     harness.notify("* joined 9 nowhere 5.0 1");
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_watch_that_does_not_come_up_is_tried_again() {
+fn failed_watch_is_retried() {
     let mut harness = Harness::new();
     harness.relay.is_reachable = false;
     harness.start();
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_set_of_proxies_in_pieces_is_complete_when_it_is_quiet() {
+fn snapshot_is_complete_after_a_quiet_period() {
     let mut harness = with_joined(&["* joined 1 east 5.0 0"]);
     harness.disconnect(RelayLink::Watch);
     harness.run_for(100.0);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn a_watch_that_breaks_as_soon_as_it_stands_is_not_asked_for_in_a_loop() {
+fn short_lived_watches_are_retried_with_backoff() {
     let mut harness = Harness::with_bound_proxies();
     let before = watches(&harness).0;
     for _ in 0..100 {
--- a/crates/director/director-state/tests/properties.rs
+++ b/crates/director/director-state/tests/properties.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::harness::{Harness, session_limits};
-use common::platform::{HOSTS, fleet, last_ack_number, list, member};
+use common::platform::{HOSTS, all_members, last_ack_number, list, member};
 use common::relay::CallOutcome;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -30,16 +30,16 @@
 }
 
 /// A session, and what is true around it.
-struct World {
+struct RandomRun {
     rng: ChaCha8Rng,
     harness: Harness,
     joined: BTreeSet<u32>,
     revision: u64,
 }
 
-impl World {
-    fn new(seed: u64) -> World {
-        World {
+impl RandomRun {
+    fn new(seed: u64) -> RandomRun {
+        RandomRun {
             rng: ChaCha8Rng::seed_from_u64(seed),
             harness: Harness::started(),
             joined: BTreeSet::new(),
@@ -66,7 +66,7 @@
                 let outcome = random_outcome(&mut self.rng);
                 self.harness.relay.outcomes.push_back(outcome);
             }
-            10 => self.connect_stranger(),
+            10 => self.connect_peer(),
             11 => self.report(proxy),
             12 => self.harness.relay.is_reachable = self.rng.random_bool(0.7),
             _ => self.harness.fail_fetch("reset"),
@@ -99,7 +99,7 @@
         self.harness.change_list(self.revision, &[changed]);
     }
 
-    fn connect_stranger(&mut self) {
+    fn connect_peer(&mut self) {
         let number = self.rng.random_range(1..6);
         let closed = self.harness.inbound.closed.len() as u64;
         self.harness.handle(Input::InboundOpened {
@@ -127,7 +127,7 @@
     }
 
     /// The relay is well again for a while.
-    fn calm_down(&mut self) {
+    fn recover(&mut self) {
         self.harness.relay.is_reachable = true;
         self.harness.relay.outcomes.clear();
         self.harness.run_for(3000.0);
@@ -137,23 +137,23 @@
 }
 
 #[test]
-fn whatever_comes_order_and_bounds_are_kept() {
+fn order_and_bounds_hold_for_random_inputs() {
     for seed in 0..60 {
-        let mut world = World::new(seed);
+        let mut run = RandomRun::new(seed);
         for _ in 0..400 {
-            world.step();
-            world.harness.discovery.list = list(world.revision, true, &fleet());
-            let ms = world.rng.random_range(0.0..120.0);
-            world.harness.run_for(ms);
-            world.assert_bounds();
+            run.step();
+            run.harness.discovery.list = list(run.revision, true, &all_members());
+            let ms = run.rng.random_range(0.0..120.0);
+            run.harness.run_for(ms);
+            run.assert_bounds();
         }
         // Quiet again: everything that waited goes out, and who is joined is known.
-        world.calm_down();
-        let harness = &world.harness;
+        run.recover();
+        let harness = &run.harness;
         assert_eq!(harness.gauge("calls_waiting"), 0.0, "seed {seed}");
         assert_eq!(
             harness.gauge("proxies_joined"),
-            world.joined.len() as f64,
+            run.joined.len() as f64,
             "seed {seed}"
         );
         assert_eq!(harness.counter("invariant_failures"), 0, "seed {seed}");
@@ -175,16 +175,16 @@
 }
 
 /// All calls and log lines of a random run.
-fn play(seed: u64) -> (Vec<String>, Vec<String>) {
-    let mut world = World::new(seed);
+fn run_random(seed: u64) -> (Vec<String>, Vec<String>) {
+    let mut run = RandomRun::new(seed);
     for _ in 0..200 {
-        world.step();
-        world.harness.run_for(50.0);
+        run.step();
+        run.harness.run_for(50.0);
     }
-    (world.harness.relay.calls, world.harness.log)
+    (run.harness.relay.calls, run.harness.log)
 }
 
 #[test]
-fn the_same_inputs_give_the_same_calls() {
-    assert_eq!(play(5), play(5));
+fn identical_inputs_produce_identical_calls() {
+    assert_eq!(run_random(5), run_random(5));
 }
--- a/crates/director/director-state/tests/reload.rs
+++ b/crates/director/director-state/tests/reload.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::harness::Harness;
-use common::platform::{addresses, fleet, list, member};
+use common::platform::{addresses, all_members, list, member};
 use common::relay::CallOutcome;
 use rushcourse_director_state::{Input, RelayConnectionId, RelayLink};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 }
 
 /// The relay can be reached again: the latest connections of both links are established.
-fn reach_relay(harness: &mut Harness) {
+fn make_relay_reachable(harness: &mut Harness) {
     harness.relay.is_reachable = true;
     for link in [RelayLink::Watch, RelayLink::Calls] {
         let connection = harness.relay.current(link);
@@ -60,26 +60,26 @@
 }
 
 /// A reload to a relay that can't be reached yet. Returns the watch of before.
-fn reload_out_of_reach(harness: &mut Harness) -> RelayConnectionId {
-    let former = harness.relay.current(RelayLink::Watch);
+fn reload_to_unreachable_relay(harness: &mut Harness) -> RelayConnectionId {
+    let previous = harness.relay.current(RelayLink::Watch);
     harness.relay.is_reachable = false;
     reload(harness, 1);
-    former
+    previous
 }
 
 #[test]
-fn the_former_watch_is_read_until_the_new_one_stands() {
+fn previous_watch_is_read_until_the_new_one_is_established() {
     // Given a watch that is to move.
     let mut harness = with_applied_tables();
-    let former = reload_out_of_reach(&mut harness);
+    let previous = reload_to_unreachable_relay(&mut harness);
     harness.run_for(100.0);
     let latest = harness.relay.connections.last().expect("a connection");
     assert_eq!(
         (latest.id.link, latest.address),
         (RelayLink::Watch, addresses(1).relay)
     );
-    // When a proxy joins meanwhile, then the former watch tells it.
-    harness.notify_by(former, "* joined 3 east 5.0 1");
+    // When a proxy joins meanwhile, then the previous watch tells it.
+    harness.notify_by(previous, "* joined 3 east 5.0 1");
     harness.run_for(50.0);
     assert_eq!(
         harness.gauge("proxies_joined"),
@@ -89,32 +89,32 @@
 }
 
 #[test]
-fn once_the_new_watch_stands_it_alone_tells_who_joins_and_leaves() {
+fn joins_and_leaves_are_read_from_the_established_new_watch_only() {
     // Given a watch that has moved.
     let mut harness = with_applied_tables();
     let binds = bind_count(&harness, 1);
-    let former = reload_out_of_reach(&mut harness);
+    let previous = reload_to_unreachable_relay(&mut harness);
     harness.run_for(100.0);
-    harness.notify_by(former, "* joined 3 east 5.0 1");
+    harness.notify_by(previous, "* joined 3 east 5.0 1");
     harness.run_for(50.0);
     harness.relay.joined.push("* joined 3 east 5.0 1".into());
     let disconnects = harness.relay.disconnect_count(RelayLink::Watch);
-    reach_relay(&mut harness);
+    make_relay_reachable(&mut harness);
     harness.run_for(20.0);
     assert_eq!(
         harness.relay.disconnect_count(RelayLink::Watch),
         disconnects,
         "acknowledgements may still come"
     );
-    // Whatever the former address still says of joins is told by the new one.
-    harness.notify_by(former, "* left 1");
-    harness.notify_by(former, "* joined 2 west 5.0 0");
+    // Whatever the previous address still says of joins is told by the new one.
+    harness.notify_by(previous, "* left 1");
+    harness.notify_by(previous, "* joined 2 west 5.0 0");
     assert_eq!(harness.gauge("proxies_joined"), 3.0);
     harness.run_for(1500.0);
     assert_eq!(
         harness.relay.disconnect_count(RelayLink::Watch),
         disconnects + 1,
-        "the former watch ends"
+        "the previous watch ends"
     );
     harness.notify("*");
     harness.run_for(1000.0);
@@ -134,10 +134,10 @@
 }
 
 #[test]
-fn acknowledgements_are_taken_from_either_address() {
+fn acknowledgements_are_accepted_from_both_addresses() {
     // Given a call that no proxy has acknowledged.
     let mut harness = with_applied_tables();
-    let former = harness.relay.current(RelayLink::Watch);
+    let previous = harness.relay.current(RelayLink::Watch);
     harness.drain_host(6, "a1", "east");
     harness.run_for(20.0);
     let ack_number = harness.ack_number();
@@ -146,7 +146,7 @@
     reload(&mut harness, 1);
     harness.run_for(20.0);
     for proxy in [1, 2] {
-        harness.notify_by(former, &format!("* applied {proxy} {ack_number} 200.0"));
+        harness.notify_by(previous, &format!("* applied {proxy} {ack_number} 200.0"));
     }
     harness.run_for(20.0);
     // Then they count.
@@ -154,13 +154,13 @@
 }
 
 #[test]
-fn a_watch_that_breaks_before_its_successor_stands_leaves_a_gap() {
+fn previous_watch_lost_before_its_replacement_leaves_a_gap() {
     // Given a watch that is to move and breaks.
     let mut harness = with_applied_tables();
-    let former = reload_out_of_reach(&mut harness);
+    let previous = reload_to_unreachable_relay(&mut harness);
     harness.run_for(50.0);
     harness.handle(Input::RelayDisconnected {
-        connection: former,
+        connection: previous,
         reason: "closed".into(),
     });
     assert_eq!(harness.counter("news_breaks"), 1);
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn a_call_in_flight_gets_its_reply_where_it_was_sent() {
+fn call_in_flight_completes_at_the_previous_address() {
     // Given a call in flight.
     let mut harness = with_applied_tables();
     harness.relay.outcomes = [CallOutcome::Silence].into();
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_call_of_unknown_outcome_is_repeated_at_the_new_address_before_later_ones() {
+fn call_with_unknown_outcome_is_resent_first_at_the_new_address() {
     // Given a call in flight, and a relay that moves.
     let mut harness = with_applied_tables();
     harness.relay.outcomes = [CallOutcome::Silence].into();
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_file_that_makes_no_sense_changes_nothing_and_is_looked_at_again() {
+fn invalid_file_changes_nothing_and_is_retried() {
     // Given a file that is half written.
     let mut harness = with_applied_tables();
     let (connections, lines) = (harness.relay.connections.len(), harness.log.len());
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_file_that_makes_no_sense_for_good_waits_for_the_next_signal() {
+fn retries_of_an_invalid_file_end_until_the_next_signal() {
     let mut harness = with_applied_tables();
     harness.config_file = Err("config.json: no such file".into());
     harness.handle(Input::ReloadRequested);
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_reload_before_the_start_and_several_in_a_row_end_at_the_last_address() {
+fn last_of_several_reloads_takes_effect() {
     let mut harness = Harness::new();
     reload(&mut harness, 1);
     harness.start();
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_reload_that_moves_nothing_does_nothing() {
+fn reload_without_changes_has_no_effect() {
     let mut harness = with_applied_tables();
     let count = |harness: &Harness| {
         (
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn a_new_discovery_may_begin_below_the_revision_held() {
+fn new_discovery_address_may_start_at_a_lower_revision() {
     // Given a list of a high revision, and a watch that is open.
     let mut harness = with_applied_tables();
     harness.drain_host(90, "a1", "east");
@@ -350,13 +350,13 @@
     let withdrawal = "withdraw,b1".to_string();
     assert!(harness.relay.orders_from(0).contains(&withdrawal));
     // When it answers with a low revision, then that is held.
-    let mut members = fleet();
+    let mut members = all_members();
     members[2] = member("b1", "west", "Terminating", 0.0);
     harness.answer_fetch(&list(3, true, &members));
     assert_eq!(harness.gauge("list_revision"), 3.0);
     harness.run_for(10.0);
     assert!(harness.discovery.latest().path.contains("after=3&"));
-    // What the former address says now changes nothing.
+    // What the previous address says now changes nothing.
     harness.handle(answer(92, "a2", "east"));
     assert_eq!(harness.gauge("list_revision"), 3.0);
     assert_eq!(
--- a/crates/director/director-state/tests/reports.rs
+++ b/crates/director/director-state/tests/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of collectors that make no sense: none of it reaches the policy, each is counted, and the collector stays.
+//! Invalid reports of collectors: each is skipped and counted, and the connection stays open.
 
 mod common;
 
@@ -23,8 +23,8 @@
     ("bad", "1"),
     ("window", "1000.0"),
 ];
-/// Values that make no sense for any of them.
-const ODD_VALUES: [&str; 9] = [
+/// Values that are invalid in every field.
+const INVALID_VALUES: [&str; 9] = [
     "-3",
     "1e30",
     "1e999",
@@ -35,7 +35,7 @@
     "null",
     "true",
 ];
-/// Counters of what was skipped.
+/// Counters of skipped messages; each message is counted in exactly one of them.
 const SKIPPED: [&str; 5] = [
     "heard_unlisted",
     "heard_spoilt",
@@ -44,7 +44,7 @@
     "messages_odd",
 ];
 
-/// A report with another value of one field, or without it.
+/// Encodes a report in which field `changed` has another value, or is missing if `value` is `None`.
 fn report_with(kind: &str, fields: &[Field], changed: &str, value: Option<&str>) -> String {
     let pairs = fields.iter().filter_map(|(name, valid)| {
         let value = if *name == changed { value? } else { valid };
@@ -53,13 +53,13 @@
     format!(r#"{{"@type":"{kind}"{}}}"#, pairs.collect::<String>())
 }
 
-/// Reports with one odd or missing field after the other.
+/// Reports in each of which one field is missing or has one of [`INVALID_VALUES`].
 fn invalid_reports(kind: &str, fields: &[Field]) -> Vec<String> {
     let mut reports = Vec::new();
     for (name, _) in fields {
-        let values = ODD_VALUES.into_iter().map(Some).chain([None]);
+        let values = INVALID_VALUES.into_iter().map(Some).chain([None]);
         for value in values {
-            // No load report is one that may be.
+            // The load report is optional.
             let may_be_missing = *name == "report" && matches!(value, Some("null") | None);
             if !may_be_missing {
                 reports.push(report_with(kind, fields, name, value));
@@ -75,7 +75,7 @@
     harness
 }
 
-/// Hands messages of a collector over, and checks that none reaches the policy.
+/// Asserts that none of the messages reaches the policy, that each is counted, and that the collector stays registered.
 fn assert_all_skipped(messages: &[String]) {
     let mut harness = with_collector();
     let events = harness.counter("events");
@@ -83,7 +83,10 @@
         harness.receive(1, message);
     }
     harness.run_for(100.0);
-    assert!(harness.inbound.closed.is_empty(), "the collector stays");
+    assert!(
+        harness.inbound.closed.is_empty(),
+        "the collector stays connected"
+    );
     assert_eq!(
         (
             harness.counter("reports_heard"),
@@ -96,25 +99,25 @@
     assert_eq!(
         harness.counter("events"),
         events,
-        "nothing reached the policy"
+        "no event reaches the policy"
     );
-    // The collector goes on.
+    // The collector can still report.
     harness.receive(1, &report_with("heard", &HOST_REPORT, "", None));
     assert_eq!(harness.counter("reports_heard"), 1);
 }
 
 #[test]
-fn a_host_report_with_an_odd_field_is_skipped_whole() {
+fn host_report_with_an_invalid_field_is_skipped() {
     assert_all_skipped(&invalid_reports("heard", &HOST_REPORT));
 }
 
 #[test]
-fn a_traffic_report_with_an_odd_field_is_skipped_whole() {
+fn traffic_report_with_an_invalid_field_is_skipped() {
     assert_all_skipped(&invalid_reports("usage", &TRAFFIC_REPORT));
 }
 
 #[test]
-fn a_message_that_says_what_can_not_be_is_skipped() {
+fn inconsistent_and_unexpected_messages_are_skipped() {
     assert_all_skipped(&[
         r#"{"@type":"heard","az":"east","host":"a1","n":3,"bad":4,"avg":40.0,"window":1000.0}"#,
         r#"{"@type":"usage","sidecar":8,"kind":"look","n":3,"bad":0,"window":1000.0}"#,
@@ -126,14 +129,14 @@
 }
 
 #[test]
-fn reports_where_nothing_succeeded_are_valid() {
+fn reports_without_successful_attempts_are_accepted() {
     let mut harness = with_collector();
     harness.receive(
         1,
         r#"{"@type":"heard","az":"east","host":"a1","n":3,"bad":3,"window":7907.1}"#,
     );
     assert_eq!(harness.counter("reports_heard"), 1);
-    // What a proxy could not serve was admitted earlier, or not at all.
+    // Unlike in host reports, failed requests may exceed the attempts of the same period.
     harness.receive(
         1,
         r#"{"@type":"usage","sidecar":1,"kind":"look","n":0,"bad":2,"window":1000.0}"#,
--- a/crates/director/director-state/tests/streams.rs
+++ b/crates/director/director-state/tests/streams.rs
@@ -56,7 +56,7 @@
 }
 
 /// Responses to a stream since the last look: the hosts that may be picked, by response.
-fn take_responses(harness: &mut Harness, to: u64) -> Vec<Vec<String>> {
+fn drain_responses(harness: &mut Harness, to: u64) -> Vec<Vec<String>> {
     let mut responses = Vec::new();
     for effect in std::mem::take(&mut harness.stream_effects) {
         if let Effect::SendResponse {
@@ -90,33 +90,33 @@
 }
 
 #[test]
-fn who_joins_by_a_stream_is_served_there_and_no_more_by_the_relay() {
+fn proxy_with_a_stream_is_no_longer_served_by_the_relay() {
     // Given a proxy of the relay that opens a stream.
     let mut harness = with_both_channels();
     open_stream(&mut harness, 7, 1);
     harness.run_for(300.0);
-    assert_eq!(take_responses(&mut harness, 7).len(), 1, "its tables");
+    assert_eq!(drain_responses(&mut harness, 7).len(), 1, "its tables");
     accept_response(&mut harness, 7);
     // When a host drains, then the stream is told at once, and the relay never.
     let before = harness.relay.calls.len();
     harness.drain_host(6, "a1", "east");
     harness.run_for(20.0);
-    assert_eq!(take_responses(&mut harness, 7), [["a2", "b1", "b2"]]);
+    assert_eq!(drain_responses(&mut harness, 7), [["a2", "b1", "b2"]]);
     harness.run_for(3000.0);
     assert_eq!(harness.relay.bind_count(before, 1), 0);
-    // That the relay's former stream ends says nothing of it.
+    // That the relay's previous stream ends says nothing of it.
     harness.notify("* left 1");
     harness.run_for(300.0);
     assert_eq!(harness.gauge("streams_joined"), 1.0);
     accept_response(&mut harness, 7);
     harness.drain_host(7, "b1", "west");
     harness.run_for(20.0);
-    let responses = take_responses(&mut harness, 7);
+    let responses = drain_responses(&mut harness, 7);
     assert_eq!(responses.last().expect("served on"), &["a2", "b2"]);
 }
 
 #[test]
-fn who_leaves_a_stream_and_still_stands_at_the_relay_is_bound_there_anew() {
+fn proxy_is_rebound_at_the_relay_after_its_stream_ends() {
     let mut harness = with_both_channels();
     open_stream(&mut harness, 7, 1);
     harness.run_for(300.0);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_new_watch_that_names_a_proxy_takes_it_not_from_its_stream() {
+fn watch_snapshot_does_not_supersede_a_stream() {
     // Given a proxy that has joined by a stream.
     let mut harness = with_both_channels();
     open_stream(&mut harness, 7, 1);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn who_joins_at_the_relay_anew_is_its_and_the_stream_ends() {
+fn later_join_at_the_relay_ends_the_stream() {
     let mut harness = with_both_channels();
     open_stream(&mut harness, 7, 1);
     harness.run_for(300.0);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_reload_opens_streams_and_ends_them() {
+fn reload_enables_and_disables_streams() {
     // Given a session without streams.
     let mut harness = Harness::with_bound_proxies();
     open_stream(&mut harness, 7, 3);
@@ -191,7 +191,7 @@
     harness.handle(Input::ReloadRequested);
     open_stream(&mut harness, 8, 3);
     harness.run_for(300.0);
-    assert_eq!(take_responses(&mut harness, 8).len(), 1);
+    assert_eq!(drain_responses(&mut harness, 8).len(), 1);
     // When a reload asks for none, then they end, and the relay alone is left.
     harness.stream_config = None;
     harness.handle(Input::ReloadRequested);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_session_that_is_stopped_ends_all_streams_with_a_status() {
+fn stop_ends_all_streams_with_a_status() {
     let mut harness = with_both_channels();
     open_stream(&mut harness, 7, 1);
     harness.handle(Input::Stop);
