--- a/crates/director/director-state/src/endpoint_discovery.rs
+++ b/crates/director/director-state/src/endpoint_discovery.rs
@@ -47,7 +47,7 @@
     address: SocketAddr,
     /// The address changed and no complete list was received from the new one yet. Its revisions are unrelated.
     has_address_changed: bool,
-    /// Identifier and time of the latest request.
+    /// Identifier of the latest request, which was sent at `requested_at`.
     request: FetchId,
     requested_at: Ms,
     /// Watch at the previous address that may still be answered.
--- a/crates/director/director-state/src/inbound_connections.rs
+++ b/crates/director/director-state/src/inbound_connections.rs
@@ -95,12 +95,7 @@
 
     /// Adds a connection. If there are too many, the oldest one that is not a collector is closed; collectors register
     /// immediately after connecting, so they are not affected.
-    pub(crate) fn on_opened(
-        &mut self,
-        context: &mut StepContext,
-        inbound: InboundId,
-        peer: String,
-    ) {
+    pub(crate) fn on_open(&mut self, context: &mut StepContext, inbound: InboundId, peer: String) {
         let connection = InboundConnection {
             purpose: Purpose::Unidentified,
             peer,
@@ -109,14 +104,14 @@
         };
         self.open.insert(inbound, connection);
         if self.open.len() > self.limits.max_inbound {
-            let first = self
+            let oldest = self
                 .open
                 .iter()
                 .filter(|(_, connection)| !connection.is_collector())
                 .min_by(|a, b| a.1.purpose_since.total_cmp(&b.1.purpose_since))
-                .map(|(first, _)| *first);
-            let first = first.unwrap_or(inbound);
-            self.close(context, first, "too many connections", None);
+                .map(|(oldest, _)| *oldest);
+            let oldest = oldest.unwrap_or(inbound);
+            self.close(context, oldest, "too many connections", None);
         }
     }
 
--- a/crates/director/director-state/src/limits.rs
+++ b/crates/director/director-state/src/limits.rs
@@ -54,7 +54,7 @@
 const MAX_INBOUND: usize = 256;
 const MAX_COLLECTORS: usize = 64;
 /// Upper bound on connections at the listening address if proxies connect by gRPC.
-const MAX_INBOUND_BESIDE_GRPC: usize = 64;
+const MAX_INBOUND_WITH_GRPC: usize = 64;
 /// Size limit for a message of a proxy in KiB; a load report on 30 hosts and four classes takes 16 KiB.
 const GRPC_MESSAGE_KIB: usize = 64;
 /// One stream for tables and one for load reports, doubled to let a proxy open replacements before it closes them.
@@ -95,7 +95,7 @@
         let without_grpc = self.session_limits();
         let max_inbound = without_grpc
             .max_inbound
-            .min(MAX_INBOUND_BESIDE_GRPC)
+            .min(MAX_INBOUND_WITH_GRPC)
             .min(self.descriptors / 4)
             .max(8);
         let max_collectors = (without_grpc.max_buffered_kib / 1024)
--- a/crates/director/director-state/src/membership_watch.rs
+++ b/crates/director/director-state/src/membership_watch.rs
@@ -36,7 +36,7 @@
         deadline: Ms,
     },
     /// The relay is announcing the proxies that are joined.
-    Snapshot {
+    InitialSnapshot {
         complete_at: Ms,
     },
     Live {
@@ -90,7 +90,7 @@
         (self.last_line_at > 0.0).then_some(now - self.last_line_at)
     }
 
-    /// See [`Membership::rejoin`].
+    /// Emits a join event for a proxy whose dedicated stream ended, if it is still joined at the relay.
     pub(crate) fn rejoin(&self, context: &mut StepContext, proxy: ProxyId) {
         self.membership.rejoin(context, proxy);
     }
@@ -146,10 +146,12 @@
         match self.state {
             State::Disconnected { .. } | State::Connecting { .. } => {}
             State::AwaitingReply { .. } => self.on_reply(context, line),
-            State::Snapshot { .. } | State::Live { .. } => match relay::parse_notification(line) {
-                Some(notification) => self.on_notification(context, &notification, zones),
-                None => self.on_unreadable(context, line),
-            },
+            State::InitialSnapshot { .. } | State::Live { .. } => {
+                match relay::parse_notification(line) {
+                    Some(notification) => self.on_notification(context, &notification, zones),
+                    None => self.on_unreadable(context, line),
+                }
+            }
         }
     }
 
@@ -175,7 +177,7 @@
             previous.expires_at = context.after(LATE_ACK_PERIOD);
             previous.is_replaced = true;
         }
-        self.state = State::Snapshot {
+        self.state = State::InitialSnapshot {
             complete_at: context.after(SILENCE_TIMEOUT),
         };
     }
@@ -192,13 +194,13 @@
         notification: &Notification,
         zones: &[String],
     ) {
-        let in_snapshot = matches!(self.state, State::Snapshot { .. });
+        let in_snapshot = matches!(self.state, State::InitialSnapshot { .. });
         if in_snapshot && !matches!(notification, Notification::ProxyJoined { .. }) {
             self.complete_snapshot(context);
         }
         self.last_line_at = context.now;
         self.state = match self.state {
-            State::Snapshot { .. } => State::Snapshot {
+            State::InitialSnapshot { .. } => State::InitialSnapshot {
                 complete_at: context.after(SNAPSHOT_QUIET_PERIOD),
             },
             _ => State::Live {
@@ -263,7 +265,10 @@
 
     /// Schedules a new watch after the current one failed. Notifications may be missing from `since` on.
     fn on_lost(&mut self, context: &mut StepContext, since: Ms, reason: &str) {
-        let was_established = matches!(self.state, State::Snapshot { .. } | State::Live { .. });
+        let was_established = matches!(
+            self.state,
+            State::InitialSnapshot { .. } | State::Live { .. }
+        );
         let was_stable =
             was_established && context.now - self.established_at > millis(MIN_STABLE_TIME);
         let retry_at = if was_stable {
@@ -359,15 +364,15 @@
     fn advance_current(&mut self, context: &mut StepContext) -> Option<Ms> {
         let now = context.now;
         loop {
-            // A snapshot in progress is completed first.
-            if self.has_address_changed && !matches!(self.state, State::Snapshot { .. }) {
+            // A snapshot in progress is completed before the watch moves to the new address.
+            if self.has_address_changed && !matches!(self.state, State::InitialSnapshot { .. }) {
                 self.leave_previous_address(context);
             }
             match self.state {
                 State::Disconnected { retry_at: next }
                 | State::Connecting { deadline: next }
                 | State::AwaitingReply { deadline: next }
-                | State::Snapshot { complete_at: next }
+                | State::InitialSnapshot { complete_at: next }
                 | State::Live { expires_at: next }
                     if now < next =>
                 {
@@ -378,7 +383,7 @@
                         deadline: self.connection.connect(context),
                     };
                 }
-                State::Snapshot { .. } => self.complete_snapshot(context),
+                State::InitialSnapshot { .. } => self.complete_snapshot(context),
                 State::Connecting { .. } | State::AwaitingReply { .. } => {
                     self.on_timeout(context, "watch not established in time");
                 }
--- a/crates/director/director-state/src/session/inputs.rs
+++ b/crates/director/director-state/src/session/inputs.rs
@@ -17,12 +17,8 @@
         let zones = &self.config.names.zones;
         match input {
             Input::Start => self.start(),
-            Input::InboundOpened { inbound, peer } => {
-                self.inbound.on_opened(context, inbound, peer)
-            }
-            Input::InboundMessage { inbound, message } => {
-                self.on_inbound_message(inbound, &message)
-            }
+            Input::InboundOpened { inbound, peer } => self.inbound.on_open(context, inbound, peer),
+            Input::InboundMessage { inbound, message } => self.handle_message(inbound, &message),
             Input::InboundHttp { inbound } => self.inbound.on_http_request(context, inbound),
             Input::InboundClosed { inbound, error } => {
                 self.inbound.on_closed(context, inbound, error.as_deref());
@@ -87,7 +83,7 @@
         self.context.request(Effect::Exit);
     }
 
-    fn on_inbound_message(&mut self, inbound: InboundId, message: &Bytes) {
+    fn handle_message(&mut self, inbound: InboundId, message: &Bytes) {
         let validator = ReportValidator {
             names: &self.config.names,
             settings: &self.config.settings,
--- a/crates/director/director-state/tests/call_outcomes.rs
+++ b/crates/director/director-state/tests/call_outcomes.rs
@@ -1,4 +1,4 @@
-//! Calls to the relay whose outcome is unknown, and what the policy is told of them.
+//! Calls to the relay with an unknown outcome: resends, confirmation by acknowledgements and events for the policy.
 
 mod common;
 
@@ -6,7 +6,8 @@
 use common::relay::CallOutcome;
 use rushcourse_director_state::{Input, RelayLink};
 
-/// A session whose next calls end like this, and the number of calls before them. Host a1 drains, so that a call goes out.
+/// Creates a session whose next calls have the given outcomes, and drains host a1 to trigger a call. Also returns the index
+/// of that call.
 fn with_outcomes(outcomes: Vec<CallOutcome>) -> (Harness, usize) {
     let mut harness = Harness::with_bound_proxies();
     let before = harness.relay.calls.len();
@@ -15,7 +16,7 @@
     (harness, before)
 }
 
-/// How often the first of these calls was sent.
+/// Number of times that the first of these calls was sent.
 fn repeats(calls: &[String]) -> usize {
     calls.iter().filter(|call| **call == calls[0]).count()
 }
@@ -27,7 +28,6 @@
     )
 }
 
-/// Each kind of unknown outcome: the same call again, before any later one, and it counts as a repeat.
 #[test]
 fn call_with_unknown_outcome_is_resent_before_later_calls() {
     for outcome in [
@@ -38,19 +38,19 @@
         CallOutcome::reply("\u{fffd}"),
         CallOutcome::reply("OK"),
     ] {
-        // Given three calls of unknown outcome.
+        // Given three transmissions with an unknown outcome.
         let (mut harness, before) = with_outcomes(vec![outcome.clone(); 3]);
         harness.run_for(30.0);
-        // When something later wants to go out meanwhile.
+        // When a later call is queued meanwhile.
         harness.drain_host(7, "b1", "west");
         harness.run_for(1000.0);
-        // Then the first call goes out until it is accepted, and the later one follows.
+        // Then the first call is resent until it is accepted, and the later one follows.
         let calls = &harness.relay.calls[before..];
         assert!(calls[0].contains("withdraw,a1"), "{outcome:?}");
         assert_eq!(
             calls[..4],
             vec![calls[0].clone(); 4],
-            "{outcome:?}: the same bytes, three times more"
+            "{outcome:?}: the same call is resent three times"
         );
         assert!(
             calls[4..].iter().any(|call| call.contains("withdraw,b1")),
@@ -74,19 +74,19 @@
 fn received_reply_is_accepted_after_a_process_suspension() {
     let (mut harness, call) = with_outcomes(vec![CallOutcome::Silence]);
     harness.run_for(10.0);
-    // Both are there at once: the line that was read, and the deadline.
+    // The reply and the expired deadline are handled in the same iteration.
     harness.now += 500.0;
     harness.accept(call);
     assert_eq!(harness.counter("calls_unknown"), 0);
 }
 
-/// A spoilt reply proves nothing, whatever its words: the call is neither taken for undone nor given up.
+/// A corrupt reply may look like a rejection; the call must not be treated as unexecuted then.
 #[test]
 fn rejection_after_an_accepted_call_is_an_unknown_outcome() {
     for reply in [
         "SYNTAX", "BUSY", "OK +1", "OK -1", "OK 1.0", "OK 99", "OK", "", "OK 1 2",
     ] {
-        // When the relay replies so again and again, then the call is repeated, and nothing else is sent.
+        // When the relay keeps replying like this, then the call is resent and nothing else is sent.
         let (mut harness, before) = with_outcomes(vec![CallOutcome::reply(reply); 4]);
         harness.run_for(400.0);
         let calls = &harness.relay.calls[before..];
@@ -95,10 +95,10 @@
         assert_eq!(
             *calls,
             vec![calls[0].clone(); sent],
-            "{reply:?}: nothing else"
+            "{reply:?}: no other call is sent"
         );
         assert_eq!(harness.counter("calls_unknown"), sent as u64, "{reply:?}");
-        // When proxies acknowledge it, then it was carried out, and later calls go on.
+        // When proxies acknowledge it, then it counts as executed and later calls are sent.
         harness.acknowledge(&[1, 2]);
         harness.drain_host(7, "b1", "west");
         harness.run_for(600.0);
@@ -110,13 +110,13 @@
         );
         assert!(
             !later.contains(&"withdraw,a1".into()),
-            "{reply:?}: not again"
+            "{reply:?}: the confirmed call is not resent"
         );
     }
 }
 
-/// Whether a host's endpoint is removed at once when it drains, after five seconds and a call that hung until now, or was
-/// accepted at once.
+/// Whether the endpoint of a draining host is removed at once, five seconds after a call with it was first sent. With
+/// `relay_hangs` that call gets no reply until then; otherwise it is accepted immediately.
 fn is_removed_after(relay_hangs: bool) -> bool {
     let mut harness = Harness::started();
     if relay_hangs {
@@ -134,7 +134,7 @@
     harness.run_for(1000.0);
     assert!(
         !relay_hangs || harness.relay.calls.len() > before,
-        "it goes out once more, and is accepted"
+        "the call is resent and accepted"
     );
     harness.drain_host(6, "a1", "east");
     harness.run_for(600.0);
@@ -145,20 +145,20 @@
         .any(|order| order.starts_with("share,") && order.contains(",a1,0"))
 }
 
-/// The order that makes room for time to settle endpoints: a call that relay_hangs for long keeps its endpoints uncertain.
+/// The policy treats endpoints as applied some time after their call; a call without a reply must not start that time.
 #[test]
 fn endpoints_of_an_unconfirmed_call_stay_uncertain() {
     assert!(
         is_removed_after(false),
-        "the call was accepted five seconds ago: time has settled its endpoints"
+        "the call was accepted five seconds ago, so its endpoints are certain"
     );
     assert!(
         !is_removed_after(true),
-        "the call was accepted just now at the earliest"
+        "the call was accepted just now, so its endpoints are uncertain"
     );
 }
 
-/// Each repeat may be a message to a proxy, and a proxy gets twelve in ten seconds.
+/// Each resend may reach proxies as a message, and the cap is twelve messages in ten seconds.
 #[test]
 fn resends_stay_within_the_message_cap() {
     let (mut harness, before) = with_outcomes(vec![CallOutcome::reply("?"); 1000]);
@@ -172,7 +172,7 @@
         }
     }
     let sent = sent_at.len();
-    assert!(sent > 30, "it goes on: {sent} times in forty seconds");
+    assert!(sent > 30, "only {sent} transmissions in forty seconds");
     let within_window = |from: f64| {
         sent_at
             .iter()
@@ -181,7 +181,7 @@
     };
     assert!(
         sent_at.iter().all(|from| within_window(*from) <= 12),
-        "twelve in ten seconds at most"
+        "at most twelve transmissions in ten seconds"
     );
     assert!(harness.counter("repeats_held") > 0);
     let calls = &harness.relay.calls[before..];
@@ -190,13 +190,13 @@
 
 #[test]
 fn acknowledgement_confirms_a_call_with_unknown_outcome() {
-    // Given a call whose repeat is under way.
+    // Given a call whose resend is in flight.
     let (mut harness, before) = with_outcomes(vec![CallOutcome::Disconnect, CallOutcome::Silence]);
     harness.run_for(10.0);
-    // When a proxy acknowledges the first one, and the repeat gets no reply.
+    // When a proxy acknowledges the first transmission, and the resend gets no reply.
     harness.acknowledge(&[1]);
     harness.run_for(300.0);
-    // Then it is not sent again.
+    // Then the call is not sent again.
     assert_eq!(
         (
             repeats(&harness.relay.calls[before..]),
@@ -223,8 +223,7 @@
     );
 }
 
-/// A step that ordered much took 57 of the 65 ms that the relay has: its reply was on the way, and the call, the largest
-/// of the day, went out twice (herd+mass 13: backlog).
+/// A long step must not use up the relay's time to reply, or large calls are sent twice.
 #[test]
 fn reply_timeout_starts_when_the_call_is_written() {
     // Given a call whose last byte is written 50 ms after the step.
@@ -238,7 +237,7 @@
     harness.accept(call);
     harness.run_for(200.0);
     assert_eq!(unknown_and_repeated(&harness), (0, 0));
-    // It still ends: a relay that does not reply is given up.
+    // A relay that does not reply at all still runs into the timeout.
     harness.relay.outcomes = [CallOutcome::Silence].into();
     harness.drain_host(7, "b1", "west");
     harness.handle(Input::RelayWritten { connection });
--- a/crates/director/director-state/tests/calls.rs
+++ b/crates/director/director-state/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the relay: their order, their bounds, and what happens to those that are rejected.
+//! Calls to the relay: order, size limits, rejections and connections.
 
 mod common;
 
@@ -13,7 +13,7 @@
 fn batch_is_one_call_that_ends_with_its_ack_request() {
     let harness = Harness::with_bound_proxies();
     let first = &harness.relay.calls[0];
-    let last_order = first.split(';').next_back().expect("an order");
+    let last_order = first.split(';').next_back().expect("at least one order");
     assert!(first.contains("bind,1,") && last_order.starts_with("mark,"));
     assert_eq!(harness.counter("calls_unknown"), 0);
     assert_eq!(
@@ -30,13 +30,13 @@
     // When a call of more orders goes out.
     harness.notify(JOINED);
     harness.run_for(300.0);
-    // Then those after the third follow, and the third is named.
+    // Then the orders after the third are sent, and the third is logged.
     let first: Vec<&str> = harness.relay.calls[0].split(';').collect();
     assert!(first.len() > 4);
     assert_eq!(
         harness.relay.calls[1].split(';').collect::<Vec<_>>(),
         first[3..],
-        "what was accepted and the bad one are out"
+        "neither the accepted orders nor the invalid one are resent"
     );
     assert_eq!(harness.counter("orders_dropped"), 1);
     assert!(
@@ -48,7 +48,7 @@
 
 #[test]
 fn remaining_ack_request_alone_is_not_sent() {
-    // Given a call that waits for its reply.
+    // Given a call in flight.
     let mut harness = Harness::started();
     harness.notify(JOINED);
     harness.relay.outcomes = [CallOutcome::Silence].into();
@@ -57,7 +57,7 @@
     let orders = harness.relay.calls[0].split(';').count();
     harness.reply(&format!("OK {}", orders - 2));
     harness.run_for(200.0);
-    // Then the request alone does not go out.
+    // Then the acknowledgement request is not sent alone.
     assert!(
         harness
             .relay
@@ -87,7 +87,7 @@
     assert_eq!(
         harness.counter("calls_unknown"),
         0,
-        "it was rejected: that is known"
+        "a rejected call has a known outcome"
     );
 }
 
@@ -101,7 +101,7 @@
     assert_eq!(
         calls[..6],
         vec![calls[0].clone(); 6],
-        "the model's endpoints come to be held"
+        "the same call is resent until accepted"
     );
     assert_eq!(
         (
@@ -114,7 +114,7 @@
 
 #[test]
 fn unreachable_relay_is_retried_with_backoff() {
-    // Given a relay that goes out of reach.
+    // Given a relay that becomes unreachable.
     let mut harness = Harness::with_bound_proxies();
     let (calls, connects) = (
         harness.relay.calls.len(),
@@ -126,8 +126,8 @@
     // When a host drains.
     harness.drain_host(6, "a1", "east");
     harness.run_for(10_000.0);
-    // Then the session tries to connect now and then, and sends the call once it can.
-    assert_eq!(harness.relay.calls.len(), calls, "nothing can go out");
+    // Then the session retries with backoff, and sends the call once the relay is reachable.
+    assert_eq!(harness.relay.calls.len(), calls, "no call can be sent");
     let attempts = harness.relay.connect_count(RelayLink::Calls) - connects;
     assert!(
         (10..60).contains(&attempts),
@@ -137,14 +137,14 @@
     harness.run_for(1000.0);
     assert!(
         harness.relay.calls[calls].contains("withdraw,a1"),
-        "the oldest call first: {:?}",
+        "the oldest call is sent first: {:?}",
         &harness.relay.calls[calls..]
     );
 }
 
 #[test]
 fn call_queue_stays_bounded_while_the_relay_is_unreachable() {
-    // Nobody is joined: no order costs a line, so nothing but the queue's own bound holds them back.
+    // Without joined proxies the message cap does not apply, so only the queue limit bounds the calls.
     let mut harness = Harness::started();
     harness.relay.is_reachable = false;
     for revision in 0..2000u64 {
@@ -173,7 +173,7 @@
         harness.run_for(1000.0);
         harness.notify("*");
     }
-    // When a call has to go out, then it goes by a new connection.
+    // When a call is queued, then it is sent on a new connection.
     let before = harness.relay.calls.len();
     harness.drain_host(6, "a1", "east");
     harness.run_for(100.0);
@@ -200,7 +200,7 @@
 
 #[test]
 fn inputs_of_earlier_connections_are_ignored() {
-    // Given a call that was repeated by a new connection and waits for its reply.
+    // Given a call that was resent on a new connection and is in flight.
     let mut harness = Harness::with_bound_proxies();
     let earlier = harness.relay.current(RelayLink::Calls);
     harness.relay.outcomes = [CallOutcome::Disconnect, CallOutcome::Silence].into();
@@ -208,7 +208,7 @@
     harness.run_for(10.0);
     assert!(harness.relay.current(RelayLink::Calls) > earlier);
     let sent = harness.relay.calls.len();
-    // When something comes of the earlier connection.
+    // When inputs of the earlier connection arrive.
     harness.handle(Input::RelayLine {
         connection: earlier,
         line: "OK 1".into(),
@@ -218,17 +218,17 @@
         reason: "late".into(),
     });
     harness.run_for(10.0);
-    // Then it changes nothing.
+    // Then they change nothing.
     assert_eq!(
         harness.relay.calls.len(),
         sent,
-        "the repeat still waits for its own reply"
+        "the resend is still in flight"
     );
 }
 
 #[test]
 fn oversized_batch_is_split_in_order_and_its_parts_are_counted() {
-    // Given hosts with long names: one table is far over the limit of a call.
+    // Given hosts with long names, whose table exceeds the size limit of a call.
     let mut harness = Harness::new();
     let members: Vec<String> = (0..20)
         .map(|host| format!("h{host:03}{}", "x".repeat(9000)))
@@ -240,7 +240,7 @@
     // When a proxy joins.
     harness.notify(JOINED);
     harness.run_for(300.0);
-    // Then its table takes several calls, in the order of the orders.
+    // Then its table is sent in several calls without changing the order.
     let calls = harness.relay.calls.len() - before;
     assert!(calls >= 3, "{calls} calls");
     assert!(harness.counter("calls_split") >= 2);
@@ -249,11 +249,11 @@
         orders
             .iter()
             .position(|order| order.starts_with(start))
-            .expect("ordered")
+            .expect("order was sent")
     };
     assert!(
         position("share,") < position("bind,1,") && position("bind,1,") < position("mark,"),
-        "order is kept over the parts"
+        "order is kept across calls"
     );
     let ack_requests = orders.iter().filter(|order| order.starts_with("mark,"));
     assert_eq!(ack_requests.count(), 1);
--- a/crates/director/director-state/tests/discovery.rs
+++ b/crates/director/director-state/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: order, gaps, silence, odd answers.
+//! The discovery client: revisions, gaps, timeouts and invalid responses.
 
 mod common;
 
@@ -29,7 +29,7 @@
     harness.drain_host(9, "a1", "east");
     assert!(
         harness.discovery.latest().path.contains("after=9"),
-        "the next watch follows at once"
+        "the next watch is sent at once"
     );
     harness.run_for(50.0);
     assert!(is_withdrawn(&harness, "a1"));
@@ -47,13 +47,13 @@
 
 #[test]
 fn cached_list_is_replaced_by_the_fetched_list() {
-    // Given a director that knew host a1 before its start, and a list that names a9 in its place.
+    // Given a cached list with host a1, and a fetched list with a9 in its place.
     let mut harness = Harness::new();
     let mut members = all_members();
     members[0] = member("a9", "east", "Ready", 0.0);
     harness.discovery.list = list(40, true, &members);
     harness.start();
-    // When a proxy joins, then its table holds what the list names.
+    // When a proxy joins, then its table holds the hosts of the fetched list.
     harness.notify("* joined 1 east 5.0 1");
     harness.run_for(100.0);
     let orders = harness.relay.orders_from(0);
@@ -82,7 +82,7 @@
     harness.run_for(4000.0);
     assert!(
         is_withdrawn(&harness, "b2"),
-        "its complete list says so again and again"
+        "the complete list with the lower revision is repeated"
     );
 }
 
@@ -97,12 +97,12 @@
 
 #[test]
 fn failed_request_is_followed_by_requests_for_the_complete_list() {
-    // Given a discovery that does not answer.
+    // Given a discovery service that does not answer.
     let mut harness = Harness::with_bound_proxies();
     harness.discovery.is_reachable = false;
     harness.fail_fetch("no answer within 4700 ms");
     harness.run_for(3000.0);
-    // Then the complete list is asked for again and again.
+    // Then only the complete list is requested.
     let requests = &harness.discovery.requests;
     assert!(
         requests[2..]
@@ -112,7 +112,7 @@
     );
     let attempts = requests.len();
     assert!((2..20).contains(&attempts), "{attempts} attempts");
-    // When it answers again, then its changes hold, and watches go on from there.
+    // When it answers again, then its list is applied and watches continue from its revision.
     harness.discovery.is_reachable = true;
     let mut members = all_members();
     members[3] = member("b2", "west", "Terminating", 0.0);
@@ -130,7 +130,7 @@
     harness.run_for(12_000.0);
     assert!(
         harness.discovery.requests.len() > requests + 2,
-        "the watch was given up"
+        "the pending watch timed out"
     );
 }
 
@@ -168,7 +168,7 @@
     assert_eq!(harness.counter("list_entries_odd"), 4);
     assert!(
         !is_withdrawn(&harness, "b1") && !is_withdrawn(&harness, "b2"),
-        "what was known of them stands"
+        "known hosts keep their state"
     );
 }
 
@@ -181,13 +181,13 @@
     harness.run_for(100.0);
     assert!(
         !is_withdrawn(&harness, "b1"),
-        "it is listed, only its phase is not known"
+        "a listed host is not removed because of an unknown phase"
     );
 }
 
 #[test]
 fn late_watch_is_replaced_by_the_complete_list() {
-    // Given a process that sleeps over the end of a watch, and then for longer.
+    // Given a process that is suspended past the end of a watch, and again before the next one.
     let mut harness = Harness::with_bound_proxies();
     harness.handle(Input::Wake);
     harness.now += 30_000.0;
@@ -197,7 +197,7 @@
         .session
         .step(harness.now, Input::EndpointsFetched { request, body });
     assert!(effects.is_empty());
-    // When it wakes up, then it can't continue that watch.
+    // When it resumes, then changes may have been missed and the complete list is requested.
     harness.now += 500.0;
     harness.handle(Input::Wake);
     assert!(
@@ -211,7 +211,7 @@
 fn host_start_times_use_the_session_clock() {
     let mut harness = Harness::with_bound_proxies();
     let before = harness.relay.calls.len();
-    // When a1 says that it started two seconds ago, then it must not carry its full part.
+    // When a1 is listed as started two seconds ago, then it gets a reduced weight.
     let started_at = harness.now - 2000.0;
     harness.change_list(9, &[member("a1", "east", "Ready", started_at)]);
     harness.run_for(600.0);
@@ -220,12 +220,12 @@
         .orders_from(before)
         .into_iter()
         .find(|order| order.starts_with("share,") && order.contains(",a1,"))
-        .expect("its weight is cut");
+        .expect("its weight is set");
     let weight: f64 = order
         .rsplit(',')
         .next()
         .and_then(|weight| weight.parse().ok())
-        .expect("a weight");
+        .expect("order ends with a weight");
     assert!(weight > 0.0 && weight < 0.5, "{weight}");
 }
 
@@ -245,6 +245,6 @@
     assert_eq!(
         harness.discovery.full_list_count(),
         1,
-        "each continues the watch"
+        "each response is followed by a watch"
     );
 }
--- a/crates/director/director-state/tests/health_checks.rs
+++ b/crates/director/director-state/tests/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks: how many are in flight, how many wait, and what comes of them.
+//! Health checks: limits on checks in flight and waiting, and their results.
 
 use bytes::Bytes;
 use rushcourse_director_state::{Effect, HealthChecks, MAX_IN_FLIGHT, MAX_WAITING};
@@ -14,12 +14,12 @@
     }
 }
 
-/// Asks for the check of a host with an address.
+/// Requests a check of a host that has an address.
 fn request(checks: &mut HealthChecks, settings: &Settings, host: &str) -> Option<Event> {
     checks.request(settings, host.into(), Some(&ADDRESS.to_string()))
 }
 
-/// Starts what may start: host, address and path of each.
+/// Starts all checks that may start; returns host, address and path of each.
 fn start_all(
     checks: &mut HealthChecks,
     settings: &Settings,
@@ -33,22 +33,22 @@
                 path,
                 ..
             } => (host, address, path),
-            other => panic!("{other:?} is no health check"),
+            other => panic!("{other:?} is not a health check"),
         })
         .collect()
 }
 
-/// Whether a check was answered, and with what load.
+/// Extracts from a check's event whether the host answered and with what load.
 fn outcome(event: Option<Event>) -> Option<(bool, HostLoad)> {
     match event? {
         Event::HealthChecked {
             is_answered, load, ..
         } => Some((is_answered, load)),
-        other => panic!("{other:?} is no health check"),
+        other => panic!("{other:?} is not a health check"),
     }
 }
 
-/// Ends a check.
+/// Completes a check with an HTTP status and body; returns its outcome.
 fn complete(
     checks: &mut HealthChecks,
     host: &str,
@@ -68,7 +68,7 @@
 
 #[test]
 fn checks_beyond_the_limits_are_unanswered() {
-    // When 200 hosts are to be checked.
+    // When checks of 200 hosts are requested.
     let settings = settings(LoadSource::Reports, true);
     let mut checks = HealthChecks::default();
     let (mut started, mut unanswered) = (0, 0);
@@ -77,10 +77,10 @@
         unanswered += usize::from(not_sent.is_some());
         started += start_all(&mut checks, &settings).len();
     }
-    // Then few are, and the rest are not.
+    // Then the checks beyond the limits are unanswered.
     assert_eq!(started, MAX_IN_FLIGHT);
     assert_eq!(unanswered, 200 - MAX_IN_FLIGHT - MAX_WAITING);
-    // When one of them ends, then the next one follows.
+    // When one check completes, then the next one is started.
     assert_eq!(
         complete(&mut checks, "h3", 200, b"TEXT util=0.5"),
         Some((true, load(0.5)))
@@ -92,7 +92,7 @@
     assert_eq!(
         complete(&mut checks, "h3", 200, b""),
         None,
-        "an answer that nobody waits for is none"
+        "a result without a check in flight is ignored"
     );
 }
 
@@ -101,18 +101,18 @@
     let allowed = settings(LoadSource::Unreported, true);
     let mut checks = HealthChecks::default();
     let unanswered = Some((false, HostLoad::default()));
-    // A host is checked, but not twice at once.
+    // A second check of the same host is not queued while the first is pending.
     assert_eq!(outcome(request(&mut checks, &allowed, "h")), None);
     let second = request(&mut checks, &allowed, "h");
     assert_eq!(outcome(second), unanswered);
-    // Nor is one without an address.
+    // A host without an address is not checked.
     let unknown = checks.request(&allowed, "unknown".into(), None);
     assert_eq!(outcome(unknown), unanswered);
     assert_eq!(
         start_all(&mut checks, &allowed),
         [("h".into(), ADDRESS.to_string(), "/health")]
     );
-    // Nor any where it is not allowed.
+    // No host is checked if health checks are disabled.
     let forbidden = settings(LoadSource::Reports, false);
     let other = request(&mut checks, &forbidden, "other");
     assert_eq!(outcome(other), unanswered);
@@ -131,7 +131,7 @@
     .map(|(status, body)| {
         request(&mut checks, &settings, "h");
         start_all(&mut checks, &settings);
-        complete(&mut checks, "h", status, body).expect("it was waited for")
+        complete(&mut checks, "h", status, body).expect("check was in flight")
     });
     assert_eq!(
         outcomes.clone().map(|(is_answered, _)| is_answered),
--- a/crates/director/director-state/tests/inbound.rs
+++ b/crates/director/director-state/tests/inbound.rs
@@ -1,4 +1,4 @@
-//! Whoever connects to the director's address: collectors, pings, strangers. And the end.
+//! Connections at the director's listening address: collectors, pings, unregistered peers. Also batching and shutdown.
 
 mod common;
 
@@ -13,7 +13,7 @@
 const TRAFFIC_REPORT: &str =
     r#"{"@type":"usage","sidecar":1,"kind":"look","n":19,"bad":0,"window":1000.0}"#;
 
-/// Host and traffic reports that reached the policy.
+/// Numbers of host and traffic reports accepted for the policy.
 fn reports(harness: &Harness) -> (u64, u64) {
     (
         harness.counter("reports_heard"),
@@ -51,7 +51,6 @@
     );
 }
 
-/// Whoever has not registered as a collector of a known zone may ping, and nothing else.
 #[test]
 fn unregistered_peer_that_sends_anything_but_a_ping_is_rejected() {
     let messages = [
@@ -76,7 +75,7 @@
         harness.receive(1, message);
         assert_eq!(harness.inbound.rejected, inbound_ids(&[1]), "{message:?}");
         assert_eq!(harness.inbound.closed, inbound_ids(&[1]), "{message:?}");
-        // What came behind it on the same connection is nobody's.
+        // Later messages on the same connection are ignored.
         harness.receive(1, r#"{"@type":"collector","az":"east"}"#);
         harness.receive(1, HOST_REPORT);
         harness.run_for(100.0);
@@ -101,7 +100,7 @@
 
 #[test]
 fn unregistered_connections_expire_and_collectors_do_not() {
-    // Given a peer, a collector, a page, and one that pings.
+    // Given an idle peer, a collector, an HTTP request and a peer that pings.
     let mut harness = Harness::with_bound_proxies();
     harness.open_inbound(1);
     harness.open_collector(2, "west");
@@ -112,27 +111,30 @@
     harness.open_inbound(4);
     for _ in 0..4 {
         harness.run_for(350.0);
-        // A sign of life is no registration.
+        // A ping does not extend the deadline.
         harness.receive(4, PING);
     }
-    // Then all but the collector are closed, each in its time.
+    // Then all but the collector are closed at their deadlines.
     assert_eq!(
         harness.inbound.closed,
         inbound_ids(&[1, 4]),
-        "well within the 3 s that they are owed"
+        "unregistered peers are closed within 3 s"
+    );
+    assert!(
+        harness.inbound.sent.len() >= 3,
+        "pings are answered until then"
     );
-    assert!(harness.inbound.sent.len() >= 3, "it had its answers");
     harness.run_for(1200.0);
     assert_eq!(
         harness.inbound.closed,
         inbound_ids(&[1, 4, 3]),
-        "a page that is not fetched ends too"
+        "an HTTP connection that is not served is closed too"
     );
     harness.run_for(120_000.0);
     assert_eq!(
         harness.inbound.closed,
         inbound_ids(&[1, 4, 3]),
-        "a quiet collector stays"
+        "a silent collector stays"
     );
 }
 
@@ -146,7 +148,7 @@
     }
     assert_eq!(harness.gauge("peers_open"), limits.max_inbound as f64);
     assert!(!harness.inbound.closed.contains(&InboundId(1)));
-    // Who comes next still has its turn: the first strangers made room.
+    // A new connection is still accepted, because the oldest unregistered ones are evicted.
     harness.open_collector(2000, "west");
     harness.receive(2000, HOST_REPORT);
     assert_eq!(harness.counter("reports_heard"), 1);
@@ -154,7 +156,7 @@
 
 #[test]
 fn new_collector_at_the_limit_replaces_only_a_silent_one() {
-    // Given more collectors than there may be: those that come last are rejected.
+    // Given more collectors than allowed, of which the last ones are rejected.
     let max = session_limits().max_collectors as u64;
     let mut harness = Harness::with_bound_proxies();
     for collector in 1..=max + 3 {
@@ -164,21 +166,21 @@
     assert_eq!(
         harness.inbound.rejected,
         inbound_ids(&[max + 1, max + 2, max + 3]),
-        "those who report stay"
+        "registered collectors stay"
     );
-    // When the first one falls silent.
+    // When the first collector becomes silent.
     for _ in 0..6 {
         harness.run_for(1000.0);
         for collector in 2..=max {
             harness.receive(collector, HOST_REPORT);
         }
     }
-    // Then another one takes its place.
+    // Then a new collector replaces it.
     harness.open_collector(100, "east");
     assert_eq!(
         harness.inbound.closed.last(),
         Some(&InboundId(1)),
-        "its stream broke without a sign"
+        "the silent collector is closed"
     );
     harness.receive(100, HOST_REPORT);
     assert_eq!(harness.gauge("collectors_joined"), max as f64);
@@ -217,7 +219,11 @@
     assert!(harness.has_exited);
     let calls = harness.relay.calls.len();
     harness.run_for(1000.0);
-    assert_eq!(harness.relay.calls.len(), calls, "nothing more is done");
+    assert_eq!(
+        harness.relay.calls.len(),
+        calls,
+        "no call is sent after the stop"
+    );
 }
 
 #[test]
--- a/crates/director/director-state/tests/limits.rs
+++ b/crates/director/director-state/tests/limits.rs
@@ -1,17 +1,17 @@
-//! Limits that follow from those of the process.
+//! Session and gRPC limits derived from the limits of the process.
 
 use rushcourse_director_state::{
     GRPC_CONNECTION_KIB, ProcessLimits, RESERVED_DESCRIPTORS, SessionLimits,
 };
 
-/// From the smallest process to the largest.
+/// Processes of increasing size, each above the minimum that limits are clamped to.
 const PROCESSES: [ProcessLimits; 4] = [
     process(32.0, 256),
     process(48.0, 384),
     process(192.0, 1024),
     process(2048.0, 65_536),
 ];
-/// Bytes of an incomplete message of a collector, and of what a peer sends.
+/// Maximum size of an incomplete message of a collector, and memory for an unregistered connection, in bytes.
 const COLLECTOR_BYTES: usize = 1 << 20;
 const UNREGISTERED_BYTES: usize = 16 * 1024;
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// What a session takes at most.
+/// Upper bound on the memory that a session uses for connections and buffers.
 fn session_bytes(session: SessionLimits) -> usize {
     session.max_buffered_kib * 1024
         + session.max_collectors * COLLECTOR_BYTES
--- a/crates/director/director-state/tests/long_run.rs
+++ b/crates/director/director-state/tests/long_run.rs
@@ -1,4 +1,4 @@
-//! Hours of churn on a fake clock: what is remembered is what lives now, not what has been.
+//! Memory growth over hours of churn on a fake clock: state of removed hosts, proxies and connections must be released.
 
 mod common;
 
@@ -9,7 +9,7 @@
 use rand_chacha::ChaCha8Rng;
 use rushcourse_director_state::RelayLink;
 
-/// Gauges that follow what lives.
+/// Gauges that must not grow with the number of past hosts, proxies and connections.
 const SIZES: [&str; 8] = [
     "calls_waiting",
     "events_waiting",
@@ -20,23 +20,23 @@
     "timers_pending",
     "module_entries",
 ];
-/// Hosts that are listed at a time.
+/// Hosts that are listed at the same time.
 const LIVE_HOSTS: usize = 4;
-/// Half minutes to run_random: two hours, in which 240 hosts come and go.
+/// Duration of the run in half minutes: two hours, with one host replaced in each half minute.
 const HALF_MINUTE_COUNT: usize = 240;
-/// The second of a half minute in which the host that drains is gone.
+/// Second of a half minute at which the draining host is removed.
 const GONE_AT_SECOND: usize = 8;
 
 fn zone(index: usize) -> &'static str {
     ["east", "west"][index % 2]
 }
 
-/// A session, and the churn around it.
+/// A session exposed to replaced hosts, failing connections and unregistered peers.
 struct Churn {
     rng: ChaCha8Rng,
     harness: Harness,
     revision: u64,
-    /// Every host that ever was, the last ones alive.
+    /// All hosts so far in order of creation; the last [`LIVE_HOSTS`] are listed.
     hosts: Vec<String>,
     last_inbound: u64,
     collector: u64,
@@ -63,7 +63,7 @@
         churn
     }
 
-    /// Half a minute in which a host is replaced by a new one, streams break and strangers come.
+    /// Runs half a minute in which a host is replaced, connections fail and unregistered peers connect.
     fn run_half_minute(&mut self) {
         let now = self.harness.now;
         let (old, new) = (self.hosts.len() - LIVE_HOSTS, self.hosts.len());
@@ -95,7 +95,7 @@
         member(&self.hosts[old], zone(old), phase, 0.0)
     }
 
-    /// The complete list of a new revision.
+    /// Sets the complete list to a new revision in which host `old` has this phase.
     fn list_hosts(&mut self, old: usize, new: usize, phase: &str, started: &str) {
         let mut members: Vec<String> = (old + 1..new)
             .map(|host| member(&self.hosts[host], zone(host), "Ready", 0.0))
@@ -108,7 +108,7 @@
         self.harness.discovery.list = list(self.revision, true, &members);
     }
 
-    /// The old host is gone: told among changes, or only by its absence in a complete list.
+    /// Removes host `old` by a delta, or by its absence from the complete list that follows a failed request.
     fn remove_host(&mut self, old: usize) {
         if self.rng.random_bool(0.5) {
             let gone = self.old_host(old, "Gone");
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Reports, also on who is gone and on who never was.
+    /// Sends host reports, including ones on removed and unknown hosts.
     fn report(&mut self, old: usize, new: usize, second: usize) {
         for host in old.saturating_sub(2)..=new {
             let failed = self.rng.random_range(0..3) * self.rng.random_range(0..3);
@@ -136,7 +136,7 @@
         self.harness.receive(self.collector, &unknown);
     }
 
-    /// A peer that pings and holds on, and one that sends nothing.
+    /// Connects a peer that pings without registering, and one that sends nothing.
     fn connect_unregistered_peers(&mut self) {
         for pings in [true, false] {
             self.last_inbound += 1;
@@ -148,7 +148,7 @@
         }
     }
 
-    /// A proxy rejoins, or a connection to the relay breaks.
+    /// Lets a proxy rejoin or a connection to the relay fail, at random.
     fn inject_fault(&mut self) {
         let proxy = self.rng.random_range(1..9u32);
         match self.rng.random_range(0..6) {
@@ -181,7 +181,7 @@
         self.harness.open_collector(self.collector, "east");
     }
 
-    /// The harness' own records are not what is measured.
+    /// Limits the memory of the harness itself.
     fn clear_records(&mut self) {
         let calls = &mut self.harness.relay.calls;
         calls.drain(..calls.len().saturating_sub(50));
@@ -194,7 +194,7 @@
 #[test]
 fn state_size_stays_flat_over_hours_of_churn() {
     let mut churn = Churn::new();
-    // The highest value of each size, in the first half and in the second.
+    // Maximum of each gauge in the first and the second half of the run.
     let mut peaks = [[0.0f64; SIZES.len()]; 2];
     for half_minute in 0..HALF_MINUTE_COUNT {
         churn.run_half_minute();
@@ -212,7 +212,7 @@
     }
     let peak = |name: &str| {
         let position = SIZES.iter().position(|size| *size == name);
-        second[position.expect("a size")]
+        second[position.expect("gauge is in SIZES")]
     };
     assert!(
         peak("hosts_known") <= 6.0 && peak("module_entries") < 80.0,
--- a/crates/director/director-state/tests/membership.rs
+++ b/crates/director/director-state/tests/membership.rs
@@ -1,14 +1,14 @@
-//! The watch of the relay: breaks, silence, nonsense, and who stands after a gap.
+//! The watch of the relay: disconnects, silence, unreadable lines, and reconciliation of joined proxies after a gap.
 
 mod common;
 
 use common::harness::Harness;
 use rushcourse_director_state::RelayLink;
 
-/// Two bound proxies that hold what was ordered, as a new watch tells.
+/// Snapshot of a new watch in which both proxies hold the tables that were ordered.
 const BOTH: [&str; 2] = ["* joined 1 east 5.0 0", "* joined 2 west 5.0 0"];
 
-/// A session with two bound proxies, whose relay names these lines to a new watch.
+/// Creates a session with two bound proxies and sets the snapshot for new watches.
 fn with_joined(lines: &[&str]) -> Harness {
     let mut harness = Harness::with_bound_proxies();
     set_joined(&mut harness, lines);
@@ -19,12 +19,12 @@
     harness.relay.joined = lines.iter().map(|line| line.to_string()).collect();
 }
 
-/// How often proxies were bound, from a call on.
+/// Number of orders that bind each proxy, starting with the call at index `first_call`.
 fn bind_counts(harness: &Harness, first_call: usize, proxies: [u32; 2]) -> [usize; 2] {
     proxies.map(|proxy| harness.relay.bind_count(first_call, proxy))
 }
 
-/// How often the session watched, and ended a watch.
+/// Number of watches that the session requested and that it closed.
 fn watches(harness: &Harness) -> (usize, usize) {
     (
         harness.relay.connect_count(RelayLink::Watch),
@@ -43,7 +43,7 @@
     assert_eq!(
         harness.relay.bind_count(before, 1),
         1,
-        "a new stream is bound to nothing"
+        "a rejoined proxy has no bindings"
     );
 }
 
@@ -54,7 +54,7 @@
     harness.disconnect(RelayLink::Watch);
     harness.run_for(1500.0);
     assert_eq!(bind_counts(&harness, before, [1, 2]), [0, 0]);
-    assert_eq!(watches(&harness).0, 2, "it watches again at once");
+    assert_eq!(watches(&harness).0, 2, "a new watch is requested at once");
 }
 
 #[test]
@@ -62,15 +62,15 @@
     // Given a relay where proxy 1 has left and proxy 3 has joined.
     let mut harness = with_joined(&["* joined 2 west 5.0 0", "* joined 3 east 5.0 1"]);
     let before = harness.relay.calls.len();
-    // When the watch breaks and stands again.
+    // When the watch is lost and established again.
     harness.disconnect(RelayLink::Watch);
     harness.run_for(50.0);
     harness.notify("*");
     harness.run_for(100.0);
-    // Then the session knows it.
+    // Then the session binds proxy 3 and removes proxy 1.
     assert_eq!(bind_counts(&harness, before, [2, 3]), [0, 1]);
-    assert_eq!(harness.gauge("proxies_joined"), 2.0, "1 has left");
-    // When 1 comes back, then it is bound as a new one.
+    assert_eq!(harness.gauge("proxies_joined"), 2.0, "proxy 1 has left");
+    // When proxy 1 joins again, then it is bound as a new one.
     harness.notify("* joined 1 east 5.0 0");
     harness.run_for(100.0);
     assert_eq!(harness.relay.bind_count(before, 1), 1);
@@ -110,7 +110,7 @@
     assert_eq!(
         watches(&harness),
         (2, 1),
-        "a relay that is cut off is silent forever"
+        "a silent watch is closed and replaced"
     );
     assert!(harness.has_logged(&["watch lost", "no sign of life"]));
 }
@@ -142,7 +142,7 @@
     assert_eq!(
         harness.counter("proxies_bound_anew"),
         0,
-        "who stands again at once has stayed"
+        "proxies announced again without a gap have stayed"
     );
 }
 
@@ -182,7 +182,7 @@
     assert_eq!(
         harness.gauge("proxies_joined"),
         2.0,
-        "the second line came 100 ms after the first"
+        "the snapshot includes a line that came 100 ms after the first"
     );
 }
 
--- a/crates/director/director-state/tests/properties.rs
+++ b/crates/director/director-state/tests/properties.rs
@@ -1,5 +1,5 @@
-//! Random legal inputs with faults, fixed seeds: whatever comes, one call is in flight, order is kept, queues are bounded,
-//! and no invariant fails. The harness asserts the first at every call.
+//! Properties under random valid inputs and faults with fixed seeds: at most one call is in flight (asserted by the harness),
+//! the order of calls is kept, queues are bounded and no invariant is violated.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use rushcourse_director_state::{InboundId, Input, RelayLink};
 use std::collections::BTreeSet;
 
-/// Proxies from 0 to this.
+/// Number of proxies; their identifiers start at 0.
 const PROXIES: u32 = 8;
 
 fn random_outcome(rng: &mut ChaCha8Rng) -> CallOutcome {
@@ -29,7 +29,7 @@
     ["east", "west"][proxy as usize % 2]
 }
 
-/// A session, and what is true around it.
+/// A session with the state of its simulated environment.
 struct RandomRun {
     rng: ChaCha8Rng,
     harness: Harness,
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Something happens.
+    /// Applies one random input or fault.
     fn step(&mut self) {
         let proxy = self.rng.random_range(0..PROXIES);
         match self.rng.random_range(0..14) {
@@ -126,7 +126,7 @@
         assert!(self.harness.gauge("timers_pending") <= 4096.0);
     }
 
-    /// The relay is well again for a while.
+    /// Makes the relay reachable and runs until all pending work is completed.
     fn recover(&mut self) {
         self.harness.relay.is_reachable = true;
         self.harness.relay.outcomes.clear();
@@ -147,7 +147,7 @@
             run.harness.run_for(ms);
             run.assert_bounds();
         }
-        // Quiet again: everything that waited goes out, and who is joined is known.
+        // After the faults end, all queued calls are sent and the joined proxies are known.
         run.recover();
         let harness = &run.harness;
         assert_eq!(harness.gauge("calls_waiting"), 0.0, "seed {seed}");
@@ -161,7 +161,7 @@
     }
 }
 
-/// The numbers of acknowledgements rise by one from batch to batch; a call that is repeated repeats its own.
+/// Asserts that acknowledgement numbers never decrease; a resent call keeps its number.
 fn assert_ack_numbers_in_order(calls: &[String], seed: u64) {
     let numbers: Vec<u16> = calls
         .iter()
@@ -174,7 +174,7 @@
     );
 }
 
-/// All calls and log lines of a random run.
+/// Returns all calls and log lines of a random run.
 fn run_random(seed: u64) -> (Vec<String>, Vec<String>) {
     let mut run = RandomRun::new(seed);
     for _ in 0..200 {
--- a/crates/director/director-state/tests/reload.rs
+++ b/crates/director/director-state/tests/reload.rs
@@ -1,4 +1,5 @@
-//! A configuration that is read again: what stands is kept until its successor does, and nothing is lost.
+//! Configuration reloads: connections to previous addresses are kept until their replacements are established, and no call
+//! or notification is lost.
 
 mod common;
 
@@ -8,7 +9,7 @@
 use rushcourse_director_state::{Input, RelayConnectionId, RelayLink};
 use std::net::SocketAddr;
 
-/// Two proxies that have applied their tables, and a relay that says so to a new watch.
+/// Creates a session with two proxies that have applied their tables, which the relay confirms to a new watch.
 fn with_applied_tables() -> Harness {
     let mut harness = Harness::with_bound_proxies();
     harness.relay.joined = vec![
@@ -18,13 +19,13 @@
     harness
 }
 
-/// An operator asks for a reload, with these addresses in the file.
+/// Requests a reload of a file with the addresses of this index.
 fn reload(harness: &mut Harness, index: u16) {
     harness.config_file = Ok(addresses(index));
     harness.handle(Input::ReloadRequested);
 }
 
-/// The relay can be reached again: the latest connections of both links are established.
+/// Makes the relay reachable and establishes the latest connections of both links.
 fn make_relay_reachable(harness: &mut Harness) {
     harness.relay.is_reachable = true;
     for link in [RelayLink::Watch, RelayLink::Calls] {
@@ -33,7 +34,7 @@
     }
 }
 
-/// A second passes, then the relay sends a sign of life; again and again.
+/// Runs for a number of seconds with a keep-alive of the relay after each.
 fn run_for_seconds(harness: &mut Harness, seconds: usize) {
     for _ in 0..seconds {
         harness.run_for(1000.0);
@@ -41,7 +42,7 @@
     }
 }
 
-/// Where the session connected last for a link.
+/// Address of the latest connection of a link.
 fn last_address(harness: &Harness, link: RelayLink) -> Option<SocketAddr> {
     let latest = harness.relay.latest(link)?;
     Some(latest.address)
@@ -51,7 +52,7 @@
     harness.relay.bind_count(0, proxy)
 }
 
-/// Reloads that failed and that succeeded.
+/// Numbers of failed and successful reloads.
 fn reloads(harness: &Harness) -> (u64, u64) {
     (
         harness.counter("reloads_failed"),
@@ -59,7 +60,7 @@
     )
 }
 
-/// A reload to a relay that can't be reached yet. Returns the watch of before.
+/// Reloads to a relay address that is not reachable yet; returns the watch at the previous address.
 fn reload_to_unreachable_relay(harness: &mut Harness) -> RelayConnectionId {
     let previous = harness.relay.current(RelayLink::Watch);
     harness.relay.is_reachable = false;
@@ -69,28 +70,32 @@
 
 #[test]
 fn previous_watch_is_read_until_the_new_one_is_established() {
-    // Given a watch that is to move.
+    // Given a watch whose address changes.
     let mut harness = with_applied_tables();
     let previous = reload_to_unreachable_relay(&mut harness);
     harness.run_for(100.0);
-    let latest = harness.relay.connections.last().expect("a connection");
+    let latest = harness
+        .relay
+        .connections
+        .last()
+        .expect("a connection was requested");
     assert_eq!(
         (latest.id.link, latest.address),
         (RelayLink::Watch, addresses(1).relay)
     );
-    // When a proxy joins meanwhile, then the previous watch tells it.
+    // When a proxy joins meanwhile, then the join is read from the previous watch.
     harness.notify_by(previous, "* joined 3 east 5.0 1");
     harness.run_for(50.0);
     assert_eq!(
         harness.gauge("proxies_joined"),
         3.0,
-        "told where the relay was"
+        "the join was read at the previous address"
     );
 }
 
 #[test]
 fn joins_and_leaves_are_read_from_the_established_new_watch_only() {
-    // Given a watch that has moved.
+    // Given a watch established at the new address.
     let mut harness = with_applied_tables();
     let binds = bind_count(&harness, 1);
     let previous = reload_to_unreachable_relay(&mut harness);
@@ -104,9 +109,9 @@
     assert_eq!(
         harness.relay.disconnect_count(RelayLink::Watch),
         disconnects,
-        "acknowledgements may still come"
+        "the previous watch stays open for acknowledgements"
     );
-    // Whatever the previous address still says of joins is told by the new one.
+    // Joins and leaves from the previous address are ignored now.
     harness.notify_by(previous, "* left 1");
     harness.notify_by(previous, "* joined 2 west 5.0 0");
     assert_eq!(harness.gauge("proxies_joined"), 3.0);
@@ -114,20 +119,16 @@
     assert_eq!(
         harness.relay.disconnect_count(RelayLink::Watch),
         disconnects + 1,
-        "the previous watch ends"
+        "the previous watch is closed"
     );
     harness.notify("*");
     harness.run_for(1000.0);
-    assert_eq!(
-        bind_count(&harness, 1),
-        binds,
-        "nobody is judged or bound anew"
-    );
+    assert_eq!(bind_count(&harness, 1), binds, "no proxy is rebound");
     assert_eq!(harness.counter("proxies_bound_anew"), 0);
     assert_eq!(harness.counter("news_breaks"), 0);
     assert!(
         bind_count(&harness, 3) >= 1,
-        "who joined meanwhile is bound"
+        "the proxy that joined meanwhile is bound"
     );
     harness.notify("* left 2");
     assert_eq!(harness.gauge("proxies_joined"), 2.0);
@@ -142,20 +143,20 @@
     harness.run_for(20.0);
     let ack_number = harness.ack_number();
     assert!(harness.session.view().unacknowledged_lines > 0.0);
-    // When the relay moves, and acknowledgements come where it was.
+    // When the address changes and acknowledgements arrive from the previous one.
     reload(&mut harness, 1);
     harness.run_for(20.0);
     for proxy in [1, 2] {
         harness.notify_by(previous, &format!("* applied {proxy} {ack_number} 200.0"));
     }
     harness.run_for(20.0);
-    // Then they count.
+    // Then they are accepted.
     assert_eq!(harness.session.view().unacknowledged_lines, 0.0);
 }
 
 #[test]
 fn previous_watch_lost_before_its_replacement_leaves_a_gap() {
-    // Given a watch that is to move and breaks.
+    // Given a previous watch that is lost before the new one is established.
     let mut harness = with_applied_tables();
     let previous = reload_to_unreachable_relay(&mut harness);
     harness.run_for(50.0);
@@ -165,14 +166,14 @@
     });
     assert_eq!(harness.counter("news_breaks"), 1);
     harness.run_for(900.0);
-    // When the new one stands, then who may have left unseen is bound anew.
+    // When the new watch is established, then proxies that may have rejoined unnoticed are rebound.
     harness.relay.joined = vec!["* joined 1 east 5.0 0".into()];
     harness.relay.is_reachable = true;
     harness.run_for(2000.0);
     assert_eq!(
         harness.gauge("proxies_joined"),
         1.0,
-        "who is not named has left"
+        "a proxy that is not announced has left"
     );
     assert_eq!(harness.counter("proxies_bound_anew"), 1);
 }
@@ -187,7 +188,7 @@
     assert!(harness.relay.is_call_open);
     let calls = harness.relay.calls.len();
     let disconnects = harness.relay.disconnect_count(RelayLink::Calls);
-    // When the relay moves, then the connection stays.
+    // When the address changes, then the connection is kept.
     reload(&mut harness, 1);
     harness.run_for(5.0);
     assert_eq!(
@@ -197,7 +198,7 @@
         ),
         (disconnects, calls)
     );
-    // When the reply has come, then the next call goes to the new address.
+    // When the reply has arrived, then the next call is sent to the new address.
     harness.accept(calls - 1);
     harness.drain_host(7, "b1", "west");
     harness.run_for(300.0);
@@ -208,14 +209,14 @@
     assert!(
         harness.relay.calls.len() > calls
             && harness.relay.calls[calls] != harness.relay.calls[calls - 1],
-        "sent once"
+        "the first call is sent only once"
     );
     assert_eq!(harness.counter("calls_repeated"), 0);
 }
 
 #[test]
 fn call_with_unknown_outcome_is_resent_first_at_the_new_address() {
-    // Given a call in flight, and a relay that moves.
+    // Given a call in flight while the address changes.
     let mut harness = with_applied_tables();
     harness.relay.outcomes = [CallOutcome::Silence].into();
     harness.drain_host(6, "a1", "east");
@@ -227,11 +228,11 @@
     harness.drain_host(7, "b1", "west");
     harness.disconnect(RelayLink::Calls);
     harness.run_for(200.0);
-    // Then it is repeated where the relay is now.
+    // Then it is resent to the new address.
     assert_eq!(
         harness.relay.calls[calls],
         harness.relay.calls[calls - 1],
-        "the same call first"
+        "the same call is sent first"
     );
     assert!(
         harness.relay.calls[calls + 1..]
@@ -246,7 +247,7 @@
 
 #[test]
 fn invalid_file_changes_nothing_and_is_retried() {
-    // Given a file that is half written.
+    // Given a partially written file.
     let mut harness = with_applied_tables();
     let (connections, lines) = (harness.relay.connections.len(), harness.log.len());
     harness.config_file = Err("config.json: EOF while parsing".into());
@@ -257,8 +258,8 @@
     let logged = harness.log[lines..]
         .iter()
         .filter(|line| line.contains("nothing is changed"));
-    assert_eq!(logged.count(), 1, "one line");
-    // When it is complete, then it is used without another signal.
+    assert_eq!(logged.count(), 1, "the failure is logged once");
+    // When the file is complete, then it is applied without another signal.
     harness.config_file = Ok(addresses(1));
     harness.run_for(500.0);
     assert_eq!(reloads(&harness), (1, 1));
@@ -325,14 +326,14 @@
 
 #[test]
 fn new_discovery_address_may_start_at_a_lower_revision() {
-    // Given a list of a high revision, and a watch that is open.
+    // Given a list of a high revision and a pending watch.
     let mut harness = with_applied_tables();
     harness.drain_host(90, "a1", "east");
     harness.run_for(100.0);
     assert_eq!(harness.gauge("list_revision"), 90.0);
     let open = harness.discovery.latest().request;
     let requests = harness.discovery.requests.len();
-    // When discovery moves, then the new address is asked at once.
+    // When the address changes, then the new one is requested at once.
     harness.discovery.is_reachable = false;
     reload(&mut harness, 1);
     let asked: Vec<SocketAddr> = harness.discovery.requests[requests..]
@@ -340,7 +341,7 @@
         .map(|fetch| fetch.address)
         .collect();
     assert_eq!(asked, [addresses(1).discovery]);
-    // The watch that was open still counts until the new address has answered.
+    // The pending watch is still used until the new address has answered.
     let answer = |revision: u64, host: &str, zone: &str| Input::EndpointsFetched {
         request: open,
         body: list(revision, false, &[member(host, zone, "Terminating", 0.0)]).into(),
@@ -349,14 +350,14 @@
     harness.run_for(20.0);
     let withdrawal = "withdraw,b1".to_string();
     assert!(harness.relay.orders_from(0).contains(&withdrawal));
-    // When it answers with a low revision, then that is held.
+    // When the new address answers with a low revision, then that is accepted.
     let mut members = all_members();
     members[2] = member("b1", "west", "Terminating", 0.0);
     harness.answer_fetch(&list(3, true, &members));
     assert_eq!(harness.gauge("list_revision"), 3.0);
     harness.run_for(10.0);
     assert!(harness.discovery.latest().path.contains("after=3&"));
-    // What the previous address says now changes nothing.
+    // Later responses of the previous address are ignored.
     harness.handle(answer(92, "a2", "east"));
     assert_eq!(harness.gauge("list_revision"), 3.0);
     assert_eq!(
--- a/crates/director/director-state/tests/streams.rs
+++ b/crates/director/director-state/tests/streams.rs
@@ -1,4 +1,5 @@
-//! The session with both channels: a proxy is reached the newest way, and what one channel does says nothing of another.
+//! Proxies reached by the relay and by xDS streams: the latest join selects the channel, and events of the other channel do
+//! not affect it.
 
 mod common;
 
@@ -10,7 +11,7 @@
     Response, StatusCode, StreamId, StreamKind,
 };
 
-/// A proxy of each zone at the relay, with streams served beside. They hold what they were ordered there.
+/// Creates a session that serves streams, with one bound proxy of each zone at the relay.
 fn with_both_channels() -> Harness {
     let mut harness = Harness::with(settings(), Some(stream_config()));
     harness.stream_config = Some(stream_config());
@@ -23,7 +24,7 @@
     harness
 }
 
-/// A proxy opens a stream, identifies itself, and asks for a class.
+/// Opens a stream on which a proxy identifies itself and subscribes to a request class.
 fn open_stream(harness: &mut Harness, stream: u64, proxy: u32) {
     harness.handle(Input::Stream(rushcourse_xds::Input::StreamOpened {
         stream: StreamId(stream),
@@ -48,14 +49,14 @@
     }));
 }
 
-/// The transport accepts what was handed to it.
+/// Reports that the transport accepted the latest response on a stream.
 fn accept_response(harness: &mut Harness, stream: u64) {
     harness.handle(Input::Stream(rushcourse_xds::Input::ResponseAccepted {
         stream: StreamId(stream),
     }));
 }
 
-/// Responses to a stream since the last look: the hosts that may be picked, by response.
+/// Removes the recorded effects; returns the hosts that are not draining of each response to a stream.
 fn drain_responses(harness: &mut Harness, to: u64) -> Vec<Vec<String>> {
     let mut responses = Vec::new();
     for effect in std::mem::take(&mut harness.stream_effects) {
@@ -81,7 +82,7 @@
     responses
 }
 
-/// Whether a stream was ended with this status, or any.
+/// Whether a stream was ended with this status, or with any status if `None`.
 fn is_ended(harness: &Harness, ended: u64, status: Option<StatusCode>) -> bool {
     harness.stream_effects.iter().any(|effect| {
         matches!(effect, Effect::EndStream { stream, status: code, .. }
@@ -91,20 +92,24 @@
 
 #[test]
 fn proxy_with_a_stream_is_no_longer_served_by_the_relay() {
-    // Given a proxy of the relay that opens a stream.
+    // Given a proxy that joined at the relay and opens a stream.
     let mut harness = with_both_channels();
     open_stream(&mut harness, 7, 1);
     harness.run_for(300.0);
-    assert_eq!(drain_responses(&mut harness, 7).len(), 1, "its tables");
+    assert_eq!(
+        drain_responses(&mut harness, 7).len(),
+        1,
+        "the stream is sent its tables"
+    );
     accept_response(&mut harness, 7);
-    // When a host drains, then the stream is told at once, and the relay never.
+    // When a host drains, then the update is sent on the stream at once, and not by the relay.
     let before = harness.relay.calls.len();
     harness.drain_host(6, "a1", "east");
     harness.run_for(20.0);
     assert_eq!(drain_responses(&mut harness, 7), [["a2", "b1", "b2"]]);
     harness.run_for(3000.0);
     assert_eq!(harness.relay.bind_count(before, 1), 0);
-    // That the relay's previous stream ends says nothing of it.
+    // The end of the proxy's earlier connection to the relay does not affect the stream.
     harness.notify("* left 1");
     harness.run_for(300.0);
     assert_eq!(harness.gauge("streams_joined"), 1.0);
@@ -112,7 +117,10 @@
     harness.drain_host(7, "b1", "west");
     harness.run_for(20.0);
     let responses = drain_responses(&mut harness, 7);
-    assert_eq!(responses.last().expect("served on"), &["a2", "b2"]);
+    assert_eq!(
+        responses.last().expect("the stream is still served"),
+        &["a2", "b2"]
+    );
 }
 
 #[test]
@@ -136,29 +144,29 @@
 
 #[test]
 fn watch_snapshot_does_not_supersede_a_stream() {
-    // Given a proxy that has joined by a stream.
+    // Given a proxy that has joined on a stream.
     let mut harness = with_both_channels();
     open_stream(&mut harness, 7, 1);
     harness.run_for(1000.0);
     let before = harness.relay.calls.len();
-    // When the watch breaks for a while; the relay still names proxy 1.
+    // When the watch is lost for a while and the relay still announces proxy 1.
     harness.relay.is_reachable = false;
     harness.disconnect(RelayLink::Watch);
     harness.run_for(2000.0);
     harness.relay.is_reachable = true;
     harness.run_for(2000.0);
-    // Then its stream keeps it.
+    // Then the proxy is still reached by its stream.
     assert_eq!(harness.gauge("streams_joined"), 1.0);
     assert_eq!(
         harness.relay.bind_count(before, 1),
         0,
-        "it is its stream's: {:?}",
+        "the proxy is not rebound at the relay: {:?}",
         harness.relay.orders_from(before)
     );
     assert_eq!(
         harness.relay.bind_count(before, 2),
         1,
-        "who may have left unseen is bound anew"
+        "a proxy that may have rejoined unnoticed is rebound"
     );
 }
 
@@ -185,14 +193,14 @@
     // Given a session without streams.
     let mut harness = Harness::with_bound_proxies();
     open_stream(&mut harness, 7, 3);
-    assert!(harness.stream_effects.is_empty(), "nobody serves streams");
-    // When a reload asks for them, then they are served.
+    assert!(harness.stream_effects.is_empty(), "streams are not served");
+    // When a reload enables them, then they are served.
     harness.stream_config = Some(stream_config());
     harness.handle(Input::ReloadRequested);
     open_stream(&mut harness, 8, 3);
     harness.run_for(300.0);
     assert_eq!(drain_responses(&mut harness, 8).len(), 1);
-    // When a reload asks for none, then they end, and the relay alone is left.
+    // When a reload disables them, then they end and the proxy is reached by the relay only.
     harness.stream_config = None;
     harness.handle(Input::ReloadRequested);
     harness.run_for(300.0);
