--- a/crates/director/director-state/tests/call_outcomes.rs
+++ b/crates/director/director-state/tests/call_outcomes.rs
@@ -232,7 +232,7 @@
     harness.now += 50.0;
     let connection = harness.relay.current(RelayLink::Calls);
     harness.handle(Input::RelayWritten { connection });
-    // When the reply comes 40 ms later, then it is in time.
+    // When the reply arrives 40 ms later, then it is within the timeout.
     harness.run_for(40.0);
     harness.accept(call);
     harness.run_for(200.0);
--- a/crates/director/director-state/tests/calls.rs
+++ b/crates/director/director-state/tests/calls.rs
@@ -27,7 +27,7 @@
     // Given a relay that accepts two orders of the next call.
     let mut harness = Harness::started();
     harness.relay.outcomes = [CallOutcome::reply("OK 2")].into();
-    // When a call of more orders goes out.
+    // When a call with more orders is sent.
     harness.notify(JOINED);
     harness.run_for(300.0);
     // Then the orders after the third are sent, and the third is logged.
--- a/crates/director/director-state/tests/limits.rs
+++ b/crates/director/director-state/tests/limits.rs
@@ -11,7 +11,7 @@
     process(192.0, 1024),
     process(2048.0, 65_536),
 ];
-/// Maximum size of an incomplete message of a collector, and memory for an unregistered connection, in bytes.
+/// Maximum size of an incomplete message of a collector, in bytes. [`UNREGISTERED_BYTES`] is that of other peers.
 const COLLECTOR_BYTES: usize = 1 << 20;
 const UNREGISTERED_BYTES: usize = 16 * 1024;
 
--- a/crates/director/director-state/tests/reports.rs
+++ b/crates/director/director-state/tests/reports.rs
@@ -23,7 +23,7 @@
     ("bad", "1"),
     ("window", "1000.0"),
 ];
-/// Values that are invalid in every field.
+/// Values that are invalid in every field, except that the load report may be null.
 const INVALID_VALUES: [&str; 9] = [
     "-3",
     "1e30",
