--- a/crates/director/director-state/src/counter.rs
+++ b/crates/director/director-state/src/counter.rs
@@ -92,7 +92,7 @@
     values: BTreeMap<&'static str, u64>,
     /// Delay from the first event of a batch to the first transmission of a call with its orders.
     pub input_to_call: DelayHistogram,
-    /// Delay from the transmission of a call to a reply that accepts orders.
+    /// Delay from the transmission of a call to a reply with the number of accepted orders.
     pub call_to_reply: DelayHistogram,
 }
 
--- a/crates/director/director-state/src/session/mod.rs
+++ b/crates/director/director-state/src/session/mod.rs
@@ -122,7 +122,7 @@
     }
 
     /// Handles an input received at time `now` and returns the effects to carry out, in order. `now` must not decrease
-    /// between calls; a lower value is replaced by the latest one.
+    /// between calls: a lower value panics in debug builds, and is replaced by the latest one in release builds.
     pub fn step(&mut self, now: Ms, input: Input) -> Vec<Effect> {
         let is_forward = now >= self.context.now;
         self.context
