--- a/crates/gateway/consensus/src/configuration/operator_calls.rs
+++ b/crates/gateway/consensus/src/configuration/operator_calls.rs
@@ -1,7 +1,7 @@
 //! Operators' calls that wait for a majority: new configurations, and reads of the committed one.
 
 use crate::context::Context;
-use crate::effect::{CallOutcome, Effect};
+use crate::effect::{Effect, CallOutcome};
 use crate::paxos::Paxos;
 use crate::paxos::acceptor::Acceptor;
 use crate::paxos::proposer::ProposalRequest;
--- a/crates/gateway/consensus/src/lib.rs
+++ b/crates/gateway/consensus/src/lib.rs
@@ -29,7 +29,7 @@
 pub use durable_state::{
     BatchId, DurableState, PruneBounds, StoredClaim, WriteBatch, WriteOperation,
 };
-pub use effect::{CallOutcome, ClaimAnswer, CommittedConfiguration, Effect};
+pub use effect::{ClaimAnswer, CommittedConfiguration, Effect, CallOutcome};
 pub use input::{ClaimRequest, Input};
 pub use log_event::LogEvent;
 pub use node::{ConsensusNode, ReplicaSummary};
--- a/crates/gateway/consensus/src/membership/first_set.rs
+++ b/crates/gateway/consensus/src/membership/first_set.rs
@@ -19,12 +19,7 @@
 /// Whether this replica is to propose the first set now: at the first start of the whole system, the seed with the
 /// lowest address does once all seeds are connected and no further controller connects. Its disk takes writes; it has
 /// not tried yet where it is this replica's own.
-pub(super) fn is_due(
-    setup: &ReplicaSetup,
-    peers: &Peers,
-    now: Timestamp,
-    uptime: Duration,
-) -> bool {
+pub(super) fn is_due(setup: &ReplicaSetup, peers: &Peers, now: Timestamp, uptime: Duration) -> bool {
     let is_reachable = |seed: &NodeId| *seed == setup.node || peers.is_connected(*seed);
     // A seed whose disk refuses writes can't hold it.
     let proposers = setup
--- a/crates/gateway/consensus/tests/timeline/observations.rs
+++ b/crates/gateway/consensus/tests/timeline/observations.rs
@@ -1,7 +1,7 @@
 //! What operators and gateways saw, and what must hold of it at any time.
 
 use super::steps::Claimed;
-use rushcourse_consensus::{CallOutcome, ClaimAnswer, CommittedConfiguration};
+use rushcourse_consensus::{ClaimAnswer, CommittedConfiguration, CallOutcome};
 use rushcourse_messages::{ClaimVerdict, VotingSet};
 use rushcourse_types::{
     ClaimId, ConfigurationVersion, Epoch, Incarnation, KeyDigest, NodeId, Ticket, Timestamp,
--- a/crates/gateway/controller/src/controller.rs
+++ b/crates/gateway/controller/src/controller.rs
@@ -7,9 +7,7 @@
 use crate::shutdown::Shutdown;
 use crate::storage_thread::Storage;
 use rushcourse_cluster::{self as cluster, Cluster};
-use rushcourse_consensus::{
-    self as consensus, ClaimAnswer, ConsensusNode, ReplicaSetup, WriteOperation,
-};
+use rushcourse_consensus::{self as consensus, ClaimAnswer, ConsensusNode, ReplicaSetup, WriteOperation};
 use rushcourse_messages::Message;
 use rushcourse_transport::Clock;
 use rushcourse_types::SessionId;
--- a/crates/gateway/controller/src/late_state.rs
+++ b/crates/gateway/controller/src/late_state.rs
@@ -7,7 +7,7 @@
 use crate::controller::Controller;
 use crate::state_file::OpenedFile;
 use rushcourse_cluster as cluster;
-use rushcourse_consensus::{self as consensus, CallOutcome, ConsensusNode, ReplicaSetup};
+use rushcourse_consensus::{self as consensus, ConsensusNode, CallOutcome, ReplicaSetup};
 use rushcourse_messages::Message;
 use rushcourse_transport::startup::random_incarnation;
 
--- a/crates/gateway/controller/src/startup.rs
+++ b/crates/gateway/controller/src/startup.rs
@@ -147,11 +147,7 @@
     Ok((storage, stored))
 }
 
-fn consensus_setup(
-    settings: &NodeSettings,
-    handshake: &Handshake,
-    stored: &DurableState,
-) -> ReplicaSetup {
+fn consensus_setup(settings: &NodeSettings, handshake: &Handshake, stored: &DurableState) -> ReplicaSetup {
     ReplicaSetup {
         node: handshake.node,
         zone: settings.node.zone.as_str().into(),
--- a/crates/shared/policy/src/admission.rs
+++ b/crates/shared/policy/src/admission.rs
@@ -1,13 +1,13 @@
 //! Admission levels and retries, by zone of the proxies.
 
+use crate::director::Director;
+use crate::interface::{ClassId, Idempotency, RetryPolicy, ZoneId};
+use crate::state::{Admission, ZonePressure};
 use crate::constants::{
     ADMISSION_DECREASE, ADMISSION_SEARCH_STEP, EASING_PART, HEALTHY_SATURATION, MAX_ADMISSION_INCREASE,
     MIN_ADMISSION, MIN_CAPACITY_PART, OPEN_ADMISSION, OVERLOAD_FAILURES, OVERLOAD_SATURATION,
     REOPENED_ADMISSION, SLOW_START_WEIGHT,
 };
-use crate::director::Director;
-use crate::interface::{ClassId, Idempotency, RetryPolicy, ZoneId};
-use crate::state::{Admission, ZonePressure};
 
 impl ZonePressure {
     fn is_overloaded(&self) -> bool {
--- a/crates/shared/policy/src/channel_cost.rs
+++ b/crates/shared/policy/src/channel_cost.rs
@@ -1,9 +1,9 @@
 //! What updates cost on the channel, in lines.
 
-use crate::constants::MAX_TABLE_HOSTS;
 use crate::director::Director;
 use crate::interface::{AckNumber, Channel, HostId, Ms, ProxyId, TableId};
 use crate::state::{Proxy, ProxyLines, Update, UpdateCost};
+use crate::constants::MAX_TABLE_HOSTS;
 use std::collections::BTreeSet;
 
 impl Director {
--- a/crates/shared/policy/src/decide.rs
+++ b/crates/shared/policy/src/decide.rs
@@ -1,10 +1,10 @@
 //! A director's step: events in, actions out; what time resolves in the model; the fallback.
 //! `docs/design.md` tells what was kept of the design page and of CCG's paper, and what changed.
 
-use crate::constants::{ACK_TIMEOUT, FALLBACK_DELAY, GONE_HOST_RETENTION, MAX_REPORT_AGE, REMOVAL_DELAY};
 use crate::director::Director;
 use crate::interface::{Action, Event, Ms};
 use crate::state::Update;
+use crate::constants::{ACK_TIMEOUT, FALLBACK_DELAY, GONE_HOST_RETENTION, MAX_REPORT_AGE, REMOVAL_DELAY};
 
 impl Director {
     /// Handles all events since the last call; answers what is to be done, in order. `now` never falls.
--- a/crates/shared/policy/src/demand.rs
+++ b/crates/shared/policy/src/demand.rs
@@ -1,9 +1,9 @@
 //! What comes to whom, and what there is to carry it.
 
-use crate::constants::{MIN_ZONE_CAPACITY, MIN_ZONE_ROOM};
 use crate::director::Director;
 use crate::interface::{ClassId, HostId, Ms, RequestClass, ZoneId};
 use crate::state::{AttemptTotals, Candidate, ListedHost, ZoneBalance};
+use crate::constants::{MIN_ZONE_CAPACITY, MIN_ZONE_ROOM};
 
 /// What the proxies of a pool bring and what its hosts can carry, as seen from a zone.
 #[derive(Clone, Copy, Debug)]
--- a/crates/shared/policy/src/director.rs
+++ b/crates/shared/policy/src/director.rs
@@ -1,6 +1,5 @@
 //! One director: what it was told, what it ordered, and what it makes of both.
 
-use crate::constants::FEEDBACK_INTERVALS;
 use crate::interface::{
     ClassGroupView, DirectorView, EndpointView, Ms, ProxyId, ProxyView, Settings, TableView, WithdrawnHost,
     ZoneId,
@@ -9,6 +8,7 @@
     ChannelHost, ClassGroup, CrossZoneWeights, HostList, HostReports, HostVerdicts, Outbox, ProxyRegistry,
     TableSet, Update, ZoneState,
 };
+use crate::constants::FEEDBACK_INTERVALS;
 use std::collections::BTreeMap;
 
 /// The time of the step, and when to act.
--- a/crates/shared/policy/src/fleet.rs
+++ b/crates/shared/policy/src/fleet.rs
@@ -1,10 +1,10 @@
 //! Which hosts the list is believed about, and how hosts and proxies are assigned to pools.
 
-use crate::constants::{PLANNED_POOL_HOSTS, REBALANCE_MARGIN};
 use crate::demand::{PoolLoad, index_of_max, index_of_min};
 use crate::director::Director;
 use crate::interface::{HostId, ZoneId};
 use crate::state::{AttemptTotals, ListedHost, Proxy};
+use crate::constants::{PLANNED_POOL_HOSTS, REBALANCE_MARGIN};
 
 impl Director {
     /// A host that was not draining is no longer listed. Where that doesn't bind, what its proxies meet there
--- a/crates/shared/policy/src/health.rs
+++ b/crates/shared/policy/src/health.rs
@@ -1,14 +1,14 @@
 //! Health from the reports: an outlier is ejected and comes back by slow start, a saturated host loses
 //! weight.
 
+use crate::director::Director;
+use crate::interface::{ByHost, HostId, ZoneId};
+use crate::state::{AttemptTotals, Derating, Outlier, ZonePressure};
 use crate::constants::{
     BASE_EJECTION_TIME, CALM_DERATE_SATURATION, DERATE_ATTEMPTS, DERATE_RECOVERY_DELAYS, DERATE_SATURATION,
     DERATE_STEP, EJECTION_ATTEMPTS, EJECTION_FAILURES, HEALTHY_SATURATION, MIN_DERATED_PART,
     MIN_REMAINING_PART, OVERLOAD_FAILURES, REPRESENTATIVE_PART, SLOW_START_DURATION,
 };
-use crate::director::Director;
-use crate::interface::{ByHost, HostId, ZoneId};
-use crate::state::{AttemptTotals, Derating, Outlier, ZonePressure};
 
 impl Director {
     /// The part of its weight that a host's health leaves it in tables of a zone's proxies.
--- a/crates/shared/policy/src/membership.rs
+++ b/crates/shared/policy/src/membership.rs
@@ -1,9 +1,9 @@
 //! Events into records: who is joined, what is listed, what was reported.
 
-use crate::constants::{PROXY_TRAFFIC_DECAY, REPORT_DECAY, ROUND_INTERVAL};
 use crate::director::Director;
 use crate::interface::{Action, Channel, Event, HostEntry, HostListKind, ProxyId, Readiness, ZoneId};
 use crate::state::{AttemptTotals, GroupBinding, ListedHost, Proxy};
+use crate::constants::{PROXY_TRAFFIC_DECAY, REPORT_DECAY, ROUND_INTERVAL};
 use std::collections::BTreeSet;
 
 /// The largest weight that a listed one is believed to be.
--- a/crates/shared/policy/src/observations.rs
+++ b/crates/shared/policy/src/observations.rs
@@ -1,9 +1,9 @@
 //! What proxies observed at hosts, and how far that falls short.
 
-use crate::constants::SATURATED_LATENCY;
 use crate::director::Director;
 use crate::interface::{ByHost, HostId, ZoneId};
 use crate::state::AttemptTotals;
+use crate::constants::SATURATED_LATENCY;
 
 impl Director {
     /// What proxies of a zone observed at each live host, as far as the reports are recent.
--- a/crates/shared/policy/src/scheduler.rs
+++ b/crates/shared/policy/src/scheduler.rs
@@ -1,13 +1,13 @@
 //! The check (paper 4.4) and the scheduler: what differs between tables and targets, what of it is sent.
 
+use crate::director::Director;
+use crate::interface::{Channel, HostId, ProxyId, TableId};
+use crate::state::{ChannelHost, PlannedUpdate, ProxyLines, URGENT, Update, UpdatePlan, WithdrawalRepeat};
 use crate::constants::{
     HEALTHY_SATURATION, JOIN_QUIET_PERIOD, MAX_QUEUE_AHEAD_OF_DRAINS, MIN_LISTED_WEIGHT_CHANGE,
     MIN_QUEUE_AHEAD_OF_DRAINS, MIN_WEIGHT_CHANGE, ORDINARY_MESSAGE_PART, ORDINARY_QUEUE_PART, ROUND_INTERVAL,
     URGENT_QUEUE_PART,
 };
-use crate::director::Director;
-use crate::interface::{Channel, HostId, ProxyId, TableId};
-use crate::state::{ChannelHost, PlannedUpdate, ProxyLines, URGENT, Update, UpdatePlan, WithdrawalRepeat};
 use std::collections::BTreeSet;
 
 impl Director {
--- a/crates/shared/policy/src/tables.rs
+++ b/crates/shared/policy/src/tables.rs
@@ -1,14 +1,14 @@
 //! Target tables: a zone's hosts by listed weight, other zones' for less, slow start of started hosts.
 
+use crate::demand::positive_sum;
+use crate::director::Director;
+use crate::interface::{ByHost, Ms, ProxyId, ZoneId};
+use crate::state::{Candidate, CrossZoneWeights, ListedHost, TableKey, WarmingLimits};
 use crate::constants::{
     CROSS_ZONE_TOLERANCE, HEALTHY_SATURATION, MAX_CROSS_ZONE_WEIGHT, MAX_TABLE_HOSTS, MIN_CROSS_ZONE_WEIGHT,
     MIN_REMAINING_PART, REMAINING_STEPS, SAFE_WARMING_PART, SLOW_START_DURATION, SLOW_START_STEPS,
     SLOW_START_WEIGHT,
 };
-use crate::demand::positive_sum;
-use crate::director::Director;
-use crate::interface::{ByHost, Ms, ProxyId, ZoneId};
-use crate::state::{Candidate, CrossZoneWeights, ListedHost, TableKey, WarmingLimits};
 use std::collections::BTreeSet;
 
 impl Director {
--- a/crates/tools/modelcheck/src/checker.rs
+++ b/crates/tools/modelcheck/src/checker.rs
@@ -2,7 +2,7 @@
 
 use crate::draft::Draft;
 use crate::violation::{Unsettled, Violation};
-use rushcourse_consensus::{CallOutcome, CommittedConfiguration, ReplicaSummary};
+use rushcourse_consensus::{CommittedConfiguration, CallOutcome, ReplicaSummary};
 use rushcourse_messages::VotingSet;
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId, Ticket};
 use std::collections::BTreeMap;
--- a/crates/tools/modelcheck/src/world/play.rs
+++ b/crates/tools/modelcheck/src/world/play.rs
@@ -5,7 +5,7 @@
 use crate::moves::Move;
 use crate::mutation::Mutation;
 use crate::simulation::Unsynced;
-use rushcourse_consensus::{CallOutcome, ConsensusNode, DurableState, Input};
+use rushcourse_consensus::{ConsensusNode, DurableState, Input, CallOutcome};
 use rushcourse_types::{NodeId, Ticket};
 
 /// Tickets of reads, from here on; lower ones are of puts.
