--- a/crates/director/director-state/tests/calls.rs
+++ b/crates/director/director-state/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the relay: their order, their bounds, and what happens to those that are rejected.
+//! Calls to the relay: order, size limits, rejections and connections.
 
 mod common;
 
@@ -10,10 +10,10 @@
 const JOINED: &str = "* joined 1 east 5.0 1";
 
 #[test]
-fn a_batch_is_one_call_that_ends_with_its_request_to_acknowledge() {
+fn batch_is_one_call_that_ends_with_its_ack_request() {
     let harness = Harness::with_bound_proxies();
     let first = &harness.relay.calls[0];
-    let last_order = first.split(';').next_back().expect("an order");
+    let last_order = first.split(';').next_back().expect("at least one order");
     assert!(first.contains("bind,1,") && last_order.starts_with("mark,"));
     assert_eq!(harness.counter("calls_unknown"), 0);
     assert_eq!(
@@ -23,20 +23,20 @@
 }
 
 #[test]
-fn a_bad_order_is_dropped_with_a_line_in_the_log_and_the_rest_goes_out() {
+fn invalid_order_is_logged_and_the_remaining_orders_are_sent() {
     // Given a relay that accepts two orders of the next call.
     let mut harness = Harness::started();
     harness.relay.outcomes = [CallOutcome::reply("OK 2")].into();
-    // When a call of more orders goes out.
+    // When a call with more orders is sent.
     harness.notify(JOINED);
     harness.run_for(300.0);
-    // Then those after the third follow, and the third is named.
+    // Then the orders after the third are sent, and the third is logged.
     let first: Vec<&str> = harness.relay.calls[0].split(';').collect();
     assert!(first.len() > 4);
     assert_eq!(
         harness.relay.calls[1].split(';').collect::<Vec<_>>(),
         first[3..],
-        "what was accepted and the bad one are out"
+        "neither the accepted orders nor the invalid one are resent"
     );
     assert_eq!(harness.counter("orders_dropped"), 1);
     assert!(
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn a_request_to_acknowledge_that_is_left_alone_is_not_sent() {
-    // Given a call that waits for its reply.
+fn remaining_ack_request_alone_is_not_sent() {
+    // Given a call in flight.
     let mut harness = Harness::started();
     harness.notify(JOINED);
     harness.relay.outcomes = [CallOutcome::Silence].into();
@@ -57,7 +57,7 @@
     let orders = harness.relay.calls[0].split(';').count();
     harness.reply(&format!("OK {}", orders - 2));
     harness.run_for(200.0);
-    // Then the request alone does not go out.
+    // Then the acknowledgement request is not sent alone.
     assert!(
         harness
             .relay
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn busy_is_waited_for_within_bounds_on_the_same_connection() {
+fn busy_call_is_resent_on_the_same_connection() {
     let mut harness = Harness::started();
     harness.relay.outcomes = vec![CallOutcome::reply("BUSY"); 5].into();
     harness.notify(JOINED);
@@ -87,12 +87,12 @@
     assert_eq!(
         harness.counter("calls_unknown"),
         0,
-        "it was rejected: that is known"
+        "a rejected call has a known outcome"
     );
 }
 
 #[test]
-fn a_call_rejected_before_the_run_is_sent_until_it_is_accepted() {
+fn call_rejected_at_startup_is_resent_until_accepted() {
     let mut harness = Harness::started();
     harness.relay.outcomes = vec![CallOutcome::reply("SYNTAX"); 5].into();
     harness.notify(JOINED);
@@ -101,7 +101,7 @@
     assert_eq!(
         calls[..6],
         vec![calls[0].clone(); 6],
-        "the model's endpoints come to be held"
+        "the same call is resent until accepted"
     );
     assert_eq!(
         (
@@ -113,8 +113,8 @@
 }
 
 #[test]
-fn a_relay_that_can_not_be_reached_is_tried_again_with_delays() {
-    // Given a relay that goes out of reach.
+fn unreachable_relay_is_retried_with_backoff() {
+    // Given a relay that becomes unreachable.
     let mut harness = Harness::with_bound_proxies();
     let (calls, connects) = (
         harness.relay.calls.len(),
@@ -126,8 +126,8 @@
     // When a host drains.
     harness.drain_host(6, "a1", "east");
     harness.run_for(10_000.0);
-    // Then the session tries to connect now and then, and sends the call once it can.
-    assert_eq!(harness.relay.calls.len(), calls, "nothing can go out");
+    // Then the session retries with backoff, and sends the call once the relay is reachable.
+    assert_eq!(harness.relay.calls.len(), calls, "no call can be sent");
     let attempts = harness.relay.connect_count(RelayLink::Calls) - connects;
     assert!(
         (10..60).contains(&attempts),
@@ -137,14 +137,14 @@
     harness.run_for(1000.0);
     assert!(
         harness.relay.calls[calls].contains("withdraw,a1"),
-        "the oldest call first: {:?}",
+        "the oldest call is sent first: {:?}",
         &harness.relay.calls[calls..]
     );
 }
 
 #[test]
-fn what_waits_for_the_relay_stays_bounded() {
-    // Nobody is joined: no order costs a line, so nothing but the queue's own bound holds them back.
+fn call_queue_stays_bounded_while_the_relay_is_unreachable() {
+    // Without joined proxies the message cap does not apply, so only the queue limit bounds the calls.
     let mut harness = Harness::started();
     harness.relay.is_reachable = false;
     for revision in 0..2000u64 {
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_replaced_before_a_call_is_risked_on_it() {
+fn idle_connection_is_replaced_before_the_next_call() {
     // Given a connection that has been idle for six seconds.
     let mut harness = Harness::with_bound_proxies();
     let connects = harness.relay.connect_count(RelayLink::Calls);
@@ -173,7 +173,7 @@
         harness.run_for(1000.0);
         harness.notify("*");
     }
-    // When a call has to go out, then it goes by a new connection.
+    // When a call is queued, then it is sent on a new connection.
     let before = harness.relay.calls.len();
     harness.drain_host(6, "a1", "east");
     harness.run_for(100.0);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn a_connection_that_the_relay_closes_while_idle_costs_no_call() {
+fn idle_disconnect_does_not_affect_the_next_call() {
     let mut harness = Harness::with_bound_proxies();
     harness.run_for(1000.0);
     harness.disconnect(RelayLink::Calls);
@@ -199,8 +199,8 @@
 }
 
 #[test]
-fn lines_and_ends_of_earlier_connections_mean_nothing() {
-    // Given a call that was repeated by a new connection and waits for its reply.
+fn inputs_of_earlier_connections_are_ignored() {
+    // Given a call that was resent on a new connection and is in flight.
     let mut harness = Harness::with_bound_proxies();
     let earlier = harness.relay.current(RelayLink::Calls);
     harness.relay.outcomes = [CallOutcome::Disconnect, CallOutcome::Silence].into();
@@ -208,7 +208,7 @@
     harness.run_for(10.0);
     assert!(harness.relay.current(RelayLink::Calls) > earlier);
     let sent = harness.relay.calls.len();
-    // When something comes of the earlier connection.
+    // When inputs of the earlier connection arrive.
     harness.handle(Input::RelayLine {
         connection: earlier,
         line: "OK 1".into(),
@@ -218,17 +218,17 @@
         reason: "late".into(),
     });
     harness.run_for(10.0);
-    // Then it changes nothing.
+    // Then they change nothing.
     assert_eq!(
         harness.relay.calls.len(),
         sent,
-        "the repeat still waits for its own reply"
+        "the resend is still in flight"
     );
 }
 
 #[test]
-fn a_batch_over_the_limit_is_split_in_order_and_its_parts_count_as_messages() {
-    // Given hosts with long names: one table is far over the limit of a call.
+fn oversized_batch_is_split_in_order_and_its_parts_are_counted() {
+    // Given hosts with long names, whose table exceeds the size limit of a call.
     let mut harness = Harness::new();
     let members: Vec<String> = (0..20)
         .map(|host| format!("h{host:03}{}", "x".repeat(9000)))
@@ -240,7 +240,7 @@
     // When a proxy joins.
     harness.notify(JOINED);
     harness.run_for(300.0);
-    // Then its table takes several calls, in the order of the orders.
+    // Then its table is sent in several calls without changing the order.
     let calls = harness.relay.calls.len() - before;
     assert!(calls >= 3, "{calls} calls");
     assert!(harness.counter("calls_split") >= 2);
@@ -249,11 +249,11 @@
         orders
             .iter()
             .position(|order| order.starts_with(start))
-            .expect("ordered")
+            .expect("order was sent")
     };
     assert!(
         position("share,") < position("bind,1,") && position("bind,1,") < position("mark,"),
-        "order is kept over the parts"
+        "order is kept across calls"
     );
     let ack_requests = orders.iter().filter(|order| order.starts_with("mark,"));
     assert_eq!(ack_requests.count(), 1);
