--- a/crates/tools/simulation/src/cost.rs
+++ b/crates/tools/simulation/src/cost.rs
@@ -1,4 +1,4 @@
-//! What a round, a report and a join cost a director, by proxies and hosts: what it examined, and the time it took.
+//! Measures the cost of a director's rounds, reports and joins by the size of its fleet.
 
 use rushcourse_policy::Director;
 use rushcourse_policy::interface::{
@@ -8,37 +8,34 @@
 };
 use std::time::{Duration, Instant};
 
-/// Rounds that are measured.
-const ROUNDS: u32 = 40;
+const MEASURED_ROUNDS: u32 = 40;
 /// Time between two rounds on the fake clock, in ms.
 const ROUND_INTERVAL: Ms = 250.0;
-/// Each so many rounds reports come.
+/// Number of rounds from one set of reports to the next.
 const ROUNDS_PER_REPORT: u32 = 4;
-/// Joins that are measured.
-const JOINS: u32 = 100;
-/// Time until a batch is acknowledged, in ms.
+const MEASURED_JOINS: u32 = 100;
+/// Time from a batch until its acknowledgement by all proxies, in ms.
 const ACK_DELAY: Ms = 300.0;
-/// Zones of the fleet.
 const ZONES: usize = 3;
-/// The span of a report, in ms.
+/// Period that each report covers, in ms.
 const REPORT_SPAN: Ms = 1000.0;
 
-/// The cost of one size of fleet. Times are mean ones of the machine it ran on, for information; counts are exact.
+/// Cost of the operations of a director with a given fleet. Times are means and depend on the machine; counts do not.
 #[derive(Clone, Copy, Debug)]
 pub struct Cost {
-    /// Proxies of the director.
+    /// Number of proxies that are joined before the measured joins.
     pub proxies: u32,
-    /// Hosts of the list.
+    /// Number of listed hosts.
     pub hosts: usize,
-    /// A round in which nothing happens but reports.
-    pub round: Duration,
-    /// One report, handed over with others of its quantum.
-    pub report: Duration,
-    /// One proxy that joins between rounds, in a quantum of its own.
-    pub join: Duration,
-    /// Proxies and updates examined in a round.
+    /// Mean time of a round.
+    pub round_time: Duration,
+    /// Mean time per report; the reports of all proxies and hosts arrive in one batch.
+    pub report_time: Duration,
+    /// Mean time to handle a proxy that joins between rounds, in a batch of its own.
+    pub join_time: Duration,
+    /// Mean number of proxies and updates that a round examines.
     pub examined_in_round: u64,
-    /// Proxies and updates examined for a join.
+    /// Mean number of proxies and updates that a join examines.
     pub examined_for_join: u64,
 }
 
@@ -118,9 +115,9 @@
     }
 }
 
-/// What proxies of each zone observed at each host of it, and what came to them: a second's reports.
+/// Reports of one second: the attempts at each host from its own zone, and the traffic of each proxy.
 fn reports(proxies: u32, hosts: usize) -> Vec<Event> {
-    let observed = |index: usize| Event::HostReported {
+    let host_report = |index: usize| Event::HostReported {
         zone: index % ZONES,
         host: host(index).host,
         attempts: 6.0,
@@ -129,18 +126,20 @@
         span: REPORT_SPAN,
         load: HostLoad::default(),
     };
-    let traffic = |proxy| Event::TrafficReported {
+    let traffic_report = |proxy| Event::TrafficReported {
         proxy,
         class: 0,
         attempts: 1.0,
         failed: 0.0,
         span: REPORT_SPAN,
     };
-    let observed = (0..hosts).map(observed);
-    observed.chain((0..proxies).map(traffic)).collect()
+    let host_report = (0..hosts).map(host_report);
+    host_report
+        .chain((0..proxies).map(traffic_report))
+        .collect()
 }
 
-/// What something took.
+/// Time and examined items of one or more calls of the director.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sample {
     time: Duration,
@@ -155,16 +154,16 @@
 }
 
 /// A director on a fake clock.
-struct Bench {
+struct DirectorHarness {
     director: Director,
     now: Ms,
     ack_number: AckNumber,
 }
 
-impl Bench {
-    /// A director that knows its hosts, whose proxies have acknowledged their tables.
-    fn new(proxies: u32, hosts: usize) -> Bench {
-        let mut bench = Bench {
+impl DirectorHarness {
+    /// Starts a director with a list of hosts and proxies that have joined and acknowledged their tables.
+    fn new(proxies: u32, hosts: usize) -> DirectorHarness {
+        let mut harness = DirectorHarness {
             director: Director::new(settings(proxies)),
             now: 1000.0,
             ack_number: 0,
@@ -173,20 +172,20 @@
             kind: HostListKind::Cached,
             entries: (0..hosts).map(host).collect(),
         };
-        bench.handle(bench.now - 500.0, vec![list]);
-        bench.handle(bench.now, (0..proxies).map(join).collect());
-        let ack_number = bench.ack_number;
+        harness.handle(harness.now - 500.0, vec![list]);
+        harness.handle(harness.now, (0..proxies).map(join).collect());
+        let ack_number = harness.ack_number;
         let acknowledged = |proxy| Event::Acknowledged {
             ack_number,
             proxy,
             elapsed: ACK_DELAY,
             channel: Channel::Shared,
         };
-        bench.handle(
-            bench.now + ACK_DELAY,
+        harness.handle(
+            harness.now + ACK_DELAY,
             (0..proxies).map(acknowledged).collect(),
         );
-        bench
+        harness
     }
 
     fn handle(&mut self, now: Ms, events: Vec<Event>) -> Sample {
@@ -204,7 +203,7 @@
         }
     }
 
-    fn round(&mut self) -> Sample {
+    fn run_round(&mut self) -> Sample {
         let timer = Event::TimerFired {
             token: "round".into(),
         };
@@ -212,32 +211,32 @@
     }
 }
 
-/// Plays ten seconds of reports and a hundred joins at one size.
+/// Measures rounds with reports and then joins between rounds, for a fleet of the given size.
 pub fn measure(proxies: u32, hosts: usize) -> Cost {
-    let mut bench = Bench::new(proxies, hosts);
+    let mut harness = DirectorHarness::new(proxies, hosts);
     let (mut rounds, mut reported, mut report_count) = (Sample::default(), Sample::default(), 0);
-    for round in 0..ROUNDS {
-        bench.now += ROUND_INTERVAL;
+    for round in 0..MEASURED_ROUNDS {
+        harness.now += ROUND_INTERVAL;
         if round % ROUNDS_PER_REPORT == 0 {
             let events = reports(proxies, hosts);
             report_count += events.len() as u32;
-            // Just after a round: reports are taken in, and wait for the next.
-            reported.add(bench.handle(bench.now - ROUND_INTERVAL + 1.0, events));
+            // Reports arrive 1 ms after the previous round, and the next round processes them.
+            reported.add(harness.handle(harness.now - ROUND_INTERVAL + 1.0, events));
         }
-        rounds.add(bench.round());
+        rounds.add(harness.run_round());
     }
     let mut joins = Sample::default();
-    for index in 0..JOINS {
-        let now = bench.now + 1.0 + f64::from(index);
-        joins.add(bench.handle(now, vec![join(proxies + index)]));
+    for index in 0..MEASURED_JOINS {
+        let now = harness.now + 1.0 + f64::from(index);
+        joins.add(harness.handle(now, vec![join(proxies + index)]));
     }
     Cost {
         proxies,
         hosts,
-        round: rounds.time / ROUNDS,
-        report: reported.time / report_count.max(1),
-        join: joins.time / JOINS,
-        examined_in_round: rounds.examined / u64::from(ROUNDS),
-        examined_for_join: joins.examined / u64::from(JOINS),
+        round_time: rounds.time / MEASURED_ROUNDS,
+        report_time: reported.time / report_count.max(1),
+        join_time: joins.time / MEASURED_JOINS,
+        examined_in_round: rounds.examined / u64::from(MEASURED_ROUNDS),
+        examined_for_join: joins.examined / u64::from(MEASURED_JOINS),
     }
 }
--- a/crates/tools/simulation/src/lib.rs
+++ b/crates/tools/simulation/src/lib.rs
@@ -1,10 +1,10 @@
-//! One suite, two protocols: seeded scripts are played on a fake clock against a director's session, with proxies that
-//! speak the platform's protocol, discovery streams of either kind, or a mix. A checker that sees only what proxies
-//! hold, and when, looks at the five rules; tables must be the same whichever way they came.
+//! Deterministic simulation of a director. Scripts generated from a seed run on a fake clock, each once with proxies on
+//! the platform's relay, on state-of-the-world streams, on delta streams and on a mix of these. A checker verifies five
+//! rules from the tables that proxies hold, and the tables of all modes are compared.
 
 pub mod check;
 pub mod cost;
-pub mod prove;
 pub mod proxy;
 pub mod script;
+pub mod suite;
 pub mod world;
--- a/crates/tools/simulation/src/main.rs
+++ b/crates/tools/simulation/src/main.rs
@@ -1,12 +1,12 @@
-//! `rushcourse-simulation`: proofs on a fake clock.
+//! Command line of `rushcourse-simulation`.
 
 use argh::FromArgs;
 use rushcourse_simulation::cost::{self, Cost};
-use rushcourse_simulation::prove::{Proof, prove};
+use rushcourse_simulation::suite::{SuiteResult, run_suite};
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Proofs of the director on a fake clock. Exit codes: 0 it holds, 1 it does not.
+/// Verifies the director on a fake clock. Exit codes: 0 if all checks pass, 1 otherwise.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -20,29 +20,30 @@
     ProveSize(ProveSize),
 }
 
-/// Plays the same scripts over the platform's protocol, both kinds of discovery streams and a mix, and compares.
+/// Runs each script over the platform's relay, both kinds of discovery streams and a mix, and compares the tables.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "prove-grpc")]
 struct ProveGrpc {
-    /// how many scripts
+    /// number of scripts
     #[argh(option, default = "240")]
     scripts: u64,
-    /// the first script's seed
+    /// seed of the first script; the others follow in sequence
     #[argh(option, default = "1")]
     seed: u64,
-    /// how many faults to name
+    /// maximum number of failures to print
     #[argh(option, default = "20")]
     lines: usize,
 }
 
-/// What a round, a report and a joining cost by proxies and hosts; holds if a joining looks at no whole fleet.
+/// Measures the cost of a round, a report and a join by number of proxies and hosts. Fails if the work for a join grows
+/// with the fleet.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "prove-size")]
 struct ProveSize {}
 
-/// Proxies and updates that a join between rounds may examine, whatever the fleet.
+/// Maximum number of proxies and updates that a join between rounds may examine, independent of the fleet's size.
 const MAX_EXAMINED_FOR_JOIN: u64 = 30;
-/// Sizes of the fleet that are measured.
+/// Numbers of proxies for which the cost is measured, each with every number of hosts.
 const PROXIES: [u32; 3] = [60, 480, 2400];
 const HOSTS: [usize; 4] = [20, 60, 120, 200];
 
@@ -66,60 +67,60 @@
         "{:7} {:5} {:9.0} {:10.2} {:11.1} {:14} {:16}",
         cost.proxies,
         cost.hosts,
-        microseconds(cost.round),
-        microseconds(cost.report),
-        microseconds(cost.join),
+        microseconds(cost.round_time),
+        microseconds(cost.report_time),
+        microseconds(cost.join_time),
         cost.examined_in_round,
         cost.examined_for_join
     );
 }
 
-fn prove_grpc(asked: &ProveGrpc) -> bool {
+fn prove_grpc(options: &ProveGrpc) -> bool {
     let threads = std::thread::available_parallelism().map_or(1, |n| n.get());
-    let proof = prove(asked.seed..asked.seed + asked.scripts, threads);
-    print_proof(&proof, asked.lines);
-    proof.holds() && proof.scripts > 0
+    let result = run_suite(options.seed..options.seed + options.scripts, threads);
+    print_result(&result, options.lines);
+    result.passes() && result.scripts > 0
 }
 
-fn print_proof(proof: &Proof, max_faults: usize) {
-    println!("scripts {}, runs {}", proof.scripts, proof.runs);
-    println!("played: {:?}", proof.events);
-    println!("messages to proxies: {:?}", proof.messages);
+fn print_result(result: &SuiteResult, max_failures: usize) {
+    println!("scripts {}, runs {}", result.scripts, result.runs);
+    println!("played: {:?}", result.events);
+    println!("messages to proxies: {:?}", result.messages);
     println!(
-        "tables made from nothing, compared to the unit: {}, lines {}",
-        proof.fresh.tables, proof.fresh.hosts
+        "tables after the final restart, compared exactly: {}, hosts {}",
+        result.after_restart.tables, result.after_restart.hosts
     );
     println!(
-        "tables after all that happened: {}, lines {}",
-        proof.grown.tables, proof.grown.hosts
+        "tables before the final restart: {}, hosts {}",
+        result.before_restart.tables, result.before_restart.hosts
     );
     println!(
-        "  of them off by less than an order is worth: {} lines; by a zone's factor: {} tables",
-        proof.near_weights, proof.other_factors
+        "  with weight differences within tolerance: {} hosts; with rescaled cross-zone weights: {} tables",
+        result.tolerated_weights, result.rescaled_tables
     );
-    println!("tables that differ: {}", proof.differing.len());
+    println!("tables that differ: {}", result.table_mismatches.len());
     println!(
-        "rule checks {:?}, broken {}",
-        proof.checks,
-        proof.violations.len()
+        "rule checks {:?}, violations {}",
+        result.checks,
+        result.violations.len()
     );
-    println!("scripts with other verdicts {}", proof.other_verdicts.len());
-    for fault in proof.faults().take(max_faults) {
-        println!("  {fault}");
+    println!("runs with rule mismatches {}", result.rule_mismatches.len());
+    for failure in result.failures().take(max_failures) {
+        println!("  {failure}");
     }
 }
 
 fn main() -> ExitCode {
     let arguments: Arguments = argh::from_env();
-    let holds = match arguments.command {
-        Command::ProveGrpc(asked) => prove_grpc(&asked),
+    let passes = match arguments.command {
+        Command::ProveGrpc(options) => prove_grpc(&options),
         Command::ProveSize(_) => prove_size(),
     };
-    if holds {
-        println!("it holds");
+    if passes {
+        println!("all checks passed");
         ExitCode::SUCCESS
     } else {
-        println!("it does not hold");
+        println!("some checks failed");
         ExitCode::FAILURE
     }
 }
--- a/crates/tools/simulation/src/proxy.rs
+++ b/crates/tools/simulation/src/proxy.rs
@@ -1,9 +1,9 @@
-//! Stand-ins for proxies: what each holds, and when it came to hold it. They follow what they are sent exactly.
+//! Tables of simulated proxies, as the platform's relay or a discovery stream delivers them.
 
 mod relay;
 mod stream;
 mod table;
 
-pub use relay::{CallReach, PlatformRelay};
+pub use relay::{CallRecipients, PlatformRelay};
 pub use stream::StreamTables;
 pub use table::{Protocol, ProxyTable};
--- a/crates/tools/simulation/src/proxy/relay.rs
+++ b/crates/tools/simulation/src/proxy/relay.rs
@@ -1,41 +1,39 @@
-//! The platform's relay.
+//! Simulation of the platform's relay, which applies orders to tables on behalf of its proxies.
 
 use super::table::ProxyTable;
 use rushcourse_policy::interface::AckNumber;
 use rushcourse_xds::WEIGHT_SCALE;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an order sets for a class in a table.
+/// Admission level and retry policy of a class in a table.
 #[derive(Clone, Copy, Debug)]
 struct Admission {
     quota: f64,
     retry_policy: u8,
 }
 
-/// A table and a class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct TableClass {
     table: u32,
     class: String,
 }
 
-/// A proxy and a class.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ProxyClass {
     proxy: u32,
     class: String,
 }
 
-/// What a call reaches.
+/// Proxies to which the relay forwards a call.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct CallReach {
-    /// Proxies that get a message.
+pub struct CallRecipients {
+    /// Numbers of the proxies that receive a message.
     pub proxies: BTreeSet<u32>,
-    /// The number by which they acknowledge it.
+    /// Number that the proxies repeat in their acknowledgements; absent if the call requests none.
     pub ack_number: Option<AckNumber>,
 }
 
-/// The tables that the platform's relay keeps, as its orders make them; all proxies there see them a little later.
+/// Tables, bindings and withdrawn hosts as set by the director's orders. Proxies get a copy of this state.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformRelay {
     tables: BTreeMap<u32, BTreeMap<String, f64>>,
@@ -46,7 +44,7 @@
 }
 
 impl PlatformRelay {
-    /// A relay with no tables, whose proxies retry by a policy where no order sets one.
+    /// Creates a relay without tables. `default_retry_policy` applies to classes for which no order sets a policy.
     pub fn new(default_retry_policy: u8) -> PlatformRelay {
         PlatformRelay {
             default_retry_policy,
@@ -54,47 +52,53 @@
         }
     }
 
-    /// Carries a call out; `classes` are all that there are.
+    /// Applies the orders of a call, separated by `;`. `classes` lists all classes, for which an order may use `*`.
     ///
     /// # Panics
     ///
-    /// An order of the call is none of the protocol's.
-    pub fn apply(&mut self, orders: &str, classes: &[&str]) -> CallReach {
-        let mut reach = CallReach::default();
+    /// Panics if an order is unknown or malformed.
+    pub fn apply(&mut self, orders: &str, classes: &[&str]) -> CallRecipients {
+        let mut recipients = CallRecipients::default();
         for order in orders.split(';') {
             let words: Vec<&str> = order.split(',').collect();
             match words[..] {
                 ["share", table, host, weight] => {
-                    self.set_weight(number(table), host, fraction(weight));
-                    reach.proxies.extend(self.users(number(table)));
+                    self.set_weight(parse_integer(table), host, parse_fraction(weight));
+                    recipients
+                        .proxies
+                        .extend(self.proxies_using_table(parse_integer(table)));
                 }
-                ["clear", table] => self.clear(number(table)),
-                ["bind", proxy, table, named] => {
-                    self.bind(number(proxy), number(table), class_names(named, classes));
-                    reach.proxies.insert(number(proxy));
+                ["clear", table] => self.clear(parse_integer(table)),
+                ["bind", proxy, table, class_list] => {
+                    self.bind(
+                        parse_integer(proxy),
+                        parse_integer(table),
+                        class_names(class_list, classes),
+                    );
+                    recipients.proxies.insert(parse_integer(proxy));
                 }
                 ["withdraw", host] => {
                     self.withdrawn.insert(host.into());
-                    reach.proxies.extend(self.users_of_host(host));
+                    recipients.proxies.extend(self.proxies_using_host(host));
                 }
                 ["restore", host] => {
                     self.withdrawn.remove(host);
-                    reach.proxies.extend(self.users_of_host(host));
+                    recipients.proxies.extend(self.proxies_using_host(host));
                 }
-                ["admit", table, named, quota, retry_policy] => {
+                ["admit", table, class_list, quota, retry_policy] => {
                     let admission = Admission {
-                        quota: fraction(quota),
-                        retry_policy: number(retry_policy) as u8,
+                        quota: parse_fraction(quota),
+                        retry_policy: parse_integer(retry_policy) as u8,
                     };
-                    let table = number(table);
-                    self.set_admission(table, class_names(named, classes), admission);
-                    reach.proxies.extend(self.users(table));
+                    let table = parse_integer(table);
+                    self.set_admission(table, class_names(class_list, classes), admission);
+                    recipients.proxies.extend(self.proxies_using_table(table));
                 }
-                ["mark", ack_number, _] => reach.ack_number = ack_number.parse().ok(),
-                _ => panic!("no order: {order}"),
+                ["mark", ack_number, _] => recipients.ack_number = ack_number.parse().ok(),
+                _ => panic!("unknown order: {order}"),
             }
         }
-        reach
+        recipients
     }
 
     fn set_weight(&mut self, table: u32, host: &str, weight: f64) {
@@ -121,27 +125,30 @@
         }
     }
 
-    /// Proxies that use a table.
-    fn users(&self, table: u32) -> Vec<u32> {
+    /// Proxies that are bound to a table for at least one class.
+    fn proxies_using_table(&self, table: u32) -> Vec<u32> {
         let bound = self.bindings.iter().filter(|(_, bound)| **bound == table);
         bound.map(|(key, _)| key.proxy).collect()
     }
 
-    /// Proxies that use a table which names a host.
-    fn users_of_host(&self, host: &str) -> Vec<u32> {
-        let naming = self
+    /// Proxies that are bound to a table which contains a host.
+    fn proxies_using_host(&self, host: &str) -> Vec<u32> {
+        let tables_with_host = self
             .tables
             .iter()
             .filter(|(_, weights)| weights.contains_key(host));
-        naming.flat_map(|(table, _)| self.users(*table)).collect()
+        tables_with_host
+            .flat_map(|(table, _)| self.proxies_using_table(*table))
+            .collect()
     }
 
-    /// A proxy is bound to nothing any more.
-    pub fn forget(&mut self, proxy: u32) {
+    /// Removes all bindings of a proxy.
+    pub fn unbind_proxy(&mut self, proxy: u32) {
         self.bindings.retain(|key, _| key.proxy != proxy);
     }
 
-    /// What a proxy holds for a class, in the whole numbers that streams carry.
+    /// The table to which a proxy is bound for a class, if any, without withdrawn hosts. Weights are scaled to integers
+    /// as on discovery streams.
     pub fn table(&self, proxy: u32, class: &str) -> Option<ProxyTable> {
         let class = class.to_string();
         let table = *self.bindings.get(&ProxyClass {
@@ -149,19 +156,19 @@
             class: class.clone(),
         })?;
         let weights = self.tables.get(&table).into_iter().flatten();
-        let open = weights.filter(|(host, _)| !self.withdrawn.contains(*host));
+        let available = weights.filter(|(host, _)| !self.withdrawn.contains(*host));
         let default = Admission {
             quota: 1.0,
             retry_policy: self.default_retry_policy,
         };
-        let ordered = self.admission.get(&TableClass { table, class });
+        let configured = self.admission.get(&TableClass { table, class });
         let Admission {
             quota,
             retry_policy,
-        } = ordered.copied().unwrap_or(default);
+        } = configured.copied().unwrap_or(default);
         Some(ProxyTable {
-            weights: open
-                .map(|(host, weight)| (host.clone(), whole_weight(*weight)))
+            weights: available
+                .map(|(host, weight)| (host.clone(), scaled_weight(*weight)))
                 .collect(),
             admitted_per_million: 1_000_000 - ((1.0 - quota) * 1_000_000.0).round() as u32,
             retry_policy,
@@ -169,11 +176,11 @@
     }
 }
 
-fn whole_weight(weight: f64) -> u32 {
+fn scaled_weight(weight: f64) -> u32 {
     ((weight * WEIGHT_SCALE).round() as u32).max(1)
 }
 
-/// Classes that an order names: all by `*`.
+/// Parses the class list of an order: `*` for all classes, or names separated by `+`.
 fn class_names(word: &str, classes: &[&str]) -> Vec<String> {
     if word == "*" {
         classes.iter().map(|class| class.to_string()).collect()
@@ -182,10 +189,10 @@
     }
 }
 
-fn number(word: &str) -> u32 {
-    word.parse().expect("orders carry numbers")
+fn parse_integer(word: &str) -> u32 {
+    word.parse().expect("an integer")
 }
 
-fn fraction(word: &str) -> f64 {
-    word.parse().expect("orders carry figures")
+fn parse_fraction(word: &str) -> f64 {
+    word.parse().expect("a decimal number")
 }
--- a/crates/tools/simulation/src/proxy/stream.rs
+++ b/crates/tools/simulation/src/proxy/stream.rs
@@ -1,22 +1,22 @@
-//! Tables as a discovery stream brings them.
+//! Tables of a proxy on a discovery stream.
 
 use super::table::ProxyTable;
 use rushcourse_xds::{ClusterLoadAssignment, Response};
 use std::collections::BTreeMap;
 
-/// What is kept of a stream's tables.
+/// State that a proxy keeps from the responses of its discovery stream.
 #[derive(Clone, Debug, Default)]
 pub struct StreamTables {
-    /// By class.
+    /// Last received table of each class.
     pub tables: BTreeMap<String, ClusterLoadAssignment>,
-    /// The version of each table.
+    /// Version of each table in `tables`; sent in the first request of the next stream.
     pub versions: BTreeMap<String, String>,
-    /// The version of the last response.
+    /// Version of the last response; empty before the first one.
     pub version: String,
 }
 
 impl StreamTables {
-    /// Takes a response over.
+    /// Stores the tables of a response. Responses without a version are ignored.
     pub fn apply(&mut self, response: &Response) {
         let Some(version) = response.version() else {
             return;
@@ -30,35 +30,35 @@
         }
     }
 
-    /// Goes on with the hosts of before: a proxy that does not follow its tables.
-    pub fn keep_hosts(&mut self, before: &BTreeMap<String, ClusterLoadAssignment>) {
-        for (class, old) in before {
+    /// Adds the removed hosts of the previous tables again, to simulate a proxy that never removes a host.
+    pub fn keep_previous_hosts(&mut self, previous: &BTreeMap<String, ClusterLoadAssignment>) {
+        for (class, old) in previous {
             let Some(table) = self.tables.get_mut(class) else {
                 continue;
             };
             for mut locality in old.localities.clone() {
                 locality
                     .endpoints
-                    .retain(|endpoint| !names_host(table, &endpoint.host));
+                    .retain(|endpoint| !contains_host(table, &endpoint.host));
                 table.localities.push(locality);
             }
         }
     }
 
-    /// The table of a class, if the stream has brought one.
+    /// The table of a class without draining hosts, if one has been received.
     pub fn table(&self, class: &str) -> Option<ProxyTable> {
         let assignment = self.tables.get(class)?;
         let endpoints = assignment.localities.iter().flat_map(|l| &l.endpoints);
-        let open = endpoints.filter(|endpoint| !endpoint.draining);
+        let available = endpoints.filter(|endpoint| !endpoint.draining);
         Some(ProxyTable {
-            weights: open.map(|e| (e.host.to_string(), e.weight)).collect(),
+            weights: available.map(|e| (e.host.to_string(), e.weight)).collect(),
             admitted_per_million: 1_000_000 - assignment.drop_per_million,
             retry_policy: assignment.retry_policy as u8,
         })
     }
 }
 
-fn names_host(assignment: &ClusterLoadAssignment, host: &str) -> bool {
+fn contains_host(assignment: &ClusterLoadAssignment, host: &str) -> bool {
     let mut endpoints = assignment.localities.iter().flat_map(|l| &l.endpoints);
     endpoints.any(|endpoint| &*endpoint.host == host)
 }
--- a/crates/tools/simulation/src/proxy/table.rs
+++ b/crates/tools/simulation/src/proxy/table.rs
@@ -1,25 +1,25 @@
-//! What a proxy holds, and how it came there.
+//! Protocol-independent form of a proxy's table, for comparison.
 
 use std::collections::BTreeMap;
 
-/// How a proxy is reached.
+/// Protocol by which a proxy receives its tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
-    /// Through the platform's relay.
+    /// Orders through the platform's relay.
     Platform,
-    /// By a discovery stream that sends the state of the world.
+    /// State-of-the-world discovery stream.
     StateOfTheWorld,
-    /// By a discovery stream that sends changes.
+    /// Incremental (delta) discovery stream.
     Delta,
 }
 
-/// A class's table as a proxy follows it.
+/// Table that a proxy uses for the requests of a class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ProxyTable {
-    /// Hosts that it may pick, with their weight in the whole numbers that streams carry.
+    /// Weights of the available hosts, scaled to integers as on discovery streams.
     pub weights: BTreeMap<String, u32>,
-    /// Requests of a million that it admits.
+    /// Admitted requests per million.
     pub admitted_per_million: u32,
-    /// When it retries, 0 (never) to 3.
+    /// Numeric value of the `RetryPolicy`, from 0 (never) to 3 (twice after any failure).
     pub retry_policy: u8,
 }
--- a/crates/tools/simulation/src/script.rs
+++ b/crates/tools/simulation/src/script.rs
@@ -1,117 +1,118 @@
-//! What happens in a run, in the terms of no protocol.
+//! Protocol-independent description of a simulation run: hosts, proxies and timed events.
 
-mod draw;
+mod generate;
 
 use rushcourse_policy::interface::Ms;
 use std::collections::BTreeMap;
 
-/// The classes of requests: one that may be repeated, and one that may not.
+/// Names of the request classes: an idempotent one and [`NOT_IDEMPOTENT_CLASS`].
 pub const CLASSES: [&str; 2] = ["look", "pay"];
-/// The class whose requests may not be repeated.
+/// The class whose requests may be retried only if the failed attempt provably did not run.
 pub const NOT_IDEMPOTENT_CLASS: &str = CLASSES[1];
-/// How long a run lasts, in ms.
+/// Duration of a run, in ms.
 pub const RUN_LENGTH: Ms = 56_000.0;
-/// How long nothing happens at its end, in ms.
-pub const QUIET_TAIL: Ms = 30_000.0;
-/// In that tail the director restarts at this time, so that its tables are made from nothing once more.
+/// Time at the end of a run in which proxies only report and the director restarts once, in ms.
+pub const QUIET_PERIOD: Ms = 30_000.0;
+/// Time at which tables are captured, in ms since the start. The director then restarts for the last time and rebuilds
+/// all tables from scratch.
 pub const FINAL_RESTART: Ms = RUN_LENGTH - 10_000.0;
 
-/// A host of the script.
+/// A backend host.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
-    /// Its name.
+    /// Unique name, as in the list of hosts.
     pub id: String,
-    /// Its zone.
+    /// Index into [`Script::zones`].
     pub zone: usize,
 }
 
-/// A proxy of the script.
+/// A proxy that forwards requests to hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Proxy {
-    /// Its number.
+    /// Unique number by which the director addresses the proxy.
     pub number: u32,
-    /// Its zone.
+    /// Index into [`Script::zones`].
     pub zone: usize,
-    /// Requests a second that it brings.
+    /// Client requests per second.
     pub rate: f64,
 }
 
-/// How a host stands in the list. The names are those of the platform's protocol.
+/// Phase of a host in the list of hosts. Discovery sends the variant's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes requests.
+    /// Accepts requests.
     Ready,
-    /// It takes no new requests.
+    /// Drains: completes in-flight requests and accepts no new ones.
     Terminating,
-    /// It has ended.
+    /// Has terminated and is left out of complete lists.
     Gone,
 }
 
-/// What a proxy observed at a host within a second.
+/// Outcome of a proxy's attempts at a host within one second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostAttempts {
-    /// The index of the host.
+    /// Index into [`Script::hosts`].
     pub host: usize,
-    /// Attempts.
+    /// Number of attempts, including failed ones.
     pub attempts: u64,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     pub failed: u64,
-    /// Mean latency of the others, in ms.
+    /// Mean latency of the successful attempts, in ms.
     pub mean_latency: Ms,
 }
 
-/// Requests of a class that a proxy admitted within a second.
+/// Requests of a class that a proxy admitted within one second.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassRequests {
-    /// Requests.
+    /// Number of admitted requests, including failed ones.
     pub admitted: u64,
-    /// Requests that failed.
+    /// Number of admitted requests that failed.
     pub failed: u64,
 }
 
-/// What one proxy reports of a second.
+/// Load report of a proxy for one second.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ProxyReport {
-    /// The index of the proxy.
+    /// Index into [`Script::proxies`].
     pub proxy: usize,
-    /// What it observed at hosts.
+    /// Attempts by host.
     pub hosts: Vec<HostAttempts>,
-    /// What came to it, by class.
+    /// Requests by class, in the order of [`CLASSES`].
     pub classes: [ClassRequests; 2],
 }
 
-/// Something that happens. Proxies and hosts are given by their index.
+/// An event of a script. Proxies and hosts are identified by their index in the script.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ScriptEvent {
-    /// A proxy joins the director.
+    /// A proxy connects to the director, directly or through the relay.
     ProxyJoins(usize),
-    /// A proxy leaves.
+    /// A proxy disconnects from the director.
     ProxyLeaves(usize),
-    /// A host changes in the list.
+    /// The host's entry in the list of hosts is added or changed.
     HostChanges {
-        /// The host.
+        /// Index into [`Script::hosts`].
         host: usize,
-        /// How it stands now.
+        /// Phase from now on.
         phase: Phase,
-        /// It has just started.
-        is_started: bool,
+        /// Whether the host starts now. Otherwise its start time is unchanged.
+        has_just_started: bool,
     },
-    /// A proxy takes nothing and answers nothing from now on.
+    /// A proxy stops handling messages until `ProxyResumes`.
     ProxyStalls(usize),
-    /// A proxy runs again.
+    /// A stalled proxy resumes and handles the messages that it received meanwhile.
     ProxyResumes(usize),
-    /// Calls to the platform's relay stay unanswered from now on.
+    /// The platform's relay stops responding to calls until `RelayResumes`.
     RelayStalls,
-    /// The relay takes calls again.
+    /// The platform's relay responds to calls again.
     RelayResumes,
-    /// The director dies and comes back at once.
+    /// The director process ends and restarts immediately, without its state.
     DirectorRestarts,
-    /// Each proxy reports the last second.
+    /// All proxies report the previous second.
     Reports(Vec<ProxyReport>),
 }
 
 impl ScriptEvent {
-    /// The kind of the event in statistics; none for the end of what another event began.
+    /// Name of the event in statistics, or `None` for an event that ends a stall.
     fn kind(&self) -> Option<&'static str> {
         Some(match self {
             ScriptEvent::ProxyJoins(_) => "joins",
@@ -121,7 +122,8 @@
                 ..
             } => "drains",
             ScriptEvent::HostChanges {
-                is_started: true, ..
+                has_just_started: true,
+                ..
             } => "cold starts",
             ScriptEvent::HostChanges { .. } => "ends",
             ScriptEvent::ProxyStalls(_) => "stalls",
@@ -133,34 +135,34 @@
     }
 }
 
-/// An event and its time.
+/// An event of a script with the time at which it occurs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedEvent {
-    /// ms since the start.
+    /// Time since the start of the run, in ms.
     pub at: Ms,
-    /// What happens.
+    /// Event to apply at that time.
     pub event: ScriptEvent,
 }
 
-/// What happens in a run.
+/// Input of a simulation run.
 #[derive(Clone, Debug)]
 pub struct Script {
-    /// What it was drawn from.
+    /// Seed of the random number generator that the script was generated with.
     pub seed: u64,
-    /// Names of the zones.
+    /// Names of the zones; hosts and proxies refer to them by index.
     pub zones: Vec<String>,
-    /// Hosts; those that are listed from the start on come first.
+    /// All hosts, starting with those that are listed from the start.
     pub hosts: Vec<Host>,
-    /// Proxies.
+    /// All proxies; they join and leave by events.
     pub proxies: Vec<Proxy>,
-    /// How many hosts are listed from the start on; the others start in the run.
+    /// Number of hosts that are listed from the start. The others start during the run.
     pub listed_at_start: usize,
-    /// Events by time.
+    /// Events in order of time.
     pub events: Vec<TimedEvent>,
 }
 
 impl Script {
-    /// Events by kind, for a line that says what was played.
+    /// Number of events by kind, without those that end a stall.
     pub fn event_kinds(&self) -> BTreeMap<&'static str, usize> {
         let mut kinds = BTreeMap::new();
         for kind in self.events.iter().filter_map(|timed| timed.event.kind()) {
--- a/crates/tools/simulation/src/world/deliveries.rs
+++ b/crates/tools/simulation/src/world/deliveries.rs
@@ -1,16 +1,16 @@
-//! What was on its way arrives.
+//! Handling of deliveries that are due.
 
-use super::outcome::Flaw;
+use super::outcome::InjectedFault;
 use super::queue::Pending;
 use super::setup;
 use super::state::World;
-use super::times::TRANSIT;
+use super::times::TRANSIT_TIME;
 use crate::proxy::PlatformRelay;
 use rushcourse_policy::interface::{AckNumber, Ms};
 use rushcourse_xds as xds;
 use std::rc::Rc;
 
-/// ms between two signs of life on the relay's watch.
+/// Interval of keepalive lines on the relay's watch, in ms.
 pub(super) const KEEPALIVE_INTERVAL: Ms = 1000.0;
 
 impl World<'_> {
@@ -20,14 +20,14 @@
                 let timed = &self.script.events[index];
                 self.play_event(timed.event.clone());
             }
-            Pending::WatchEnds(request) => {
+            Pending::WatchTimeout(request) => {
                 if request == self.director.list_request {
                     self.list_changes(&[]);
                 }
             }
             Pending::Keepalive => {
                 self.watch_line("*".into());
-                self.after(KEEPALIVE_INTERVAL, Pending::Keepalive);
+                self.schedule_after(KEEPALIVE_INTERVAL, Pending::Keepalive);
             }
             Pending::RelayTables {
                 proxies,
@@ -40,18 +40,18 @@
             }
             Pending::Acknowledgement { proxy, ack_number } => {
                 if self.proxies[proxy].is_joined {
-                    let (number, elapsed) = (self.number(proxy), 2.0 * TRANSIT);
+                    let (number, elapsed) = (self.proxy_number(proxy), 2.0 * TRANSIT_TIME);
                     self.watch_line(format!("* applied {number} {ack_number} {elapsed}"));
                 }
             }
             Pending::Response { stream, response } => self.deliver_response(stream, response),
             Pending::StreamAck { stream, nonce } => self.deliver_stream_ack(stream, nonce),
-            Pending::Reopens(proxy) => self.reopen(proxy),
-            Pending::Reports(reports) => self.collector_reports(&reports),
+            Pending::ProxyReconnects(proxy) => self.reconnect(proxy),
+            Pending::Reports(reports) => self.send_collector_reports(&reports),
         }
     }
 
-    /// The platform's tables reach a proxy, or wait until it runs again.
+    /// Delivers the relay's tables to a proxy, or holds them back while the proxy is stalled.
     fn deliver_relay_tables(
         &mut self,
         proxy: usize,
@@ -63,36 +63,38 @@
             return;
         }
         if state.is_stalled {
-            return state.waiting.push(Pending::RelayTables {
+            return state.undelivered.push(Pending::RelayTables {
                 proxies: vec![proxy],
                 tables: tables.clone(),
                 ack_number,
             });
         }
         state.relay_tables = Some(tables.clone());
-        self.table_changed(proxy);
+        self.report_tables_to_checker(proxy);
         if let Some(ack_number) = ack_number {
-            self.after(TRANSIT, Pending::Acknowledgement { proxy, ack_number });
+            self.schedule_after(TRANSIT_TIME, Pending::Acknowledgement { proxy, ack_number });
         }
     }
 
-    /// A response reaches its proxy, or waits until it runs again.
+    /// Delivers a discovery response to its proxy, or holds it back while the proxy is stalled.
     fn deliver_response(&mut self, stream: xds::StreamId, response: xds::Response) {
         let Some(proxy) = self.streams.proxies.get(&stream).copied() else {
             return;
         };
         let state = &mut self.proxies[proxy];
         if state.is_stalled {
-            return state.waiting.push(Pending::Response { stream, response });
+            return state
+                .undelivered
+                .push(Pending::Response { stream, response });
         }
-        let before = state.stream_tables.tables.clone();
+        let previous = state.stream_tables.tables.clone();
         state.stream_tables.apply(&response);
-        if self.flaw == Some(Flaw::KeepsHosts) {
-            state.stream_tables.keep_hosts(&before);
+        if self.injected_fault == Some(InjectedFault::KeepRemovedHosts) {
+            state.stream_tables.keep_previous_hosts(&previous);
         }
-        self.table_changed(proxy);
+        self.report_tables_to_checker(proxy);
         if let Some(nonce) = response.nonce().map(String::from) {
-            self.after(TRANSIT, Pending::StreamAck { stream, nonce });
+            self.schedule_after(TRANSIT_TIME, Pending::StreamAck { stream, nonce });
         }
     }
 
@@ -101,13 +103,13 @@
             return;
         };
         let request = self.later_request(proxy, nonce);
-        self.give_stream(xds::Input::RequestReceived { stream, request });
+        self.handle_stream_input(xds::Input::RequestReceived { stream, request });
     }
 
-    /// A joined proxy is known to the director again.
-    fn reopen(&mut self, proxy: usize) {
+    /// Announces a joined proxy to the director again: on the relay's watch, or with new streams unless it is stalled.
+    fn reconnect(&mut self, proxy: usize) {
         let state = &self.proxies[proxy];
-        if state.is_joined && self.is_on_relay(proxy) {
+        if state.is_joined && self.uses_relay(proxy) {
             let spec = &self.script.proxies[proxy];
             self.watch_line(setup::joined_line(self.script, spec, false));
         } else if state.is_joined && !state.is_stalled {
--- a/crates/tools/simulation/src/world/director.rs
+++ b/crates/tools/simulation/src/world/director.rs
@@ -1,64 +1,64 @@
-//! What the world hands to the director.
+//! Inputs to the director's session, and its start and restart.
 
 use super::queue::Pending;
 use super::setup;
 use super::state::World;
-use super::times::{REOPEN_DELAY, START};
+use super::times::{RECONNECT_DELAY, START_TIME};
 use bytes::Bytes;
 use rushcourse_director_state::{InboundId, Input, RelayConnectionId, RelayLink};
 use rushcourse_xds as xds;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 
-/// The collector's connection.
+/// Identifier of the collector's connection, the only inbound one.
 const COLLECTOR: InboundId = InboundId(1);
 
 impl World<'_> {
-    /// Hands an input over and does what comes of it.
-    pub(super) fn give(&mut self, input: Input) {
+    /// Passes an input to the session and applies its effects, including inputs that these cause immediately.
+    pub(super) fn handle_input(&mut self, input: Input) {
         let mut inputs = VecDeque::from([input, Input::Wake]);
         while let Some(input) = inputs.pop_front() {
-            for effect in self.director.session.step(START + self.now, input) {
-                self.carry_out(effect, &mut inputs);
+            for effect in self.director.session.step(START_TIME + self.now, input) {
+                self.apply_effect(effect, &mut inputs);
             }
         }
     }
 
-    /// Hands over what happens on a stream.
-    pub(super) fn give_stream(&mut self, input: xds::Input) {
-        self.give(Input::Stream(input));
+    /// Passes an event of a discovery or load report stream to the session.
+    pub(super) fn handle_stream_input(&mut self, input: xds::Input) {
+        self.handle_input(Input::Stream(input));
     }
 
-    /// The relay writes a line on its watch.
+    /// Sends a line from the relay on the director's current watch connection.
     pub(super) fn watch_line(&mut self, line: String) {
         let connection = RelayConnectionId {
             link: RelayLink::Watch,
             generation: self.director.watch_generation,
         };
-        self.give(Input::RelayLine { connection, line });
+        self.handle_input(Input::RelayLine { connection, line });
     }
 
-    /// The collector writes a message.
+    /// Sends a message from the collector to the director.
     pub(super) fn collector_message(&mut self, message: &Value) {
-        self.give(Input::InboundMessage {
+        self.handle_input(Input::InboundMessage {
             inbound: COLLECTOR,
             message: Bytes::from(message.to_string()),
         });
     }
 
-    /// Discovery answers the last request with changes of the list.
+    /// Answers the director's last discovery request with changed members of the list.
     pub(super) fn list_changes(&mut self, members: &[Value]) {
         let body = json!({"revision": self.list.revision, "complete": false, "members": members});
-        self.give(Input::EndpointsFetched {
+        self.handle_input(Input::EndpointsFetched {
             request: self.director.list_request,
             body: body.to_string().into(),
         });
     }
 
-    /// A director starts: collectors dial in.
+    /// Starts the session and connects the collector, which registers for the first zone.
     pub(super) fn start_director(&mut self) {
-        self.give(Input::Start);
-        self.give(Input::InboundOpened {
+        self.handle_input(Input::Start);
+        self.handle_input(Input::InboundOpened {
             inbound: COLLECTOR,
             peer: "collector".into(),
         });
@@ -66,24 +66,24 @@
         self.collector_message(&joins);
     }
 
-    /// The director dies and comes back with the list that it had: streams are opened anew, and the relay says who is
-    /// joined. What was on its way from the old one is lost with it.
+    /// Replaces the session by a new one that has only the cached list of hosts. The relay's tables and responses in
+    /// transit are lost. Joined proxies reconnect after [`RECONNECT_DELAY`].
     pub(super) fn restart_director(&mut self) {
         self.director.starts += 1;
-        self.director.session = setup::director(self.script, &self.list, self.director.starts);
+        self.director.session = setup::new_session(self.script, &self.list, self.director.starts);
         self.director.wake_at = f64::INFINITY;
         self.streams.proxies.clear();
-        // What the relay kept of the old one's tables went with it; proxies hold what they had.
-        self.relay.relay = setup::relay();
+        // Proxies keep the tables that they received before the restart.
+        self.relay.relay = setup::new_relay();
         self.checker.director_restarted(self.now);
         self.queue.drop_director_traffic();
         self.start_director();
         for proxy in 0..self.proxies.len() {
             let state = &mut self.proxies[proxy];
             if state.is_joined {
-                state.waiting.clear();
+                state.undelivered.clear();
                 state.has_unaccepted_response = false;
-                self.after(REOPEN_DELAY, Pending::Reopens(proxy));
+                self.schedule_after(RECONNECT_DELAY, Pending::ProxyReconnects(proxy));
             }
         }
     }
--- a/crates/tools/simulation/src/world/effects.rs
+++ b/crates/tools/simulation/src/world/effects.rs
@@ -1,10 +1,10 @@
-//! What the director asks for is carried out.
+//! Effects of the director's session: responses of the relay, discovery and proxies.
 
-use super::outcome::Flaw;
+use super::outcome::InjectedFault;
 use super::queue::Pending;
 use super::setup;
 use super::state::World;
-use super::times::TRANSIT;
+use super::times::TRANSIT_TIME;
 use crate::script::CLASSES;
 use rushcourse_director_state::{Effect, Input, RelayLink};
 use rushcourse_policy::interface::{Ms, RetryPolicy};
@@ -13,19 +13,20 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// ms after which a watch of the list ends without a change.
+/// Time after which discovery answers a watch without changes, in ms.
 const WATCH_TIMEOUT: Ms = 3900.0;
-/// ms after which a relay whose stream was ended opens another one.
+/// Time until a proxy opens new streams after the director has ended one, in ms.
 const STREAM_RETRY_DELAY: Ms = 300.0;
-/// How often each response goes out where the flaw asks for too many messages.
-const FLAWED_REPEATS: usize = 20;
-/// Weights below this are those of warming hosts, where the flaw gives them another one.
-const WARMING_WEIGHT: u32 = 9000;
-const FLAWED_WARMING_WEIGHT: u32 = 60_000;
+/// Number of times that each response counts as a message with [`InjectedFault::RepeatMessages`].
+const INJECTED_REPEATS: usize = 20;
+/// Hosts with a lower weight are taken for warming ones by [`InjectedFault::OverloadWarmingHosts`].
+const MAX_WARMING_WEIGHT: u32 = 9000;
+/// Weight that replaces a warming host's weight with [`InjectedFault::OverloadWarmingHosts`].
+const INJECTED_WARMING_WEIGHT: u32 = 60_000;
 
 impl World<'_> {
-    /// Carries an effect out; what answers it at once goes to the inputs.
-    pub(super) fn carry_out(&mut self, effect: Effect, inputs: &mut VecDeque<Input>) {
+    /// Applies an effect of the session. Immediate responses are appended to `inputs`, later ones are scheduled.
+    pub(super) fn apply_effect(&mut self, effect: Effect, inputs: &mut VecDeque<Input>) {
         match effect {
             Effect::ConnectRelay { connection, .. } => {
                 if connection.link == RelayLink::Watch {
@@ -41,7 +42,7 @@
             Effect::FetchEndpoints { request, path, .. } => {
                 self.director.list_request = request;
                 if path.contains('?') {
-                    self.after(WATCH_TIMEOUT, Pending::WatchEnds(request));
+                    self.schedule_after(WATCH_TIMEOUT, Pending::WatchTimeout(request));
                 } else {
                     let body = self.complete_list().into();
                     inputs.extend([Input::EndpointsFetched { request, body }, Input::Wake]);
@@ -56,7 +57,7 @@
         }
     }
 
-    /// What the relay answers to a line; nothing to a call while it stalls.
+    /// Handles a line to the relay and returns its answer; a call to a stalled relay has no effect and no answer.
     fn answer_line(&mut self, link: RelayLink, text: &str) -> Option<String> {
         if link == RelayLink::Watch {
             return Some("OK".into());
@@ -69,11 +70,11 @@
         Some(format!("OK {}", orders.split(';').count()))
     }
 
-    /// The platform's relay carries a call out: all that it has for a proxy is one message.
+    /// Applies a call on the relay. Each affected proxy gets one message, regardless of the number of orders.
     fn relay_call(&mut self, orders: &str) {
-        let reach = self.relay.relay.apply(orders, &CLASSES);
+        let recipients = self.relay.relay.apply(orders, &CLASSES);
         let index = |number: &u32| self.script.proxies.iter().position(|p| p.number == *number);
-        let reached = reach.proxies.iter().filter_map(index);
+        let reached = recipients.proxies.iter().filter_map(index);
         let proxies: Vec<usize> = reached
             .filter(|proxy| self.proxies[*proxy].is_joined)
             .collect();
@@ -82,9 +83,9 @@
             let tables = Pending::RelayTables {
                 proxies,
                 tables: Rc::new(self.relay.relay.clone()),
-                ack_number: reach.ack_number,
+                ack_number: recipients.ack_number,
             };
-            self.after(TRANSIT, tables);
+            self.schedule_after(TRANSIT_TIME, tables);
         }
     }
 
@@ -93,15 +94,16 @@
         json!({"revision": self.list.revision, "complete": true, "members": members}).to_string()
     }
 
-    /// The director ended a stream: its relay opens another one a little later.
+    /// Handles a stream that the director ended. If it is a current stream of a joined proxy, the proxy opens new streams
+    /// after [`STREAM_RETRY_DELAY`].
     fn end_stream(&mut self, stream: xds::StreamId) {
         let Some(proxy) = self.streams.proxies.remove(&stream) else {
             return;
         };
         let state = &self.proxies[proxy];
-        let is_its = state.discovery_stream == stream || state.report_stream == stream;
-        if state.is_joined && is_its {
-            self.after(STREAM_RETRY_DELAY, Pending::Reopens(proxy));
+        let is_current = state.discovery_stream == stream || state.report_stream == stream;
+        if state.is_joined && is_current {
+            self.schedule_after(STREAM_RETRY_DELAY, Pending::ProxyReconnects(proxy));
         }
     }
 
@@ -117,9 +119,9 @@
         if matches!(response, xds::Response::LoadStats(_)) {
             return;
         }
-        self.spoil(&mut response);
-        let repeats = if self.flaw == Some(Flaw::RepeatsMessages) {
-            FLAWED_REPEATS
+        self.inject_fault(&mut response);
+        let repeats = if self.injected_fault == Some(InjectedFault::RepeatMessages) {
+            INJECTED_REPEATS
         } else {
             1
         };
@@ -128,42 +130,44 @@
         let state = &mut self.proxies[proxy];
         if state.is_stalled {
             state.has_unaccepted_response = true;
-            state.waiting.push(response);
+            state.undelivered.push(response);
         } else {
             let accepted = Input::Stream(xds::Input::ResponseAccepted { stream });
             inputs.extend([accepted, Input::Wake]);
-            self.after(TRANSIT, response);
+            self.schedule_after(TRANSIT_TIME, response);
         }
     }
 
-    /// Puts the flaw of this run into a response.
-    fn spoil(&self, response: &mut xds::Response) {
-        let (Some(flaw), Some(resources)) = (self.flaw, resources_mut(response)) else {
+    /// Applies the injected fault of this run, if any, to the tables of a response.
+    fn inject_fault(&self, response: &mut xds::Response) {
+        let (Some(injected_fault), Some(resources)) =
+            (self.injected_fault, resources_mut(response))
+        else {
             return;
         };
         for resource in resources {
             let mut table = (*resource.assignment).clone();
-            spoil_table(flaw, &mut table);
+            inject_table_fault(injected_fault, &mut table);
             resource.assignment = table.into();
         }
     }
 }
 
-fn spoil_table(flaw: Flaw, table: &mut xds::ClusterLoadAssignment) {
+fn inject_table_fault(injected_fault: InjectedFault, table: &mut xds::ClusterLoadAssignment) {
     let localities = &mut table.localities;
     let endpoints = localities.iter_mut().flat_map(|l| l.endpoints.iter_mut());
-    match flaw {
-        Flaw::KeepsHosts => endpoints.for_each(|endpoint| endpoint.draining = false),
-        Flaw::OverloadsWarmingHosts => endpoints
-            .filter(|endpoint| endpoint.weight < WARMING_WEIGHT)
-            .for_each(|endpoint| endpoint.weight = FLAWED_WARMING_WEIGHT),
-        Flaw::EmptiesTables => localities.clear(),
-        Flaw::RetriesAll => table.retry_policy = RetryPolicy::TwiceAfterFailure,
-        Flaw::RepeatsMessages => {}
+    match injected_fault {
+        InjectedFault::KeepRemovedHosts => endpoints.for_each(|endpoint| endpoint.draining = false),
+        InjectedFault::OverloadWarmingHosts => endpoints
+            .filter(|endpoint| endpoint.weight < MAX_WARMING_WEIGHT)
+            .for_each(|endpoint| endpoint.weight = INJECTED_WARMING_WEIGHT),
+        InjectedFault::EmptyTables => localities.clear(),
+        InjectedFault::RetryAll => table.retry_policy = RetryPolicy::TwiceAfterFailure,
+        InjectedFault::RepeatMessages => {}
     }
 }
 
-/// The tables that a response carries, if it is one of tables.
+/// The tables of a discovery response, or `None` for a load report response.
 fn resources_mut(response: &mut xds::Response) -> Option<&mut Vec<xds::Resource>> {
     match response {
         xds::Response::Discovery(response) => Some(&mut response.resources),
--- a/crates/tools/simulation/src/world/events.rs
+++ b/crates/tools/simulation/src/world/events.rs
@@ -1,10 +1,10 @@
-//! What the script lets happen.
+//! Handling of the events of a script.
 
 use super::list::ListedHost;
 use super::queue::Pending;
 use super::setup;
-use super::state::{StandInProxy, World};
-use super::times::START;
+use super::state::{SimulatedProxy, World};
+use super::times::START_TIME;
 use crate::script::{Phase, ScriptEvent};
 use rushcourse_xds as xds;
 
@@ -16,26 +16,26 @@
             ScriptEvent::HostChanges {
                 host,
                 phase,
-                is_started,
-            } => self.change_host(host, phase, is_started),
+                has_just_started,
+            } => self.change_host(host, phase, has_just_started),
             ScriptEvent::ProxyStalls(proxy) => self.stall(proxy),
             ScriptEvent::ProxyResumes(proxy) => self.resume(proxy),
             ScriptEvent::RelayStalls => self.set_relay_stalled(true),
             ScriptEvent::RelayResumes => self.set_relay_stalled(false),
             ScriptEvent::DirectorRestarts => self.restart_director(),
-            ScriptEvent::Reports(reports) => self.report(reports),
+            ScriptEvent::Reports(reports) => self.send_reports(reports),
         }
     }
 
     fn join(&mut self, proxy: usize) {
         let spec = self.script.proxies[proxy];
         self.checker.proxy_joined(self.now, spec.number, spec.rate);
-        self.proxies[proxy] = StandInProxy {
+        self.proxies[proxy] = SimulatedProxy {
             is_joined: true,
             is_stalled: self.proxies[proxy].is_stalled,
-            ..StandInProxy::default()
+            ..SimulatedProxy::default()
         };
-        if self.is_on_relay(proxy) {
+        if self.uses_relay(proxy) {
             self.watch_line(setup::joined_line(self.script, &spec, true));
         } else {
             self.open_streams(proxy);
@@ -43,32 +43,37 @@
     }
 
     fn leave(&mut self, proxy: usize) {
-        let number = self.number(proxy);
+        let number = self.proxy_number(proxy);
         self.checker.proxy_left(number);
         let state = &mut self.proxies[proxy];
         state.is_joined = false;
-        state.waiting.clear();
+        state.undelivered.clear();
         let streams = [state.discovery_stream, state.report_stream];
-        if self.is_on_relay(proxy) {
-            self.relay.relay.forget(number);
+        if self.uses_relay(proxy) {
+            self.relay.relay.unbind_proxy(number);
             return self.watch_line(format!("* left {number}"));
         }
         for stream in streams {
             self.streams.proxies.remove(&stream);
-            self.give_stream(xds::Input::StreamClosed {
+            self.handle_stream_input(xds::Input::StreamClosed {
                 stream,
                 reason: String::new(),
             });
         }
     }
 
-    /// A host changes in the list; `is_started`: it has just started.
-    fn change_host(&mut self, host: usize, phase: Phase, is_started: bool) {
-        let known = self.list.hosts[host].map_or(0.0, |listed| listed.started_at);
-        let started_at = if is_started { START + self.now } else { known };
+    /// Changes a host's entry in the list and sends the change to the director. If `has_just_started`, the host's start
+    /// time is set to now.
+    fn change_host(&mut self, host: usize, phase: Phase, has_just_started: bool) {
+        let previous_start = self.list.hosts[host].map_or(0.0, |listed| listed.started_at);
+        let started_at = if has_just_started {
+            START_TIME + self.now
+        } else {
+            previous_start
+        };
         let listed = ListedHost { phase, started_at };
         self.list.hosts[host] = Some(listed);
-        self.show_list_to_checker();
+        self.report_hosts_to_checker();
         self.list.revision += 1;
         self.list_changes(&[setup::member(self.script, host, listed)]);
     }
@@ -76,8 +81,8 @@
     fn set_relay_stalled(&mut self, is_stalled: bool) {
         self.relay.is_stalled = is_stalled;
         for proxy in 0..self.proxies.len() {
-            if self.is_on_relay(proxy) && !self.proxies[proxy].is_stalled {
-                let number = self.number(proxy);
+            if self.uses_relay(proxy) && !self.proxies[proxy].is_stalled {
+                let number = self.proxy_number(proxy);
                 self.checker.proxy_stalled(self.now, number, is_stalled);
             }
         }
@@ -85,26 +90,26 @@
 
     fn stall(&mut self, proxy: usize) {
         self.proxies[proxy].is_stalled = true;
-        let number = self.number(proxy);
+        let number = self.proxy_number(proxy);
         self.checker.proxy_stalled(self.now, number, true);
     }
 
-    /// A proxy runs again: what came meanwhile reaches it, and a stream that was ended is opened anew.
+    /// Ends a proxy's stall: delivers the messages that were held back, and reopens streams that the director ended.
     fn resume(&mut self, proxy: usize) {
         self.proxies[proxy].is_stalled = false;
-        let number = self.number(proxy);
+        let number = self.proxy_number(proxy);
         self.checker.proxy_stalled(self.now, number, false);
         let state = &mut self.proxies[proxy];
         let stream = state.discovery_stream;
         if std::mem::take(&mut state.has_unaccepted_response) {
-            self.give_stream(xds::Input::ResponseAccepted { stream });
+            self.handle_stream_input(xds::Input::ResponseAccepted { stream });
         }
-        for pending in std::mem::take(&mut self.proxies[proxy].waiting) {
-            self.after(0.0, pending);
+        for pending in std::mem::take(&mut self.proxies[proxy].undelivered) {
+            self.schedule_after(0.0, pending);
         }
         let stream = self.proxies[proxy].discovery_stream;
-        if !self.is_on_relay(proxy) && !self.streams.proxies.contains_key(&stream) {
-            self.after(0.0, Pending::Reopens(proxy));
+        if !self.uses_relay(proxy) && !self.streams.proxies.contains_key(&stream) {
+            self.schedule_after(0.0, Pending::ProxyReconnects(proxy));
         }
     }
 }
--- a/crates/tools/simulation/src/world/list.rs
+++ b/crates/tools/simulation/src/world/list.rs
@@ -3,23 +3,23 @@
 use crate::script::{Phase, Script};
 use rushcourse_policy::interface::Ms;
 
-/// A host in the list.
+/// Entry of the list of hosts.
 #[derive(Clone, Copy)]
 pub(super) struct ListedHost {
     pub(super) phase: Phase,
-    /// Time of day; 0: long ago.
+    /// Start of the host, in ms since 1970; 0 if it has been running since before the script.
     pub(super) started_at: Ms,
 }
 
-/// The list.
+/// Discovery's list of hosts with its revision.
 pub(super) struct HostList {
     pub(super) revision: u64,
-    /// By index of the script; none before a host was listed.
+    /// Entries by index in the script; `None` until a host is listed for the first time.
     pub(super) hosts: Vec<Option<ListedHost>>,
 }
 
 impl HostList {
-    /// The list at the beginning of a script: its first hosts, all warm.
+    /// The list at the beginning of a script, with warm hosts only.
     pub(super) fn at_start(script: &Script) -> HostList {
         let warm = ListedHost {
             phase: Phase::Ready,
--- a/crates/tools/simulation/src/world/mod.rs
+++ b/crates/tools/simulation/src/world/mod.rs
@@ -1,16 +1,16 @@
-//! A director's session on a fake clock, with discovery, relay, collector, proxies and their streams around it.
+//! A director's session on a fake clock, with simulated discovery, relay, collector and proxies.
 //!
-//! * `outcome.rs`: the ways to run a script, the faults put in on purpose, and what came of a run.
-//! * `times.rs`: times that all parts share.
-//! * `setup.rs`: settings, limits, list and session of the director.
+//! * `outcome.rs`: modes, injected faults and the outcome of a run.
+//! * `times.rs`: shared time constants.
+//! * `setup.rs`: settings, limits, host list and session of the director.
 //! * `list.rs`: discovery's list of hosts.
-//! * `queue.rs`: what is on its way.
-//! * `state.rs`: the world's state.
-//! * `play.rs`: the loop over the fake clock.
-//! * `director.rs`: what the world hands to the director.
-//! * `effects.rs`: what the director asks for is carried out.
-//! * `deliveries.rs`: what was on its way arrives.
-//! * `events.rs`: what the script lets happen.
+//! * `queue.rs`: pending deliveries, ordered by time.
+//! * `state.rs`: state of the simulation.
+//! * `play.rs`: event loop over the fake clock.
+//! * `director.rs`: inputs to the director.
+//! * `effects.rs`: effects of the director.
+//! * `deliveries.rs`: handling of due deliveries.
+//! * `events.rs`: handling of script events.
 //! * `streams.rs`: discovery streams of the proxies.
 //! * `reports.rs`: load reports of the proxies.
 
@@ -28,5 +28,5 @@
 mod streams;
 mod times;
 
-pub use outcome::{Flaw, Mode, Outcome, ProxyClass, Tables};
+pub use outcome::{InjectedFault, Mode, Outcome, ProxyClass, Tables};
 pub use state::World;
--- a/crates/tools/simulation/src/world/outcome.rs
+++ b/crates/tools/simulation/src/world/outcome.rs
@@ -1,27 +1,27 @@
-//! The ways to run a script, the faults put in on purpose, and what came of a run.
+//! Modes, injected faults and outcomes of runs.
 
 use crate::check::Violation;
 use crate::proxy::{Protocol, ProxyTable};
 use std::collections::BTreeMap;
 
-/// Which protocol the proxies of a run speak. The names stand in the output.
+/// Protocols that the proxies of a run use. The variants' names appear in the program's output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// The platform's, through its relay.
+    /// All proxies are served through the platform's relay.
     Platform,
-    /// Discovery streams that send the state of the world.
+    /// All proxies use state-of-the-world discovery streams.
     Whole,
-    /// Discovery streams that send changes.
+    /// All proxies use incremental (delta) discovery streams.
     Delta,
-    /// Each third proxy another one.
+    /// The three protocols alternate by the index of the proxy.
     Mix,
 }
 
 impl Mode {
-    /// All modes, that of the platform first.
+    /// All modes, starting with the baseline `Platform`.
     pub const ALL: [Mode; 4] = [Mode::Platform, Mode::Whole, Mode::Delta, Mode::Mix];
 
-    /// The protocol that a proxy speaks, by its index.
+    /// The protocol of the proxy with this index.
     pub(super) fn protocol(self, proxy: usize) -> Protocol {
         match self {
             Mode::Platform => Protocol::Platform,
@@ -36,46 +36,46 @@
     }
 }
 
-/// A fault put in on purpose, to see the checker find it.
+/// Fault that is injected into proxies on discovery streams, to test that the checker detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
-    /// Proxies on streams go on with each host that they ever had.
-    KeepsHosts,
-    /// Tables reach proxies on streams without their hosts.
-    EmptiesTables,
-    /// Hosts that have just started get their full weight at once.
-    OverloadsWarmingHosts,
-    /// Each response goes out twenty times.
-    RepeatsMessages,
-    /// All requests may be retried after any failure.
-    RetriesAll,
+pub enum InjectedFault {
+    /// Proxies never remove a host from their tables and ignore its drain.
+    KeepRemovedHosts,
+    /// All hosts are removed from the tables in transit.
+    EmptyTables,
+    /// The low weights of warming hosts are replaced by a high one.
+    OverloadWarmingHosts,
+    /// Each response counts as twenty messages.
+    RepeatMessages,
+    /// Proxies retry all requests up to twice after any failure.
+    RetryAll,
 }
 
-/// A proxy and a class of requests.
+/// Key of a table: a proxy and a request class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProxyClass {
-    /// The number of the proxy.
+    /// Number of the proxy, as in `Proxy::number`.
     pub proxy: u32,
-    /// The class.
+    /// Name of the class, one of `CLASSES`.
     pub class: &'static str,
 }
 
-/// What proxies hold for each class; none where a proxy is not joined or has no table.
+/// Tables of all proxies by class; `None` if the proxy is not joined or has received no table.
 pub type Tables = BTreeMap<ProxyClass, Option<ProxyTable>>;
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Outcome {
-    /// What broke a rule.
+    /// Violations of the rules, in order of time.
     pub violations: Vec<Violation>,
-    /// Checks made, by rule.
+    /// Number of checks by rule.
     pub checks: BTreeMap<&'static str, u64>,
-    /// What proxies hold after what happened.
-    pub tables: Tables,
-    /// What they hold once tables were made from nothing.
-    pub fresh_tables: Tables,
-    /// Messages to proxies.
+    /// Tables just before the director's final restart.
+    pub tables_before_restart: Tables,
+    /// Tables at the end of the run, which the director rebuilt after its final restart.
+    pub tables_after_restart: Tables,
+    /// Number of messages sent to proxies.
     pub messages: u64,
-    /// Things that must hold in the director and did not.
+    /// Number of failed invariants that the director counted since its final restart.
     pub invariant_failures: u64,
 }
--- a/crates/tools/simulation/src/world/queue.rs
+++ b/crates/tools/simulation/src/world/queue.rs
@@ -1,4 +1,4 @@
-//! What is on its way.
+//! Queue of pending deliveries.
 
 use crate::proxy::PlatformRelay;
 use crate::script::ProxyReport;
@@ -8,46 +8,46 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What is on its way, or due at a time. Proxies are given by their index.
+/// A message in transit or another event that is due at a later time. Proxies are identified by their index.
 pub(super) enum Pending {
-    /// The script's event of this index.
+    /// Script event, by its index.
     Event(usize),
-    /// A watch of the list comes to its end, by the number of its request.
-    WatchEnds(FetchId),
-    /// The relay says on its watch that it is there.
+    /// Discovery answers a watch without changes, if the request is still the latest.
+    WatchTimeout(FetchId),
+    /// The relay sends a keepalive line on its watch.
     Keepalive,
-    /// The platform's tables reach proxies, as they stood then.
+    /// A snapshot of the relay's tables is delivered to proxies.
     RelayTables {
         proxies: Vec<usize>,
         tables: Rc<PlatformRelay>,
         ack_number: Option<AckNumber>,
     },
-    /// The relay says that a proxy has applied a call.
+    /// The relay reports on its watch that a proxy has applied a call.
     Acknowledgement { proxy: usize, ack_number: AckNumber },
-    /// A response reaches its proxy.
+    /// A discovery response is delivered to its proxy.
     Response {
         stream: xds::StreamId,
         response: xds::Response,
     },
-    /// A proxy's ACK of a response reaches the director.
+    /// A proxy's ACK of a discovery response is delivered to the director.
     StreamAck {
         stream: xds::StreamId,
         nonce: String,
     },
-    /// A proxy opens its streams, or the relay says that it is joined.
-    Reopens(usize),
-    /// The collector passes reports on.
+    /// A proxy opens new streams, or the relay announces it on its watch again.
+    ProxyReconnects(usize),
+    /// The collector forwards reports of proxies on the relay.
     Reports(Rc<Vec<ProxyReport>>),
 }
 
-/// When something is due, to the microsecond; what was scheduled first comes first.
+/// Due time in microseconds since the start. Entries with the same time are ordered by `sequence`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Due {
     microseconds: u64,
     sequence: u64,
 }
 
-/// What is on its way, in order.
+/// Priority queue of pending deliveries, ordered by due time and then by insertion.
 #[derive(Default)]
 pub(super) struct PendingQueue {
     entries: BTreeMap<Due, Pending>,
@@ -55,7 +55,6 @@
 }
 
 impl PendingQueue {
-    /// Schedules something for a time.
     pub(super) fn schedule(&mut self, at: Ms, pending: Pending) {
         self.sequence += 1;
         let due = Due {
@@ -65,23 +64,22 @@
         self.entries.insert(due, pending);
     }
 
-    /// When the next one is due; infinite where there is none.
-    pub(super) fn next_at(&self) -> Ms {
+    /// Due time of the next entry in ms since the start, or infinity if the queue is empty.
+    pub(super) fn next_due(&self) -> Ms {
         let next = self.entries.first_key_value();
         next.map_or(f64::INFINITY, |(due, _)| due.microseconds as Ms / 1000.0)
     }
 
-    /// The next one.
     pub(super) fn pop(&mut self) -> Option<Pending> {
         self.entries.pop_first().map(|(_, pending)| pending)
     }
 
-    /// Drops what came from a director that died, and the watch that it had.
+    /// Drops the discovery responses, ACKs and watch of a director that has restarted.
     pub(super) fn drop_director_traffic(&mut self) {
         self.entries.retain(|_, pending| {
             !matches!(
                 pending,
-                Pending::WatchEnds(_) | Pending::StreamAck { .. } | Pending::Response { .. }
+                Pending::WatchTimeout(_) | Pending::StreamAck { .. } | Pending::Response { .. }
             )
         });
     }
--- a/crates/tools/simulation/src/world/reports.rs
+++ b/crates/tools/simulation/src/world/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of the proxies.
+//! Load reports of the proxies, sent on their own streams or through the collector.
 
 use super::queue::Pending;
 use super::setup;
@@ -10,26 +10,25 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// ms after which a stream is taken to have been silent.
+/// Gap between reports after which the director treats a report stream as silent, in ms.
 const SILENCE_TIMEOUT: Ms = 2500.0;
-/// ms for which its first report is held back then.
-const BURST_DELAY: Ms = 200.0;
-/// ms that a report covers.
+/// Time for which the director holds back the first report of a stream after a silence, in ms.
+const DELAY_AFTER_SILENCE: Ms = 200.0;
+/// Period that each report covers, in ms.
 const REPORT_SPAN: Ms = 1000.0;
 
-/// A zone and a host, by their index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneHost {
     zone: usize,
     host: usize,
 }
 
-/// What proxies of a zone observed at a host.
+/// Sum of the attempts that proxies of a zone made at a host.
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptTotals {
     attempts: u64,
     failed: u64,
-    /// Of the successful ones together, in ms.
+    /// Total latency of the successful attempts, in ms.
     latency: Ms,
 }
 
@@ -46,27 +45,28 @@
 }
 
 impl World<'_> {
-    /// Each second's reports: proxies on streams by themselves, the others through the collector. After a silence a
-    /// stream's report is believed a little later, as it may be one of a burst of old ones; the collector speaks as
-    /// much later then, so that the same is known at the same time.
-    pub(super) fn report(&mut self, reports: Vec<ProxyReport>) {
+    /// Sends the reports of a second: directly on the streams of proxies, and through the collector for the others. The
+    /// director holds back a stream's first report after a silence, as it may belong to a burst of outdated ones. The
+    /// collector's messages are delayed by the same time, so that all modes use the same reports at the same time.
+    pub(super) fn send_reports(&mut self, reports: Vec<ProxyReport>) {
         let was_silent = self.now - self.last_report > SILENCE_TIMEOUT;
-        let delay = if was_silent { BURST_DELAY } else { 0.0 };
+        let delay = if was_silent { DELAY_AFTER_SILENCE } else { 0.0 };
         self.last_report = self.now;
         let reports = Rc::new(reports);
-        self.after(delay, Pending::Reports(reports.clone()));
+        self.schedule_after(delay, Pending::Reports(reports.clone()));
         for report in reports.iter() {
-            if self.proxies[report.proxy].is_joined && !self.is_on_relay(report.proxy) {
-                self.stream_report(report);
+            if self.proxies[report.proxy].is_joined && !self.uses_relay(report.proxy) {
+                self.send_stream_report(report);
             }
         }
     }
 
-    /// The collector passes on what proxies on the relay report: traffic by proxy, attempts summed by zone and host.
-    pub(super) fn collector_reports(&mut self, reports: &[ProxyReport]) {
+    /// Sends the reports of proxies on the relay as collector messages: traffic per proxy, and attempts summed by zone
+    /// and host.
+    pub(super) fn send_collector_reports(&mut self, reports: &[ProxyReport]) {
         let mut observed: BTreeMap<ZoneHost, AttemptTotals> = BTreeMap::new();
         for report in reports {
-            if !self.proxies[report.proxy].is_joined || !self.is_on_relay(report.proxy) {
+            if !self.proxies[report.proxy].is_joined || !self.uses_relay(report.proxy) {
                 continue;
             }
             let zone = self.script.proxies[report.proxy].zone;
@@ -75,22 +75,22 @@
                 let totals = observed.entry(ZoneHost { zone, host }).or_default();
                 totals.add(attempts);
             }
-            self.collector_traffic(report);
+            self.send_collector_traffic(report);
         }
         for (key, totals) in observed {
-            self.collector_attempts(key, totals);
+            self.send_collector_attempts(key, totals);
         }
     }
 
-    fn collector_traffic(&mut self, report: &ProxyReport) {
-        let number = self.number(report.proxy);
+    fn send_collector_traffic(&mut self, report: &ProxyReport) {
+        let number = self.proxy_number(report.proxy);
         for (class, ClassRequests { admitted, failed }) in CLASSES.iter().zip(report.classes) {
             self.collector_message(&json!({"@type": "usage", "sidecar": number, "kind": class,
                 "n": admitted, "bad": failed, "window": REPORT_SPAN}));
         }
     }
 
-    fn collector_attempts(&mut self, key: ZoneHost, totals: AttemptTotals) {
+    fn send_collector_attempts(&mut self, key: ZoneHost, totals: AttemptTotals) {
         let (zone, host) = (
             &self.script.zones[key.zone],
             &self.script.hosts[key.host].id,
@@ -104,8 +104,9 @@
         self.collector_message(&message);
     }
 
-    /// A proxy reports on its own stream. What it observed at hosts stands in the statistics of the first class.
-    fn stream_report(&mut self, report: &ProxyReport) {
+    /// Sends a proxy's report on its load report stream. The statistics of the first class contain the attempts at hosts
+    /// for all classes.
+    fn send_stream_report(&mut self, report: &ProxyReport) {
         let statistics = |(class, requests): (usize, &ClassRequests)| {
             let hosts: &[HostAttempts] = if class == 0 { &report.hosts } else { &[] };
             xds::ClusterStats {
@@ -121,7 +122,7 @@
             cluster_stats: report.classes.iter().enumerate().map(statistics).collect(),
         });
         let stream = self.proxies[report.proxy].report_stream;
-        self.give_stream(xds::Input::RequestReceived { stream, request });
+        self.handle_stream_input(xds::Input::RequestReceived { stream, request });
     }
 }
 
--- a/crates/tools/simulation/src/world/state.rs
+++ b/crates/tools/simulation/src/world/state.rs
@@ -1,7 +1,7 @@
-//! The world's state.
+//! State of the simulation.
 
 use super::list::HostList;
-use super::outcome::{Flaw, Mode, ProxyClass, Tables};
+use super::outcome::{InjectedFault, Mode, ProxyClass, Tables};
 use super::queue::{Pending, PendingQueue};
 use super::setup;
 use crate::check::Checker;
@@ -13,77 +13,74 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A stand-in proxy.
+/// State of a simulated proxy.
 #[derive(Default)]
-pub(super) struct StandInProxy {
+pub(super) struct SimulatedProxy {
     pub(super) is_joined: bool,
     pub(super) is_stalled: bool,
-    /// The relay's tables as they reached it last.
+    /// Last delivered snapshot of the relay's tables.
     pub(super) relay_tables: Option<Rc<PlatformRelay>>,
     pub(super) stream_tables: StreamTables,
-    /// Its discovery stream.
     pub(super) discovery_stream: xds::StreamId,
-    /// Its stream of load reports.
     pub(super) report_stream: xds::StreamId,
-    /// What came while it stalled.
-    pub(super) waiting: Vec<Pending>,
-    /// A response that the transport has not accepted.
+    /// Messages that are held back until the end of a stall.
+    pub(super) undelivered: Vec<Pending>,
+    /// Whether the transport has yet to accept a response, which it does at the end of a stall.
     pub(super) has_unaccepted_response: bool,
 }
 
-/// The director, and what it has asked for last.
+/// The director's session and its latest requests.
 pub(super) struct DirectorState {
     pub(super) session: Session,
-    /// When it wants to be called, by the time of day.
+    /// Time of the next requested wake, in ms since 1970; infinite if there is none.
     pub(super) wake_at: Ms,
-    /// How often it was started.
+    /// Number of starts, including the first one.
     pub(super) starts: u64,
-    /// The generation of its connection to the relay's watch.
+    /// Generation of the current connection to the relay's watch.
     pub(super) watch_generation: u64,
-    /// The number of its last request for the list.
+    /// Identifier of the latest request for the list of hosts.
     pub(super) list_request: FetchId,
 }
 
-/// The platform's relay.
 pub(super) struct RelayState {
     pub(super) relay: PlatformRelay,
     pub(super) is_stalled: bool,
 }
 
-/// Streams and the proxies that opened them.
+/// Open streams, each with the index of its proxy.
 #[derive(Default)]
 pub(super) struct StreamIndex {
     pub(super) proxies: BTreeMap<xds::StreamId, usize>,
     pub(super) last_stream: u64,
 }
 
-/// One director and all that is around it, on a fake clock.
+/// Simulation of one director and its environment on a fake clock.
 pub struct World<'a> {
     pub(super) script: &'a Script,
     pub(super) mode: Mode,
-    pub(super) flaw: Option<Flaw>,
-    /// ms since the start.
+    pub(super) injected_fault: Option<InjectedFault>,
+    /// Current time, in ms since the start.
     pub(super) now: Ms,
     pub(super) queue: PendingQueue,
     pub(super) director: DirectorState,
     pub(super) relay: RelayState,
     pub(super) list: HostList,
-    pub(super) proxies: Vec<StandInProxy>,
+    pub(super) proxies: Vec<SimulatedProxy>,
     pub(super) streams: StreamIndex,
-    /// When reports last came.
+    /// Time of the latest reports, in ms since the start.
     pub(super) last_report: Ms,
     pub(super) checker: Checker,
-    /// Messages to proxies.
+    /// Number of messages sent to proxies.
     pub(super) messages: u64,
 }
 
 impl<'a> World<'a> {
-    /// A world at the beginning of a script.
-    pub fn new(script: &'a Script, mode: Mode, flaw: Option<Flaw>) -> World<'a> {
+    /// Creates the initial state for a script: the director has not started, and no proxy has joined.
+    pub fn new(script: &'a Script, mode: Mode, injected_fault: Option<InjectedFault>) -> World<'a> {
         let list = HostList::at_start(script);
         World {
             director: DirectorState {
-                session: setup::director(script, &list, 1),
+                session: setup::new_session(script, &list, 1),
                 wake_at: f64::INFINITY,
                 starts: 1,
                 watch_generation: 0,
@@ -91,18 +88,18 @@
             },
             script,
             mode,
-            flaw,
+            injected_fault,
             now: 0.0,
             queue: PendingQueue::default(),
             relay: RelayState {
-                relay: setup::relay(),
+                relay: setup::new_relay(),
                 is_stalled: false,
             },
             list,
             proxies: script
                 .proxies
                 .iter()
-                .map(|_| StandInProxy::default())
+                .map(|_| SimulatedProxy::default())
                 .collect(),
             streams: StreamIndex::default(),
             last_report: 0.0,
@@ -113,55 +110,60 @@
 }
 
 impl World<'_> {
-    /// Puts something on its way: it arrives in so many ms.
-    pub(super) fn after(&mut self, delay: Ms, pending: Pending) {
+    /// Schedules a delivery after a delay in ms.
+    pub(super) fn schedule_after(&mut self, delay: Ms, pending: Pending) {
         self.queue.schedule(self.now + delay, pending);
     }
 
-    /// The number of a proxy.
-    pub(super) fn number(&self, proxy: usize) -> u32 {
+    /// Number of the proxy with this index.
+    pub(super) fn proxy_number(&self, proxy: usize) -> u32 {
         self.script.proxies[proxy].number
     }
 
-    /// Whether a proxy is reached through the platform's relay.
-    pub(super) fn is_on_relay(&self, proxy: usize) -> bool {
+    /// Whether a proxy is served through the platform's relay and not by streams.
+    pub(super) fn uses_relay(&self, proxy: usize) -> bool {
         self.mode.protocol(proxy) == Protocol::Platform
     }
 
-    /// A message was written to a proxy.
+    /// Counts a message to a proxy and passes it to the checker.
     pub(super) fn count_message(&mut self, proxy: usize) {
         self.messages += 1;
-        self.checker.message_sent(self.now, self.number(proxy));
+        self.checker
+            .message_sent(self.now, self.proxy_number(proxy));
     }
 
-    /// What a proxy holds for a class.
-    fn held(&self, proxy: usize, class: &str) -> Option<ProxyTable> {
+    /// The table that a proxy currently uses for a class.
+    fn current_table(&self, proxy: usize, class: &str) -> Option<ProxyTable> {
         let state = &self.proxies[proxy];
-        if self.is_on_relay(proxy) {
+        if self.uses_relay(proxy) {
             let relay = state.relay_tables.as_ref()?;
-            relay.table(self.number(proxy), class)
+            relay.table(self.proxy_number(proxy), class)
         } else {
             state.stream_tables.table(class)
         }
     }
 
-    /// A proxy holds something else now.
-    pub(super) fn table_changed(&mut self, proxy: usize) {
+    /// Passes the current tables of a proxy to the checker.
+    pub(super) fn report_tables_to_checker(&mut self, proxy: usize) {
         for class in CLASSES {
-            if let Some(table) = self.held(proxy, class) {
-                self.checker.table_held(self.number(proxy), class, table);
+            if let Some(table) = self.current_table(proxy, class) {
+                self.checker
+                    .table_applied(self.proxy_number(proxy), class, table);
             }
         }
     }
 
-    /// What all proxies hold.
+    /// The current tables of all proxies, by class.
     pub(super) fn all_tables(&self) -> Tables {
         let mut tables = BTreeMap::new();
         for (proxy, state) in self.proxies.iter().enumerate() {
             for class in CLASSES {
-                let held = state.is_joined.then(|| self.held(proxy, class)).flatten();
-                let proxy = self.number(proxy);
-                tables.insert(ProxyClass { proxy, class }, held);
+                let table = state
+                    .is_joined
+                    .then(|| self.current_table(proxy, class))
+                    .flatten();
+                let proxy = self.proxy_number(proxy);
+                tables.insert(ProxyClass { proxy, class }, table);
             }
         }
         tables
--- a/crates/tools/simulation/src/world/streams.rs
+++ b/crates/tools/simulation/src/world/streams.rs
@@ -7,14 +7,14 @@
 use std::collections::BTreeMap;
 
 impl World<'_> {
-    /// The first request of a proxy's discovery stream: it names the proxy and what it holds.
+    /// The first request of a discovery stream, which identifies the proxy and the versions of its tables.
     fn first_request(&self, proxy: usize) -> xds::Request {
         let (node, names) = (Some(self.node(proxy)), class_names());
         let versions = self.proxies[proxy].stream_tables.versions.clone();
         self.discovery_request(proxy, node, String::new(), names, versions)
     }
 
-    /// A later request, which acknowledges a response.
+    /// A request that acknowledges the response with this nonce.
     pub(super) fn later_request(&self, proxy: usize, nonce: String) -> xds::Request {
         self.discovery_request(proxy, None, nonce, Vec::new(), BTreeMap::new())
     }
@@ -28,8 +28,8 @@
         }
     }
 
-    /// A request in the stream's own form. The state of the world is asked for by all names each time; a stream of
-    /// changes subscribes to names once.
+    /// Builds a request of the proxy's protocol. A state-of-the-world request always lists all classes; a delta request
+    /// only subscribes to `resource_names_subscribe`.
     fn discovery_request(
         &self,
         proxy: usize,
@@ -59,7 +59,7 @@
         })
     }
 
-    /// A proxy opens its streams: one of tables, one of load reports.
+    /// Opens a proxy's discovery stream and load report stream, and sends the first request on each.
     pub(super) fn open_streams(&mut self, proxy: usize) {
         let discovery_kind = match self.mode.protocol(proxy) {
             Protocol::StateOfTheWorld => xds::StreamKind::StateOfTheWorld,
@@ -70,7 +70,7 @@
             (discovery, discovery_kind),
             (reports, xds::StreamKind::LoadReporting),
         ] {
-            self.give_stream(xds::Input::StreamOpened {
+            self.handle_stream_input(xds::Input::StreamOpened {
                 stream,
                 connection: xds::ConnectionId(1 + proxy as u64),
                 kind,
@@ -78,7 +78,7 @@
             });
         }
         let request = self.first_request(proxy);
-        self.give_stream(xds::Input::RequestReceived {
+        self.handle_stream_input(xds::Input::RequestReceived {
             stream: discovery,
             request,
         });
@@ -86,13 +86,13 @@
             node: Some(self.node(proxy)),
             cluster_stats: Vec::new(),
         });
-        self.give_stream(xds::Input::RequestReceived {
+        self.handle_stream_input(xds::Input::RequestReceived {
             stream: reports,
             request,
         });
     }
 
-    /// Two new streams in place of those that a proxy had.
+    /// Allocates a discovery and a load report stream for a proxy, in place of its former streams.
     fn new_streams(&mut self, proxy: usize) -> [xds::StreamId; 2] {
         let state = &mut self.proxies[proxy];
         self.streams.proxies.remove(&state.discovery_stream);
