--- a/crates/tools/bench-adapter/src/batch.rs
+++ b/crates/tools/bench-adapter/src/batch.rs
@@ -1,4 +1,4 @@
-//! A batch by instance.
+//! Parsing of batches, grouped by instance.
 
 use crate::error::AdapterError;
 use crate::wire::{self, Provision};
@@ -6,17 +6,17 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// The number of an instance.
+/// Number of a director that the adapter hosts, chosen by the bench.
 pub type InstanceId = u64;
 
-/// What a batch brings to one instance.
+/// Events of a batch for one instance.
 #[derive(Default)]
 pub struct InstanceEvents {
-    /// The start that came before the events, if any.
+    /// Last start in the batch, if any. It precedes all `events`.
     pub start: Option<Provision>,
-    /// The instance was stopped before that.
+    /// Whether the batch stops the instance, before `start` and all `events`.
     pub is_stopped: bool,
-    /// The events since, in order.
+    /// Events after the last start or stop, in order.
     pub events: Vec<Event>,
 }
 
@@ -33,28 +33,28 @@
                     ..InstanceEvents::default()
                 };
             }
-            _ => self.events.extend(wire::event(kind, value)?),
+            _ => self.events.extend(wire::parse_event(kind, value)?),
         }
         Ok(())
     }
 }
 
-/// A batch: what happened until one moment of the simulated clock.
+/// Events up to a time of the bench's clock.
 pub struct Batch {
-    /// Its own number.
+    /// Number of the batch, which the reply repeats.
     pub number: u64,
-    /// The time.
+    /// Time of the batch, in ms.
     pub clock: Ms,
-    /// What it brings to each instance that it names.
+    /// Events by instance; other instances have none.
     pub instances: BTreeMap<InstanceId, InstanceEvents>,
 }
 
 impl Batch {
-    /// Reads a line of the input; `line_number` counts from 1.
+    /// Parses a line of the input; `line_number` counts from 1.
     ///
     /// # Errors
     ///
-    /// The line is no batch, or a field of an event that the policy needs is missing or has a wrong type.
+    /// Returns an error if the line is not a batch, or a required field of an event is missing or has a wrong type.
     pub fn parse(text: &str, line_number: u64) -> Result<Batch, AdapterError> {
         let batch: wire::Batch =
             serde_json::from_str(text).map_err(|source| AdapterError::Batch {
@@ -62,28 +62,28 @@
                 source,
             })?;
         let mut instances: BTreeMap<InstanceId, InstanceEvents> = BTreeMap::new();
-        for value in batch.input {
-            let head: wire::Head = match serde::Deserialize::deserialize(&value) {
-                Ok(head) => head,
+        for value in batch.events {
+            let header: wire::EventHeader = match serde::Deserialize::deserialize(&value) {
+                Ok(header) => header,
                 Err(source) => {
                     return Err(AdapterError::EventHead {
-                        batch: batch.n,
+                        batch: batch.number,
                         event: value,
                         source,
                     });
                 }
             };
-            let instance = instances.entry(head.director).or_default();
+            let instance = instances.entry(header.instance).or_default();
             instance
-                .add(&head.m, value)
+                .add(&header.kind, value)
                 .map_err(|source| AdapterError::EventFields {
-                    batch: batch.n,
-                    kind: head.m,
+                    batch: batch.number,
+                    kind: header.kind,
                     source,
                 })?;
         }
         Ok(Batch {
-            number: batch.n,
+            number: batch.number,
             clock: batch.clock,
             instances,
         })
--- a/crates/tools/bench-adapter/src/error.rs
+++ b/crates/tools/bench-adapter/src/error.rs
@@ -1,47 +1,41 @@
-//! Why the adapter stops.
+//! Errors of the adapter.
 
 use serde_json::Value;
 use std::fmt;
 use std::io;
 
-/// What ends the adapter before its input does.
+/// Error that ends the adapter before the end of its input.
 #[derive(Debug)]
 pub enum AdapterError {
-    /// A line of the input could not be read.
+    /// Reading a line of the input failed.
     Input {
-        /// Lines that were read before it.
+        /// Number of lines that were read before.
         batches_read: u64,
-        /// What the system said.
         source: io::Error,
     },
-    /// A line is no batch.
+    /// A line is not a valid batch.
     Batch {
-        /// The number of the line, from 1.
+        /// Number of the line, counted from 1.
         batch: u64,
-        /// What is wrong with it.
         source: serde_json::Error,
     },
-    /// An event of a batch does not name its kind or its instance.
+    /// The kind or the instance of an event is missing or has a wrong type.
     EventHead {
-        /// The batch's own number.
+        /// Number from the batch itself.
         batch: u64,
-        /// The event.
         event: Value,
-        /// What is wrong with it.
         source: serde_json::Error,
     },
-    /// A field of an event is missing or has a wrong type.
+    /// A field specific to the event's kind is missing or has a wrong type.
     EventFields {
-        /// The batch's own number.
+        /// Number from the batch itself.
         batch: u64,
-        /// The kind of the event.
         kind: String,
-        /// What is wrong with it.
         source: serde_json::Error,
     },
-    /// A reply could not be made into a line.
+    /// Serialization of a reply failed.
     Encode(serde_json::Error),
-    /// A reply could not be written.
+    /// Writing a reply to standard output failed.
     Output(io::Error),
 }
 
--- a/crates/tools/bench-adapter/src/instances.rs
+++ b/crates/tools/bench-adapter/src/instances.rs
@@ -1,4 +1,4 @@
-//! The directors that run, one for each instance.
+//! The directors that the adapter hosts.
 
 use crate::batch::{Batch, InstanceEvents, InstanceId};
 use crate::wire::{self, Order};
@@ -8,40 +8,42 @@
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Directors by instance.
+/// Running directors by instance number.
 #[derive(Default)]
 pub struct Instances(BTreeMap<InstanceId, Director>);
 
 impl Instances {
-    /// Hands a batch over; answers the orders of all instances, each one's in its own order. An instance whose
-    /// decisions panic says so and ends the day.
+    /// Passes a batch to its instances. Returns their orders grouped by instance. If an instance panics, a `Die` order
+    /// takes the place of its orders.
     pub fn handle(&mut self, batch: Batch) -> Vec<Order> {
         let mut orders = Vec::new();
         for (id, events) in batch.instances {
-            let decided = catch_unwind(AssertUnwindSafe(|| self.decide(id, events, batch.clock)));
-            match decided {
+            let result = catch_unwind(AssertUnwindSafe(|| {
+                self.handle_instance(id, events, batch.clock)
+            }));
+            match result {
                 Ok(actions) => {
                     orders.extend(
                         actions
                             .into_iter()
-                            .filter_map(|action| wire::order(id, action)),
+                            .filter_map(|action| wire::encode_action(id, action)),
                     );
                 }
-                Err(panic) => orders.push(Order::Die {
+                Err(panic) => orders.push(Order::ReportPanic {
                     director: id,
-                    reason_text: panic_text(panic.as_ref()),
+                    message: panic_message(panic.as_ref()),
                 }),
             }
         }
         orders
     }
 
-    fn decide(&mut self, id: InstanceId, events: InstanceEvents, now: Ms) -> Vec<Action> {
+    fn handle_instance(&mut self, id: InstanceId, events: InstanceEvents, now: Ms) -> Vec<Action> {
         if events.is_stopped {
             self.0.remove(&id);
         }
         if let Some(start) = events.start {
-            self.0.insert(id, Director::new(start.options.to_policy()));
+            self.0.insert(id, Director::new(start.settings.to_policy()));
         }
         match self.0.get_mut(&id) {
             Some(director) => director.handle(now, events.events),
@@ -50,7 +52,7 @@
     }
 }
 
-fn panic_text(panic: &(dyn Any + Send)) -> String {
+fn panic_message(panic: &(dyn Any + Send)) -> String {
     let literal = panic.downcast_ref::<&str>().map(|text| text.to_string());
     literal
         .or_else(|| panic.downcast_ref::<String>().cloned())
--- a/crates/tools/bench-adapter/src/main.rs
+++ b/crates/tools/bench-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Hosts directors on the bench's wire: one batch a line in, one reply a line out.
+//! Hosts directors for the bench: reads one JSON batch per line and writes one JSON reply per line.
 
 mod batch;
 mod error;
@@ -12,7 +12,7 @@
 use std::process::ExitCode;
 use wire::Reply;
 
-/// Answers each batch of standard input with a reply on standard output, until the input ends.
+/// Answers each batch on standard input with a reply on standard output, until the end of the input.
 fn run() -> Result<(), AdapterError> {
     let mut output = BufWriter::new(std::io::stdout().lock());
     let mut instances = Instances::default();
@@ -23,8 +23,8 @@
         })?;
         let batch = Batch::parse(&line, batches_read + 1)?;
         let reply = Reply {
-            n: batch.number,
-            out: instances.handle(batch),
+            batch: batch.number,
+            orders: instances.handle(batch),
         };
         let line = serde_json::to_string(&reply).map_err(AdapterError::Encode)?;
         writeln!(output, "{line}")
--- a/crates/tools/bench-adapter/src/wire.rs
+++ b/crates/tools/bench-adapter/src/wire.rs
@@ -1,8 +1,8 @@
-//! The wire's messages and their translation to the policy's types. Names and units only; the names are the wire's.
+//! JSON messages of the bench and their translation to the policy's types. Only names and units differ.
 
 mod hex;
 mod incoming;
 mod outgoing;
 
-pub use incoming::{Batch, Head, Provision, event};
-pub use outgoing::{Order, Reply, order};
+pub use incoming::{Batch, EventHeader, Provision, parse_event};
+pub use outgoing::{Order, Reply, encode_action};
--- a/crates/tools/bench-adapter/src/wire/hex.rs
+++ b/crates/tools/bench-adapter/src/wire/hex.rs
@@ -1,6 +1,6 @@
-//! Bytes as hexadecimal digits.
+//! Hexadecimal encoding of bytes.
 
-/// The bytes that digits stand for. What is no digit is skipped, and so is a digit without a second one.
+/// Decodes pairs of digits. Other characters and a single last digit are ignored.
 pub fn decode(text: &str) -> Vec<u8> {
     let digits: Vec<u32> = text.chars().filter_map(|c| c.to_digit(16)).collect();
     digits
@@ -9,7 +9,7 @@
         .collect()
 }
 
-/// The digits of some bytes.
+/// Encodes bytes as lowercase digits.
 pub fn encode(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
--- a/crates/tools/bench-adapter/src/wire/incoming.rs
+++ b/crates/tools/bench-adapter/src/wire/incoming.rs
@@ -1,4 +1,4 @@
-//! What comes in.
+//! Input of the adapter: batches, events and their translation to the policy's events.
 
 use super::hex;
 use rushcourse_director_settings::DeploymentSettings;
@@ -12,179 +12,189 @@
 /// One line of the input.
 #[derive(Deserialize)]
 pub struct Batch {
-    /// The time of the batch.
+    /// Time of the batch on the bench's clock, in ms.
     #[serde(rename = "clock-ms")]
     pub clock: Ms,
-    /// Its number.
-    pub n: u64,
-    /// Its events, each with a `Head`.
-    pub input: Vec<Value>,
+    /// Number of the batch, which the reply repeats.
+    #[serde(rename = "n")]
+    pub number: u64,
+    /// Events for any of the instances, each with the fields of [`EventHeader`].
+    #[serde(rename = "input")]
+    pub events: Vec<Value>,
 }
 
-/// The part of every event that tells its kind and its instance.
+/// Fields that every event has in addition to those of its kind.
 #[derive(Deserialize)]
-pub struct Head {
-    /// The kind.
-    pub m: String,
-    /// The instance.
-    pub director: u64,
+pub struct EventHeader {
+    /// Kind of the event, such as `Provision` or `Fired`.
+    #[serde(rename = "m")]
+    pub kind: String,
+    /// Number of the instance that the event is for.
+    #[serde(rename = "director")]
+    pub instance: u64,
 }
 
-/// An instance starts.
+/// Event `Provision`: an instance starts.
 #[derive(Deserialize)]
 pub struct Provision {
-    /// Seeds random numbers. Decisions draw none, yet a start without it is malformed.
+    /// Seed for random numbers. Unused, as the policy draws none, but required.
     #[serde(rename = "nonce64")]
     _seed: u64,
-    /// The settings.
-    pub options: DeploymentSettings,
+    #[serde(rename = "options")]
+    pub settings: DeploymentSettings,
 }
 
-/// The list of hosts, or a change to it.
+/// Event `Announce`: the list of hosts, or a change to it.
 #[derive(Deserialize)]
-struct Announce {
-    kind: AnnounceKind,
-    #[serde(default)]
-    rows: Vec<Row>,
+struct HostAnnouncement {
+    kind: AnnouncementKind,
+    #[serde(default, rename = "rows")]
+    entries: Vec<AnnouncedHost>,
 }
 
 #[derive(Deserialize)]
-#[serde(rename_all = "snake_case")]
-enum AnnounceKind {
-    Incr,
-    Total,
-    WarmCopy,
-    Lost,
+enum AnnouncementKind {
+    #[serde(rename = "incr")]
+    Delta,
+    #[serde(rename = "total")]
+    Full,
+    #[serde(rename = "warm_copy")]
+    Cached,
+    #[serde(rename = "lost")]
+    Unavailable,
 }
 
-/// A host as listed.
+/// Entry of a [`HostAnnouncement`].
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct Row {
+struct AnnouncedHost {
     host: String,
-    #[serde(default)]
-    locality: usize,
-    #[serde(default)]
-    unit_group: u32,
-    readiness: RowReadiness,
-    #[serde(default)]
-    w: f64,
-    #[serde(default)]
-    up_since_ms: f64,
+    #[serde(default, rename = "locality")]
+    zone: usize,
+    #[serde(default, rename = "unit-group")]
+    cell: u32,
+    readiness: AnnouncedReadiness,
+    #[serde(default, rename = "w")]
+    weight: f64,
+    #[serde(default, rename = "up-since-ms")]
+    started_at: f64,
 }
 
 #[derive(Deserialize)]
-enum RowReadiness {
+enum AnnouncedReadiness {
     Ready,
-    Terminating,
+    #[serde(rename = "Terminating")]
+    Draining,
     Gone,
 }
 
-/// What proxies of a zone observed at a host.
+/// Event `Observed`: the outcome of the attempts that proxies of a zone made at a host.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct Observed {
-    #[serde(default)]
-    locality: usize,
+struct HostReport {
+    #[serde(default, rename = "locality")]
+    zone: usize,
     host: String,
-    #[serde(default)]
-    tries_n: f64,
-    #[serde(default)]
-    unanswered: f64,
-    #[serde(default)]
-    spent_ms: f64,
-    #[serde(default)]
-    span_ms: f64,
-    #[serde(default)]
-    server_stats: Value,
+    #[serde(default, rename = "tries-n")]
+    attempts: f64,
+    #[serde(default, rename = "unanswered")]
+    failed: f64,
+    #[serde(default, rename = "spent-ms")]
+    mean_latency: f64,
+    #[serde(default, rename = "span-ms")]
+    span: f64,
+    #[serde(default, rename = "server-stats")]
+    load: Value,
 }
 
-/// What came to a proxy.
+/// Event `Traffic`: the client requests of a class that a proxy received.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct Traffic {
-    agent: u32,
-    #[serde(default)]
-    priority: usize,
-    #[serde(default)]
-    tries_n: f64,
-    #[serde(default)]
-    unanswered: f64,
-    #[serde(default)]
-    span_ms: f64,
+struct TrafficReport {
+    #[serde(rename = "agent")]
+    proxy: u32,
+    #[serde(default, rename = "priority")]
+    class: usize,
+    #[serde(default, rename = "tries-n")]
+    attempts: f64,
+    #[serde(default, rename = "unanswered")]
+    failed: f64,
+    #[serde(default, rename = "span-ms")]
+    span: f64,
 }
 
-/// A proxy's stream is established.
+/// Event `DialledIn`: a proxy's stream is established.
 #[derive(Deserialize)]
-struct DialledIn {
-    #[serde(default)]
-    w: f64,
-    #[serde(default)]
-    on: bool,
-    #[serde(default)]
-    locality: usize,
-    agent: u32,
+struct ProxyJoined {
+    #[serde(default, rename = "w")]
+    rate: f64,
+    #[serde(default, rename = "on")]
+    is_fresh: bool,
+    #[serde(default, rename = "locality")]
+    zone: usize,
+    #[serde(rename = "agent")]
+    proxy: u32,
 }
 
-/// A proxy's stream has ended.
+/// Event `LostStream`: a proxy's stream has ended.
 #[derive(Deserialize)]
-struct LostStream {
-    agent: u32,
+struct ProxyLeft {
+    #[serde(rename = "agent")]
+    proxy: u32,
 }
 
-/// A proxy has applied a message.
+/// Event `TookEffect`: a proxy has applied a message.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct TookEffect {
-    number: u16,
-    agent: u32,
-    #[serde(default)]
-    spent_ms: f64,
+struct Acknowledgement {
+    #[serde(rename = "number")]
+    ack_number: u16,
+    #[serde(rename = "agent")]
+    proxy: u32,
+    #[serde(default, rename = "spent-ms")]
+    elapsed: f64,
 }
 
-/// A timer is due.
+/// Event `Fired`: a timer is due.
 #[derive(Deserialize)]
-struct Fired {
-    ctx: String,
+struct TimerFired {
+    #[serde(rename = "ctx")]
+    token: String,
 }
 
-/// A message of another instance.
+/// Event `FromPeer`: a message from another director.
 #[derive(Deserialize)]
-struct FromPeer {
-    #[serde(default)]
-    neighbour: usize,
+struct PeerMessage {
+    #[serde(default, rename = "neighbour")]
+    from: usize,
     #[serde(default)]
     payload: String,
 }
 
-/// A health check has ended.
+/// Event `PingResult`: a health check has ended.
 #[derive(Deserialize)]
-#[serde(rename_all = "kebab-case")]
-struct PingResult {
+struct HealthCheckResult {
     host: String,
-    #[serde(default)]
-    spent_ms: f64,
-    disposition: String,
-    #[serde(default)]
-    server_stats: Value,
+    #[serde(default, rename = "spent-ms")]
+    elapsed: f64,
+    #[serde(rename = "disposition")]
+    status: String,
+    #[serde(default, rename = "server-stats")]
+    load: Value,
 }
 
-/// Translates an event; none of a kind that the policy has no use for.
+/// Translates an event to the policy's interface. Returns `None` for kinds that the policy does not use.
 ///
 /// # Errors
 ///
-/// A field that the policy needs is missing or has a wrong type.
-pub fn event(kind: &str, value: Value) -> Result<Option<Event>, serde_json::Error> {
+/// Returns an error if a required field is missing or a field has a wrong type.
+pub fn parse_event(kind: &str, value: Value) -> Result<Option<Event>, serde_json::Error> {
     let event = match kind {
-        "Announce" => translate::<Announce>(value)?,
-        "Observed" => translate::<Observed>(value)?,
-        "Traffic" => translate::<Traffic>(value)?,
-        "DialledIn" => translate::<DialledIn>(value)?,
-        "LostStream" => translate::<LostStream>(value)?,
-        "TookEffect" => translate::<TookEffect>(value)?,
-        "Fired" => translate::<Fired>(value)?,
-        "FromPeer" => translate::<FromPeer>(value)?,
-        "PingResult" => translate::<PingResult>(value)?,
+        "Announce" => translate::<HostAnnouncement>(value)?,
+        "Observed" => translate::<HostReport>(value)?,
+        "Traffic" => translate::<TrafficReport>(value)?,
+        "DialledIn" => translate::<ProxyJoined>(value)?,
+        "LostStream" => translate::<ProxyLeft>(value)?,
+        "TookEffect" => translate::<Acknowledgement>(value)?,
+        "Fired" => translate::<TimerFired>(value)?,
+        "FromPeer" => translate::<PeerMessage>(value)?,
+        "PingResult" => translate::<HealthCheckResult>(value)?,
         _ => return Ok(None),
     };
     Ok(Some(event))
@@ -194,124 +204,128 @@
     Ok(serde_json::from_value::<T>(value)?.into())
 }
 
-impl From<Announce> for Event {
-    fn from(announce: Announce) -> Event {
+impl From<HostAnnouncement> for Event {
+    fn from(announcement: HostAnnouncement) -> Event {
         Event::HostsListed {
-            kind: match announce.kind {
-                AnnounceKind::Incr => HostListKind::Delta,
-                AnnounceKind::Total => HostListKind::Full,
-                AnnounceKind::WarmCopy => HostListKind::Cached,
-                AnnounceKind::Lost => HostListKind::Unavailable,
+            kind: match announcement.kind {
+                AnnouncementKind::Delta => HostListKind::Delta,
+                AnnouncementKind::Full => HostListKind::Full,
+                AnnouncementKind::Cached => HostListKind::Cached,
+                AnnouncementKind::Unavailable => HostListKind::Unavailable,
             },
-            entries: announce.rows.into_iter().map(HostEntry::from).collect(),
+            entries: announcement
+                .entries
+                .into_iter()
+                .map(HostEntry::from)
+                .collect(),
         }
     }
 }
 
-impl From<Row> for HostEntry {
-    fn from(row: Row) -> HostEntry {
+impl From<AnnouncedHost> for HostEntry {
+    fn from(entry: AnnouncedHost) -> HostEntry {
         HostEntry {
-            host: row.host.into(),
-            zone: row.locality,
-            cell: row.unit_group,
-            readiness: match row.readiness {
-                RowReadiness::Ready => Readiness::Ready,
-                RowReadiness::Terminating => Readiness::Draining,
-                RowReadiness::Gone => Readiness::Gone,
+            host: entry.host.into(),
+            zone: entry.zone,
+            cell: entry.cell,
+            readiness: match entry.readiness {
+                AnnouncedReadiness::Ready => Readiness::Ready,
+                AnnouncedReadiness::Draining => Readiness::Draining,
+                AnnouncedReadiness::Gone => Readiness::Gone,
             },
-            weight: row.w,
-            started_at: row.up_since_ms,
+            weight: entry.weight,
+            started_at: entry.started_at,
         }
     }
 }
 
-impl From<Observed> for Event {
-    fn from(observed: Observed) -> Event {
+impl From<HostReport> for Event {
+    fn from(report: HostReport) -> Event {
         Event::HostReported {
-            zone: observed.locality,
-            host: observed.host.into(),
-            attempts: observed.tries_n,
-            failed: observed.unanswered,
-            mean_latency: observed.spent_ms,
-            span: observed.span_ms,
-            load: host_load(&observed.server_stats),
+            zone: report.zone,
+            host: report.host.into(),
+            attempts: report.attempts,
+            failed: report.failed,
+            mean_latency: report.mean_latency,
+            span: report.span,
+            load: host_load(&report.load),
         }
     }
 }
 
-impl From<Traffic> for Event {
-    fn from(traffic: Traffic) -> Event {
+impl From<TrafficReport> for Event {
+    fn from(report: TrafficReport) -> Event {
         Event::TrafficReported {
-            proxy: traffic.agent,
-            class: traffic.priority,
-            attempts: traffic.tries_n,
-            failed: traffic.unanswered,
-            span: traffic.span_ms,
+            proxy: report.proxy,
+            class: report.class,
+            attempts: report.attempts,
+            failed: report.failed,
+            span: report.span,
         }
     }
 }
 
-impl From<DialledIn> for Event {
-    fn from(dialled: DialledIn) -> Event {
+impl From<ProxyJoined> for Event {
+    fn from(joined: ProxyJoined) -> Event {
         Event::ProxyJoined {
-            proxy: dialled.agent,
-            zone: dialled.locality,
-            rate: dialled.w,
-            is_fresh: dialled.on,
+            proxy: joined.proxy,
+            zone: joined.zone,
+            rate: joined.rate,
+            is_fresh: joined.is_fresh,
             channel: Channel::Shared,
         }
     }
 }
 
-impl From<LostStream> for Event {
-    fn from(lost: LostStream) -> Event {
+impl From<ProxyLeft> for Event {
+    fn from(left: ProxyLeft) -> Event {
         Event::ProxyLeft {
-            proxy: lost.agent,
+            proxy: left.proxy,
             channel: Channel::Shared,
         }
     }
 }
 
-impl From<TookEffect> for Event {
-    fn from(took_effect: TookEffect) -> Event {
+impl From<Acknowledgement> for Event {
+    fn from(acknowledgement: Acknowledgement) -> Event {
         Event::Acknowledged {
-            ack_number: took_effect.number,
-            proxy: took_effect.agent,
-            elapsed: took_effect.spent_ms,
+            ack_number: acknowledgement.ack_number,
+            proxy: acknowledgement.proxy,
+            elapsed: acknowledgement.elapsed,
             channel: Channel::Shared,
         }
     }
 }
 
-impl From<Fired> for Event {
-    fn from(fired: Fired) -> Event {
-        Event::TimerFired { token: fired.ctx }
+impl From<TimerFired> for Event {
+    fn from(fired: TimerFired) -> Event {
+        Event::TimerFired { token: fired.token }
     }
 }
 
-impl From<FromPeer> for Event {
-    fn from(message: FromPeer) -> Event {
+impl From<PeerMessage> for Event {
+    fn from(message: PeerMessage) -> Event {
         Event::PeerMessage {
-            from: message.neighbour,
+            from: message.from,
             bytes: hex::decode(&message.payload),
         }
     }
 }
 
-impl From<PingResult> for Event {
-    fn from(result: PingResult) -> Event {
+impl From<HealthCheckResult> for Event {
+    fn from(result: HealthCheckResult) -> Event {
         Event::HealthChecked {
             host: result.host.into(),
-            elapsed: result.spent_ms,
-            is_answered: result.disposition == "completed",
-            load: host_load(&result.server_stats),
+            elapsed: result.elapsed,
+            is_answered: result.status == "completed",
+            load: host_load(&result.load),
         }
     }
 }
 
-/// The values of a load report that the policy knows, as far as they are numbers.
-fn host_load(stats: &Value) -> HostLoad {
-    let number = |name: &str| stats.get(name).and_then(Value::as_f64);
+/// Reads the known metrics of a host's load report. Missing and non-numeric values become `None`.
+fn host_load(load: &Value) -> HostLoad {
+    let number = |name: &str| load.get(name).and_then(Value::as_f64);
     HostLoad {
         cpu_utilization: number("cpu_share"),
         queued: number("pending"),
--- a/crates/tools/bench-adapter/src/wire/outgoing.rs
+++ b/crates/tools/bench-adapter/src/wire/outgoing.rs
@@ -1,4 +1,4 @@
-//! What goes out.
+//! Output of the adapter: replies and orders, translated from the policy's actions.
 
 use super::hex;
 use rushcourse_policy::interface::{Action, Channel};
@@ -7,88 +7,117 @@
 /// One line of the output.
 #[derive(Serialize)]
 pub struct Reply {
-    /// The number of the batch.
-    pub n: u64,
-    /// The orders of all instances.
-    pub out: Vec<Order>,
+    /// Number of the batch that the reply answers.
+    #[serde(rename = "n")]
+    pub batch: u64,
+    /// Orders of all instances, to be carried out in this order.
+    #[serde(rename = "out")]
+    pub orders: Vec<Order>,
 }
 
-/// An order of an instance. Fields go out in the order in which they stand here.
+/// An order of an instance. Fields are written in the order of their declaration.
 #[derive(Serialize)]
 #[serde(tag = "m")]
 pub enum Order {
-    /// Sets the weight of a host in a table; 0 removes it.
-    Line {
+    /// Sets the weight of a host in a table; 0 removes the host.
+    #[serde(rename = "Line")]
+    SetEndpoint {
         director: u64,
         host: String,
-        sheet: u32,
-        w: f64,
+        #[serde(rename = "sheet")]
+        table: u32,
+        #[serde(rename = "w")]
+        weight: f64,
     },
-    /// Clears a table.
-    Empty { director: u64, sheet: u32 },
-    /// Binds a proxy to a table.
-    Pin {
+    /// Removes all endpoints and admission levels of a table.
+    #[serde(rename = "Empty")]
+    ClearTable {
         director: u64,
-        sheet: u32,
-        only: u32,
-        agent: u32,
+        #[serde(rename = "sheet")]
+        table: u32,
     },
-    /// Withdraws a host from all tables, or lets it back.
-    Bench {
+    /// Binds a proxy to a table for the classes of a bit mask; 0 stands for all classes.
+    #[serde(rename = "Pin")]
+    BindProxy {
+        director: u64,
+        #[serde(rename = "sheet")]
+        table: u32,
+        #[serde(rename = "only")]
+        classes: u32,
+        #[serde(rename = "agent")]
+        proxy: u32,
+    },
+    /// Withdraws a host from all tables, or ends its withdrawal.
+    #[serde(rename = "Bench")]
+    SetWithdrawn {
         director: u64,
         host: String,
-        on: bool,
+        #[serde(rename = "on")]
+        is_withdrawn: bool,
     },
-    /// Sets the admission level of classes in a table.
-    Level {
+    /// Sets the admission quota and the retry policy of classes in a table.
+    #[serde(rename = "Level")]
+    SetAdmission {
         director: u64,
-        sheet: u32,
+        #[serde(rename = "sheet")]
+        table: u32,
         quota: f64,
-        only: u32,
-        again: u8,
+        #[serde(rename = "only")]
+        classes: u32,
+        #[serde(rename = "again")]
+        retry_policy: u8,
     },
-    /// Asks each proxy that this reply reaches for an acknowledgement.
-    Seal {
+    /// Asks each proxy that gets a message of this reply for an acknowledgement. `on` is always false.
+    #[serde(rename = "Seal")]
+    RequestAck {
         director: u64,
-        number: u16,
+        #[serde(rename = "number")]
+        ack_number: u16,
         on: bool,
     },
-    /// Starts a timer.
-    Schedule {
+    /// Starts a timer, which ends with an event `Fired` that repeats the token.
+    #[serde(rename = "Schedule")]
+    StartTimer {
         director: u64,
-        ctx: String,
+        #[serde(rename = "ctx")]
+        token: String,
         #[serde(rename = "alarm-time-ms")]
-        alarm_time_ms: f64,
+        at: f64,
     },
-    /// Checks the health of a host.
-    HealthCheck { director: u64, host: String },
-    /// Sends bytes to other instances.
-    Share {
+    /// Checks the health of a host, which ends with an event `PingResult`.
+    #[serde(rename = "HealthCheck")]
+    CheckHealth { director: u64, host: String },
+    /// Sends a message to other directors, encoded as hexadecimal digits.
+    #[serde(rename = "Share")]
+    BroadcastToPeers {
         director: u64,
         target: i64,
         payload: String,
     },
     /// Subscribes to the list of hosts.
-    Tail { director: u64, on: bool },
-    /// Writes a line into the report.
-    NoteDown {
+    #[serde(rename = "Tail")]
+    SubscribeToHosts { director: u64, on: bool },
+    /// Writes a line to the log.
+    #[serde(rename = "NoteDown")]
+    Log {
         director: u64,
         #[serde(rename = "reason-text")]
-        reason_text: String,
+        text: String,
     },
-    /// The decisions have failed.
-    Die {
+    /// Reports that the instance panicked.
+    #[serde(rename = "Die")]
+    ReportPanic {
         director: u64,
         #[serde(rename = "reason-text")]
-        reason_text: String,
+        message: String,
     },
 }
 
-/// The target of a `Share` to all other instances.
+/// Target of a message to all other directors.
 const ALL_PEERS: i64 = -1;
 
-/// The order of an action; none for those of a channel that the wire does not have.
-pub fn order(director: u64, action: Action) -> Option<Order> {
+/// Translates an action to an order. Returns `None` for actions on dedicated channels, which the bench lacks.
+pub fn encode_action(director: u64, action: Action) -> Option<Order> {
     Some(match action {
         Action::SetWithdrawn {
             channel: Channel::Dedicated,
@@ -96,77 +125,71 @@
         } => return None,
         Action::SetWithdrawn {
             host, is_withdrawn, ..
-        } => Order::Bench {
+        } => Order::SetWithdrawn {
             director,
             host: host.to_string(),
-            on: is_withdrawn,
+            is_withdrawn,
         },
-        Action::RequestAck { ack_number } => Order::Seal {
+        Action::RequestAck { ack_number } => Order::RequestAck {
             director,
-            number: ack_number,
+            ack_number,
             on: false,
         },
-        Action::StartTimer { token, at } => Order::Schedule {
+        Action::StartTimer { token, at } => Order::StartTimer {
             director,
-            ctx: token,
-            alarm_time_ms: at,
+            token,
+            at,
         },
-        Action::CheckHealth { host } => Order::HealthCheck {
+        Action::CheckHealth { host } => Order::CheckHealth {
             director,
             host: host.to_string(),
         },
-        Action::BroadcastToPeers { bytes } => Order::Share {
+        Action::BroadcastToPeers { bytes } => Order::BroadcastToPeers {
             director,
             target: ALL_PEERS,
             payload: hex::encode(&bytes),
         },
-        Action::SubscribeToHosts => Order::Tail { director, on: true },
-        Action::Log { text } => Order::NoteDown {
-            director,
-            reason_text: text,
-        },
-        table_action => return table_order(director, table_action),
+        Action::SubscribeToHosts => Order::SubscribeToHosts { director, on: true },
+        Action::Log { text } => Order::Log { director, text },
+        table_action => return encode_table_action(director, table_action),
     })
 }
 
-/// The order of an action on a table; none of any other.
-fn table_order(director: u64, action: Action) -> Option<Order> {
+/// Translates an action on a table to an order. Returns `None` for other actions.
+fn encode_table_action(director: u64, action: Action) -> Option<Order> {
     match action {
         Action::SetEndpoint {
             table,
             host,
             weight,
-        } => Some(Order::Line {
+        } => Some(Order::SetEndpoint {
             director,
             host: host.to_string(),
-            sheet: table,
-            w: weight,
-        }),
-        Action::ClearTable { table } => Some(Order::Empty {
-            director,
-            sheet: table,
+            table,
+            weight,
         }),
+        Action::ClearTable { table } => Some(Order::ClearTable { director, table }),
         Action::BindProxy {
             proxy,
             table,
             classes,
-        } => Some(Order::Pin {
+        } => Some(Order::BindProxy {
             director,
-            sheet: table,
-            only: classes,
-            agent: proxy,
+            table,
+            classes,
+            proxy,
         }),
         Action::SetAdmission {
             table,
             classes,
             quota,
             retry_policy,
-        } => Some(Order::Level {
+        } => Some(Order::SetAdmission {
             director,
-            sheet: table,
+            table,
             quota,
-            only: classes,
-            again: retry_policy as u8,
+            classes,
+            retry_policy: retry_policy as u8,
         }),
         _ => None,
     }
--- a/crates/tools/bench-adapter/tests/fronts/adapter.rs
+++ b/crates/tools/bench-adapter/tests/fronts/adapter.rs
@@ -1,26 +1,26 @@
-//! The adapter's process on its wire.
+//! The adapter's process, driven through its JSON messages.
 
-use crate::script::{HOSTS, Listed, ScriptEvent, options};
+use crate::script::{HOSTS, ListedHost, ScriptEvent, options};
 use serde_json::{Value, json};
 use std::io::{BufRead, BufReader, Write};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// A timer that the adapter asked for.
+/// A timer that the adapter started.
 struct Timer {
     at: f64,
     token: String,
 }
 
-/// The process, and what it has asked for.
+/// A running adapter process with its timers and the events to send.
 pub struct Adapter {
     child: Child,
     input: ChildStdin,
     output: BufReader<ChildStdout>,
-    batch: u64,
-    /// The number of its last batch that asked to be acknowledged.
+    batch_number: u64,
+    /// Number of the last requested acknowledgement.
     ack_number: u64,
     timers: Vec<Timer>,
-    /// Events for the next batch.
+    /// Queued events for the next batch.
     events: Vec<Value>,
 }
 
@@ -38,16 +38,16 @@
             child,
             input,
             output,
-            batch: 0,
+            batch_number: 0,
             ack_number: 0,
             timers: Vec::new(),
             events: Vec::new(),
         }
     }
 
-    /// The instance starts and gets the list.
+    /// Queues the start of an instance and the list of hosts, as cached and as current.
     pub fn provision(&mut self) {
-        let rows = HOSTS.map(|host| row(&Listed::ready(host), 0.0));
+        let rows = HOSTS.map(|host| row(&ListedHost::ready(host), 0.0));
         self.events
             .push(json!({"m": "Provision", "director": 0, "nonce64": 7, "options": options()}));
         for kind in ["warm_copy", "total"] {
@@ -57,15 +57,15 @@
         }
     }
 
-    /// Queues timers that are due; answers whether there were any.
+    /// Queues the events of timers that are due. Returns whether there were any.
     pub fn fire_timers(&mut self, now: f64) -> bool {
         let due = self.timers.extract_if(.., |timer| timer.at <= now);
         let fired: Vec<Value> = due
             .map(|timer| json!({"m": "Fired", "director": 0, "ctx": timer.token}))
             .collect();
-        let any = !fired.is_empty();
+        let is_any_due = !fired.is_empty();
         self.events.extend(fired);
-        any
+        is_any_due
     }
 
     /// Queues an event for the next batch.
@@ -97,22 +97,22 @@
         });
     }
 
-    /// Sends what is queued as one batch; answers its orders in the relay's words.
+    /// Sends the queued events as one batch and returns the orders of the reply in the relay's syntax.
     pub fn send_batch(&mut self, now: f64) -> Vec<String> {
-        self.batch += 1;
+        self.batch_number += 1;
         let events = std::mem::take(&mut self.events);
-        let batch = json!({"clock-ms": now, "n": self.batch, "input": events});
+        let batch = json!({"clock-ms": now, "n": self.batch_number, "input": events});
         writeln!(self.input, "{batch}").expect("written");
         let mut line = String::new();
         self.output.read_line(&mut line).expect("a reply");
         let reply: Value = serde_json::from_str(&line).expect("JSON");
         let orders = reply["out"].as_array().expect("orders").clone();
-        let words = orders.iter().filter_map(|order| self.relay_words(order));
-        words.collect()
+        let relay_orders = orders.iter().filter_map(|order| self.handle_order(order));
+        relay_orders.collect()
     }
 
-    /// An order in the relay's words; none of one that is for the adapter's host alone.
-    fn relay_words(&mut self, order: &Value) -> Option<String> {
+    /// Returns an order in the relay's syntax. A timer is started and a log line ignored; both give `None`.
+    fn handle_order(&mut self, order: &Value) -> Option<String> {
         let (table, host) = (&order["sheet"], order["host"].as_str().unwrap_or(""));
         let number = |key: &str| order[key].as_f64().unwrap_or(-1.0);
         let classes = match order["only"].as_u64() {
@@ -128,8 +128,8 @@
             "Bench" if order["on"] == true => format!("withdraw,{host}"),
             "Bench" => format!("restore,{host}"),
             "Level" => {
-                let (quota, again) = (number("quota"), &order["again"]);
-                format!("admit,{table},{classes},{quota},{again}")
+                let (quota, retry_policy) = (number("quota"), &order["again"]);
+                format!("admit,{table},{classes},{quota},{retry_policy}")
             }
             "Seal" => {
                 self.ack_number = order["number"].as_u64()?;
@@ -142,18 +142,18 @@
                 return None;
             }
             "NoteDown" => return None,
-            other => panic!("no word for {other}"),
+            other => panic!("unexpected order: {other}"),
         })
     }
 
-    /// Ends the input and waits for the process.
+    /// Closes the adapter's standard input and waits until the process exits.
     pub fn end(mut self) {
         drop(self.input);
         self.child.wait().expect("the adapter ends");
     }
 }
 
-fn row(listed: &Listed, now: f64) -> Value {
+fn row(listed: &ListedHost, now: f64) -> Value {
     json!({"host": listed.host.id, "locality": listed.host.zone, "unit-group": 0, "readiness": listed.phase,
         "w": 1.0, "up-since-ms": listed.started_at(now)})
 }
--- a/crates/tools/bench-adapter/tests/fronts/main.rs
+++ b/crates/tools/bench-adapter/tests/fronts/main.rs
@@ -1,105 +1,114 @@
-//! The same events give the same actions through both fronts: one script goes through this adapter's wire and
-//! through the protocol's codecs with the session of the real director, and the orders are compared.
+//! Compares the two fronts of the policy: the same script is run through the adapter's process and through the
+//! director's session, and both must give the same orders.
 
 mod adapter;
 mod script;
 mod session;
 
 use adapter::Adapter;
-use script::{Happening, script};
-use session::RealDirector;
+use script::{TimedEvent, script};
+use session::SessionFront;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Time of day at which the script begins, in ms since 1970.
-const START: f64 = 1_700_000_000_000.0;
-/// The span for which both collect events, in ms.
-const QUANTUM: f64 = 4.0;
-/// How long the script is played, in ms.
-const LENGTH: u32 = 26_000;
+const START_TIME: f64 = 1_700_000_000_000.0;
+/// Time for which both fronts collect events into a batch, in ms.
+const BATCH_INTERVAL: f64 = 4.0;
+/// Duration of the run, in ms.
+const RUN_LENGTH: u32 = 26_000;
 
-/// Orders of a batch in the relay's words, by the millisecond.
+/// Batches of orders in the relay's syntax, by time in ms.
 type Batches = BTreeMap<u64, Vec<String>>;
 
-/// Both fronts on one fake clock.
-struct Play {
+/// Both fronts on a common fake clock.
+struct FrontPair {
     adapter: Adapter,
-    director: RealDirector,
-    script: VecDeque<Happening>,
-    /// When the adapter's next batch is due.
+    session: SessionFront,
+    script: VecDeque<TimedEvent>,
+    /// Time of the adapter's next batch; `None` if no event is queued.
     next_batch: Option<f64>,
-    /// What the adapter ordered.
-    batches: Batches,
+    adapter_batches: Batches,
 }
 
-impl Play {
-    /// Both have started; the adapter's first batch comes when the session's first quantum is over.
-    fn new() -> Play {
+impl FrontPair {
+    /// Starts both fronts. The adapter's first batch is sent at the end of the session's first batch interval.
+    fn new() -> FrontPair {
         let mut adapter = Adapter::spawn();
         adapter.provision();
-        Play {
+        FrontPair {
             adapter,
-            director: RealDirector::start(),
+            session: SessionFront::start(),
             script: script().into(),
-            next_batch: Some(START + QUANTUM),
-            batches: Batches::new(),
+            next_batch: Some(START_TIME + BATCH_INTERVAL),
+            adapter_batches: Batches::new(),
         }
     }
 
-    /// One millisecond.
+    /// Advances both fronts to `now`, 1 ms after the previous step.
     fn step(&mut self, now: f64) {
         if self.adapter.fire_timers(now) {
-            self.next_batch.get_or_insert(now + QUANTUM);
+            self.next_batch.get_or_insert(now + BATCH_INTERVAL);
         }
-        self.director.step(now);
+        self.session.step(now);
         if self.next_batch.is_some_and(|at| at <= now) {
             self.next_batch = None;
             let orders = self.adapter.send_batch(now);
             if !orders.is_empty() {
-                self.batches.insert(now as u64, orders);
+                self.adapter_batches.insert(now as u64, orders);
             }
         }
-        while let Some(due) = self.script.pop_front_if(|next| START + next.at <= now) {
+        while let Some(due) = self.script.pop_front_if(|next| START_TIME + next.at <= now) {
             self.adapter.queue_event(&due.event, now);
-            self.next_batch.get_or_insert(now + QUANTUM);
-            self.director.handle_event(now, &due.event);
+            self.next_batch.get_or_insert(now + BATCH_INTERVAL);
+            self.session.handle_event(now, &due.event);
         }
     }
 }
 
-/// Orders without the millisecond of their batch, as a timer may be seen in the one before or after. Figures are
-/// rounded, as this test's reader of JSON may be off by their last digit.
+/// Batches without their time, as the fronts may handle a timer 1 ms apart. Numbers are rounded, as the JSON parser may
+/// be off in the last digit.
 fn comparable(batches: &Batches) -> Vec<Vec<String>> {
-    let figure = |word: &str| match word.parse::<f64>() {
+    let round_number = |word: &str| match word.parse::<f64>() {
         Ok(value) => format!("{value:.12}"),
         Err(_) => word.to_string(),
     };
-    let plain = |order: &String| order.split(',').map(figure).collect::<Vec<_>>().join(",");
+    let normalize = |order: &String| {
+        order
+            .split(',')
+            .map(round_number)
+            .collect::<Vec<_>>()
+            .join(",")
+    };
     let batches = batches.values();
     batches
-        .map(|orders| orders.iter().map(plain).collect())
+        .map(|orders| orders.iter().map(normalize).collect())
         .collect()
 }
 
 #[test]
 fn the_same_events_give_the_same_actions_through_both_fronts() {
-    let mut play = Play::new();
+    let mut fronts = FrontPair::new();
 
-    (1..LENGTH).for_each(|ms| play.step(START + f64::from(ms)));
-    play.adapter.end();
+    (1..RUN_LENGTH).for_each(|ms| fronts.step(START_TIME + f64::from(ms)));
+    fronts.adapter.end();
 
-    let (ours, theirs) = (&play.batches, &play.director.calls);
+    let (adapter_batches, session_batches) = (&fronts.adapter_batches, &fronts.session.calls);
     assert!(
-        ours.len() > 20,
-        "the script has the director order something: {} times",
-        ours.len()
+        adapter_batches.len() > 20,
+        "too few batches with orders: {}",
+        adapter_batches.len()
     );
-    let orders = ours.values().flatten();
+    let orders = adapter_batches.values().flatten();
     let kinds: Vec<&str> = orders.filter_map(|o| o.split(',').next()).collect();
     for kind in ["share", "bind", "withdraw", "admit", "mark", "restore"] {
-        assert!(kinds.contains(&kind), "the script covers {kind}");
+        assert!(kinds.contains(&kind), "no order of kind {kind}");
     }
-    for (index, (ours, theirs)) in comparable(ours).iter().zip(comparable(theirs)).enumerate() {
-        assert_eq!(*ours, theirs, "batch {index}");
+    for (index, (adapter, session)) in comparable(adapter_batches)
+        .iter()
+        .zip(comparable(session_batches))
+        .enumerate()
+    {
+        assert_eq!(*adapter, session, "batch {index}");
     }
-    assert_eq!(ours.len(), theirs.len());
+    assert_eq!(adapter_batches.len(), session_batches.len());
 }
--- a/crates/tools/bench-adapter/tests/fronts/script.rs
+++ b/crates/tools/bench-adapter/tests/fronts/script.rs
@@ -1,6 +1,6 @@
-//! What happens, in the terms of neither front.
+//! Script of events, independent of the fronts that handle them.
 
-use super::QUANTUM;
+use super::BATCH_INTERVAL;
 use serde_json::{Value, json};
 
 pub const HOSTS: [ScriptHost; 6] = [
@@ -14,7 +14,6 @@
 pub const ZONES: [&str; 2] = ["east", "west"];
 pub const CLASSES: [&str; 2] = ["look", "pay"];
 
-/// A host and its zone.
 #[derive(Clone, Copy)]
 pub struct ScriptHost {
     pub id: &'static str,
@@ -27,32 +26,31 @@
     }
 }
 
-/// A host as the list has it.
+/// Entry of the list of hosts.
 #[derive(Clone, Copy)]
-pub struct Listed {
+pub struct ListedHost {
     pub host: ScriptHost,
     pub phase: &'static str,
-    /// Time since its start, in ms; 0: it started long ago.
+    /// Time since the host's start, in ms; 0 if it started long ago.
     pub age: f64,
 }
 
-impl Listed {
-    /// A host that has been ready for long.
-    pub fn ready(host: ScriptHost) -> Listed {
-        Listed {
+impl ListedHost {
+    /// Entry of a ready host that started long ago.
+    pub fn ready(host: ScriptHost) -> ListedHost {
+        ListedHost {
             host,
             phase: "Ready",
             age: 0.0,
         }
     }
 
-    /// When it started; 0: long ago.
+    /// Start time of the host; 0 if it started long ago.
     pub fn started_at(&self, now: f64) -> f64 {
         if self.age > 0.0 { now - self.age } else { 0.0 }
     }
 }
 
-/// Something that happens.
 #[derive(Clone, Copy)]
 pub enum ScriptEvent {
     ProxyJoins {
@@ -63,7 +61,7 @@
     ProxyLeaves {
         proxy: u32,
     },
-    /// A proxy acknowledges the last batch.
+    /// A proxy acknowledges the last batch that requested it.
     Acknowledged {
         proxy: u32,
     },
@@ -79,17 +77,17 @@
         attempts: f64,
         failed: f64,
     },
-    HostChanges(Listed),
+    HostChanges(ListedHost),
 }
 
-/// An event, and when it happens, in ms after the start.
-pub struct Happening {
+pub struct TimedEvent {
+    /// Time since the start, in ms.
     pub at: f64,
     pub event: ScriptEvent,
 }
 
-fn at(at: f64, event: ScriptEvent) -> Happening {
-    Happening { at, event }
+fn at(at: f64, event: ScriptEvent) -> TimedEvent {
+    TimedEvent { at, event }
 }
 
 fn joins(proxy: u32, zone: usize, rate: f64) -> ScriptEvent {
@@ -102,11 +100,11 @@
 
 fn changes(id: &'static str, zone: usize, phase: &'static str, age: f64) -> ScriptEvent {
     let host = ScriptHost::new(id, zone);
-    ScriptEvent::HostChanges(Listed { host, phase, age })
+    ScriptEvent::HostChanges(ListedHost { host, phase, age })
 }
 
-/// What happens.
-pub fn script() -> Vec<Happening> {
+/// Joins, leaves, acknowledgements, host changes and reports, in order of time.
+pub fn script() -> Vec<TimedEvent> {
     let mut all = vec![
         at(320.0, joins(0, 0, 6.0)),
         at(320.0, joins(1, 1, 5.0)),
@@ -131,8 +129,8 @@
     all
 }
 
-/// A second's reports: a host fails for a while, and later there is an overload.
-fn reports(second: u32) -> Vec<Happening> {
+/// Reports of one second. One host fails from second 6 to 8, and all hosts are overloaded from second 15 to 18.
+fn reports(second: u32) -> Vec<TimedEvent> {
     let begin = f64::from(second) * 1000.0;
     let mut all = Vec::new();
     for (index, host) in HOSTS.into_iter().enumerate() {
@@ -161,7 +159,7 @@
     all
 }
 
-/// The settings object.
+/// Settings for both fronts.
 pub fn options() -> Value {
     json!({
         "categories": [
@@ -175,6 +173,6 @@
             "overload-for-ms": 2000.0},
         "penalties": {"cross-zone": 0.12},
         "reporting": {"source": "inline"},
-        "zones": ["east", "west"], "my-zone": 0, "balancers": 2, "quantum-ms": QUANTUM, "weight-source": "rough"
+        "zones": ["east", "west"], "my-zone": 0, "balancers": 2, "quantum-ms": BATCH_INTERVAL, "weight-source": "rough"
     })
 }
--- a/crates/tools/bench-adapter/tests/fronts/session.rs
+++ b/crates/tools/bench-adapter/tests/fronts/session.rs
@@ -1,7 +1,7 @@
-//! The session of the real director, with a relay that takes every call at once and a discovery that answers at once.
+//! The director's session, with a simulated relay and discovery that respond immediately.
 
-use crate::script::{CLASSES, HOSTS, Listed, ScriptEvent, ZONES, options};
-use crate::{Batches, START};
+use crate::script::{CLASSES, HOSTS, ListedHost, ScriptEvent, ZONES, options};
+use crate::{Batches, START_TIME};
 use bytes::Bytes;
 use rushcourse_director_settings::{DeploymentSettings, Names};
 use rushcourse_director_state::{
@@ -12,62 +12,62 @@
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 
-/// The collector's connection.
+/// Identifier of the collector's connection, the only inbound one.
 const COLLECTOR: InboundId = InboundId(1);
-/// Time after which a watch of the list ends without a change, in ms.
+/// Time after which discovery answers a watch without changes, in ms.
 const WATCH_TIMEOUT: f64 = 3900.0;
 
-pub struct RealDirector {
+pub struct SessionFront {
     session: Session,
-    /// When it wants to be called.
+    /// Time of the next requested wake; infinite if there is none.
     wake_at: f64,
-    /// The generation of its connection to the relay's watch.
+    /// Generation of the current connection to the relay's watch.
     watch_generation: u64,
     list_request: FetchId,
     list_requested_at: f64,
     list_revision: u64,
-    /// The number of its last call that asked to be acknowledged.
+    /// Number of the last requested acknowledgement.
     ack_number: u64,
-    /// Calls to the relay.
+    /// Orders of the calls to the relay, by time in ms.
     pub calls: Batches,
 }
 
-impl RealDirector {
-    /// A director that has started; a collector has dialled in.
-    pub fn start() -> RealDirector {
-        let mut director = RealDirector {
+impl SessionFront {
+    /// Starts a director and connects a collector.
+    pub fn start() -> SessionFront {
+        let mut director = SessionFront {
             session: session(),
             wake_at: f64::INFINITY,
             watch_generation: 0,
             list_request: FetchId(0),
-            list_requested_at: START,
+            list_requested_at: START_TIME,
             list_revision: 1,
             ack_number: 0,
             calls: Batches::new(),
         };
-        director.give(START, Input::Start);
-        director.give(
-            START,
+        director.handle_input(START_TIME, Input::Start);
+        director.handle_input(
+            START_TIME,
             Input::InboundOpened {
                 inbound: COLLECTOR,
                 peer: "collector".into(),
             },
         );
-        director.collector_message(START, &json!({"@type": "collector", "az": "east"}));
+        director.collector_message(START_TIME, &json!({"@type": "collector", "az": "east"}));
         director
     }
 
-    /// Ends a watch of the list whose time is over, and calls the session as it asked.
+    /// Answers a watch of the list after [`WATCH_TIMEOUT`], and wakes the session if that is due.
     pub fn step(&mut self, now: f64) {
         if now - self.list_requested_at >= WATCH_TIMEOUT {
             self.list_changes(now, &[]);
         }
         if self.wake_at <= now {
-            self.give(now, Input::Wake);
+            self.handle_input(now, Input::Wake);
         }
     }
 
-    /// Something happens.
+    /// Passes an event of the script to the session as the corresponding message of the relay, collector or discovery.
     pub fn handle_event(&mut self, now: f64, event: &ScriptEvent) {
         match event {
             ScriptEvent::ProxyJoins { proxy, zone, rate } => {
@@ -111,11 +111,11 @@
             link: RelayLink::Watch,
             generation: self.watch_generation,
         };
-        self.give(now, Input::RelayLine { connection, line });
+        self.handle_input(now, Input::RelayLine { connection, line });
     }
 
     fn collector_message(&mut self, now: f64, message: &Value) {
-        self.give(
+        self.handle_input(
             now,
             Input::InboundMessage {
                 inbound: COLLECTOR,
@@ -124,23 +124,23 @@
         );
     }
 
-    /// Discovery answers the last request with changes of the list.
+    /// Answers the director's last discovery request with changed members of the list.
     fn list_changes(&mut self, now: f64, members: &[Value]) {
         let body = json!({"revision": self.list_revision, "complete": false, "members": members});
         let (request, body) = (self.list_request, Bytes::from(body.to_string()));
-        self.give(now, Input::EndpointsFetched { request, body });
+        self.handle_input(now, Input::EndpointsFetched { request, body });
     }
 
-    fn give(&mut self, now: f64, input: Input) {
+    fn handle_input(&mut self, now: f64, input: Input) {
         let mut inputs = VecDeque::from([input, Input::Wake]);
         while let Some(input) = inputs.pop_front() {
             for effect in self.session.step(now, input) {
-                self.carry_out(now, effect, &mut inputs);
+                self.apply_effect(now, effect, &mut inputs);
             }
         }
     }
 
-    fn carry_out(&mut self, now: f64, effect: Effect, inputs: &mut VecDeque<Input>) {
+    fn apply_effect(&mut self, now: f64, effect: Effect, inputs: &mut VecDeque<Input>) {
         match effect {
             Effect::ConnectRelay { connection, .. } => {
                 if connection.link == RelayLink::Watch {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The relay takes a call; answers what it says.
+    /// Records the orders of a call and returns the relay's answer.
     fn relay_call(&mut self, now: f64, line: &str) -> String {
         let orders = line.trim_end().trim_start_matches("APPLY ");
         let orders: Vec<String> = orders.split(';').map(String::from).collect();
@@ -186,15 +186,15 @@
 
 fn session() -> Session {
     let settings: DeploymentSettings = serde_json::from_value(options()).expect("options");
-    let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
+    let unused_address = SocketAddr::from(([127, 0, 0, 1], 1));
     let limits = ProcessLimits {
         memory_mb: 192.0,
         descriptors: 1024,
     };
     Session::new(SessionConfig {
         addresses: ServiceAddresses {
-            relay: nowhere,
-            discovery: nowhere,
+            relay: unused_address,
+            discovery: unused_address,
         },
         limits: limits.session(),
         has_relay: true,
@@ -207,11 +207,11 @@
 }
 
 fn complete_list(revision: u64) -> String {
-    let members = HOSTS.map(|host| member(&Listed::ready(host), 0.0));
+    let members = HOSTS.map(|host| member(&ListedHost::ready(host), 0.0));
     json!({"revision": revision, "complete": true, "members": members}).to_string()
 }
 
-fn member(listed: &Listed, now: f64) -> Value {
+fn member(listed: &ListedHost, now: f64) -> Value {
     json!({"id": listed.host.id, "host_port": "127.0.0.1:1", "locality": ZONES[listed.host.zone],
         "flavor": "m", "cell": 0, "phase": listed.phase, "size": 1.0, "up_since_ms": listed.started_at(now)})
 }
--- a/crates/tools/bench-adapter/tests/process.rs
+++ b/crates/tools/bench-adapter/tests/process.rs
@@ -1,4 +1,4 @@
-//! The built adapter as a process: bad input, end of input, and instances that act alike wherever they run.
+//! Runs the built adapter as a process: replies, invalid input, and independence of instances.
 
 use serde_json::{Value, json};
 use std::io::Write;
@@ -12,7 +12,7 @@
         .spawn()
         .expect("the adapter starts");
     let text = lines.join("\n") + "\n";
-    // It may stop reading early: what it could not take is no matter here.
+    // The write fails if the adapter exits early because of invalid input.
     let _ = child
         .stdin
         .take()
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_day_of_three_batches_ends_well() {
+fn three_batches_are_answered_and_the_adapter_exits_successfully() {
     let fired = json!({"m": "Fired", "director": 3, "ctx": "round"});
     let out = run(&[
         batch(1, 5.0, vec![]),
@@ -70,19 +70,25 @@
             .map(|a| a["m"].as_str().unwrap())
             .collect()
     };
-    assert_eq!(kinds(1), ["Schedule"], "it opens a round after its start");
-    let all = kinds(2);
+    assert_eq!(
+        kinds(1),
+        ["Schedule"],
+        "the start schedules the first round"
+    );
+    let last_kinds = kinds(2);
     assert!(
-        all.contains(&"Pin") && all.contains(&"Seal") && all.contains(&"Schedule"),
-        "{all:?}"
+        last_kinds.contains(&"Pin")
+            && last_kinds.contains(&"Seal")
+            && last_kinds.contains(&"Schedule"),
+        "{last_kinds:?}"
     );
 }
 
 #[test]
-fn a_line_that_is_no_json_gets_one_plain_line_and_a_failure() {
+fn malformed_json_ends_the_adapter_with_a_one_line_error() {
     let out = run(&[batch(1, 5.0, vec![]), "{\"n\":2, oops".into()]);
     assert!(!out.status.success());
-    assert_eq!(replies(&out).len(), 1, "nothing more on standard output");
+    assert_eq!(replies(&out).len(), 1, "no reply to the malformed batch");
     let text = String::from_utf8_lossy(&out.stderr).to_string();
     assert!(
         text.lines().count() == 1 && text.contains("batch 2"),
@@ -91,7 +97,7 @@
 }
 
 #[test]
-fn a_missing_field_is_named_with_its_batch() {
+fn missing_field_is_reported_with_its_batch() {
     let event = json!({"m": "DialledIn", "director": 3, "w": 3.5});
     for (line, field) in [
         (batch(7, 5.0, vec![event]), "agent"),
@@ -104,14 +110,14 @@
         let out = run(&[line]);
         assert!(!out.status.success() && out.stdout.is_empty());
         let text = String::from_utf8_lossy(&out.stderr).to_string();
-        let named = text.contains(field) && text.contains("batch");
-        assert!(text.lines().count() == 1 && named, "{text}");
+        let is_named = text.contains(field) && text.contains("batch");
+        assert!(text.lines().count() == 1 && is_named, "{text}");
     }
 }
 
 #[test]
 fn unknown_kinds_keys_and_values_are_ignored() {
-    let odd = vec![
+    let unknown = vec![
         json!({"m": "Novelty", "director": 3, "x": 1}),
         json!({"m": "Observed", "director": 3, "host": "host_a", "locality": 0, "tries-n": 3, "more": [],
                "server-stats": {"mood": 0.3, "cpu_share": "high"}}),
@@ -121,14 +127,14 @@
     let out = run(&[
         batch(1, 10.0, start(3)),
         batch(2, 300.0, vec![]),
-        batch(3, 310.0, odd),
+        batch(3, 310.0, unknown),
     ]);
     assert!(out.status.success());
     assert_eq!(replies(&out)[2]["out"], json!([]));
 }
 
 #[test]
-fn settings_without_sense_get_a_note() {
+fn unusable_settings_are_logged() {
     let mut events = start(3);
     events[0]["options"]["categories"] = json!([]);
     let out = run(&[batch(1, 10.0, events), batch(2, 20.0, vec![joined(3, 1)])]);
@@ -139,8 +145,8 @@
 }
 
 #[test]
-fn instances_act_alike_in_one_process_and_in_three() {
-    let day = |ids: &[u64]| -> Vec<String> {
+fn instances_give_the_same_orders_in_one_process_and_in_separate_ones() {
+    let input = |ids: &[u64]| -> Vec<String> {
         let mut lines = vec![batch(
             1,
             10.0,
@@ -164,17 +170,17 @@
         }
         lines
     };
-    let of = |out: &Output, id: u64| -> Vec<Value> {
+    let orders_of = |out: &Output, id: u64| -> Vec<Value> {
         let all = replies(out)
             .into_iter()
             .flat_map(|r| r["out"].as_array().unwrap().clone());
         all.filter(|a| a["director"] == id).collect()
     };
-    let together = run(&day(&[1, 2, 3]));
+    let together = run(&input(&[1, 2, 3]));
     for id in 1..=3 {
-        let alone = run(&day(&[id]));
+        let alone = run(&input(&[id]));
         assert!(alone.status.success());
-        assert!(!of(&alone, id).is_empty());
-        assert_eq!(of(&together, id), of(&alone, id));
+        assert!(!orders_of(&alone, id).is_empty());
+        assert_eq!(orders_of(&together, id), orders_of(&alone, id));
     }
 }
