--- a/crates/tools/simulation/src/script.rs
+++ b/crates/tools/simulation/src/script.rs
@@ -17,7 +17,7 @@
 /// all tables from scratch.
 pub const FINAL_RESTART: Ms = RUN_LENGTH - 10_000.0;
 
-/// A backend host.
+/// Backend host to which proxies send requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Host {
     /// Unique name, as in the list of hosts.
@@ -92,7 +92,7 @@
     HostChanges {
         /// Index into [`Script::hosts`].
         host: usize,
-        /// Phase from now on.
+        /// Phase that the entry has from now on.
         phase: Phase,
         /// Whether the host starts now. Otherwise its start time is unchanged.
         has_just_started: bool,
--- a/crates/tools/simulation/src/suite/compare.rs
+++ b/crates/tools/simulation/src/suite/compare.rs
@@ -22,7 +22,6 @@
     pub is_rescaled: bool,
 }
 
-/// A host's weight in both tables.
 #[derive(Clone, Copy, Debug)]
 struct WeightPair {
     actual: f64,
--- a/crates/tools/simulation/src/world/list.rs
+++ b/crates/tools/simulation/src/world/list.rs
@@ -3,7 +3,6 @@
 use crate::script::{Phase, Script};
 use rushcourse_policy::interface::Ms;
 
-/// Entry of the list of hosts.
 #[derive(Clone, Copy)]
 pub(super) struct ListedHost {
     pub(super) phase: Phase,
@@ -11,7 +10,6 @@
     pub(super) started_at: Ms,
 }
 
-/// Discovery's list of hosts with its revision.
 pub(super) struct HostList {
     pub(super) revision: u64,
     /// Entries by index in the script; `None` until a host is listed for the first time.
--- a/crates/tools/simulation/src/world/play.rs
+++ b/crates/tools/simulation/src/world/play.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Passes the current list of hosts to the checker.
+    /// Passes the listed hosts to the checker, with start times relative to the start of the run.
     pub(super) fn report_hosts_to_checker(&mut self) {
         for (host, listed) in self.script.hosts.iter().zip(&self.list.hosts) {
             if let Some(listed) = listed {
--- a/crates/tools/simulation/src/world/state.rs
+++ b/crates/tools/simulation/src/world/state.rs
@@ -13,7 +13,6 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// State of a simulated proxy.
 #[derive(Default)]
 pub(super) struct SimulatedProxy {
     pub(super) is_joined: bool,
@@ -132,7 +131,7 @@
             .message_sent(self.now, self.proxy_number(proxy));
     }
 
-    /// The table that a proxy currently uses for a class.
+    /// The table that a proxy uses for a class, or `None` if it has received none.
     fn current_table(&self, proxy: usize, class: &str) -> Option<ProxyTable> {
         let state = &self.proxies[proxy];
         if self.uses_relay(proxy) {
@@ -143,7 +142,6 @@
         }
     }
 
-    /// Passes the current tables of a proxy to the checker.
     pub(super) fn report_tables_to_checker(&mut self, proxy: usize) {
         for class in CLASSES {
             if let Some(table) = self.current_table(proxy, class) {
@@ -153,7 +151,6 @@
         }
     }
 
-    /// The current tables of all proxies, by class.
     pub(super) fn all_tables(&self) -> Tables {
         let mut tables = BTreeMap::new();
         for (proxy, state) in self.proxies.iter().enumerate() {
