--- a/crates/tools/bench-adapter/src/instances.rs
+++ b/crates/tools/bench-adapter/src/instances.rs
@@ -18,9 +18,7 @@
     pub fn handle(&mut self, batch: Batch) -> Vec<Order> {
         let mut orders = Vec::new();
         for (id, events) in batch.instances {
-            let result = catch_unwind(AssertUnwindSafe(|| {
-                self.handle_instance(id, events, batch.clock)
-            }));
+            let result = catch_unwind(AssertUnwindSafe(|| self.dispatch(id, events, batch.clock)));
             match result {
                 Ok(actions) => {
                     orders.extend(
@@ -38,7 +36,7 @@
         orders
     }
 
-    fn handle_instance(&mut self, id: InstanceId, events: InstanceEvents, now: Ms) -> Vec<Action> {
+    fn dispatch(&mut self, id: InstanceId, events: InstanceEvents, now: Ms) -> Vec<Action> {
         if events.is_stopped {
             self.0.remove(&id);
         }
--- a/crates/tools/bench-adapter/tests/fronts/main.rs
+++ b/crates/tools/bench-adapter/tests/fronts/main.rs
@@ -68,20 +68,14 @@
 /// Batches without their time, as the fronts may handle a timer 1 ms apart. Numbers are rounded, as the JSON parser may
 /// be off in the last digit.
 fn comparable(batches: &Batches) -> Vec<Vec<String>> {
-    let round_number = |word: &str| match word.parse::<f64>() {
+    let round = |word: &str| match word.parse::<f64>() {
         Ok(value) => format!("{value:.12}"),
         Err(_) => word.to_string(),
     };
-    let normalize = |order: &String| {
-        order
-            .split(',')
-            .map(round_number)
-            .collect::<Vec<_>>()
-            .join(",")
-    };
+    let rounded = |order: &String| order.split(',').map(round).collect::<Vec<_>>().join(",");
     let batches = batches.values();
     batches
-        .map(|orders| orders.iter().map(normalize).collect())
+        .map(|orders| orders.iter().map(rounded).collect())
         .collect()
 }
 
