--- a/crates/director/director-protocol/src/discovery.rs
+++ b/crates/director/director-protocol/src/discovery.rs
@@ -1,4 +1,5 @@
-//! Discovery's list of hosts. Each entry is read by itself: one that can't be read does not cost the others.
+//! Codec of the host list that discovery serves. Entries are decoded one by one, so that an invalid entry does not
+//! invalidate the list.
 
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -6,64 +7,64 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The path of the complete list.
+/// HTTP path of the complete list.
 pub const LIST_PATH: &str = "/v1/endpoints";
 
-/// The path of a watch, which is answered once there is something newer than a revision, or after `wait`.
+/// HTTP path of a long poll. Discovery responds once its list is newer than `revision`, or after `wait`.
 pub fn watch_path(revision: u64, wait: Duration) -> String {
     format!("{LIST_PATH}?after={revision}&wait_ms={}", wait.as_millis())
 }
 
-/// An answer of discovery, or the list within a configuration.
+/// A host list, as discovery sends it and as a configuration file may hold it.
 #[derive(Deserialize, Debug)]
 pub struct EndpointList<'a> {
-    /// Numbers the list's changes.
+    /// Number of the list's latest change.
     pub revision: u64,
-    /// Whether all hosts are in it, or only those that changed.
+    /// Whether the list holds all hosts; otherwise it holds only those that changed.
     #[serde(rename = "complete")]
     pub is_complete: bool,
     #[serde(borrow)]
     members: Vec<&'a RawValue>,
 }
 
-/// A host as listed.
+/// An entry of the host list. Names on the wire that differ are in parentheses.
 #[derive(Deserialize, Debug, Clone)]
 pub struct ListedHost<'a> {
-    /// Its name, the same for all directors.
+    /// Identifies the host; all directors see the same id.
     #[serde(borrow)]
     pub id: Cow<'a, str>,
-    /// Where this director reaches it (`host_port`).
+    /// Address and port at which this director reaches the host (`host_port`); empty if missing.
     #[serde(borrow, default, rename = "host_port")]
     pub address: Cow<'a, str>,
-    /// The name of its zone (`locality`).
+    /// Name of the host's zone (`locality`); empty if missing.
     #[serde(borrow, default, rename = "locality")]
     pub zone: Cow<'a, str>,
-    /// The group of hosts that recognize each other's repeated requests.
+    /// Group of hosts that deduplicate each other's repeated requests; 0 if missing.
     #[serde(default, deserialize_with = "number_or_zero")]
     pub cell: f64,
-    /// `Ready`, `Terminating` or `Gone`.
+    /// Lifecycle phase: `Ready`, `Terminating` or `Gone`.
     #[serde(borrow)]
     pub phase: Cow<'a, str>,
-    /// Its weight beside other hosts (`size`).
+    /// Capacity relative to other hosts (`size`); 0 if missing.
     #[serde(default, rename = "size", deserialize_with = "number_or_zero")]
     pub weight: f64,
-    /// Its last start as Unix time in milliseconds (`up_since_ms`); 0 for long ago.
+    /// Last start of the host as Unix time in ms (`up_since_ms`); 0 if it started long ago.
     #[serde(default, rename = "up_since_ms", deserialize_with = "number_or_zero")]
     pub started_at: f64,
 }
 
-/// A number; 0 for any other value, null included: an odd figure does not cost the entry.
+/// Deserializes a number. Any other value, including null, becomes 0 rather than invalidating the entry.
 fn number_or_zero<'de, D: serde::Deserializer<'de>>(from: D) -> Result<f64, D::Error> {
     let value = serde_json::Value::deserialize(from)?;
     Ok(value.as_f64().unwrap_or(0.0))
 }
 
-/// Why an entry of a list can't be used.
+/// Why an entry of a list is skipped.
 #[derive(Debug)]
 pub enum EntryError {
-    /// A field is missing or of another type.
+    /// The entry is not an object, or a field is missing or has the wrong type.
     Malformed(serde_json::Error),
-    /// The host's name is empty, or could not be read back by the relay.
+    /// The id is empty or contains whitespace, a control character, a comma or a semicolon.
     InvalidId(String),
 }
 
@@ -71,7 +72,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             EntryError::Malformed(error) => error.fmt(f),
-            EntryError::InvalidId(id) => write!(f, "id {id:?} is no word"),
+            EntryError::InvalidId(id) => write!(f, "id {id:?} is empty or contains a separator"),
         }
     }
 }
@@ -86,13 +87,13 @@
 }
 
 impl<'a> EndpointList<'a> {
-    /// The entries, each by itself. A host's name has to be one word in the relay's orders.
+    /// Decodes the entries. Ids that would not be a single word in the relay's orders are rejected.
     pub fn hosts(&self) -> impl Iterator<Item = Result<ListedHost<'a>, EntryError>> + '_ {
-        let separates = |c: char| c.is_whitespace() || c.is_control() || c == ',' || c == ';';
+        let is_separator = |c: char| c.is_whitespace() || c.is_control() || c == ',' || c == ';';
         self.members.iter().map(move |raw| {
             let host: ListedHost<'a> =
                 serde_json::from_str(raw.get()).map_err(EntryError::Malformed)?;
-            if host.id.is_empty() || host.id.contains(separates) {
+            if host.id.is_empty() || host.id.contains(is_separator) {
                 return Err(EntryError::InvalidId(host.id.into_owned()));
             }
             Ok(host)
@@ -100,10 +101,10 @@
     }
 }
 
-/// Reads a list.
+/// Decodes a list, except for its entries; see [`EndpointList::hosts`].
 ///
 /// # Errors
-/// The bytes are no JSON object with `revision`, `complete` and `members`.
+/// The bytes are not a JSON object with `revision`, `complete` and `members`.
 pub fn decode(body: &[u8]) -> Result<EndpointList<'_>, serde_json::Error> {
     serde_json::from_slice(body)
 }
--- a/crates/director/director-protocol/src/frames.rs
+++ b/crates/director/director-protocol/src/frames.rs
@@ -1,5 +1,5 @@
-//! Messages at the director's own address. A frame is a length of four bytes, least significant first, and one JSON
-//! object of that length, whose `@type` names its kind.
+//! Codec of the messages on the director's own port. A frame is a length of four bytes in little-endian order, followed
+//! by a JSON object of that many bytes, whose `@type` names the kind of message.
 
 use crate::load_report;
 use bytes::{BufMut, Bytes, BytesMut};
@@ -10,17 +10,16 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// No message is longer.
+/// Longest message that a registered collector may send, without the length prefix.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
-/// No message of a peer is longer that has not registered as a collector: a ping or a registration takes some tens of
-/// bytes.
+/// Longest message of a peer that has not registered as a collector, which only sends pings and its registration.
 pub const MAX_UNREGISTERED_MESSAGE_BYTES: usize = 4 << 10;
 
-/// Bytes of a frame before its message.
+/// Size of the length prefix of a frame.
 const LENGTH_BYTES: usize = 4;
 
-/// Whether the first four bytes of a connection begin an HTTP request instead of a frame. The name of an HTTP method,
-/// read as a length, is far beyond the longest message, so that neither is taken for the other.
+/// Whether the first four bytes of a connection begin an HTTP request rather than a frame. This is unambiguous: the
+/// name of an HTTP method, read as a length, exceeds [`MAX_MESSAGE_BYTES`].
 pub fn is_http(first: [u8; LENGTH_BYTES]) -> bool {
     u32::from_le_bytes(first) as usize > MAX_MESSAGE_BYTES
         && first
@@ -28,65 +27,66 @@
             .all(|byte| byte.is_ascii_uppercase() || *byte == b' ')
 }
 
-/// A message to a director.
+/// A message to a director. The `@type` of each kind is in parentheses.
 #[derive(Debug)]
 pub enum Message<'a> {
-    /// Asks for a pong (`ping`).
+    /// Requests a pong (`ping`).
     Ping,
-    /// The sender is the collector of a zone and reports from now on (`collector`).
+    /// Registers the sender as the collector of a zone, which sends reports from then on (`collector`).
     RegisterCollector {
-        /// The zone's name.
+        /// Name of the zone (`az`).
         zone: Cow<'a, str>,
     },
-    /// What proxies met at a host (`heard`).
+    /// Results of the attempts that a zone's proxies made at one host (`heard`).
     HostReport(HostReport<'a>),
-    /// What clients sent to a proxy (`usage`).
+    /// Requests that clients sent to one proxy (`usage`).
     TrafficReport(TrafficReport<'a>),
-    /// A message of a kind that directors have no use for; its `@type`.
+    /// A message of a kind that directors ignore, with its `@type`.
     Unknown(Cow<'a, str>),
 }
 
-/// What the proxies of a zone met at a host. All fields are of their types; whether their values make sense is looked at
-/// elsewhere.
+/// Results of the attempts that a zone's proxies made at one host. Decoding checks only the types of the fields; the
+/// receiver has to check their ranges.
 #[derive(Debug)]
 pub struct HostReport<'a> {
-    /// The zone's name (`az`).
+    /// Name of the proxies' zone (`az`).
     pub zone: Cow<'a, str>,
-    /// The host's name.
+    /// Id of the host in discovery's list.
     pub host: Cow<'a, str>,
-    /// Attempts that ended (`n`).
+    /// Finished attempts, including failed ones (`n`).
     pub attempts: f64,
-    /// Attempts that failed (`bad`).
+    /// Failed attempts (`bad`).
     pub failed: f64,
-    /// Mean time of the others (`avg`); nothing where there are none.
+    /// Mean latency of the successful attempts (`avg`); `None` if there were none.
     pub mean_latency: Option<Ms>,
-    /// The span that the report covers (`window`).
+    /// Time that the report covers, in ms (`window`).
     pub span: Ms,
-    /// The host's last load report (`report`).
+    /// Latest load report of the host (`report`); empty if there is none.
     pub load: HostLoad,
 }
 
-/// What clients sent to a proxy. All fields are of their types; whether their values make sense is looked at elsewhere.
+/// Requests that clients sent to one proxy. Decoding checks only the types of the fields; the receiver has to check
+/// their ranges.
 #[derive(Debug)]
 pub struct TrafficReport<'a> {
-    /// The proxy's number (`sidecar`).
+    /// Number of the proxy (`sidecar`).
     pub proxy: ProxyId,
-    /// The name of the requests' class (`kind`).
+    /// Name of the request class (`kind`).
     pub class: Cow<'a, str>,
     /// Requests that the proxy admitted (`n`).
     pub attempts: f64,
-    /// Requests that it could not serve (`bad`).
+    /// Requests that the proxy could not serve (`bad`); not a subset of `attempts`.
     pub failed: f64,
-    /// The span that the report covers (`window`).
+    /// Time that the report covers, in ms (`window`).
     pub span: Ms,
 }
 
-/// Why a message can't be read.
+/// Why a message can't be decoded.
 #[derive(Debug)]
 pub enum MessageError {
-    /// The bytes are no JSON object.
+    /// The bytes are not a JSON object.
     NotAnObject(serde_json::Error),
-    /// This field is missing or of another type. The messages around may be good.
+    /// The named field is missing or has the wrong type. Later messages on the connection are unaffected.
     InvalidField(&'static str),
 }
 
@@ -95,7 +95,7 @@
         match self {
             MessageError::NotAnObject(error) => write!(f, "no JSON object ({error})"),
             MessageError::InvalidField(name) => {
-                write!(f, "field {name} is missing or of another type")
+                write!(f, "field {name} is missing or has the wrong type")
             }
         }
     }
@@ -110,11 +110,11 @@
     }
 }
 
-/// The fields of a message, each read by itself: fields that nobody needs may hold anything.
+/// The undecoded fields of a message. Fields that its kind doesn't use may hold any value.
 struct Fields<'a>(BTreeMap<String, &'a RawValue>);
 
 impl<'a> Fields<'a> {
-    /// A field that may be missing; null stands for none.
+    /// Decodes a field; `None` if it is missing or null.
     fn optional<T: Deserialize<'a>>(&self, name: &'static str) -> Result<Option<T>, MessageError> {
         self.0.get(name).map_or(Ok(None), |raw| {
             serde_json::from_str(raw.get()).map_err(|_| MessageError::InvalidField(name))
@@ -125,7 +125,7 @@
         self.optional(name)?.ok_or(MessageError::InvalidField(name))
     }
 
-    /// A text, borrowed from the message wherever it holds no escape.
+    /// Decodes a string, borrowed from the message unless it contains escapes.
     fn text(&self, name: &'static str) -> Result<Cow<'a, str>, MessageError> {
         #[derive(Deserialize)]
         struct Borrowed<'a>(#[serde(borrow)] Cow<'a, str>);
@@ -164,16 +164,16 @@
     }
 }
 
-/// Reads a message, without the length before it.
+/// Decodes a message, without its length prefix.
 ///
 /// # Errors
-/// The bytes are no JSON object, or the message lacks a field that its kind needs.
+/// The bytes are not a JSON object, or a field that the message's kind requires is missing or has the wrong type.
 pub fn decode(message: &[u8]) -> Result<Message<'_>, MessageError> {
     let fields = serde_json::from_slice(message).map_err(MessageError::NotAnObject)?;
     Fields(fields).message()
 }
 
-/// A frame with this message.
+/// Prepends the length to a JSON message.
 fn encode(json: &[u8]) -> Bytes {
     let mut frame = BytesMut::with_capacity(LENGTH_BYTES + json.len());
     frame.put_u32_le(json.len() as u32);
@@ -181,13 +181,13 @@
     frame.freeze()
 }
 
-/// The frame that answers a ping.
+/// The frame that responds to a ping.
 pub fn pong() -> Bytes {
     encode(br#"{"@type":"pong"}"#)
 }
 
-/// The last frame to a peer that is not served.
-pub fn refused(why: &'static str) -> Bytes {
-    let message = serde_json::json!({"@type": "refused", "why": why});
+/// The last frame to a peer that is not served; `reason` tells the peer why.
+pub fn refused(reason: &'static str) -> Bytes {
+    let message = serde_json::json!({"@type": "refused", "why": reason});
     encode(message.to_string().as_bytes())
 }
--- a/crates/director/director-protocol/src/lib.rs
+++ b/crates/director/director-protocol/src/lib.rs
@@ -1,10 +1,10 @@
-//! Codecs of the platform's protocol as a director on sockets speaks it. Pure: bytes in, borrowed messages out, and
-//! back. No I/O, no state, no decision.
+//! Codecs of the platform's protocols as a director speaks them over sockets. They are free of I/O and state, and
+//! decoded messages borrow from the received bytes.
 //!
-//! * [`frames`]: messages at the director's own address.
-//! * [`relay`]: lines of the relay, over which proxies are reached.
-//! * [`discovery`]: the list of hosts.
-//! * [`load_report`]: what hosts report of their load.
+//! * [`frames`]: messages on the director's own port.
+//! * [`relay`]: text lines of the relay, which connects directors to proxies.
+//! * [`discovery`]: the host list.
+//! * [`load_report`]: load reports of hosts.
 
 pub mod discovery;
 pub mod frames;
--- a/crates/director/director-protocol/src/load_report.rs
+++ b/crates/director/director-protocol/src/load_report.rs
@@ -1,14 +1,14 @@
-//! A host's load report: an object within what collectors forward, a line of text from the host itself. Values of
-//! unknown names are skipped; one value out of range, of a known name, makes the whole report invalid.
+//! Codec of hosts' load reports: a JSON object within a collector's message, or a line of text in a host's response to
+//! a health check. Unknown names are ignored; a known name with an invalid value invalidates the whole report.
 
 use rushcourse_policy::interface::HostLoad;
 use serde_json::Value;
 use serde_json::value::RawValue;
 
-/// No host has more requests, or more load on its processors, than this.
+/// Upper bound of every value in a report.
 const MAX_VALUE: f64 = 1e6;
 
-/// Sets the value of a name; nothing if the value is out of range.
+/// Sets the field with this name on the wire. `None` if the value is missing, negative or above [`MAX_VALUE`].
 fn set_value(load: &mut HostLoad, name: &str, value: Option<f64>) -> Option<()> {
     let field = match name {
         "util" => &mut load.cpu_utilization,
@@ -20,7 +20,7 @@
     Some(())
 }
 
-/// The report within a collector's message, empty where there is none; nothing if it is invalid.
+/// Decodes the report within a collector's message. `None` if it is invalid; a missing or null report is empty.
 pub fn from_json(raw: Option<&RawValue>) -> Option<HostLoad> {
     let mut load = HostLoad::default();
     match raw.map_or(Ok(Value::Null), |raw| serde_json::from_str(raw.get())) {
@@ -35,7 +35,7 @@
     Some(load)
 }
 
-/// The report in a host's answer, as `TEXT inflight=7, queue=2, util=0.61`; empty if it is invalid.
+/// Decodes the report in a host's response, such as `TEXT inflight=7, queue=2, util=0.61`; empty if it is invalid.
 pub fn from_text(body: &[u8]) -> HostLoad {
     let text = String::from_utf8_lossy(body);
     let pairs = text
--- a/crates/director/director-protocol/src/relay.rs
+++ b/crates/director/director-protocol/src/relay.rs
@@ -1,21 +1,21 @@
-//! The relay's lines of text: calls with orders, the replies to them, and notifications about proxies.
+//! Codec of the relay's text lines: calls, which carry orders, their replies, and notifications about proxies.
 
 use rushcourse_policy::interface::{AckNumber, Action, Channel, ClassMask, Ms, ProxyId, TableId};
 use std::fmt;
 
-/// A call carries at most so many bytes of orders.
+/// Limit for the orders in one call.
 pub const MAX_ORDER_BYTES: usize = 60_000;
-/// No line of the relay is longer.
+/// Longest line that is accepted from the relay.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
-/// The line that asks for notifications.
+/// The line that subscribes a connection to notifications.
 pub const WATCH_REQUEST: &str = "WATCH\r\n";
 
-/// The table that stands for all of them in an admission level.
+/// Table id that applies an admission order to all tables.
 const ALL_TABLES: TableId = 65_535;
-/// How an order begins that asks proxies to acknowledge a call.
+/// Prefix of the order that requests an acknowledgement from proxies.
 const ACK_REQUEST: &str = "mark,";
 
-/// The classes of a mask, by their names.
+/// Names of the classes in `mask`. A class's position in `classes` is its bit in the mask.
 pub fn class_names(mask: ClassMask, classes: &[String]) -> Vec<&str> {
     classes
         .iter()
@@ -25,12 +25,13 @@
         .collect()
 }
 
-/// One order of a call, as the relay reads it.
+/// An order of a call in the relay's text form.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Order(String);
 
 impl Order {
-    /// Writes an action as an order. Nothing for an action that is not the relay's: it carries the shared channel alone.
+    /// Encodes an action. `None` for actions that don't concern proxies and those on the dedicated channel, which the
+    /// relay doesn't carry.
     pub fn encode(action: &Action, classes: &[String]) -> Option<Order> {
         if channel(action)? == Channel::Dedicated {
             return None;
@@ -74,12 +75,12 @@
         Some(Order(order))
     }
 
-    /// The order's text.
+    /// The encoded order, without a separator.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 
-    /// Whether it asks the proxies that the call reaches to acknowledge it.
+    /// Whether the order requests an acknowledgement from the proxies that the call reaches.
     pub fn is_ack_request(&self) -> bool {
         self.0.starts_with(ACK_REQUEST)
     }
@@ -91,7 +92,7 @@
     }
 }
 
-/// The channel whose proxies an action reaches; nothing for an action that reaches none.
+/// The channel that carries an action to proxies; `None` for actions that don't concern proxies.
 fn channel(action: &Action) -> Option<Channel> {
     match action {
         Action::SetEndpoint { table, .. }
@@ -108,7 +109,7 @@
     }
 }
 
-/// Classes as an order names them.
+/// Encodes a mask as class names joined by `+`; `*` for all classes or an empty mask.
 fn class_list(mask: ClassMask, classes: &[String]) -> String {
     let names = class_names(mask, classes);
     if mask != 0 && names.len() < classes.len() {
@@ -118,7 +119,7 @@
     }
 }
 
-/// A table as an admission level names it.
+/// Encodes the table of an admission order; `*` for [`ALL_TABLES`].
 fn table_name(table: TableId) -> String {
     if table == ALL_TABLES {
         "*".into()
@@ -127,34 +128,34 @@
     }
 }
 
-/// The line of a call.
+/// Encodes a call as one line, including its line end.
 pub fn encode_call(orders: &[Order]) -> String {
     let texts: Vec<&str> = orders.iter().map(Order::as_str).collect();
     format!("APPLY {}\r\n", texts.join(";"))
 }
 
-/// What the relay replies to a call or to [`WATCH_REQUEST`].
+/// The relay's reply to a call or to [`WATCH_REQUEST`].
 #[derive(Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// The call was carried out; so many orders, counted from the first, were accepted.
+    /// The call was executed. The number is the count of accepted orders, starting with the first.
     Accepted(usize),
-    /// `OK` without a number: notifications follow.
+    /// The subscription to notifications has started (`OK` without a number).
     Watching,
-    /// Rejected before the run: nothing was carried out.
+    /// The relay rejected the call before executing any order (`BUSY`).
     Busy,
-    /// The relay reads no call in it: nothing was carried out.
+    /// The relay could not parse the call and executed none of its orders (`SYNTAX`).
     SyntaxError,
-    /// None of these.
+    /// Any other line; it doesn't show whether the call was executed.
     Unreadable,
 }
 
-/// Reads the relay's reply to a call or to [`WATCH_REQUEST`].
+/// Parses the relay's reply to a call or to [`WATCH_REQUEST`].
 pub fn parse_reply(line: &str) -> Reply {
     let mut words = line.split_ascii_whitespace();
     let first = words.next().unwrap_or("").trim_start_matches('-');
     match (first, words.next(), words.next()) {
         ("OK", None, None) => Reply::Watching,
-        // A count is digits alone: a sign is as odd as a word.
+        // `parse` alone would also accept a leading plus sign.
         ("OK", Some(count), None) if count.bytes().all(|byte| byte.is_ascii_digit()) => {
             count.parse().map_or(Reply::Unreadable, Reply::Accepted)
         }
@@ -164,41 +165,41 @@
     }
 }
 
-/// What the relay tells of proxies to whoever watches.
+/// A line that the relay sends to connections that watch its proxies.
 #[derive(Debug, PartialEq)]
 pub enum Notification<'a> {
-    /// A proxy is joined.
+    /// A proxy is connected to the relay.
     ProxyJoined {
-        /// Its number.
+        /// Number of the proxy that joined.
         proxy: ProxyId,
-        /// The name of its zone.
+        /// Name of the proxy's zone.
         zone: &'a str,
-        /// A rough figure of its requests a second.
+        /// Approximate requests per second at the proxy.
         rate: f64,
-        /// It holds no table that was ordered.
+        /// Whether the proxy holds no table that was set by an order.
         is_fresh: bool,
     },
-    /// A proxy has left.
+    /// A proxy has disconnected from the relay.
     ProxyLeft {
-        /// Its number.
+        /// Number of the proxy that left.
         proxy: ProxyId,
     },
-    /// A proxy has applied a call and all before it.
+    /// A proxy has applied a call and all calls before it.
     Applied {
-        /// Its number.
+        /// Number of the acknowledging proxy.
         proxy: ProxyId,
-        /// The number that the call asked to be acknowledged by.
+        /// Identifies the acknowledgement that the call requested.
         ack_number: AckNumber,
-        /// Time from the call to its taking effect.
+        /// Time from the call until it took effect, in ms.
         elapsed: Ms,
     },
-    /// Sent each second, so that silence shows that the relay is out of reach.
+    /// Sent once a second, so that its absence shows that the relay is unreachable.
     KeepAlive,
-    /// A notification of a kind that directors don't know.
+    /// A notification of an unsupported kind.
     Unknown,
 }
 
-/// Reads a notification; nothing if the line is none, or lacks what its kind has.
+/// Parses a notification. `None` if the line is not one, or a field of its kind is missing or invalid.
 pub fn parse_notification(line: &str) -> Option<Notification<'_>> {
     let words: Vec<&str> = line.strip_prefix('*')?.split_ascii_whitespace().collect();
     Some(match words.as_slice() {
@@ -222,7 +223,7 @@
     })
 }
 
-/// A number that is finite and not below 0.
+/// Parses a number, which must be finite and not negative.
 fn parse_number(word: &str) -> Option<f64> {
     let number: f64 = word.parse().ok()?;
     (number.is_finite() && number >= 0.0).then_some(number)
--- a/crates/director/director-settings/src/deployment.rs
+++ b/crates/director/director-settings/src/deployment.rs
@@ -1,13 +1,13 @@
-//! The settings object, field by field, under the names that the platform's page gives them. Fields that begin with an
-//! underscore are read by nobody; they are here so that a value of another type is still reported.
+//! The settings object with the field names that the platform documents. Fields whose names begin with an underscore
+//! are unused; they are declared so that values of the wrong type are rejected.
 
 use rushcourse_policy::interface::Ms;
 use serde::Deserialize;
 
-/// Inputs are collected for at most this long.
+/// Upper bound of [`DeploymentSettings::batch_interval`].
 const MAX_BATCH_INTERVAL: Ms = 100.0;
 
-/// The settings object of a deployment. Unknown fields are skipped.
+/// The settings of a deployment, as the platform writes them in JSON. Unknown fields are ignored.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct DeploymentSettings {
@@ -32,13 +32,13 @@
     pub(crate) registry_mode: String,
     #[serde(default)]
     pub(crate) weight_source: String,
-    /// Least time between two batches of the simulator; on sockets, how long inputs are collected.
+    /// Minimum time between two batches in the simulator; on sockets, how long inputs are collected.
     #[serde(default)]
     quantum_ms: Ms,
 }
 
 impl DeploymentSettings {
-    /// How long inputs are collected before the policy is asked what follows from them.
+    /// How long inputs are collected before the policy processes them as one batch, from 0 to 100 ms.
     pub fn batch_interval(&self) -> Ms {
         if self.quantum_ms.is_finite() {
             self.quantum_ms.clamp(0.0, MAX_BATCH_INTERVAL)
@@ -48,7 +48,6 @@
     }
 }
 
-/// A class of requests.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Category {
@@ -65,7 +64,7 @@
     _key_ttl_ms: Ms,
 }
 
-/// Proxies, and the channel that reaches them.
+/// The proxies of the service, and limits of the channel that carries updates to them.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct FamilyInfo {
@@ -103,7 +102,7 @@
     pub(crate) class_writes: Vec<bool>,
 }
 
-/// How hosts start, drain and leave.
+/// How hosts warm up, drain and are removed.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) struct Rules {
@@ -121,7 +120,7 @@
     _overload_for_ms: Ms,
 }
 
-/// What a director may do.
+/// Optional abilities of a director: checking the health of hosts, and sending messages to its peers.
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub(crate) struct Caps {
@@ -129,7 +128,7 @@
     pub(crate) peer_messages: bool,
 }
 
-/// What things cost beside the value of a response.
+/// Costs of routing decisions, on the scale of a response's value (`worth`).
 #[derive(Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub(crate) struct Penalties {
@@ -138,7 +137,7 @@
     _probe: f64,
 }
 
-/// Where hosts report their load.
+/// How hosts report their load.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Reporting {
--- a/crates/director/director-settings/src/lib.rs
+++ b/crates/director/director-settings/src/lib.rs
@@ -1,11 +1,9 @@
-//! The settings object of a deployment as the platform writes it, and what follows from it. Both fronts, the adapter to
-//! the bench's wire and the director on sockets, read their settings through this package.
+//! The settings of a deployment as the platform writes them, shared by the director on sockets and the bench adapter.
 //!
-//! * [`DeploymentSettings`]: the object, by the names of its page; [`DeploymentSettings::to_policy`] translates it for
-//!   the policy.
-//! * [`Names`]: the names of zones and request classes, which the policy knows by their positions.
-//! * [`InvalidSetting`]: a value that makes no sense, and where it stands.
-//! * [`report_limits`]: ranges that follow from the settings for the numbers of load reports.
+//! * [`DeploymentSettings`]: the settings object; [`DeploymentSettings::to_policy`] converts it for the policy.
+//! * [`Names`]: the names of zones and request classes, which the policy identifies by index.
+//! * [`InvalidSetting`]: a setting that validation rejects, and why.
+//! * [`report_limits`]: range checks for the numbers in load reports.
 
 mod deployment;
 mod names;
--- a/crates/director/director-settings/src/names.rs
+++ b/crates/director/director-settings/src/names.rs
@@ -1,14 +1,13 @@
-//! Names of zones and request classes.
+//! The mapping between the policy's indices of zones and request classes and their names.
 
 use crate::deployment::DeploymentSettings;
 
-/// The names of zones and request classes in the platform's protocol, by the positions under which the policy knows
-/// them.
+/// The names of zones and request classes in the platform's protocol, indexed by the policy's ids.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Names {
-    /// Zones, by their `ZoneId`.
+    /// Zone names, indexed by `ZoneId`.
     pub zones: Vec<String>,
-    /// Request classes, by their `ClassId`.
+    /// Names of the request classes, indexed by `ClassId`.
     pub classes: Vec<String>,
 }
 
--- a/crates/director/director-settings/src/policy.rs
+++ b/crates/director/director-settings/src/policy.rs
@@ -1,4 +1,4 @@
-//! The settings in the policy's terms. Names and units only: no value is changed.
+//! Converts the deployment's settings to the policy's settings, without changing any number.
 
 use crate::deployment::{Category, DeploymentSettings, FamilyInfo, Rules};
 use rushcourse_policy::interface::{
@@ -7,7 +7,8 @@
 };
 
 impl DeploymentSettings {
-    /// What the policy needs of the settings.
+    /// Converts to the policy's settings. Unknown values of `effect`, `level-kind` and `source` become
+    /// `NotIdempotent`, `Off` and `Unreported`.
     pub fn to_policy(&self) -> Settings {
         Settings {
             classes: self.request_classes(),
--- a/crates/director/director-settings/src/report_limits.rs
+++ b/crates/director/director-settings/src/report_limits.rs
@@ -1,30 +1,29 @@
-//! The ranges that the numbers of load reports must lie in, whichever way reports come. A number outside makes its
-//! report invalid.
+//! Range checks for the numbers in load reports, whether they arrive from collectors or over gRPC. A number that is out
+//! of range invalidates its report.
 
 use rushcourse_policy::interface::{Ms, Settings};
 use std::fmt;
 
-/// The longest span of a report: it goes back to the last one of its host or proxy, which may be long ago.
+/// Longest time that a report may cover, in ms. A report covers the time since the previous one of its host or proxy.
 pub const MAX_SPAN: Ms = 600_000.0;
-/// A successful attempt takes at most so many times the longest deadline: later, nobody waits for it.
-const MAX_DEADLINES: f64 = 4.0;
-/// Attempts per millisecond that the proxies of a zone, or one of them, can make at most: far beyond what one host can
-/// serve.
+/// Upper bound of a mean latency, as a multiple of the longest deadline; no client waits that long.
+const MAX_LATENCY_IN_DEADLINES: f64 = 4.0;
+/// Upper bound of the attempts per ms in a report, far above what one host can serve.
 const MAX_ATTEMPTS_PER_MS: f64 = 100.0;
 
-/// The number of a report that is out of range. It is shown by its name in the platform's protocol.
+/// The number of a report that is out of range; displayed with the field's name in the platform's protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OutOfRange {
-    /// The span that the report covers.
+    /// The time that the report covers (`window`).
     Span,
-    /// Attempts.
+    /// The number of attempts (`n`).
     Attempts,
-    /// Failed attempts.
+    /// The number of failed attempts (`bad`).
     Failed,
 }
 
 impl OutOfRange {
-    /// What is wrong, in words.
+    /// A message for the log.
     pub fn reason(self) -> &'static str {
         match self {
             OutOfRange::Span => "window is out of range",
@@ -42,10 +41,10 @@
 
 impl std::error::Error for OutOfRange {}
 
-/// Checks the numbers that reports of every kind have.
+/// Checks the numbers that all kinds of reports have in common.
 ///
 /// # Errors
-/// The first of them that is out of range.
+/// The first number that is out of range.
 pub fn check_counts(attempts: f64, failed: f64, span: Ms) -> Result<(), OutOfRange> {
     if !(span > 0.0 && span <= MAX_SPAN) {
         return Err(OutOfRange::Span);
@@ -60,9 +59,9 @@
     }
 }
 
-/// Whether successful attempts can have taken this long on average.
+/// Whether `mean_latency` is between 0 and four times the longest deadline of all request classes.
 pub fn is_plausible_mean(mean_latency: Ms, settings: &Settings) -> bool {
     let deadlines = settings.classes.iter().map(|class| class.deadline);
     let longest = deadlines.fold(0.0, f64::max);
-    mean_latency >= 0.0 && mean_latency <= MAX_DEADLINES * longest
+    mean_latency >= 0.0 && mean_latency <= MAX_LATENCY_IN_DEADLINES * longest
 }
--- a/crates/director/director-settings/src/validation.rs
+++ b/crates/director/director-settings/src/validation.rs
@@ -1,32 +1,32 @@
-//! Whether the settings of a director on sockets make sense.
+//! Validation of the settings of a director on sockets.
 
 use crate::deployment::DeploymentSettings;
 use std::fmt;
 
-/// Request classes that a mask of 32 bits can name.
+/// Sets of classes are represented as masks of 32 bits.
 const MAX_CLASSES: usize = 32;
 
-/// A setting that makes no sense.
+/// A setting that validation rejects.
 #[derive(Clone, Debug, PartialEq)]
 pub struct InvalidSetting {
-    /// Where it stands in the settings, as `family-info.backlog` or `zones[1]`.
+    /// Path of the setting, such as `family-info.backlog` or `zones[1]`.
     pub field: String,
-    /// What is wrong with it.
+    /// Why the setting is rejected.
     pub problem: Problem,
 }
 
-/// What is wrong with a setting.
+/// Why a setting is rejected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Problem {
-    /// There is no request class.
+    /// The list of request classes is empty.
     NoClass,
-    /// There are so many request classes, more than can be told apart.
+    /// The number of request classes exceeds 32, the bits of a class mask.
     TooManyClasses(usize),
-    /// The name could not be read back by the relay.
+    /// The name is empty or contains a separator of the relay's orders.
     UnusableName(String),
-    /// There is no zone at this position.
+    /// The index exceeds the list of zones.
     NoSuchZone,
-    /// The number has to be above 0.
+    /// The number is not finite and above 0.
     NotPositive(f64),
 }
 
@@ -34,13 +34,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "settings.{} ", self.field)?;
         match &self.problem {
-            Problem::NoClass => write!(f, "names no class of requests"),
+            Problem::NoClass => write!(f, "has no request class"),
             Problem::TooManyClasses(count) => {
-                write!(f, "names {count} classes, {MAX_CLASSES} at most")
+                write!(f, "has {count} classes, {MAX_CLASSES} at most")
             }
-            Problem::UnusableName(name) => write!(f, "is no word: {name:?}"),
+            Problem::UnusableName(name) => write!(f, "is empty or contains a separator: {name:?}"),
             Problem::NoSuchZone => write!(f, "is not the index of a zone"),
-            Problem::NotPositive(value) => write!(f, "must be above 0, it is {value}"),
+            Problem::NotPositive(value) => write!(f, "must be above 0, got {value}"),
         }
     }
 }
@@ -48,10 +48,11 @@
 impl std::error::Error for InvalidSetting {}
 
 impl DeploymentSettings {
-    /// Checks what a director on sockets relies on.
+    /// Checks the settings that a director on sockets depends on: request classes, zones, and the relay's rate and
+    /// queue length.
     ///
     /// # Errors
-    /// The first setting found that makes no sense.
+    /// The first invalid setting.
     pub fn validate(&self) -> Result<(), InvalidSetting> {
         self.validate_classes()?;
         self.validate_zones()?;
@@ -92,10 +93,10 @@
     }
 }
 
-/// A name has to be one word in the relay's orders.
+/// Requires a name to be a single word in the relay's orders.
 fn require_usable_name(field: &str, name: &str) -> Result<(), InvalidSetting> {
-    let separates = |c: char| c.is_whitespace() || ",;+*".contains(c);
-    if name.is_empty() || name.contains(separates) {
+    let is_separator = |c: char| c.is_whitespace() || ",;+*".contains(c);
+    if name.is_empty() || name.contains(is_separator) {
         return Err(invalid(field, Problem::UnusableName(name.into())));
     }
     Ok(())
--- a/crates/director/director/src/cli.rs
+++ b/crates/director/director/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line of the program `rushcourse`.
 
 use crate::config::Config;
 use crate::error::DirectorError;
@@ -8,14 +8,14 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code where the command line or the environment is wrong.
+/// Exit code for an invalid command line.
 const USAGE_EXIT_CODE: u8 = 2;
 
-/// A director: it sends routing tables to a service's proxies, and never leaves one without a line.
+/// A director: sends routing tables to the proxies of a service.
 #[derive(FromArgs)]
 #[argh(
-    note = "Exit codes: 0 done or ended by SIGTERM, 1 something is wrong with the configuration or the
-machine, 2 the command line or the environment is wrong."
+    note = "Exit codes: 0 success or stopped by SIGTERM, 1 invalid configuration or system error,
+    2 invalid command line or environment."
 )]
 struct Arguments {
     #[argh(subcommand)]
@@ -30,24 +30,25 @@
     Version(Version),
 }
 
-/// Runs a director until SIGTERM. It reads the file that RELAY_CONFIG names, again with each SIGHUP; RELAY_NAME, RELAY_LISTEN and
-/// RELAY_DISCOVERY say the same as the file, and a difference is logged. Logs go to standard error.
+/// Runs a director until SIGTERM. The configuration file is named by RELAY_CONFIG and is read again on SIGHUP.
+/// RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY repeat values of the file; differences are logged. Logs go to standard
+/// error.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the operators' file of fronts; without this, deploy/fronts.star if it is there
+    /// the operators' fronts file; defaults to deploy/fronts.star if that exists
     #[argh(option)]
     fronts: Option<PathBuf>,
 }
 
-/// Reads a configuration as `serve` does and says what is wrong with it, without serving.
+/// Checks a configuration as `serve` does and prints the first error, without serving.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the configuration, as RELAY_CONFIG would name it
+    /// the configuration file
     #[argh(positional)]
     file: PathBuf,
-    /// the operators' file of fronts, as `serve` would take it
+    /// the operators' fronts file, as for `serve`
     #[argh(option)]
     fronts: Option<PathBuf>,
 }
@@ -57,13 +58,13 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-/// Runs the program by its command line, until it ends.
+/// Runs the command that the process's arguments name and returns its exit code.
 pub fn run() -> ExitCode {
     let command = match parse_arguments() {
         Ok(command) => command,
         Err(exit_code) => return exit_code,
     };
-    let done = match command {
+    let result = match command {
         Command::Version(_) => {
             println!("rushcourse {}", env!("CARGO_PKG_VERSION"));
             Ok(())
@@ -71,7 +72,7 @@
         Command::Check(check) => check.run(),
         Command::Serve(serve) => event_loop::serve(&FrontsSource::new(serve.fronts)),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("rushcourse: {error}");
@@ -80,7 +81,7 @@
     }
 }
 
-/// The command, or the exit code where none is to be run: help was asked for, or the command line is wrong.
+/// Parses the command line. `Err` holds the exit code if help was printed or the command line is invalid.
 fn parse_arguments() -> Result<Command, ExitCode> {
     let arguments: Vec<String> = std::env::args_os()
         .skip(1)
--- a/crates/director/director/src/config.rs
+++ b/crates/director/director/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration: one JSON file, named by RELAY_CONFIG.
+//! The director's configuration: the JSON file named by RELAY_CONFIG, and the operators' fronts file.
 
 mod error;
 mod file;
@@ -17,21 +17,20 @@
 use std::path::{Path, PathBuf};
 use std::time::SystemTime;
 
-/// A configuration that can be used.
+/// A valid configuration.
 pub(crate) struct Config {
-    /// The director's name.
+    /// Name of this director in logs, and in its gRPC responses.
     pub(crate) name: String,
-    /// The address of its protocol and its pages.
+    /// Serves the frame protocol and the HTTP pages.
     pub(crate) listen: SocketAddr,
-    /// What the session starts from.
     pub(crate) session: SessionConfig,
-    /// How gRPC is served, if it is.
+    /// `None` if the fronts file doesn't enable gRPC.
     pub(crate) grpc: Option<GrpcServerConfig>,
-    /// To read it again.
+    /// Reads the same files again on a reload.
     pub(crate) source: ConfigSource,
 }
 
-/// A variable of the environment that says something else than the configuration, which counts.
+/// An environment variable that differs from the configuration file, which takes precedence.
 pub(crate) struct EnvironmentDifference {
     variable: &'static str,
     environment: String,
@@ -42,13 +41,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} says {}, the configuration says {}; that counts",
+            "{} is {}, but the configuration has {}, which takes precedence",
             self.variable, self.environment, self.configuration
         )
     }
 }
 
-/// Where a running director's configuration came from, and the parts of it that hold until a restart.
+/// The files of a running director's configuration, and the values that can't change without a restart.
 pub(crate) struct ConfigSource {
     path: PathBuf,
     fronts: FrontsSource,
@@ -56,33 +55,32 @@
     name: String,
     listen: SocketAddr,
     settings: Box<RawValue>,
-    relay: bool,
+    has_relay: bool,
 }
 
-/// A configuration that was read again.
+/// The parts of a configuration that a reload may change.
 pub(crate) struct Reloaded {
-    /// For the session.
     pub(crate) session: ReloadedConfig,
-    /// How gRPC is served from now on, if it is.
+    /// `None` if the fronts file doesn't enable gRPC any more.
     pub(crate) grpc: Option<GrpcServerConfig>,
 }
 
 impl ConfigSource {
-    /// The director's name.
     pub(crate) fn name(&self) -> &str {
         &self.name
     }
 
-    /// Reads the configuration again. Only the addresses of others and the gRPC front may change while a director runs.
+    /// Reads the configuration again. Only the addresses of the relay and discovery and the gRPC front may change at
+    /// runtime; other changes are reported and ignored.
     pub(crate) fn reload(&self) -> Result<Reloaded, ConfigError> {
         let new = Config::read_as(&self.path, &self.fronts, self.incarnation)?;
         let unchanged = [
             ("name", new.name == self.name),
             ("listen", new.listen == self.listen),
             ("settings", new.source.settings.get() == self.settings.get()),
-            ("platform(relay)", new.session.has_relay == self.relay),
+            ("platform(relay)", new.session.has_relay == self.has_relay),
         ];
-        let kept = unchanged
+        let restart_notices = unchanged
             .iter()
             .filter(|(_, is_same)| !is_same)
             .map(|(key, _)| format!("{key} has changed: that needs a restart, the old one is kept"))
@@ -91,7 +89,7 @@
             session: ReloadedConfig {
                 addresses: new.session.addresses,
                 streams: new.session.streams,
-                needs_restart: kept,
+                needs_restart: restart_notices,
             },
             grpc: new.grpc,
         })
@@ -99,7 +97,8 @@
 }
 
 impl Config {
-    /// Reads the configuration, and the operators' file of fronts beside it. The time of day is the incarnation.
+    /// Reads and checks the configuration file and the fronts file. The incarnation is the current Unix time in
+    /// microseconds.
     pub(crate) fn read(path: &Path, fronts: &FrontsSource) -> Result<Config, ConfigError> {
         let since_epoch = SystemTime::now()
             .duration_since(SystemTime::UNIX_EPOCH)
@@ -107,7 +106,7 @@
         Config::read_as(path, fronts, since_epoch.as_micros() as u64)
     }
 
-    /// What `serve` runs with: the file that the environment names.
+    /// Reads the configuration file that the environment variable RELAY_CONFIG names.
     pub(crate) fn from_environment(fronts: &FrontsSource) -> Result<Config, ConfigError> {
         let path = std::env::var_os("RELAY_CONFIG").ok_or(ConfigError::NotNamed)?;
         Config::read(Path::new(&path), fronts)
@@ -138,7 +137,7 @@
                 has_relay: fronts.relay,
                 streams,
                 addresses: checked.addresses,
-                cached_endpoints: checked.known_list,
+                cached_endpoints: checked.cached_endpoints,
             },
             grpc,
             source: ConfigSource {
@@ -148,14 +147,14 @@
                 name: file.name.clone(),
                 listen: checked.listen,
                 settings: file.settings,
-                relay: fronts.relay,
+                has_relay: fronts.relay,
             },
             name: file.name,
             listen: checked.listen,
         })
     }
 
-    /// Where the environment says something else than the configuration.
+    /// The environment variables that are set and differ from the configuration.
     pub(crate) fn environment_differences(&self) -> Vec<EnvironmentDifference> {
         let addresses = self.session.addresses;
         let expected = [
@@ -177,21 +176,21 @@
     }
 }
 
-/// The fields of a file that are more than text.
+/// Parsed values of the fields that the file holds as strings or raw JSON.
 struct CheckedFields {
     settings: DeploymentSettings,
-    known_list: Bytes,
+    cached_endpoints: Bytes,
     listen: SocketAddr,
     addresses: ServiceAddresses,
 }
 
 fn check_fields(file: &ConfigFile) -> Result<CheckedFields, FieldError> {
     let settings = file.settings()?;
-    // Decisions draw no random numbers, yet a seed that is none is a mistake in the file.
+    // The seed is unused, but an invalid one still shows a mistake in the file.
     file.seed()?;
     Ok(CheckedFields {
         settings,
-        known_list: file.known_list()?,
+        cached_endpoints: file.cached_endpoints()?,
         listen: file::address("listen", &file.listen)?,
         addresses: ServiceAddresses {
             discovery: file::address("discovery", &file.discovery)?,
--- a/crates/director/director/src/config/error.rs
+++ b/crates/director/director/src/config/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a configuration.
+//! Errors of the configuration.
 
 use rushcourse_director_settings::InvalidSetting;
 use rushcourse_starlark::FrontsError;
@@ -10,51 +10,34 @@
 /// Why a configuration can't be used.
 #[derive(Debug)]
 pub(crate) enum ConfigError {
-    /// The environment names no file.
+    /// RELAY_CONFIG is not set.
     NotNamed,
     /// The file can't be read.
-    Unreadable {
-        /// The file.
-        path: PathBuf,
-        /// Why.
-        source: io::Error,
-    },
-    /// The file is not JSON of the expected form. The source names line and column.
+    Unreadable { path: PathBuf, source: io::Error },
+    /// The file is not JSON or lacks a required field. The source names line and column.
     Json {
-        /// The file.
         path: PathBuf,
-        /// What is wrong with it.
         source: serde_json::Error,
     },
-    /// A field has a value that can't be used.
-    Field {
-        /// The file.
-        path: PathBuf,
-        /// What is wrong with it.
-        source: FieldError,
-    },
-    /// The operators' file of fronts can't be used.
+    /// A field has an invalid value.
+    Field { path: PathBuf, source: FieldError },
+    /// The operators' fronts file is invalid or can't be read.
     Fronts(FrontsError),
 }
 
-/// What is wrong with a field of the configuration.
+/// Why a field of the configuration is invalid.
 #[derive(Debug)]
 pub(crate) enum FieldError {
-    /// `settings` don't have the expected form.
+    /// A field of `settings` is missing or has the wrong type.
     Settings(serde_json::Error),
-    /// One of the `settings` makes no sense.
+    /// A value within `settings` fails validation.
     InvalidSetting(InvalidSetting),
-    /// A field is no address and port.
-    Address {
-        /// The field.
-        field: &'static str,
-        /// Its value.
-        value: String,
-    },
-    /// `seed` is no hexadecimal number.
+    /// The field doesn't hold an IP address and a port.
+    Address { field: &'static str, value: String },
+    /// `seed` is not a hexadecimal number.
     Seed(String),
-    /// `known` is no membership list.
-    KnownList(String),
+    /// `known` is not a membership list; holds the decoder's message.
+    CachedEndpoints(String),
 }
 
 impl FieldError {
@@ -76,7 +59,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             ConfigError::NotNamed => {
-                write!(f, "RELAY_CONFIG is not set: it names the configuration")
+                write!(
+                    f,
+                    "RELAY_CONFIG is not set; it has to name the configuration file"
+                )
             }
             ConfigError::Unreadable { path, source } => {
                 write!(f, "{}: can't be read: {source}", path.display())
@@ -106,10 +92,10 @@
             FieldError::Settings(source) => write!(f, "settings: {source}"),
             FieldError::InvalidSetting(source) => write!(f, "{source}"),
             FieldError::Address { field, value } => {
-                write!(f, "{field} is no address and port: {value:?}")
+                write!(f, "{field} is not an IP address and port: {value:?}")
             }
-            FieldError::Seed(value) => write!(f, "seed is no hex number: {value:?}"),
-            FieldError::KnownList(text) => write!(f, "known: {text}"),
+            FieldError::Seed(value) => write!(f, "seed is not a hexadecimal number: {value:?}"),
+            FieldError::CachedEndpoints(text) => write!(f, "known: {text}"),
         }
     }
 }
--- a/crates/director/director/src/config/file.rs
+++ b/crates/director/director/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The file as it is written, and the checks of its fields.
+//! The configuration file in its JSON form, and parsing of its fields.
 
 use super::error::{ConfigError, FieldError};
 use bytes::Bytes;
@@ -9,34 +9,33 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// What a director knows of its list before it has ever had one.
+/// Membership list of a director that starts without a cached one.
 const EMPTY_LIST: &str = r#"{"revision":0,"complete":true,"members":[]}"#;
 
-/// The configuration file.
 #[derive(Deserialize)]
 pub(super) struct ConfigFile {
     pub(super) name: String,
     pub(super) listen: String,
     pub(super) discovery: String,
-    /// Hexadecimal; empty stands for 0.
+    /// Hexadecimal; empty means 0.
     #[serde(default)]
     pub(super) seed: String,
     pub(super) store: Store,
     #[serde(default)]
     pub(super) limits: Limits,
-    /// The membership list that is known at the start; missing where there never was one.
+    /// Cached membership list, used until discovery responds; missing if no list was ever received.
     #[serde(default)]
     known: Option<Box<RawValue>>,
     pub(super) settings: Box<RawValue>,
 }
 
-/// The platform's relay.
+/// Where the platform's relay listens.
 #[derive(Deserialize)]
 pub(super) struct Store {
     pub(super) address: String,
 }
 
-/// What the process may use. Without limits, those of the largest director hold.
+/// Resources that the process may use. The defaults are those of the largest director.
 #[derive(Deserialize)]
 #[serde(default)]
 pub(super) struct Limits {
@@ -65,7 +64,7 @@
         })
     }
 
-    /// The settings, if they make sense together.
+    /// Parses and validates `settings`.
     pub(super) fn settings(&self) -> Result<DeploymentSettings, FieldError> {
         let settings: DeploymentSettings =
             serde_json::from_str(self.settings.get()).map_err(FieldError::Settings)?;
@@ -73,7 +72,7 @@
         Ok(settings)
     }
 
-    /// The seed of chance.
+    /// Parses `seed`; decisions don't depend on it.
     pub(super) fn seed(&self) -> Result<u64, FieldError> {
         if self.seed.is_empty() {
             return Ok(0);
@@ -81,16 +80,16 @@
         u64::from_str_radix(&self.seed, 16).map_err(|_| FieldError::Seed(self.seed.clone()))
     }
 
-    /// The membership list that is known at the start, as discovery would send it.
-    pub(super) fn known_list(&self) -> Result<Bytes, FieldError> {
+    /// The cached membership list in the form that discovery sends; its entries aren't checked here.
+    pub(super) fn cached_endpoints(&self) -> Result<Bytes, FieldError> {
         let known = self.known.as_ref().map_or(EMPTY_LIST, |raw| raw.get());
         discovery::decode(known.as_bytes())
-            .map_err(|error| FieldError::KnownList(error.to_string()))?;
+            .map_err(|error| FieldError::CachedEndpoints(error.to_string()))?;
         Ok(Bytes::copy_from_slice(known.as_bytes()))
     }
 }
 
-/// The address and port that a field holds.
+/// Parses the IP address and port of a field; `field` is its path for the error.
 pub(super) fn address(field: &'static str, value: &str) -> Result<SocketAddr, FieldError> {
     value.parse().map_err(|_| FieldError::Address {
         field,
--- a/crates/director/director/src/effects.rs
+++ b/crates/director/director/src/effects.rs
@@ -1,8 +1,8 @@
-//! Carries out what the session asks for.
+//! Executes the effects that the session returns.
 
 use crate::config::ConfigSource;
 use crate::error::DirectorError;
-use crate::events::{LoopEvent, LoopSender, PeerMessage};
+use crate::events::{EventSender, LoopEvent, PeerMessage};
 use crate::net::discovery::DiscoveryClient;
 use crate::net::health_check::HealthCheckClient;
 use crate::net::relay::{self, RelayConnection};
@@ -18,31 +18,31 @@
 use tokio::sync::mpsc;
 use tokio::task::AbortHandle;
 
-/// A connection of a peer.
+/// An inbound connection, as long as the session holds it.
 struct PeerConnection {
     messages: mpsc::Sender<PeerMessage>,
     task: AbortHandle,
 }
 
-/// What the session has asked the loop for.
+/// Effects that the event loop executes itself.
 #[derive(Debug)]
 pub(crate) struct LoopRequests {
-    /// When the session is to be stepped next, at the latest.
+    /// Latest time of the session's next step, in ms.
     pub(crate) wake_at: Ms,
-    /// The configuration is to be read again.
+    /// Whether to read the configuration again before the next step.
     pub(crate) reload: bool,
-    /// The process is to end.
+    /// Whether to leave the event loop.
     pub(crate) exit: bool,
 }
 
-/// The process's sockets, as far as the session asks for them.
+/// Executes effects and owns the connections that they refer to.
 pub(crate) struct EffectRunner {
-    loop_sender: LoopSender,
+    events: EventSender,
     logger: Logger,
     config: ConfigSource,
     discovery: DiscoveryClient,
     health_checks: HealthCheckClient,
-    /// gRPC, where it is served.
+    /// `None` until gRPC is first served.
     pub(crate) grpc: Option<GrpcTransport>,
     relay_connections: BTreeMap<RelayConnectionId, RelayConnection>,
     peers: BTreeMap<InboundId, PeerConnection>,
@@ -50,15 +50,15 @@
 }
 
 impl EffectRunner {
-    /// No connection yet. A membership list has at most `max_list_size` bytes.
+    /// Creates a runner without connections. Longer membership lists than `max_list_size` bytes are rejected.
     pub(crate) fn new(
-        loop_sender: LoopSender,
+        events: EventSender,
         logger: Logger,
         config: ConfigSource,
         max_list_size: usize,
     ) -> EffectRunner {
         EffectRunner {
-            loop_sender,
+            events,
             logger,
             config,
             discovery: DiscoveryClient::new(max_list_size),
@@ -74,8 +74,8 @@
         }
     }
 
-    /// A peer connected.
-    pub(crate) fn peer_accepted(
+    /// Registers an accepted connection. `task` reads and writes it, and `messages` is its write queue.
+    pub(crate) fn add_peer(
         &mut self,
         inbound: InboundId,
         messages: mpsc::Sender<PeerMessage>,
@@ -85,8 +85,8 @@
             .insert(inbound, PeerConnection { messages, task });
     }
 
-    /// Forgets connections that an input says are gone.
-    pub(crate) fn forget_closed(&mut self, input: &Input) {
+    /// Removes the connection whose end `input` reports, if it reports one.
+    pub(crate) fn remove_closed(&mut self, input: &Input) {
         match input {
             Input::InboundClosed { inbound, .. } => _ = self.peers.remove(inbound),
             Input::RelayDisconnected { connection, .. } => {
@@ -96,32 +96,28 @@
         }
     }
 
-    /// Does what the session asks for.
+    /// Executes an effect without blocking. Its results arrive as events.
     pub(crate) fn carry_out(&mut self, effect: Effect) {
         match effect {
-            Effect::SendInbound { inbound, frame } => self.write(inbound, frame),
+            Effect::SendInbound { inbound, frame } => self.send_to_peer(inbound, frame),
             Effect::CloseInbound {
                 inbound,
                 last_frame,
-            } => self.close(inbound, last_frame),
+            } => self.close_peer(inbound, last_frame),
             Effect::ConnectRelay {
                 connection,
                 address,
-            } => self.connect(connection, address),
-            Effect::SendRelay { connection, line } => self.send_line(connection, line),
-            Effect::DisconnectRelay { connection } => self.disconnect(connection),
+            } => self.connect_relay(connection, address),
+            Effect::SendRelay { connection, line } => self.send_relay_line(connection, line),
+            Effect::DisconnectRelay { connection } => self.disconnect_relay(connection),
             Effect::FetchEndpoints {
                 request,
                 address,
                 path,
                 timeout,
-            } => self.discovery.request_list(
-                request,
-                address,
-                &path,
-                timeout,
-                self.loop_sender.clone(),
-            ),
+            } => self
+                .discovery
+                .request_list(request, address, &path, timeout, self.events.clone()),
             Effect::CheckHealth {
                 host,
                 address,
@@ -129,7 +125,7 @@
                 timeout,
             } => self
                 .health_checks
-                .start(host, &address, path, timeout, self.loop_sender.clone()),
+                .start(host, &address, path, timeout, self.events.clone()),
             Effect::Stream(effect) => {
                 if let Some(grpc) = &mut self.grpc {
                     grpc.carry_out(effect);
@@ -142,44 +138,45 @@
         }
     }
 
-    fn write(&mut self, inbound: InboundId, frame: Bytes) {
+    fn send_to_peer(&mut self, inbound: InboundId, frame: Bytes) {
         let Some(peer) = self.peers.get(&inbound) else {
             return;
         };
         if peer.messages.try_send(PeerMessage::Message(frame)).is_err() {
-            // It does not read what it asked for.
-            self.close(inbound, None);
+            // The queue is full because the peer doesn't read its responses.
+            self.close_peer(inbound, None);
             self.report(Input::InboundClosed {
                 inbound,
-                error: Some("it does not read its answers".into()),
+                error: Some("the peer does not read its responses".into()),
             });
         }
     }
 
-    /// Ends a peer's connection, after a last message where there is one and there is room for it.
-    fn close(&mut self, inbound: InboundId, last_frame: Option<Bytes>) {
+    /// Closes a connection. With a last frame that fits in the write queue, its task ends by itself after writing it;
+    /// otherwise the task is aborted.
+    fn close_peer(&mut self, inbound: InboundId, last_frame: Option<Bytes>) {
         let Some(peer) = self.peers.remove(&inbound) else {
             return;
         };
-        let ends_by_itself = last_frame
+        let closes_after_write = last_frame
             .is_some_and(|frame| peer.messages.try_send(PeerMessage::Last(frame)).is_ok());
-        if !ends_by_itself {
+        if !closes_after_write {
             peer.task.abort();
         }
     }
 
-    fn connect(&mut self, id: RelayConnectionId, address: SocketAddr) {
-        let connection = relay::connect(address, id, self.loop_sender.clone());
+    fn connect_relay(&mut self, id: RelayConnectionId, address: SocketAddr) {
+        let connection = relay::connect(address, id, self.events.clone());
         self.relay_connections.insert(id, connection);
     }
 
-    fn disconnect(&mut self, id: RelayConnectionId) {
+    fn disconnect_relay(&mut self, id: RelayConnectionId) {
         if let Some(connection) = self.relay_connections.remove(&id) {
             connection.task.abort();
         }
     }
 
-    fn send_line(&mut self, id: RelayConnectionId, line: String) {
+    fn send_relay_line(&mut self, id: RelayConnectionId, line: String) {
         let sent = self
             .relay_connections
             .get(&id)
@@ -187,15 +184,15 @@
         if !sent {
             self.report(Input::RelayDisconnected {
                 connection: id,
-                reason: "it takes nothing".into(),
+                reason: "the connection is closed or its write queue is full".into(),
             });
         }
     }
 
-    /// Reports to the loop what carrying out an effect has shown.
+    /// Queues an input that results directly from an effect.
     fn report(&self, input: Input) {
-        // With the queue full, the task of that connection still reports its end.
-        _ = self.loop_sender.try_send(LoopEvent::Input(input));
+        // If the queue is full, the input is lost; the connection's task reports its end too unless it was aborted.
+        _ = self.events.try_send(LoopEvent::Input(input));
     }
 
     fn log(&self, severity: Severity, text: &str) {
@@ -206,7 +203,7 @@
         }
     }
 
-    /// Serves gRPC by this configuration; an address that was served before goes on until no stream is on it.
+    /// Serves gRPC with this configuration. A previous address accepts no new connections, but its open ones continue.
     pub(crate) async fn serve_grpc(
         &mut self,
         config: &GrpcServerConfig,
@@ -223,7 +220,7 @@
         Ok(())
     }
 
-    /// Reads the configuration again. An address that can't be bound is a configuration that can't be used.
+    /// Reads the configuration again and applies its gRPC part. A gRPC address that can't be bound is an error.
     pub(crate) async fn reload(&mut self) -> Result<ReloadedConfig, DirectorError> {
         let reloaded = self.config.reload()?;
         if let Some(config) = &reloaded.grpc {
--- a/crates/director/director/src/error.rs
+++ b/crates/director/director/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the program ends with something to say.
+//! Errors that end the program or make a reload fail.
 
 use crate::config::ConfigError;
 use rushcourse_grpc::ListenError;
@@ -7,28 +7,25 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Why the director does not run, or does not follow a new configuration.
+/// Why the director can't start, or rejects a reloaded configuration.
 #[derive(Debug)]
 pub(crate) enum DirectorError {
-    /// The configuration can't be used.
     Config(ConfigError),
-    /// The runtime can't be started.
+    /// The Tokio runtime can't be built.
     Runtime(io::Error),
-    /// Signals can't be received.
+    /// The signal handlers can't be installed.
     Signals(io::Error),
-    /// The director's address can't be bound.
+    /// The director's own address can't be bound.
     Listen {
-        /// The address.
         address: SocketAddr,
-        /// Why.
         source: io::Error,
     },
-    /// The gRPC address can't be served.
+    /// The gRPC address can't be bound, or its certificates are unusable.
     Grpc(ListenError),
 }
 
 impl DirectorError {
-    /// The exit code of the program: 2 where its environment is wrong, else 1.
+    /// The program's exit code: 2 if RELAY_CONFIG is not set, 1 for all other errors.
     pub(crate) fn exit_code(&self) -> u8 {
         match self {
             DirectorError::Config(ConfigError::NotNamed) => 2,
@@ -47,8 +44,8 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             DirectorError::Config(source) => write!(f, "{source}"),
-            DirectorError::Runtime(source) => write!(f, "no runtime: {source}"),
-            DirectorError::Signals(source) => write!(f, "no signals: {source}"),
+            DirectorError::Runtime(source) => write!(f, "can't start the runtime: {source}"),
+            DirectorError::Signals(source) => write!(f, "can't install signal handlers: {source}"),
             DirectorError::Listen { address, source } => {
                 write!(f, "listen: {address} can't be bound: {source}")
             }
--- a/crates/director/director/src/event_loop.rs
+++ b/crates/director/director/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The loop: what was read goes through the session's step, and what the session asks for is carried out.
+//! The event loop: passes inputs to the session in batches and executes the effects that it returns.
 
 use crate::clock::Clock;
 use crate::config::Config;
@@ -16,18 +16,19 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Inputs that may wait for the loop; readers wait beyond that.
-const MAX_WAITING_EVENTS: usize = 1024;
-/// Inputs that the loop takes at a time.
+/// Capacity of the event queue. Network tasks block while it is full.
+const MAX_QUEUED_EVENTS: usize = 1024;
+/// Most events from each source that are handled at once.
 const MAX_BATCH: usize = 256;
-/// For proxies on gRPC streams to hear that their connections end.
+/// Time for gRPC connections to be closed gracefully.
 const SHUTDOWN_GRACE: Duration = Duration::from_millis(400);
-/// For the log to write its last lines.
+/// Time for the logging thread to write its queued lines before the process exits.
 const LOG_FLUSH_DELAY: Duration = Duration::from_millis(30);
-/// Turns that are given to the network tasks after the process did not run for a while.
+/// How often the loop yields to the network tasks before it handles a timeout.
 const CATCH_UP_YIELDS: usize = 2;
 
-/// Serves until SIGTERM. From its first moment on, a signal that asks for a reload does not end it.
+/// Runs the director until SIGTERM or SIGINT. Signal handlers are installed first, so that an early SIGHUP doesn't
+/// terminate the process.
 pub(crate) fn serve(fronts: &FrontsSource) -> Result<(), DirectorError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -39,12 +40,12 @@
     };
     let config = Config::from_environment(fronts)?;
     let (logger, dropped_lines) = logging::start(&config.name);
-    let done = runtime.block_on(run(config, signals, logger.clone(), dropped_lines));
-    // Nothing waits for a look-up, a peer or a reader of the log that hangs: the last lines get a moment.
+    let result = runtime.block_on(run(config, signals, logger.clone(), dropped_lines));
+    // The exit doesn't wait for tasks or for a blocked standard error; a short delay lets the log flush.
     runtime.shutdown_background();
     std::thread::sleep(LOG_FLUSH_DELAY);
     std::mem::forget(logger);
-    done
+    result
 }
 
 async fn run(
@@ -53,7 +54,7 @@
     logger: Logger,
     dropped_lines: DroppedLines,
 ) -> Result<(), DirectorError> {
-    let (sender, events) = mpsc::channel(MAX_WAITING_EVENTS);
+    let (sender, events) = mpsc::channel(MAX_QUEUED_EVENTS);
     let limits = config.session.limits;
     listener::start(config.listen, limits, sender.clone())
         .await
@@ -89,7 +90,7 @@
     let session = event_loop.run().await;
     info!(
         logger,
-        "told to end: {} calls made",
+        "stopped after {} relay calls",
         session.counters().get("calls_sent")
     );
     Ok(())
@@ -102,12 +103,12 @@
     events: mpsc::Receiver<LoopEvent>,
     signals: Signals,
     dropped_lines: DroppedLines,
-    /// What is handled next.
+    /// Events to handle next; the allocation is reused.
     batch: Vec<LoopEvent>,
 }
 
 impl EventLoop {
-    /// Runs until the session asks for the end, and hands it back.
+    /// Runs until the session requests the exit, then closes gRPC and returns the session.
     async fn run(mut self) -> Session {
         loop {
             self.handle_batch();
@@ -125,7 +126,7 @@
                 continue;
             }
             self.wait().await;
-            self.take_grpc_inputs();
+            self.drain_grpc_inputs();
         }
         if let Some(grpc) = self.effects.grpc.take() {
             grpc.close(SHUTDOWN_GRACE).await;
@@ -133,14 +134,14 @@
         self.session
     }
 
-    /// Hands in all that came, at one time, and then does what is due.
+    /// Passes all collected events to the session with the same timestamp, then lets it handle due timers.
     fn handle_batch(&mut self) {
         let now = self.clock.now();
         let mut batch = std::mem::take(&mut self.batch);
         for event in batch.drain(..) {
             self.handle(now, event);
         }
-        // Its allocation serves the next batch.
+        // Keeps the allocation for the next batch.
         self.batch = batch;
         self.step(now, Input::Wake);
     }
@@ -156,7 +157,7 @@
             } => {
                 self.step(now, Input::InboundMessage { inbound, message });
                 if let Some(is_collector) = is_collector {
-                    // Its connection may have ended meanwhile.
+                    // The receiver is gone if the connection has closed in the meantime.
                     _ = is_collector.send(self.session.is_collector(inbound));
                 }
             }
@@ -166,25 +167,25 @@
                 messages,
                 task,
             } => {
-                self.effects.peer_accepted(inbound, messages, task);
+                self.effects.add_peer(inbound, messages, task);
                 self.step(now, Input::InboundOpened { inbound, peer });
             }
-            LoopEvent::PageRequested { page, text } => {
+            LoopEvent::PageRequested { page, response } => {
                 let rendered = pages::render(page, &self.session, self.dropped_lines.count());
-                // Whoever asked may have gone.
-                _ = text.send(rendered);
+                // The receiver is gone if the client has disconnected.
+                _ = response.send(rendered);
             }
         }
     }
 
     fn step(&mut self, now: f64, input: Input) {
-        self.effects.forget_closed(&input);
+        self.effects.remove_closed(&input);
         for effect in self.session.step(now, input) {
             self.effects.carry_out(effect);
         }
     }
 
-    /// Waits for something to handle.
+    /// Waits for the next event, signal or timeout.
     async fn wait(&mut self) {
         let wake_at = self.clock.instant(self.effects.requests.wake_at);
         tokio::select! {
@@ -198,7 +199,8 @@
         }
     }
 
-    /// Reads what has come while the process did not run, before anything counts as missing.
+    /// After a timeout, collects events that arrived while the process was not scheduled, so that they are handled
+    /// before the timeout.
     async fn catch_up(&mut self) {
         for _ in 0..CATCH_UP_YIELDS {
             tokio::task::yield_now().await;
@@ -210,8 +212,8 @@
         }
     }
 
-    /// Takes the inputs of gRPC that are there, as many as of the rest: neither holds up the other.
-    fn take_grpc_inputs(&mut self) {
+    /// Adds at most [`MAX_BATCH`] available gRPC inputs to the batch, so that neither source starves the other.
+    fn drain_grpc_inputs(&mut self) {
         let max_len = self.batch.len() + MAX_BATCH;
         while self.batch.len() < max_len
             && let Some(input) = self
@@ -225,7 +227,7 @@
     }
 }
 
-/// The next input of gRPC; never, where it is not served.
+/// Waits for the next gRPC input; pending forever if gRPC isn't served.
 async fn next_grpc_input(grpc: &mut Option<GrpcTransport>) -> rushcourse_xds::Input {
     if let Some(grpc) = grpc
         && let Some(input) = grpc.next_input().await
--- a/crates/director/director/src/events.rs
+++ b/crates/director/director/src/events.rs
@@ -1,57 +1,54 @@
-//! What the network tasks report to the loop, and what the loop gives them.
+//! Messages between the network tasks and the event loop.
 
 use bytes::Bytes;
 use rushcourse_director_state::{InboundId, Input};
 use tokio::sync::{OwnedSemaphorePermit, mpsc, oneshot};
 use tokio::task::AbortHandle;
 
-/// What a network task reports.
+/// An event that a network task sends to the event loop.
 pub(crate) enum LoopEvent {
-    /// An input of the session as it is.
+    /// An input that is passed to the session unchanged.
     Input(Input),
-    /// A message of a peer.
+    /// A message from a peer.
     Frame {
-        /// The peer's connection.
         inbound: InboundId,
-        /// The message.
+        /// The JSON message, without the length prefix.
         message: Bytes,
-        /// Asks whether the peer has registered as a collector, once the message was handled.
+        /// Receives whether the peer is registered as a collector, after the message was handled. `None` if it is
+        /// already known to be one.
         is_collector: Option<oneshot::Sender<bool>>,
-        /// Its bytes count against what may wait until this is dropped.
+        /// Keeps the message's memory reserved until the event is dropped.
         _memory: OwnedSemaphorePermit,
     },
-    /// A peer connected.
+    /// A connection to the director's own address was accepted.
     Accepted {
-        /// Its connection.
         inbound: InboundId,
-        /// Its address, for the log.
+        /// Address of the peer, for the log.
         peer: String,
-        /// How to write to it.
+        /// The connection's write queue.
         messages: mpsc::Sender<PeerMessage>,
-        /// How to end it.
+        /// Aborts the task that reads and writes the connection.
         task: AbortHandle,
     },
-    /// A page is asked for.
+    /// An HTTP client requested a page.
     PageRequested {
-        /// Which one.
         page: Page,
-        /// Where its text goes.
-        text: oneshot::Sender<String>,
+        /// Receives the page's body.
+        response: oneshot::Sender<String>,
     },
 }
 
-/// Where tasks report to.
-pub(crate) type LoopSender = mpsc::Sender<LoopEvent>;
+/// The sending half of the event loop's queue. Sending waits while the queue is full.
+pub(crate) type EventSender = mpsc::Sender<LoopEvent>;
 
-/// What goes to a peer.
+/// An encoded frame to write to a peer.
 pub(crate) enum PeerMessage {
-    /// A message.
     Message(Bytes),
-    /// A message after which the connection ends.
+    /// The connection is closed after this frame.
     Last(Bytes),
 }
 
-/// A page for people or monitors.
+/// An HTTP page of the director.
 #[derive(Clone, Copy)]
 pub(crate) enum Page {
     /// `/healthz`
--- a/crates/director/director/src/fronts.rs
+++ b/crates/director/director/src/fronts.rs
@@ -1,4 +1,4 @@
-//! Where the operators' file of fronts is, and what follows from it and the process's limits.
+//! Loads the operators' fronts file and combines it with the limits of the process.
 
 use rushcourse_director_state::{GrpcLimits, ProcessLimits, SessionLimits};
 use rushcourse_grpc::GrpcServerConfig;
@@ -9,39 +9,39 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Where the file is looked for, from the folder that the program is started in. Without it, no front is opened.
+/// Default path of the fronts file, relative to the working directory. It is optional.
 const DEFAULT_PATH: &str = "deploy/fronts.star";
-/// A connection that carries no stream is closed after this.
+/// gRPC connections without streams are closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Where the file of fronts is: one that is named must be there.
+/// Location of the fronts file. A file named on the command line must exist; the default one may be missing.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FrontsSource {
     named: Option<PathBuf>,
 }
 
-/// The fronts as they are to be served.
+/// The fronts to serve, that is, the ways in which proxies are reached.
 #[derive(Clone, Debug)]
 pub(crate) struct Fronts {
-    /// Whether proxies are reached by the platform's relay.
+    /// Whether proxies are reached over the platform's relay.
     pub(crate) relay: bool,
-    /// What the session may hold.
+    /// Smaller if gRPC is served as well.
     pub(crate) limits: SessionLimits,
-    /// The gRPC front, if there is one.
+    /// `None` if the file doesn't enable gRPC.
     pub(crate) grpc: Option<GrpcFront>,
 }
 
-/// How gRPC is served.
+/// Configuration of the gRPC front.
 #[derive(Clone, Debug)]
 pub(crate) struct GrpcFront {
-    /// For the session.
+    /// The session's part: identities, limits and timeouts of streams.
     pub(crate) streams: StreamConfig,
-    /// For the sockets.
+    /// The transport's part: address, connections and TLS.
     pub(crate) server: GrpcServerConfig,
 }
 
 impl FrontsSource {
-    /// The file of this name; without a name, the default path if there is a file.
+    /// The file with this path; `None` selects `deploy/fronts.star` if it exists.
     pub(crate) fn new(named: Option<PathBuf>) -> FrontsSource {
         FrontsSource { named }
     }
@@ -56,7 +56,8 @@
         }
     }
 
-    /// What the file says, within the limits of the process. `incarnation` tells this run of the director from others.
+    /// Reads the file and derives limits from those of the process. `incarnation` distinguishes this run of the
+    /// director from others.
     pub(crate) fn load(
         &self,
         process: ProcessLimits,
--- a/crates/director/director/src/lib.rs
+++ b/crates/director/director/src/lib.rs
@@ -1,11 +1,12 @@
-//! The director's process: command line, configuration, sockets, and the loop that hands what was read to the session
-//! and carries out what the session asks for. Nothing here decides; see `rushcourse-director-state`.
+//! The director's process: command line, configuration, sockets, and the event loop, which passes inputs from the
+//! sockets to the session and executes the effects that the session returns. Decisions are made by the session, in
+//! `rushcourse-director-state`.
 //!
 //! * `cli.rs`: the command line.
-//! * `config.rs`, `fronts.rs`: the configuration and the operators' file of fronts.
-//! * `event_loop.rs`: the loop. `effects.rs`: what the session asks for. `events.rs`: what tasks report to the loop.
-//! * `net`: everything that reads or writes a socket, but for gRPC (`rushcourse-grpc`).
-//! * `clock.rs`, `logging.rs`, `signals.rs`, `error.rs`: what their names say.
+//! * `config.rs`, `fronts.rs`: the configuration file and the operators' fronts file.
+//! * `event_loop.rs`: the event loop. `effects.rs`: execution of effects. `events.rs`: messages from tasks to the loop.
+//! * `net`: all socket I/O except for gRPC, which is in `rushcourse-grpc`.
+//! * `clock.rs`, `logging.rs`, `signals.rs`, `error.rs`: support for the above.
 
 mod cli;
 mod clock;
@@ -20,4 +21,4 @@
 mod signals;
 
 pub use cli::run;
-pub use net::health_check::{HealthCheck, HealthCheckClient};
+pub use net::health_check::{HealthCheckClient, HealthCheckResult};
--- a/crates/director/director/src/logging.rs
+++ b/crates/director/director/src/logging.rs
@@ -1,19 +1,18 @@
-//! The log: lines on standard error, written by a thread of their own. A full queue drops lines and counts them; the
-//! loop never waits for the log.
+//! Logging to standard error. A separate thread writes the lines; if its queue is full, lines are dropped and counted,
+//! so that the event loop never blocks on the log.
 
 use slog::{Drain, Logger, OwnedKVList, Record, o};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Lines that may wait to be written.
-const MAX_WAITING_LINES: usize = 1024;
+/// Capacity of the log queue, in lines.
+const MAX_QUEUED_LINES: usize = 1024;
 
-/// How many lines the log has dropped; clones count together.
+/// Counts dropped log lines. Clones share the counter.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DroppedLines(Arc<AtomicU64>);
 
 impl DroppedLines {
-    /// How many so far.
     pub(crate) fn count(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
@@ -23,7 +22,7 @@
     }
 }
 
-/// Counts the lines that the queue can't take.
+/// Counts the lines that don't fit in the queue instead of failing.
 struct CountingDrain {
     queue: slog_async::AsyncCore,
     dropped: DroppedLines,
@@ -41,7 +40,7 @@
     }
 }
 
-/// Starts the log of the director of this name.
+/// Starts the logging thread. Every line holds the name of the director.
 pub(crate) fn start(director: &str) -> (Logger, DroppedLines) {
     let decorator = slog_term::PlainDecorator::new(std::io::stderr());
     let lines = slog_term::FullFormat::new(decorator)
@@ -49,7 +48,7 @@
         .build()
         .ignore_res();
     let queue = slog_async::AsyncCore::custom(std::sync::Mutex::new(lines).map(slog::Fuse))
-        .chan_size(MAX_WAITING_LINES)
+        .chan_size(MAX_QUEUED_LINES)
         .build();
     let dropped = DroppedLines::default();
     let drain = CountingDrain {
--- a/crates/director/director/src/main.rs
+++ b/crates/director/director/src/main.rs
@@ -1,4 +1,4 @@
-//! `rushcourse`: a director on sockets.
+//! Entry point of the program `rushcourse`, which runs a director.
 
 use std::process::ExitCode;
 
--- a/crates/director/director/src/net.rs
+++ b/crates/director/director/src/net.rs
@@ -1,8 +1,8 @@
-//! All reading and writing on sockets but for gRPC. Nothing here decides; what is read becomes an input of the session.
+//! Socket I/O except for gRPC. Everything that is received becomes an input of the session, which makes the decisions.
 //!
-//! * `listener.rs`: the director's own address. `pages.rs`: the pages that are served there by HTTP.
+//! * `listener.rs`: the director's own address. `pages.rs`: the HTTP pages served there.
 //! * `relay.rs`: connections to the platform's relay.
-//! * `discovery.rs`: the membership list. `health_check.rs`: health checks of hosts. `http.rs`: the client of both.
+//! * `discovery.rs`: the membership list. `health_check.rs`: health checks of hosts. `http.rs`: their HTTP client.
 
 pub(crate) mod discovery;
 pub(crate) mod health_check;
--- a/crates/director/director/src/net/discovery.rs
+++ b/crates/director/director/src/net/discovery.rs
@@ -1,23 +1,23 @@
-//! The client of discovery, which serves the membership list.
+//! Client of discovery, which serves the membership list.
 
 use super::http::{HttpClient, HttpResponse};
-use crate::events::{LoopEvent, LoopSender};
+use crate::events::{EventSender, LoopEvent};
 use rushcourse_director_state::{FetchId, Input};
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Idle connections that are kept.
+/// Idle connections that are kept open for the next request.
 const MAX_IDLE_CONNECTIONS: usize = 1;
 const HTTP_OK: u16 = 200;
 
-/// Requests the membership list.
+/// Requests the membership list from discovery.
 pub(crate) struct DiscoveryClient {
     http: HttpClient,
     max_list_size: usize,
 }
 
 impl DiscoveryClient {
-    /// A client for lists of at most so many bytes.
+    /// Responses of more than `max_list_size` bytes are rejected.
     pub(crate) fn new(max_list_size: usize) -> DiscoveryClient {
         DiscoveryClient {
             http: HttpClient::new(MAX_IDLE_CONNECTIONS),
@@ -25,14 +25,14 @@
         }
     }
 
-    /// Requests a list in a task of its own, which reports what came of it.
+    /// Spawns a request whose result is sent to `events` as [`Input::EndpointsFetched`] or [`Input::FetchFailed`].
     pub(crate) fn request_list(
         &self,
         request: FetchId,
         address: SocketAddr,
         path: &str,
         timeout: Duration,
-        events: LoopSender,
+        events: EventSender,
     ) {
         let (http, max_list_size) = (self.http.clone(), self.max_list_size);
         let url = format!("http://{address}{path}");
--- a/crates/director/director/src/net/health_check.rs
+++ b/crates/director/director/src/net/health_check.rs
@@ -1,29 +1,29 @@
-//! Health checks of hosts, which report their load with their answer.
+//! Health checks of hosts. The response to a check holds the host's load report.
 
 use super::http::HttpClient;
-use crate::events::{LoopEvent, LoopSender};
+use crate::events::{EventSender, LoopEvent};
 use bytes::Bytes;
 use rushcourse_director_state::Input;
 use rushcourse_policy::interface::HostId;
 use std::time::{Duration, Instant};
 
-/// No load report is larger, in bytes.
+/// Responses with a larger body, in bytes, count as failed checks.
 const MAX_REPORT_SIZE: usize = 16 << 10;
-/// Each check opens a connection of its own: so it shows whether the host accepts one.
+/// Connections are not reused, so that each check also shows whether the host accepts new ones.
 const MAX_IDLE_CONNECTIONS: usize = 0;
 
-/// What came of a health check.
+/// Result of a health check.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct HealthCheck {
-    /// From its start to its end.
+pub struct HealthCheckResult {
+    /// Duration of the check, including the connection setup.
     pub elapsed: Duration,
-    /// The HTTP status; nothing where the host gave no complete answer in time.
+    /// HTTP status; `None` if the host sent no complete response in time.
     pub status: Option<u16>,
-    /// The load report; empty without an answer.
+    /// Body of the response, which holds the load report; empty without a response.
     pub body: Bytes,
 }
 
-/// Checks the health of hosts by HTTP.
+/// Sends health checks to hosts over HTTP, each on a new connection.
 pub struct HealthCheckClient {
     http: HttpClient,
 }
@@ -35,30 +35,30 @@
 }
 
 impl HealthCheckClient {
-    /// A client without connections.
+    /// Creates a client that doesn't hold any connection.
     pub fn new() -> HealthCheckClient {
         HealthCheckClient {
             http: HttpClient::new(MAX_IDLE_CONNECTIONS),
         }
     }
 
-    /// Checks a host. It always ends, within the time-out.
-    pub async fn check(&self, address: &str, path: &str, timeout: Duration) -> HealthCheck {
+    /// Checks a host. Returns within `timeout`, whatever the host does.
+    pub async fn check(&self, address: &str, path: &str, timeout: Duration) -> HealthCheckResult {
         check(&self.http, &format!("http://{address}{path}"), timeout).await
     }
 
-    /// Checks a host in a task of its own, which reports what came of it.
+    /// Spawns a check whose result is sent to `events` as [`Input::HealthChecked`].
     pub(crate) fn start(
         &self,
         host: HostId,
         address: &str,
         path: &str,
         timeout: Duration,
-        events: LoopSender,
+        events: EventSender,
     ) {
         let (http, url) = (self.http.clone(), format!("http://{address}{path}"));
         tokio::spawn(async move {
-            let HealthCheck {
+            let HealthCheckResult {
                 elapsed,
                 status,
                 body,
@@ -74,17 +74,17 @@
     }
 }
 
-async fn check(http: &HttpClient, url: &str, timeout: Duration) -> HealthCheck {
+async fn check(http: &HttpClient, url: &str, timeout: Duration) -> HealthCheckResult {
     let start = Instant::now();
     let response = http.get(url, timeout, MAX_REPORT_SIZE).await;
     let elapsed = start.elapsed();
     match response {
-        Ok(response) => HealthCheck {
+        Ok(response) => HealthCheckResult {
             elapsed,
             status: Some(response.status),
             body: response.body,
         },
-        Err(_) => HealthCheck {
+        Err(_) => HealthCheckResult {
             elapsed,
             status: None,
             body: Bytes::new(),
--- a/crates/director/director/src/net/http.rs
+++ b/crates/director/director/src/net/http.rs
@@ -1,4 +1,4 @@
-//! The HTTP client that discovery and health checks share.
+//! HTTP client for discovery and health checks.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -10,39 +10,38 @@
 use std::time::Duration;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// An idle connection is closed after this.
+/// Idle connections are closed after this.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a server answered.
 pub(super) struct HttpResponse {
     pub(super) status: u16,
     pub(super) body: Bytes,
 }
 
-/// Why there is no response.
+/// Why a request failed.
 #[derive(Debug)]
 pub(super) enum HttpError {
-    /// The URL names no address.
+    /// The URL can't be parsed.
     Url(String),
-    /// The request could not be sent, or no response came.
+    /// The request could not be sent, or the response's head could not be read.
     Request(legacy::Error),
-    /// The body broke off, or is too large.
+    /// The body is incomplete or too large.
     Body(Box<dyn Error + Send + Sync>),
-    /// No complete response came in time.
+    /// The response was not complete within this time.
     Timeout(Duration),
 }
 
 impl fmt::Display for HttpError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            HttpError::Url(url) => write!(f, "{url} is no address"),
+            HttpError::Url(url) => write!(f, "invalid URL: {url}"),
             HttpError::Request(error) => match error.source() {
                 Some(source) => write!(f, "{error}: {source}"),
                 None => write!(f, "{error}"),
             },
             HttpError::Body(error) => write!(f, "{error}"),
             HttpError::Timeout(timeout) => {
-                write!(f, "no answer within {} ms", timeout.as_millis())
+                write!(f, "no complete response within {} ms", timeout.as_millis())
             }
         }
     }
@@ -50,14 +49,14 @@
 
 impl Error for HttpError {}
 
-/// A client; clones share its connections.
+/// An HTTP client. Clones share its connection pool.
 #[derive(Clone)]
 pub(super) struct HttpClient {
     inner: legacy::Client<HttpConnector, Empty<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client that keeps at most so many idle connections to each address.
+    /// Keeps at most `max_idle` idle connections to each address.
     pub(super) fn new(max_idle: usize) -> HttpClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -70,7 +69,7 @@
         HttpClient { inner }
     }
 
-    /// One GET, within a time and with a body of at most `max_size` bytes.
+    /// Sends a GET request. Fails if the response isn't complete within `timeout` or its body exceeds `max_size` bytes.
     pub(super) async fn get(
         &self,
         url: &str,
--- a/crates/director/director/src/net/listener.rs
+++ b/crates/director/director/src/net/listener.rs
@@ -1,7 +1,8 @@
-//! The director's address: messages of its own protocol, or HTTP, told apart by the first four bytes.
+//! Listener of the director's own address. The first four bytes of a connection decide whether it carries frames or
+//! HTTP.
 
 use super::pages;
-use crate::events::{LoopEvent, LoopSender, PeerMessage};
+use crate::events::{EventSender, LoopEvent, PeerMessage};
 use bytes::Bytes;
 use rushcourse_director_protocol::frames;
 use rushcourse_director_state::{InboundId, Input, SessionLimits};
@@ -15,60 +16,60 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 use tokio::time::timeout;
 
-/// Messages that may wait to be written to one peer.
-const MAX_WAITING_MESSAGES: usize = 64;
-/// Connections that are accepted beyond those that the session holds: it closes others for them at once.
+/// Capacity of a connection's write queue.
+const MAX_QUEUED_MESSAGES: usize = 64;
+/// Connections that are accepted beyond the session's limit, for which the session closes others.
 const SPARE_CONNECTIONS: usize = 16;
-/// Delay after an accept that failed, as when descriptors are short.
+/// Delay after a failed accept, for example when file descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// A message that has begun is complete within this: its parts come over one network.
+/// Time between the first and the last byte of a message, after which the connection is closed.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A peer accepts a message within this.
+/// Time for writing one message, after which the connection is closed.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What all connections share.
+/// State that all connections share.
 #[derive(Clone)]
 struct Shared {
-    events: LoopSender,
-    /// KiB of messages that may wait for the loop.
+    events: EventSender,
+    /// Limits the memory of messages that are being read or queued for the event loop; one permit is 1 KiB.
     memory: Arc<Semaphore>,
 }
 
-/// Binds the address and accepts from then on.
+/// Binds the address and spawns the task that accepts connections.
 pub(crate) async fn start(
     address: SocketAddr,
     limits: SessionLimits,
-    events: LoopSender,
+    events: EventSender,
 ) -> io::Result<()> {
     let listener = TcpListener::bind(address).await?;
     tokio::spawn(accept(listener, limits, events));
     Ok(())
 }
 
-async fn accept(listener: TcpListener, limits: SessionLimits, events: LoopSender) {
+async fn accept(listener: TcpListener, limits: SessionLimits, events: EventSender) {
     let shared = Shared {
         events: events.clone(),
         memory: Arc::new(Semaphore::new(limits.max_buffered_kib)),
     };
-    let seats = Arc::new(Semaphore::new(limits.max_inbound + SPARE_CONNECTIONS));
+    let connection_permits = Arc::new(Semaphore::new(limits.max_inbound + SPARE_CONNECTIONS));
     for inbound in (1..).map(InboundId) {
-        // A burst of connections waits outside while the loop closes others, and costs no descriptor.
-        let Ok(seat) = seats.clone().acquire_owned().await else {
+        // Further connections stay in the listen backlog, where they use no descriptor, until others are closed.
+        let Ok(connection_permit) = connection_permits.clone().acquire_owned().await else {
             return;
         };
         let (stream, peer) = accept_one(&listener).await;
         _ = stream.set_nodelay(true);
-        // With a place in the queue first, the loop hears of the connection before what it says.
-        let Ok(place) = events.reserve().await else {
+        // Reserving the queue slot before spawning the task puts this event ahead of those from the connection.
+        let Ok(event_permit) = events.reserve().await else {
             return;
         };
-        let (messages, waiting_messages) = mpsc::channel(MAX_WAITING_MESSAGES);
+        let (messages, queued_messages) = mpsc::channel(MAX_QUEUED_MESSAGES);
         let connection = Connection {
             inbound,
             shared: shared.clone(),
         };
-        let task = tokio::spawn(connection.run(stream, waiting_messages, seat));
-        place.send(LoopEvent::Accepted {
+        let task = tokio::spawn(connection.run(stream, queued_messages, connection_permit));
+        event_permit.send(LoopEvent::Accepted {
             inbound,
             peer: peer.to_string(),
             messages,
@@ -81,48 +82,48 @@
     loop {
         match listener.accept().await {
             Ok(accepted) => return accepted,
-            // It is one peer's failure, or it passes: the listener goes on.
+            // Accept errors concern a single connection or are temporary.
             Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-/// One connection of a peer.
+/// An accepted connection to the director's own address.
 struct Connection {
     inbound: InboundId,
     shared: Shared,
 }
 
 impl Connection {
-    /// Reads and writes until the connection ends, and reports its end.
+    /// Serves the connection until it ends, then reports [`Input::InboundClosed`].
     async fn run(
         self,
         stream: TcpStream,
-        waiting_messages: mpsc::Receiver<PeerMessage>,
-        seat: OwnedSemaphorePermit,
+        queued_messages: mpsc::Receiver<PeerMessage>,
+        connection_permit: OwnedSemaphorePermit,
     ) {
-        let ended = self.talk(stream, waiting_messages).await;
-        drop(seat);
+        let result = self.serve(stream, queued_messages).await;
+        drop(connection_permit);
         let closed = Input::InboundClosed {
             inbound: self.inbound,
-            error: ended.err().map(|error| error.to_string()),
+            error: result.err().map(|error| error.to_string()),
         };
         self.report(closed).await;
     }
 
     async fn report(&self, input: Input) {
-        // Where the loop has ended, nobody misses it.
+        // The send fails only after the event loop has ended.
         _ = self.shared.events.send(LoopEvent::Input(input)).await;
     }
 
-    async fn talk(
+    async fn serve(
         &self,
         mut stream: TcpStream,
-        waiting_messages: mpsc::Receiver<PeerMessage>,
+        queued_messages: mpsc::Receiver<PeerMessage>,
     ) -> io::Result<()> {
         let mut first = [0; 4];
         if let Err(error) = stream.read_exact(&mut first).await {
-            // A peer that sends nothing and goes is no failure.
+            // A connection that closes before it sends four bytes is not an error.
             return match error.kind() {
                 io::ErrorKind::UnexpectedEof => Ok(()),
                 _ => Err(error),
@@ -136,18 +137,18 @@
             return pages::serve(tokio::io::join(read, write), self.shared.events.clone()).await;
         }
         tokio::select! {
-            ended = self.read_messages(BufReader::new(read)) => ended,
-            ended = write_messages(write, waiting_messages) => ended,
+            result = self.read_messages(BufReader::new(read)) => result,
+            result = write_messages(write, queued_messages) => result,
         }
     }
 
-    /// Reads messages, one after the other. Until its peer has registered as a collector, only small ones, after each of which it waits for
-    /// the loop to say whether it has.
+    /// Reads messages and sends them to the event loop. Until the peer has registered as a collector, messages have a
+    /// smaller size limit, and the next one is read only after the loop has handled the previous one.
     async fn read_messages<R: AsyncRead + Unpin>(&self, mut read: R) -> io::Result<()> {
         let mut is_collector = false;
         loop {
-            let mut head = [0; 4];
-            if read.read(&mut head[..1]).await? == 0 {
+            let mut length_prefix = [0; 4];
+            if read.read(&mut length_prefix[..1]).await? == 0 {
                 return Ok(());
             }
             let max_size = if is_collector {
@@ -155,36 +156,36 @@
             } else {
                 frames::MAX_UNREGISTERED_MESSAGE_BYTES
             };
-            let message = self.read_message(&mut read, head, max_size);
+            let message = self.read_message(&mut read, length_prefix, max_size);
             let (message, memory) = timeout(MESSAGE_TIMEOUT, message)
                 .await
-                .map_err(|_| io::Error::other("a message that does not end"))??;
-            let (verdict, answer) = oneshot::channel();
+                .map_err(|_| io::Error::other("a message was not complete in time"))??;
+            let (is_collector_sender, is_collector_receiver) = oneshot::channel();
             let frame = LoopEvent::Frame {
                 inbound: self.inbound,
                 message,
-                is_collector: (!is_collector).then_some(verdict),
+                is_collector: (!is_collector).then_some(is_collector_sender),
                 _memory: memory,
             };
             if self.shared.events.send(frame).await.is_err() {
                 return Ok(());
             }
             if !is_collector {
-                is_collector = answer.await.unwrap_or(false);
+                is_collector = is_collector_receiver.await.unwrap_or(false);
             }
         }
     }
 
-    /// Reads the rest of a message whose first byte was read. The memory for it is reserved first: what is not there yet
-    /// is not held.
+    /// Reads the rest of a message whose first byte is in `length_prefix`. Waits for a reservation of its memory before
+    /// the buffer is allocated.
     async fn read_message<R: AsyncRead + Unpin>(
         &self,
         read: &mut R,
-        mut head: [u8; 4],
+        mut length_prefix: [u8; 4],
         max_size: usize,
     ) -> io::Result<(Bytes, OwnedSemaphorePermit)> {
-        read.read_exact(&mut head[1..]).await?;
-        let size = u32::from_le_bytes(head) as usize;
+        read.read_exact(&mut length_prefix[1..]).await?;
+        let size = u32::from_le_bytes(length_prefix) as usize;
         if size > max_size {
             return Err(io::Error::other(format!(
                 "a message of {size} bytes, {max_size} at most"
@@ -204,12 +205,12 @@
     }
 }
 
-/// Writes messages until the last one, or until the loop lets go of the connection.
+/// Writes queued messages until [`PeerMessage::Last`], or until the event loop drops the queue's sender.
 async fn write_messages(
     mut write: OwnedWriteHalf,
-    mut waiting_messages: mpsc::Receiver<PeerMessage>,
+    mut queued_messages: mpsc::Receiver<PeerMessage>,
 ) -> io::Result<()> {
-    while let Some(message) = waiting_messages.recv().await {
+    while let Some(message) = queued_messages.recv().await {
         let (bytes, is_last) = match message {
             PeerMessage::Message(bytes) => (bytes, false),
             PeerMessage::Last(bytes) => (bytes, true),
--- a/crates/director/director/src/net/pages.rs
+++ b/crates/director/director/src/net/pages.rs
@@ -1,11 +1,11 @@
-//! Pages for people and monitors, by HTTP on the director's own address.
+//! HTTP pages for operators and monitoring, served on the director's own address.
 //!
 //! * `metrics.rs`: `/metrics`. `tables.rs`: `/tables`.
 
 mod metrics;
 mod tables;
 
-use crate::events::{LoopEvent, LoopSender, Page};
+use crate::events::{EventSender, LoopEvent, Page};
 use axum::Router;
 use axum::extract::State;
 use axum::http::{StatusCode, header};
@@ -19,19 +19,19 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio::sync::oneshot;
 
-/// A request's head is read within this; one request is answered, then the connection ends.
+/// Time for a client to send the head of its request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Bytes that a connection buffers.
+/// Limit of a connection's read buffer, in bytes; longer request heads are rejected.
 const MAX_BUFFER_SIZE: usize = 16 << 10;
 
 const PLAIN_TEXT: &str = "text/plain; charset=utf-8";
 const PROMETHEUS_TEXT: &str = "text/plain; version=0.0.4; charset=utf-8";
 const JSON: &str = "application/json";
 
-/// Serves the pages on one connection.
+/// Serves a single request on an accepted connection, then closes it.
 pub(crate) async fn serve<T: AsyncRead + AsyncWrite + Unpin + Send + 'static>(
     stream: T,
-    events: LoopSender,
+    events: EventSender,
 ) -> io::Result<()> {
     hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
@@ -46,7 +46,7 @@
         .map_err(io::Error::other)
 }
 
-fn router(events: LoopSender) -> Router {
+fn router(events: EventSender) -> Router {
     Router::new()
         .route(
             "/healthz",
@@ -60,14 +60,14 @@
         .with_state(events)
 }
 
-/// Has the loop render a page.
+/// Requests a page from the event loop, which owns the session. Responds with status 503 during shutdown.
 async fn respond(
-    State(events): State<LoopSender>,
+    State(events): State<EventSender>,
     page: Page,
     content_type: &'static str,
 ) -> Response {
-    let (text, rendered) = oneshot::channel();
-    let requested = LoopEvent::PageRequested { page, text };
+    let (response, rendered) = oneshot::channel();
+    let requested = LoopEvent::PageRequested { page, response };
     if events.send(requested).await.is_err() {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
@@ -77,7 +77,7 @@
     }
 }
 
-/// The text of a page, from the session as it stands.
+/// Renders the body of a page from the session's current state.
 pub(crate) fn render(page: Page, session: &Session, dropped_log_lines: u64) -> String {
     match page {
         Page::Health => "ok\n".into(),
--- a/crates/director/director/src/net/pages/metrics.rs
+++ b/crates/director/director/src/net/pages/metrics.rs
@@ -1,14 +1,14 @@
-//! `/metrics`, in the text format of Prometheus.
+//! Renders `/metrics` in the Prometheus text format.
 
 use rushcourse_director_state::{CounterSample, DelayHistogram, GaugeSample, Session};
 use std::fmt::{self, Write};
 
-/// The beginning of all names.
+/// Prefix of all metric names.
 const PREFIX: &str = "rushcourse";
 
 pub(super) fn render(session: &Session, dropped_log_lines: u64) -> String {
     let mut text = String::new();
-    // Writing to a string does not fail.
+    // Writing to a string can't fail.
     _ = write_all(&mut text, session, dropped_log_lines);
     text
 }
@@ -48,7 +48,7 @@
     writeln!(text, "{name} {value}")
 }
 
-/// A histogram of times in ms, shown in seconds.
+/// Writes a histogram of times in ms, converted to seconds.
 fn write_histogram(
     text: &mut String,
     name: &str,
--- a/crates/director/director/src/net/pages/tables.rs
+++ b/crates/director/director/src/net/pages/tables.rs
@@ -1,4 +1,5 @@
-//! `/tables`: what the policy holds of proxies and tables, certain or uncertain.
+//! Renders `/tables`: the policy's view of proxies and routing tables as JSON, including updates that are not yet
+//! acknowledged.
 
 use rushcourse_director_protocol::relay;
 use rushcourse_director_state::Session;
--- a/crates/director/director/src/net/relay.rs
+++ b/crates/director/director/src/net/relay.rs
@@ -1,6 +1,6 @@
-//! A connection to the platform's relay: lines out, lines in. One task each; whoever drops it aborts the task.
+//! Connections to the platform's relay, which exchange text lines. Each connection has a task of its own.
 
-use crate::events::{LoopEvent, LoopSender};
+use crate::events::{EventSender, LoopEvent};
 use futures_util::StreamExt;
 use rushcourse_director_protocol::relay::MAX_LINE_BYTES;
 use rushcourse_director_state::{Input, RelayConnectionId};
@@ -13,19 +13,19 @@
 use tokio::task::AbortHandle;
 use tokio_util::codec::{FramedRead, LinesCodec, LinesCodecError};
 
-/// Lines that may wait to be written: one call is in flight, and `WATCH` is one line.
-const MAX_WAITING_LINES: usize = 2;
+/// Capacity of the write queue. At most one call is in flight, and `WATCH` is a single line.
+const MAX_QUEUED_LINES: usize = 2;
 
-/// A connection that the loop holds.
+/// The event loop's handle of a connection. Dropping it closes the connection once it is established.
 pub(crate) struct RelayConnection {
-    /// Lines to write.
+    /// Write queue. Lines include their line ends.
     pub(crate) lines: mpsc::Sender<String>,
-    /// Reads and writes.
+    /// Aborts the task that reads and writes the connection.
     pub(crate) task: AbortHandle,
 }
 
-/// Why a connection has ended.
-enum End {
+/// Why a connection could not be established or has ended.
+enum DisconnectReason {
     Connect(io::Error),
     Read(LinesCodecError),
     Write(io::Error),
@@ -34,30 +34,32 @@
     LoopEnded,
 }
 
-impl fmt::Display for End {
+impl fmt::Display for DisconnectReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::Connect(error) | End::Write(error) => write!(f, "{error}"),
-            End::Read(error) => write!(f, "{error}"),
-            End::ClosedByRelay => write!(f, "closed"),
-            End::Dropped => write!(f, "dropped"),
-            End::LoopEnded => write!(f, "the loop has ended"),
+            DisconnectReason::Connect(error) | DisconnectReason::Write(error) => {
+                write!(f, "{error}")
+            }
+            DisconnectReason::Read(error) => write!(f, "{error}"),
+            DisconnectReason::ClosedByRelay => write!(f, "closed by the relay"),
+            DisconnectReason::Dropped => write!(f, "closed by the director"),
+            DisconnectReason::LoopEnded => write!(f, "the event loop has ended"),
         }
     }
 }
 
-/// Connects in a task of its own, which reports the connection's end last. `id` tells it from earlier ones.
+/// Spawns a task that connects to the relay. Its last input is [`Input::RelayDisconnected`]; all its inputs carry `id`.
 pub(crate) fn connect(
     address: SocketAddr,
     id: RelayConnectionId,
-    events: LoopSender,
+    events: EventSender,
 ) -> RelayConnection {
-    let (lines, waiting_lines) = mpsc::channel(MAX_WAITING_LINES);
+    let (lines, queued_lines) = mpsc::channel(MAX_QUEUED_LINES);
     let task = tokio::spawn(async move {
-        let end = talk(address, id, &events, waiting_lines).await;
+        let disconnect_reason = run_connection(address, id, &events, queued_lines).await;
         let disconnected = Input::RelayDisconnected {
             connection: id,
-            reason: end.to_string(),
+            reason: disconnect_reason.to_string(),
         };
         _ = events.send(LoopEvent::Input(disconnected)).await;
     });
@@ -67,21 +69,21 @@
     }
 }
 
-/// Reads and writes lines until the connection ends.
-async fn talk(
+/// Connects, then reads and writes lines until the connection ends.
+async fn run_connection(
     address: SocketAddr,
     id: RelayConnectionId,
-    events: &LoopSender,
-    mut waiting_lines: mpsc::Receiver<String>,
-) -> End {
+    events: &EventSender,
+    mut queued_lines: mpsc::Receiver<String>,
+) -> DisconnectReason {
     let mut stream = match TcpStream::connect(address).await {
         Ok(stream) => stream,
-        Err(error) => return End::Connect(error),
+        Err(error) => return DisconnectReason::Connect(error),
     };
     _ = stream.set_nodelay(true);
     let connected = LoopEvent::Input(Input::RelayConnected { connection: id });
     if events.send(connected).await.is_err() {
-        return End::LoopEnded;
+        return DisconnectReason::LoopEnded;
     }
     let (read, mut write) = stream.split();
     let mut lines = FramedRead::new(read, LinesCodec::new_with_max_length(MAX_LINE_BYTES));
@@ -89,18 +91,18 @@
         let input = tokio::select! {
             line = lines.next() => match line {
                 Some(Ok(line)) => Input::RelayLine { connection: id, line },
-                Some(Err(error)) => return End::Read(error),
-                None => return End::ClosedByRelay,
+                Some(Err(error)) => return DisconnectReason::Read(error),
+                None => return DisconnectReason::ClosedByRelay,
             },
-            line = waiting_lines.recv() => match line {
+            line = queued_lines.recv() => match line {
                 Some(line) => match write.write_all(line.as_bytes()).await {
                     Ok(()) => Input::RelayWritten { connection: id },
-                    Err(error) => return End::Write(error),
+                    Err(error) => return DisconnectReason::Write(error),
                 },
-                None => return End::Dropped,
+                None => return DisconnectReason::Dropped,
             },
         };
-        // Where the loop has ended, so does this task, with the lines that it reads.
+        // The send fails only after the event loop has ended; its runtime then drops this task.
         _ = events.send(LoopEvent::Input(input)).await;
     }
 }
--- a/crates/director/director/src/signals.rs
+++ b/crates/director/director/src/signals.rs
@@ -1,10 +1,10 @@
-//! The signals that the process receives.
+//! Signal handling.
 
 use rushcourse_director_state::Input;
 use std::io;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// SIGTERM and SIGINT end the director, SIGHUP has it read its configuration again.
+/// SIGTERM and SIGINT stop the director; SIGHUP reloads its configuration.
 pub(crate) struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -12,7 +12,7 @@
 }
 
 impl Signals {
-    /// Receives signals from now on. Needs the runtime's context.
+    /// Installs the handlers. Must be called within the context of a Tokio runtime.
     pub(crate) fn new() -> io::Result<Signals> {
         Ok(Signals {
             hangup: signal(SignalKind::hangup())?,
@@ -21,7 +21,7 @@
         })
     }
 
-    /// The next signal, as an input of the session.
+    /// Waits for the next signal and converts it to an input of the session.
     pub(crate) async fn next(&mut self) -> Input {
         tokio::select! {
             biased;
--- a/crates/director/director/tests/health_checks.rs
+++ b/crates/director/director/tests/health_checks.rs
@@ -1,7 +1,7 @@
 //! Health checks of hosts that answer, fail, hang or talk nonsense.
 
 use bytes::Bytes;
-use rushcourse_director::{HealthCheck, HealthCheckClient};
+use rushcourse_director::{HealthCheckClient, HealthCheckResult};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
@@ -28,7 +28,7 @@
 }
 
 async fn check(address: &str) -> (Option<u16>, Bytes) {
-    let HealthCheck { status, body, .. } = HealthCheckClient::new()
+    let HealthCheckResult { status, body, .. } = HealthCheckClient::new()
         .check(address, "/status/load", TIMEOUT)
         .await;
     (status, body)
