--- a/crates/director/director-protocol/src/discovery.rs
+++ b/crates/director/director-protocol/src/discovery.rs
@@ -18,7 +18,7 @@
 /// A host list, as discovery sends it and as a configuration file may hold it.
 #[derive(Deserialize, Debug)]
 pub struct EndpointList<'a> {
-    /// Number of the list's latest change.
+    /// Increases with every change of the list, so that an outdated list can be recognized.
     pub revision: u64,
     /// Whether the list holds all hosts; otherwise it holds only those that changed.
     #[serde(rename = "complete")]
--- a/crates/director/director-protocol/src/relay.rs
+++ b/crates/director/director-protocol/src/relay.rs
@@ -3,9 +3,9 @@
 use rushcourse_policy::interface::{AckNumber, Action, Channel, ClassMask, Ms, ProxyId, TableId};
 use std::fmt;
 
-/// Limit for the orders in one call.
+/// Limit for the total length of the orders in one call, in bytes. Longer lists of orders are split into several calls.
 pub const MAX_ORDER_BYTES: usize = 60_000;
-/// Longest line that is accepted from the relay.
+/// Longest line that is accepted from the relay, in bytes.
 pub const MAX_LINE_BYTES: usize = 64 * 1024;
 /// The line that subscribes a connection to notifications.
 pub const WATCH_REQUEST: &str = "WATCH\r\n";
@@ -170,7 +170,7 @@
 pub enum Notification<'a> {
     /// A proxy is connected to the relay.
     ProxyJoined {
-        /// Number of the proxy that joined.
+        /// Identifies the proxy to the relay and the policy.
         proxy: ProxyId,
         /// Name of the proxy's zone.
         zone: &'a str,
@@ -181,12 +181,12 @@
     },
     /// A proxy has disconnected from the relay.
     ProxyLeft {
-        /// Number of the proxy that left.
+        /// Identifies the proxy to the relay and the policy.
         proxy: ProxyId,
     },
     /// A proxy has applied a call and all calls before it.
     Applied {
-        /// Number of the acknowledging proxy.
+        /// Identifies the acknowledging proxy to the relay and the policy.
         proxy: ProxyId,
         /// Identifies the acknowledgement that the call requested.
         ack_number: AckNumber,
--- a/crates/director/director-settings/src/validation.rs
+++ b/crates/director/director-settings/src/validation.rs
@@ -20,11 +20,11 @@
 pub enum Problem {
     /// The list of request classes is empty.
     NoClass,
-    /// The number of request classes exceeds 32, the bits of a class mask.
+    /// There are more request classes than the 32 bits of a class mask; holds their number.
     TooManyClasses(usize),
     /// The name is empty or contains a separator of the relay's orders.
     UnusableName(String),
-    /// The index exceeds the list of zones.
+    /// The index is not below the number of zones.
     NoSuchZone,
     /// The number is not finite and above 0.
     NotPositive(f64),
--- a/crates/director/director/src/config/error.rs
+++ b/crates/director/director/src/config/error.rs
@@ -12,15 +12,19 @@
 pub(crate) enum ConfigError {
     /// RELAY_CONFIG is not set.
     NotNamed,
-    /// The file can't be read.
-    Unreadable { path: PathBuf, source: io::Error },
+    Unreadable {
+        path: PathBuf,
+        source: io::Error,
+    },
     /// The file is not JSON or lacks a required field. The source names line and column.
     Json {
         path: PathBuf,
         source: serde_json::Error,
     },
-    /// A field has an invalid value.
-    Field { path: PathBuf, source: FieldError },
+    Field {
+        path: PathBuf,
+        source: FieldError,
+    },
     /// The operators' fronts file is invalid or can't be read.
     Fronts(FrontsError),
 }
--- a/crates/director/director/src/net/health_check.rs
+++ b/crates/director/director/src/net/health_check.rs
@@ -35,7 +35,7 @@
 }
 
 impl HealthCheckClient {
-    /// Creates a client that doesn't hold any connection.
+    /// Creates a client. Connections are opened for each check.
     pub fn new() -> HealthCheckClient {
         HealthCheckClient {
             http: HttpClient::new(MAX_IDLE_CONNECTIONS),
--- a/crates/director/director/src/net/http.rs
+++ b/crates/director/director/src/net/http.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle connections are closed after this.
+/// How long an idle connection stays in the pool.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 
 pub(super) struct HttpResponse {
--- a/crates/director/director/tests/grpc/discovery.rs
+++ b/crates/director/director/tests/grpc/discovery.rs
@@ -119,7 +119,7 @@
         })
         .await;
     assert!(good.status().is_none());
-    // The proxy that doesn't read has not yet been disconnected.
+    // Of the five proxies, only the one that doesn't read may have been disconnected.
     assert!(harness.metric("rushcourse_streams_joined").await >= 4.0);
 }
 
--- a/crates/director/director/tests/sockets/lifecycle.rs
+++ b/crates/director/director/tests/sockets/lifecycle.rs
@@ -23,7 +23,7 @@
 async fn start_second_discovery() -> Discovery {
     let discovery = Discovery::start(free_address())
         .await
-        .expect("discovery elsewhere");
+        .expect("a second discovery server");
     for host in ["h-1", "h-2"] {
         discovery.set_host(host, "east", "Ready", HOST_ADDRESS, 0.0);
     }
@@ -62,7 +62,7 @@
         .relay
         .also_at(free_address())
         .await
-        .expect("the relay elsewhere");
+        .expect("a second address of the relay");
     let discovery = start_second_discovery().await;
     let binds_before = bind_count(&harness);
     harness.reload(&config_with_new_addresses(&harness, &relay, &discovery).to_string());
--- a/crates/director/director/tests/sockets/peers.rs
+++ b/crates/director/director/tests/sockets/peers.rs
@@ -136,7 +136,7 @@
     }
     good.report_host("east", "h-1", 9)
         .await
-        .expect("still there");
+        .expect("the connection is still open");
     harness
         .wait_for_metric("rushcourse_reports_heard_total", 2.0)
         .await;
