--- a/crates/director/director/tests/common/mod.rs
+++ b/crates/director/director/tests/common/mod.rs
@@ -156,11 +156,9 @@
         // Without the relay front, the director doesn't watch the relay.
         let has_relay = fronts.is_none_or(|text| !text.contains("relay = False"));
         if has_relay {
-            wait_until("the relay is watched", || {
-                harness.relay.watcher_count() == 1
-            })
-            .await
-            .expect("a watch");
+            wait_until("watched", || harness.relay.watcher_count() == 1)
+                .await
+                .expect("a watch");
         }
         harness
     }
--- a/crates/director/director/tests/grpc/discovery.rs
+++ b/crates/director/director/tests/grpc/discovery.rs
@@ -114,9 +114,7 @@
         .wait_until("the silent proxy is updated", || picks_only(&bad[1], "h-1"))
         .await;
     harness
-        .wait_until("the proxy with old acknowledgements is updated", || {
-            picks_only(&bad[3], "h-1")
-        })
+        .wait_until("the last proxy is updated", || picks_only(&bad[3], "h-1"))
         .await;
     assert!(good.status().is_none());
     // Of the five proxies, only the one that doesn't read may have been disconnected.
@@ -134,9 +132,7 @@
     let on_stream = joined(&harness, at, proxy(3, false)).await;
     harness.set_phase("h-2", "Terminating");
     harness
-        .wait_until("withdrawn over the stream", || {
-            picks_only(&on_stream, "h-1")
-        })
+        .wait_until("withdrawn", || picks_only(&on_stream, "h-1"))
         .await;
     harness.set_phase("h-2", "Ready");
     harness
@@ -147,9 +143,7 @@
     harness.relay.join_proxy(3, "east", 5.0);
     assert_ends_with(&harness, &on_stream, Code::Aborted).await;
     harness
-        .wait_until("bound at the relay", || {
-            harness.relay.endpoints(3).len() == 2
-        })
+        .wait_until("bound again", || harness.relay.endpoints(3).len() == 2)
         .await;
 }
 
@@ -183,9 +177,7 @@
             .await;
         let third = Proxy::start(at, options).await.expect("a channel");
         harness
-            .wait_until("all tables are sent again", || {
-                !third.table("look").endpoints.is_empty()
-            })
+            .wait_until("sent again", || !third.table("look").endpoints.is_empty())
             .await;
     }
 }
--- a/crates/director/director/tests/grpc/reports.rs
+++ b/crates/director/director/tests/grpc/reports.rs
@@ -15,9 +15,7 @@
         .await
         .expect("a channel");
     harness
-        .wait_until("the report interval is received", || {
-            reporter.report_interval() == Some(1000.0)
-        })
+        .wait_until("interval", || reporter.report_interval() == Some(1000.0))
         .await;
     // Valid reports are accepted; invalid ones are counted by reason.
     let valid = Observation {
@@ -89,8 +87,6 @@
         .wait_for_metric("rushcourse_node_restarts_total", 1.0)
         .await;
     harness
-        .wait_until("the stream is reopened", || {
-            host.stream_count() > stream_count
-        })
+        .wait_until("a new stream", || host.stream_count() > stream_count)
         .await;
 }
--- a/crates/director/director/tests/layers.rs
+++ b/crates/director/director/tests/layers.rs
@@ -104,17 +104,11 @@
 }
 
 /// All `.rs` files below a folder, recursively.
-fn source_files(folder: &Path) -> Vec<PathBuf> {
+fn rust_files(folder: &Path) -> Vec<PathBuf> {
     let entries = std::fs::read_dir(folder)
         .expect("a folder")
         .map(|e| e.expect("an entry").path());
-    let found = entries.flat_map(|p| {
-        if p.is_dir() {
-            source_files(&p)
-        } else {
-            vec![p]
-        }
-    });
+    let found = entries.flat_map(|p| if p.is_dir() { rust_files(&p) } else { vec![p] });
     found
         .filter(|p| p.extension().is_some_and(|e| e == "rs"))
         .collect()
@@ -225,7 +219,7 @@
     let mut found = 0;
     for package in packages() {
         let src = package.join("src");
-        let files = source_files(&src);
+        let files = rust_files(&src);
         let known: BTreeSet<Vec<String>> = files.iter().map(|f| module_path(&src, f)).collect();
         // `lib.rs` and `main.rs` both have the root's path, so their imports are merged.
         let mut graph: BTreeMap<_, BTreeSet<_>> = BTreeMap::new();
--- a/crates/director/director/tests/sockets/fault_injection.rs
+++ b/crates/director/director/tests/sockets/fault_injection.rs
@@ -30,19 +30,19 @@
 /// Injects a random fault: a call that is disconnected, gets no reply or a garbled one; a disconnected watch; or a
 /// change of discovery's behavior.
 fn inject_fault(harness: &Harness, random: &mut RandomSequence) {
-    let is_applied = random.below(2) == 0;
+    let applied = random.below(2) == 0;
     match random.below(5) {
-        0 => harness
-            .relay
-            .inject_fault(CallFault::Disconnect { is_applied }),
-        1 => harness
-            .relay
-            .inject_fault(CallFault::NoReply { is_applied }),
-        2 => harness
-            .relay
-            .inject_fault(CallFault::GarbledReply { is_applied }),
+        0 => harness.relay.inject_fault(CallFault::Disconnect {
+            is_applied: applied,
+        }),
+        1 => harness.relay.inject_fault(CallFault::NoReply {
+            is_applied: applied,
+        }),
+        2 => harness.relay.inject_fault(CallFault::GarbledReply {
+            is_applied: applied,
+        }),
         3 => harness.relay.disconnect_watchers(),
-        _ => harness.discovery.set_behavior(if is_applied {
+        _ => harness.discovery.set_behavior(if applied {
             Behavior::Normal
         } else {
             Behavior::Garbled
--- a/crates/director/director/tests/sockets/lifecycle.rs
+++ b/crates/director/director/tests/sockets/lifecycle.rs
@@ -130,15 +130,15 @@
     );
     let mut child = spawn_director(&path, &log, None);
     let lines = std::cell::RefCell::new(Vec::new());
-    let done = rushcourse_standin::scenario::play(&config, |line| {
+    let result = rushcourse_standin::scenario::play(&config, |line| {
         lines.borrow_mut().push(line.to_string())
     })
     .await;
     _ = child.kill();
     _ = child.wait();
-    done.unwrap_or_else(|error| {
+    result.unwrap_or_else(|error| {
         panic!(
-            "{error}; story: {lines:?}; its log: {:?}",
+            "{error}; scenario output: {lines:?}; log: {:?}",
             std::fs::read_to_string(&log)
         )
     });
--- a/crates/director/director/tests/sockets/relay.rs
+++ b/crates/director/director/tests/sockets/relay.rs
@@ -24,12 +24,18 @@
 
 #[tokio::test]
 async fn call_with_unknown_outcome_is_retried() {
-    for is_applied in [true, false] {
+    for applied in [true, false] {
         let harness = Harness::start_with_bound_proxy().await;
         for fault in [
-            CallFault::Disconnect { is_applied },
-            CallFault::NoReply { is_applied },
-            CallFault::GarbledReply { is_applied },
+            CallFault::Disconnect {
+                is_applied: applied,
+            },
+            CallFault::NoReply {
+                is_applied: applied,
+            },
+            CallFault::GarbledReply {
+                is_applied: applied,
+            },
         ] {
             harness.relay.inject_fault(fault);
         }
@@ -37,7 +43,7 @@
         harness.set_phase("h-2", "Terminating");
         // A call that was not applied is retried until a reply arrives; one that was applied, until a proxy's
         // acknowledgement arrives. No other call is sent in between.
-        let minimum = if is_applied { 2 } else { 4 };
+        let minimum = if applied { 2 } else { 4 };
         harness
             .wait_until("the call is retried", || {
                 harness.relay.received_calls().len() >= before + minimum
