--- a/crates/director/director-state/tests/discovery.rs
+++ b/crates/director/director-state/tests/discovery.rs
@@ -1,9 +1,9 @@
-//! Discovery: order, gaps, silence, odd answers.
+//! The discovery client: revisions, gaps, timeouts and invalid responses.
 
 mod common;
 
 use common::harness::Harness;
-use common::platform::{fleet, list, member};
+use common::platform::{all_members, list, member};
 use rushcourse_director_state::Input;
 
 fn is_withdrawn(harness: &Harness, host: &str) -> bool {
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_complete_list_first_then_watches_from_its_revision() {
+fn complete_list_is_followed_by_watches_from_its_revision() {
     let mut harness = Harness::with_bound_proxies();
     let paths: Vec<&str> = harness
         .discovery
@@ -29,14 +29,14 @@
     harness.drain_host(9, "a1", "east");
     assert!(
         harness.discovery.latest().path.contains("after=9"),
-        "the next watch follows at once"
+        "the next watch is sent at once"
     );
     harness.run_for(50.0);
     assert!(is_withdrawn(&harness, "a1"));
 }
 
 #[test]
-fn an_empty_answer_is_no_change() {
+fn empty_delta_changes_nothing() {
     let mut harness = Harness::with_bound_proxies();
     let calls = harness.relay.calls.len();
     harness.change_list(5, &[]);
@@ -46,14 +46,14 @@
 }
 
 #[test]
-fn the_cached_list_may_be_old() {
-    // Given a director that knew host a1 before its start, and a list that names a9 in its place.
+fn cached_list_is_replaced_by_the_fetched_list() {
+    // Given a cached list with host a1, and a fetched list with a9 in its place.
     let mut harness = Harness::new();
-    let mut members = fleet();
+    let mut members = all_members();
     members[0] = member("a9", "east", "Ready", 0.0);
     harness.discovery.list = list(40, true, &members);
     harness.start();
-    // When a proxy joins, then its table holds what the list names.
+    // When a proxy joins, then its table holds the hosts of the fetched list.
     harness.notify("* joined 1 east 5.0 1");
     harness.run_for(100.0);
     let orders = harness.relay.orders_from(0);
@@ -62,10 +62,10 @@
 }
 
 #[test]
-fn a_revision_that_is_older_is_not_believed_and_the_complete_list_is_asked_for() {
+fn outdated_revision_is_ignored_and_the_complete_list_requested() {
     let mut harness = Harness::with_bound_proxies();
     harness.drain_host(9, "a1", "east");
-    harness.discovery.list = list(9, true, &fleet());
+    harness.discovery.list = list(9, true, &all_members());
     harness.drain_host(7, "b1", "west");
     harness.run_for(1000.0);
     assert!(!is_withdrawn(&harness, "b1"));
@@ -74,20 +74,20 @@
 }
 
 #[test]
-fn a_discovery_that_began_anew_is_believed_in_the_end() {
+fn lower_revision_is_accepted_after_repeated_complete_lists() {
     let mut harness = Harness::with_bound_proxies();
     harness.drain_host(900, "a1", "east");
-    harness.discovery.list = list(3, true, &fleet()[..3]);
+    harness.discovery.list = list(3, true, &all_members()[..3]);
     harness.change_list(2, &[]);
     harness.run_for(4000.0);
     assert!(
         is_withdrawn(&harness, "b2"),
-        "its complete list says so again and again"
+        "the complete list with the lower revision is repeated"
     );
 }
 
 #[test]
-fn a_repeated_revision_changes_nothing() {
+fn repeated_revision_is_ignored() {
     let mut harness = Harness::with_bound_proxies();
     harness.drain_host(9, "a1", "east");
     harness.change_list(9, &[member("b1", "west", "Gone", 0.0)]);
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn silence_and_errors_lead_to_the_complete_list() {
-    // Given a discovery that does not answer.
+fn failed_request_is_followed_by_requests_for_the_complete_list() {
+    // Given a discovery service that does not answer.
     let mut harness = Harness::with_bound_proxies();
     harness.discovery.is_reachable = false;
     harness.fail_fetch("no answer within 4700 ms");
     harness.run_for(3000.0);
-    // Then the complete list is asked for again and again.
+    // Then only the complete list is requested.
     let requests = &harness.discovery.requests;
     assert!(
         requests[2..]
@@ -112,9 +112,9 @@
     );
     let attempts = requests.len();
     assert!((2..20).contains(&attempts), "{attempts} attempts");
-    // When it answers again, then its changes hold, and watches go on from there.
+    // When it answers again, then its list is applied and watches continue from its revision.
     harness.discovery.is_reachable = true;
-    let mut members = fleet();
+    let mut members = all_members();
     members[3] = member("b2", "west", "Terminating", 0.0);
     harness.discovery.list = list(12, true, &members);
     harness.run_for(2000.0);
@@ -123,19 +123,19 @@
 }
 
 #[test]
-fn a_deadline_is_kept_even_if_nothing_at_all_comes_back() {
+fn request_without_any_result_times_out() {
     let mut harness = Harness::with_bound_proxies();
     harness.discovery.is_reachable = false;
     let requests = harness.discovery.requests.len();
     harness.run_for(12_000.0);
     assert!(
         harness.discovery.requests.len() > requests + 2,
-        "the watch was given up"
+        "the pending watch timed out"
     );
 }
 
 #[test]
-fn what_is_no_list_is_a_failure() {
+fn undecodable_list_is_a_failure() {
     for body in [
         "",
         "no json",
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_entry_that_can_not_be_used_does_not_cost_the_others() {
+fn unusable_entries_do_not_affect_the_others() {
     let mut harness = Harness::with_bound_proxies();
     let members = [
         member("b1", "west", "Resting", 0.0),
@@ -168,26 +168,26 @@
     assert_eq!(harness.counter("list_entries_odd"), 4);
     assert!(
         !is_withdrawn(&harness, "b1") && !is_withdrawn(&harness, "b2"),
-        "what was known of them stands"
+        "known hosts keep their state"
     );
 }
 
 #[test]
-fn a_host_of_unknown_phase_in_a_complete_list_stays_as_it_was() {
+fn listed_host_with_unknown_phase_keeps_its_state() {
     let mut harness = Harness::with_bound_proxies();
-    let mut members = fleet();
+    let mut members = all_members();
     members[2] = member("b1", "west", "Resting", 0.0);
     harness.answer_fetch(&list(9, true, &members));
     harness.run_for(100.0);
     assert!(
         !is_withdrawn(&harness, "b1"),
-        "it is listed, only its phase is not known"
+        "a listed host is not removed because of an unknown phase"
     );
 }
 
 #[test]
-fn a_late_watch_begins_with_the_complete_list() {
-    // Given a process that sleeps over the end of a watch, and then for longer.
+fn late_watch_is_replaced_by_the_complete_list() {
+    // Given a process that is suspended past the end of a watch, and again before the next one.
     let mut harness = Harness::with_bound_proxies();
     harness.handle(Input::Wake);
     harness.now += 30_000.0;
@@ -197,7 +197,7 @@
         .session
         .step(harness.now, Input::EndpointsFetched { request, body });
     assert!(effects.is_empty());
-    // When it wakes up, then it can't continue that watch.
+    // When it resumes, then changes may have been missed and the complete list is requested.
     harness.now += 500.0;
     harness.handle(Input::Wake);
     assert!(
@@ -208,10 +208,10 @@
 }
 
 #[test]
-fn times_of_starts_are_on_the_sessions_clock() {
+fn host_start_times_use_the_session_clock() {
     let mut harness = Harness::with_bound_proxies();
     let before = harness.relay.calls.len();
-    // When a1 says that it started two seconds ago, then it must not carry its full part.
+    // When a1 is listed as started two seconds ago, then it gets a reduced weight.
     let started_at = harness.now - 2000.0;
     harness.change_list(9, &[member("a1", "east", "Ready", started_at)]);
     harness.run_for(600.0);
@@ -220,17 +220,17 @@
         .orders_from(before)
         .into_iter()
         .find(|order| order.starts_with("share,") && order.contains(",a1,"))
-        .expect("its weight is cut");
+        .expect("its weight is set");
     let weight: f64 = order
         .rsplit(',')
         .next()
         .and_then(|weight| weight.parse().ok())
-        .expect("a weight");
+        .expect("order ends with a weight");
     assert!(weight > 0.0 && weight < 0.5, "{weight}");
 }
 
 #[test]
-fn a_discovery_that_does_not_wait_is_not_asked_in_a_loop() {
+fn early_empty_responses_do_not_cause_a_request_loop() {
     let mut harness = Harness::with_bound_proxies();
     let before = harness.discovery.requests.len();
     for _ in 0..1000 {
@@ -245,6 +245,6 @@
     assert_eq!(
         harness.discovery.full_list_count(),
         1,
-        "each continues the watch"
+        "each response is followed by a watch"
     );
 }
