--- a/crates/gateway/consensus/tests/timeline/cluster.rs
+++ b/crates/gateway/consensus/tests/timeline/cluster.rs
@@ -9,7 +9,7 @@
     ClaimRequest, ConsensusNode, DurableState, Effect, Input, ReplicaSummary,
 };
 use rushcourse_messages::{ClaimVerdict, Message, VotingSet};
-use rushcourse_modelcheck::simulation::{Deployment, SimulatedController, Unsynced};
+use rushcourse_modelcheck::simulation::{Deployment, SimulatedController, UnsyncedWrites};
 use rushcourse_types::{
     ConfigurationVersion, Epoch, NodeId, SessionId, Ticket, Timestamp, WallTime,
 };
@@ -61,8 +61,8 @@
         Cluster {
             now: Timestamp::ZERO,
             deployment: Deployment {
-                controllers: count,
-                zones: 4,
+                controller_count: count,
+                zone_count: 4,
                 tolerated_losses: 1,
                 catch_up: Duration::from_millis(4_000),
                 key_window: Duration::from_millis(60_000),
@@ -90,7 +90,7 @@
     }
 
     fn starts(&self, one: NodeId, other: NodeId) -> (u64, u64) {
-        let starts = |node: NodeId| self.controllers[&node].simulated.starts();
+        let starts = |node: NodeId| self.controllers[&node].simulated.start_count();
         (starts(one), starts(other))
     }
 
@@ -190,10 +190,10 @@
                 self.start(node);
             }
             Action::ShutDown => self.step(node, Input::ShutDown),
-            Action::Kill => self.stop(node, Unsynced::Written),
-            Action::LosePower => self.stop(node, Unsynced::Lost),
+            Action::Kill => self.stop(node, UnsyncedWrites::Written),
+            Action::LosePower => self.stop(node, UnsyncedWrites::Lost),
             Action::WipeDisk => {
-                self.stop(node, Unsynced::Lost);
+                self.stop(node, UnsyncedWrites::Lost);
                 let disk = &mut self.controller_mut(node).simulated.disk;
                 disk.replace(DurableState::default());
             }
@@ -202,7 +202,7 @@
                 controller.disk_copy = controller.simulated.disk.durable().clone();
             }
             Action::RestoreDisk => {
-                self.stop(node, Unsynced::Lost);
+                self.stop(node, UnsyncedWrites::Lost);
                 let controller = self.controller_mut(node);
                 controller
                     .simulated
@@ -243,7 +243,7 @@
         self.connect_to_all(node);
     }
 
-    fn stop(&mut self, node: NodeId, unsynced: Unsynced) {
+    fn stop(&mut self, node: NodeId, unsynced: UnsyncedWrites) {
         self.disconnect_from_all(node);
         self.controller_mut(node).simulated.stop(unsynced);
     }
--- a/crates/tools/modelcheck/src/simulation.rs
+++ b/crates/tools/modelcheck/src/simulation.rs
@@ -18,9 +18,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     /// Controllers that are there from the start, with the numbers from 1 on.
-    pub controllers: u32,
+    pub controller_count: u32,
     /// Zones that controllers are spread over.
-    pub zones: u32,
+    pub zone_count: u32,
     /// Machines that may be lost at once.
     pub tolerated_losses: usize,
     /// Within this time after a machine joined, the next loss must be tolerated.
@@ -32,7 +32,7 @@
 impl Deployment {
     /// The zone of a controller.
     pub fn zone(&self, node: NodeId) -> Arc<str> {
-        format!("zone-{}", node.0 % self.zones).into()
+        format!("zone-{}", node.0 % self.zone_count).into()
     }
 
     fn setup(&self, node: NodeId, start: u64, is_first_start: bool) -> ReplicaSetup {
@@ -40,7 +40,9 @@
             node,
             zone: self.zone(node),
             incarnation: Incarnation(u64::from(node.0) * MAX_STARTS + start),
-            seeds: (1..=self.controllers.min(MAX_SEEDS)).map(NodeId).collect(),
+            seeds: (1..=self.controller_count.min(MAX_SEEDS))
+                .map(NodeId)
+                .collect(),
             is_first_start,
             tolerated_losses: self.tolerated_losses,
             catch_up: self.catch_up,
@@ -51,7 +53,7 @@
 
 /// What becomes of batches that are not synced when a controller ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unsynced {
+pub enum UnsyncedWrites {
     /// They are lost with the power.
     Lost,
     /// The operating system writes them.
@@ -115,7 +117,7 @@
     pub disk: SimulatedDisk,
     /// Whether its next start is the first one of the whole system.
     pub is_first_start: bool,
-    starts: u64,
+    start_count: u64,
 }
 
 impl SimulatedController {
@@ -129,22 +131,22 @@
                 unsynced: VecDeque::new(),
             },
             is_first_start,
-            starts: 0,
+            start_count: 0,
         }
     }
 
     /// Starts it with what its disk holds.
     pub fn start(&mut self, deployment: &Deployment) {
         let is_first_start = std::mem::take(&mut self.is_first_start);
-        self.starts += 1;
-        let setup = deployment.setup(self.id, self.starts, is_first_start);
+        self.start_count += 1;
+        let setup = deployment.setup(self.id, self.start_count, is_first_start);
         self.node = Some(ConsensusNode::new(setup, self.disk.durable.clone()));
     }
 
     /// Stops it.
-    pub fn stop(&mut self, unsynced: Unsynced) {
+    pub fn stop(&mut self, unsynced: UnsyncedWrites) {
         self.node = None;
-        while unsynced == Unsynced::Written && self.disk.sync().is_some() {}
+        while unsynced == UnsyncedWrites::Written && self.disk.sync().is_some() {}
         self.disk.unsynced.clear();
     }
 
@@ -159,14 +161,14 @@
     }
 
     /// How often it was started.
-    pub fn starts(&self) -> u64 {
-        self.starts
+    pub fn start_count(&self) -> u64 {
+        self.start_count
     }
 
     /// A step of its node; nothing while it is stopped.
-    pub fn step(&mut self, now: Timestamp, wall: WallTime, input: Input) -> Vec<Effect> {
+    pub fn step(&mut self, now: Timestamp, wall_time: WallTime, input: Input) -> Vec<Effect> {
         match &mut self.node {
-            Some(node) => node.step(now, wall, input),
+            Some(node) => node.step(now, wall_time, input),
             None => Vec::new(),
         }
     }
--- a/crates/tools/modelcheck/src/world/controllers.rs
+++ b/crates/tools/modelcheck/src/world/controllers.rs
@@ -3,7 +3,7 @@
 use super::World;
 use super::network::{Link, Packet};
 use crate::mutation::Mutation;
-use crate::simulation::Unsynced;
+use crate::simulation::UnsyncedWrites;
 use rushcourse_consensus::{
     ClaimAnswer, CommittedConfiguration, Effect, Input, WriteBatch, WriteOperation,
 };
@@ -123,7 +123,7 @@
     }
 
     /// Stops a controller.
-    pub(super) fn stop(&mut self, node: NodeId, unsynced: Unsynced) {
+    pub(super) fn stop(&mut self, node: NodeId, unsynced: UnsyncedWrites) {
         for peer in self.reachable_peers(node) {
             self.disconnect(node, peer);
         }
--- a/crates/tools/modelcheck/src/world/mod.rs
+++ b/crates/tools/modelcheck/src/world/mod.rs
@@ -253,9 +253,9 @@
 
     fn deployment(&self) -> Deployment {
         Deployment {
-            controllers: self.scene.members,
+            controller_count: self.scene.members,
             // Each controller stands in a zone of its own.
-            zones: u32::MAX,
+            zone_count: u32::MAX,
             tolerated_losses: TOLERATED_LOSSES,
             catch_up: CATCH_UP,
             key_window: KEY_WINDOW,
--- a/crates/tools/modelcheck/src/world/mutations.rs
+++ b/crates/tools/modelcheck/src/world/mutations.rs
@@ -3,7 +3,7 @@
 use super::network::{Link, Packet};
 use super::{Controller, World};
 use crate::mutation::Mutation;
-use crate::simulation::Unsynced;
+use crate::simulation::UnsyncedWrites;
 use rushcourse_consensus::{DurableState, Input};
 use rushcourse_messages::{Ballot, DurableVote, Message, Slot, SlotRecord};
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId, Timestamp};
@@ -150,7 +150,7 @@
 
     /// A newcomer that votes as soon as it is a member.
     pub(super) fn count_at_once(&mut self, node: NodeId) {
-        self.stop(node, Unsynced::Written);
+        self.stop(node, UnsyncedWrites::Written);
         let disk = &mut self.controller_mut(node).simulated.disk;
         let durable = DurableState {
             has_complete_state: true,
--- a/crates/tools/modelcheck/src/world/play.rs
+++ b/crates/tools/modelcheck/src/world/play.rs
@@ -4,7 +4,7 @@
 use crate::draft::Draft;
 use crate::moves::Move;
 use crate::mutation::Mutation;
-use crate::simulation::Unsynced;
+use crate::simulation::UnsyncedWrites;
 use rushcourse_consensus::{CallOutcome, ConsensusNode, DurableState, Input};
 use rushcourse_types::{NodeId, Ticket};
 
@@ -39,17 +39,17 @@
 
     fn play_fault(&mut self, fault: Move) {
         match fault {
-            Move::LosePower(node) => self.lose_power(node, Unsynced::Lost),
-            Move::Kill(node) => self.lose_power(node, Unsynced::Written),
+            Move::LosePower(node) => self.lose_power(node, UnsyncedWrites::Lost),
+            Move::Kill(node) => self.lose_power(node, UnsyncedWrites::Written),
             Move::WipeDisk(node) => self.wipe_disk(node),
             Move::LoseMachine(node) => {
                 spend(&mut self.budget.machine_losses);
-                self.stop(node, Unsynced::Lost);
+                self.stop(node, UnsyncedWrites::Lost);
                 self.controller_mut(node).is_lost = true;
             }
             Move::RestoreOldDisk(node) => {
                 spend(&mut self.budget.old_disks);
-                self.stop(node, Unsynced::Lost);
+                self.stop(node, UnsyncedWrites::Lost);
                 let controller = self.controller_mut(node);
                 let old_disk = controller.old_disk.clone();
                 controller.simulated.disk.replace(old_disk);
@@ -74,14 +74,14 @@
         }
     }
 
-    fn lose_power(&mut self, node: NodeId, unsynced: Unsynced) {
+    fn lose_power(&mut self, node: NodeId, unsynced: UnsyncedWrites) {
         spend(&mut self.budget.power_losses);
         self.stop(node, unsynced);
     }
 
     fn wipe_disk(&mut self, node: NodeId) {
         spend(&mut self.budget.disk_wipes);
-        self.stop(node, Unsynced::Lost);
+        self.stop(node, UnsyncedWrites::Lost);
         let disk = &mut self.controller_mut(node).simulated.disk;
         let voting_set = disk.durable().voting_set.clone();
         disk.replace(DurableState::default());
