--- a/crates/tools/modelcheck/src/moves.rs
+++ b/crates/tools/modelcheck/src/actions.rs
@@ -3,13 +3,13 @@
 //! Each move has a constructor in snake case, and is printed as its call: a way that the program prints can be pasted
 //! into a test.
 
-use crate::draft::Draft;
+use crate::submission::Submission;
 use rushcourse_types::NodeId;
 use std::fmt;
 
 /// What may happen next. Random walks hash moves, so the order of the variants is part of the figures that they give.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Move {
+pub enum Action {
     /// The oldest message from one node to the other arrives.
     Deliver {
         /// The sender.
@@ -50,7 +50,7 @@
     /// A gateway ends and starts again: it knows nothing of what it did.
     RestartGateway(NodeId),
     /// An operator puts a configuration.
-    Put(Draft),
+    Put(Submission),
     /// An operator reads the configuration at a controller.
     Get(NodeId),
     /// Time passes.
@@ -59,76 +59,76 @@
     DeliverAll,
 }
 
-impl Move {
+impl Action {
     /// Whether it continues what is under way: no fault, no new call and no passing of time.
     pub fn is_progress(&self) -> bool {
         matches!(
             self,
-            Move::Deliver { .. }
-                | Move::SyncBatch(_)
-                | Move::Start(_)
-                | Move::Reconnect(_)
-                | Move::Resume(_)
+            Action::Deliver { .. }
+                | Action::SyncBatch(_)
+                | Action::Start(_)
+                | Action::Reconnect(_)
+                | Action::Resume(_)
         )
     }
 }
 
-impl fmt::Display for Move {
+impl fmt::Display for Action {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match *self {
-            Move::Deliver { from, to } => write!(f, "deliver({}, {})", from.0, to.0),
-            Move::SyncBatch(node) => write!(f, "sync_batch({})", node.0),
-            Move::LosePower(node) => write!(f, "lose_power({})", node.0),
-            Move::Kill(node) => write!(f, "kill({})", node.0),
-            Move::WipeDisk(node) => write!(f, "wipe_disk({})", node.0),
-            Move::Start(node) => write!(f, "start({})", node.0),
-            Move::LoseMachine(node) => write!(f, "lose_machine({})", node.0),
-            Move::RestoreOldDisk(node) => write!(f, "restore_old_disk({})", node.0),
-            Move::ShutDown(node) => write!(f, "shut_down({})", node.0),
-            Move::BreakSession(one, other) => write!(f, "break_session({}, {})", one.0, other.0),
-            Move::Isolate(node) => write!(f, "isolate({})", node.0),
-            Move::Reconnect(node) => write!(f, "reconnect({})", node.0),
-            Move::Pause(node) => write!(f, "pause({})", node.0),
-            Move::Resume(node) => write!(f, "resume({})", node.0),
-            Move::BeginClaim(node) => write!(f, "begin_claim({})", node.0),
-            Move::SendRequest(node) => write!(f, "send_request({})", node.0),
-            Move::RestartGateway(node) => write!(f, "restart_gateway({})", node.0),
-            Move::Put(draft) => write!(f, "put({draft})"),
-            Move::Get(node) => write!(f, "get({})", node.0),
-            Move::Wait => f.write_str("Wait"),
-            Move::DeliverAll => f.write_str("DeliverAll"),
+            Action::Deliver { from, to } => write!(f, "deliver({}, {})", from.0, to.0),
+            Action::SyncBatch(node) => write!(f, "sync_batch({})", node.0),
+            Action::LosePower(node) => write!(f, "lose_power({})", node.0),
+            Action::Kill(node) => write!(f, "kill({})", node.0),
+            Action::WipeDisk(node) => write!(f, "wipe_disk({})", node.0),
+            Action::Start(node) => write!(f, "start({})", node.0),
+            Action::LoseMachine(node) => write!(f, "lose_machine({})", node.0),
+            Action::RestoreOldDisk(node) => write!(f, "restore_old_disk({})", node.0),
+            Action::ShutDown(node) => write!(f, "shut_down({})", node.0),
+            Action::BreakSession(one, other) => write!(f, "break_session({}, {})", one.0, other.0),
+            Action::Isolate(node) => write!(f, "isolate({})", node.0),
+            Action::Reconnect(node) => write!(f, "reconnect({})", node.0),
+            Action::Pause(node) => write!(f, "pause({})", node.0),
+            Action::Resume(node) => write!(f, "resume({})", node.0),
+            Action::BeginClaim(node) => write!(f, "begin_claim({})", node.0),
+            Action::SendRequest(node) => write!(f, "send_request({})", node.0),
+            Action::RestartGateway(node) => write!(f, "restart_gateway({})", node.0),
+            Action::Put(submission) => write!(f, "put({submission})"),
+            Action::Get(node) => write!(f, "get({})", node.0),
+            Action::Wait => f.write_str("Wait"),
+            Action::DeliverAll => f.write_str("DeliverAll"),
         }
     }
 }
 
-/// [`Move::Deliver`]
-pub const fn deliver(from: u32, to: u32) -> Move {
-    Move::Deliver {
+/// [`Action::Deliver`]
+pub const fn deliver(from: u32, to: u32) -> Action {
+    Action::Deliver {
         from: NodeId(from),
         to: NodeId(to),
     }
 }
 
-/// [`Move::BreakSession`]
-pub const fn break_session(one: u32, other: u32) -> Move {
-    Move::BreakSession(NodeId(one), NodeId(other))
+/// [`Action::BreakSession`]
+pub const fn break_session(one: u32, other: u32) -> Action {
+    Action::BreakSession(NodeId(one), NodeId(other))
 }
 
-/// [`Move::Put`]
-pub const fn put(draft: u64) -> Move {
-    Move::Put(Draft(draft))
+/// [`Action::Put`]
+pub const fn put(submission: u64) -> Action {
+    Action::Put(Submission(submission))
 }
 
-macro_rules! moves_of_one_node {
+macro_rules! single_node_actions {
     ($($name:ident => $variant:ident),* $(,)?) => {$(
         #[doc = concat!("[`Move::", stringify!($variant), "`]")]
-        pub const fn $name(node: u32) -> Move {
-            Move::$variant(NodeId(node))
+        pub const fn $name(node: u32) -> Action {
+            Action::$variant(NodeId(node))
         }
     )*};
 }
 
-moves_of_one_node! {
+single_node_actions! {
     sync_batch => SyncBatch,
     lose_power => LosePower,
     kill => Kill,
--- a/crates/tools/modelcheck/src/checker.rs
+++ b/crates/tools/modelcheck/src/checker.rs
@@ -1,6 +1,6 @@
 //! What has been seen in a world, and the rules that it must keep.
 
-use crate::draft::Draft;
+use crate::submission::Submission;
 use crate::violation::{Unsettled, Violation};
 use rushcourse_consensus::{CallOutcome, CommittedConfiguration, ReplicaSummary};
 use rushcourse_messages::VotingSet;
@@ -20,19 +20,19 @@
 pub(crate) struct Checker {
     requests_sent: u32,
     /// The highest version that an operator's call was acknowledged for.
-    acknowledged: ConfigurationVersion,
+    highest_acknowledged: ConfigurationVersion,
     /// The highest version that is committed at any controller.
-    committed: ConfigurationVersion,
+    highest_committed: ConfigurationVersion,
     /// The committed text of each version, at whichever controller.
-    texts: BTreeMap<ConfigurationVersion, Arc<[u8]>>,
+    committed_texts: BTreeMap<ConfigurationVersion, Arc<[u8]>>,
     /// The draft that each version was acknowledged for, where its operator was not told that another text is committed.
-    acknowledged_drafts: BTreeMap<ConfigurationVersion, Draft>,
+    acknowledged_submissions: BTreeMap<ConfigurationVersion, Submission>,
     /// What a read has to give at least.
-    read_floors: BTreeMap<Ticket, ConfigurationVersion>,
+    read_minimums: BTreeMap<Ticket, ConfigurationVersion>,
     /// Puts that wait for their answer, and the controller that has them.
-    open_puts: BTreeMap<Ticket, NodeId>,
+    pending_puts: BTreeMap<Ticket, NodeId>,
     voting_sets: BTreeMap<Epoch, Vec<NodeId>>,
-    newest_set: VotingSet,
+    newest_voting_set: VotingSet,
     /// Who took whose place, in the newest set.
     replacement: Option<Replacement>,
     violation: Option<Violation>,
@@ -43,7 +43,7 @@
     pub(crate) fn with_voting_set(voting_set: VotingSet) -> Checker {
         Checker {
             voting_sets: BTreeMap::from([(voting_set.epoch, voting_set.members.clone())]),
-            newest_set: voting_set,
+            newest_voting_set: voting_set,
             ..Checker::default()
         }
     }
@@ -52,13 +52,13 @@
         self.violation.as_ref()
     }
 
-    fn break_rule(&mut self, violation: Violation) {
+    fn record_violation(&mut self, violation: Violation) {
         self.violation = Some(violation);
     }
 
     /// The newest set that a controller adopted.
-    pub(crate) fn newest_set(&self) -> &VotingSet {
-        &self.newest_set
+    pub(crate) fn newest_voting_set(&self) -> &VotingSet {
+        &self.newest_voting_set
     }
 
     /// Who took whose place, in the newest set.
@@ -68,7 +68,7 @@
 
     /// Whether any version was acknowledged.
     pub(crate) fn has_acknowledged(&self) -> bool {
-        !self.acknowledged.is_none()
+        !self.highest_acknowledged.is_none()
     }
 
     /// A gateway sent a request of the key.
@@ -78,73 +78,76 @@
 
     pub(crate) fn check_requests(&mut self) {
         if self.requests_sent > 1 {
-            self.break_rule(Violation::KeySentTwice);
+            self.record_violation(Violation::KeySentTwice);
         }
     }
 
     /// An operator put a configuration at a controller that runs.
-    pub(crate) fn put_begun(&mut self, draft: Draft, node: NodeId) {
-        self.open_puts.insert(draft.ticket(), node);
+    pub(crate) fn put_started(&mut self, submission: Submission, node: NodeId) {
+        self.pending_puts.insert(submission.ticket(), node);
     }
 
     /// A controller ended: its callers have no answer to wait for.
     pub(crate) fn controller_stopped(&mut self, node: NodeId) {
-        self.open_puts.retain(|_, at| *at != node);
+        self.pending_puts.retain(|_, at| *at != node);
     }
 
     /// An operator asked for the configuration.
-    pub(crate) fn read_begun(&mut self, ticket: Ticket) {
-        let floor = self.acknowledged.max(self.committed);
-        self.read_floors.insert(ticket, floor);
+    pub(crate) fn read_started(&mut self, ticket: Ticket) {
+        let minimum = self.highest_acknowledged.max(self.highest_committed);
+        self.read_minimums.insert(ticket, minimum);
     }
 
     /// An operator's call was answered.
-    pub(crate) fn answered(&mut self, ticket: Ticket, outcome: &CallOutcome) {
-        self.open_puts.remove(&ticket);
-        let floor = self.read_floors.get(&ticket).copied().unwrap_or_default();
+    pub(crate) fn call_answered(&mut self, ticket: Ticket, outcome: &CallOutcome) {
+        self.pending_puts.remove(&ticket);
+        let minimum = self.read_minimums.get(&ticket).copied().unwrap_or_default();
         match outcome {
             CallOutcome::Acknowledged { is_other_text } => {
-                self.put_acknowledged(Draft(ticket.0), *is_other_text);
+                self.put_acknowledged(Submission(ticket.0), *is_other_text);
             }
             CallOutcome::Configuration(CommittedConfiguration { version, text }) => {
-                if *version < floor || !Draft::is_text_of(*version, text) {
-                    self.break_rule(Violation::OldRead {
-                        read: *version,
-                        floor,
+                if *version < minimum || !Submission::is_text_of(*version, text) {
+                    self.record_violation(Violation::StaleRead {
+                        returned: *version,
+                        minimum,
                     });
                 }
             }
-            CallOutcome::NoConfiguration if !floor.is_none() => {
-                self.break_rule(Violation::EmptyRead { floor });
+            CallOutcome::NoConfiguration if !minimum.is_none() => {
+                self.record_violation(Violation::EmptyRead { minimum });
             }
             CallOutcome::NoConfiguration | CallOutcome::Unknown => {}
         }
     }
 
     /// `is_other_text` must be true exactly where the version's one committed text is not the draft's.
-    fn put_acknowledged(&mut self, draft: Draft, is_other_text: bool) {
-        let version = draft.version();
-        self.acknowledged = self.acknowledged.max(version);
-        let committed = self.texts.get(&version);
-        let is_own = committed.is_none_or(|text| *text == draft.text());
-        if self.committed <= version && is_own == is_other_text {
-            self.break_rule(Violation::WrongAcknowledgement {
-                draft,
+    fn put_acknowledged(&mut self, submission: Submission, is_other_text: bool) {
+        let version = submission.version();
+        self.highest_acknowledged = self.highest_acknowledged.max(version);
+        let committed_text = self.committed_texts.get(&version);
+        let is_own_text = committed_text.is_none_or(|text| *text == submission.text());
+        if self.highest_committed <= version && is_own_text == is_other_text {
+            self.record_violation(Violation::WrongAcknowledgement {
+                submission,
                 is_other_text,
             });
         }
-        if is_other_text || self.committed > version {
+        if is_other_text || self.highest_committed > version {
             return;
         }
-        let first = *self.acknowledged_drafts.entry(version).or_insert(draft);
-        if first != draft {
-            self.break_rule(Violation::BothAcknowledged(first, draft));
+        let first = *self
+            .acknowledged_submissions
+            .entry(version)
+            .or_insert(submission);
+        if first != submission {
+            self.record_violation(Violation::BothAcknowledged(first, submission));
         }
     }
 
     /// Counts a version as acknowledged without an answer to an operator.
     pub(crate) fn assume_acknowledged(&mut self, version: ConfigurationVersion) {
-        self.acknowledged = self.acknowledged.max(version);
+        self.highest_acknowledged = self.highest_acknowledged.max(version);
     }
 
     /// A configuration is committed at a controller, behind an earlier version.
@@ -155,18 +158,21 @@
         configuration: &CommittedConfiguration,
     ) {
         let CommittedConfiguration { version, text } = configuration;
-        if *version < earlier || !Draft::is_text_of(*version, text) {
-            self.break_rule(Violation::ConfigurationChanged {
+        if *version < earlier || !Submission::is_text_of(*version, text) {
+            self.record_violation(Violation::InvalidCommit {
                 node,
                 from: earlier,
                 to: *version,
             });
         }
-        let first = self.texts.entry(*version).or_insert_with(|| text.clone());
+        let first = self
+            .committed_texts
+            .entry(*version)
+            .or_insert_with(|| text.clone());
         if *first != *text {
-            self.break_rule(Violation::TwoTexts(*version));
+            self.record_violation(Violation::ConflictingTexts(*version));
         }
-        self.committed = self.committed.max(*version);
+        self.highest_committed = self.highest_committed.max(*version);
     }
 
     /// A controller counts in a voting set from now on.
@@ -174,11 +180,11 @@
         let epoch = voting_set.epoch;
         let known = self.voting_sets.entry(epoch);
         if *known.or_insert_with(|| voting_set.members.clone()) != voting_set.members {
-            self.break_rule(Violation::TwoVotingSets(epoch));
+            self.record_violation(Violation::ConflictingVotingSets(epoch));
         }
-        if epoch > self.newest_set.epoch {
-            self.replacement = replacement(&self.newest_set, voting_set);
-            self.newest_set = voting_set.clone();
+        if epoch > self.newest_voting_set.epoch {
+            self.replacement = replacement(&self.newest_voting_set, voting_set);
+            self.newest_voting_set = voting_set.clone();
         }
     }
 
@@ -191,30 +197,34 @@
     }
 
     fn unsettled(&self, summaries: &BTreeMap<NodeId, ReplicaSummary>) -> Option<Unsettled> {
-        if let Some(ticket) = self.open_puts.keys().next() {
+        if let Some(ticket) = self.pending_puts.keys().next() {
             return Some(Unsettled::UnansweredCall(*ticket));
         }
         let has_standby = summaries
             .keys()
-            .any(|node| !self.newest_set.contains(*node));
-        let members = self.newest_set.members.iter();
+            .any(|node| !self.newest_voting_set.contains(*node));
+        let members = self.newest_voting_set.members.iter();
         let unsettled = members
             .map(|member| unsettled_member(*member, summaries.get(member), has_standby))
             .find(Option::is_some);
-        unsettled.unwrap_or_else(|| self.lagging(summaries))
+        unsettled.unwrap_or_else(|| self.lagging_controller(summaries))
     }
 
-    fn lagging(&self, summaries: &BTreeMap<NodeId, ReplicaSummary>) -> Option<Unsettled> {
+    fn lagging_controller(
+        &self,
+        summaries: &BTreeMap<NodeId, ReplicaSummary>,
+    ) -> Option<Unsettled> {
         let is_lagging = |summary: &ReplicaSummary| {
-            summary.committed != self.committed || summary.voting_set != self.newest_set
+            summary.committed != self.highest_committed
+                || summary.voting_set != self.newest_voting_set
         };
         let (node, summary) = summaries.iter().find(|(_, summary)| is_lagging(summary))?;
         Some(Unsettled::Lagging {
             node: *node,
             committed: summary.committed,
-            highest_committed: self.committed,
+            highest_committed: self.highest_committed,
             epoch: summary.voting_set.epoch,
-            newest_epoch: self.newest_set.epoch,
+            newest_epoch: self.newest_voting_set.epoch,
         })
     }
 }
@@ -238,8 +248,8 @@
         return has_standby.then_some(Unsettled::MemberNotReplaced(node));
     };
     if !summary.is_voter {
-        return Some(Unsettled::MemberSilent(node));
+        return Some(Unsettled::MemberNotVoting(node));
     }
     let version = summary.highest_accepted;
-    (version > summary.committed).then_some(Unsettled::OpenVersion { node, version })
+    (version > summary.committed).then_some(Unsettled::UncommittedVersion { node, version })
 }
--- a/crates/tools/modelcheck/src/explore.rs
+++ b/crates/tools/modelcheck/src/explore.rs
@@ -1,6 +1,6 @@
 //! Breadth first over all orders, each state once; then random walks behind it.
 
-use crate::moves::Move;
+use crate::actions::Action;
 use crate::mutation::Mutation;
 use crate::scene::Scene;
 use crate::violation::Violation;
@@ -26,9 +26,9 @@
     /// The rule.
     pub violation: Violation,
     /// The moves that lead there, from behind the scene's opening.
-    pub way: Vec<Move>,
+    pub trace: Vec<Action>,
     /// Whether the rule was broken only once faults had ended behind these moves.
-    pub is_closed: bool,
+    pub is_settled: bool,
 }
 
 /// What exploring found.
@@ -58,12 +58,12 @@
 
 struct Step {
     /// The index of the state before; `None`: it is the first state.
-    before: Option<usize>,
-    what: Move,
+    previous: Option<usize>,
+    action: Action,
 }
 
 /// A state whose moves were not all played yet.
-struct Unexplored<'a> {
+struct FrontierState<'a> {
     world: World<'a>,
     /// The index of its step; `None`: it is the first state.
     step: Option<usize>,
@@ -71,24 +71,24 @@
 
 impl Visited {
     /// Notes a state, unless it was met before.
-    fn insert(&mut self, world: &World, before: Option<usize>, what: Move) -> Option<usize> {
+    fn insert(&mut self, world: &World, previous: Option<usize>, action: Action) -> Option<usize> {
         if !self.fingerprints.insert(world.fingerprint()) {
             return None;
         }
-        self.steps.push(Step { before, what });
+        self.steps.push(Step { previous, action });
         Some(self.steps.len() - 1)
     }
 
     /// The moves that lead to a state.
-    fn way_to(&self, index: usize) -> Vec<Move> {
-        let mut way = Vec::new();
+    fn trace_to(&self, index: usize) -> Vec<Action> {
+        let mut trace = Vec::new();
         let mut next = Some(index);
         while let Some(step) = next.map(|index| &self.steps[index]) {
-            way.push(step.what);
-            next = step.before;
+            trace.push(step.action);
+            next = step.previous;
         }
-        way.reverse();
-        way
+        trace.reverse();
+        trace
     }
 
     fn findings(&self, depth: usize) -> Findings {
@@ -104,12 +104,12 @@
 pub(crate) fn breadth_first(
     scene: &Scene,
     mutation: Option<Mutation>,
-    most_states: usize,
+    max_states: usize,
 ) -> Findings {
-    let start = World::opened(scene, mutation);
+    let start = World::after_setup(scene, mutation);
     let mut visited = Visited::default();
     visited.fingerprints.insert(start.fingerprint());
-    let mut frontier = vec![Unexplored {
+    let mut frontier = vec![FrontierState {
         world: start,
         step: None,
     }];
@@ -123,7 +123,7 @@
                     ..visited.findings(depth + 1)
                 };
             }
-            if visited.fingerprints.len() >= most_states {
+            if visited.fingerprints.len() >= max_states {
                 return visited.findings(depth);
             }
         }
@@ -138,24 +138,24 @@
 
 /// Plays all moves of a state; states that were not met before go to the next frontier.
 fn expand<'a>(
-    state: &Unexplored<'a>,
+    state: &FrontierState<'a>,
     visited: &mut Visited,
-    next: &mut Vec<Unexplored<'a>>,
+    next: &mut Vec<FrontierState<'a>>,
 ) -> Option<Counterexample> {
-    for what in state.world.moves() {
+    for action in state.world.enabled_actions() {
         let mut world = state.world.clone();
-        world.play(what);
-        let Some(step) = visited.insert(&world, state.step, what) else {
+        world.apply(action);
+        let Some(step) = visited.insert(&world, state.step, action) else {
             continue;
         };
         if let Some(violation) = world.violation() {
             return Some(Counterexample {
                 violation: violation.clone(),
-                way: visited.way_to(step),
-                is_closed: false,
+                trace: visited.trace_to(step),
+                is_settled: false,
             });
         }
-        next.push(Unexplored {
+        next.push(FrontierState {
             world,
             step: Some(step),
         });
--- a/crates/tools/modelcheck/src/main.rs
+++ b/crates/tools/modelcheck/src/main.rs
@@ -3,7 +3,7 @@
 
 use gumdrop::Options;
 use rushcourse_modelcheck::{
-    Bounds, Counterexample, Findings, Move, Mutation, SCENES, Scene, explore,
+    Action, Bounds, Counterexample, Findings, Mutation, SCENES, Scene, explore,
 };
 use std::process::ExitCode;
 use std::sync::Mutex;
@@ -37,11 +37,11 @@
 
 impl Arguments {
     fn scenes(&self) -> Vec<&'static Scene> {
-        let is_wanted = |scene: &&Scene| match &self.scene {
+        let is_selected = |scene: &&Scene| match &self.scene {
             Some(name) => scene.name == name,
             None => true,
         };
-        SCENES.iter().filter(is_wanted).collect()
+        SCENES.iter().filter(is_selected).collect()
     }
 
     fn bounds(&self, scene: &Scene) -> Bounds {
@@ -84,7 +84,7 @@
     /// Prints what was found. Whether it is as it should be: a counterexample for each mutation, and none without.
     fn report(self) -> bool {
         let findings = self.findings.into_inner().expect("a scene does not panic");
-        let is_as_wanted = findings.counterexample.is_some() == self.mutation.is_some();
+        let is_expected = findings.counterexample.is_some() == self.mutation.is_some();
         println!(
             "scene={} variant={} states={} depth={} whole={} walked={} longest={} violations={} {}",
             self.scene.name,
@@ -95,24 +95,24 @@
             findings.walked,
             findings.longest_walk,
             usize::from(findings.counterexample.is_some()),
-            if is_as_wanted { "ok" } else { "SHORTFALL" }
+            if is_expected { "ok" } else { "SHORTFALL" }
         );
         if let Some(counterexample) = findings.counterexample {
             print_counterexample(&counterexample);
         }
-        is_as_wanted
+        is_expected
     }
 }
 
 fn print_counterexample(counterexample: &Counterexample) {
-    let moves: Vec<String> = counterexample.way.iter().map(Move::to_string).collect();
-    let closed = if counterexample.is_closed {
+    let actions: Vec<String> = counterexample.trace.iter().map(Action::to_string).collect();
+    let closed = if counterexample.is_settled {
         ", and faults end"
     } else {
         ""
     };
     println!("  {}", counterexample.violation);
-    println!("  {}{closed}", moves.join(", "));
+    println!("  {}{closed}", actions.join(", "));
 }
 
 /// Each scene without mutations, and with each that it has to catch.
@@ -151,11 +151,11 @@
     }
     let jobs = jobs(&scenes);
     run_all(&jobs, &arguments);
-    let mut is_all_as_wanted = true;
+    let mut are_all_expected = true;
     for job in jobs {
-        is_all_as_wanted &= job.report();
+        are_all_expected &= job.report();
     }
-    if is_all_as_wanted {
+    if are_all_expected {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/tools/modelcheck/src/scene.rs
+++ b/crates/tools/modelcheck/src/scene.rs
@@ -1,8 +1,8 @@
 //! What is explored: how many nodes, which calls, how many faults.
 
-use crate::draft::Draft;
-use crate::moves::Move;
+use crate::actions::Action;
 use crate::mutation::Mutation;
+use crate::submission::Submission;
 
 /// Who calls.
 #[derive(Clone, Copy, Debug)]
@@ -12,7 +12,7 @@
     /// Claims that each of them begins at most.
     pub claims: u32,
     /// Configurations that operators put, each at another controller.
-    pub drafts: &'static [Draft],
+    pub submissions: &'static [Submission],
 }
 
 /// How often each may happen at most.
@@ -60,11 +60,11 @@
     /// Whether messages between controllers arrive at once: fewer orders, seen deeper.
     pub is_delivery_eager: bool,
     /// Whether an end of a session notices its break only once it has read all that was sent before.
-    pub is_disconnect_late: bool,
+    pub is_disconnect_queued: bool,
     /// What happens before the exploring begins; its faults and waits are not counted.
-    pub opening: &'static [Move],
+    pub setup_actions: &'static [Action],
     /// One walk in so many is closed at its end, 0 for none: faults end, and the world must recover.
-    pub closed_each: usize,
+    pub settle_every_nth_walk: usize,
     /// Random walks behind the breadth-first exploration: as many as it takes to catch its mutations, and some more.
     pub walks: usize,
     /// Which mutations it has to catch.
@@ -79,8 +79,8 @@
 
     /// Whether disks are lost in it.
     pub(crate) fn has_wipes(&self) -> bool {
-        let wipes = |what: &Move| matches!(what, Move::WipeDisk(_));
-        self.budget.disk_wipes > 0 || self.opening.iter().any(wipes)
+        let wipes = |action: &Action| matches!(action, Action::WipeDisk(_));
+        self.budget.disk_wipes > 0 || self.setup_actions.iter().any(wipes)
     }
 
     /// Whether controllers are there that can become members.
--- a/crates/tools/modelcheck/src/scenes.rs
+++ b/crates/tools/modelcheck/src/scenes.rs
@@ -1,14 +1,16 @@
 //! The scenes that are explored.
 
-use crate::draft::Draft;
 use crate::mutation::Mutation;
-use crate::openings::{CHANGE_DUE, CHANGE_MADE, CHANGE_PROPOSED, LONG_UP, MEMBER_PAUSED};
 use crate::scene::{Budget, Clients, Scene};
+use crate::setup_actions::{
+    CHANGE_ADOPTED, CHANGE_DUE, CHANGE_PROPOSED, LONG_UPTIME, MEMBER_PAUSED,
+};
+use crate::submission::Submission;
 
 const NO_CLIENTS: Clients = Clients {
     gateways: 0,
     claims: 0,
-    drafts: &[],
+    submissions: &[],
 };
 
 /// One key, claimed once by each of two gateways.
@@ -18,7 +20,7 @@
     ..NO_CLIENTS
 };
 
-const NOTHING: Budget = Budget {
+const EMPTY_BUDGET: Budget = Budget {
     power_losses: 0,
     disk_wipes: 0,
     machine_losses: 0,
@@ -38,12 +40,12 @@
     members: 3,
     standbys: 0,
     clients: NO_CLIENTS,
-    budget: NOTHING,
+    budget: EMPTY_BUDGET,
     is_first_start: false,
     is_delivery_eager: false,
-    is_disconnect_late: false,
-    opening: &[],
-    closed_each: 0,
+    is_disconnect_queued: false,
+    setup_actions: &[],
+    settle_every_nth_walk: 0,
     walks: 20_000,
     catches: &[],
 };
@@ -53,7 +55,7 @@
     standbys: 1,
     clients: TWO_GATEWAYS,
     is_delivery_eager: true,
-    closed_each: 50,
+    settle_every_nth_walk: 50,
     ..BASE
 };
 
@@ -65,7 +67,7 @@
         budget: Budget {
             power_losses: 1,
             waits: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         ..BASE
     },
@@ -76,7 +78,7 @@
         budget: Budget {
             power_losses: 2,
             waits: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
         walks: 60_000,
@@ -89,7 +91,7 @@
         budget: Budget {
             disk_wipes: 1,
             waits: 6,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
         walks: 120_000,
@@ -102,7 +104,7 @@
         budget: Budget {
             disk_wipes: 2,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         ..BASE
     },
@@ -116,7 +118,7 @@
         budget: Budget {
             power_losses: 1,
             waits: 2,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         ..BASE
     },
@@ -126,11 +128,11 @@
         budget: Budget {
             old_disks: 1,
             waits: 7,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
-        opening: &LONG_UP,
-        closed_each: 50,
+        setup_actions: &LONG_UPTIME,
+        settle_every_nth_walk: 50,
         catches: &[Mutation::OldDiskVotes],
         ..BASE
     },
@@ -145,7 +147,7 @@
         budget: Budget {
             gateway_restarts: 1,
             waits: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
         catches: &[Mutation::WithdrawsEarlierClaim],
@@ -155,17 +157,17 @@
     Scene {
         name: "configuration-isolated",
         clients: Clients {
-            drafts: &[Draft(5), Draft(7)],
+            submissions: &[Submission(5), Submission(7)],
             ..NO_CLIENTS
         },
         budget: Budget {
             isolations: 1,
             waits: 3,
             reads: 2,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
-        closed_each: 50,
+        settle_every_nth_walk: 50,
         walks: 10_000,
         catches: &[Mutation::ReadsLocally],
         ..BASE
@@ -173,32 +175,32 @@
     Scene {
         name: "configuration-old-disk",
         clients: Clients {
-            drafts: &[Draft(5), Draft::rival(5)],
+            submissions: &[Submission(5), Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
             old_disks: 1,
             waits: 7,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
-        opening: &LONG_UP,
-        closed_each: 50,
+        setup_actions: &LONG_UPTIME,
+        settle_every_nth_walk: 50,
         walks: 10_000,
         ..BASE
     },
     Scene {
         name: "configuration-power",
         clients: Clients {
-            drafts: &[Draft(5), Draft(7)],
+            submissions: &[Submission(5), Submission(7)],
             ..NO_CLIENTS
         },
         budget: Budget {
             power_losses: 3,
             waits: 1,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         catches: &[Mutation::AnswerBeforeSync],
         ..BASE
@@ -206,7 +208,7 @@
     Scene {
         name: "configuration-wiped",
         clients: Clients {
-            drafts: &[Draft(5)],
+            submissions: &[Submission(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
@@ -214,7 +216,7 @@
             disk_wipes: 1,
             waits: 6,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         catches: &[Mutation::AcknowledgeAtHalf],
         ..BASE
@@ -223,7 +225,7 @@
         name: "configuration-rivals",
         members: 4,
         clients: Clients {
-            drafts: &[Draft(5), Draft::rival(5)],
+            submissions: &[Submission(5), Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
@@ -231,7 +233,7 @@
             session_breaks: 1,
             waits: 2,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         ..BASE
     },
@@ -240,14 +242,14 @@
         name: "configuration-rivals-calm",
         members: 4,
         clients: Clients {
-            drafts: &[Draft(5), Draft::rival(5)],
+            submissions: &[Submission(5), Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
             session_breaks: 1,
             waits: 2,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         catches: &[Mutation::RivalTextsCount],
         ..BASE
@@ -256,14 +258,14 @@
         name: "configuration-partition",
         members: 4,
         clients: Clients {
-            drafts: &[Draft(5), Draft(7)],
+            submissions: &[Submission(5), Submission(7)],
             ..NO_CLIENTS
         },
         budget: Budget {
             session_breaks: 2,
             waits: 1,
             reads: 2,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         ..BASE
     },
@@ -271,14 +273,14 @@
         name: "voting-set",
         members: 4,
         clients: Clients {
-            drafts: &[Draft(5)],
+            submissions: &[Submission(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
             power_losses: 2,
             session_breaks: 1,
             waits: 5,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_first_start: true,
         ..BASE
@@ -287,9 +289,9 @@
         name: "replaced-keys",
         budget: Budget {
             waits: 3,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_DUE,
+        setup_actions: &CHANGE_DUE,
         catches: &[Mutation::LearnerCounts],
         ..REPLACEMENT
     },
@@ -299,10 +301,10 @@
         clients: TWO_GATEWAYS,
         budget: Budget {
             waits: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
-        opening: &CHANGE_MADE,
+        setup_actions: &CHANGE_ADOPTED,
         catches: &[Mutation::EpochUnchecked, Mutation::RemovedCounts],
         ..BASE
     },
@@ -312,9 +314,9 @@
         budget: Budget {
             machine_losses: 2,
             waits: 14,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &LONG_UP,
+        setup_actions: &LONG_UPTIME,
         ..REPLACEMENT
     },
     Scene {
@@ -324,9 +326,9 @@
             machine_losses: 1,
             isolations: 2,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &LONG_UP,
+        setup_actions: &LONG_UPTIME,
         walks: 10_000,
         ..REPLACEMENT
     },
@@ -337,9 +339,9 @@
             disk_wipes: 2,
             machine_losses: 1,
             waits: 10,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &LONG_UP,
+        setup_actions: &LONG_UPTIME,
         walks: 10_000,
         ..REPLACEMENT
     },
@@ -349,9 +351,9 @@
             power_losses: 1,
             old_disks: 1,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_DUE,
+        setup_actions: &CHANGE_DUE,
         ..REPLACEMENT
     },
     Scene {
@@ -360,9 +362,9 @@
             power_losses: 1,
             disk_wipes: 1,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_DUE,
+        setup_actions: &CHANGE_DUE,
         walks: 10_000,
         ..REPLACEMENT
     },
@@ -371,26 +373,26 @@
         budget: Budget {
             power_losses: 4,
             waits: 4,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_DUE,
+        setup_actions: &CHANGE_DUE,
         ..REPLACEMENT
     },
     Scene {
         name: "replaced-configuration",
         standbys: 1,
         clients: Clients {
-            drafts: &[Draft(5), Draft(7)],
+            submissions: &[Submission(5), Submission(7)],
             ..NO_CLIENTS
         },
         budget: Budget {
             power_losses: 2,
             waits: 5,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_DUE,
-        closed_each: 50,
+        setup_actions: &CHANGE_DUE,
+        settle_every_nth_walk: 50,
         walks: 10_000,
         ..BASE
     },
@@ -400,9 +402,9 @@
         budget: Budget {
             machine_losses: 1,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_MADE,
+        setup_actions: &CHANGE_ADOPTED,
         walks: 10_000,
         ..REPLACEMENT
     },
@@ -410,17 +412,17 @@
         name: "replaced-proposed",
         standbys: 1,
         clients: Clients {
-            drafts: &[Draft(5), Draft(7)],
+            submissions: &[Submission(5), Submission(7)],
             ..NO_CLIENTS
         },
         budget: Budget {
             power_losses: 2,
             waits: 5,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_PROPOSED,
-        closed_each: 50,
+        setup_actions: &CHANGE_PROPOSED,
+        settle_every_nth_walk: 50,
         walks: 10_000,
         ..BASE
     },
@@ -431,9 +433,9 @@
             power_losses: 1,
             shutdowns: 2,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &LONG_UP,
+        setup_actions: &LONG_UPTIME,
         walks: 10_000,
         ..REPLACEMENT
     },
@@ -441,7 +443,7 @@
         name: "rivals-split",
         members: 4,
         clients: Clients {
-            drafts: &[Draft(5), Draft::rival(5)],
+            submissions: &[Submission(5), Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
@@ -449,22 +451,22 @@
             session_breaks: 1,
             waits: 3,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        closed_each: 1,
+        settle_every_nth_walk: 1,
         walks: 2_000,
         ..BASE
     },
     Scene {
         name: "rivals-unprepared",
         clients: Clients {
-            drafts: &[Draft(5), Draft::rival(5)],
+            submissions: &[Submission(5), Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
             power_losses: 1,
             waits: 2,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         catches: &[Mutation::PromisesSkipped],
         ..BASE
@@ -473,15 +475,15 @@
         name: "reported-late",
         members: 5,
         clients: Clients {
-            drafts: &[Draft::rival(5)],
+            submissions: &[Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
             waits: 2,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        is_disconnect_late: true,
-        opening: &MEMBER_PAUSED,
+        is_disconnect_queued: true,
+        setup_actions: &MEMBER_PAUSED,
         walks: 10_000,
         catches: &[Mutation::ReportsNeverExpire],
         ..BASE
--- a/crates/tools/modelcheck/src/draft.rs
+++ b/crates/tools/modelcheck/src/submission.rs
@@ -5,21 +5,21 @@
 use std::sync::Arc;
 
 /// Drafts from here on are of the versions from 0 on once more, with other texts.
-pub(crate) const FIRST_RIVAL: u64 = 101;
+pub(crate) const FIRST_CONFLICTING: u64 = 101;
 
 /// A configuration that an operator puts. Two drafts may have one version and different texts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Draft(pub u64);
+pub struct Submission(pub u64);
 
-impl Draft {
+impl Submission {
     /// The other draft of a version.
-    pub const fn rival(version: u64) -> Draft {
-        Draft(FIRST_RIVAL + version)
+    pub const fn conflicting(version: u64) -> Submission {
+        Submission(FIRST_CONFLICTING + version)
     }
 
     /// The number that its operator gave it.
     pub fn version(self) -> ConfigurationVersion {
-        ConfigurationVersion(self.0 % FIRST_RIVAL)
+        ConfigurationVersion(self.0 % FIRST_CONFLICTING)
     }
 
     /// Its text, which no other draft has.
@@ -34,12 +34,14 @@
 
     /// Whether some draft of a version has this text.
     pub(crate) fn is_text_of(version: ConfigurationVersion, text: &[u8]) -> bool {
-        let drafts = [Draft(version.0), Draft::rival(version.0)];
-        drafts.iter().any(|draft| *draft.text() == *text)
+        let submissions = [Submission(version.0), Submission::conflicting(version.0)];
+        submissions
+            .iter()
+            .any(|submission| *submission.text() == *text)
     }
 }
 
-impl fmt::Display for Draft {
+impl fmt::Display for Submission {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(f)
     }
--- a/crates/tools/modelcheck/src/violation.rs
+++ b/crates/tools/modelcheck/src/violation.rs
@@ -1,6 +1,6 @@
 //! Rules that were found broken.
 
-use crate::draft::Draft;
+use crate::submission::Submission;
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId, Ticket};
 use std::fmt;
 
@@ -10,7 +10,7 @@
     /// Two requests of one key were sent.
     KeySentTwice,
     /// A controller went back to a lower version, or to a text that nobody put.
-    ConfigurationChanged {
+    InvalidCommit {
         /// The controller.
         node: NodeId,
         /// The version that was committed there.
@@ -19,30 +19,30 @@
         to: ConfigurationVersion,
     },
     /// Two texts are committed under one version.
-    TwoTexts(ConfigurationVersion),
+    ConflictingTexts(ConfigurationVersion),
     /// An operator's answer is wrong about whose text is committed.
     WrongAcknowledgement {
         /// What it put.
-        draft: Draft,
+        submission: Submission,
         /// What its answer says.
         is_other_text: bool,
     },
     /// Two operators' answers say that their texts are committed under one version.
-    BothAcknowledged(Draft, Draft),
+    BothAcknowledged(Submission, Submission),
     /// A read returned less than was acknowledged or committed before.
-    OldRead {
+    StaleRead {
         /// What it returned.
-        read: ConfigurationVersion,
+        returned: ConfigurationVersion,
         /// What it had to return at least.
-        floor: ConfigurationVersion,
+        minimum: ConfigurationVersion,
     },
     /// A read returned nothing where a version was acknowledged or committed before.
     EmptyRead {
         /// What it had to return at least.
-        floor: ConfigurationVersion,
+        minimum: ConfigurationVersion,
     },
     /// There are two voting sets of one epoch.
-    TwoVotingSets(Epoch),
+    ConflictingVotingSets(Epoch),
     /// Faults have ended, and the world does not recover.
     Unsettled(Unsettled),
 }
@@ -55,9 +55,9 @@
     /// A member is gone, and a standby is there.
     MemberNotReplaced(NodeId),
     /// A member does not vote.
-    MemberSilent(NodeId),
+    MemberNotVoting(NodeId),
     /// An accepted version is not committed.
-    OpenVersion {
+    UncommittedVersion {
         /// The member that accepted it.
         node: NodeId,
         /// The version.
@@ -82,35 +82,37 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Violation::KeySentTwice => f.write_str("TWICE: two requests of one key were sent"),
-            Violation::ConfigurationChanged { node, from, to } => {
+            Violation::InvalidCommit { node, from, to } => {
                 write!(f, "CONFIG: {node} goes from {from} to {to}")
             }
-            Violation::TwoTexts(version) => {
+            Violation::ConflictingTexts(version) => {
                 write!(f, "CONFIG: two texts are committed under {version}")
             }
             Violation::WrongAcknowledgement {
-                draft,
+                submission,
                 is_other_text,
             } => {
-                write!(f, "CONFIG: {draft} is acknowledged with ")?;
+                write!(f, "CONFIG: {submission} is acknowledged with ")?;
                 write!(f, "is_other_text={is_other_text}, which is wrong")
             }
             Violation::BothAcknowledged(one, other) => {
                 write!(f, "CONFIG: {one} and {other} are both acknowledged")
             }
-            Violation::OldRead { read, floor } => {
+            Violation::StaleRead { returned, minimum } => {
                 write!(
                     f,
-                    "LOST: read {read}, {floor} was acknowledged or committed"
+                    "LOST: read {returned}, {minimum} was acknowledged or committed"
                 )
             }
-            Violation::EmptyRead { floor } => {
+            Violation::EmptyRead { minimum } => {
                 write!(
                     f,
-                    "LOST: read nothing, {floor} was acknowledged or committed"
+                    "LOST: read nothing, {minimum} was acknowledged or committed"
                 )
             }
-            Violation::TwoVotingSets(epoch) => write!(f, "LOST: two voting sets of epoch {epoch}"),
+            Violation::ConflictingVotingSets(epoch) => {
+                write!(f, "LOST: two voting sets of epoch {epoch}")
+            }
             Violation::Unsettled(unsettled) => write!(f, "STUCK: {unsettled}"),
         }
     }
@@ -123,8 +125,8 @@
             Unsettled::MemberNotReplaced(node) => {
                 write!(f, "{node} is gone and a standby is there")
             }
-            Unsettled::MemberSilent(node) => write!(f, "{node} does not vote"),
-            Unsettled::OpenVersion { node, version } => {
+            Unsettled::MemberNotVoting(node) => write!(f, "{node} does not vote"),
+            Unsettled::UncommittedVersion { node, version } => {
                 write!(f, "{version} stays open at {node}")
             }
             Unsettled::Lagging {
--- a/crates/tools/modelcheck/src/world/controllers.rs
+++ b/crates/tools/modelcheck/src/world/controllers.rs
@@ -13,14 +13,14 @@
 impl World<'_> {
     /// Gives a controller an input and carries out its effects.
     pub(super) fn step(&mut self, node: NodeId, input: Input) {
-        let (now, wall) = (self.now, self.wall());
+        let (now, wall_time) = (self.now, self.wall_time());
         let inputs = self.with_stale_reports(node, input);
         let Some(controller) = self.controllers.get_mut(&node) else {
             return;
         };
         let steps = inputs.into_iter();
         let effects: Vec<Effect> = steps
-            .flat_map(|input| controller.simulated.step(now, wall, input))
+            .flat_map(|input| controller.simulated.step(now, wall_time, input))
             .collect();
         if controller.has_old_disk && controller.is_voter() {
             controller.has_old_disk = false;
@@ -33,12 +33,12 @@
     fn carry_out(&mut self, node: NodeId, effect: Effect) {
         match effect {
             Effect::Write(batch) => self.write(node, batch),
-            Effect::Send { to, message } => match self.unasked_promise(&message) {
-                Some(promise) => self.receive(to, node, promise),
-                None => self.post(node, to, message),
+            Effect::Send { to, message } => match self.implicit_promise(&message) {
+                Some(promise) => self.deliver_to_controller(to, node, promise),
+                None => self.send(node, to, message),
             },
             Effect::AnswerClaim(answer) => self.answer_claim(node, answer),
-            Effect::AnswerCall { ticket, outcome } => self.checker.answered(ticket, &outcome),
+            Effect::AnswerCall { ticket, outcome } => self.checker.call_answered(ticket, &outcome),
             Effect::ConfigurationCommitted(configuration) => {
                 self.configuration_committed(node, &configuration);
             }
@@ -59,7 +59,7 @@
     }
 
     /// A message of another controller reaches a node.
-    pub(super) fn receive(&mut self, from: NodeId, to: NodeId, message: Message) {
+    pub(super) fn deliver_to_controller(&mut self, from: NodeId, to: NodeId, message: Message) {
         self.step(to, Input::MessageReceived { from, message });
     }
 
@@ -70,7 +70,7 @@
             claim: answer.claim,
             verdict: answer.verdict,
         };
-        self.post(node, gateway_of(answer.session), response);
+        self.send(node, gateway_of(answer.session), response);
     }
 
     fn configuration_committed(&mut self, node: NodeId, committed: &CommittedConfiguration) {
@@ -85,7 +85,7 @@
         if self.scene.has_standbys() && !voting_set.epoch.is_none() {
             let gateways: Vec<NodeId> = self.gateways.keys().copied().collect();
             for gateway in gateways {
-                self.post(node, gateway, Message::VotingSet(voting_set.clone()));
+                self.send(node, gateway, Message::VotingSet(voting_set.clone()));
             }
         }
     }
@@ -97,7 +97,7 @@
         };
         let disk = &mut controller.simulated.disk;
         let batch = disk.oldest_unsynced();
-        let is_joining = batch.is_some_and(|batch| joins(node, batch));
+        let is_joining = batch.is_some_and(|batch| joins_without_state(node, batch));
         let Some(id) = disk.sync() else {
             return;
         };
@@ -105,7 +105,7 @@
             self.step(node, Input::BatchSynced(id));
         }
         if is_joining && self.has_mutation(Mutation::LearnerCounts) {
-            self.count_at_once(node);
+            self.restart_as_voter(node);
         }
     }
 
@@ -177,14 +177,14 @@
             to: other,
         };
         self.network.disconnect(link);
-        if !self.scene.is_disconnect_late {
+        if !self.scene.is_disconnect_queued {
             self.network.drop_between(link);
         }
         self.notify_ends(link, None);
     }
 
     /// The session of two controllers breaks, and what is on the way is lost.
-    pub(super) fn cut(&mut self, one: NodeId, other: NodeId) {
+    pub(super) fn abort_session(&mut self, one: NodeId, other: NodeId) {
         self.network.drop_between(Link {
             from: one,
             to: other,
@@ -195,7 +195,7 @@
     /// Both ends notice that a session stands, or broke: at once, or in the order of what they read.
     fn notify_ends(&mut self, link: Link, session: Option<SessionId>) {
         for end in [link.reversed(), link] {
-            if self.scene.is_disconnect_late {
+            if self.scene.is_disconnect_queued {
                 let packet = session.map_or(Packet::Disconnected, Packet::Connected);
                 self.network.push(end, packet);
             } else {
@@ -243,7 +243,7 @@
 }
 
 /// Whether a batch makes a controller a member without complete state.
-fn joins(node: NodeId, batch: &WriteBatch) -> bool {
+fn joins_without_state(node: NodeId, batch: &WriteBatch) -> bool {
     let operations = &batch.operations;
     let is_member = |operation: &WriteOperation| match operation {
         WriteOperation::StoreVotingSet(set) => set.contains(node),
--- a/crates/tools/modelcheck/src/world/delivery.rs
+++ b/crates/tools/modelcheck/src/world/delivery.rs
@@ -11,26 +11,26 @@
 
 impl World<'_> {
     /// Sends a message. What a scene is not about may be lost on the way, as any message may.
-    pub(super) fn post(&mut self, from: NodeId, to: NodeId, message: Message) {
+    pub(super) fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
         let link = Link { from, to };
-        let is_carried = self.is_of_concern(&message) && self.is_in_session(link);
-        self.network.push_message(link, message, is_carried);
+        let is_kept = self.is_relevant(&message) && self.is_connected(link);
+        self.network.push_message(link, message, is_kept);
     }
 
     /// Whether a message can change what the scene is about.
-    fn is_of_concern(&self, message: &Message) -> bool {
+    fn is_relevant(&self, message: &Message) -> bool {
         let scene = self.scene;
-        let is_set_changing = scene.has_standbys();
+        let has_standbys = scene.has_standbys();
         match message {
             Message::ClaimResponse { .. }
             | Message::ClaimRequest { .. }
             | Message::ClaimWithdrawal { .. } => true,
             Message::SnapshotRequest { .. } | Message::SnapshotChunk { .. } => {
-                is_set_changing || scene.has_restarts()
+                has_standbys || scene.has_restarts()
             }
             Message::ReplicaStatus { .. } if scene.has_restarts() || self.is_starting() => true,
-            Message::VotingSet(_) => is_set_changing || scene.is_first_start || scene.has_wipes(),
-            _ => is_set_changing || !scene.clients.drafts.is_empty(),
+            Message::VotingSet(_) => has_standbys || scene.is_first_start || scene.has_wipes(),
+            _ => has_standbys || !scene.clients.submissions.is_empty(),
         }
     }
 
@@ -41,7 +41,7 @@
     }
 
     /// Whether what one node sends goes to a session that both ends have. Gateways are always in session.
-    fn is_in_session(&self, link: Link) -> bool {
+    fn is_connected(&self, link: Link) -> bool {
         let sender = self.controllers.get(&link.from);
         let Some(sender) = sender.filter(|_| self.controllers.contains_key(&link.to)) else {
             return true;
@@ -53,15 +53,15 @@
     /// The oldest packet of a link arrives.
     pub(super) fn deliver_next(&mut self, from: NodeId, to: NodeId) {
         match self.network.pop(Link { from, to }) {
-            Some(Packet::Message(message)) => self.message_arrives(from, to, message),
+            Some(Packet::Message(message)) => self.deliver_message(from, to, message),
             Some(Packet::Disconnected) => self.session_changed(to, from, None),
             Some(Packet::Connected(session)) => self.session_changed(to, from, Some(session)),
             None => {}
         }
     }
 
-    fn message_arrives(&mut self, from: NodeId, to: NodeId, message: Message) {
-        let (from, message) = self.altered(from, to, message);
+    fn deliver_message(&mut self, from: NodeId, to: NodeId, message: Message) {
+        let (from, message) = self.mutate_message(from, to, message);
         match message {
             Message::ClaimResponse {
                 epoch,
@@ -75,7 +75,7 @@
                     claim,
                     verdict,
                 };
-                self.response_arrives(from, to, response);
+                self.deliver_response(from, to, response);
             }
             Message::ClaimRequest { epoch, key, claim } => {
                 let request = ClaimRequest {
@@ -92,10 +92,10 @@
             Message::VotingSet(voting_set) if to >= FIRST_GATEWAY => {
                 let is_idle = self.gateways[&to].claims.is_idle();
                 if is_idle || !self.has_mutation(Mutation::EpochUnchecked) {
-                    self.voting_set_arrives(from, to, voting_set);
+                    self.deliver_voting_set(from, to, voting_set);
                 }
             }
-            other => self.receive(from, to, other),
+            other => self.deliver_to_controller(from, to, other),
         }
     }
 
--- a/crates/tools/modelcheck/src/world/available_moves.rs
+++ b/crates/tools/modelcheck/src/world/enabled_actions.rs
@@ -1,29 +1,33 @@
 //! Which moves a world has.
 
 use super::{Controller, World};
-use crate::moves::Move;
+use crate::actions::Action;
 use rushcourse_types::NodeId;
 
 impl World<'_> {
     /// What may happen next. The order is part of the figures that random walks give.
-    pub fn moves(&self) -> Vec<Move> {
-        let mut moves = self.deliveries();
+    pub fn enabled_actions(&self) -> Vec<Action> {
+        let mut actions = self.deliveries();
         for (node, controller) in &self.controllers {
             if controller.is_running() {
-                self.add_moves_of_running(*node, controller, &mut moves);
+                self.add_controller_actions(*node, controller, &mut actions);
             } else if !controller.is_lost {
-                moves.push(Move::Start(*node));
+                actions.push(Action::Start(*node));
             }
         }
-        self.add_moves_of_gateways(&mut moves);
-        moves.extend(self.drafts.iter().map(|draft| Move::Put(*draft)));
+        self.add_gateway_actions(&mut actions);
+        actions.extend(
+            self.submissions
+                .iter()
+                .map(|submission| Action::Put(*submission)),
+        );
         if self.budget.waits > 0 {
-            moves.push(Move::Wait);
+            actions.push(Action::Wait);
         }
-        moves
+        actions
     }
 
-    fn deliveries(&self) -> Vec<Move> {
+    fn deliveries(&self) -> Vec<Action> {
         let is_paused = |node: NodeId| {
             let controller = self.controllers.get(&node);
             controller.is_some_and(|controller| controller.is_paused)
@@ -31,64 +35,73 @@
         let links = self.network.busy_links();
         let links = links.filter(|link| !is_paused(link.to));
         links
-            .map(|link| Move::Deliver {
+            .map(|link| Action::Deliver {
                 from: link.from,
                 to: link.to,
             })
             .collect()
     }
 
-    fn add_moves_of_gateways(&self, moves: &mut Vec<Move>) {
+    fn add_gateway_actions(&self, actions: &mut Vec<Action>) {
         for (node, gateway) in &self.gateways {
-            if gateway.won.is_some() {
-                moves.push(Move::SendRequest(*node));
-            } else if gateway.claims.is_idle() && gateway.begun < self.scene.clients.claims {
-                moves.push(Move::BeginClaim(*node));
+            if gateway.won_claim.is_some() {
+                actions.push(Action::SendRequest(*node));
+            } else if gateway.claims.is_idle() && gateway.claims_begun < self.scene.clients.claims {
+                actions.push(Action::BeginClaim(*node));
             }
-            if self.budget.gateway_restarts > 0 && gateway.begun > 0 {
-                moves.push(Move::RestartGateway(*node));
+            if self.budget.gateway_restarts > 0 && gateway.claims_begun > 0 {
+                actions.push(Action::RestartGateway(*node));
             }
         }
     }
 
-    fn add_moves_of_running(&self, node: NodeId, controller: &Controller, moves: &mut Vec<Move>) {
+    fn add_controller_actions(
+        &self,
+        node: NodeId,
+        controller: &Controller,
+        actions: &mut Vec<Action>,
+    ) {
         let budget = &self.budget;
-        let mut add = |is_possible: bool, what: Move| moves.extend(is_possible.then_some(what));
+        let mut add =
+            |is_possible: bool, action: Action| actions.extend(is_possible.then_some(action));
         let is_paused = controller.is_paused;
-        add(is_paused, Move::Resume(node));
+        add(is_paused, Action::Resume(node));
         add(
             !is_paused && controller.has_unsynced(),
-            Move::SyncBatch(node),
+            Action::SyncBatch(node),
         );
-        add(!is_paused && budget.pauses > 0, Move::Pause(node));
+        add(!is_paused && budget.pauses > 0, Action::Pause(node));
         let may_read = budget.reads > 0 && self.checker.has_acknowledged();
-        add(!is_paused && may_read, Move::Get(node));
+        add(!is_paused && may_read, Action::Get(node));
         let may_lose_power = budget.power_losses > 0;
-        add(may_lose_power, Move::LosePower(node));
+        add(may_lose_power, Action::LosePower(node));
         add(
             may_lose_power && controller.has_unsynced(),
-            Move::Kill(node),
+            Action::Kill(node),
         );
         let may_lose_disk = self.may_lose_disk(node);
-        add(may_lose_disk && budget.disk_wipes > 0, Move::WipeDisk(node));
+        add(
+            may_lose_disk && budget.disk_wipes > 0,
+            Action::WipeDisk(node),
+        );
         add(
             may_lose_disk && budget.machine_losses > 0,
-            Move::LoseMachine(node),
+            Action::LoseMachine(node),
         );
-        let was_member = controller.old_disk.has_complete_state;
+        let was_member = controller.initial_disk.has_complete_state;
         add(
             budget.old_disks > 0 && was_member && self.may_have_old_disk(node),
-            Move::RestoreOldDisk(node),
+            Action::RestoreOldDisk(node),
         );
         let is_member = self.newest_voting_set().contains(node);
-        add(budget.shutdowns > 0 && is_member, Move::ShutDown(node));
+        add(budget.shutdowns > 0 && is_member, Action::ShutDown(node));
         let is_isolated = controller.is_isolated;
-        add(is_isolated, Move::Reconnect(node));
-        add(!is_isolated && budget.isolations > 0, Move::Isolate(node));
+        add(is_isolated, Action::Reconnect(node));
+        add(!is_isolated && budget.isolations > 0, Action::Isolate(node));
         if budget.session_breaks > 0 && !is_isolated {
             let peers = self.controllers.range(node..).skip(1);
             let connected = peers.filter(|(_, peer)| peer.is_running() && !peer.is_isolated);
-            moves.extend(connected.map(|(peer, _)| Move::BreakSession(node, *peer)));
+            actions.extend(connected.map(|(peer, _)| Action::BreakSession(node, *peer)));
         }
     }
 
@@ -118,7 +131,7 @@
         };
         let members = &self.newest_voting_set().members;
         let others = members.iter().filter(|member| **member != node);
-        let most = members.len().saturating_sub(1) / 2;
-        others.filter(is_lost).count() < most.max(1)
+        let max_lost = members.len().saturating_sub(1) / 2;
+        others.filter(is_lost).count() < max_lost.max(1)
     }
 }
--- a/crates/tools/modelcheck/src/world/gateways.rs
+++ b/crates/tools/modelcheck/src/world/gateways.rs
@@ -1,8 +1,8 @@
 //! What gateways do with their claims.
 
+use super::apply::consume;
 use super::network::{Link, Packet};
-use super::play::spend;
-use super::{Gateway, KEY, World, gateway};
+use super::{Gateway, KEY, World, new_gateway};
 use crate::mutation::Mutation;
 use rushcourse_messages::{ClaimVerdict, Message, VotingSet};
 use rushcourse_routing::{
@@ -17,11 +17,11 @@
 
     /// A gateway ends, what is on the way to it is lost, and it starts with the voting set that it has.
     pub(super) fn restart_gateway(&mut self, node: NodeId) {
-        spend(&mut self.budget.gateway_restarts);
+        consume(&mut self.budget.gateway_restarts);
         self.network.drop_all_to(node);
-        let before = &self.gateways[&node];
-        let incarnation = Incarnation(before.incarnation.0 + 1);
-        let restarted = gateway(node, incarnation, before.claims.voting_set());
+        let previous = &self.gateways[&node];
+        let incarnation = Incarnation(previous.incarnation.0 + 1);
+        let restarted = new_gateway(node, incarnation, previous.claims.voting_set());
         self.gateways.insert(node, restarted);
     }
 
@@ -36,7 +36,7 @@
         let running = self.running_controllers();
         let now = self.now;
         let gateway = self.gateway_mut(node);
-        gateway.begun += 1;
+        gateway.claims_begun += 1;
         let claims = &mut gateway.claims;
         if let Some(request) = claims.start(now, KEY, |voter| running.contains(&voter)) {
             self.request_votes(node, request);
@@ -71,7 +71,7 @@
     }
 
     /// A gateway receives a voting set: claims that are under way are requested again under it.
-    pub(super) fn voting_set_arrives(&mut self, from: NodeId, node: NodeId, voting_set: VotingSet) {
+    pub(super) fn deliver_voting_set(&mut self, from: NodeId, node: NodeId, voting_set: VotingSet) {
         let running = self.running_controllers();
         let now = self.now;
         let claims = &mut self.gateway_mut(node).claims;
@@ -89,7 +89,7 @@
     }
 
     /// A voter's answer reaches a gateway.
-    pub(super) fn response_arrives(&mut self, from: NodeId, node: NodeId, response: ClaimResponse) {
+    pub(super) fn deliver_response(&mut self, from: NodeId, node: NodeId, response: ClaimResponse) {
         let now = if self.has_mutation(Mutation::VotesNeverExpire) {
             Timestamp::ZERO
         } else {
@@ -127,7 +127,7 @@
         let now = self.now;
         let gateway = self.gateway_mut(node);
         if decision.outcome == ClaimOutcome::Won {
-            gateway.won = Some(decision.claim);
+            gateway.won_claim = Some(decision.claim);
             return;
         }
         let withdrawal = gateway.claims.withdraw(now, decision.key, decision.claim);
@@ -136,10 +136,10 @@
 
     /// A gateway sends the request that its claim was won for, and claims the key no more.
     pub(super) fn send_request(&mut self, node: NodeId) {
-        let most_claims = self.scene.clients.claims;
+        let max_claims = self.scene.clients.claims;
         let gateway = self.gateway_mut(node);
-        if gateway.won.take().is_some() {
-            gateway.begun = most_claims;
+        if gateway.won_claim.take().is_some() {
+            gateway.claims_begun = max_claims;
             self.checker.request_sent();
         }
         self.checker.check_requests();
--- a/crates/tools/modelcheck/src/world/mod.rs
+++ b/crates/tools/modelcheck/src/world/mod.rs
@@ -1,26 +1,26 @@
 //! A small world: controllers with disks, gateways that claim one key, operators. What may happen next is a list of
 //! moves; each is played on a copy.
 //!
-//! * `available_moves.rs`: which moves a world has; `play.rs`: what each does.
+//! * `available_moves.rs`: which moves a world has; `apply.rs`: what each does.
 //! * `network.rs`: links and sessions; `delivery.rs`: what a message does at its receiver.
 //! * `controllers.rs`: steps of controllers and what comes of their effects; `gateways.rs`: the same for claims.
 //! * `mutations.rs`: what is altered on the way where a defence is taken out.
 //! * `closing.rs`: how a world recovers once faults have ended.
 
-mod available_moves;
-mod closing;
+mod apply;
 mod controllers;
 mod delivery;
+mod enabled_actions;
 mod gateways;
 mod mutations;
 mod network;
-mod play;
+mod settling;
 
 use crate::checker::Checker;
-use crate::draft::Draft;
 use crate::mutation::Mutation;
 use crate::scene::{Budget, Scene};
 use crate::simulation::{Deployment, SimulatedController};
+use crate::submission::Submission;
 use crate::violation::Violation;
 use network::{Link, Network};
 use rushcourse_consensus::{DurableState, ReplicaSummary};
@@ -45,7 +45,7 @@
 /// Operation keys bind longer than any world lasts.
 const KEY_WINDOW: Duration = Duration::from_millis(60_000);
 /// The time of day at the start, ms.
-const START_OF_DAY: u64 = 1_000_000;
+const INITIAL_WALL_TIME_MS: u64 = 1_000_000;
 /// The key that gateways claim.
 const KEY: KeyDigest = KeyDigest(7);
 /// Gateways have the numbers from here on.
@@ -56,7 +56,7 @@
 struct Controller {
     simulated: SimulatedController,
     /// Its disk at the start of this world.
-    old_disk: DurableState,
+    initial_disk: DurableState,
     /// Its disk is an older copy, and it does not have complete state again yet.
     has_old_disk: bool,
     /// It never comes back.
@@ -85,7 +85,7 @@
         };
         Controller {
             simulated: SimulatedController::new(node, durable.clone(), scene.is_first_start),
-            old_disk: durable,
+            initial_disk: durable,
             has_old_disk: false,
             is_lost: false,
             is_isolated: false,
@@ -126,9 +126,9 @@
     claims: Claims,
     incarnation: Incarnation,
     /// Claims that it has begun.
-    begun: u32,
+    claims_begun: u32,
     /// The claim that it won and has not sent its request for.
-    won: Option<ClaimId>,
+    won_claim: Option<ClaimId>,
 }
 
 /// A small world on its way through one scene.
@@ -144,7 +144,7 @@
     /// How often each may still happen.
     budget: Budget,
     /// Configurations that were not put yet.
-    drafts: Vec<Draft>,
+    submissions: Vec<Submission>,
     /// What each controller reported last to another one, while their session stands.
     last_reports: BTreeMap<Link, Message>,
     checker: Checker,
@@ -169,11 +169,11 @@
             now: Timestamp::ZERO,
             controllers,
             gateways: gateways
-                .map(|node| (node, gateway(node, Incarnation(1), &voting_set)))
+                .map(|node| (node, new_gateway(node, Incarnation(1), &voting_set)))
                 .collect(),
             network: Network::default(),
             budget: scene.budget,
-            drafts: scene.clients.drafts.to_vec(),
+            submissions: scene.clients.submissions.to_vec(),
             last_reports: BTreeMap::new(),
             checker: if scene.is_first_start {
                 Checker::default()
@@ -191,13 +191,13 @@
     }
 
     /// The world behind the opening of a scene, from where it is explored: with all defences, or one taken out.
-    pub fn opened(scene: &'a Scene, mutation: Option<Mutation>) -> World<'a> {
+    pub fn after_setup(scene: &'a Scene, mutation: Option<Mutation>) -> World<'a> {
         let mut world = World::new(scene);
-        for what in scene.opening {
-            world.play(*what);
+        for action in scene.setup_actions {
+            world.apply(*action);
         }
         world.budget = scene.budget;
-        world.drafts = scene.clients.drafts.to_vec();
+        world.submissions = scene.clients.submissions.to_vec();
         world.mutation = mutation;
         world
     }
@@ -209,7 +209,7 @@
 
     /// The newest voting set that a controller adopted.
     pub fn newest_voting_set(&self) -> &VotingSet {
-        self.checker.newest_set()
+        self.checker.newest_voting_set()
     }
 
     /// How far a controller has come, while it runs.
@@ -228,7 +228,7 @@
             gateways,
             network,
             budget,
-            drafts,
+            submissions,
             last_reports,
             checker,
         } = self;
@@ -239,7 +239,7 @@
             gateways,
             network,
             budget,
-            drafts,
+            submissions,
             last_reports,
             checker,
         );
@@ -262,8 +262,8 @@
         }
     }
 
-    fn wall(&self) -> WallTime {
-        WallTime(self.now.as_millis() + START_OF_DAY)
+    fn wall_time(&self) -> WallTime {
+        WallTime(self.now.as_millis() + INITIAL_WALL_TIME_MS)
     }
 
     fn controller_ids(&self) -> Vec<NodeId> {
@@ -279,14 +279,14 @@
     }
 }
 
-fn gateway(node: NodeId, incarnation: Incarnation, voting_set: &VotingSet) -> Gateway {
+fn new_gateway(node: NodeId, incarnation: Incarnation, voting_set: &VotingSet) -> Gateway {
     let mut claims = Claims::new(node, incarnation);
     claims.voting_set_reported(Timestamp::ZERO, NodeId(1), voting_set.clone(), |_| true);
     Gateway {
         claims,
         incarnation,
-        begun: 0,
-        won: None,
+        claims_begun: 0,
+        won_claim: None,
     }
 }
 
--- a/crates/tools/modelcheck/src/world/mutations.rs
+++ b/crates/tools/modelcheck/src/world/mutations.rs
@@ -10,7 +10,7 @@
 
 impl World<'_> {
     /// A message as the receiver takes it, and from whom.
-    pub(super) fn altered(
+    pub(super) fn mutate_message(
         &mut self,
         from: NodeId,
         to: NodeId,
@@ -22,15 +22,15 @@
         }
         let skips_recovery = self.mutation.is_some_and(Mutation::skips_recovery);
         if skips_recovery && self.is_recovering(to) {
-            return (from, without_knowledge(message));
+            return (from, without_recovery_data(message));
         }
         match self.mutation {
-            Some(Mutation::RivalTextsCount) => (from, self.as_votes_for_own_text(to, message)),
-            Some(Mutation::EpochUnchecked) => (from, self.in_epoch_of(to, message)),
-            Some(Mutation::RemovedCounts) => self.for_newcomer(from, to, message),
+            Some(Mutation::RivalTextsCount) => (from, self.with_votes_for_own_text(to, message)),
+            Some(Mutation::EpochUnchecked) => (from, self.with_epoch_of(to, message)),
+            Some(Mutation::RemovedCounts) => self.count_for_new_member(from, to, message),
             Some(Mutation::LearnerCounts) => {
                 if let Message::LearnerInvitation { epoch } = message {
-                    self.post(to, from, Message::LearnerReady { epoch });
+                    self.send(to, from, Message::LearnerReady { epoch });
                 }
                 (from, message)
             }
@@ -39,7 +39,7 @@
     }
 
     /// The promise that a proposer takes for given, where it does not ask for it.
-    pub(super) fn unasked_promise(&self, message: &Message) -> Option<Message> {
+    pub(super) fn implicit_promise(&self, message: &Message) -> Option<Message> {
         match *message {
             Message::Prepare {
                 epoch,
@@ -57,7 +57,7 @@
     }
 
     /// Votes for whatever text as if they were for the one that this disk holds under that version.
-    fn as_votes_for_own_text(&self, node: NodeId, mut message: Message) -> Message {
+    fn with_votes_for_own_text(&self, node: NodeId, mut message: Message) -> Message {
         if let Message::ReplicaStatus { votes, .. } = &mut message {
             for DurableVote { slot, ballot } in votes {
                 *ballot = self.accepted_ballot(node, *slot).unwrap_or(*ballot);
@@ -93,7 +93,7 @@
 
     /// A vote or a request as if it were of the receiver's set. A claim that is under way goes on when the set changes,
     /// and keeps its votes (a newer set is not passed on to it).
-    fn in_epoch_of(&self, to: NodeId, mut message: Message) -> Message {
+    fn with_epoch_of(&self, to: NodeId, mut message: Message) -> Message {
         if let Message::ClaimResponse { epoch, .. }
         | Message::ClaimRequest { epoch, .. }
         | Message::ReplicaStatus { epoch, .. } = &mut message
@@ -104,7 +104,7 @@
     }
 
     /// The one whose place was taken is asked like its successor, and its vote counts for that one's.
-    fn for_newcomer(
+    fn count_for_new_member(
         &mut self,
         from: NodeId,
         to: NodeId,
@@ -141,7 +141,7 @@
             let to_node = self.last_reports.iter().filter(|(link, _)| link.to == node);
             inputs.extend(to_node.map(|(link, report)| Input::MessageReceived {
                 from: link.from,
-                message: as_of(self.now, report),
+                message: refreshed(self.now, report),
             }));
         }
         inputs.push(input);
@@ -149,7 +149,7 @@
     }
 
     /// A newcomer that votes as soon as it is a member.
-    pub(super) fn count_at_once(&mut self, node: NodeId) {
+    pub(super) fn restart_as_voter(&mut self, node: NodeId) {
         self.stop(node, UnsyncedWrites::Written);
         let disk = &mut self.controller_mut(node).simulated.disk;
         let durable = DurableState {
@@ -162,12 +162,14 @@
 
     /// A version counts as acknowledged once half of the disks hold it.
     pub(super) fn acknowledge_at_half(&mut self) {
-        for draft in self.scene.clients.drafts {
-            let version = draft.version();
+        for submission in self.scene.clients.submissions {
+            let version = submission.version();
             let disks = self.controllers.values();
             let holding = disks.filter(|controller| {
                 let records = &controller.simulated.disk.durable().records;
-                records.iter().any(|record| is_accepted(record, version))
+                records
+                    .iter()
+                    .any(|record| has_accepted_version(record, version))
             });
             if 2 * holding.count() as u32 + 1 >= self.scene.members {
                 self.checker.assume_acknowledged(version);
@@ -177,12 +179,15 @@
 }
 
 /// Whether a record is of an accepted text of this version or a higher one.
-fn is_accepted(SlotRecord { slot, record }: &SlotRecord, version: ConfigurationVersion) -> bool {
+fn has_accepted_version(
+    SlotRecord { slot, record }: &SlotRecord,
+    version: ConfigurationVersion,
+) -> bool {
     *slot >= Slot::Configuration(version) && record.accepted.is_some()
 }
 
 /// A report, as of a controller that has just started and knows nothing of the others' disks.
-fn without_knowledge(mut message: Message) -> Message {
+fn without_recovery_data(mut message: Message) -> Message {
     if let Message::ReplicaStatus {
         is_voter,
         recovery_point,
@@ -196,7 +201,7 @@
 }
 
 /// A report, as if it had been made just now.
-fn as_of(now: Timestamp, report: &Message) -> Message {
+fn refreshed(now: Timestamp, report: &Message) -> Message {
     let mut report = report.clone();
     if let Message::ReplicaStatus { echoed, .. } = &mut report {
         *echoed = now.max(Timestamp::from_millis(1));
--- a/crates/tools/modelcheck/src/world/network.rs
+++ b/crates/tools/modelcheck/src/world/network.rs
@@ -58,11 +58,11 @@
         self.links.entry(link).or_default().push_back(packet);
     }
 
-    /// Adds a message, unless the last one on the way is the same. `is_carried`: it is not lost at once.
-    pub(super) fn push_message(&mut self, link: Link, message: Message, is_carried: bool) {
+    /// Adds a message, unless the last one on the way is the same. `is_kept`: it is not lost at once.
+    pub(super) fn push_message(&mut self, link: Link, message: Message, is_kept: bool) {
         let packet = Packet::Message(message);
         let queue = self.links.entry(link).or_default();
-        if is_carried && queue.back() != Some(&packet) {
+        if is_kept && queue.back() != Some(&packet) {
             queue.push_back(packet);
         }
     }
--- a/crates/tools/modelcheck/src/world/closing.rs
+++ b/crates/tools/modelcheck/src/world/settling.rs
@@ -7,20 +7,20 @@
 use std::time::Duration;
 
 /// The time that a world has to recover: over two changes of the set, each with a new member's silence.
-const CLOSING_TIME: Duration = Duration::from_millis(16_000);
+const SETTLING_TIME: Duration = Duration::from_millis(16_000);
 /// Between two ticks of the controllers meanwhile.
-const CLOSING_TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl World<'_> {
     /// Faults end: all that can come back does, and time passes in the small steps of the programs. Then the members of
     /// the set vote, all hold the same version, and every put has its answer.
-    pub fn close(&mut self) {
+    pub fn settle(&mut self) {
         for node in self.controller_ids() {
             self.end_faults_of(node);
         }
-        let end = self.now + CLOSING_TIME;
+        let end = self.now + SETTLING_TIME;
         while self.now < end {
-            self.now += CLOSING_TICK;
+            self.now += TICK_INTERVAL;
             for node in self.controller_ids() {
                 self.step(node, Input::Tick);
             }
--- a/crates/tools/modelcheck/tests/mutations.rs
+++ b/crates/tools/modelcheck/tests/mutations.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::scene;
-use rushcourse_modelcheck::moves::{
-    Move::{self, DeliverAll, Wait},
+use rushcourse_modelcheck::actions::{
+    Action::{self, DeliverAll, Wait},
     begin_claim, break_session, deliver, get, kill, lose_power, pause, put, reconnect,
     restore_old_disk, resume, send_request, start, sync_batch, wipe_disk,
 };
@@ -12,30 +12,30 @@
 use rushcourse_types::NodeId;
 
 /// What rule is broken on a way, if one is.
-fn violation_on(way: &[Move], scene: &Scene, mutation: Option<Mutation>) -> Option<String> {
-    let mut world = World::opened(scene, mutation);
-    for what in way {
-        world.play(*what);
+fn violation_after(trace: &[Action], scene: &Scene, mutation: Option<Mutation>) -> Option<String> {
+    let mut world = World::after_setup(scene, mutation);
+    for action in trace {
+        world.apply(*action);
     }
     world.violation().map(ToString::to_string)
 }
 
 /// The way breaks a rule with the defence taken out, and none with it.
-fn assert_caught(name: &str, mutation: Mutation, rule: &str, way: &[Move]) {
-    let found = violation_on(way, scene(name), Some(mutation));
+fn assert_caught(name: &str, mutation: Mutation, rule: &str, trace: &[Action]) {
+    let found = violation_after(trace, scene(name), Some(mutation));
     let found = found.unwrap_or_else(|| panic!("{name}: nothing found"));
     assert!(found.starts_with(rule), "{found}");
     assert_eq!(
-        violation_on(way, scene(name), None),
+        violation_after(trace, scene(name), None),
         None,
         "{name}: with the defence"
     );
 }
 
 #[test]
-fn an_operator_answered_at_half_of_the_disks_reads_back_nothing() {
+fn acknowledgement_at_half_is_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         put(5), sync_batch(3), deliver(3, 1), sync_batch(1), deliver(1, 3), sync_batch(3), get(1),
         deliver(1, 2), deliver(3, 2), deliver(2, 1),
     ];
@@ -43,13 +43,13 @@
         "configuration-wiped",
         Mutation::AcknowledgeAtHalf,
         "LOST",
-        &way,
+        &trace,
     );
 }
 
 /// A ballot takes more moves than a copy did: breadth first gets there where nothing but orders of delivery is open.
 #[test]
-fn breadth_first_finds_an_acknowledgement_at_half_of_the_disks() {
+fn breadth_first_search_finds_acknowledgement_at_half() {
     let wiped = scene("configuration-wiped");
     let without_faults = Scene {
         budget: Budget {
@@ -71,34 +71,34 @@
 }
 
 #[test]
-fn a_disk_that_votes_after_a_wipe_lets_a_key_run_twice() {
+fn vote_after_wipe_is_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         Wait, Wait, Wait, Wait, Wait, Wait, begin_claim(100), deliver(100, 1), sync_batch(1),
         deliver(1, 100), deliver(100, 3), wipe_disk(1), sync_batch(1), sync_batch(3),
         begin_claim(101), deliver(101, 1), deliver(101, 2), deliver(101, 3), sync_batch(1),
         deliver(3, 101), deliver(1, 101), sync_batch(2), deliver(2, 101), deliver(3, 100),
         send_request(101), deliver(100, 2), deliver(2, 100), send_request(100),
     ];
-    assert_caught("keys-wiped", Mutation::VoteAfterWipe, "TWICE", &way);
+    assert_caught("keys-wiped", Mutation::VoteAfterWipe, "TWICE", &trace);
 }
 
 #[test]
-fn an_older_copy_of_a_disk_that_votes_lets_a_key_run_twice() {
+fn vote_from_old_disk_is_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         begin_claim(100), deliver(100, 3), deliver(100, 2), sync_batch(2), restore_old_disk(2),
         sync_batch(2), sync_batch(3), deliver(2, 100), deliver(3, 100), begin_claim(101),
         deliver(101, 1), deliver(101, 2), sync_batch(2), deliver(2, 101), deliver(101, 3),
         deliver(3, 101), sync_batch(1), deliver(1, 101), send_request(101), send_request(100),
     ];
-    assert_caught("keys-old-disk", Mutation::OldDiskVotes, "TWICE", &way);
+    assert_caught("keys-old-disk", Mutation::OldDiskVotes, "TWICE", &trace);
 }
 
 #[test]
-fn two_disks_that_answer_before_they_synced_let_a_key_run_twice() {
+fn claim_granted_before_sync_is_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         begin_claim(100), deliver(100, 3), deliver(100, 1), lose_power(1), deliver(1, 100),
         deliver(3, 100), lose_power(3), send_request(100), start(3), Wait, begin_claim(101),
         deliver(101, 2), start(1), deliver(2, 101), deliver(101, 3), sync_batch(2),
@@ -108,16 +108,16 @@
         "keys-power-twice",
         Mutation::AnswerBeforeSync,
         "TWICE",
-        &way,
+        &trace,
     );
 }
 
 /// Member 1 is being replaced by 4 when 3 loses its disk; 1 is back before the change is made, and is left out by it. Of
 /// the new set 2 alone has complete state, so without what 1 holds nobody could be taught.
 #[test]
-fn a_newcomer_learns_from_the_member_whose_place_it_took() {
+fn new_member_learns_from_removed_member() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         reconnect(3), deliver(4, 101), deliver(4, 100), deliver(1, 101), deliver(2, 101),
         deliver(3, 101), lose_power(1), deliver(1, 100), Wait, deliver(2, 100), start(1),
         sync_batch(2), deliver(3, 100), deliver(1, 101), deliver(1, 100), sync_batch(3),
@@ -133,33 +133,33 @@
         sync_batch(2), deliver(101, 2), deliver(2, 101), sync_batch(2), Wait, Wait, Wait, Wait,
         Wait,
     ];
-    let mut world = World::opened(scene("replaced-overlapping"), None);
-    for what in way {
-        world.play(what);
+    let mut world = World::after_setup(scene("replaced-overlapping"), None);
+    for action in trace {
+        world.apply(action);
     }
-    world.close();
+    world.settle();
     assert_eq!(world.violation(), None);
     let members = world.newest_voting_set().members.clone();
     assert_eq!(members, [2, 3, 4].map(NodeId));
 }
 
 #[test]
-fn a_vote_of_before_a_wipe_that_still_counts_lets_a_key_run_twice() {
+fn vote_that_never_expires_is_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         begin_claim(101), deliver(101, 2), deliver(101, 3), sync_batch(2), sync_batch(3), Wait,
         wipe_disk(3), deliver(3, 101), begin_claim(100), sync_batch(3), deliver(100, 1),
         sync_batch(1), deliver(2, 101), Wait, deliver(101, 1), deliver(100, 2), deliver(2, 100),
         Wait, Wait, Wait, Wait, send_request(101), sync_batch(3), sync_batch(3), deliver(100, 3),
         deliver(3, 100), deliver(1, 101), deliver(1, 100), send_request(100),
     ];
-    assert_caught("keys-wiped", Mutation::VotesNeverExpire, "TWICE", &way);
+    assert_caught("keys-wiped", Mutation::VotesNeverExpire, "TWICE", &trace);
 }
 
 #[test]
-fn a_disk_that_answers_before_it_synced_loses_what_was_acknowledged() {
+fn commit_reported_before_sync_is_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         put(7), deliver(2, 1), deliver(2, 3), deliver(1, 2), deliver(2, 1), deliver(2, 1),
         kill(2), lose_power(1), start(2), deliver(2, 3), sync_batch(3), Wait, start(1),
         deliver(2, 1), deliver(1, 2), deliver(3, 1), deliver(2, 1), deliver(1, 2), deliver(1, 3),
@@ -177,15 +177,15 @@
         "configuration-power",
         Mutation::AnswerBeforeSync,
         "LOST",
-        &way,
+        &trace,
     );
 }
 
 /// Two operators, one version, two texts: counted by the version alone, each text found its majority.
 #[test]
-fn two_texts_of_one_version_are_both_committed_where_they_count_for_each_other() {
+fn vote_for_conflicting_text_is_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         lose_power(4), start(4), deliver(4, 1), deliver(4, 2), deliver(2, 4), deliver(4, 2),
         deliver(3, 4), break_session(3, 4), deliver(1, 4), deliver(3, 4), put(5), deliver(2, 1),
         deliver(2, 3), sync_batch(1), deliver(1, 2), deliver(4, 3), deliver(4, 3), deliver(3, 4),
@@ -206,15 +206,15 @@
         "configuration-rivals",
         Mutation::RivalTextsCount,
         "CONFIG",
-        &way,
+        &trace,
     );
 }
 
 /// Gateway 101 has the new voting set, 100 does not, and its claim continues with what the removed member granted.
 #[test]
-fn votes_of_two_voting_sets_that_add_up_let_a_key_run_twice() {
+fn votes_from_two_epochs_are_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         deliver(1, 101), deliver(2, 101), deliver(1, 101), deliver(2, 101), deliver(1, 101),
         deliver(2, 101), begin_claim(100), begin_claim(101), deliver(100, 3), sync_batch(3),
         deliver(100, 1), sync_batch(1), deliver(3, 100), deliver(3, 100), deliver(1, 100),
@@ -222,13 +222,13 @@
         sync_batch(4), deliver(2, 101), deliver(2, 101), deliver(4, 101), deliver(4, 101),
         deliver(4, 101), send_request(100), send_request(101),
     ];
-    assert_caught("replaced-votes", Mutation::EpochUnchecked, "TWICE", &way);
+    assert_caught("replaced-votes", Mutation::EpochUnchecked, "TWICE", &trace);
 }
 
 #[test]
-fn a_removed_voter_that_counts_for_its_successor_lets_a_key_run_twice() {
+fn vote_of_removed_member_is_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         deliver(1, 101), deliver(2, 101), deliver(1, 101), deliver(2, 101), deliver(1, 101),
         deliver(2, 101), deliver(1, 100), deliver(2, 100), deliver(1, 100), deliver(2, 100),
         deliver(1, 100), deliver(2, 100), begin_claim(100), begin_claim(101), deliver(100, 2),
@@ -237,14 +237,14 @@
         deliver(101, 3), sync_batch(3), deliver(1, 101), deliver(3, 101), deliver(3, 101),
         deliver(3, 101), send_request(100), send_request(101),
     ];
-    assert_caught("replaced-votes", Mutation::RemovedCounts, "TWICE", &way);
+    assert_caught("replaced-votes", Mutation::RemovedCounts, "TWICE", &trace);
 }
 
 /// Gateway 100 wins by the member that is removed and another one; the new member does not know of it.
 #[test]
-fn a_learner_that_counts_without_snapshots_lets_a_key_run_twice() {
+fn vote_of_learner_without_snapshots_is_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         begin_claim(100), deliver(100, 3), sync_batch(3), deliver(100, 1), sync_batch(1),
         deliver(1, 100), deliver(1, 100), deliver(3, 100), deliver(3, 100), Wait, DeliverAll,
         deliver(1, 101), deliver(2, 101), deliver(1, 101), deliver(2, 101), deliver(1, 101),
@@ -252,13 +252,13 @@
         sync_batch(4), deliver(2, 101), deliver(4, 101), deliver(4, 101), deliver(4, 101),
         deliver(4, 101), send_request(100), send_request(101),
     ];
-    assert_caught("replaced-keys", Mutation::LearnerCounts, "TWICE", &way);
+    assert_caught("replaced-keys", Mutation::LearnerCounts, "TWICE", &trace);
 }
 
 #[test]
-fn a_text_that_is_voted_for_without_promises_replaces_a_committed_one() {
+fn proposal_without_promises_is_caught() {
     #[rustfmt::skip]
-    let way = [
+    let trace = [
         put(106), sync_batch(2), sync_batch(2), put(5), deliver(2, 1), deliver(2, 3),
         deliver(2, 1), sync_batch(3), sync_batch(3), deliver(3, 2), sync_batch(2), deliver(3, 2),
         deliver(3, 2), sync_batch(1),
@@ -267,14 +267,14 @@
         "rivals-unprepared",
         Mutation::PromisesSkipped,
         "CONFIG",
-        &way,
+        &trace,
     );
 }
 
 /// The rival text is chosen by 2, 4 and 5; then 3 votes for the first text, and 1 still counts what 2 reported before its
 /// loss.
 #[rustfmt::skip]
-const LATE_REPORT: [Move; 39] = [
+const LATE_REPORT: [Action; 39] = [
     put(106), deliver(2, 4), deliver(2, 5), deliver(2, 4), deliver(2, 5), sync_batch(2),
     sync_batch(4), sync_batch(5), deliver(4, 2), deliver(5, 2), deliver(4, 2), deliver(5, 2),
     sync_batch(2), deliver(2, 4), deliver(2, 5), deliver(2, 4), deliver(2, 5), sync_batch(2),
@@ -285,7 +285,7 @@
 ];
 
 #[test]
-fn a_report_that_never_expires_counts_a_vote_of_before_a_wipe() {
+fn report_that_never_expires_is_caught() {
     assert_caught(
         "reported-late",
         Mutation::ReportsNeverExpire,
@@ -297,23 +297,23 @@
 /// As in `reported-late`, but what 2 reported lies unread at 1 when it is paused: it is read only after 2 has lost its
 /// disk, has installed snapshots, and has voted for the other text.
 #[test]
-fn a_vote_of_before_a_wipe_that_lay_unread_does_not_count() {
+fn queued_report_from_before_wipe_is_not_counted() {
     #[rustfmt::skip]
-    const UNREAD_REPORT: [Move; 26] = [
+    const UNREAD_REPORT: [Action; 26] = [
         put(5), deliver(1, 2), deliver(1, 3), sync_batch(1), sync_batch(2), sync_batch(3),
         deliver(2, 1), deliver(3, 1), sync_batch(1), deliver(1, 2), sync_batch(2),
         break_session(1, 4), break_session(1, 5), pause(1), wipe_disk(2), DeliverAll, Wait,
         DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
     ];
     let scene = Scene {
-        opening: &UNREAD_REPORT,
+        setup_actions: &UNREAD_REPORT,
         ..*scene("reported-late")
     };
-    let mut world = World::opened(&scene, None);
-    for what in LATE_REPORT {
-        world.play(what);
-        if what == resume(1) {
-            world.play(deliver(2, 1));
+    let mut world = World::after_setup(&scene, None);
+    for action in LATE_REPORT {
+        world.apply(action);
+        if action == resume(1) {
+            world.apply(deliver(2, 1));
         }
     }
     assert_eq!(world.violation(), None);
--- a/crates/tools/modelcheck/tests/scenes.rs
+++ b/crates/tools/modelcheck/tests/scenes.rs
@@ -3,15 +3,15 @@
 mod common;
 
 use common::scene;
-use rushcourse_modelcheck::moves::{
-    Move::{DeliverAll, Wait},
+use rushcourse_modelcheck::actions::{
+    Action::{DeliverAll, Wait},
     isolate,
 };
 use rushcourse_modelcheck::{Bounds, SCENES, World, explore};
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId};
 
 #[test]
-fn no_sound_scene_breaks_a_rule_as_far_as_a_test_may_look() {
+fn unmutated_scenes_have_no_violations_within_bounds() {
     let bounds = Bounds {
         states: 1_500,
         walks: 150,
@@ -34,7 +34,7 @@
 
 /// Where no member voted, nothing would be explored.
 #[test]
-fn all_members_vote_at_the_start_of_a_scene() {
+fn all_members_vote_at_scene_start() {
     for scene in SCENES.iter().filter(|scene| !scene.is_first_start) {
         let world = World::new(scene);
         for member in 1..=scene.members {
@@ -45,49 +45,49 @@
 }
 
 #[test]
-fn openings_up_to_a_change_leave_the_first_voting_set() {
+fn setups_without_isolation_keep_initial_voting_set() {
     for scene in SCENES
         .iter()
-        .filter(|s| s.name.starts_with("replaced-") && !s.opening.contains(&isolate(3)))
+        .filter(|s| s.name.starts_with("replaced-") && !s.setup_actions.contains(&isolate(3)))
     {
-        let world = World::opened(scene, None);
+        let world = World::after_setup(scene, None);
         let epoch = world.newest_voting_set().epoch;
         assert_eq!(epoch, Epoch(1), "{}: all are long up", scene.name);
     }
 }
 
 #[test]
-fn a_change_that_is_due_is_made_at_the_next_wait() {
+fn due_change_is_adopted_after_next_wait() {
     for name in [
         "replaced-keys",
         "replaced-old-disk",
         "replaced-power",
         "replaced-configuration",
     ] {
-        let mut world = World::opened(scene(name), None);
+        let mut world = World::after_setup(scene(name), None);
         let epoch = world.newest_voting_set().epoch;
         assert_eq!(epoch, Epoch(1), "{name}: the change is not made yet");
-        world.play(Wait);
-        world.play(DeliverAll);
+        world.apply(Wait);
+        world.apply(DeliverAll);
         let members = &world.newest_voting_set().members;
         assert_eq!(*members, [1, 2, 4].map(NodeId), "{name}: it is made");
     }
 }
 
 #[test]
-fn a_change_that_is_proposed_is_made_once_all_is_delivered() {
-    let mut world = World::opened(scene("replaced-proposed"), None);
+fn proposed_change_is_adopted_after_delivery() {
+    let mut world = World::after_setup(scene("replaced-proposed"), None);
     let epoch = world.newest_voting_set().epoch;
     assert_eq!(epoch, Epoch(1), "the change is not made yet");
-    world.play(DeliverAll);
+    world.apply(DeliverAll);
     let members = &world.newest_voting_set().members;
     assert_eq!(*members, [1, 2, 4].map(NodeId), "it is under way");
 }
 
 #[test]
-fn a_removed_member_that_lacks_the_new_set_votes_in_the_old_one() {
+fn uninformed_removed_member_votes_in_old_epoch() {
     for name in ["replaced-votes", "replaced-second"] {
-        let world = World::opened(scene(name), None);
+        let world = World::after_setup(scene(name), None);
         assert_eq!(
             [1, 2, 3, 4].map(|node| voting_epoch(&world, node)),
             [2, 2, 1, 2].map(|epoch| Some(Epoch(epoch))),
@@ -97,8 +97,8 @@
 }
 
 #[test]
-fn a_wiped_voter_votes_again_while_another_is_paused() {
-    let world = World::opened(scene("reported-late"), None);
+fn wiped_member_votes_again_while_another_is_paused() {
+    let world = World::after_setup(scene("reported-late"), None);
     assert_eq!(
         [1, 2, 3, 4, 5].map(|node| voting_epoch(&world, node)),
         [Some(Epoch(1)); 5],
