--- a/crates/tools/modelcheck/src/actions.rs
+++ b/crates/tools/modelcheck/src/actions.rs
@@ -1,66 +1,67 @@
-//! What may happen next in a world, each a move of its own.
+//! Transitions of a world.
 //!
-//! Each move has a constructor in snake case, and is printed as its call: a way that the program prints can be pasted
-//! into a test.
+//! Each action has a constructor in snake case and is printed as a call of it, so that printed traces can be pasted
+//! into tests.
 
 use crate::submission::Submission;
 use rushcourse_types::NodeId;
 use std::fmt;
 
-/// What may happen next. Random walks hash moves, so the order of the variants is part of the figures that they give.
+/// A transition of a world. Random walks hash actions, so the order of the variants determines their results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// The oldest message from one node to the other arrives.
+    /// Delivers the oldest in-flight packet of a link.
     Deliver {
-        /// The sender.
+        /// Node that sent the packet.
         from: NodeId,
-        /// The receiver.
+        /// Node that receives the packet.
         to: NodeId,
     },
-    /// The oldest batch of a disk is synced.
+    /// Syncs the oldest unsynced batch of a controller's disk.
     SyncBatch(NodeId),
-    /// A controller ends; what was not synced is lost.
+    /// Stops a controller; unsynced batches are lost.
     LosePower(NodeId),
-    /// A controller ends; all that it wrote reaches the disk.
+    /// Stops a controller; unsynced batches reach the disk.
     Kill(NodeId),
-    /// A controller ends, and comes back with an empty disk.
+    /// Restarts a controller with an empty disk.
     WipeDisk(NodeId),
-    /// A controller that ended comes back.
+    /// Starts a stopped controller.
     Start(NodeId),
-    /// A controller ends with what was not synced lost, and never comes back.
+    /// Stops a controller permanently; unsynced batches are lost.
     LoseMachine(NodeId),
-    /// A controller ends, and comes back with the disk that it had at the start of this world.
+    /// Restarts a controller with the disk contents that it had in the initial state.
     RestoreOldDisk(NodeId),
-    /// A controller gets SIGTERM: it goes on until a standby has its place.
+    /// Sends SIGTERM to a controller, which continues until a standby has replaced it.
     ShutDown(NodeId),
-    /// The session of two controllers breaks and stands anew: what was on the way is lost.
+    /// Breaks and reestablishes the session of two controllers; in-flight messages between them are lost.
     BreakSession(NodeId, NodeId),
-    /// A controller is cut off from all others, until it is reconnected. Gateways still reach it.
+    /// Disconnects a controller from all other controllers until [`Action::Reconnect`]. Gateways still reach it.
     Isolate(NodeId),
-    /// A controller that was isolated is in session with the others again.
+    /// Reconnects an isolated controller to the others.
     Reconnect(NodeId),
-    /// A controller's process stands still: it receives nothing and no time passes for it, until it is resumed.
+    /// Suspends a controller: it receives nothing and handles no timers until [`Action::Resume`].
     Pause(NodeId),
-    /// A paused process goes on.
+    /// Resumes a paused controller.
     Resume(NodeId),
-    /// A gateway claims the key.
+    /// Starts a claim of the operation key at a gateway.
     BeginClaim(NodeId),
-    /// A gateway sends its request, however long after its claim was won.
+    /// Sends a gateway's request; possible at any time after its claim is won.
     SendRequest(NodeId),
-    /// A gateway ends and starts again: it knows nothing of what it did.
+    /// Restarts a gateway, which loses its state except for the voting set.
     RestartGateway(NodeId),
-    /// An operator puts a configuration.
+    /// Submits a configuration; the submission determines the controller.
     Put(Submission),
-    /// An operator reads the configuration at a controller.
+    /// Reads the configuration at a controller.
     Get(NodeId),
-    /// Time passes.
+    /// Advances the clock by 450 ms, ticks all running controllers that are not paused, and decides claims that have
+    /// timed out.
     Wait,
-    /// All messages of controllers arrive and all disks sync, until nothing is under way: for openings of scenes.
+    /// Delivers all messages between controllers and syncs all disks until nothing is pending. For setup actions.
     DeliverAll,
 }
 
 impl Action {
-    /// Whether it continues what is under way: no fault, no new call and no passing of time.
+    /// Whether the action continues pending work: not a fault, a new call or a wait.
     pub fn is_progress(&self) -> bool {
         matches!(
             self,
@@ -101,7 +102,7 @@
     }
 }
 
-/// [`Action::Deliver`]
+/// Returns [`Action::Deliver`].
 pub const fn deliver(from: u32, to: u32) -> Action {
     Action::Deliver {
         from: NodeId(from),
@@ -109,19 +110,19 @@
     }
 }
 
-/// [`Action::BreakSession`]
+/// Returns [`Action::BreakSession`].
 pub const fn break_session(one: u32, other: u32) -> Action {
     Action::BreakSession(NodeId(one), NodeId(other))
 }
 
-/// [`Action::Put`]
+/// Returns [`Action::Put`] for the submission with this number.
 pub const fn put(submission: u64) -> Action {
     Action::Put(Submission(submission))
 }
 
 macro_rules! single_node_actions {
     ($($name:ident => $variant:ident),* $(,)?) => {$(
-        #[doc = concat!("[`Move::", stringify!($variant), "`]")]
+        #[doc = concat!("Returns [`Action::", stringify!($variant), "`].")]
         pub const fn $name(node: u32) -> Action {
             Action::$variant(NodeId(node))
         }
--- a/crates/tools/modelcheck/src/checker.rs
+++ b/crates/tools/modelcheck/src/checker.rs
@@ -1,4 +1,4 @@
-//! What has been seen in a world, and the rules that it must keep.
+//! Invariants of a world, and the observations that they are checked against.
 
 use crate::submission::Submission;
 use crate::violation::{Unsettled, Violation};
@@ -8,38 +8,38 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A member whose place was taken.
+/// The difference between two consecutive voting sets.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Replacement {
     pub joined: NodeId,
     pub removed: NodeId,
 }
 
-/// What has been seen in a world, and the rule that the last move broke.
+/// Records observations of a world and keeps the latest violation of a rule.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Checker {
     requests_sent: u32,
-    /// The highest version that an operator's call was acknowledged for.
+    /// Highest version acknowledged to an operator.
     highest_acknowledged: ConfigurationVersion,
-    /// The highest version that is committed at any controller.
+    /// Highest version committed at any controller.
     highest_committed: ConfigurationVersion,
-    /// The committed text of each version, at whichever controller.
+    /// Text committed under each version, by the first controller that committed it.
     committed_texts: BTreeMap<ConfigurationVersion, Arc<[u8]>>,
-    /// The draft that each version was acknowledged for, where its operator was not told that another text is committed.
+    /// First submission acknowledged under each version without `is_other_text` while no higher version was committed.
     acknowledged_submissions: BTreeMap<ConfigurationVersion, Submission>,
-    /// What a read has to give at least.
+    /// Lowest version that each read may return: the highest one acknowledged or committed when the read started.
     read_minimums: BTreeMap<Ticket, ConfigurationVersion>,
-    /// Puts that wait for their answer, and the controller that has them.
+    /// Unanswered puts, and the controller that each was sent to.
     pending_puts: BTreeMap<Ticket, NodeId>,
     voting_sets: BTreeMap<Epoch, Vec<NodeId>>,
     newest_voting_set: VotingSet,
-    /// Who took whose place, in the newest set.
+    /// Members that the newest voting set added and removed.
     replacement: Option<Replacement>,
     violation: Option<Violation>,
 }
 
 impl Checker {
-    /// In a world where this voting set is there from the start.
+    /// Creates a checker for a world that starts with an adopted voting set.
     pub(crate) fn with_voting_set(voting_set: VotingSet) -> Checker {
         Checker {
             voting_sets: BTreeMap::from([(voting_set.epoch, voting_set.members.clone())]),
@@ -56,22 +56,22 @@
         self.violation = Some(violation);
     }
 
-    /// The newest set that a controller adopted.
+    /// The voting set with the highest epoch that any controller has adopted.
     pub(crate) fn newest_voting_set(&self) -> &VotingSet {
         &self.newest_voting_set
     }
 
-    /// Who took whose place, in the newest set.
+    /// Members that the newest voting set added and removed; `None` unless there is one of each.
     pub(crate) fn replacement(&self) -> Option<Replacement> {
         self.replacement
     }
 
-    /// Whether any version was acknowledged.
+    /// Whether an operator has received an acknowledgement.
     pub(crate) fn has_acknowledged(&self) -> bool {
         !self.highest_acknowledged.is_none()
     }
 
-    /// A gateway sent a request of the key.
+    /// Counts a request that a gateway sent under the operation key.
     pub(crate) fn request_sent(&mut self) {
         self.requests_sent += 1;
     }
@@ -82,23 +82,24 @@
         }
     }
 
-    /// An operator put a configuration at a controller that runs.
+    /// Records a put at a running controller; a world that has settled must have answered it.
     pub(crate) fn put_started(&mut self, submission: Submission, node: NodeId) {
         self.pending_puts.insert(submission.ticket(), node);
     }
 
-    /// A controller ended: its callers have no answer to wait for.
+    /// Discards the pending puts of a stopped controller, which can't answer them.
     pub(crate) fn controller_stopped(&mut self, node: NodeId) {
-        self.pending_puts.retain(|_, at| *at != node);
+        self.pending_puts
+            .retain(|_, controller| *controller != node);
     }
 
-    /// An operator asked for the configuration.
+    /// Records the lowest version that a read may return.
     pub(crate) fn read_started(&mut self, ticket: Ticket) {
         let minimum = self.highest_acknowledged.max(self.highest_committed);
         self.read_minimums.insert(ticket, minimum);
     }
 
-    /// An operator's call was answered.
+    /// Checks the answer to a put or a read.
     pub(crate) fn call_answered(&mut self, ticket: Ticket, outcome: &CallOutcome) {
         self.pending_puts.remove(&ticket);
         let minimum = self.read_minimums.get(&ticket).copied().unwrap_or_default();
@@ -121,7 +122,8 @@
         }
     }
 
-    /// `is_other_text` must be true exactly where the version's one committed text is not the draft's.
+    /// Checks an acknowledgement: unless a higher version is committed, `is_other_text` has to be true if and only if a
+    /// different text is committed under the version.
     fn put_acknowledged(&mut self, submission: Submission, is_other_text: bool) {
         let version = submission.version();
         self.highest_acknowledged = self.highest_acknowledged.max(version);
@@ -145,12 +147,12 @@
         }
     }
 
-    /// Counts a version as acknowledged without an answer to an operator.
+    /// Treats a version as acknowledged without an answer to an operator.
     pub(crate) fn assume_acknowledged(&mut self, version: ConfigurationVersion) {
         self.highest_acknowledged = self.highest_acknowledged.max(version);
     }
 
-    /// A configuration is committed at a controller, behind an earlier version.
+    /// Checks a configuration that a controller has committed; `earlier` is the version that it had committed before.
     pub(crate) fn configuration_committed(
         &mut self,
         node: NodeId,
@@ -175,7 +177,7 @@
         self.highest_committed = self.highest_committed.max(*version);
     }
 
-    /// A controller counts in a voting set from now on.
+    /// Checks a voting set that a controller has adopted.
     pub(crate) fn voting_set_adopted(&mut self, voting_set: &VotingSet) {
         let epoch = voting_set.epoch;
         let known = self.voting_sets.entry(epoch);
@@ -188,8 +190,8 @@
         }
     }
 
-    /// Faults have ended and time has passed: the members of the set vote, all hold the same version, and every put has
-    /// its answer. `summaries`: of the controllers that run.
+    /// Checks that the world has recovered from its faults: all members vote, all running controllers have the same
+    /// version and voting set, and every put is answered. `summaries` holds the running controllers.
     pub(crate) fn check_settled(&mut self, summaries: &BTreeMap<NodeId, ReplicaSummary>) {
         if self.violation.is_none() {
             self.violation = self.unsettled(summaries).map(Violation::Unsettled);
@@ -238,7 +240,7 @@
     })
 }
 
-/// What is not as it has to be at a member; `summary` is `None` where it is gone.
+/// Returns what keeps a member from being settled; `summary` is `None` for a stopped member.
 fn unsettled_member(
     node: NodeId,
     summary: Option<&ReplicaSummary>,
--- a/crates/tools/modelcheck/src/explore.rs
+++ b/crates/tools/modelcheck/src/explore.rs
@@ -1,4 +1,4 @@
-//! Breadth first over all orders, each state once; then random walks behind it.
+//! Breadth-first search over the states of a scene. Each distinct state is visited once.
 
 use crate::actions::Action;
 use crate::mutation::Mutation;
@@ -7,70 +7,70 @@
 use crate::world::World;
 use std::collections::BTreeSet;
 
-/// How far to look.
+/// Limits of an exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// States looked at breadth first, at most: some 4 KB each while they are on the frontier.
+    /// Maximum number of distinct states in the breadth-first search. Each state on the frontier takes about 4 KB.
     pub states: usize,
-    /// Random walks.
+    /// Number of random walks after the search.
     pub walks: usize,
-    /// Moves of one walk at most.
+    /// Maximum number of actions in a walk.
     pub steps: usize,
-    /// Other walks for other seeds.
+    /// Seed of the random walks.
     pub seed: u64,
 }
 
-/// A rule that is broken, and the way there.
+/// A violation and the actions that lead to it.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
-    /// The rule.
+    /// The violated rule, with details.
     pub violation: Violation,
-    /// The moves that lead there, from behind the scene's opening.
+    /// Actions that lead to the violation, starting after the scene's setup actions.
     pub trace: Vec<Action>,
-    /// Whether the rule was broken only once faults had ended behind these moves.
+    /// Whether the violation appeared only when the world settled after these actions.
     pub is_settled: bool,
 }
 
-/// What exploring found.
+/// Result of an exploration.
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
-    /// Different states that were met breadth first.
+    /// Number of distinct states visited by the breadth-first search.
     pub states: usize,
-    /// The depth to which all of them were seen.
+    /// Number of actions up to which the search covered all states; one more if it found a counterexample.
     pub depth: usize,
-    /// Whether no state is left that was not seen.
+    /// Whether the search visited all reachable states.
     pub is_complete: bool,
-    /// States met on walks.
+    /// Number of actions in all random walks together.
     pub walked: usize,
-    /// Moves of the longest walk.
+    /// Number of actions in the longest walk.
     pub longest_walk: usize,
-    /// The first rule that was found broken.
+    /// First violation, if any.
     pub counterexample: Option<Counterexample>,
 }
 
-/// The states that were met breadth first, and the way to each.
+/// Fingerprints of the visited states, and the steps that reconstruct the trace to each of them.
 #[derive(Default)]
 struct Visited {
     fingerprints: BTreeSet<u64>,
-    /// For each state but the first: the state before it, and the move between them.
+    /// One entry for each state except the initial one.
     steps: Vec<Step>,
 }
 
 struct Step {
-    /// The index of the state before; `None`: it is the first state.
+    /// Index of the step to the preceding state; `None` for the initial state.
     previous: Option<usize>,
     action: Action,
 }
 
-/// A state whose moves were not all played yet.
+/// A state whose successors have not been generated.
 struct FrontierState<'a> {
     world: World<'a>,
-    /// The index of its step; `None`: it is the first state.
+    /// Index of the step that leads to the state; `None` for the initial state.
     step: Option<usize>,
 }
 
 impl Visited {
-    /// Notes a state, unless it was met before.
+    /// Adds a state and returns the index of its step. Returns `None` if the state was visited before.
     fn insert(&mut self, world: &World, previous: Option<usize>, action: Action) -> Option<usize> {
         if !self.fingerprints.insert(world.fingerprint()) {
             return None;
@@ -79,7 +79,7 @@
         Some(self.steps.len() - 1)
     }
 
-    /// The moves that lead to a state.
+    /// Returns the actions from the initial state to the target of a step.
     fn trace_to(&self, index: usize) -> Vec<Action> {
         let mut trace = Vec::new();
         let mut next = Some(index);
@@ -100,7 +100,8 @@
     }
 }
 
-/// Explores one scene breadth first, with all defences or one taken out. The same bounds give the same figures.
+/// Searches the states of a scene level by level until it finds a violation, `max_states` is reached or no state is
+/// left.
 pub(crate) fn breadth_first(
     scene: &Scene,
     mutation: Option<Mutation>,
@@ -136,7 +137,7 @@
     }
 }
 
-/// Plays all moves of a state; states that were not met before go to the next frontier.
+/// Generates the successors of a state and adds unvisited ones to the next frontier. Returns the first violation.
 fn expand<'a>(
     state: &FrontierState<'a>,
     visited: &mut Visited,
--- a/crates/tools/modelcheck/src/lib.rs
+++ b/crates/tools/modelcheck/src/lib.rs
@@ -1,13 +1,14 @@
-//! Model checking of the control state: takes the pure steps that keep what a majority of disks holds (`ConsensusNode`
-//! of controllers, `Claims` of gateways) through all orders of delivery, loss, crash and wipe on a small world, and
-//! looks at each state for a broken rule. It imports no clock, disk or network.
+//! Model checker for the replicated control state. Runs the deterministic state machines of the gateway
+//! (`ConsensusNode` of controllers, `Claims` of gateways) through the possible orders of message delivery, message
+//! loss, crashes and disk loss in a small cluster, and checks safety and recovery rules in each state. The crate uses
+//! no clock, disk or network.
 //!
-//! * `scene.rs`, `scenes.rs`, `openings.rs`: which worlds are explored.
-//! * [`actions`]: what may happen next; `world/`: what there is, and what each move does to it; `checker.rs`,
+//! * `scene.rs`, `scenes.rs`, `setup_actions.rs`: the configurations that are explored.
+//! * [`actions`]: the transitions of a state; `world/`: the state and the effect of each action; `checker.rs`,
 //!   `violation.rs`: the rules.
-//! * `mutation.rs`: defences that are taken out on purpose, which have to be caught.
-//! * `explore.rs`: breadth first with states counted; `walks.rs`: long random walks behind that.
-//! * [`simulation`]: a controller with a disk in memory, also for the timelines of `rushcourse-consensus`.
+//! * `mutation.rs`: safeguards that can be disabled, to verify that the checker reports the resulting violation.
+//! * `explore.rs`: breadth-first search over distinct states; `walks.rs`: random walks, which reach greater depths.
+//! * [`simulation`]: a controller with an in-memory disk, also used by the tests of `rushcourse-consensus`.
 
 pub mod actions;
 mod checker;
@@ -32,7 +33,8 @@
 pub use violation::{Unsettled, Violation};
 pub use world::World;
 
-/// Explores one scene, with all defences or one taken out. The same bounds give the same figures.
+/// Explores one scene: breadth-first search, followed by random walks if the search was neither exhaustive nor found a
+/// violation. A mutation disables one safeguard. The result is deterministic for equal arguments.
 pub fn explore(scene: &Scene, mutation: Option<Mutation>, bounds: Bounds) -> Findings {
     let mut findings = explore::breadth_first(scene, mutation, bounds.states);
     if findings.counterexample.is_none() && !findings.is_complete {
--- a/crates/tools/modelcheck/src/main.rs
+++ b/crates/tools/modelcheck/src/main.rs
@@ -1,5 +1,5 @@
-//! modelcheck: explores the control state of the gateway. Ends with 0 when no sound scene breaks a rule and each
-//! mutation is caught, with 1 otherwise, with 2 when the command line is wrong.
+//! modelcheck: explores the control state of the gateway. Exits with 0 if no unmutated scene has a violation and each
+//! mutation is detected, with 1 otherwise, and with 2 if the command line is invalid.
 
 use gumdrop::Options;
 use rushcourse_modelcheck::{
@@ -9,27 +9,34 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// modelcheck: takes what a majority of disks holds through all orders of delivery, loss, crash and wipe.
+/// modelcheck: explores the replicated control state under message loss, crashes and disk loss.
 #[derive(Options)]
 struct Arguments {
     #[options(help = "print this help")]
     help: bool,
-    #[options(help = "only the scene of this name", meta = "NAME")]
+    #[options(help = "explore only this scene", meta = "NAME")]
     scene: Option<String>,
     #[options(
-        help = "states of a scene looked at breadth first",
+        help = "limit of states in the breadth-first search of a scene",
         meta = "N",
         default = "60000"
     )]
     states: usize,
-    #[options(help = "random walks behind that, for what the scene has", meta = "N")]
+    #[options(
+        help = "random walks after an incomplete search; default: set by each scene",
+        meta = "N"
+    )]
     walks: Option<usize>,
-    #[options(help = "longest walk", meta = "N", default = "120")]
+    #[options(
+        help = "limit of actions in a random walk",
+        meta = "N",
+        default = "120"
+    )]
     steps: usize,
-    #[options(help = "other walks than the usual ones", meta = "N", default = "0")]
+    #[options(help = "seed of the random walks", meta = "N", default = "0")]
     seed: u64,
     #[options(
-        help = "scenes and mutations explored at once; all processors if not given",
+        help = "scenes and mutations explored in parallel; default: number of processors",
         meta = "N"
     )]
     jobs: Option<usize>,
@@ -59,7 +66,7 @@
     }
 }
 
-/// A scene to explore, with all defences or one taken out.
+/// A unit of work: one scene, unmutated or with one mutation.
 struct Job {
     scene: &'static Scene,
     mutation: Option<Mutation>,
@@ -78,12 +85,19 @@
     fn run(&self, arguments: &Arguments) {
         let bounds = arguments.bounds(self.scene);
         let findings = explore(self.scene, self.mutation, bounds);
-        *self.findings.lock().expect("a scene does not panic") = findings;
+        *self
+            .findings
+            .lock()
+            .expect("no thread panics while it holds the lock") = findings;
     }
 
-    /// Prints what was found. Whether it is as it should be: a counterexample for each mutation, and none without.
+    /// Prints the result. Returns whether it is the expected one: a counterexample for a mutation, none for an
+    /// unmutated scene.
     fn report(self) -> bool {
-        let findings = self.findings.into_inner().expect("a scene does not panic");
+        let findings = self
+            .findings
+            .into_inner()
+            .expect("no thread panics while it holds the lock");
         let is_expected = findings.counterexample.is_some() == self.mutation.is_some();
         println!(
             "scene={} variant={} states={} depth={} whole={} walked={} longest={} violations={} {}",
@@ -106,16 +120,16 @@
 
 fn print_counterexample(counterexample: &Counterexample) {
     let actions: Vec<String> = counterexample.trace.iter().map(Action::to_string).collect();
-    let closed = if counterexample.is_settled {
+    let suffix = if counterexample.is_settled {
         ", and faults end"
     } else {
         ""
     };
     println!("  {}", counterexample.violation);
-    println!("  {}{closed}", actions.join(", "));
+    println!("  {}{suffix}", actions.join(", "));
 }
 
-/// Each scene without mutations, and with each that it has to catch.
+/// Returns one job for each scene without mutations, and one for each mutation that the scene has to detect.
 fn jobs(scenes: &[&'static Scene]) -> Vec<Job> {
     let mut jobs = Vec::new();
     for scene in scenes {
@@ -126,17 +140,18 @@
     jobs
 }
 
-/// Runs all jobs. Each is explored by itself: the figures are the same on any number of processors.
+/// Runs all jobs on `Arguments::threads` threads. Jobs don't share state, so the results don't depend on the number of
+/// threads.
 fn run_all(jobs: &[Job], arguments: &Arguments) {
     let next = AtomicUsize::new(0);
-    let work = || {
+    let worker = || {
         while let Some(job) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
             job.run(arguments);
         }
     };
     std::thread::scope(|scope| {
         for _ in 0..arguments.threads() {
-            scope.spawn(work);
+            scope.spawn(worker);
         }
     });
 }
@@ -146,7 +161,10 @@
     let scenes = arguments.scenes();
     if scenes.is_empty() {
         let names: Vec<&str> = SCENES.iter().map(|scene| scene.name).collect();
-        eprintln!("modelcheck: no such scene; there are {}", names.join(", "));
+        eprintln!(
+            "modelcheck: unknown scene; available scenes: {}",
+            names.join(", ")
+        );
         return ExitCode::from(2);
     }
     let jobs = jobs(&scenes);
--- a/crates/tools/modelcheck/src/mutation.rs
+++ b/crates/tools/modelcheck/src/mutation.rs
@@ -1,38 +1,39 @@
-//! Defences that are taken out on purpose.
+//! Mutations: safeguards that can be disabled to test the checker.
 
-/// A defence taken out on purpose: exploring has to find the rule that it keeps.
+/// A disabled safeguard. Exploration has to find a violation of the rule named in parentheses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
-    /// A disk that was emptied votes as if it had lost nothing (TWICE).
+    /// A controller with an emptied disk votes without recovery (TWICE).
     VoteAfterWipe,
-    /// A disk that is an older copy votes like the newest one (TWICE).
+    /// A controller with an older copy of its disk votes without recovery (TWICE).
     OldDiskVotes,
-    /// An operator is answered once half of the disks hold a version (LOST).
+    /// A version is acknowledged once half of the disks hold it (LOST).
     AcknowledgeAtHalf,
-    /// A batch is reported as synced before it is (TWICE, LOST).
+    /// A batch is reported as synced before it is durable (TWICE, LOST).
     AnswerBeforeSync,
-    /// Votes on a claim count however late they are processed (TWICE).
+    /// A gateway counts grants that arrive after the claim timeout (TWICE).
     VotesNeverExpire,
-    /// Disks that hold another text under the same version count for one's own (CONFIG).
+    /// Votes for a different text under the same version are counted (CONFIG).
     RivalTextsCount,
-    /// Votes of different voting sets add up (TWICE).
+    /// Grants from different voting sets are counted together (TWICE).
     EpochUnchecked,
-    /// A new member joins without snapshots, and votes at once (TWICE).
+    /// A new member votes without installing snapshots (TWICE).
     LearnerCounts,
-    /// The vote of one whose place was taken counts for its successor's (TWICE).
+    /// A grant from a removed member is counted as one from the member that replaced it (TWICE).
     RemovedCounts,
-    /// What others reported of their votes counts without end (CONFIG).
+    /// Status reports of other replicas never expire (CONFIG).
     ReportsNeverExpire,
-    /// A proposer asks for votes without promises (CONFIG).
+    /// A proposer skips the prepare phase (CONFIG).
     PromisesSkipped,
-    /// A controller answers a read with what it has, without asking a majority (CONFIG).
+    /// A controller answers a read from local state, without contacting a majority (CONFIG).
     ReadsLocally,
-    /// A gateway that restarted withdraws a claim of its life before, as if it had sent nothing under it (TWICE).
+    /// A restarted gateway withdraws a claim of its previous incarnation, under which a request may have been sent
+    /// (TWICE).
     WithdrawsEarlierClaim,
 }
 
 impl Mutation {
-    /// Whether a member that starts with a disk takes it for the newest one that it had, whatever the others know.
+    /// Whether a started member votes without verifying that its disk is the newest one that it had.
     pub(crate) fn skips_recovery(self) -> bool {
         matches!(
             self,
@@ -40,7 +41,7 @@
         )
     }
 
-    /// As it is printed.
+    /// Name of the mutation in the program's output.
     pub fn name(self) -> &'static str {
         match self {
             Mutation::VoteAfterWipe => "vote-after-wipe",
--- a/crates/tools/modelcheck/src/random.rs
+++ b/crates/tools/modelcheck/src/random.rs
@@ -1,10 +1,10 @@
-//! Random choices that are the same each time.
+//! Deterministic random numbers.
 
-/// Marsaglia's xorshift of 64 bits. Recorded figures of walks rest on its numbers, so that no other generator stands in
-/// for it.
+/// Marsaglia's 64-bit xorshift generator. Traces of random walks are reproducible only as long as its sequence stays
+/// the same.
 pub(crate) struct XorShift(u64);
 
-/// The golden ratio as a fraction of 2^64: a seed whose bits are well mixed.
+/// Fractional part of the golden ratio, scaled to 64 bits; a non-zero seed with well-distributed bits.
 const GOLDEN_RATIO: u64 = 0x9E37_79B9_7F4A_7C15;
 
 impl XorShift {
@@ -19,12 +19,12 @@
         self.0
     }
 
-    /// A number below this one.
+    /// Returns a number in `0..limit`; `limit` must not be zero.
     pub(crate) fn below(&mut self, limit: u64) -> u64 {
         self.next() % limit
     }
 
-    /// One of a list, which is not empty.
+    /// Returns an element of `list`, which must not be empty.
     pub(crate) fn choose<T: Copy>(&mut self, list: &[T]) -> T {
         list[self.below(list.len() as u64) as usize]
     }
--- a/crates/tools/modelcheck/src/scene.rs
+++ b/crates/tools/modelcheck/src/scene.rs
@@ -1,89 +1,92 @@
-//! What is explored: how many nodes, which calls, how many faults.
+//! Definition of a scene: the number of nodes, the calls of clients and the maximum number of faults.
 
 use crate::actions::Action;
 use crate::mutation::Mutation;
 use crate::submission::Submission;
 
-/// Who calls.
+/// Gateways and operators, and the calls that they make.
 #[derive(Clone, Copy, Debug)]
 pub struct Clients {
-    /// Gateways that claim one key.
+    /// Number of gateways; all claim the same operation key.
     pub gateways: u32,
-    /// Claims that each of them begins at most.
+    /// Maximum number of claims per gateway.
     pub claims: u32,
-    /// Configurations that operators put, each at another controller.
+    /// Configurations that operators submit; the number of a submission determines the controller that receives it.
     pub submissions: &'static [Submission],
 }
 
-/// How often each may happen at most.
+/// Maximum number of occurrences of each fault, wait and read.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// Losses of power, and kills.
+    /// Power failures and kills of controllers.
     pub power_losses: u32,
-    /// Disks that are lost.
+    /// Restarts of a controller with an empty disk.
     pub disk_wipes: u32,
-    /// Machines that are lost for good.
+    /// Permanent losses of a controller.
     pub machine_losses: u32,
-    /// Older disks that are put back.
+    /// Restarts of a controller with the disk contents of the initial state.
     pub old_disks: u32,
-    /// Controllers that get SIGTERM.
+    /// SIGTERMs to controllers.
     pub shutdowns: u32,
-    /// Sessions that break.
+    /// Breaks of a session between two controllers.
     pub session_breaks: u32,
-    /// Controllers that are cut off.
+    /// Isolations of a controller from all other controllers.
     pub isolations: u32,
-    /// Processes that stand still.
+    /// Suspensions of a controller.
     pub pauses: u32,
-    /// Waits of 450 ms.
+    /// Advances of the clock by 450 ms each.
     pub waits: u32,
-    /// Operators' reads.
+    /// Reads of the configuration by operators.
     pub reads: u32,
-    /// Gateways that end and start again.
+    /// Restarts of a gateway.
     pub gateway_restarts: u32,
 }
 
-/// One world to explore.
+/// One configuration to explore.
 #[derive(Clone, Copy, Debug)]
 pub struct Scene {
-    /// As it is asked for and printed.
+    /// Name on the command line and in the output.
     pub name: &'static str,
-    /// Controllers, 2 to 5, that are members of the voting set.
+    /// Number of controllers in the initial voting set, 2 to 5.
     pub members: u32,
-    /// Controllers that are not.
+    /// Number of controllers outside the initial voting set.
     pub standbys: u32,
-    /// Who calls.
+    /// Gateways and operators that call the controllers.
     pub clients: Clients,
-    /// How often each may happen at most.
+    /// Limits on faults, waits and reads after the setup actions.
     pub budget: Budget,
-    /// Whether the voting set is made in this world, or there from the start.
+    /// Whether the voting set is formed during the scene; otherwise all members start with it on disk.
     pub is_first_start: bool,
-    /// Whether messages between controllers arrive at once: fewer orders, seen deeper.
+    /// Whether messages between controllers are delivered immediately, which leaves fewer states and allows a deeper
+    /// search.
     pub is_delivery_eager: bool,
-    /// Whether an end of a session notices its break only once it has read all that was sent before.
+    /// Whether a controller learns of a broken or new session only after it has read all earlier messages of that
+    /// session.
     pub is_disconnect_queued: bool,
-    /// What happens before the exploring begins; its faults and waits are not counted.
+    /// Actions applied before the exploration; they don't count against the budget.
     pub setup_actions: &'static [Action],
-    /// One walk in so many is closed at its end, 0 for none: faults end, and the world must recover.
+    /// Interval, in walks, at which a walk ends with [`crate::World::settle`] and a check that the world has recovered;
+    /// 0 for never.
     pub settle_every_nth_walk: usize,
-    /// Random walks behind the breadth-first exploration: as many as it takes to catch its mutations, and some more.
+    /// Default number of random walks after an incomplete breadth-first search.
     pub walks: usize,
-    /// Which mutations it has to catch.
+    /// Mutations that an exploration of the scene has to detect.
     pub catches: &'static [Mutation],
 }
 
 impl Scene {
-    /// Whether controllers end and come back in it.
+    /// Whether controllers may restart in the scene.
     pub(crate) fn has_restarts(&self) -> bool {
         self.budget.power_losses > 0 || self.budget.old_disks > 0 || self.has_wipes()
     }
 
-    /// Whether disks are lost in it.
+    /// Whether disks are lost, during the setup actions or the exploration.
     pub(crate) fn has_wipes(&self) -> bool {
         let wipes = |action: &Action| matches!(action, Action::WipeDisk(_));
         self.budget.disk_wipes > 0 || self.setup_actions.iter().any(wipes)
     }
 
-    /// Whether controllers are there that can become members.
+    /// Whether the scene has controllers that can replace members.
     pub(crate) fn has_standbys(&self) -> bool {
         self.standbys > 0
     }
--- a/crates/tools/modelcheck/src/scenes.rs
+++ b/crates/tools/modelcheck/src/scenes.rs
@@ -1,4 +1,4 @@
-//! The scenes that are explored.
+//! Definitions of the explored scenes.
 
 use crate::mutation::Mutation;
 use crate::scene::{Budget, Clients, Scene};
@@ -13,7 +13,7 @@
     submissions: &[],
 };
 
-/// One key, claimed once by each of two gateways.
+/// Two gateways that each claim the key once.
 const TWO_GATEWAYS: Clients = Clients {
     gateways: 2,
     claims: 1,
@@ -34,7 +34,7 @@
     gateway_restarts: 0,
 };
 
-/// Three members, and nothing happens.
+/// Three members without clients, faults or waits.
 const BASE: Scene = Scene {
     name: "",
     members: 3,
@@ -50,7 +50,7 @@
     catches: &[],
 };
 
-/// A member may be replaced while two gateways claim the key; in the end all must have recovered.
+/// A standby may replace a member while two gateways claim the key. One walk in 50 settles and must recover.
 const REPLACEMENT: Scene = Scene {
     standbys: 1,
     clients: TWO_GATEWAYS,
@@ -59,7 +59,7 @@
     ..BASE
 };
 
-/// All scenes.
+/// All scenes, in the order in which the program runs them.
 pub const SCENES: [Scene; 30] = [
     Scene {
         name: "keys-power",
@@ -71,7 +71,8 @@
         },
         ..BASE
     },
-    // One voter that answers before its sync is saved by the others, which it asks after its start. Two are not.
+    // With one premature answer, the voter learns of its lost grant from the other members after its restart. With two,
+    // a second claim can win.
     Scene {
         name: "keys-power-twice",
         clients: TWO_GATEWAYS,
@@ -136,7 +137,7 @@
         catches: &[Mutation::OldDiskVotes],
         ..BASE
     },
-    // Answers and repeats: what was sent in an earlier life of a gateway must not be sent again.
+    // A restarted gateway must not release claims of its previous incarnation.
     Scene {
         name: "keys-gateway-restarts",
         clients: Clients {
@@ -153,7 +154,7 @@
         catches: &[Mutation::WithdrawsEarlierClaim],
         ..BASE
     },
-    // A controller that is cut off reads nothing old.
+    // An isolated controller must not return an outdated configuration.
     Scene {
         name: "configuration-isolated",
         clients: Clients {
@@ -237,7 +238,7 @@
         },
         ..BASE
     },
-    // The same without losses of power, where walks get further.
+    // Like `configuration-rivals`, but without power failures, so that walks reach greater depths.
     Scene {
         name: "configuration-rivals-calm",
         members: 4,
--- a/crates/tools/modelcheck/src/setup_actions.rs
+++ b/crates/tools/modelcheck/src/setup_actions.rs
@@ -1,31 +1,31 @@
-//! What happens in some scenes before the exploring begins.
+//! Actions that bring a world into the initial state of some scenes.
 
 use crate::actions::{
     Action::{self, DeliverAll, Wait},
     break_session, deliver, isolate, pause, put, sync_batch, wipe_disk,
 };
 
-/// All controllers have been up for longer than one that lost its disk stays silent.
+/// All controllers have been up for longer than the delay after which a member that lost its disk requests snapshots.
 #[rustfmt::skip]
 pub(crate) const LONG_UPTIME: [Action; 10] = [
     Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
 ];
 
-/// Member 3 is cut off, and standby 4 has its snapshots: at the next wait the change is proposed.
+/// Member 3 is isolated, and standby 4 has installed snapshots: the replacement is proposed on the next `Wait`.
 #[rustfmt::skip]
 pub(crate) const CHANGE_DUE: [Action; 17] = [
     Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
     isolate(3), Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
 ];
 
-/// The change has just been proposed: what asks for promises is on the way.
+/// The replacement of member 3 by standby 4 has been proposed; the prepare messages are in flight.
 #[rustfmt::skip]
 pub(crate) const CHANGE_PROPOSED: [Action; 18] = [
     Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
     isolate(3), Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait,
 ];
 
-/// The change is made, and the new member votes; gateways do not know of it yet.
+/// Standby 4 has replaced member 3 and votes; the gateways have not received the new voting set.
 #[rustfmt::skip]
 pub(crate) const CHANGE_ADOPTED: [Action; 21] = [
     Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
@@ -33,8 +33,9 @@
     Wait, DeliverAll, Wait, DeliverAll,
 ];
 
-/// Text 5 has its promises; members 1 and 2 voted for it and know so of each other, 4 and 5 were cut off from it, and
-/// what 1 sent to 3 is on the way. Then 1 stands still, and 2 loses its disk and installs the others' snapshots.
+/// Submission 5 has its promises. Members 1 and 2 have voted for it and received each other's votes, members 4 and 5
+/// have lost their sessions with 1, and the messages from 1 to 3 are in flight. Then 1 is paused, and 2 loses its disk
+/// and installs the snapshots of the others.
 #[rustfmt::skip]
 pub(crate) const MEMBER_PAUSED: [Action; 27] = [
     put(5), deliver(1, 2), deliver(1, 3), sync_batch(1), sync_batch(2), sync_batch(3),
--- a/crates/tools/modelcheck/src/simulation.rs
+++ b/crates/tools/modelcheck/src/simulation.rs
@@ -1,5 +1,5 @@
-//! A controller without clock, network and disk: its consensus node, and a disk in memory that syncs on demand. The
-//! worlds of this package and the timelines of `rushcourse-consensus` are made of it.
+//! A controller without clock, network and disk: a consensus node with an in-memory disk whose batches are synced on
+//! demand. Used by the worlds of this crate and by the tests of `rushcourse-consensus`.
 
 use rushcourse_consensus::{
     BatchId, ConsensusNode, DurableState, Effect, Input, ReplicaSetup, WriteBatch,
@@ -9,28 +9,28 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Controllers that the settings name, at most: the ones with the lowest numbers.
+/// Maximum number of seed controllers: those with the lowest node ids.
 const MAX_SEEDS: u32 = 3;
-/// Starts of one controller are fewer than this; each has an incarnation of its own.
+/// Upper bound of the starts of one controller; the incarnation encodes the node id and the start.
 const MAX_STARTS: u64 = 1_000;
 
-/// What all controllers of a world have to know of their deployment.
+/// Settings shared by all controllers.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
-    /// Controllers that are there from the start, with the numbers from 1 on.
+    /// Number of initial controllers; their node ids start at 1.
     pub controller_count: u32,
-    /// Zones that controllers are spread over.
+    /// Number of zones; controllers are assigned to them by node id.
     pub zone_count: u32,
-    /// Machines that may be lost at once.
+    /// Number of machines that may fail at the same time (`fault_tolerance.machines`).
     pub tolerated_losses: usize,
-    /// Within this time after a machine joined, the next loss must be tolerated.
+    /// Time from the arrival of a machine until the next loss has to be tolerated (`catch_up_s`).
     pub catch_up: Duration,
-    /// For how long an operation key binds.
+    /// Time for which a claim holds its operation key (`key_window_s`).
     pub key_window: Duration,
 }
 
 impl Deployment {
-    /// The zone of a controller.
+    /// Returns the zone that a controller is assigned to.
     pub fn zone(&self, node: NodeId) -> Arc<str> {
         format!("zone-{}", node.0 % self.zone_count).into()
     }
@@ -51,16 +51,16 @@
     }
 }
 
-/// What becomes of batches that are not synced when a controller ends.
+/// What happens to unsynced batches when a controller stops.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnsyncedWrites {
-    /// They are lost with the power.
+    /// The batches are lost, as in a power failure.
     Lost,
-    /// The operating system writes them.
+    /// The batches reach the disk, as after a kill of the process.
     Written,
 }
 
-/// A disk in memory.
+/// An in-memory state file with a queue of unsynced batches.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk {
     durable: DurableState,
@@ -68,60 +68,60 @@
 }
 
 impl SimulatedDisk {
-    /// What is synced.
+    /// The synced contents, which survive a power failure.
     pub fn durable(&self) -> &DurableState {
         &self.durable
     }
 
-    /// Another disk in its place; what was not synced is lost.
+    /// Replaces the contents and discards unsynced batches.
     pub fn replace(&mut self, durable: DurableState) {
         self.durable = durable;
         self.unsynced.clear();
     }
 
-    /// Queues a batch, to be synced later.
+    /// Queues a batch until it is synced or refused.
     pub fn write(&mut self, batch: WriteBatch) {
         self.unsynced.push_back(batch);
     }
 
-    /// Batches that are not synced yet.
+    /// Number of batches that are neither synced nor refused.
     pub fn unsynced_count(&self) -> usize {
         self.unsynced.len()
     }
 
-    /// The oldest batch that is not synced yet.
+    /// The batch that the next sync or refusal concerns.
     pub fn oldest_unsynced(&self) -> Option<&WriteBatch> {
         self.unsynced.front()
     }
 
-    /// Syncs the oldest batch.
+    /// Applies the oldest unsynced batch and returns its id, or `None` if there is none.
     pub fn sync(&mut self) -> Option<BatchId> {
         let batch = self.unsynced.pop_front()?;
         self.durable.apply(batch.operations);
         Some(batch.id)
     }
 
-    /// Refuses the oldest batch.
+    /// Discards the oldest unsynced batch, as a disk that refuses the write, and returns its id.
     pub fn refuse(&mut self) -> Option<BatchId> {
         Some(self.unsynced.pop_front()?.id)
     }
 }
 
-/// A controller of a world.
+/// A consensus node and its disk, which outlives restarts of the node.
 #[derive(Clone, Debug)]
 pub struct SimulatedController {
     id: NodeId,
-    /// `None` while it is stopped.
+    /// `None` while the controller is stopped.
     node: Option<ConsensusNode>,
-    /// Its state file.
+    /// The state file, which is kept while the controller is stopped.
     pub disk: SimulatedDisk,
-    /// Whether its next start is the first one of the whole system.
+    /// Whether the next start is the first one of the deployment; cleared by that start.
     pub is_first_start: bool,
     start_count: u64,
 }
 
 impl SimulatedController {
-    /// A controller before its start.
+    /// Creates a stopped controller with these disk contents.
     pub fn new(id: NodeId, durable: DurableState, is_first_start: bool) -> SimulatedController {
         SimulatedController {
             id,
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Starts it with what its disk holds.
+    /// Starts the node from the synced contents of the disk, with a new incarnation.
     pub fn start(&mut self, deployment: &Deployment) {
         let is_first_start = std::mem::take(&mut self.is_first_start);
         self.start_count += 1;
@@ -143,29 +143,29 @@
         self.node = Some(ConsensusNode::new(setup, self.disk.durable.clone()));
     }
 
-    /// Stops it.
+    /// Stops the node; `unsynced` decides what happens to the batches in the queue.
     pub fn stop(&mut self, unsynced: UnsyncedWrites) {
         self.node = None;
         while unsynced == UnsyncedWrites::Written && self.disk.sync().is_some() {}
         self.disk.unsynced.clear();
     }
 
-    /// Its node; `None` while it is stopped.
+    /// The running node; `None` while the controller is stopped.
     pub fn node(&self) -> Option<&ConsensusNode> {
         self.node.as_ref()
     }
 
-    /// Whether it runs.
+    /// Whether the node is started.
     pub fn is_running(&self) -> bool {
         self.node.is_some()
     }
 
-    /// How often it was started.
+    /// Number of starts so far.
     pub fn start_count(&self) -> u64 {
         self.start_count
     }
 
-    /// A step of its node; nothing while it is stopped.
+    /// Steps the node and returns the effects; empty while the controller is stopped.
     pub fn step(&mut self, now: Timestamp, wall_time: WallTime, input: Input) -> Vec<Effect> {
         match &mut self.node {
             Some(node) => node.step(now, wall_time, input),
--- a/crates/tools/modelcheck/src/violation.rs
+++ b/crates/tools/modelcheck/src/violation.rs
@@ -1,79 +1,80 @@
-//! Rules that were found broken.
+//! Violations of the rules that a world is checked against.
 
 use crate::submission::Submission;
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId, Ticket};
 use std::fmt;
 
-/// A rule that is broken. It is printed with the rule's name in the users' pages first; STUCK is this project's own.
+/// A violation. Printed with a prefix that names the rule: TWICE, CONFIG and LOST are rules of the product's
+/// specification, STUCK is specific to this tool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
-    /// Two requests of one key were sent.
+    /// Two requests were sent under the same operation key.
     KeySentTwice,
-    /// A controller went back to a lower version, or to a text that nobody put.
+    /// A controller committed a lower version than before, or a text that was never submitted.
     InvalidCommit {
-        /// The controller.
+        /// Controller that made the commit.
         node: NodeId,
-        /// The version that was committed there.
+        /// Version that was committed there before.
         from: ConfigurationVersion,
-        /// The version that is now.
+        /// Version of the invalid commit.
         to: ConfigurationVersion,
     },
-    /// Two texts are committed under one version.
+    /// Different texts are committed under one version.
     ConflictingTexts(ConfigurationVersion),
-    /// An operator's answer is wrong about whose text is committed.
+    /// The answer to a put is wrong about which text is committed.
     WrongAcknowledgement {
-        /// What it put.
+        /// Submission that was acknowledged.
         submission: Submission,
-        /// What its answer says.
+        /// Value in the answer: whether another text is committed under the version.
         is_other_text: bool,
     },
-    /// Two operators' answers say that their texts are committed under one version.
+    /// Two submissions with the same version are both acknowledged as committed.
     BothAcknowledged(Submission, Submission),
-    /// A read returned less than was acknowledged or committed before.
+    /// A read returned a lower version than was acknowledged or committed before, or an unknown text.
     StaleRead {
-        /// What it returned.
+        /// Version that the read returned.
         returned: ConfigurationVersion,
-        /// What it had to return at least.
+        /// Lowest valid version: the highest one acknowledged or committed before the read.
         minimum: ConfigurationVersion,
     },
-    /// A read returned nothing where a version was acknowledged or committed before.
+    /// A read returned no configuration although a version was acknowledged or committed before.
     EmptyRead {
-        /// What it had to return at least.
+        /// Lowest valid version: the highest one acknowledged or committed before the read.
         minimum: ConfigurationVersion,
     },
-    /// There are two voting sets of one epoch.
+    /// Two controllers adopted different voting sets with the same epoch.
     ConflictingVotingSets(Epoch),
-    /// Faults have ended, and the world does not recover.
+    /// The world did not recover after all faults had ended.
     Unsettled(Unsettled),
 }
 
-/// What keeps a world from recovering once faults have ended.
+/// Reason why a world has not recovered after all faults have ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Unsettled {
-    /// An operator's call has no answer.
+    /// A put has no answer.
     UnansweredCall(Ticket),
-    /// A member is gone, and a standby is there.
+    /// A stopped member was not replaced although a controller outside the voting set is running.
     MemberNotReplaced(NodeId),
-    /// A member does not vote.
+    /// A running member doesn't vote.
     MemberNotVoting(NodeId),
-    /// An accepted version is not committed.
+    /// A member has accepted a version that it has not committed.
     UncommittedVersion {
-        /// The member that accepted it.
+        /// Member that accepted the version.
         node: NodeId,
-        /// The version.
+        /// Version that is not committed at the member.
         version: ConfigurationVersion,
     },
-    /// A controller lags.
+    /// A running controller has an outdated version or voting set.
     Lagging {
-        /// The controller.
+        /// Controller that is behind.
         node: NodeId,
-        /// The version that is committed there.
+        /// Version that is committed at the controller.
         committed: ConfigurationVersion,
-        /// The highest version that is committed anywhere.
+        /// Highest version committed at any controller.
         highest_committed: ConfigurationVersion,
-        /// The epoch that it is in.
+        /// Epoch of the controller's voting set.
         epoch: Epoch,
-        /// The newest epoch.
+        /// Highest epoch adopted by any controller.
         newest_epoch: Epoch,
     },
 }
@@ -81,37 +82,45 @@
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Violation::KeySentTwice => f.write_str("TWICE: two requests of one key were sent"),
+            Violation::KeySentTwice => {
+                f.write_str("TWICE: two requests were sent under the same operation key")
+            }
             Violation::InvalidCommit { node, from, to } => {
-                write!(f, "CONFIG: {node} goes from {from} to {to}")
+                write!(
+                    f,
+                    "CONFIG: invalid commit of version {to} at controller {node} after version {from}"
+                )
             }
             Violation::ConflictingTexts(version) => {
-                write!(f, "CONFIG: two texts are committed under {version}")
+                write!(f, "CONFIG: two texts are committed under version {version}")
             }
             Violation::WrongAcknowledgement {
                 submission,
                 is_other_text,
             } => {
-                write!(f, "CONFIG: {submission} is acknowledged with ")?;
+                write!(f, "CONFIG: submission {submission} is acknowledged with ")?;
                 write!(f, "is_other_text={is_other_text}, which is wrong")
             }
             Violation::BothAcknowledged(one, other) => {
-                write!(f, "CONFIG: {one} and {other} are both acknowledged")
+                write!(
+                    f,
+                    "CONFIG: submissions {one} and {other} are both acknowledged"
+                )
             }
             Violation::StaleRead { returned, minimum } => {
                 write!(
                     f,
-                    "LOST: read {returned}, {minimum} was acknowledged or committed"
+                    "LOST: read returned version {returned}; version {minimum} was acknowledged or committed before"
                 )
             }
             Violation::EmptyRead { minimum } => {
                 write!(
                     f,
-                    "LOST: read nothing, {minimum} was acknowledged or committed"
+                    "LOST: read returned no configuration; version {minimum} was acknowledged or committed before"
                 )
             }
             Violation::ConflictingVotingSets(epoch) => {
-                write!(f, "LOST: two voting sets of epoch {epoch}")
+                write!(f, "LOST: two voting sets were adopted in epoch {epoch}")
             }
             Violation::Unsettled(unsettled) => write!(f, "STUCK: {unsettled}"),
         }
@@ -123,11 +132,17 @@
         match self {
             Unsettled::UnansweredCall(ticket) => write!(f, "call {ticket} is not answered"),
             Unsettled::MemberNotReplaced(node) => {
-                write!(f, "{node} is gone and a standby is there")
+                write!(
+                    f,
+                    "member {node} is stopped and was not replaced by a standby"
+                )
             }
-            Unsettled::MemberNotVoting(node) => write!(f, "{node} does not vote"),
+            Unsettled::MemberNotVoting(node) => write!(f, "member {node} does not vote"),
             Unsettled::UncommittedVersion { node, version } => {
-                write!(f, "{version} stays open at {node}")
+                write!(
+                    f,
+                    "version {version} is accepted but not committed at member {node}"
+                )
             }
             Unsettled::Lagging {
                 node,
@@ -136,7 +151,10 @@
                 epoch,
                 newest_epoch,
             } => {
-                write!(f, "{node} has version {committed} of {highest_committed}, ")?;
+                write!(
+                    f,
+                    "controller {node} has version {committed} of {highest_committed}, "
+                )?;
                 write!(f, "in epoch {epoch} of {newest_epoch}")
             }
         }
--- a/crates/tools/modelcheck/src/walks.rs
+++ b/crates/tools/modelcheck/src/walks.rs
@@ -1,4 +1,4 @@
-//! Random walks from the start of a world to where nothing more can happen.
+//! Random walks through the states of a scene, up to a violation, a state without enabled actions or a length limit.
 
 use crate::actions::Action;
 use crate::explore::{Bounds, Counterexample, Findings};
@@ -8,26 +8,25 @@
 use crate::world::World;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// How a walk chooses its moves.
+/// How a walk selects the next action.
 #[derive(Clone, Copy)]
 enum Strategy {
-    /// All moves alike.
+    /// All enabled actions are equally likely.
     Uniform,
-    /// Three times in four, what is under way goes on before anything new is begun, is lost, or time passes: it gets
-    /// further than a walk that is as likely to lose as to go on.
+    /// Prefers actions that make progress over faults, new calls and waits in 3 of 4 steps, which reaches greater
+    /// depths than uniform selection.
     PreferProgress,
-    /// Each move has a speed of its own for the whole walk, so that a link, a disk or time itself may be far slower than
-    /// the others.
+    /// Each action has a fixed weight for the whole walk, which simulates links, disks or clocks of different speeds.
     Weighted {
-        /// Gives other speeds to another walk.
+        /// Determines the weights of the actions.
         seed: u64,
     },
 }
 
-/// Speeds are powers of `WEIGHT_BASE`, and there are `WEIGHT_LEVELS` of them.
+/// Weights are the powers of `WEIGHT_BASE` with exponents below `WEIGHT_LEVELS`.
 const WEIGHT_BASE: u64 = 8;
 const WEIGHT_LEVELS: u64 = 4;
-/// A walk by `Strategy::PreferProgress` takes any move once in so many.
+/// Interval, in selections on average, at which `Strategy::PreferProgress` selects among all actions.
 const UNIFORM_CHOICE_INTERVAL: u64 = 4;
 
 impl Strategy {
@@ -62,24 +61,24 @@
 
 fn choose_weighted(random: &mut XorShift, actions: &[Action], seed: u64) -> Action {
     let weights: Vec<u64> = actions.iter().map(|action| weight(*action, seed)).collect();
-    let mut left = random.below(weights.iter().sum());
+    let mut remaining = random.below(weights.iter().sum());
     for (action, weight) in actions.iter().zip(weights) {
-        if left < weight {
+        if remaining < weight {
             return *action;
         }
-        left -= weight;
+        remaining -= weight;
     }
     actions[0]
 }
 
-/// How often a move is chosen on a walk, for each time that the slowest is.
+/// Returns the relative frequency of an action on the walks of a seed.
 fn weight(action: Action, seed: u64) -> u64 {
     let mut hasher = DefaultHasher::new();
     (action, seed).hash(&mut hasher);
     WEIGHT_BASE.pow((hasher.finish() % WEIGHT_LEVELS) as u32)
 }
 
-/// Walks until a rule is broken, or all walks are done, and adds what was met to the findings.
+/// Runs the walks of a scene until one finds a violation, and adds the results to `findings`.
 pub(crate) fn run_walks(
     scene: &Scene,
     mutation: Option<Mutation>,
@@ -110,7 +109,7 @@
     }
 }
 
-/// One walk to its end, or to where a rule is broken.
+/// Runs one walk up to a violation, `max_steps` actions or a state without enabled actions.
 fn run_walk<'a>(
     start: &World<'a>,
     strategy: Strategy,
--- a/crates/tools/modelcheck/src/world/apply.rs
+++ b/crates/tools/modelcheck/src/world/apply.rs
@@ -1,4 +1,4 @@
-//! What each move does.
+//! Effects of actions.
 
 use super::{WAIT, World};
 use crate::actions::Action;
@@ -8,11 +8,11 @@
 use rushcourse_consensus::{CallOutcome, ConsensusNode, DurableState, Input};
 use rushcourse_types::{NodeId, Ticket};
 
-/// Tickets of reads, from here on; lower ones are of puts.
+/// Tickets of reads start here; tickets of puts are the numbers of the submissions.
 const FIRST_READ: u64 = 1_000;
 
 impl World<'_> {
-    /// Plays a move.
+    /// Applies an action to the world.
     pub fn apply(&mut self, action: Action) {
         match action {
             Action::Deliver { from, to } => self.deliver_next(from, to),
@@ -104,9 +104,9 @@
         self.controller_mut(node).is_isolated = true;
     }
 
-    /// Each operator asks another controller.
+    /// Submits a configuration; the number of the submission determines the controller.
     fn put(&mut self, submission: Submission) {
-        self.submissions.retain(|left| *left != submission);
+        self.submissions.retain(|pending| *pending != submission);
         let node = NodeId(1 + (submission.0 as u32) % self.scene.members);
         if self.controller(node).is_running() {
             self.checker.put_started(submission, node);
@@ -129,7 +129,7 @@
         self.step(node, Input::GetConfiguration { ticket });
     }
 
-    /// The answer that a controller would give by itself.
+    /// Under `ReadsLocally`, answers a read with the configuration that the controller knows to be committed.
     fn read_locally(&mut self, node: NodeId, ticket: Ticket) {
         let running = self.controller(node).simulated.node();
         let committed = running.and_then(ConsensusNode::committed_configuration);
@@ -152,6 +152,6 @@
     }
 }
 
-pub(super) fn consume(left: &mut u32) {
-    *left = left.saturating_sub(1);
+pub(super) fn consume(remaining: &mut u32) {
+    *remaining = remaining.saturating_sub(1);
 }
--- a/crates/tools/modelcheck/src/world/controllers.rs
+++ b/crates/tools/modelcheck/src/world/controllers.rs
@@ -1,4 +1,4 @@
-//! Starts, stops and steps of controllers, and what comes of their effects.
+//! Starts, stops and steps of controllers, their effects and their sessions.
 
 use super::World;
 use super::network::{Link, Packet};
@@ -11,7 +11,7 @@
 use rushcourse_types::{ConfigurationVersion, NodeId, SessionId};
 
 impl World<'_> {
-    /// Gives a controller an input and carries out its effects.
+    /// Steps a controller and carries out the effects; ignored while it is stopped.
     pub(super) fn step(&mut self, node: NodeId, input: Input) {
         let (now, wall_time) = (self.now, self.wall_time());
         let inputs = self.with_stale_reports(node, input);
@@ -58,7 +58,7 @@
         }
     }
 
-    /// A message of another controller reaches a node.
+    /// Delivers a message from one controller to another.
     pub(super) fn deliver_to_controller(&mut self, from: NodeId, to: NodeId, message: Message) {
         self.step(to, Input::MessageReceived { from, message });
     }
@@ -80,7 +80,7 @@
         self.controller_mut(node).committed = committed.version;
     }
 
-    /// Sends gateways the voting set, where it can change.
+    /// Sends a voting set to all gateways, in scenes in which it may change.
     fn announce_to_gateways(&mut self, node: NodeId, voting_set: VotingSet) {
         if self.scene.has_standbys() && !voting_set.epoch.is_none() {
             let gateways: Vec<NodeId> = self.gateways.keys().copied().collect();
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Syncs the oldest batch of a disk.
+    /// Syncs the oldest unsynced batch of a controller's disk.
     pub(super) fn sync_batch(&mut self, node: NodeId) {
         let Some(controller) = self.controllers.get_mut(&node) else {
             return;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Starts a controller.
+    /// Starts a controller from its disk and connects it to all reachable peers.
     pub(super) fn start(&mut self, node: NodeId) {
         let deployment = self.deployment();
         let controller = self.controller_mut(node);
@@ -122,7 +122,7 @@
         self.connect_to_peers(node);
     }
 
-    /// Stops a controller.
+    /// Stops a controller, closes its sessions and drops the messages in flight to it.
     pub(super) fn stop(&mut self, node: NodeId, unsynced: UnsyncedWrites) {
         for peer in self.reachable_peers(node) {
             self.disconnect(node, peer);
@@ -149,7 +149,7 @@
         }
     }
 
-    /// Controllers that this one has or may have sessions with.
+    /// Running controllers that this one has or can establish sessions with; empty while it is isolated.
     pub(super) fn reachable_peers(&self, node: NodeId) -> Vec<NodeId> {
         if self.controller(node).is_isolated {
             return Vec::new();
@@ -160,7 +160,7 @@
         peers.map(|(peer, _)| *peer).collect()
     }
 
-    /// Two controllers get a session.
+    /// Establishes a session between two controllers.
     pub(super) fn connect(&mut self, one: NodeId, other: NodeId) {
         let link = Link {
             from: one,
@@ -170,7 +170,7 @@
         self.notify_ends(link, Some(session));
     }
 
-    /// The session of two controllers breaks.
+    /// Closes the session of two controllers. In-flight messages are dropped unless disconnects are queued behind them.
     fn disconnect(&mut self, one: NodeId, other: NodeId) {
         let link = Link {
             from: one,
@@ -183,7 +183,7 @@
         self.notify_ends(link, None);
     }
 
-    /// The session of two controllers breaks, and what is on the way is lost.
+    /// Closes the session of two controllers and drops all in-flight messages between them.
     pub(super) fn abort_session(&mut self, one: NodeId, other: NodeId) {
         self.network.drop_between(Link {
             from: one,
@@ -192,7 +192,8 @@
         self.disconnect(one, other);
     }
 
-    /// Both ends notice that a session stands, or broke: at once, or in the order of what they read.
+    /// Informs both ends that a session was established or closed: immediately, or by a packet behind the in-flight
+    /// messages.
     fn notify_ends(&mut self, link: Link, session: Option<SessionId>) {
         for end in [link.reversed(), link] {
             if self.scene.is_disconnect_queued {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// One end of a session notices that it stands, or broke.
+    /// Updates the sessions of one end and passes the change to its replica.
     pub(super) fn session_changed(
         &mut self,
         node: NodeId,
@@ -233,7 +234,7 @@
     }
 }
 
-/// Claims come by a session that has the number of their gateway.
+/// Session on which controllers receive the claims of a gateway.
 pub(super) fn session_of(gateway: NodeId) -> SessionId {
     SessionId(u64::from(gateway.0))
 }
@@ -242,7 +243,7 @@
     NodeId(session.0 as u32)
 }
 
-/// Whether a batch makes a controller a member without complete state.
+/// Whether a batch makes a controller a member that lacks state.
 fn joins_without_state(node: NodeId, batch: &WriteBatch) -> bool {
     let operations = &batch.operations;
     let is_member = |operation: &WriteOperation| match operation {
--- a/crates/tools/modelcheck/src/world/delivery.rs
+++ b/crates/tools/modelcheck/src/world/delivery.rs
@@ -1,4 +1,4 @@
-//! What is on the way, and what it does where it arrives.
+//! Sending and delivery of messages.
 
 use super::controllers::session_of;
 use super::network::{Link, Packet};
@@ -10,14 +10,14 @@
 use rushcourse_types::NodeId;
 
 impl World<'_> {
-    /// Sends a message. What a scene is not about may be lost on the way, as any message may.
+    /// Sends a message. Messages that are irrelevant to the scene, or are sent without a session, are dropped.
     pub(super) fn send(&mut self, from: NodeId, to: NodeId, message: Message) {
         let link = Link { from, to };
         let is_kept = self.is_relevant(&message) && self.is_connected(link);
         self.network.push_message(link, message, is_kept);
     }
 
-    /// Whether a message can change what the scene is about.
+    /// Whether a message can affect what the scene explores. Dropping all others keeps the number of states small.
     fn is_relevant(&self, message: &Message) -> bool {
         let scene = self.scene;
         let has_standbys = scene.has_standbys();
@@ -34,13 +34,13 @@
         }
     }
 
-    /// Whether a controller has started and does not vote yet.
+    /// Whether any controller is still recovering after its start.
     fn is_starting(&self) -> bool {
         let mut controllers = self.controllers.values();
         controllers.any(Controller::is_recovering)
     }
 
-    /// Whether what one node sends goes to a session that both ends have. Gateways are always in session.
+    /// Whether the sender's session with the receiver is the current one. Always true for links from or to gateways.
     fn is_connected(&self, link: Link) -> bool {
         let sender = self.controllers.get(&link.from);
         let Some(sender) = sender.filter(|_| self.controllers.contains_key(&link.to)) else {
@@ -50,7 +50,7 @@
         session.is_some() && sender.sessions.get(&link.to).copied() == session
     }
 
-    /// The oldest packet of a link arrives.
+    /// Delivers the oldest packet of a link.
     pub(super) fn deliver_next(&mut self, from: NodeId, to: NodeId) {
         match self.network.pop(Link { from, to }) {
             Some(Packet::Message(message)) => self.deliver_message(from, to, message),
@@ -99,8 +99,7 @@
         }
     }
 
-    /// All messages between controllers arrive, in the order of their sessions; what one that stands still sent stays on
-    /// the way.
+    /// Delivers all messages between controllers in the order of their links, except from and to paused controllers.
     pub(super) fn deliver_between_controllers(&mut self) {
         while let Some(link) = self.next_between_controllers() {
             self.deliver_next(link.from, link.to);
@@ -116,7 +115,7 @@
         links.find(|link| is_awake(link.from) && is_awake(link.to))
     }
 
-    /// Messages arrive and disks sync, until nothing is under way between controllers.
+    /// Delivers messages between controllers and syncs disks until nothing is pending, except at paused controllers.
     pub(super) fn deliver_all(&mut self) {
         loop {
             self.deliver_between_controllers();
--- a/crates/tools/modelcheck/src/world/enabled_actions.rs
+++ b/crates/tools/modelcheck/src/world/enabled_actions.rs
@@ -1,11 +1,12 @@
-//! Which moves a world has.
+//! Actions that are possible in a state.
 
 use super::{Controller, World};
 use crate::actions::Action;
 use rushcourse_types::NodeId;
 
 impl World<'_> {
-    /// What may happen next. The order is part of the figures that random walks give.
+    /// Returns the actions that are possible in this state. Random walks select by index, so the order determines their
+    /// results.
     pub fn enabled_actions(&self) -> Vec<Action> {
         let mut actions = self.deliveries();
         for (node, controller) in &self.controllers {
@@ -105,22 +106,22 @@
         }
     }
 
-    /// Whether there is a voting set, and a controller is no member of the newest one.
+    /// Whether a voting set exists and the controller is not a member of the newest one.
     fn is_removed(&self, node: NodeId) -> bool {
         let newest = self.newest_voting_set();
         !newest.epoch.is_none() && !newest.contains(node)
     }
 
-    /// A removed member may come back with an older disk at any time. A member may while all others vote: an older copy
-    /// counts as a lost disk, and so does a member that recovers.
+    /// Whether a controller may restart with an older disk: a removed member always, a member only while all other
+    /// members vote, because a controller with an older disk counts as one that lost its disk.
     fn may_have_old_disk(&self, node: NodeId) -> bool {
         let members = &self.newest_voting_set().members;
         let mut others = members.iter().filter(|member| **member != node);
         self.is_removed(node) || others.all(|member| self.controller(*member).is_voter())
     }
 
-    /// A minority of disks may be lost at once. A disk counts as lost until its controller has complete state again or
-    /// is replaced.
+    /// Whether a controller may lose its disk: at most a minority of the members may lack complete state at the same
+    /// time. A removed member may always lose its disk.
     fn may_lose_disk(&self, node: NodeId) -> bool {
         if self.is_removed(node) {
             return true;
--- a/crates/tools/modelcheck/src/world/gateways.rs
+++ b/crates/tools/modelcheck/src/world/gateways.rs
@@ -1,4 +1,4 @@
-//! What gateways do with their claims.
+//! Claims of gateways and the requests sent under them.
 
 use super::apply::consume;
 use super::network::{Link, Packet};
@@ -12,10 +12,12 @@
 
 impl World<'_> {
     fn gateway_mut(&mut self, node: NodeId) -> &mut Gateway {
-        self.gateways.get_mut(&node).expect("a gateway")
+        self.gateways
+            .get_mut(&node)
+            .expect("the scene has this gateway")
     }
 
-    /// A gateway ends, what is on the way to it is lost, and it starts with the voting set that it has.
+    /// Restarts a gateway with a new incarnation and its current voting set. In-flight messages to it are lost.
     pub(super) fn restart_gateway(&mut self, node: NodeId) {
         consume(&mut self.budget.gateway_restarts);
         self.network.drop_all_to(node);
@@ -25,7 +27,7 @@
         self.gateways.insert(node, restarted);
     }
 
-    /// Gateways ask controllers that run.
+    /// Controllers that gateways can reach; isolation doesn't affect sessions with gateways.
     fn running_controllers(&self) -> Vec<NodeId> {
         let controllers = self.controllers.iter();
         let running = controllers.filter(|(_, controller)| controller.is_running());
@@ -70,7 +72,7 @@
         }
     }
 
-    /// A gateway receives a voting set: claims that are under way are requested again under it.
+    /// Delivers a voting set to a gateway, which restarts its pending claims under a newer set.
     pub(super) fn deliver_voting_set(&mut self, from: NodeId, node: NodeId, voting_set: VotingSet) {
         let running = self.running_controllers();
         let now = self.now;
@@ -88,7 +90,7 @@
         }
     }
 
-    /// A voter's answer reaches a gateway.
+    /// Delivers a voter's response to a gateway.
     pub(super) fn deliver_response(&mut self, from: NodeId, node: NodeId, response: ClaimResponse) {
         let now = if self.has_mutation(Mutation::VotesNeverExpire) {
             Timestamp::ZERO
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Claims whose votes no longer count are decided.
+    /// Handles claims that have timed out at any gateway.
     pub(super) fn expire_claims(&mut self) {
         let now = self.now;
         let gateways: Vec<NodeId> = self.gateways.keys().copied().collect();
@@ -122,7 +124,8 @@
         }
     }
 
-    /// Won: the request may be sent. Else nothing was sent, and the claim is withdrawn at all voters that were asked.
+    /// Handles the outcome of a claim. A claim that is not won is withdrawn at all voters that were asked, since no
+    /// request was sent under it.
     fn claim_decided(&mut self, node: NodeId, decision: &ClaimDecision) {
         let now = self.now;
         let gateway = self.gateway_mut(node);
@@ -134,7 +137,7 @@
         self.withdraw(node, withdrawal);
     }
 
-    /// A gateway sends the request that its claim was won for, and claims the key no more.
+    /// Sends the request of a won claim; the gateway starts no further claims.
     pub(super) fn send_request(&mut self, node: NodeId) {
         let max_claims = self.scene.clients.claims;
         let gateway = self.gateway_mut(node);
--- a/crates/tools/modelcheck/src/world/mod.rs
+++ b/crates/tools/modelcheck/src/world/mod.rs
@@ -1,11 +1,11 @@
-//! A small world: controllers with disks, gateways that claim one key, operators. What may happen next is a list of
-//! moves; each is played on a copy.
+//! The explored state: controllers with disks, gateways that claim one operation key, and operators. Exploration clones
+//! the state and applies an action to the clone.
 //!
-//! * `available_moves.rs`: which moves a world has; `apply.rs`: what each does.
-//! * `network.rs`: links and sessions; `delivery.rs`: what a message does at its receiver.
-//! * `controllers.rs`: steps of controllers and what comes of their effects; `gateways.rs`: the same for claims.
-//! * `mutations.rs`: what is altered on the way where a defence is taken out.
-//! * `closing.rs`: how a world recovers once faults have ended.
+//! * `enabled_actions.rs`: the actions that are possible in a state; `apply.rs`: the effect of each.
+//! * `network.rs`: links and sessions; `delivery.rs`: sending and delivery of messages.
+//! * `controllers.rs`: steps of controllers and their effects; `gateways.rs`: claims of gateways.
+//! * `mutations.rs`: changes to inputs, effects and messages that disable a safeguard.
+//! * `settling.rs`: recovery after all faults have ended.
 
 mod apply;
 mod controllers;
@@ -35,44 +35,45 @@
 use std::hash::{DefaultHasher, Hasher};
 use std::time::Duration;
 
-/// One wait: the time for which votes on claims count, so that five of them are longer than a voter that lost its disk
-/// stays silent.
+/// Duration of a wait: the time for which gateways count grants. Five waits exceed the delay after which a member that
+/// lost its disk requests snapshots.
 const WAIT: Duration = Duration::from_millis(450);
-/// `catch_up_s` of these worlds: a member is missed for 0.6 of it, so that one wait is longer.
+/// Replica setting `catch_up_s`. A member is replaced after an absence of 0.6 of it, which is less than one wait.
 const CATCH_UP: Duration = Duration::from_millis(700);
-/// Machines whose loss these worlds are to tolerate.
+/// Number of machines that may fail at the same time.
 const TOLERATED_LOSSES: usize = 1;
-/// Operation keys bind longer than any world lasts.
+/// Time for which a claim holds its key; longer than any exploration.
 const KEY_WINDOW: Duration = Duration::from_millis(60_000);
-/// The time of day at the start, ms.
+/// Wall clock at the start of the simulation.
 const INITIAL_WALL_TIME_MS: u64 = 1_000_000;
-/// The key that gateways claim.
+/// The operation key that all gateways claim.
 const KEY: KeyDigest = KeyDigest(7);
-/// Gateways have the numbers from here on.
+/// Node id of the first gateway; the others follow in sequence. Controllers have lower ids.
 const FIRST_GATEWAY: NodeId = NodeId(100);
 
-/// A controller, and what happened to it.
+/// A controller, its disk and its connectivity.
 #[derive(Clone, Debug)]
 struct Controller {
     simulated: SimulatedController,
-    /// Its disk at the start of this world.
+    /// Disk contents in the initial state.
     initial_disk: DurableState,
-    /// Its disk is an older copy, and it does not have complete state again yet.
+    /// Whether the disk was replaced by its initial contents and the controller has not voted since.
     has_old_disk: bool,
-    /// It never comes back.
+    /// Whether the machine is permanently lost.
     is_lost: bool,
-    /// It has no session with other controllers.
+    /// Whether it is disconnected from all other controllers.
     is_isolated: bool,
-    /// Its process stands still.
+    /// Whether the process is suspended.
     is_paused: bool,
-    /// The sessions that it knows of.
+    /// Sessions that this controller considers open, by peer.
     sessions: BTreeMap<NodeId, SessionId>,
-    /// What was committed here since its last start.
+    /// Version committed here since the last start.
     committed: ConfigurationVersion,
 }
 
 impl Controller {
-    /// A controller before its start; standbys are no members of the set that is there.
+    /// Creates a stopped controller. In an initialized deployment, members of `voting_set` have it on disk with
+    /// complete state.
     fn new(scene: &Scene, voting_set: &VotingSet, node: NodeId) -> Controller {
         let durable = if scene.is_first_start || !voting_set.contains(node) {
             DurableState::default()
@@ -107,51 +108,52 @@
         self.simulated.disk.durable().has_complete_state && !self.has_old_disk
     }
 
-    /// Whether it runs and does not know yet whether its disk is the newest one that it had.
+    /// Whether it is running and has not verified yet that its disk is the newest one that it had.
     fn is_recovering(&self) -> bool {
         let node = self.simulated.node();
         node.is_some_and(|node| node.summary().is_recovering)
     }
 
-    /// Whether it runs and votes.
+    /// Whether it is running and votes in its voting set.
     fn is_voter(&self) -> bool {
         let node = self.simulated.node();
         node.is_some_and(|node| node.summary().is_voter)
     }
 }
 
-/// A gateway and its claims of the key.
+/// A gateway and its claims of [`KEY`].
 #[derive(Clone, Debug)]
 struct Gateway {
     claims: Claims,
     incarnation: Incarnation,
-    /// Claims that it has begun.
+    /// Number of claims started by this incarnation.
     claims_begun: u32,
-    /// The claim that it won and has not sent its request for.
+    /// Claim that was won and whose request has not been sent.
     won_claim: Option<ClaimId>,
 }
 
-/// A small world on its way through one scene.
+/// State of all nodes, of the network and of the checker during the exploration of a scene.
 #[derive(Clone)]
 pub struct World<'a> {
     scene: &'a Scene,
-    /// The defence that is taken out.
+    /// The mutation in effect, if any.
     mutation: Option<Mutation>,
     now: Timestamp,
     controllers: BTreeMap<NodeId, Controller>,
     gateways: BTreeMap<NodeId, Gateway>,
     network: Network,
-    /// How often each may still happen.
+    /// Remaining faults, waits and reads.
     budget: Budget,
-    /// Configurations that were not put yet.
+    /// Configurations that have not been submitted yet.
     submissions: Vec<Submission>,
-    /// What each controller reported last to another one, while their session stands.
+    /// Latest status report delivered on each link since its session was established. Recorded only in scenes that
+    /// detect `ReportsNeverExpire`.
     last_reports: BTreeMap<Link, Message>,
     checker: Checker,
 }
 
 impl<'a> World<'a> {
-    /// A world at the start of a scene, before its opening.
+    /// Creates the world of a scene and starts all controllers; setup actions are not applied yet.
     pub fn new(scene: &'a Scene) -> World<'a> {
         let members: Vec<NodeId> = (1..=scene.members).map(NodeId).collect();
         let voting_set = VotingSet {
@@ -190,7 +192,7 @@
         world
     }
 
-    /// The world behind the opening of a scene, from where it is explored: with all defences, or one taken out.
+    /// Creates the world of a scene and applies its setup actions. The mutation takes effect after them.
     pub fn after_setup(scene: &'a Scene, mutation: Option<Mutation>) -> World<'a> {
         let mut world = World::new(scene);
         for action in scene.setup_actions {
@@ -202,23 +204,23 @@
         world
     }
 
-    /// The rule that is broken here, if one is.
+    /// The latest violation, if any.
     pub fn violation(&self) -> Option<&Violation> {
         self.checker.violation()
     }
 
-    /// The newest voting set that a controller adopted.
+    /// The voting set with the highest epoch that any controller has adopted.
     pub fn newest_voting_set(&self) -> &VotingSet {
         self.checker.newest_voting_set()
     }
 
-    /// How far a controller has come, while it runs.
+    /// Summary of a controller's replica; `None` while it is stopped.
     pub fn summary(&self, node: NodeId) -> Option<ReplicaSummary> {
         let node = self.controllers.get(&node)?.simulated.node()?;
         Some(node.summary())
     }
 
-    /// The same for equal worlds of one scene, another for different ones.
+    /// Hash of the state. Equal worlds of a scene have equal fingerprints.
     pub fn fingerprint(&self) -> u64 {
         let World {
             scene: _,
@@ -243,7 +245,7 @@
             last_reports,
             checker,
         );
-        write!(text, "{state:?}").expect("a hasher takes all text");
+        write!(text, "{state:?}").expect("writing to a hasher does not fail");
         text.0.finish()
     }
 
@@ -254,7 +256,7 @@
     fn deployment(&self) -> Deployment {
         Deployment {
             controller_count: self.scene.members,
-            // Each controller stands in a zone of its own.
+            // Each controller has a zone of its own.
             zone_count: u32::MAX,
             tolerated_losses: TOLERATED_LOSSES,
             catch_up: CATCH_UP,
@@ -275,7 +277,9 @@
     }
 
     fn controller_mut(&mut self, node: NodeId) -> &mut Controller {
-        self.controllers.get_mut(&node).expect("a controller")
+        self.controllers
+            .get_mut(&node)
+            .expect("the scene has this controller")
     }
 }
 
@@ -290,7 +294,7 @@
     }
 }
 
-/// Takes what is printed into a hash, without keeping the text.
+/// Hashes formatted text without storing it.
 struct TextHasher(DefaultHasher);
 
 impl Write for TextHasher {
--- a/crates/tools/modelcheck/src/world/mutations.rs
+++ b/crates/tools/modelcheck/src/world/mutations.rs
@@ -1,4 +1,4 @@
-//! What a mutation alters on the way: effects, inputs and messages. The steps themselves are the product's own.
+//! Implementation of mutations. They change inputs, effects and messages; the state machines under test are unchanged.
 
 use super::network::{Link, Packet};
 use super::{Controller, World};
@@ -9,7 +9,8 @@
 use rushcourse_types::{ConfigurationVersion, Epoch, NodeId, Timestamp};
 
 impl World<'_> {
-    /// A message as the receiver takes it, and from whom.
+    /// Applies the mutation to a message before its delivery. Returns the sender and the message that the receiver
+    /// sees.
     pub(super) fn mutate_message(
         &mut self,
         from: NodeId,
@@ -38,7 +39,7 @@
         }
     }
 
-    /// The promise that a proposer takes for given, where it does not ask for it.
+    /// Under `PromisesSkipped`, returns the promise that replaces a prepare message.
     pub(super) fn implicit_promise(&self, message: &Message) -> Option<Message> {
         match *message {
             Message::Prepare {
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Votes for whatever text as if they were for the one that this disk holds under that version.
+    /// Replaces the ballot of each reported vote by the one that this node has accepted in the slot, so that votes for
+    /// other texts are counted.
     fn with_votes_for_own_text(&self, node: NodeId, mut message: Message) -> Message {
         if let Message::ReplicaStatus { votes, .. } = &mut message {
             for DurableVote { slot, ballot } in votes {
@@ -66,7 +68,7 @@
         message
     }
 
-    /// The ballot of what a disk holds as accepted for a slot.
+    /// Returns the ballot of the value that a disk holds as accepted in a slot.
     fn accepted_ballot(&self, node: NodeId, slot: Slot) -> Option<Ballot> {
         let records = &self.controller(node).simulated.disk.durable().records;
         let stored = records.iter().find(|record| record.slot == slot)?;
@@ -78,7 +80,7 @@
         controller.is_some_and(Controller::is_recovering)
     }
 
-    /// The epoch of the set that a node counts in.
+    /// Epoch of the voting set that a controller or gateway has adopted; `Epoch::NONE` for a stopped controller.
     fn epoch(&self, node: NodeId) -> Epoch {
         if let Some(running) = self
             .controllers
@@ -91,8 +93,8 @@
         gateway.map_or(Epoch::NONE, |gateway| gateway.claims.voting_set().epoch)
     }
 
-    /// A vote or a request as if it were of the receiver's set. A claim that is under way goes on when the set changes,
-    /// and keeps its votes (a newer set is not passed on to it).
+    /// Replaces the epoch of claim messages and reports by the receiver's epoch. `deliver_message` also withholds newer
+    /// voting sets from gateways with pending claims, so that these keep their grants.
     fn with_epoch_of(&self, to: NodeId, mut message: Message) -> Message {
         if let Message::ClaimResponse { epoch, .. }
         | Message::ClaimRequest { epoch, .. }
@@ -103,7 +105,8 @@
         message
     }
 
-    /// The one whose place was taken is asked like its successor, and its vote counts for that one's.
+    /// Sends claim requests for the new member also to the removed one, and attributes the removed member's responses
+    /// to the new member.
     fn count_for_new_member(
         &mut self,
         from: NodeId,
@@ -134,7 +137,7 @@
         (sender, message)
     }
 
-    /// An input, behind all that the others reported last, where that counts without end.
+    /// Under `ReportsNeverExpire`, prepends the latest report of each peer to an input of a node.
     pub(super) fn with_stale_reports(&self, node: NodeId, input: Input) -> Vec<Input> {
         let mut inputs = Vec::new();
         if self.has_mutation(Mutation::ReportsNeverExpire) {
@@ -148,7 +151,7 @@
         inputs
     }
 
-    /// A newcomer that votes as soon as it is a member.
+    /// Restarts a new member with its state marked as complete, so that it votes without snapshots.
     pub(super) fn restart_as_voter(&mut self, node: NodeId) {
         self.stop(node, UnsyncedWrites::Written);
         let disk = &mut self.controller_mut(node).simulated.disk;
@@ -160,7 +163,7 @@
         self.start(node);
     }
 
-    /// A version counts as acknowledged once half of the disks hold it.
+    /// Treats each version that half of the disks hold as acknowledged.
     pub(super) fn acknowledge_at_half(&mut self) {
         for submission in self.scene.clients.submissions {
             let version = submission.version();
@@ -178,7 +181,7 @@
     }
 }
 
-/// Whether a record is of an accepted text of this version or a higher one.
+/// Whether a record holds an accepted text of this version or a higher one.
 fn has_accepted_version(
     SlotRecord { slot, record }: &SlotRecord,
     version: ConfigurationVersion,
@@ -186,7 +189,8 @@
     *slot >= Slot::Configuration(version) && record.accepted.is_some()
 }
 
-/// A report, as of a controller that has just started and knows nothing of the others' disks.
+/// Marks the sender of a report as a non-voter without a recovery point, so that a recovering receiver learns nothing
+/// about its own disk.
 fn without_recovery_data(mut message: Message) -> Message {
     if let Message::ReplicaStatus {
         is_voter,
@@ -200,7 +204,7 @@
     message
 }
 
-/// A report, as if it had been made just now.
+/// Returns a copy of a report that echoes the current time, so that the receiver considers it recent.
 fn refreshed(now: Timestamp, report: &Message) -> Message {
     let mut report = report.clone();
     if let Message::ReplicaStatus { echoed, .. } = &mut report {
--- a/crates/tools/modelcheck/src/world/network.rs
+++ b/crates/tools/modelcheck/src/world/network.rs
@@ -1,10 +1,10 @@
-//! Links between nodes, and sessions of controllers.
+//! Message queues between nodes, and sessions between controllers.
 
 use rushcourse_messages::Message;
 use rushcourse_types::{NodeId, SessionId};
 use std::collections::{BTreeMap, VecDeque};
 
-/// One direction between two nodes.
+/// Ordered pair of nodes that identifies a message queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Link {
     pub from: NodeId,
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The same for both directions.
+    /// Returns the same link for both directions, with the lower node id first.
     fn pair(self) -> Link {
         Link {
             from: self.from.min(self.to),
@@ -28,27 +28,27 @@
     }
 }
 
-/// What is on the way from one node to another.
+/// An element of a message queue.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Packet {
     Message(Message),
-    /// The end of a session, as the receiver will read it.
+    /// Informs the receiver that the session was closed, in order with the messages.
     Disconnected,
-    /// The beginning of a session, as the receiver will read it.
+    /// Informs the receiver that a session was established, in order with the messages.
     Connected(SessionId),
 }
 
-/// What is on the way, and the sessions that stand.
+/// In-flight packets of all links and the current sessions.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Network {
     links: BTreeMap<Link, VecDeque<Packet>>,
-    /// By both ends, the lower one first.
+    /// Sessions by [`Link::pair`].
     sessions: BTreeMap<Link, SessionId>,
     last_session: SessionId,
 }
 
 impl Network {
-    /// Links on which something is on the way.
+    /// Links with at least one in-flight packet.
     pub(super) fn busy_links(&self) -> impl Iterator<Item = Link> {
         let busy = self.links.iter().filter(|(_, queue)| !queue.is_empty());
         busy.map(|(link, _)| *link)
@@ -58,7 +58,8 @@
         self.links.entry(link).or_default().push_back(packet);
     }
 
-    /// Adds a message, unless the last one on the way is the same. `is_kept`: it is not lost at once.
+    /// Appends a message unless the last packet in the queue is equal to it. The message is dropped if `is_kept` is
+    /// false.
     pub(super) fn push_message(&mut self, link: Link, message: Message, is_kept: bool) {
         let packet = Packet::Message(message);
         let queue = self.links.entry(link).or_default();
@@ -67,18 +68,18 @@
         }
     }
 
-    /// Takes the oldest packet off a link.
+    /// Removes and returns the oldest packet of a link.
     pub(super) fn pop(&mut self, link: Link) -> Option<Packet> {
         self.links.get_mut(&link)?.pop_front()
     }
 
-    /// What is on the way in both directions is lost.
+    /// Drops all in-flight packets in both directions.
     pub(super) fn drop_between(&mut self, link: Link) {
         self.links.remove(&link);
         self.links.remove(&link.reversed());
     }
 
-    /// What is on the way to a node is lost. What it sent to gateways may lie in their own buffers, and still arrives.
+    /// Drops all in-flight packets to a node. Packets that the node has sent stay in flight.
     pub(super) fn drop_all_to(&mut self, node: NodeId) {
         let to_node = self.links.iter_mut().filter(|(link, _)| link.to == node);
         to_node.for_each(|(_, queue)| queue.clear());
@@ -94,7 +95,7 @@
         self.sessions.remove(&link.pair());
     }
 
-    /// The session that stands between two controllers.
+    /// Returns the current session of two controllers, as seen by the network.
     pub(super) fn session(&self, link: Link) -> Option<SessionId> {
         self.sessions.get(&link.pair()).copied()
     }
--- a/crates/tools/modelcheck/src/world/settling.rs
+++ b/crates/tools/modelcheck/src/world/settling.rs
@@ -1,4 +1,4 @@
-//! How a world recovers once faults have ended.
+//! Recovery of a world after all faults have ended.
 
 use super::World;
 use rushcourse_consensus::{Input, ReplicaSummary};
@@ -6,14 +6,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The time that a world has to recover: over two changes of the set, each with a new member's silence.
+/// Time for a world to recover: more than two consecutive replacements of members, each with a state transfer.
 const SETTLING_TIME: Duration = Duration::from_millis(16_000);
-/// Between two ticks of the controllers meanwhile.
+/// Interval between controller ticks while the world settles.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl World<'_> {
-    /// Faults end: all that can come back does, and time passes in the small steps of the programs. Then the members of
-    /// the set vote, all hold the same version, and every put has its answer.
+    /// Ends all faults, restarts what can be restarted and advances the clock in small steps. Then checks that all
+    /// members vote, all controllers have the same version, and every put is answered.
     pub fn settle(&mut self) {
         for node in self.controller_ids() {
             self.end_faults_of(node);
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Of the controllers that run.
+    /// Summaries of the running controllers.
     fn summaries(&self) -> BTreeMap<NodeId, ReplicaSummary> {
         let ids = self.controllers.keys();
         ids.filter_map(|node| Some((*node, self.summary(*node)?)))
--- a/crates/tools/modelcheck/tests/common/mod.rs
+++ b/crates/tools/modelcheck/tests/common/mod.rs
@@ -1,9 +1,9 @@
-//! What the tests of this package share.
+//! Helpers shared by the integration tests.
 
 use rushcourse_modelcheck::{SCENES, Scene};
 
-/// The scene of a name.
+/// Returns the scene with a name; panics if there is none.
 pub fn scene(name: &str) -> &'static Scene {
     let found = SCENES.iter().find(|scene| scene.name == name);
-    found.expect("a scene")
+    found.expect("the scene exists")
 }
--- a/crates/tools/modelcheck/tests/mutations.rs
+++ b/crates/tools/modelcheck/tests/mutations.rs
@@ -1,4 +1,4 @@
-//! The ways on which mutations were found: each leads to a violation with the defence taken out, and to none with it.
+//! Recorded counterexamples of mutations. Each trace leads to a violation with the mutation and to none without it.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use rushcourse_modelcheck::{Bounds, Budget, Mutation, Scene, World, explore};
 use rushcourse_types::NodeId;
 
-/// What rule is broken on a way, if one is.
+/// Returns the violation after a trace, if any.
 fn violation_after(trace: &[Action], scene: &Scene, mutation: Option<Mutation>) -> Option<String> {
     let mut world = World::after_setup(scene, mutation);
     for action in trace {
@@ -20,15 +20,15 @@
     world.violation().map(ToString::to_string)
 }
 
-/// The way breaks a rule with the defence taken out, and none with it.
+/// Asserts that a trace violates `rule` with the mutation, and no rule without it.
 fn assert_caught(name: &str, mutation: Mutation, rule: &str, trace: &[Action]) {
     let found = violation_after(trace, scene(name), Some(mutation));
-    let found = found.unwrap_or_else(|| panic!("{name}: nothing found"));
+    let found = found.unwrap_or_else(|| panic!("{name}: no violation"));
     assert!(found.starts_with(rule), "{found}");
     assert_eq!(
         violation_after(trace, scene(name), None),
         None,
-        "{name}: with the defence"
+        "{name}: without the mutation"
     );
 }
 
@@ -47,7 +47,8 @@
     );
 }
 
-/// A ballot takes more moves than a copy did: breadth first gets there where nothing but orders of delivery is open.
+/// Guards against a search that no longer reaches the depth of a full ballot. Without faults and waits, only the order
+/// of deliveries varies.
 #[test]
 fn breadth_first_search_finds_acknowledgement_at_half() {
     let wiped = scene("configuration-wiped");
@@ -112,8 +113,9 @@
     );
 }
 
-/// Member 1 is being replaced by 4 when 3 loses its disk; 1 is back before the change is made, and is left out by it. Of
-/// the new set 2 alone has complete state, so without what 1 holds nobody could be taught.
+/// Guards against a voting set that can't complete its state transfer. Member 1 is replaced by 4 while 3 has lost its
+/// disk, so that 2 is the only remaining member with complete state; the learners also need the snapshot of the removed
+/// member 1.
 #[test]
 fn new_member_learns_from_removed_member() {
     #[rustfmt::skip]
@@ -181,7 +183,7 @@
     );
 }
 
-/// Two operators, one version, two texts: counted by the version alone, each text found its majority.
+/// Two operators submit different texts of one version. Votes counted by version alone would give each text a majority.
 #[test]
 fn vote_for_conflicting_text_is_caught() {
     #[rustfmt::skip]
@@ -210,7 +212,8 @@
     );
 }
 
-/// Gateway 101 has the new voting set, 100 does not, and its claim continues with what the removed member granted.
+/// Gateway 101 has received the new voting set; gateway 100 has not, and continues its claim with the removed member's
+/// grant.
 #[test]
 fn votes_from_two_epochs_are_caught() {
     #[rustfmt::skip]
@@ -240,7 +243,8 @@
     assert_caught("replaced-votes", Mutation::RemovedCounts, "TWICE", &trace);
 }
 
-/// Gateway 100 wins by the member that is removed and another one; the new member does not know of it.
+/// Gateway 100 wins with the grants of the removed member 3 and of member 1; the new member 4 doesn't know of the
+/// claim.
 #[test]
 fn vote_of_learner_without_snapshots_is_caught() {
     #[rustfmt::skip]
@@ -271,8 +275,8 @@
     );
 }
 
-/// The rival text is chosen by 2, 4 and 5; then 3 votes for the first text, and 1 still counts what 2 reported before its
-/// loss.
+/// Members 2, 4 and 5 choose submission 106. Then 3 votes for submission 5, and 1 still counts the vote that 2 reported
+/// before it lost its disk.
 #[rustfmt::skip]
 const LATE_REPORT: [Action; 39] = [
     put(106), deliver(2, 4), deliver(2, 5), deliver(2, 4), deliver(2, 5), sync_batch(2),
@@ -294,8 +298,8 @@
     );
 }
 
-/// As in `reported-late`, but what 2 reported lies unread at 1 when it is paused: it is read only after 2 has lost its
-/// disk, has installed snapshots, and has voted for the other text.
+/// Like `reported-late`, but the report of 2 is still in flight when 1 is paused, and is delivered after 2 has lost its
+/// disk, installed snapshots and voted for the other text.
 #[test]
 fn queued_report_from_before_wipe_is_not_counted() {
     #[rustfmt::skip]
--- a/crates/tools/modelcheck/tests/scenes.rs
+++ b/crates/tools/modelcheck/tests/scenes.rs
@@ -1,4 +1,4 @@
-//! Small explorations of every scene, and where their openings lead.
+//! Explores every scene briefly, and checks the states that setup actions lead to.
 
 mod common;
 
@@ -26,13 +26,13 @@
     }
 }
 
-/// Whether a controller votes, and in which epoch.
+/// Epoch in which a controller votes; `None` if it is stopped or doesn't vote.
 fn voting_epoch(world: &World, node: u32) -> Option<Epoch> {
     let summary = world.summary(NodeId(node))?;
     summary.is_voter.then_some(summary.voting_set.epoch)
 }
 
-/// Where no member voted, nothing would be explored.
+/// Guards against scenes that explore nothing because no member votes.
 #[test]
 fn all_members_vote_at_scene_start() {
     for scene in SCENES.iter().filter(|scene| !scene.is_first_start) {
@@ -52,7 +52,7 @@
     {
         let world = World::after_setup(scene, None);
         let epoch = world.newest_voting_set().epoch;
-        assert_eq!(epoch, Epoch(1), "{}: all are long up", scene.name);
+        assert_eq!(epoch, Epoch(1), "{}: no change is due", scene.name);
     }
 }
 
@@ -66,11 +66,15 @@
     ] {
         let mut world = World::after_setup(scene(name), None);
         let epoch = world.newest_voting_set().epoch;
-        assert_eq!(epoch, Epoch(1), "{name}: the change is not made yet");
+        assert_eq!(epoch, Epoch(1), "{name}: the change is not adopted yet");
         world.apply(Wait);
         world.apply(DeliverAll);
         let members = &world.newest_voting_set().members;
-        assert_eq!(*members, [1, 2, 4].map(NodeId), "{name}: it is made");
+        assert_eq!(
+            *members,
+            [1, 2, 4].map(NodeId),
+            "{name}: the change is adopted"
+        );
     }
 }
 
@@ -78,10 +82,10 @@
 fn proposed_change_is_adopted_after_delivery() {
     let mut world = World::after_setup(scene("replaced-proposed"), None);
     let epoch = world.newest_voting_set().epoch;
-    assert_eq!(epoch, Epoch(1), "the change is not made yet");
+    assert_eq!(epoch, Epoch(1), "the change is not adopted yet");
     world.apply(DeliverAll);
     let members = &world.newest_voting_set().members;
-    assert_eq!(*members, [1, 2, 4].map(NodeId), "it is under way");
+    assert_eq!(*members, [1, 2, 4].map(NodeId), "the change is adopted");
 }
 
 #[test]
@@ -102,7 +106,7 @@
     assert_eq!(
         [1, 2, 3, 4, 5].map(|node| voting_epoch(&world, node)),
         [Some(Epoch(1)); 5],
-        "2 has complete state again"
+        "all members vote, including the wiped one"
     );
     let highest_accepted = |node| Some(world.summary(NodeId(node))?.highest_accepted);
     assert_eq!(
--- a/crates/tools/netcost/src/growth.rs
+++ b/crates/tools/netcost/src/growth.rs
@@ -1,71 +1,72 @@
-//! How traffic grows with the number of gateways, and whether it stays within its limits.
+//! Growth of traffic with the number of gateways, and its limits.
 
-use crate::simulated_cluster::{SimulatedCluster, Size, Traffic};
+use crate::simulated_cluster::{ClusterSize, SimulatedCluster, Traffic};
 use rushcourse_messages::HostState;
 use std::time::Duration;
 
-/// Gateways and hosts that are measured.
-const GATEWAYS: [usize; 4] = [8, 20, 40, 80];
-const HOSTS: [usize; 2] = [30, 255];
+/// Cluster sizes: every number of gateways is combined with every number of hosts.
+const GATEWAY_COUNTS: [usize; 4] = [8, 20, 40, 80];
+const HOST_COUNTS: [usize; 2] = [30, 255];
 const CONTROLLERS: usize = 5;
 const SERVICES: usize = 3;
 const ZONES: usize = 5;
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(1_500);
 
-/// How long all gateways but one are there before the last one joins: each has its tables from the controller that it
-/// prefers by then (`rushcourse_routing::FAILBACK_DELAY`).
-const BEFORE_JOIN: Duration = Duration::from_secs(10);
-/// How long what a join sets off may take.
-const AFTER_JOIN: Duration = Duration::from_secs(15);
-/// Seconds of calm that are counted.
-const CALM_S: u64 = 20;
-/// Endpoints that each table has at most, less one: tables are subsets of under thirty hosts.
-const MAX_TABLE_ENDPOINTS: usize = 30;
-/// What one gateway receives may grow by this from 8 of them to 80: numbers grow by a digit, nothing else.
+/// Time that all gateways but one run before the last one joins, so that each receives its tables from its preferred
+/// controller by then (`rushcourse_routing::FAILBACK_DELAY`).
+const WARM_UP_BEFORE_JOIN: Duration = Duration::from_secs(10);
+/// Time until the traffic that follows a join has ended.
+const SETTLE_AFTER_JOIN: Duration = Duration::from_secs(15);
+/// Length of the steady-state measurement in seconds.
+const STEADY_STATE_S: u64 = 20;
+/// Exclusive upper bound of the endpoints in a table; tables are subsets of fewer than thirty hosts.
+const TABLE_ENDPOINT_LIMIT: usize = 30;
+/// Maximum growth factor of the traffic to one gateway from the smallest to the largest cluster. Allows for longer
+/// encodings of larger numbers.
 const MAX_GROWTH: f64 = 1.25;
 
-/// The traffic at one size.
+/// Traffic of one simulated cluster.
 struct Measurement {
-    size: Size,
-    /// Of [`CALM_S`] without a change.
-    calm: Traffic,
-    /// Of one host that drains.
+    size: ClusterSize,
+    /// Traffic of [`STEADY_STATE_S`] seconds without changes.
+    steady_state: Traffic,
+    /// Traffic caused by the drain of one host.
     drain: Traffic,
-    /// Of one gateway that joins.
+    /// Traffic caused by the join of one gateway.
     join: Traffic,
 }
 
-/// How something grew with the gateways, and how much it may have.
+/// Growth factor of one kind of traffic from the smallest to the largest cluster, and its limit.
 struct Growth {
-    what: &'static str,
+    label: &'static str,
     factor: f64,
     limit: f64,
 }
 
-/// Prints the traffic at all sizes and how it grows. Returns whether it stays within its limits.
+/// Prints the traffic and its growth for all cluster sizes. Returns whether all growth is within the limits.
 pub fn check() -> bool {
     print_headings();
     let mut pairs = Vec::new();
-    for hosts in HOSTS {
-        let measurements = GATEWAYS.map(|gateways| {
+    for hosts in HOST_COUNTS {
+        let measurements = GATEWAY_COUNTS.map(|gateways| {
             let measurement = measure(gateways, hosts);
             print_row(&measurement);
             measurement
         });
-        let [few, .., many] = measurements;
-        pairs.push((few, many));
+        let [smallest, .., largest] = measurements;
+        pairs.push((smallest, largest));
     }
-    let mut is_within = true;
-    for (few, many) in &pairs {
-        for growth in growths(few, many) {
-            is_within &= print_growth(few, many, &growth);
+    let mut is_within_limits = true;
+    for (smallest, largest) in &pairs {
+        for growth in growths(smallest, largest) {
+            is_within_limits &= print_growth(smallest, largest, &growth);
         }
     }
-    is_within
+    is_within_limits
 }
 
 fn measure(gateways: usize, hosts: usize) -> Measurement {
-    let size = Size {
+    let size = ClusterSize {
         controllers: CONTROLLERS,
         gateways,
         hosts,
@@ -76,24 +77,24 @@
     let last = gateways - 1;
     let mut cluster = SimulatedCluster::new(size);
     (0..last).for_each(|gateway| cluster.join(gateway));
-    cluster.run(BEFORE_JOIN);
+    cluster.run(WARM_UP_BEFORE_JOIN);
     cluster.take_traffic();
     cluster.join(last);
     let join = cluster.take_traffic();
-    cluster.run(AFTER_JOIN);
+    cluster.run(SETTLE_AFTER_JOIN);
     cluster.take_traffic();
-    cluster.run(Duration::from_secs(CALM_S));
-    let calm = cluster.take_traffic();
+    cluster.run(Duration::from_secs(STEADY_STATE_S));
+    let steady_state = cluster.take_traffic();
     cluster.host_request(1, HostState::Draining);
     let drain = cluster.take_traffic();
     let mut tables = cluster.largest_tables().into_values();
     assert!(
-        tables.all(|endpoints| (1..MAX_TABLE_ENDPOINTS).contains(&endpoints)),
-        "tables of under thirty hosts"
+        tables.all(|endpoints| (1..TABLE_ENDPOINT_LIMIT).contains(&endpoints)),
+        "each table has at least 1 and fewer than {TABLE_ENDPOINT_LIMIT} endpoints"
     );
     Measurement {
         size,
-        calm,
+        steady_state,
         drain,
         join,
     }
@@ -101,8 +102,8 @@
 
 fn print_headings() {
     println!(
-        "{CONTROLLERS} controllers, {SERVICES} services, heartbeats each {} s. Bytes, in frames; a join and a drain without \
-         what follows a second later.",
+        "{CONTROLLERS} controllers, {SERVICES} services, heartbeat interval {} s. Bytes include frame headers; a join \
+         and a drain are counted until no message is in flight.",
         HEARTBEAT_INTERVAL.as_secs_f64()
     );
     println!(
@@ -123,7 +124,7 @@
 fn print_row(measurement: &Measurement) {
     let Measurement {
         size,
-        calm,
+        steady_state,
         drain,
         join,
     } = measurement;
@@ -131,10 +132,10 @@
         "{:>8} {:>6} | {:>15} {:>15} {:>15} {:>12} | {:>12} {:>12} | {:>12} {:>12}",
         size.gateways,
         size.hosts,
-        calm.between_controllers / CALM_S,
-        calm.to_gateways / CALM_S,
-        calm.from_gateways / CALM_S,
-        calm.steps / CALM_S,
+        steady_state.between_controllers / STEADY_STATE_S,
+        steady_state.to_gateways / STEADY_STATE_S,
+        steady_state.from_gateways / STEADY_STATE_S,
+        steady_state.steps / STEADY_STATE_S,
         drain.total(),
         drain.max_to_one_gateway,
         join.total(),
@@ -142,53 +143,65 @@
     );
 }
 
-/// How the traffic grows from few to many gateways.
-fn growths(few: &Measurement, many: &Measurement) -> [Growth; 5] {
-    let gateway_factor = many.size.gateways as f64 / few.size.gateways as f64;
-    let factor = |few: u64, many: u64| many as f64 / (few as f64).max(1.0);
+/// Computes the growth of each kind of traffic between two clusters.
+fn growths(smallest: &Measurement, largest: &Measurement) -> [Growth; 5] {
+    let gateway_factor = largest.size.gateways as f64 / smallest.size.gateways as f64;
+    let factor = |smallest: u64, largest: u64| largest as f64 / (smallest as f64).max(1.0);
     [
         Growth {
-            what: "a drain, to one gateway",
-            factor: factor(few.drain.max_to_one_gateway, many.drain.max_to_one_gateway),
+            label: "drain, to one gateway",
+            factor: factor(
+                smallest.drain.max_to_one_gateway,
+                largest.drain.max_to_one_gateway,
+            ),
             limit: MAX_GROWTH,
         },
         Growth {
-            what: "a join, to the one that joins",
-            factor: factor(few.join.max_to_one_gateway, many.join.max_to_one_gateway),
+            label: "join, to the joining gateway",
+            factor: factor(
+                smallest.join.max_to_one_gateway,
+                largest.join.max_to_one_gateway,
+            ),
             limit: MAX_GROWTH,
         },
         Growth {
-            what: "calm, of all gateways",
-            factor: factor(few.calm.from_gateways, many.calm.from_gateways),
+            label: "steady state, from all gateways",
+            factor: factor(
+                smallest.steady_state.from_gateways,
+                largest.steady_state.from_gateways,
+            ),
             limit: gateway_factor * MAX_GROWTH,
         },
         Growth {
-            what: "calm, between controllers",
-            factor: factor(few.calm.between_controllers, many.calm.between_controllers),
+            label: "steady state, between controllers",
+            factor: factor(
+                smallest.steady_state.between_controllers,
+                largest.steady_state.between_controllers,
+            ),
             limit: MAX_GROWTH,
         },
         Growth {
-            what: "steps of controllers in calm",
-            factor: factor(few.calm.steps, many.calm.steps),
+            label: "steady state, steps of controllers",
+            factor: factor(smallest.steady_state.steps, largest.steady_state.steps),
             limit: gateway_factor * MAX_GROWTH,
         },
     ]
 }
 
-/// Prints how something grew. Returns whether it stays within its limit.
-fn print_growth(few: &Measurement, many: &Measurement, growth: &Growth) -> bool {
+/// Prints one growth factor. Returns whether it is within its limit.
+fn print_growth(smallest: &Measurement, largest: &Measurement, growth: &Growth) -> bool {
     let Growth {
-        what,
+        label,
         factor,
         limit,
     } = growth;
     println!(
-        "{} hosts, {} to {} gateways: {what}: x {factor:.2}, at most {limit:.2}",
-        few.size.hosts, few.size.gateways, many.size.gateways
+        "{} hosts, {} to {} gateways: {label}: x {factor:.2}, limit {limit:.2}",
+        smallest.size.hosts, smallest.size.gateways, largest.size.gateways
     );
-    let is_within = factor <= limit;
-    if !is_within {
-        println!("EXCEEDED: {what} grew {factor:.2} times");
+    let is_within_limits = factor <= limit;
+    if !is_within_limits {
+        println!("EXCEEDED: {label} grew by a factor of {factor:.2}");
     }
-    is_within
+    is_within_limits
 }
--- a/crates/tools/netcost/src/main.rs
+++ b/crates/tools/netcost/src/main.rs
@@ -1,5 +1,6 @@
-//! netcost: bytes between the nodes of a gateway, by how many there are. Ends with code 1 where what one gateway
-//! receives grows with their number, or where what controllers send grows faster than it should.
+//! netcost: computes the network traffic between the nodes of a gateway for several cluster sizes. Exits with 1 if the
+//! traffic to a single gateway grows with the number of gateways, or the traffic of controllers grows faster than its
+//! limit.
 
 mod frames;
 mod growth;
--- a/crates/tools/netcost/src/simulated_cluster.rs
+++ b/crates/tools/netcost/src/simulated_cluster.rs
@@ -1,4 +1,5 @@
-//! The real steps of controllers, and gateways, on a fake clock, with every message counted as it goes out in a frame.
+//! Simulation of the controllers' state machines and of gateways on a virtual clock; counts the encoded size of each
+//! message.
 
 use crate::frames::frame_bytes;
 use crate::simulated_gateway::{Outgoing, SimulatedGateway};
@@ -9,23 +10,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Between two ticks of a controller.
+/// Interval between ticks of a controller.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Between two load reports of a gateway, in milliseconds.
+/// Interval between load reports of a gateway, in milliseconds.
 const LOAD_REPORT_INTERVAL_MS: u64 = 1_000;
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(2_500);
-const START: Timestamp = Timestamp::from_millis(1_000);
-/// How long controllers run until they know all hosts.
+const START_TIME: Timestamp = Timestamp::from_millis(1_000);
+/// Time until all controllers know all hosts.
 const INITIAL_SYNC: Duration = Duration::from_secs(4);
-/// Numbers of the first controller's and the first gateway's node.
+/// Node ids of the first controller and the first gateway; the others follow in sequence.
 const FIRST_CONTROLLER: u32 = 10;
 const FIRST_GATEWAY: u32 = 1_000;
-/// Spreads the heartbeats of hosts over their interval, in milliseconds.
+/// Offset between the heartbeats of consecutive hosts, in milliseconds.
 const HEARTBEAT_SPACING_MS: u64 = 37;
 
-/// How many there are of everything.
+/// Number of nodes, services and zones in the cluster.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct ClusterSize {
     pub controllers: usize,
     pub gateways: usize,
     pub hosts: usize,
@@ -34,7 +35,7 @@
     pub heartbeat_interval: Duration,
 }
 
-impl Size {
+impl ClusterSize {
     fn zone(&self, index: usize) -> Arc<str> {
         format!("zone-{}", index % self.zones).into()
     }
@@ -67,45 +68,45 @@
     }
 }
 
-/// Bytes in frames, by who sends to whom, and steps of controllers.
+/// Bytes sent, including frame headers, and steps of controllers.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     pub between_controllers: u64,
     pub to_gateways: u64,
     pub from_gateways: u64,
-    /// To that one gateway which received most.
+    /// Bytes received by the gateway that received the most.
     pub max_to_one_gateway: u64,
     pub steps: u64,
 }
 
 impl Traffic {
-    /// All bytes.
+    /// Bytes sent by all nodes.
     pub fn total(&self) -> u64 {
         self.between_controllers + self.to_gateways + self.from_gateways
     }
 }
 
-/// The index of a node among those of its role.
+/// Receiver of a message, by its index among the nodes of its role.
 #[derive(Clone, Copy)]
 enum Receiver {
     Controller(usize),
     Gateway(usize),
 }
 
-/// A message of a controller that has not arrived.
+/// A message from a controller that has not been delivered.
 struct InFlight {
-    /// The index of the controller that sent it.
+    /// Index of the sending controller.
     from: usize,
     to: Receiver,
     message: Message,
 }
 
-/// Controllers with sessions among each other, and gateways that join.
+/// Controllers that are connected to each other, and the gateways that have joined them.
 pub struct SimulatedCluster {
-    size: Size,
+    size: ClusterSize,
     now: Timestamp,
     controllers: Vec<Cluster>,
-    /// Those that have not joined are `None`.
+    /// `None` for gateways that have not joined.
     gateways: Vec<Option<SimulatedGateway>>,
     hosts: Vec<HostRecord>,
     services: Vec<Arc<str>>,
@@ -125,7 +126,7 @@
     NodeId(FIRST_GATEWAY + index as u32)
 }
 
-/// The session of a gateway, the same number at each controller.
+/// Returns the session id of a gateway, which is the same at all controllers.
 fn session(gateway: usize) -> SessionId {
     SessionId(gateway as u64 + 1)
 }
@@ -135,12 +136,12 @@
 }
 
 impl SimulatedCluster {
-    /// All controllers are there and know all hosts; no gateway has joined.
-    pub fn new(size: Size) -> SimulatedCluster {
+    /// Creates a cluster without gateways, whose controllers have synchronized all hosts.
+    pub fn new(size: ClusterSize) -> SimulatedCluster {
         let controller = |index| Cluster::new(size.topology(index));
         let mut cluster = SimulatedCluster {
             size,
-            now: START,
+            now: START_TIME,
             controllers: (0..size.controllers).map(controller).collect(),
             gateways: (0..size.gateways).map(|_| None).collect(),
             hosts: (0..size.hosts).map(|index| size.host(index)).collect(),
@@ -160,7 +161,7 @@
         cluster
     }
 
-    /// The traffic since the last call.
+    /// Returns the traffic since the last call.
     pub fn take_traffic(&mut self) -> Traffic {
         let received = self.gateways.iter_mut().flatten();
         let received = received.map(SimulatedGateway::take_received_bytes);
@@ -170,24 +171,24 @@
         }
     }
 
-    /// A gateway opens its sessions.
+    /// Connects a gateway to all controllers and delivers the resulting messages.
     pub fn join(&mut self, gateway: usize) {
         let (node, zone) = (gateway_node(gateway), self.size.zone(gateway));
         let controllers =
             (0..self.size.controllers).map(|index| (controller_node(index), self.size.zone(index)));
         self.gateways[gateway] = Some(SimulatedGateway::new(node, &zone, controllers));
         for controller in 0..self.size.controllers {
-            let opened = Input::GatewaySessionOpened {
+            let session_opened = Input::GatewaySessionOpened {
                 session: session(gateway),
                 node,
                 zone: zone.clone(),
             };
-            self.step(controller, opened);
+            self.step(controller, session_opened);
         }
         self.deliver();
     }
 
-    /// A host calls a controller: a heartbeat, or that it drains.
+    /// Sends a host's heartbeat or state change to a controller and delivers the resulting messages.
     pub fn host_request(&mut self, index: usize, state: HostState) {
         let host = &mut self.hosts[index];
         host.sequence = host.sequence.next();
@@ -197,9 +198,9 @@
         self.deliver();
     }
 
-    /// Lets time pass: hosts send heartbeats, gateways load reports, and controllers tick.
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    /// Advances the clock: hosts send heartbeats, gateways send load reports, and controllers tick.
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += TICK_INTERVAL;
             self.send_heartbeats();
@@ -287,7 +288,7 @@
         self.in_flight.push_back(InFlight { from, to, message });
     }
 
-    /// Delivers messages of controllers, and what is sent because of them, until none is in flight.
+    /// Delivers messages of controllers and the responses to them until none is in flight.
     fn deliver(&mut self) {
         while let Some(InFlight { from, to, message }) = self.in_flight.pop_front() {
             let bytes = frame_bytes(&message);
@@ -325,7 +326,7 @@
         self.step(controller_index(to), received);
     }
 
-    /// Endpoints of the largest table of each service that gateways are bound to.
+    /// Returns the number of endpoints in the largest table of each service, among tables that gateways are bound to.
     pub fn largest_tables(&self) -> BTreeMap<Arc<str>, usize> {
         let mut largest: BTreeMap<Arc<str>, usize> = BTreeMap::new();
         let tables = self
--- a/crates/tools/netcost/src/simulated_gateway.rs
+++ b/crates/tools/netcost/src/simulated_gateway.rs
@@ -1,29 +1,29 @@
-//! A gateway without its hosts and clients: it selects its primary controller and confirms the tables that it is sent.
+//! A gateway without hosts and clients: selects its primary controller and confirms received tables.
 
 use rushcourse_messages::{Message, NodeId};
 use rushcourse_routing::{ControllerSelection, PrimaryChange};
 use rushcourse_types::Timestamp;
 use std::sync::Arc;
 
-/// Attempts that a gateway reports for each service and interval: any number, since only the size of the report counts.
+/// Attempts in each load report; arbitrary, because only the size of the report matters.
 const REPORTED_ATTEMPTS: u32 = 40;
 const REPORT_INTERVAL_MS: u32 = 1_000;
 
-/// A message that a gateway sends to a controller.
+/// A message from a gateway to a controller.
 pub struct Outgoing {
     pub to: NodeId,
     pub message: Message,
 }
 
-/// A gateway that has a session with each controller.
+/// A gateway with a session to each controller.
 pub struct SimulatedGateway {
     controllers: ControllerSelection,
-    /// Bytes in frames since they were last taken.
+    /// Bytes received since the last call of `take_received_bytes`, including frame headers.
     received_bytes: u64,
 }
 
 impl SimulatedGateway {
-    /// `controllers`: node and zone of each.
+    /// Creates a gateway that is connected to these controllers, given by node id and zone.
     pub fn new(
         node: NodeId,
         zone: &str,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes a message in a frame of so many bytes, and gives what is sent because of it.
+    /// Handles a message whose frame has `frame_bytes` bytes. Returns the responses.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Selects another primary controller where that is due.
+    /// Changes the primary controller if a change is due. Returns the messages to the old and the new one.
     pub fn select_primary(&mut self, now: Timestamp) -> Vec<Outgoing> {
         let Some(PrimaryChange { selected, released }) = self.controllers.select(now) else {
             return Vec::new();
@@ -85,7 +85,7 @@
             .collect()
     }
 
-    /// What the gateway reports of its attempts, a message for each service.
+    /// Returns the load reports to the primary controller, one per service; empty without a primary.
     pub fn load_reports(&self, services: &[Arc<str>]) -> Vec<Outgoing> {
         let Some(primary) = self.controllers.primary() else {
             return Vec::new();
@@ -102,7 +102,7 @@
         services.iter().map(report).collect()
     }
 
-    /// Bytes that were received since the last call.
+    /// Returns the bytes received since the last call.
     pub fn take_received_bytes(&mut self) -> u64 {
         std::mem::take(&mut self.received_bytes)
     }
