--- a/crates/tools/modelcheck/src/setup_actions.rs
+++ b/crates/tools/modelcheck/src/setup_actions.rs
@@ -33,9 +33,9 @@
     Wait, DeliverAll, Wait, DeliverAll,
 ];
 
-/// Submission 5 has its promises. Members 1 and 2 have voted for it and received each other's votes, members 4 and 5
-/// have lost their sessions with 1, and the messages from 1 to 3 are in flight. Then 1 is paused, and 2 loses its disk
-/// and installs the snapshots of the others.
+/// A majority has promised the ballot of submission 5. Members 1 and 2 have voted for it and received each other's
+/// votes, members 4 and 5 have lost their sessions with 1, and the messages from 1 to 3 are in flight. Then 1 is
+/// paused, and 2 loses its disk and installs the snapshots of the others.
 #[rustfmt::skip]
 pub(crate) const MEMBER_PAUSED: [Action; 27] = [
     put(5), deliver(1, 2), deliver(1, 3), sync_batch(1), sync_batch(2), sync_batch(3),
--- a/crates/tools/modelcheck/src/simulation.rs
+++ b/crates/tools/modelcheck/src/simulation.rs
@@ -155,7 +155,7 @@
         self.node.as_ref()
     }
 
-    /// Whether the node is started.
+    /// Whether the node has been started and not stopped since.
     pub fn is_running(&self) -> bool {
         self.node.is_some()
     }
--- a/crates/tools/modelcheck/src/world/enabled_actions.rs
+++ b/crates/tools/modelcheck/src/world/enabled_actions.rs
@@ -128,7 +128,8 @@
         }
         let is_lost = |member: &&NodeId| {
             let controller = self.controllers.get(*member);
-            controller.is_none_or(|found| found.is_lost || !found.has_complete_state())
+            controller
+                .is_none_or(|controller| controller.is_lost || !controller.has_complete_state())
         };
         let members = &self.newest_voting_set().members;
         let others = members.iter().filter(|member| **member != node);
--- a/crates/tools/modelcheck/src/world/mod.rs
+++ b/crates/tools/modelcheck/src/world/mod.rs
@@ -61,7 +61,7 @@
     has_old_disk: bool,
     /// Whether the machine is permanently lost.
     is_lost: bool,
-    /// Whether it is disconnected from all other controllers.
+    /// Whether the controller is disconnected from all other controllers.
     is_isolated: bool,
     /// Whether the process is suspended.
     is_paused: bool,
@@ -108,13 +108,13 @@
         self.simulated.disk.durable().has_complete_state && !self.has_old_disk
     }
 
-    /// Whether it is running and has not verified yet that its disk is the newest one that it had.
+    /// Whether the controller is running and has not verified yet that its disk is the newest one that it had.
     fn is_recovering(&self) -> bool {
         let node = self.simulated.node();
         node.is_some_and(|node| node.summary().is_recovering)
     }
 
-    /// Whether it is running and votes in its voting set.
+    /// Whether the controller is running and votes in its voting set.
     fn is_voter(&self) -> bool {
         let node = self.simulated.node();
         node.is_some_and(|node| node.summary().is_voter)
--- a/crates/tools/modelcheck/src/world/mutations.rs
+++ b/crates/tools/modelcheck/src/world/mutations.rs
@@ -85,7 +85,7 @@
         if let Some(running) = self
             .controllers
             .get(&node)
-            .and_then(|found| found.simulated.node())
+            .and_then(|controller| controller.simulated.node())
         {
             return running.voting_set().epoch;
         }
--- a/crates/tools/modelcheck/src/world/settling.rs
+++ b/crates/tools/modelcheck/src/world/settling.rs
@@ -12,8 +12,8 @@
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl World<'_> {
-    /// Ends all faults, restarts what can be restarted and advances the clock in small steps. Then checks that all
-    /// members vote, all controllers have the same version, and every put is answered.
+    /// Ends all faults, restarts all controllers that are not lost and advances the clock in small steps. Then checks
+    /// that all members vote, all running controllers have the same version, and every put is answered.
     pub fn settle(&mut self) {
         for node in self.controller_ids() {
             self.end_faults_of(node);
--- a/crates/tools/modelcheck/tests/mutations.rs
+++ b/crates/tools/modelcheck/tests/mutations.rs
@@ -22,9 +22,9 @@
 
 /// Asserts that a trace violates `rule` with the mutation, and no rule without it.
 fn assert_caught(name: &str, mutation: Mutation, rule: &str, trace: &[Action]) {
-    let found = violation_after(trace, scene(name), Some(mutation));
-    let found = found.unwrap_or_else(|| panic!("{name}: no violation"));
-    assert!(found.starts_with(rule), "{found}");
+    let violation = violation_after(trace, scene(name), Some(mutation));
+    let violation = violation.unwrap_or_else(|| panic!("{name}: no violation"));
+    assert!(violation.starts_with(rule), "{violation}");
     assert_eq!(
         violation_after(trace, scene(name), None),
         None,
@@ -114,7 +114,7 @@
 }
 
 /// Guards against a voting set that can't complete its state transfer. Member 1 is replaced by 4 while 3 has lost its
-/// disk, so that 2 is the only remaining member with complete state; the learners also need the snapshot of the removed
+/// disk, so that 2 is the only remaining member with complete state; 3 and 4 also need the snapshot of the removed
 /// member 1.
 #[test]
 fn new_member_learns_from_removed_member() {
@@ -303,14 +303,14 @@
 #[test]
 fn queued_report_from_before_wipe_is_not_counted() {
     #[rustfmt::skip]
-    const UNREAD_REPORT: [Action; 26] = [
+    const QUEUED_REPORT: [Action; 26] = [
         put(5), deliver(1, 2), deliver(1, 3), sync_batch(1), sync_batch(2), sync_batch(3),
         deliver(2, 1), deliver(3, 1), sync_batch(1), deliver(1, 2), sync_batch(2),
         break_session(1, 4), break_session(1, 5), pause(1), wipe_disk(2), DeliverAll, Wait,
         DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll, Wait, DeliverAll,
     ];
     let scene = Scene {
-        setup_actions: &UNREAD_REPORT,
+        setup_actions: &QUEUED_REPORT,
         ..*scene("reported-late")
     };
     let mut world = World::after_setup(&scene, None);
--- a/crates/tools/modelcheck/tests/scenes.rs
+++ b/crates/tools/modelcheck/tests/scenes.rs
@@ -19,10 +19,18 @@
         seed: 0,
     };
     for scene in &SCENES {
-        let found = explore(scene, None, bounds);
-        assert!(found.counterexample.is_none(), "{}: {found:?}", scene.name);
-        let is_far = found.states >= 1_500 && found.longest_walk > 10;
-        assert!(found.is_complete || is_far, "{}: {found:?}", scene.name);
+        let findings = explore(scene, None, bounds);
+        assert!(
+            findings.counterexample.is_none(),
+            "{}: {findings:?}",
+            scene.name
+        );
+        let is_far = findings.states >= 1_500 && findings.longest_walk > 10;
+        assert!(
+            findings.is_complete || is_far,
+            "{}: {findings:?}",
+            scene.name
+        );
     }
 }
 
