--- a/crates/tools/modelcheck/src/scenes.rs
+++ b/crates/tools/modelcheck/src/scenes.rs
@@ -1,24 +1,26 @@
-//! The scenes that are explored.
+//! Definitions of the explored scenes.
 
-use crate::draft::Draft;
 use crate::mutation::Mutation;
-use crate::openings::{CHANGE_DUE, CHANGE_MADE, CHANGE_PROPOSED, LONG_UP, MEMBER_PAUSED};
 use crate::scene::{Budget, Clients, Scene};
+use crate::setup_actions::{
+    CHANGE_ADOPTED, CHANGE_DUE, CHANGE_PROPOSED, LONG_UPTIME, MEMBER_PAUSED,
+};
+use crate::submission::Submission;
 
 const NO_CLIENTS: Clients = Clients {
     gateways: 0,
     claims: 0,
-    drafts: &[],
+    submissions: &[],
 };
 
-/// One key, claimed once by each of two gateways.
+/// Two gateways that each claim the key once.
 const TWO_GATEWAYS: Clients = Clients {
     gateways: 2,
     claims: 1,
     ..NO_CLIENTS
 };
 
-const NOTHING: Budget = Budget {
+const EMPTY_BUDGET: Budget = Budget {
     power_losses: 0,
     disk_wipes: 0,
     machine_losses: 0,
@@ -32,32 +34,32 @@
     gateway_restarts: 0,
 };
 
-/// Three members, and nothing happens.
+/// Three members without clients, faults or waits.
 const BASE: Scene = Scene {
     name: "",
     members: 3,
     standbys: 0,
     clients: NO_CLIENTS,
-    budget: NOTHING,
+    budget: EMPTY_BUDGET,
     is_first_start: false,
     is_delivery_eager: false,
-    is_disconnect_late: false,
-    opening: &[],
-    closed_each: 0,
+    is_disconnect_queued: false,
+    setup_actions: &[],
+    settle_every_nth_walk: 0,
     walks: 20_000,
     catches: &[],
 };
 
-/// A member may be replaced while two gateways claim the key; in the end all must have recovered.
+/// A standby may replace a member while two gateways claim the key. One walk in 50 settles and must recover.
 const REPLACEMENT: Scene = Scene {
     standbys: 1,
     clients: TWO_GATEWAYS,
     is_delivery_eager: true,
-    closed_each: 50,
+    settle_every_nth_walk: 50,
     ..BASE
 };
 
-/// All scenes.
+/// All scenes, in the order in which the program runs them.
 pub const SCENES: [Scene; 30] = [
     Scene {
         name: "keys-power",
@@ -65,18 +67,19 @@
         budget: Budget {
             power_losses: 1,
             waits: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         ..BASE
     },
-    // One voter that answers before its sync is saved by the others, which it asks after its start. Two are not.
+    // With one premature answer, the voter learns of its lost grant from the other members after its restart. With two,
+    // a second claim can win.
     Scene {
         name: "keys-power-twice",
         clients: TWO_GATEWAYS,
         budget: Budget {
             power_losses: 2,
             waits: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
         walks: 60_000,
@@ -89,7 +92,7 @@
         budget: Budget {
             disk_wipes: 1,
             waits: 6,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
         walks: 120_000,
@@ -102,7 +105,7 @@
         budget: Budget {
             disk_wipes: 2,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         ..BASE
     },
@@ -116,7 +119,7 @@
         budget: Budget {
             power_losses: 1,
             waits: 2,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         ..BASE
     },
@@ -126,15 +129,15 @@
         budget: Budget {
             old_disks: 1,
             waits: 7,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
-        opening: &LONG_UP,
-        closed_each: 50,
+        setup_actions: &LONG_UPTIME,
+        settle_every_nth_walk: 50,
         catches: &[Mutation::OldDiskVotes],
         ..BASE
     },
-    // Answers and repeats: what was sent in an earlier life of a gateway must not be sent again.
+    // A restarted gateway must not release claims of its previous incarnation.
     Scene {
         name: "keys-gateway-restarts",
         clients: Clients {
@@ -145,27 +148,27 @@
         budget: Budget {
             gateway_restarts: 1,
             waits: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
         catches: &[Mutation::WithdrawsEarlierClaim],
         ..BASE
     },
-    // A controller that is cut off reads nothing old.
+    // An isolated controller must not return an outdated configuration.
     Scene {
         name: "configuration-isolated",
         clients: Clients {
-            drafts: &[Draft(5), Draft(7)],
+            submissions: &[Submission(5), Submission(7)],
             ..NO_CLIENTS
         },
         budget: Budget {
             isolations: 1,
             waits: 3,
             reads: 2,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
-        closed_each: 50,
+        settle_every_nth_walk: 50,
         walks: 10_000,
         catches: &[Mutation::ReadsLocally],
         ..BASE
@@ -173,32 +176,32 @@
     Scene {
         name: "configuration-old-disk",
         clients: Clients {
-            drafts: &[Draft(5), Draft::rival(5)],
+            submissions: &[Submission(5), Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
             old_disks: 1,
             waits: 7,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
-        opening: &LONG_UP,
-        closed_each: 50,
+        setup_actions: &LONG_UPTIME,
+        settle_every_nth_walk: 50,
         walks: 10_000,
         ..BASE
     },
     Scene {
         name: "configuration-power",
         clients: Clients {
-            drafts: &[Draft(5), Draft(7)],
+            submissions: &[Submission(5), Submission(7)],
             ..NO_CLIENTS
         },
         budget: Budget {
             power_losses: 3,
             waits: 1,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         catches: &[Mutation::AnswerBeforeSync],
         ..BASE
@@ -206,7 +209,7 @@
     Scene {
         name: "configuration-wiped",
         clients: Clients {
-            drafts: &[Draft(5)],
+            submissions: &[Submission(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
@@ -214,7 +217,7 @@
             disk_wipes: 1,
             waits: 6,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         catches: &[Mutation::AcknowledgeAtHalf],
         ..BASE
@@ -223,7 +226,7 @@
         name: "configuration-rivals",
         members: 4,
         clients: Clients {
-            drafts: &[Draft(5), Draft::rival(5)],
+            submissions: &[Submission(5), Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
@@ -231,23 +234,23 @@
             session_breaks: 1,
             waits: 2,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         ..BASE
     },
-    // The same without losses of power, where walks get further.
+    // Like `configuration-rivals`, but without power failures, so that walks reach greater depths.
     Scene {
         name: "configuration-rivals-calm",
         members: 4,
         clients: Clients {
-            drafts: &[Draft(5), Draft::rival(5)],
+            submissions: &[Submission(5), Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
             session_breaks: 1,
             waits: 2,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         catches: &[Mutation::RivalTextsCount],
         ..BASE
@@ -256,14 +259,14 @@
         name: "configuration-partition",
         members: 4,
         clients: Clients {
-            drafts: &[Draft(5), Draft(7)],
+            submissions: &[Submission(5), Submission(7)],
             ..NO_CLIENTS
         },
         budget: Budget {
             session_breaks: 2,
             waits: 1,
             reads: 2,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         ..BASE
     },
@@ -271,14 +274,14 @@
         name: "voting-set",
         members: 4,
         clients: Clients {
-            drafts: &[Draft(5)],
+            submissions: &[Submission(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
             power_losses: 2,
             session_breaks: 1,
             waits: 5,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_first_start: true,
         ..BASE
@@ -287,9 +290,9 @@
         name: "replaced-keys",
         budget: Budget {
             waits: 3,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_DUE,
+        setup_actions: &CHANGE_DUE,
         catches: &[Mutation::LearnerCounts],
         ..REPLACEMENT
     },
@@ -299,10 +302,10 @@
         clients: TWO_GATEWAYS,
         budget: Budget {
             waits: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         is_delivery_eager: true,
-        opening: &CHANGE_MADE,
+        setup_actions: &CHANGE_ADOPTED,
         catches: &[Mutation::EpochUnchecked, Mutation::RemovedCounts],
         ..BASE
     },
@@ -312,9 +315,9 @@
         budget: Budget {
             machine_losses: 2,
             waits: 14,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &LONG_UP,
+        setup_actions: &LONG_UPTIME,
         ..REPLACEMENT
     },
     Scene {
@@ -324,9 +327,9 @@
             machine_losses: 1,
             isolations: 2,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &LONG_UP,
+        setup_actions: &LONG_UPTIME,
         walks: 10_000,
         ..REPLACEMENT
     },
@@ -337,9 +340,9 @@
             disk_wipes: 2,
             machine_losses: 1,
             waits: 10,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &LONG_UP,
+        setup_actions: &LONG_UPTIME,
         walks: 10_000,
         ..REPLACEMENT
     },
@@ -349,9 +352,9 @@
             power_losses: 1,
             old_disks: 1,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_DUE,
+        setup_actions: &CHANGE_DUE,
         ..REPLACEMENT
     },
     Scene {
@@ -360,9 +363,9 @@
             power_losses: 1,
             disk_wipes: 1,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_DUE,
+        setup_actions: &CHANGE_DUE,
         walks: 10_000,
         ..REPLACEMENT
     },
@@ -371,26 +374,26 @@
         budget: Budget {
             power_losses: 4,
             waits: 4,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_DUE,
+        setup_actions: &CHANGE_DUE,
         ..REPLACEMENT
     },
     Scene {
         name: "replaced-configuration",
         standbys: 1,
         clients: Clients {
-            drafts: &[Draft(5), Draft(7)],
+            submissions: &[Submission(5), Submission(7)],
             ..NO_CLIENTS
         },
         budget: Budget {
             power_losses: 2,
             waits: 5,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_DUE,
-        closed_each: 50,
+        setup_actions: &CHANGE_DUE,
+        settle_every_nth_walk: 50,
         walks: 10_000,
         ..BASE
     },
@@ -400,9 +403,9 @@
         budget: Budget {
             machine_losses: 1,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_MADE,
+        setup_actions: &CHANGE_ADOPTED,
         walks: 10_000,
         ..REPLACEMENT
     },
@@ -410,17 +413,17 @@
         name: "replaced-proposed",
         standbys: 1,
         clients: Clients {
-            drafts: &[Draft(5), Draft(7)],
+            submissions: &[Submission(5), Submission(7)],
             ..NO_CLIENTS
         },
         budget: Budget {
             power_losses: 2,
             waits: 5,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &CHANGE_PROPOSED,
-        closed_each: 50,
+        setup_actions: &CHANGE_PROPOSED,
+        settle_every_nth_walk: 50,
         walks: 10_000,
         ..BASE
     },
@@ -431,9 +434,9 @@
             power_losses: 1,
             shutdowns: 2,
             waits: 8,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        opening: &LONG_UP,
+        setup_actions: &LONG_UPTIME,
         walks: 10_000,
         ..REPLACEMENT
     },
@@ -441,7 +444,7 @@
         name: "rivals-split",
         members: 4,
         clients: Clients {
-            drafts: &[Draft(5), Draft::rival(5)],
+            submissions: &[Submission(5), Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
@@ -449,22 +452,22 @@
             session_breaks: 1,
             waits: 3,
             reads: 1,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        closed_each: 1,
+        settle_every_nth_walk: 1,
         walks: 2_000,
         ..BASE
     },
     Scene {
         name: "rivals-unprepared",
         clients: Clients {
-            drafts: &[Draft(5), Draft::rival(5)],
+            submissions: &[Submission(5), Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
             power_losses: 1,
             waits: 2,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
         catches: &[Mutation::PromisesSkipped],
         ..BASE
@@ -473,15 +476,15 @@
         name: "reported-late",
         members: 5,
         clients: Clients {
-            drafts: &[Draft::rival(5)],
+            submissions: &[Submission::conflicting(5)],
             ..NO_CLIENTS
         },
         budget: Budget {
             waits: 2,
-            ..NOTHING
+            ..EMPTY_BUDGET
         },
-        is_disconnect_late: true,
-        opening: &MEMBER_PAUSED,
+        is_disconnect_queued: true,
+        setup_actions: &MEMBER_PAUSED,
         walks: 10_000,
         catches: &[Mutation::ReportsNeverExpire],
         ..BASE
--- a/crates/tools/modelcheck/src/world/closing.rs
+++ b/crates/tools/modelcheck/src/world/settling.rs
@@ -1,4 +1,4 @@
-//! How a world recovers once faults have ended.
+//! Recovery of a world after all faults have ended.
 
 use super::World;
 use rushcourse_consensus::{Input, ReplicaSummary};
@@ -6,21 +6,21 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The time that a world has to recover: over two changes of the set, each with a new member's silence.
-const CLOSING_TIME: Duration = Duration::from_millis(16_000);
-/// Between two ticks of the controllers meanwhile.
-const CLOSING_TICK: Duration = Duration::from_millis(50);
+/// Time for a world to recover: more than two consecutive replacements of members, each with a state transfer.
+const SETTLING_TIME: Duration = Duration::from_millis(16_000);
+/// Interval between controller ticks while the world settles.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 impl World<'_> {
-    /// Faults end: all that can come back does, and time passes in the small steps of the programs. Then the members of
-    /// the set vote, all hold the same version, and every put has its answer.
-    pub fn close(&mut self) {
+    /// Ends all faults, restarts all controllers that are not lost and advances the clock in small steps. Then checks
+    /// that all members vote, all running controllers have the same version, and every put is answered.
+    pub fn settle(&mut self) {
         for node in self.controller_ids() {
             self.end_faults_of(node);
         }
-        let end = self.now + CLOSING_TIME;
+        let end = self.now + SETTLING_TIME;
         while self.now < end {
-            self.now += CLOSING_TICK;
+            self.now += TICK_INTERVAL;
             for node in self.controller_ids() {
                 self.step(node, Input::Tick);
             }
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Of the controllers that run.
+    /// Summaries of the running controllers.
     fn summaries(&self) -> BTreeMap<NodeId, ReplicaSummary> {
         let ids = self.controllers.keys();
         ids.filter_map(|node| Some((*node, self.summary(*node)?)))
