--- a/crates/director/director/src/effects.rs
+++ b/crates/director/director/src/effects.rs
@@ -132,7 +132,7 @@
                 .start(host, &address, path, timeout, self.loop_sender.clone()),
             Effect::Stream(effect) => {
                 if let Some(grpc) = &mut self.grpc {
-                    grpc.carry_out(effect);
+                    grpc.apply_effect(effect);
                 }
             }
             Effect::ReloadConfig => self.requests.reload = true,
--- a/crates/director/director/tests/grpc/discovery.rs
+++ b/crates/director/director/tests/grpc/discovery.rs
@@ -190,5 +190,9 @@
     harness
         .wait_until("served", || proxy.table("look").endpoints.len() == 1)
         .await;
-    assert_eq!(harness.relay.watches_started(), 0, "nobody asked the relay");
+    assert_eq!(
+        harness.relay.total_watch_count(),
+        0,
+        "nobody asked the relay"
+    );
 }
--- a/crates/director/director/tests/grpc/identity.rs
+++ b/crates/director/director/tests/grpc/identity.rs
@@ -33,7 +33,7 @@
     let (harness, at) = serving(", ping_every_ms = 300, ping_within_ms = 300").await;
     let link = Link::start(free_address(), at).await.expect("a link");
     let vanished = joined(&harness, link.address, proxy(3, true)).await;
-    link.freeze(true);
+    link.set_frozen(true);
     harness
         .wait_for_metric("rushcourse_streams_joined", 1.0)
         .await;
--- a/crates/director/director/tests/grpc/peers.rs
+++ b/crates/director/director/tests/grpc/peers.rs
@@ -24,7 +24,11 @@
     for path in [ADS, LRS] {
         let mut call = RawCall::open(at, path, 0).await.expect("a call");
         call.send_message(&[0; 200], 20).expect("sent");
-        assert_eq!(call.ended().await, status(DEADLINE_EXCEEDED), "{path}");
+        assert_eq!(
+            call.wait_for_end().await,
+            status(DEADLINE_EXCEEDED),
+            "{path}"
+        );
     }
     assert!(harness.metric("rushcourse_streams_silent_total").await >= 2.0);
 }
@@ -33,7 +37,7 @@
 async fn assert_large_calls_are_rejected(at: SocketAddr) {
     let mut call = RawCall::open(at, ADS, 0).await.expect("a call");
     call.send_message(&vec![0; 1 << 20], 1 << 20).expect("sent");
-    let ended = call.ended().await;
+    let ended = call.wait_for_end().await;
     assert!(
         ended == status(OUT_OF_RANGE)
             || ended == status(RESOURCE_EXHAUSTED)
@@ -41,7 +45,7 @@
         "{ended:?}"
     );
     let ended = match RawCall::open(at, ADS, 64 << 10).await {
-        Ok(call) => Some(call.ended().await),
+        Ok(call) => Some(call.wait_for_end().await),
         Err(_) => None,
     };
     assert_ne!(ended, Some(status(OK)));
@@ -88,11 +92,11 @@
         let mut call = RawCall::open(at, path, 0).await.expect("a call");
         call.send_message(message, message.len()).expect("sent");
         call.finish().expect("sent");
-        assert_eq!(call.ended().await, status(OK), "{path}");
+        assert_eq!(call.wait_for_end().await, status(OK), "{path}");
     }
     let mut call = RawCall::open(at, "/no.such.Service/Method", 0)
         .await
         .expect("a call");
     call.finish().expect("sent");
-    assert_eq!(call.ended().await, status(UNIMPLEMENTED));
+    assert_eq!(call.wait_for_end().await, status(UNIMPLEMENTED));
 }
--- a/crates/director/director/tests/grpc/reports.rs
+++ b/crates/director/director/tests/grpc/reports.rs
@@ -68,14 +68,14 @@
         .wait_for_metric("rushcourse_node_reports_spoilt_total", 1.0)
         .await;
     host.set_utilization(0.7);
-    host.stall(true);
+    host.set_stalled(true);
     harness
         .wait_for_metric("rushcourse_node_stalls_total", 1.0)
         .await;
     harness
         .wait_until("dialed anew", || host.stream_count() >= 2)
         .await;
-    host.stall(false);
+    host.set_stalled(false);
     let before = harness.metric("rushcourse_node_reports_taken_total").await;
     harness
         .wait_for_metric("rushcourse_node_reports_taken_total", before + 2.0)
--- a/crates/director/director/tests/sockets/lifecycle.rs
+++ b/crates/director/director/tests/sockets/lifecycle.rs
@@ -60,7 +60,7 @@
     // When the relay and discovery move, with a second signal during the move, which asks for the same again.
     let relay = harness
         .relay
-        .also_at(free_address())
+        .listen_at(free_address())
         .await
         .expect("the relay elsewhere");
     let discovery = discovery_elsewhere().await;
@@ -72,7 +72,7 @@
         .await;
     harness
         .wait_until("a watch stands at the new place", || {
-            harness.relay.watches_started() >= 2
+            harness.relay.total_watch_count() >= 2
         })
         .await;
     harness
--- a/crates/director/grpc/src/transport.rs
+++ b/crates/director/grpc/src/transport.rs
@@ -224,7 +224,7 @@
     }
 
     /// Does what the state asks for.
-    pub fn carry_out(&mut self, effect: Effect) {
+    pub fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::SendResponse { stream, response } => self.send_response(stream, response),
             Effect::EndStream {
--- a/examples/grpc-standin/src/host.rs
+++ b/examples/grpc-standin/src/host.rs
@@ -98,7 +98,7 @@
     }
 
     /// From now on it answers pings and reports nothing, or reports again.
-    pub fn stall(&self, is_stalled: bool) {
+    pub fn set_stalled(&self, is_stalled: bool) {
         self.shared.is_reporting.send_replace(!is_stalled);
     }
 
--- a/examples/grpc-standin/src/link.rs
+++ b/examples/grpc-standin/src/link.rs
@@ -32,7 +32,7 @@
     }
 
     /// Freezes it, or lets bytes pass again.
-    pub fn freeze(&self, is_frozen: bool) {
+    pub fn set_frozen(&self, is_frozen: bool) {
         self.is_open.send_replace(!is_frozen);
     }
 }
--- a/examples/grpc-standin/src/raw.rs
+++ b/examples/grpc-standin/src/raw.rs
@@ -68,7 +68,7 @@
     }
 
     /// Waits for the end of the call.
-    pub async fn ended(self) -> CallEnd {
+    pub async fn wait_for_end(self) -> CallEnd {
         let response = match self.response.await {
             Ok(response) => response,
             Err(error) => return CallEnd::Reset(error.to_string()),
--- a/examples/standin/src/relay/mod.rs
+++ b/examples/standin/src/relay/mod.rs
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// The address can't be bound.
-    pub async fn also_at(&self, address: SocketAddr) -> io::Result<Relay> {
+    pub async fn listen_at(&self, address: SocketAddr) -> io::Result<Relay> {
         Relay::serve(self.shared.clone(), address).await
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// Watches that ever stood.
-    pub fn watches_started(&self) -> usize {
-        self.shared.state().watches_started
+    pub fn total_watch_count(&self) -> usize {
+        self.shared.state().total_watch_count
     }
 }
--- a/examples/standin/src/relay/server.rs
+++ b/examples/standin/src/relay/server.rs
@@ -72,7 +72,7 @@
     let joined = {
         let mut state = shared.state();
         state.watcher_count += 1;
-        state.watches_started += 1;
+        state.total_watch_count += 1;
         state
             .joined
             .iter()
--- a/examples/standin/src/relay/state.rs
+++ b/examples/standin/src/relay/state.rs
@@ -76,7 +76,7 @@
     /// Watches that stand.
     pub(super) watcher_count: usize,
     /// Watches that ever stood.
-    pub(super) watches_started: usize,
+    pub(super) total_watch_count: usize,
 }
 
 impl State {
--- a/examples/standin/src/scenario.rs
+++ b/examples/standin/src/scenario.rs
@@ -4,7 +4,7 @@
 use crate::discovery::Discovery;
 use crate::host;
 use crate::relay::Relay;
-use crate::wait::{PATIENCE, WaitTimeout, wait_until};
+use crate::wait::{WAIT_TIMEOUT, WaitTimeout, wait_until};
 use serde_json::Value;
 use std::fmt;
 use std::io;
@@ -188,7 +188,7 @@
 async fn wait_for_director(director: SocketAddr) -> Result<(), ScenarioError> {
     let start = Instant::now();
     while ping(director).await.is_err() {
-        if start.elapsed() > PATIENCE {
+        if start.elapsed() > WAIT_TIMEOUT {
             let what = "the director answers a ping".into();
             return Err(WaitTimeout { what }.into());
         }
