--- a/crates/director/grpc/build.rs
+++ b/crates/director/grpc/build.rs
@@ -1,4 +1,4 @@
-//! Makes code of the published messages: `protox` reads them, no `protoc` is needed.
+//! Generates Rust code for the xDS and ORCA messages in `proto/`. `protox` compiles them, so `protoc` is not required.
 
 use prost::Message;
 use std::path::PathBuf;
--- a/crates/director/grpc/src/connections.rs
+++ b/crates/director/grpc/src/connections.rs
@@ -1,5 +1,5 @@
-//! Connections at the gRPC address: how many there may be, which is closed where there are too many, and when one that
-//! carries no stream is closed. What HTTP/2 itself bounds is set where the server is built.
+//! Limits on connections to the gRPC server: their number, which one is closed when the limit is reached, and the idle
+//! timeout. HTTP/2 limits are set in `server.rs`.
 
 use futures_util::task::AtomicWaker;
 use rushcourse_xds::ConnectionId;
@@ -16,20 +16,21 @@
 use tokio::time::{Instant, Sleep};
 use tonic::transport::server::Connected;
 
-/// Delay after an accept that failed, as when descriptors are short.
+/// Delay after a failed `accept`, for example when the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 #[derive(Debug, Default)]
 struct ConnectionState {
-    /// Streams that are open on it.
+    /// Number of open streams.
     stream_count: AtomicUsize,
-    /// A peer on it has identified itself and was answered.
-    is_useful: AtomicBool,
-    is_killed: AtomicBool,
+    /// Whether a response was sent to a peer on this connection.
+    is_in_use: AtomicBool,
+    is_aborted: AtomicBool,
+    /// Wakes the task that reads from the connection.
     waker: AtomicWaker,
 }
 
-/// What streams know of their connection.
+/// Shared handle to a connection, held by its streams.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnectionHandle {
     id: ConnectionId,
@@ -44,39 +45,37 @@
         }
     }
 
-    /// The connection's number.
     pub(crate) fn id(&self) -> ConnectionId {
         self.id
     }
 
-    /// A stream was opened on it.
     pub(crate) fn stream_opened(&self) {
         self.state.stream_count.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// A stream on it has ended.
+    /// Decrements the stream count and wakes the connection, so that its idle timeout starts after the last stream.
     pub(crate) fn stream_ended(&self) {
         self.state.stream_count.fetch_sub(1, Ordering::Relaxed);
         self.state.waker.wake();
     }
 
-    /// A peer on it was answered: it is not the first to be closed.
-    pub(crate) fn mark_useful(&self) {
-        self.state.is_useful.store(true, Ordering::Relaxed);
+    /// Protects the connection from being closed to make room for a new one.
+    pub(crate) fn mark_in_use(&self) {
+        self.state.is_in_use.store(true, Ordering::Relaxed);
     }
 
-    /// Closes the connection, whatever its peer does.
-    pub(crate) fn kill(&self) {
-        self.state.is_killed.store(true, Ordering::Relaxed);
+    /// Closes the connection without waiting for its streams.
+    pub(crate) fn abort(&self) {
+        self.state.is_aborted.store(true, Ordering::Relaxed);
         self.state.waker.wake();
     }
 
-    fn is_useful(&self) -> bool {
-        self.state.is_useful.load(Ordering::Relaxed)
+    fn is_in_use(&self) -> bool {
+        self.state.is_in_use.load(Ordering::Relaxed)
     }
 
-    fn is_killed(&self) -> bool {
-        self.state.is_killed.load(Ordering::Relaxed)
+    fn is_aborted(&self) -> bool {
+        self.state.is_aborted.load(Ordering::Relaxed)
     }
 
     fn has_streams(&self) -> bool {
@@ -84,7 +83,7 @@
     }
 }
 
-/// The connections that are open, and how many there may be.
+/// Limits the number of open connections. Clones share the same connections.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnectionLimit {
     max_connections: usize,
@@ -93,7 +92,7 @@
 }
 
 impl ConnectionLimit {
-    /// At most `max_connections`; one that carries no stream is closed after `idle_timeout`.
+    /// Allows at most `max_connections`. A connection without streams is closed after `idle_timeout`.
     pub(crate) fn new(max_connections: usize, idle_timeout: Duration) -> ConnectionLimit {
         ConnectionLimit {
             max_connections,
@@ -106,8 +105,8 @@
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Accepts the next connection. Where there are too many, the oldest of those is closed that no peer is served on;
-    /// where all are useful, the new one is.
+    /// Accepts the next connection. At the limit, the oldest connection that is not in use is closed; if all are in use,
+    /// the new connection is rejected and the next one is awaited.
     pub(crate) async fn accept(
         &self,
         listener: &TcpListener,
@@ -115,7 +114,7 @@
     ) -> LimitedConnection {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
-                // It is one peer's failure, or it passes: the server goes on.
+                // Accept errors are specific to one peer or transient.
                 tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
@@ -134,27 +133,27 @@
         }
     }
 
-    /// Makes room for a connection. Returns whether there is some.
+    /// Registers a connection, closing another one if the limit is reached. Returns `false` if there is no room.
     fn admit(&self, handle: &ConnectionHandle) -> bool {
         let mut open = self.open();
         if open.len() >= self.max_connections {
-            let Some(oldest) = open.values().find(|open| !open.is_useful()).cloned() else {
+            let Some(oldest) = open.values().find(|open| !open.is_in_use()).cloned() else {
                 return false;
             };
             open.remove(&oldest.id);
-            oldest.kill();
+            oldest.abort();
         }
         open.insert(handle.id, handle.clone());
         true
     }
 }
 
-/// A connection that ends when it is killed, or when it has carried no stream for too long.
+/// A TCP connection whose reads fail once it is aborted or its idle timeout expires, which makes the server close it.
 pub(crate) struct LimitedConnection {
     stream: TcpStream,
     handle: ConnectionHandle,
     idle_deadline: Pin<Box<Sleep>>,
-    /// It carried a stream when it was last looked at.
+    /// Whether the connection had open streams at the last check.
     had_streams: bool,
     limit: ConnectionLimit,
 }
@@ -165,11 +164,11 @@
     }
 }
 
-/// What a request knows of its connection.
+/// Connection details that tonic attaches to each request.
 #[derive(Clone, Debug)]
 pub(crate) struct ConnectionInfo {
     pub(crate) handle: ConnectionHandle,
-    /// The peer's address, for the log.
+    /// Address of the peer for log messages. Empty if it is unknown.
     pub(crate) peer: String,
 }
 
@@ -189,19 +188,21 @@
     }
 }
 
-fn killed() -> io::Error {
-    io::Error::new(io::ErrorKind::ConnectionAborted, "told to end")
+fn aborted() -> io::Error {
+    io::Error::new(
+        io::ErrorKind::ConnectionAborted,
+        "connection closed by the server",
+    )
 }
 
 impl LimitedConnection {
-    /// Fails if the connection has to end now.
+    /// Returns an error if the connection was aborted or its idle timeout has expired.
     fn check_alive(&mut self, cx: &mut Context<'_>) -> io::Result<()> {
         self.handle.state.waker.register(cx.waker());
-        if self.handle.is_killed() {
-            return Err(killed());
+        if self.handle.is_aborted() {
+            return Err(aborted());
         }
-        // While it carries a stream, it is not idle. The time runs anew from the end of the last stream, so that a
-        // status still goes out.
+        // The idle timeout restarts when the last stream ends, so that the stream's final status can still be sent.
         let has_streams = self.handle.has_streams();
         let had_streams = std::mem::replace(&mut self.had_streams, has_streams);
         if had_streams && !has_streams {
@@ -212,7 +213,7 @@
             return Ok(());
         }
         match self.idle_deadline.as_mut().poll(cx) {
-            Poll::Ready(()) => Err(io::Error::new(io::ErrorKind::TimedOut, "no stream on it")),
+            Poll::Ready(()) => Err(io::Error::new(io::ErrorKind::TimedOut, "idle timeout")),
             Poll::Pending => Ok(()),
         }
     }
@@ -237,8 +238,8 @@
         cx: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.handle.is_killed() {
-            return Poll::Ready(Err(killed()));
+        if self.handle.is_aborted() {
+            return Poll::Ready(Err(aborted()));
         }
         Pin::new(&mut self.stream).poll_write(cx, bytes)
     }
--- a/crates/director/grpc/src/convert/assignment.rs
+++ b/crates/director/grpc/src/convert/assignment.rs
@@ -1,4 +1,4 @@
-//! Endpoint tables (`ClusterLoadAssignment`).
+//! Conversion of endpoint tables from and to `ClusterLoadAssignment` messages.
 
 use super::common::{decode_address, encode_address};
 use crate::proto::envoy::config::core::v3 as core;
@@ -14,23 +14,23 @@
 use rushcourse_xds::{ClusterLoadAssignment, Endpoint, Locality};
 use std::collections::BTreeMap;
 
-/// Our own fields stand in `metadata.filter_metadata` under this name.
+/// Key in `metadata.filter_metadata` of the director's own metadata fields.
 const METADATA_NAMESPACE: &str = "rushcourse";
-/// Of a locality: the retry policy, by one of the words below.
+/// Locality metadata field with the retry policy, one of [`RETRY_POLICY_NAMES`].
 const RETRY_POLICY_FIELD: &str = "again";
-/// Of an endpoint: the host's name in the membership list.
+/// Endpoint metadata field with the host's ID from the membership list.
 const HOST_FIELD: &str = "host";
-/// The words for retry policies.
-const RETRY_POLICIES: [(RetryPolicy, &str); 4] = [
+/// Retry policies and their names in metadata.
+const RETRY_POLICY_NAMES: [(RetryPolicy, &str); 4] = [
     (RetryPolicy::Never, "never"),
     (RetryPolicy::OnceIfNotRun, "after_proof"),
     (RetryPolicy::OnceAfterFailure, "once_after_any"),
     (RetryPolicy::TwiceAfterFailure, "twice_after_any"),
 ];
-/// The category of drops that admission levels make.
+/// Drop category of the requests that admission control rejects.
 const ADMISSION_CATEGORY: &str = "admission";
 
-/// The published message of an assignment.
+/// Encodes an assignment as an xDS message.
 pub fn encode_assignment(assignment: &ClusterLoadAssignment) -> endpoint::ClusterLoadAssignment {
     let retry_policy = encode_retry_policy(assignment.retry_policy);
     let drop_overloads = if assignment.drop_per_million > 0 {
@@ -49,7 +49,7 @@
     }
 }
 
-/// The assignment of a published message; nothing where a part that is needed is missing.
+/// Decodes an xDS message. Returns `None` if a required field is missing or the retry policy is unknown.
 pub fn decode_assignment(
     message: &endpoint::ClusterLoadAssignment,
 ) -> Option<ClusterLoadAssignment> {
@@ -80,14 +80,14 @@
 }
 
 fn encode_retry_policy(retry_policy: RetryPolicy) -> &'static str {
-    RETRY_POLICIES
+    RETRY_POLICY_NAMES
         .iter()
         .find(|(policy, _)| *policy == retry_policy)
         .map_or("never", |(_, word)| word)
 }
 
 fn decode_retry_policy(text: &str) -> Option<RetryPolicy> {
-    RETRY_POLICIES
+    RETRY_POLICY_NAMES
         .iter()
         .find(|(_, word)| *word == text)
         .map(|(policy, _)| *policy)
@@ -99,8 +99,8 @@
             zone: locality.zone.clone(),
             ..core::Locality::default()
         }),
-        // With the sum of its endpoints' weights, a proxy that picks a locality first picks as one that picks among all
-        // endpoints.
+        // The sum of the endpoint weights, so that locality-weighted balancing gives each endpoint the same share as
+        // balancing over all endpoints.
         load_balancing_weight: Some(
             locality
                 .endpoints
@@ -154,7 +154,7 @@
     }
 }
 
-/// A share in millionths.
+/// Converts a fraction to parts per million.
 fn per_million(share: &percent::FractionalPercent) -> u32 {
     const MILLION: i32 = DenominatorType::Million as i32;
     const TEN_THOUSAND: i32 = DenominatorType::TenThousand as i32;
--- a/crates/director/grpc/src/convert/common.rs
+++ b/crates/director/grpc/src/convert/common.rs
@@ -1,4 +1,4 @@
-//! Parts that several messages have: nodes, addresses, spans.
+//! Conversion of nodes, addresses and durations.
 
 use crate::proto::envoy::config::core::v3 as core;
 use prost_types::Duration;
@@ -9,7 +9,8 @@
 const NANOS_PER_MS: f64 = 1e6;
 const NANOS_PER_SECOND: i32 = 1_000_000_000;
 
-/// An address from host:port; an IPv6 address stands in brackets. A host's name is kept as it is.
+/// Encodes `host:port`, where an IPv6 address is in brackets. Host names are not resolved. A missing or invalid port
+/// becomes 0.
 pub(super) fn encode_address(text: &str) -> core::Address {
     let (host, port) = text.rsplit_once(':').unwrap_or((text, ""));
     let port = core::socket_address::PortSpecifier::PortValue(port.parse().unwrap_or(0));
@@ -26,7 +27,8 @@
     }
 }
 
-/// An address as host:port; nothing where it has no port.
+/// Decodes an address to `host:port`, with brackets around an IPv6 address. Returns `None` if the address or its numeric
+/// port is missing.
 pub(super) fn decode_address(address: Option<&core::Address>) -> Option<String> {
     let core::address::Address::SocketAddress(socket_address) = address?.address.as_ref()?;
     let Some(core::socket_address::PortSpecifier::PortValue(port)) = &socket_address.port_specifier
@@ -41,7 +43,7 @@
     })
 }
 
-/// A span of so many ms.
+/// Converts non-negative milliseconds to a protobuf duration.
 pub fn encode_duration(ms: Ms) -> Duration {
     Duration {
         seconds: (ms / 1000.0).floor() as i64,
@@ -49,7 +51,7 @@
     }
 }
 
-/// A span in ms; nothing where it is negative, or its nanoseconds are a second or more.
+/// Converts a protobuf duration to milliseconds. Returns `None` if it is negative or `nanos` is not below one second.
 pub fn decode_duration(duration: &Duration) -> Option<Ms> {
     let is_valid = duration.seconds >= 0 && (0..NANOS_PER_SECOND).contains(&duration.nanos);
     is_valid.then(|| duration.seconds as f64 * 1000.0 + f64::from(duration.nanos) / NANOS_PER_MS)
--- a/crates/director/grpc/src/convert/discovery.rs
+++ b/crates/director/grpc/src/convert/discovery.rs
@@ -1,4 +1,4 @@
-//! Requests and responses of discovery streams.
+//! Conversion of discovery requests and responses.
 
 use super::assignment::encode_assignment;
 use super::common::decode_node;
@@ -36,7 +36,7 @@
     }
 }
 
-/// A response of the director of this name.
+/// Encodes a state-of-the-world response. `director` is sent as the control plane identifier.
 pub(crate) fn encode_response(
     director: &str,
     response: DiscoveryResponse,
@@ -50,7 +50,7 @@
     }
 }
 
-/// A response of the director of this name.
+/// Encodes a delta response. `director` is sent as the control plane identifier.
 pub(crate) fn encode_delta_response(
     director: &str,
     response: DeltaDiscoveryResponse,
--- a/crates/director/grpc/src/convert/load_reports.rs
+++ b/crates/director/grpc/src/convert/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of proxies (LRS) and of hosts (ORCA).
+//! Conversion of load reports from proxies (LRS) and from hosts (ORCA).
 
 use super::common::{decode_address, decode_duration, decode_node, encode_duration};
 use crate::proto::envoy::config::endpoint::v3 as endpoint;
@@ -8,7 +8,7 @@
     ClusterStats, EndpointStats, LoadMetric, LoadStatsRequest, LoadStatsResponse, OrcaLoadReport,
 };
 
-/// The named metric with the number of requests that wait at a host.
+/// ORCA named metric with the number of requests queued at a host.
 const QUEUE_METRIC: &str = "queue";
 
 pub(crate) fn decode_load_stats(request: load_stats::LoadStatsRequest) -> LoadStatsRequest {
@@ -22,7 +22,7 @@
     }
 }
 
-/// Asks for reports on all clusters, by endpoint.
+/// Encodes a response that requests reports on all clusters with endpoint granularity.
 pub(crate) fn encode_load_stats_response(
     response: LoadStatsResponse,
 ) -> load_stats::LoadStatsResponse {
--- a/crates/director/grpc/src/convert/mod.rs
+++ b/crates/director/grpc/src/convert/mod.rs
@@ -1,10 +1,10 @@
-//! The published messages and the plain types of `rushcourse_xds`, each way. What a message may say and is not used is
-//! not looked at; figures are checked by whoever uses them.
+//! Conversion between protobuf messages and the types of `rushcourse_xds`. Fields that the director doesn't use are
+//! ignored. Numeric ranges are validated by `rushcourse_xds`, not here.
 //!
 //! * `assignment.rs`: endpoint tables.
-//! * `discovery.rs`: requests and responses of discovery streams.
-//! * `load_reports.rs`: load reports of proxies (LRS) and of hosts (ORCA).
-//! * `common.rs`: nodes, addresses, spans.
+//! * `discovery.rs`: discovery requests and responses.
+//! * `load_reports.rs`: load reports from proxies (LRS) and from hosts (ORCA).
+//! * `common.rs`: nodes, addresses, durations.
 
 mod assignment;
 mod common;
--- a/crates/director/grpc/src/events.rs
+++ b/crates/director/grpc/src/events.rs
@@ -1,73 +1,69 @@
-//! What the tasks of this package report to the owner of the transport, and what goes to a stream's task.
+//! Channels between stream tasks and the transport: events to the transport, commands to a stream.
 
 use crate::connections::ConnectionHandle;
 use rushcourse_xds::{Input, Response, StatusCode, StreamId};
 use tokio::sync::mpsc;
 
-/// What goes to a stream.
+/// Command from the transport to a stream's task.
 #[derive(Debug)]
 pub(crate) enum StreamCommand {
-    /// A response to send.
     Respond(Response),
-    /// The stream ends with this status and message.
+    /// Ends the stream with this status and message.
     End(StatusCode, String),
 }
 
-/// Commands that may wait for a stream's transport: one response is given at a time, and a status after it.
-pub(crate) const MAX_WAITING_COMMANDS: usize = 2;
+/// Capacity of a stream's command channel: at most one response is pending, and a final status may follow it.
+pub(crate) const COMMAND_CHANNEL_CAPACITY: usize = 2;
 
-/// What a task reports.
+/// Event from a stream's task to the transport.
 #[derive(Debug)]
 pub(crate) enum TransportEvent {
-    /// An input as it is.
+    /// An input that the transport returns unchanged.
     Input(Input),
-    /// A stream was opened.
+    /// A proxy opened a stream. The transport keeps its command channel and returns `input`.
     StreamOpened {
-        /// Its number.
         stream: StreamId,
-        /// The input that says so.
         input: Input,
-        /// How to write to it.
         commands: mpsc::Sender<StreamCommand>,
-        /// Its connection.
         connection: ConnectionHandle,
     },
 }
 
-/// Where tasks report to.
+/// Sender of transport events. The bounded channel applies backpressure to peers; the unbounded one is for events whose
+/// number is limited otherwise.
 #[derive(Clone, Debug)]
 pub(crate) struct EventSender {
     bounded: mpsc::Sender<TransportEvent>,
     unbounded: mpsc::UnboundedSender<TransportEvent>,
 }
 
-/// The owner of the transport has gone.
+/// The transport was dropped, so the event has no receiver.
 #[derive(Debug)]
-pub(crate) struct TransportGone;
+pub(crate) struct TransportClosed;
 
 impl EventSender {
-    /// Reports what peers may bring about in any number: it waits its turn.
-    pub(crate) async fn send(&self, event: TransportEvent) -> Result<(), TransportGone> {
-        self.bounded.send(event).await.map_err(|_| TransportGone)
+    /// Sends an event that peers can cause in any number. Waits while the channel is full.
+    pub(crate) async fn send(&self, event: TransportEvent) -> Result<(), TransportClosed> {
+        self.bounded.send(event).await.map_err(|_| TransportClosed)
     }
 
-    /// Reports what happens at most once for a response or a stream: it waits for nothing.
+    /// Sends an input that occurs at most once per response or stream, without waiting. It is discarded if the transport
+    /// was dropped.
     pub(crate) fn send_now(&self, input: Input) {
-        // Where the owner has gone, nobody misses it.
         _ = self.unbounded.send(TransportEvent::Input(input));
     }
 }
 
-/// Where the owner reads.
+/// Receiver of transport events.
 #[derive(Debug)]
 pub(crate) struct EventReceiver {
     bounded: mpsc::Receiver<TransportEvent>,
     unbounded: mpsc::UnboundedReceiver<TransportEvent>,
 }
 
-/// A channel on which at most `max_waiting` events wait that peers bring about.
-pub(crate) fn channel(max_waiting: usize) -> (EventSender, EventReceiver) {
-    let (bounded, bounded_events) = mpsc::channel(max_waiting);
+/// Creates an event channel. `capacity` limits the queued events of [`EventSender::send`].
+pub(crate) fn channel(capacity: usize) -> (EventSender, EventReceiver) {
+    let (bounded, bounded_events) = mpsc::channel(capacity);
     let (unbounded, unbounded_events) = mpsc::unbounded_channel();
     (
         EventSender { bounded, unbounded },
@@ -79,7 +75,7 @@
 }
 
 impl EventReceiver {
-    /// The next event; those that wait for nothing come first.
+    /// Waits for the next event. Events of [`EventSender::send_now`] take precedence.
     pub(crate) async fn recv(&mut self) -> Option<TransportEvent> {
         tokio::select! {
             biased;
@@ -88,7 +84,7 @@
         }
     }
 
-    /// An event that is there already.
+    /// Returns a queued event, or `None` if both channels are empty.
     pub(crate) fn try_recv(&mut self) -> Option<TransportEvent> {
         self.unbounded
             .try_recv()
--- a/crates/director/grpc/src/lib.rs
+++ b/crates/director/grpc/src/lib.rs
@@ -1,8 +1,8 @@
-//! gRPC on sockets: a server for proxies (aggregated discovery and load reports, with health and reflection), and
-//! clients that receive the load reports of hosts. What was read becomes an input of `rushcourse_xds`, whose effects
-//! are carried out here; nothing is decided.
+//! gRPC transport of the director: a server for proxies (aggregated discovery, load reporting, health, reflection) and
+//! clients that receive out-of-band load reports from hosts.
 //!
-//! [`GrpcTransport`] owns all of it: effects in, inputs out.
+//! Received messages become inputs of the state machine in `rushcourse_xds`, and its effects are applied here. This
+//! crate makes no routing decisions. [`GrpcTransport`] owns the server, the clients and their tasks.
 
 mod connections;
 pub mod convert;
--- a/crates/director/grpc/src/proto.rs
+++ b/crates/director/grpc/src/proto.rs
@@ -1,6 +1,6 @@
-//! The published messages, as far as they are used: made by the build from `proto/`.
+//! Messages and services that the build script generates from `proto/`, a subset of the published xDS and ORCA APIs.
 
-// Generated code: its names, comments and lengths are those of the published files and of the generator.
+// The lints don't apply to generated code.
 #![allow(
     clippy::all,
     clippy::missing_errors_doc,
@@ -8,7 +8,7 @@
     missing_docs
 )]
 
-/// Descriptors of all of them, for reflection.
+/// Encoded `FileDescriptorSet` of all files in `proto/`, served by gRPC reflection.
 pub const DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/messages.bin"));
 
 include!(concat!(env!("OUT_DIR"), "/messages.rs"));
--- a/crates/director/grpc/src/report_client.rs
+++ b/crates/director/grpc/src/report_client.rs
@@ -1,4 +1,4 @@
-//! The client that receives a host's load reports, out of band (ORCA): one task each; whoever drops it aborts the task.
+//! Client that receives out-of-band load reports (ORCA) from a host, one task per host.
 
 use crate::convert;
 use crate::events::{EventSender, TransportEvent};
@@ -13,26 +13,25 @@
 use tonic::Status;
 use tonic::transport::Endpoint;
 
-/// A connection has to be established within this.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
-/// A peer that is gone without a word is noticed by HTTP/2's pings.
+/// Interval of HTTP/2 keepalive pings, which detect hosts that failed without closing the connection.
 const PING_INTERVAL: Duration = Duration::from_secs(2);
 const PING_TIMEOUT: Duration = Duration::from_secs(2);
-/// No report is larger, in bytes.
+/// Maximum size of a report in bytes.
 const MAX_REPORT_SIZE: usize = 16 << 10;
 
-/// A report stream to a host.
+/// Target and parameters of a report stream.
 #[derive(Debug)]
 pub(crate) struct ReportStream {
     pub(crate) host: HostId,
     pub(crate) dial: DialId,
-    /// host:port.
+    /// The host's gRPC endpoint as `host:port`.
     pub(crate) address: String,
-    /// ms between two reports, as asked of the host.
+    /// Interval between reports requested from the host, in ms.
     pub(crate) report_interval: Ms,
 }
 
-/// Why a report stream has ended.
+/// Reason why a report stream failed.
 #[derive(Debug)]
 enum ReportStreamError {
     Address(String),
@@ -44,7 +43,7 @@
 impl fmt::Display for ReportStreamError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ReportStreamError::Address(address) => write!(f, "{address} is no address"),
+            ReportStreamError::Address(address) => write!(f, "invalid address {address}"),
             ReportStreamError::Connect(error) => match error.source() {
                 Some(source) => write!(f, "{error}: {source}"),
                 None => write!(f, "{error}"),
@@ -57,11 +56,12 @@
 
 impl Error for ReportStreamError {}
 
-/// Opens a report stream in a task of its own, which reports its end last.
+/// Spawns a task that receives reports. It sends [`Input::ReportStreamClosed`] when the stream ends, but not when it is
+/// aborted.
 pub(crate) fn open(stream: ReportStream, events: EventSender) -> AbortHandle {
     let task = tokio::spawn(async move {
         let reason = match stream.receive(&events).await {
-            Ok(()) => "it ended its reports".into(),
+            Ok(()) => "host ended the stream".into(),
             Err(error) => error.to_string(),
         };
         let closed = Input::ReportStreamClosed {
@@ -69,7 +69,7 @@
             dial: stream.dial,
             reason,
         };
-        // Where the transport has gone, nobody misses the report.
+        // Sending fails only if the transport was dropped.
         _ = events.send(TransportEvent::Input(closed)).await;
     });
     task.abort_handle()
--- a/crates/director/grpc/src/response_stream.rs
+++ b/crates/director/grpc/src/response_stream.rs
@@ -1,4 +1,5 @@
-//! What goes out on one stream of the server. A response is taken from its queue only when the transport has room.
+//! Outgoing responses of one server stream. A response is taken from the channel only when HTTP/2 flow control has
+//! capacity for it.
 
 use crate::connections::ConnectionHandle;
 use crate::events::{EventSender, StreamCommand};
@@ -10,15 +11,15 @@
 use tokio::task::AbortHandle;
 use tonic::Status;
 
-/// Encodes a response; nothing where it is of another kind of stream.
+/// Encodes a response. Returns `None` if the response belongs to another kind of stream.
 pub(crate) type Encode<T> = Box<dyn Fn(Response) -> Option<T> + Send>;
 
-/// What was wrong with the requests of a stream, if that ended it.
+/// Error status of a stream's requests, shared between the task that reads them and the response stream.
 #[derive(Clone, Default)]
 pub(crate) struct RequestError(Arc<Mutex<Option<Status>>>);
 
 impl RequestError {
-    /// The stream ends with this status.
+    /// Sets the status that ends the response stream.
     pub(crate) fn set(&self, status: Status) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = Some(status);
     }
@@ -28,14 +29,14 @@
     }
 }
 
-/// The responses on one stream; when it is dropped, the stream has ended.
+/// Responses of one stream. Dropping it closes the stream and stops the task that reads its requests.
 pub(crate) struct ResponseStream<T> {
     pub(crate) stream: StreamId,
     pub(crate) commands: mpsc::Receiver<StreamCommand>,
     pub(crate) events: EventSender,
     pub(crate) connection: ConnectionHandle,
     pub(crate) encode: Encode<T>,
-    /// Reads the requests; it ends with the responses.
+    /// Task that reads the requests, aborted on drop.
     pub(crate) request_reader: AbortHandle,
     pub(crate) request_error: RequestError,
 }
@@ -52,7 +53,7 @@
                     self.commands.close();
                     return Poll::Ready(Some(Err(status(code, message))));
                 }
-                // The transport polls only when it has room: it accepts this response.
+                // The transport polls only when it can send, so this response counts as accepted.
                 Poll::Ready(Some(StreamCommand::Respond(response))) => {
                     self.events.send_now(Input::ResponseAccepted {
                         stream: self.stream,
--- a/crates/director/grpc/src/server.rs
+++ b/crates/director/grpc/src/server.rs
@@ -1,4 +1,4 @@
-//! The server at one address: connections are accepted, made private, and served.
+//! gRPC server for one listen address: accepts connections, performs TLS handshakes and serves requests.
 
 use crate::connections::ConnectionLimit;
 use crate::proto::DESCRIPTORS;
@@ -18,50 +18,55 @@
 use tokio_stream::wrappers::ReceiverStream;
 use tonic::transport::Server;
 
-/// Bytes of a request's headers. Frames and windows are HTTP/2's smallest.
+/// Maximum size of a request's header list in bytes.
 const MAX_HEADER_SIZE: u32 = 16 << 10;
+/// Initial HTTP/2 flow-control window of a stream in bytes.
 const STREAM_WINDOW: u32 = 64 << 10;
+/// Initial HTTP/2 flow-control window of a connection in bytes.
 const CONNECTION_WINDOW: u32 = 4 * STREAM_WINDOW;
-/// Connections that have finished their handshake and wait for the server.
-const MAX_WAITING_CONNECTIONS: usize = 16;
-/// Streams on one connection: a proxy opens two.
+/// Capacity of the queue of connections that have completed their handshake and are not yet served.
+const READY_CONNECTION_CAPACITY: usize = 16;
+/// Maximum number of concurrent streams per connection. A proxy opens two.
 const MAX_STREAMS_PER_CONNECTION: u32 = 64;
-/// Streams that a peer has reset and the server has not yet looked at.
+/// Maximum number of streams per connection that a peer has reset before the server accepted them (protects against
+/// rapid reset).
 const MAX_PENDING_RESETS: usize = 32;
 
-/// How the server is set up.
+/// Settings of the gRPC server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GrpcServerConfig {
-    /// The address that it listens on.
+    /// Address to listen on. Port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Connections at that address.
+    /// Maximum number of open connections over all listen addresses. Only the value at the first
+    /// [`crate::GrpcTransport::listen`] call takes effect.
     pub max_connections: usize,
-    /// Bytes of one message of a proxy.
+    /// Maximum size of a request message in bytes.
     pub max_message_size: usize,
-    /// How often HTTP/2 asks whether a peer is there.
+    /// Interval between HTTP/2 keepalive pings.
     pub ping_interval: Duration,
-    /// How long it waits for the answer.
+    /// A connection is closed if a keepalive ping is not acknowledged within this time.
     pub ping_timeout: Duration,
-    /// A connection that carries no stream is closed after this.
+    /// A connection without open streams is closed after this time. Only the value at the first
+    /// [`crate::GrpcTransport::listen`] call takes effect.
     pub idle_timeout: Duration,
-    /// Certificates and keys; without, connections are plain.
+    /// Certificate, key and optional client CA. `None` serves plaintext.
     pub tls: Option<TlsFiles>,
 }
 
-/// What a new connection goes through.
+/// Accepts connections and performs TLS handshakes for one listener.
 pub(crate) struct Acceptor {
     pub(crate) listener: TcpListener,
     pub(crate) limit: ConnectionLimit,
     pub(crate) tls: TlsSettings,
-    /// The number of the next connection; numbers are never used twice.
-    pub(crate) next_connection: Arc<AtomicU64>,
+    /// ID of the next connection. Shared by all servers of a transport, so that IDs are never reused.
+    pub(crate) next_connection_id: Arc<AtomicU64>,
 }
 
 impl Acceptor {
-    /// Accepts connections and hands on those that have finished their handshake. A slow handshake holds up no other.
+    /// Accepts connections and sends each to `ready` once its handshake completes. Handshakes run concurrently.
     async fn run(self, ready: mpsc::Sender<io::Result<ServerStream>>) {
         loop {
-            let id = ConnectionId(self.next_connection.fetch_add(1, Ordering::Relaxed));
+            let id = ConnectionId(self.next_connection_id.fetch_add(1, Ordering::Relaxed));
             let stream = self.limit.accept(&self.listener, id).await;
             let (tls, ready) = (self.tls.clone(), ready.clone());
             tokio::spawn(async move {
@@ -73,7 +78,8 @@
     }
 }
 
-/// Serves until it is told to stop, and then until the connections that are open have ended.
+/// Serves connections until `stop` fires or its sender is dropped, then shuts down gracefully: open connections receive
+/// GOAWAY and may finish their streams.
 pub(crate) async fn serve(
     acceptor: Acceptor,
     config: GrpcServerConfig,
@@ -91,7 +97,7 @@
         .register_encoded_file_descriptor_set(DESCRIPTORS)
         .register_encoded_file_descriptor_set(tonic_health::pb::FILE_DESCRIPTOR_SET)
         .build_v1();
-    let (ready, connections) = mpsc::channel(MAX_WAITING_CONNECTIONS);
+    let (ready, connections) = mpsc::channel(READY_CONNECTION_CAPACITY);
     let accepting = tokio::spawn(acceptor.run(ready)).abort_handle();
     let stopped = async move {
         _ = stop.await;
@@ -114,6 +120,6 @@
         .add_service(discovery)
         .add_service(load_reporting)
         .serve_with_incoming_shutdown(ReceiverStream::new(connections), stopped);
-    // It ends with the connections; their own failures end them alone.
+    // Connection errors close only the connection concerned.
     _ = served.await;
 }
--- a/crates/director/grpc/src/services.rs
+++ b/crates/director/grpc/src/services.rs
@@ -1,8 +1,8 @@
-//! The server's services. A stream's requests are read one at a time, in a task of its own.
+//! gRPC services for proxies. Each stream has a task that reads its requests one at a time.
 
 use crate::connections::ConnectionInfo;
 use crate::convert;
-use crate::events::{EventSender, MAX_WAITING_COMMANDS, TransportEvent, TransportGone};
+use crate::events::{COMMAND_CHANNEL_CAPACITY, EventSender, TransportClosed, TransportEvent};
 use crate::proto::envoy::service::discovery::v3 as discovery;
 use crate::proto::envoy::service::load_stats::v3 as load_stats;
 use crate::response_stream::{Encode, RequestError, ResponseStream};
@@ -15,23 +15,22 @@
 use tokio_stream::StreamExt;
 use tonic::{Status, Streaming};
 
-/// Characters that are kept of what ended a stream.
-const MAX_REASON: usize = 200;
+/// Maximum length of the close reason kept from a stream's error status, in characters.
+const MAX_REASON_CHARS: usize = 200;
 
-/// The services, and what their streams have in common.
+/// Implements the discovery and load reporting services.
 #[derive(Clone, Debug)]
 pub(crate) struct Services {
-    /// The director's name, for the responses.
-    pub(crate) name: Arc<str>,
+    /// Control plane identifier sent in discovery responses.
+    pub(crate) director_name: Arc<str>,
     pub(crate) events: EventSender,
-    /// The number of the next stream; numbers are never used twice.
-    pub(crate) next_stream: Arc<AtomicU64>,
+    /// ID of the next stream. Shared by all servers of a transport, so that IDs are never reused.
+    pub(crate) next_stream_id: Arc<AtomicU64>,
 }
 
-/// Decodes a request of one of the services.
 type Decode<M> = fn(M) -> Request;
 
-/// What reads the requests of a stream.
+/// Reads the requests of one stream and reports them as events.
 struct RequestReader<M> {
     stream: StreamId,
     messages: Streaming<M>,
@@ -41,7 +40,7 @@
 }
 
 impl<M: Send + 'static> RequestReader<M> {
-    /// Reports that the stream was opened, then its requests, then its end.
+    /// Sends `opened`, then an event for each request, then [`Input::StreamClosed`].
     async fn run(mut self, opened: TransportEvent) {
         if self.events.send(opened).await.is_err() {
             return;
@@ -58,14 +57,14 @@
                     }
                 }
                 Some(Err(status)) => {
-                    let reason = status.message().chars().take(MAX_REASON).collect();
+                    let reason = status.message().chars().take(MAX_REASON_CHARS).collect();
                     self.error.set(status);
                     break reason;
                 }
                 None => break String::new(),
             }
         };
-        // Its peer sends nothing more: for the state, the stream has ended.
+        // The state machine treats a half-closed stream as closed.
         let closed = Input::StreamClosed {
             stream: self.stream,
             reason,
@@ -73,13 +72,13 @@
         _ = self.report(closed).await;
     }
 
-    async fn report(&self, input: Input) -> Result<(), TransportGone> {
+    async fn report(&self, input: Input) -> Result<(), TransportClosed> {
         self.events.send(TransportEvent::Input(input)).await
     }
 }
 
 impl Services {
-    fn open<M: Send + 'static, T>(
+    fn open_stream<M: Send + 'static, T>(
         &self,
         request: tonic::Request<Streaming<M>>,
         kind: StreamKind,
@@ -90,9 +89,9 @@
         let ConnectionInfo {
             handle: connection,
             peer,
-        } = info.ok_or_else(|| Status::internal("a connection of unknown origin"))?;
-        let stream = StreamId(self.next_stream.fetch_add(1, Ordering::Relaxed));
-        let (command_sender, commands) = mpsc::channel(MAX_WAITING_COMMANDS);
+        } = info.ok_or_else(|| Status::internal("connection info is missing"))?;
+        let stream = StreamId(self.next_stream_id.fetch_add(1, Ordering::Relaxed));
+        let (command_sender, commands) = mpsc::channel(COMMAND_CHANNEL_CAPACITY);
         connection.stream_opened();
         let opened = TransportEvent::StreamOpened {
             stream,
@@ -134,12 +133,12 @@
         &self,
         request: tonic::Request<Streaming<discovery::DiscoveryRequest>>,
     ) -> Result<tonic::Response<Self::StreamAggregatedResourcesStream>, Status> {
-        let name = self.name.clone();
+        let director = self.director_name.clone();
         let encode = move |response| match response {
-            Response::Discovery(response) => Some(convert::encode_response(&name, response)),
+            Response::Discovery(response) => Some(convert::encode_response(&director, response)),
             _ => None,
         };
-        self.open(
+        self.open_stream(
             request,
             StreamKind::StateOfTheWorld,
             |message| Request::Discovery(convert::decode_request(message)),
@@ -151,12 +150,12 @@
         &self,
         request: tonic::Request<Streaming<discovery::DeltaDiscoveryRequest>>,
     ) -> Result<tonic::Response<Self::DeltaAggregatedResourcesStream>, Status> {
-        let name = self.name.clone();
+        let director = self.director_name.clone();
         let encode = move |response| match response {
-            Response::Delta(response) => Some(convert::encode_delta_response(&name, response)),
+            Response::Delta(response) => Some(convert::encode_delta_response(&director, response)),
             _ => None,
         };
-        self.open(
+        self.open_stream(
             request,
             StreamKind::Delta,
             |message| Request::Delta(convert::decode_delta_request(message)),
@@ -177,7 +176,7 @@
             Response::LoadStats(response) => Some(convert::encode_load_stats_response(response)),
             _ => None,
         };
-        self.open(
+        self.open_stream(
             request,
             StreamKind::LoadReporting,
             |message| Request::LoadStats(convert::decode_load_stats(message)),
--- a/crates/director/grpc/src/tls.rs
+++ b/crates/director/grpc/src/tls.rs
@@ -1,5 +1,5 @@
-//! TLS at the gRPC address, with certificates that change in service: new connections get the newest, those that are
-//! open go on.
+//! TLS for the gRPC server. Certificates can be replaced while serving: new connections use the latest ones, open
+//! connections are not affected.
 
 use crate::connections::{ConnectionInfo, LimitedConnection};
 use rushcourse_tls::{TlsError, TlsFiles};
@@ -14,17 +14,18 @@
 use tokio_rustls::server::TlsStream;
 use tonic::transport::server::Connected;
 
-/// A TLS handshake takes no longer: a peer that sends nothing is let go.
+/// A connection whose TLS handshake takes longer is closed.
 const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The protocol that is offered (ALPN).
+/// ALPN protocol ID.
 const HTTP2: &[u8] = b"h2";
 
-/// The certificate and key that new connections get; none: they are plain.
+/// TLS configuration of new connections, shared by all listeners. `None` means plaintext.
 #[derive(Clone, Default)]
 pub(crate) struct TlsSettings(Arc<RwLock<Option<TlsAcceptor>>>);
 
 impl TlsSettings {
-    /// New connections get these from now on. Files that can't be used change nothing.
+    /// Loads the certificates for new connections. `None` switches to plaintext. On error, the previous configuration
+    /// stays.
     pub(crate) fn set(&self, files: Option<&TlsFiles>) -> Result<(), TlsError> {
         let config = files
             .map(|files| files.server_config(&[HTTP2]))
@@ -33,7 +34,7 @@
         Ok(())
     }
 
-    /// Makes a connection private, if connections are to be. Nothing where the handshake fails or takes too long.
+    /// Performs the TLS handshake if TLS is configured. Returns `None` if the handshake fails or times out.
     pub(crate) async fn handshake(&self, stream: LimitedConnection) -> Option<ServerStream> {
         let acceptor = self
             .0
@@ -49,13 +50,13 @@
     }
 }
 
-/// A connection of the server.
+/// A server connection, with or without TLS.
 pub(crate) enum ServerStream {
     Plain(LimitedConnection),
     Tls(Box<TlsStream<LimitedConnection>>),
 }
 
-/// Calls the same method of either kind of connection.
+/// Evaluates an expression with the stream of either variant.
 macro_rules! delegate {
     ($self:ident, $stream:ident => $call:expr) => {
         match $self.get_mut() {
--- a/crates/director/grpc/src/transport.rs
+++ b/crates/director/grpc/src/transport.rs
@@ -1,4 +1,4 @@
-//! The server and the report clients as one: effects in, inputs out.
+//! Combines the gRPC servers and the report clients behind one interface: inputs are read from it, effects applied to it.
 
 use crate::connections::{ConnectionHandle, ConnectionLimit};
 use crate::events::{self, EventReceiver, EventSender, StreamCommand, TransportEvent};
@@ -21,24 +21,24 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{AbortHandle, JoinHandle};
 
-/// Inputs that may wait; readers wait beyond that.
-const MAX_WAITING_INPUTS: usize = 1024;
-/// A stream that was ended and whose peer does not read its status has its connection closed after this.
+/// Capacity of the event channel. Tasks that read requests wait while it is full.
+const EVENT_CHANNEL_CAPACITY: usize = 1024;
+/// The connection is closed if the peer doesn't read an ended stream's status within this time.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Why an address is not served. Nothing has changed then.
+/// Error of [`GrpcTransport::listen`].
 #[derive(Debug)]
 pub enum ListenError {
-    /// The address can't be bound.
+    /// Binding the listen address failed.
     Bind {
-        /// The address.
+        /// Listen address from the configuration.
         address: SocketAddr,
-        /// Why.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// The system does not say which address was bound.
+    /// Querying the local address of the bound socket failed.
     LocalAddress(io::Error),
-    /// The certificates or keys can't be used.
+    /// The certificate files can't be loaded.
     Tls(TlsError),
 }
 
@@ -63,10 +63,10 @@
     }
 }
 
-/// One address that is served, or was.
+/// Server of one listen address. It may have stopped accepting and still serve open connections.
 struct Server {
     listen: SocketAddr,
-    /// Gone once it accepts no new connection.
+    /// Stops accepting connections. `None` after that.
     stop: Option<oneshot::Sender<()>>,
     task: JoinHandle<()>,
 }
@@ -76,44 +76,46 @@
     connection: ConnectionHandle,
 }
 
-/// gRPC on sockets. Streams of proxies and report streams of hosts live in tasks of their own, which end with it.
+/// Serves gRPC to proxies and receives load reports from hosts. Each stream runs in its own task.
 pub struct GrpcTransport {
-    name: Arc<str>,
+    director_name: Arc<str>,
     sender: EventSender,
     receiver: EventReceiver,
     streams: BTreeMap<StreamId, OpenStream>,
     report_streams: BTreeMap<(HostId, DialId), AbortHandle>,
-    next_stream: Arc<AtomicU64>,
-    next_connection: Arc<AtomicU64>,
-    /// One for all addresses, made with the first.
+    next_stream_id: Arc<AtomicU64>,
+    next_connection_id: Arc<AtomicU64>,
+    /// Shared by all listen addresses and created with the first one.
     limit: Option<ConnectionLimit>,
     tls: TlsSettings,
     servers: Vec<Server>,
 }
 
 impl GrpcTransport {
-    /// A transport that serves no address yet. `name` is the director's, for the responses.
-    pub fn new(name: &str) -> GrpcTransport {
-        let (sender, receiver) = events::channel(MAX_WAITING_INPUTS);
+    /// Creates a transport that doesn't listen yet. `director_name` is sent to proxies as the control plane identifier.
+    pub fn new(director_name: &str) -> GrpcTransport {
+        let (sender, receiver) = events::channel(EVENT_CHANNEL_CAPACITY);
         GrpcTransport {
-            name: name.into(),
+            director_name: director_name.into(),
             sender,
             receiver,
             streams: BTreeMap::new(),
             report_streams: BTreeMap::new(),
-            next_stream: Arc::new(AtomicU64::new(1)),
-            next_connection: Arc::new(AtomicU64::new(1)),
+            next_stream_id: Arc::new(AtomicU64::new(1)),
+            next_connection_id: Arc::new(AtomicU64::new(1)),
             limit: None,
             tls: TlsSettings::default(),
             servers: Vec::new(),
         }
     }
 
-    /// Serves an address from now on, with these certificates. Where another address was served, it accepts no new
-    /// connection any more, and those that are open go on: make before break. Returns the address that was bound.
+    /// Listens on the configured address and applies the TLS settings; returns the bound address. A server at another
+    /// address stops accepting connections, and its open connections stay. If the address is served already, only the
+    /// TLS settings change.
     ///
     /// # Errors
-    /// The address can't be bound, or the certificates can't be used; nothing has changed then.
+    /// Returns an error if the address can't be bound or the certificates can't be loaded. The previous server then
+    /// keeps running.
     pub async fn listen(&mut self, config: &GrpcServerConfig) -> Result<SocketAddr, ListenError> {
         let address = config.listen;
         let is_served = self
@@ -153,12 +155,12 @@
             listener,
             limit,
             tls: self.tls.clone(),
-            next_connection: self.next_connection.clone(),
+            next_connection_id: self.next_connection_id.clone(),
         };
         let services = Services {
-            name: self.name.clone(),
+            director_name: self.director_name.clone(),
             events: self.sender.clone(),
-            next_stream: self.next_stream.clone(),
+            next_stream_id: self.next_stream_id.clone(),
         };
         let (stop, stopped) = oneshot::channel();
         let task = tokio::spawn(server::serve(acceptor, config.clone(), services, stopped));
@@ -170,33 +172,33 @@
         });
     }
 
-    /// Accepts no new connection any more; those that are open go on until no stream is on them.
+    /// Stops accepting connections. Open connections receive GOAWAY and stay until their streams have ended.
     pub fn stop_accepting(&mut self) {
         for stop in self
             .servers
             .iter_mut()
             .filter_map(|server| server.stop.take())
         {
-            // A server that has ended needs no telling.
+            // Sending fails only if the server has stopped already.
             _ = stop.send(());
         }
         self.servers.retain(|server| !server.task.is_finished());
     }
 
-    /// The next input.
+    /// Waits for the next input from a proxy or host. Cancel safe.
     pub async fn next_input(&mut self) -> Option<Input> {
         let event = self.receiver.recv().await?;
-        Some(self.record(event))
+        Some(self.track_streams(event))
     }
 
-    /// An input that is there already.
+    /// Returns a queued input without waiting, or `None` if there is none.
     pub fn try_next_input(&mut self) -> Option<Input> {
         let event = self.receiver.try_recv()?;
-        Some(self.record(event))
+        Some(self.track_streams(event))
     }
 
-    /// Keeps track of the streams that are open.
-    fn record(&mut self, event: TransportEvent) -> Input {
+    /// Updates the open streams and returns the event's input.
+    fn track_streams(&mut self, event: TransportEvent) -> Input {
         let input = match event {
             TransportEvent::StreamOpened {
                 stream,
@@ -223,7 +225,7 @@
         input
     }
 
-    /// Does what the state asks for.
+    /// Sends a response, ends a stream, or opens or closes a report stream. Effects on closed streams are ignored.
     pub fn apply_effect(&mut self, effect: Effect) {
         match effect {
             Effect::SendResponse { stream, response } => self.send_response(stream, response),
@@ -259,13 +261,13 @@
         let Some(open) = self.streams.get(&stream) else {
             return;
         };
-        open.connection.mark_useful();
+        open.connection.mark_in_use();
         let command = StreamCommand::Respond(response);
         if open.commands.try_send(command).is_err() {
             self.streams.remove(&stream);
             self.sender.send_now(Input::StreamClosed {
                 stream,
-                reason: "it is gone".into(),
+                reason: "stream is closed".into(),
             });
         }
     }
@@ -280,17 +282,17 @@
         };
         let command = StreamCommand::End(status, message);
         if commands.try_send(command).is_err() && !commands.is_closed() {
-            return connection.kill();
+            return connection.abort();
         }
         tokio::spawn(async move {
             let ended = tokio::time::timeout(STATUS_TIMEOUT, commands.closed()).await;
             if ended.is_err() {
-                connection.kill();
+                connection.abort();
             }
         });
     }
 
-    /// Sends GOAWAY on all connections, and gives them this long to end.
+    /// Closes the report streams, sends GOAWAY on all connections and waits up to `grace` for them to end.
     pub async fn close(mut self, grace: Duration) {
         self.report_streams.values().for_each(AbortHandle::abort);
         self.stop_accepting();
--- a/crates/director/grpc/tests/convert.rs
+++ b/crates/director/grpc/tests/convert.rs
@@ -1,4 +1,4 @@
-//! The published messages and the plain types, each way.
+//! Tests of the conversion between protobuf messages and the types of `rushcourse_xds`.
 
 use prost::Message;
 use prost_types::Duration;
@@ -10,7 +10,7 @@
 use rushcourse_xds::{ClusterLoadAssignment, Endpoint, Locality};
 
 #[test]
-fn an_assignment_is_the_same_after_both_ways() {
+fn assignment_round_trips_unchanged() {
     let endpoint = |host: &str, address: &str, weight, draining| Endpoint {
         host: host.into(),
         address: address.into(),
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn spans_that_are_negative_are_none() {
+fn negative_durations_are_rejected() {
     assert_eq!(decode_duration(&encode_duration(1234.5)), Some(1234.5));
     let negative_seconds = Duration {
         seconds: -1,
