--- a/examples/standin/src/collector.rs
+++ b/examples/standin/src/collector.rs
@@ -1,24 +1,24 @@
-//! A collector, and anybody else who sends frames to a director.
+//! Client side of the director's frame protocol: pings, and a collector that reports what proxies of its zone observed.
 
 use std::io;
 use std::net::SocketAddr;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// No message is longer.
+/// Maximum message length that is read, in bytes.
 const MAX_MESSAGE_BYTES: u32 = 1 << 20;
 
-/// A message with its length before it, least significant byte first.
+/// Encodes a message as a frame: its length as a little-endian `u32`, then the JSON text.
 pub fn encode_frame(json: &str) -> Vec<u8> {
     let mut bytes = (json.len() as u32).to_le_bytes().to_vec();
     bytes.extend_from_slice(json.as_bytes());
     bytes
 }
 
-/// Reads one message.
+/// Reads one frame and returns its message. Invalid UTF-8 is replaced.
 ///
 /// # Errors
-/// The connection ends before the message does.
+/// Returns an error if the connection ends before the message is complete.
 pub async fn read_message(stream: &mut TcpStream) -> io::Result<String> {
     let length = stream.read_u32_le().await?;
     let mut text = vec![0; length.min(MAX_MESSAGE_BYTES) as usize];
@@ -26,10 +26,10 @@
     Ok(String::from_utf8_lossy(&text).into_owned())
 }
 
-/// Pings a director; returns its answer.
+/// Sends a ping on a new connection and returns the director's reply.
 ///
 /// # Errors
-/// The director can't be reached, or ends the connection without an answer.
+/// Returns an error if the director can't be reached or closes the connection without a reply.
 pub async fn ping(director: SocketAddr) -> io::Result<String> {
     let mut stream = TcpStream::connect(director).await?;
     let request = encode_frame(r#"{"@type":"ping"}"#);
@@ -37,17 +37,17 @@
     read_message(&mut stream).await
 }
 
-/// A connection that has registered as the collector of a zone.
+/// A connection that is registered as the collector of a zone.
 pub struct Collector {
-    /// The connection itself, to misbehave on.
+    /// Underlying connection, on which tests also send invalid data.
     pub stream: TcpStream,
 }
 
 impl Collector {
-    /// Connects and registers for a zone.
+    /// Connects to a director and registers as the collector of a zone. Does not wait for a reply.
     ///
     /// # Errors
-    /// The director can't be reached.
+    /// Returns an error if the director can't be reached.
     pub async fn connect(director: SocketAddr, zone: &str) -> io::Result<Collector> {
         let mut collector = Collector {
             stream: TcpStream::connect(director).await?,
@@ -57,18 +57,19 @@
         Ok(collector)
     }
 
-    /// Sends a message.
+    /// Sends a JSON text as one frame.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// Returns an error if the connection is closed.
     pub async fn send(&mut self, json: &str) -> io::Result<()> {
         self.stream.write_all(&encode_frame(json)).await
     }
 
-    /// Reports what proxies of a zone met at a host within a second: so many attempts, all successful.
+    /// Reports that proxies of a zone made `attempts` successful requests to a host within one second, with a mean
+    /// latency of 40 ms.
     ///
     /// # Errors
-    /// The connection is broken.
+    /// Returns an error if the connection is closed.
     pub async fn report_host(&mut self, zone: &str, host: &str, attempts: u32) -> io::Result<()> {
         let report = format!(
             r#"{{"@type":"heard","az":"{zone}","host":"{host}","n":{attempts},"bad":0,"avg":40.0,"window":1000.0}}"#
--- a/examples/standin/src/discovery.rs
+++ b/examples/standin/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery: the list of hosts, complete, or as changes to those who watch. It can be made to fall silent or to answer
-//! nonsense.
+//! Discovery service over HTTP. It serves the host list, complete or as changes since a revision (long poll), and can
+//! simulate a server that stops responding or returns invalid JSON.
 
 use axum::Router;
 use axum::extract::{RawQuery, State};
@@ -14,30 +14,31 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A watch waits no longer, whatever it asks for.
+/// Upper bound of a long poll's `wait_ms` parameter.
 const MAX_WAIT_MS: u64 = 60_000;
 
-/// How discovery answers.
+/// How discovery responds to requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Behavior {
-    /// As it should.
+    /// Responds according to the protocol.
     Normal,
-    /// Not at all.
+    /// Accepts requests and never responds.
     Silent,
-    /// With a part of a JSON text.
+    /// Responds with truncated JSON.
     Garbled,
 }
 
-/// A host as listed, and the revision in which it last changed.
+/// A list entry.
 struct Member {
+    /// Revision in which the entry last changed.
     revision: u64,
     entry: Value,
 }
 
-/// Discovery on a socket. Clones stand for the same one.
+/// Discovery server on a TCP socket. Clones share the same list.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Where it listens.
+    /// Bound listen address.
     pub address: SocketAddr,
     members: Arc<Mutex<BTreeMap<String, Member>>>,
     revision: Arc<watch::Sender<u64>>,
@@ -46,10 +47,10 @@
 }
 
 impl Discovery {
-    /// Starts discovery with an empty list.
+    /// Starts a server with an empty list. Port 0 selects a free port.
     ///
     /// # Errors
-    /// The address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn start(address: SocketAddr) -> io::Result<Discovery> {
         let listener = TcpListener::bind(address).await?;
         let discovery = Discovery {
@@ -60,23 +61,23 @@
             request_count: Arc::default(),
         };
         let router = Router::new()
-            .route("/v1/endpoints", get(answer))
+            .route("/v1/endpoints", get(list_endpoints))
             .with_state(discovery.clone());
         tokio::spawn(async move { axum::serve(listener, router).await });
         Ok(discovery)
     }
 
-    /// Changes how requests are answered from now on.
+    /// Changes the behavior for pending and future requests.
     pub fn set_behavior(&self, behavior: Behavior) {
         self.behavior.send_replace(behavior);
     }
 
-    /// Requests so far, answered or not.
+    /// Number of requests received so far, including those without a response.
     pub fn request_count(&self) -> u64 {
         *self.request_count.borrow()
     }
 
-    /// Lists a host, or changes it. `phase` is `Ready`, `Terminating` or `Gone`.
+    /// Adds or replaces a list entry under a new revision. `phase` is `Ready`, `Terminating` or `Gone`.
     pub fn set_host(&self, id: &str, zone: &str, phase: &str, address: &str, up_since_ms: f64) {
         let entry = json!({"id": id, "host_port": address, "locality": zone, "flavor": "toy", "cell": 0,
             "phase": phase, "size": 1.0, "up_since_ms": up_since_ms});
@@ -88,7 +89,8 @@
         self.revision.send_replace(revision);
     }
 
-    /// The complete list, or what of it is newer than a revision. Hosts that are gone appear among changes only.
+    /// Returns the complete list, or only the entries newer than a revision. Entries in phase `Gone` are included only in
+    /// the latter.
     pub fn list(&self, newer_than: Option<u64>) -> Value {
         let members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
         let is_listed = |member: &Member| match newer_than {
@@ -103,8 +105,8 @@
         json!({"revision": *self.revision.borrow(), "complete": newer_than.is_none(), "members": entries})
     }
 
-    /// Waits until something is newer than a revision, or until the time is over. Whoever waits when discovery falls
-    /// silent gets no answer any more.
+    /// Waits until the list is newer than a revision or `wait` has passed. Never returns if the behavior changes to
+    /// [`Behavior::Silent`] meanwhile.
     async fn wait_for_change(&self, newer_than: u64, wait: Duration) {
         let (mut revision, mut behavior) = (self.revision.subscribe(), self.behavior.subscribe());
         let is_newer = async {
@@ -127,7 +129,7 @@
     }
 }
 
-/// A number in the query of a request.
+/// Returns a numeric query parameter, or `None` if it is missing or invalid.
 fn query_number(query: &str, key: &str) -> Option<u64> {
     query
         .split('&')
@@ -136,7 +138,7 @@
         .find_map(|(_, value)| value.parse().ok())
 }
 
-async fn answer(State(discovery): State<Discovery>, RawQuery(query): RawQuery) -> String {
+async fn list_endpoints(State(discovery): State<Discovery>, RawQuery(query): RawQuery) -> String {
     discovery.request_count.send_modify(|count| *count += 1);
     if *discovery.behavior.borrow() == Behavior::Silent {
         return future::pending().await;
--- a/examples/standin/src/host.rs
+++ b/examples/standin/src/host.rs
@@ -1,4 +1,4 @@
-//! A host as health checks see it.
+//! Host that responds to health checks and load requests over HTTP.
 
 use axum::Router;
 use axum::http::StatusCode;
@@ -7,10 +7,10 @@
 use std::net::SocketAddr;
 use tokio::net::TcpListener;
 
-/// Starts a healthy host; returns where it listens.
+/// Starts a healthy host with fixed load values and returns its bound address.
 ///
 /// # Errors
-/// The address can't be bound.
+/// Returns an error if the address can't be bound.
 pub async fn start(address: SocketAddr) -> io::Result<SocketAddr> {
     let listener = TcpListener::bind(address).await?;
     let address = listener.local_addr()?;
--- a/examples/standin/src/lib.rs
+++ b/examples/standin/src/lib.rs
@@ -1,13 +1,12 @@
-//! Stand-ins for what surrounds a director: a relay, discovery, hosts, a collector. They are written from the protocol
-//! page alone, without the director's own codecs, so that each checks the other. They serve the socket tests and the
-//! example; they make no load and simulate nothing.
+//! Stand-ins for the services around a director, used by the socket tests and the example. They implement the protocol
+//! without the director's codecs, so that a codec error on either side makes a test fail. They generate no load.
 //!
-//! * [`relay`]: takes calls with orders and notifies of proxies.
-//! * [`discovery`]: lists hosts.
-//! * [`host`]: answers health checks.
-//! * [`collector`]: reports to a director.
-//! * [`scenario`]: the example, played with all of them.
-//! * [`wait`]: waits until something holds.
+//! * [`relay`]: applies orders and sends notifications of proxies.
+//! * [`discovery`]: serves the host list.
+//! * [`host`]: responds to health checks.
+//! * [`collector`]: sends reports to a director.
+//! * [`scenario`]: the example, which uses all of them.
+//! * [`wait`]: polls a condition with a timeout.
 
 pub mod collector;
 pub mod discovery;
--- a/examples/standin/src/main.rs
+++ b/examples/standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `toy`: everything around a director, for a first try.
+//! `toy`: runs the example scenario with stand-ins around a director.
 
 use argh::FromArgs;
 use rushcourse_standin::scenario::{self, ScenarioError};
@@ -9,25 +9,24 @@
 use std::process::ExitCode;
 use tokio::process::{Child, Command};
 
-/// Stands in for relay, discovery, a collector and two hosts, and plays one drain around a director.
+/// Runs a relay, discovery, a collector and two hosts around a director, and drains one of the hosts.
 #[derive(FromArgs)]
 struct Toy {
-    /// the director's configuration; the addresses in it are served
+    /// the director's configuration; the stand-ins listen on the addresses in it
     #[argh(positional)]
     config: PathBuf,
-    /// the director's program: started here with the configuration; without, a running one is waited for
+    /// the director's program, started with the configuration; by default, waits for a running director
     #[argh(option)]
     director: Option<PathBuf>,
 }
 
-/// Why the program fails.
+/// Error that ends the program with exit code 1.
 #[derive(Debug)]
 enum ToyError {
     /// The configuration can't be read, or the director's program can't be started.
     File(PathBuf, io::Error),
-    /// The configuration is no JSON text; the error names line and column.
+    /// The configuration is not valid JSON.
     Json(PathBuf, serde_json::Error),
-    /// The scenario has not come to its end.
     Scenario(ScenarioError),
 }
 
@@ -48,7 +47,7 @@
     serde_json::from_slice(&text).map_err(|error| ToyError::Json(path.into(), error))
 }
 
-/// Starts a director; it ends when the child is dropped.
+/// Starts a director, which is killed when the child is dropped.
 fn start_director(program: &Path, config: &Path) -> Result<Child, ToyError> {
     Command::new(program)
         .arg("serve")
--- a/examples/standin/src/relay/mod.rs
+++ b/examples/standin/src/relay/mod.rs
@@ -1,9 +1,9 @@
-//! A relay: it takes calls with orders, keeps the tables that they make, and notifies of proxies. It can be made to
-//! misbehave.
+//! Relay stand-in. It applies the orders of calls to its tables and sends notifications of proxies to watchers. Tests
+//! can inject faults.
 //!
-//! * `tables`: what orders make of the relay's tables.
-//! * `state`: proxies, faults and records, shared by all connections.
-//! * `server`: calls and notifications on connections.
+//! * `tables`: endpoint tables and the orders that change them.
+//! * `state`: proxies, injected faults and recorded calls, shared by all connections.
+//! * `server`: serves calls and watches on connections.
 
 mod server;
 mod state;
@@ -11,7 +11,7 @@
 
 pub use state::CallFault;
 
-use state::{JoinedProxy, Notice, Shared};
+use state::{JoinedProxy, Notification, Shared};
 use std::collections::BTreeMap;
 use std::io;
 use std::net::SocketAddr;
@@ -20,29 +20,30 @@
 use tokio::net::TcpListener;
 use tokio::sync::watch;
 
-/// A relay on a socket. Clones stand for the same relay at the same address.
+/// Relay on a TCP socket. Clones share the same state and listen address.
 #[derive(Clone)]
 pub struct Relay {
-    /// Where it listens.
+    /// Bound listen address.
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    /// Whether this address still serves.
+    /// Set to false by [`Relay::close`].
     is_serving: Arc<watch::Sender<bool>>,
 }
 
 impl Relay {
-    /// Starts a relay without proxies and tables.
+    /// Starts a relay without proxies and tables. Port 0 selects a free port.
     ///
     /// # Errors
-    /// The address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn start(address: SocketAddr) -> io::Result<Relay> {
         Relay::serve(Arc::default(), address).await
     }
 
-    /// The same relay at another address as well.
+    /// Listens on an additional address and returns a handle that shares this relay's state. Closing either handle does
+    /// not affect the other address.
     ///
     /// # Errors
-    /// The address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn listen_at(&self, address: SocketAddr) -> io::Result<Relay> {
         Relay::serve(self.shared.clone(), address).await
     }
@@ -61,12 +62,12 @@
         Ok(relay)
     }
 
-    /// This address accepts no new connection and closes those that are open.
+    /// Stops listening on this handle's address and closes its connections.
     pub fn close(&self) {
         self.is_serving.send_replace(false);
     }
 
-    /// A proxy joins; `rate` is a rough figure of its requests a second.
+    /// Adds a proxy and notifies watchers. `rate` is its approximate number of requests per second.
     pub fn join_proxy(&self, proxy: u32, zone: &str, rate: f64) {
         let joined = JoinedProxy {
             zone: zone.into(),
@@ -78,7 +79,7 @@
         self.notify(&notification);
     }
 
-    /// A proxy leaves.
+    /// Removes a proxy with its bindings and notifies watchers.
     pub fn remove_proxy(&self, proxy: u32) {
         {
             let mut state = self.shared.state();
@@ -89,42 +90,42 @@
         self.notify(&format!("* left {proxy}"));
     }
 
-    /// The next call without a fault meets this one.
+    /// Queues a fault. Each call takes one from the queue, in order.
     pub fn inject_fault(&self, fault: CallFault) {
         self.shared.state().faults.push_back(fault);
     }
 
-    /// Calls meet no faults any more.
+    /// Discards all queued faults.
     pub fn clear_faults(&self) {
         self.shared.state().faults.clear();
     }
 
-    /// Breaks all watches.
+    /// Closes the connections of all watchers.
     pub fn disconnect_watchers(&self) {
-        self.shared.send(Notice::Disconnect);
+        self.shared.send(Notification::Disconnect);
     }
 
-    /// Sends a line to all that watch.
+    /// Sends a line to all watchers.
     pub fn notify(&self, line: &str) {
-        self.shared.send(Notice::Line(line.into()));
+        self.shared.send(Notification::Line(line.into()));
     }
 
-    /// Puts the relay out of reach: connections stay open, and nothing is sent on them. Or back.
+    /// Simulates a network partition: while set, connections stay open, but nothing is sent on them.
     pub fn set_unreachable(&self, is_unreachable: bool) {
         self.shared.state().is_unreachable = is_unreachable;
     }
 
-    /// Every call that came, as its orders.
+    /// Returns the orders text of every call received, including calls that met a fault.
     pub fn received_calls(&self) -> Vec<String> {
         self.shared.state().received_calls.clone()
     }
 
-    /// Every order that was accepted.
+    /// Returns all accepted orders in the order of their arrival.
     pub fn accepted_orders(&self) -> Vec<String> {
         self.shared.state().accepted_orders.clone()
     }
 
-    /// The most messages that one proxy got within a span.
+    /// Returns the maximum number of messages to a single proxy within any time window of length `span`.
     pub fn max_messages_within(&self, span: Duration) -> usize {
         let state = self.shared.state();
         let from = |times: &[Instant]| {
@@ -141,27 +142,27 @@
         counts.max().unwrap_or(0)
     }
 
-    /// The weights of a table, by host.
+    /// Returns the weights of a table by host. Empty for an unknown table.
     pub fn table(&self, table: u32) -> BTreeMap<String, f64> {
         self.shared.state().tables.weights(table)
     }
 
-    /// The weights by host that a proxy may pick from: of all its tables, what is not withdrawn.
+    /// Returns the weights by host of all tables bound to a proxy, without withdrawn hosts.
     pub fn endpoints(&self, proxy: u32) -> BTreeMap<String, f64> {
         self.shared.state().tables.endpoints(proxy)
     }
 
-    /// Whether the tables of a proxy hold a host, withdrawn or not.
+    /// Returns whether a table bound to a proxy contains a host, withdrawn or not.
     pub fn has_endpoint(&self, proxy: u32, host: &str) -> bool {
         self.shared.state().tables.has_endpoint(proxy, host)
     }
 
-    /// Watches that stand.
+    /// Number of open watches.
     pub fn watcher_count(&self) -> usize {
         self.shared.state().watcher_count
     }
 
-    /// Watches that ever stood.
+    /// Number of watches opened since the relay started, including closed ones.
     pub fn total_watch_count(&self) -> usize {
         self.shared.state().total_watch_count
     }
--- a/examples/standin/src/relay/server.rs
+++ b/examples/standin/src/relay/server.rs
@@ -1,6 +1,6 @@
-//! The relay's connections: calls on some, notifications on others.
+//! Serves the relay's connections. A connection carries calls until a `WATCH` line turns it into a watch.
 
-use super::state::{CallFault, Notice, Shared};
+use super::state::{CallFault, Notification, Shared};
 use futures_util::StreamExt;
 use std::collections::BTreeSet;
 use std::future;
@@ -12,14 +12,14 @@
 use tokio::sync::watch;
 use tokio_util::codec::{FramedRead, LinesCodec};
 
-/// No line is longer.
+/// Maximum length of a received line; a longer one closes the connection.
 const MAX_LINE_BYTES: usize = 1 << 20;
-/// How often a watcher gets a sign of life.
+/// Interval of keep-alive lines (`*`) to watchers.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
-/// How long a proxy takes to apply a call.
+/// Simulated time that a proxy takes to apply a call.
 const APPLY_DELAY: Duration = Duration::from_millis(40);
 
-/// Serves connections until this address closes.
+/// Serves connections of a listener until `is_serving` becomes false.
 pub(super) async fn serve(
     shared: &Arc<Shared>,
     listener: TcpListener,
@@ -58,7 +58,7 @@
     }
 }
 
-/// Counts a watch that stands until it ends, however it does.
+/// Decrements the watcher count when a watch ends.
 struct WatchGuard(Arc<Shared>);
 
 impl Drop for WatchGuard {
@@ -67,7 +67,7 @@
     }
 }
 
-/// Counts a new watch. Returns the notifications of who is joined.
+/// Counts a new watch and returns its guard with the notifications of all joined proxies.
 fn start_watch(shared: Arc<Shared>) -> (WatchGuard, String) {
     let joined = {
         let mut state = shared.state();
@@ -82,18 +82,18 @@
     (WatchGuard(shared), joined)
 }
 
-/// Notifies of all that happens from now on; who is joined comes first.
+/// Serves a watch: first the notifications of all joined proxies, then new notifications and keep-alive lines.
 async fn serve_watch(shared: Arc<Shared>, mut write: OwnedWriteHalf) {
-    let mut notices = shared.subscribe();
+    let mut notifications = shared.subscribe();
     let (_guard, joined) = start_watch(shared.clone());
     let mut keep_alive = tokio::time::interval(KEEP_ALIVE_INTERVAL);
     keep_alive.reset();
     let mut is_open = send(&mut write, &format!("OK\r\n{joined}")).await;
     while is_open {
         let line = tokio::select! {
-            notice = notices.recv() => match notice {
-                Ok(Notice::Line(line)) => line,
-                Ok(Notice::Disconnect) | Err(_) => break,
+            notification = notifications.recv() => match notification {
+                Ok(Notification::Line(line)) => line,
+                Ok(Notification::Disconnect) | Err(_) => break,
             },
             _ = keep_alive.tick() => "*".to_string(),
         };
@@ -103,7 +103,7 @@
     }
 }
 
-/// Serves a call, with the fault that waits for it. Returns whether the connection goes on.
+/// Serves a call with the next queued fault, if any. Returns `false` if the connection must be closed.
 async fn serve_call(shared: &Arc<Shared>, orders: &str, write: &mut OwnedWriteHalf) -> bool {
     let (fault, is_unreachable) = {
         let mut state = shared.state();
@@ -123,7 +123,7 @@
         ) => is_applied,
     };
     let accepted = if is_applied {
-        carry_out(shared, orders)
+        apply_and_acknowledge(shared, orders)
     } else {
         0
     };
@@ -137,31 +137,34 @@
     }
 }
 
-/// Carries a call out; returns how many orders were accepted. Proxies that are reached acknowledge a mark a little later.
-fn carry_out(shared: &Arc<Shared>, orders: &str) -> usize {
+/// Applies a call and returns the number of accepted orders. If it contains a mark, the affected proxies acknowledge it
+/// after [`APPLY_DELAY`].
+fn apply_and_acknowledge(shared: &Arc<Shared>, orders: &str) -> usize {
     let (accepted, effects) = shared.state().apply_call(orders);
     if let Some(mark) = effects.mark {
         let shared = shared.clone();
         tokio::spawn(async move {
             tokio::time::sleep(APPLY_DELAY).await;
-            acknowledge(&shared, mark, &effects.reached);
+            acknowledge(&shared, mark, &effects.recipients);
         });
     }
     accepted
 }
 
-/// Proxies have applied a call.
+/// Notifies watchers that these proxies have applied the call with this mark.
 fn acknowledge(shared: &Shared, mark: u16, proxies: &BTreeSet<u32>) {
     let mut state = shared.state();
     for number in proxies {
         if let Some(proxy) = state.joined.get_mut(number) {
             proxy.is_fresh = false;
-            shared.send(Notice::Line(format!("* applied {number} {mark} 40.0")));
+            shared.send(Notification::Line(format!(
+                "* applied {number} {mark} 40.0"
+            )));
         }
     }
 }
 
-/// Sends a line; returns whether the connection is still open.
+/// Sends a line with its terminator. Returns `false` if the connection is closed.
 async fn send_line(write: &mut OwnedWriteHalf, line: &str) -> bool {
     send(write, &format!("{line}\r\n")).await
 }
--- a/examples/standin/src/relay/state.rs
+++ b/examples/standin/src/relay/state.rs
@@ -1,4 +1,4 @@
-//! What all connections of a relay share.
+//! State of a relay, shared by all of its connections.
 
 use super::tables::{CallEffects, Tables};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -6,81 +6,81 @@
 use std::time::Instant;
 use tokio::sync::broadcast;
 
-/// Notices that a watcher may lag behind.
-const MAX_NOTICES: usize = 1024;
+/// Notifications buffered for a slow watcher. Its connection is closed when it falls further behind.
+const NOTIFICATION_CAPACITY: usize = 1024;
 
-/// What goes wrong with a call. `is_applied`: it is carried out all the same.
+/// Fault that a test injects into a call.
 #[derive(Clone, Debug)]
 pub enum CallFault {
-    /// The connection breaks in place of a reply.
+    /// Closes the connection instead of sending a reply.
     Disconnect {
-        /// The call is carried out.
+        /// Whether the call's orders are applied.
         is_applied: bool,
     },
-    /// There is no reply.
+    /// Keeps the connection open and sends no reply.
     NoReply {
-        /// The call is carried out.
+        /// Whether the call's orders are applied.
         is_applied: bool,
     },
-    /// The reply can't be read.
+    /// Sends an invalid reply.
     GarbledReply {
-        /// The call is carried out.
+        /// Whether the call's orders are applied.
         is_applied: bool,
     },
-    /// The reply is `BUSY`.
+    /// Replies `BUSY` without applying the call.
     Busy,
-    /// The reply is `SYNTAX`.
+    /// Replies `SYNTAX` without applying the call.
     SyntaxError,
 }
 
-/// What goes to those who watch.
+/// Event broadcast to all watchers.
 #[derive(Clone, Debug)]
-pub(super) enum Notice {
+pub(super) enum Notification {
     Line(String),
-    /// Their connections end.
+    /// Closes the watchers' connections.
     Disconnect,
 }
 
-/// A proxy whose stream stands.
+/// A proxy with an open stream to the relay.
 #[derive(Clone, Debug)]
 pub(super) struct JoinedProxy {
     pub(super) zone: String,
+    /// Approximate number of requests per second.
     pub(super) rate: f64,
-    /// It has applied nothing since it joined.
+    /// Whether the proxy has applied nothing since it joined.
     pub(super) is_fresh: bool,
 }
 
 impl JoinedProxy {
-    /// The notification that it is joined.
+    /// Formats the `joined` notification line.
     pub(super) fn notification(&self, number: u32) -> String {
         let is_fresh = u8::from(self.is_fresh);
         format!("* joined {number} {} {} {is_fresh}", self.zone, self.rate)
     }
 }
 
-/// Proxies and tables, faults to come, and records of what came.
+/// Proxies, tables, injected faults, and recorded calls.
 #[derive(Default)]
 pub(super) struct State {
     pub(super) joined: BTreeMap<u32, JoinedProxy>,
     pub(super) tables: Tables,
-    /// For the calls to come, one after the other.
+    /// Faults of the next calls; each call takes the first one.
     pub(super) faults: VecDeque<CallFault>,
-    /// Connections stay open, and nothing is sent on them.
+    /// While set, connections stay open, but nothing is sent on them.
     pub(super) is_unreachable: bool,
-    /// Every call that came.
     pub(super) received_calls: Vec<String>,
-    /// Every order that was accepted.
     pub(super) accepted_orders: Vec<String>,
-    /// When messages went to each proxy.
+    /// Times of the messages sent to each proxy.
     pub(super) messages: BTreeMap<u32, Vec<Instant>>,
-    /// Watches that stand.
+    /// Number of open watches.
     pub(super) watcher_count: usize,
-    /// Watches that ever stood.
+    /// Number of watches opened since the start, including closed ones.
     pub(super) total_watch_count: usize,
 }
 
 impl State {
-    /// Accepts the orders of a call up to the first bad one; returns how many, and what they bring about.
+    /// Applies the orders of a call up to the first invalid one. Returns the number of applied orders and their effects
+    /// on proxies.
     pub(super) fn apply_call(&mut self, orders: &str) -> (usize, CallEffects) {
         let proxies: BTreeSet<u32> = self.joined.keys().copied().collect();
         let mut effects = CallEffects::default();
@@ -92,8 +92,8 @@
             self.accepted_orders.push(order.to_string());
             accepted += 1;
         }
-        // All that a call has for a proxy is one message.
-        for proxy in effects.reached.intersection(&proxies) {
+        // A proxy receives all changes of a call in a single message.
+        for proxy in effects.recipients.intersection(&proxies) {
             let times = self.messages.entry(*proxy).or_default();
             times.push(Instant::now());
         }
@@ -101,17 +101,17 @@
     }
 }
 
-/// The state, and the way to all who watch.
+/// State of the relay and the broadcast channel to its watchers.
 pub(super) struct Shared {
     state: Mutex<State>,
-    notices: broadcast::Sender<Notice>,
+    notifications: broadcast::Sender<Notification>,
 }
 
 impl Default for Shared {
     fn default() -> Shared {
         Shared {
             state: Mutex::default(),
-            notices: broadcast::channel(MAX_NOTICES).0,
+            notifications: broadcast::channel(NOTIFICATION_CAPACITY).0,
         }
     }
 }
@@ -121,12 +121,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sends to all who watch; nobody may.
-    pub(super) fn send(&self, notice: Notice) {
-        _ = self.notices.send(notice);
+    /// Sends to all watchers. Without watchers, the notification is discarded.
+    pub(super) fn send(&self, notification: Notification) {
+        _ = self.notifications.send(notification);
     }
 
-    pub(super) fn subscribe(&self) -> broadcast::Receiver<Notice> {
-        self.notices.subscribe()
+    pub(super) fn subscribe(&self) -> broadcast::Receiver<Notification> {
+        self.notifications.subscribe()
     }
 }
--- a/examples/standin/src/relay/tables.rs
+++ b/examples/standin/src/relay/tables.rs
@@ -1,25 +1,27 @@
-//! The relay's tables, and what orders make of them.
+//! Endpoint tables of the relay and the orders that change them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The highest number of a retry policy in an admission level.
+/// Highest retry policy number that an `admit` order may name.
 const MAX_RETRY_POLICY: u8 = 3;
 
-/// Tables, who is bound to them, and hosts that are withdrawn from all.
+/// Tables, bindings of proxies to tables, and withdrawn hosts.
 #[derive(Default)]
 pub(super) struct Tables {
+    /// Weights by table number and host.
     weights: BTreeMap<u32, BTreeMap<String, f64>>,
-    /// By proxy and names of classes: the table.
+    /// Table numbers by proxy and class list.
     bindings: BTreeMap<(u32, String), u32>,
+    /// Hosts that are excluded from all tables.
     withdrawn: BTreeSet<String>,
 }
 
-/// What the accepted orders of a call bring about beside tables.
+/// Effects of a call's applied orders on proxies.
 #[derive(Default)]
 pub(super) struct CallEffects {
-    /// Proxies that get a message.
-    pub(super) reached: BTreeSet<u32>,
-    /// The number by which they acknowledge it.
+    /// Proxies that receive a message because of the call.
+    pub(super) recipients: BTreeSet<u32>,
+    /// Number with which the recipients acknowledge the call. `None` if no acknowledgement is requested.
     pub(super) mark: Option<u16>,
 }
 
@@ -33,7 +35,7 @@
     }
 
     pub(super) fn endpoints(&self, proxy: u32) -> BTreeMap<String, f64> {
-        self.tables_of(proxy)
+        self.bound_tables(proxy)
             .flatten()
             .filter(|(host, _)| !self.withdrawn.contains(*host))
             .map(|(host, weight)| (host.clone(), *weight))
@@ -41,27 +43,26 @@
     }
 
     pub(super) fn has_endpoint(&self, proxy: u32, host: &str) -> bool {
-        self.tables_of(proxy)
+        self.bound_tables(proxy)
             .any(|weights| weights.contains_key(host))
     }
 
-    /// The tables that a proxy is bound to.
-    fn tables_of(&self, proxy: u32) -> impl Iterator<Item = &BTreeMap<String, f64>> {
+    fn bound_tables(&self, proxy: u32) -> impl Iterator<Item = &BTreeMap<String, f64>> {
         self.bindings
             .iter()
             .filter(move |((bound, _), _)| *bound == proxy)
             .filter_map(|(_, table)| self.weights.get(table))
     }
 
-    /// The proxies that are bound to a table.
-    fn users(&self, table: u32) -> impl Iterator<Item = u32> {
+    fn bound_proxies(&self, table: u32) -> impl Iterator<Item = u32> {
         self.bindings
             .iter()
             .filter(move |(_, bound)| **bound == table)
             .map(|((proxy, _), _)| *proxy)
     }
 
-    /// Applies one order, where these proxies are joined; nothing if the order can't be read or used.
+    /// Applies one order. `proxies` are the joined proxies. Returns `None` if the order is invalid or binds a proxy that
+    /// has not joined.
     pub(super) fn apply(
         &mut self,
         order: &str,
@@ -71,42 +72,44 @@
         let words: Vec<&str> = order.split(',').collect();
         match words.as_slice() {
             ["share", table, host, weight] => {
-                let (table, weight) = (table.parse().ok()?, parse_amount(weight)?);
+                let (table, weight) = (table.parse().ok()?, parse_non_negative(weight)?);
                 self.set_weight(table, host, weight);
-                effects.reached.extend(self.users(table));
+                effects.recipients.extend(self.bound_proxies(table));
             }
             ["clear", table] => {
                 let table = table.parse().ok()?;
                 self.weights.remove(&table);
-                effects.reached.extend(self.users(table));
+                effects.recipients.extend(self.bound_proxies(table));
             }
             ["bind", proxy, table, classes] => {
                 let (proxy, table) = (proxy.parse().ok()?, table.parse().ok()?);
                 proxies.contains(&proxy).then_some(())?;
                 self.bindings.insert((proxy, classes.to_string()), table);
-                effects.reached.insert(proxy);
+                effects.recipients.insert(proxy);
             }
             ["withdraw", host] => {
                 self.withdrawn.insert(host.to_string());
-                effects.reached.extend(self.users_of_host(host));
+                effects.recipients.extend(self.proxies_with_host(host));
             }
             ["restore", host] => {
                 self.withdrawn.remove(*host);
-                effects.reached.extend(self.users_of_host(host));
+                effects.recipients.extend(self.proxies_with_host(host));
             }
             ["admit", table, _classes, quota, retry_policy] => {
-                parse_amount(quota)?;
+                parse_non_negative(quota)?;
                 let policy: u8 = retry_policy.parse().ok()?;
                 (policy <= MAX_RETRY_POLICY).then_some(())?;
                 let table: Option<u32> = table.parse().ok();
-                effects
-                    .reached
-                    .extend(table.into_iter().flat_map(|table| self.users(table)));
+                effects.recipients.extend(
+                    table
+                        .into_iter()
+                        .flat_map(|table| self.bound_proxies(table)),
+                );
             }
-            ["mark", number, of_all] => {
+            ["mark", number, is_for_all] => {
                 effects.mark = Some(number.parse().ok()?);
-                if *of_all == "1" {
-                    effects.reached.extend(proxies);
+                if *is_for_all == "1" {
+                    effects.recipients.extend(proxies);
                 }
             }
             _ => return None,
@@ -123,17 +126,17 @@
         }
     }
 
-    /// The proxies whose tables hold a host.
-    fn users_of_host(&self, host: &str) -> BTreeSet<u32> {
+    /// Returns the proxies bound to any table that contains a host.
+    fn proxies_with_host(&self, host: &str) -> BTreeSet<u32> {
         self.weights
             .iter()
             .filter(|(_, weights)| weights.contains_key(host))
-            .flat_map(|(table, _)| self.users(*table))
+            .flat_map(|(table, _)| self.bound_proxies(*table))
             .collect()
     }
 }
 
-/// A number that is not below 0.
-fn parse_amount(word: &str) -> Option<f64> {
+/// Parses a number that must not be negative.
+fn parse_non_negative(word: &str) -> Option<f64> {
     word.parse().ok().filter(|amount| *amount >= 0.0)
 }
--- a/examples/standin/src/scenario.rs
+++ b/examples/standin/src/scenario.rs
@@ -1,4 +1,4 @@
-//! The example's scenario: a proxy joins, its table arrives, a host drains, and the proxy is moved off it in time.
+//! Example scenario: a proxy joins and gets a table with two hosts, then one of the hosts drains and leaves the table.
 
 use crate::collector::{Collector, ping};
 use crate::discovery::Discovery;
@@ -11,32 +11,32 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// How long to wait between two pings of a director that does not answer yet.
+/// Delay between pings while waiting for the director to start.
 const PING_INTERVAL: Duration = Duration::from_millis(50);
-/// The proxy of the scenario.
-const PROXY: u32 = 0;
+/// Number under which the scenario's proxy joins the relay.
+const PROXY_NUMBER: u32 = 0;
 
-/// Why the scenario can't be played to its end.
+/// Error that ends the scenario.
 #[derive(Debug)]
 pub enum ScenarioError {
-    /// A field of the configuration, as a JSON pointer, does not hold what the scenario needs.
+    /// A configuration field is missing or has the wrong type.
     Configuration {
-        /// The field.
+        /// JSON pointer of the field.
         field: String,
-        /// What it has to hold.
+        /// Description of a valid value.
         expected: &'static str,
     },
-    /// A stand-in can't be started, or has lost its connection.
+    /// A stand-in can't be started or has lost its connection.
     StandIn {
-        /// Which one.
+        /// Kind of the stand-in, such as `relay`.
         name: &'static str,
-        /// The cause.
+        /// Error from the operating system.
         error: io::Error,
     },
-    /// The director did not do what it should in time.
+    /// The director did not reach the expected state in time.
     Timeout(WaitTimeout),
-    /// The drain left the proxy without the host that stays.
-    LeftWithout(String),
+    /// The drain also removed this host, which was not draining, from the proxy's endpoints.
+    HostMissing(String),
 }
 
 impl fmt::Display for ScenarioError {
@@ -47,8 +47,8 @@
             }
             ScenarioError::StandIn { name, error } => write!(f, "{name}: {error}"),
             ScenarioError::Timeout(timeout) => timeout.fmt(f),
-            ScenarioError::LeftWithout(host) => {
-                write!(f, "proxy {PROXY} was left without {host}")
+            ScenarioError::HostMissing(host) => {
+                write!(f, "proxy {PROXY_NUMBER} lost {host}, which is not draining")
             }
         }
     }
@@ -59,7 +59,7 @@
         match self {
             ScenarioError::StandIn { error, .. } => Some(error),
             ScenarioError::Timeout(timeout) => Some(timeout),
-            ScenarioError::Configuration { .. } | ScenarioError::LeftWithout(_) => None,
+            ScenarioError::Configuration { .. } | ScenarioError::HostMissing(_) => None,
         }
     }
 }
@@ -70,18 +70,18 @@
     }
 }
 
-/// Names a stand-in in its errors.
+/// Converts an I/O error of the named stand-in.
 fn stand_in(name: &'static str) -> impl Fn(io::Error) -> ScenarioError {
     move |error| ScenarioError::StandIn { name, error }
 }
 
-/// What the scenario takes from the director's configuration.
-struct Setting {
+/// Addresses, zone and hosts from the director's configuration.
+struct ScenarioConfig {
     director: SocketAddr,
     relay: SocketAddr,
     discovery: SocketAddr,
     zone: String,
-    /// Two hosts: the first stays, the second drains.
+    /// The second host drains during the scenario.
     hosts: [Host; 2],
 }
 
@@ -90,9 +90,9 @@
     address: SocketAddr,
 }
 
-impl Setting {
-    fn read(config: &Value) -> Result<Setting, ScenarioError> {
-        Ok(Setting {
+impl ScenarioConfig {
+    fn read(config: &Value) -> Result<ScenarioConfig, ScenarioError> {
+        Ok(ScenarioConfig {
             director: address(config, "/listen")?,
             relay: address(config, "/store/address")?,
             discovery: address(config, "/discovery")?,
@@ -130,57 +130,56 @@
     })
 }
 
-/// Everything around the director.
-struct Surroundings {
+struct StandIns {
     relay: Relay,
     discovery: Discovery,
 }
 
-impl Surroundings {
-    async fn start(setting: &Setting) -> Result<Surroundings, ScenarioError> {
-        let relay = Relay::start(setting.relay)
+impl StandIns {
+    async fn start(config: &ScenarioConfig) -> Result<StandIns, ScenarioError> {
+        let relay = Relay::start(config.relay)
             .await
             .map_err(stand_in("relay"))?;
-        let discovery = Discovery::start(setting.discovery)
+        let discovery = Discovery::start(config.discovery)
             .await
             .map_err(stand_in("discovery"))?;
-        for host in &setting.hosts {
+        for host in &config.hosts {
             let address = host::start(host.address).await.map_err(stand_in("host"))?;
-            discovery.set_host(&host.id, &setting.zone, "Ready", &address.to_string(), 0.0);
+            discovery.set_host(&host.id, &config.zone, "Ready", &address.to_string(), 0.0);
         }
-        Ok(Surroundings { relay, discovery })
+        Ok(StandIns { relay, discovery })
     }
 }
 
-/// Plays the scenario around a director that runs with this configuration, and reports each step as a line of text.
+/// Runs the scenario with a director that uses this configuration. `report` receives a line of text for each step.
 ///
 /// # Errors
-/// The configuration names no addresses to stand in at, an address can't be bound, or the director does not do what it
-/// should in time.
+/// Returns an error if the configuration lacks a required field, an address can't be bound, or the director does not
+/// reach an expected state in time.
 pub async fn play(config: &Value, report: impl Fn(&str)) -> Result<(), ScenarioError> {
-    let setting = Setting::read(config)?;
-    let surroundings = Surroundings::start(&setting).await?;
+    let config = ScenarioConfig::read(config)?;
+    let stand_ins = StandIns::start(&config).await?;
     report(&format!(
         "relay, discovery and two hosts stand in; waiting for a director at {}",
-        setting.director
+        config.director
     ));
-    wait_for_director(setting.director).await?;
+    wait_for_director(config.director).await?;
     report("the director answers a ping");
-    let relay = &surroundings.relay;
+    let relay = &stand_ins.relay;
     wait_until("the director watches the relay", || {
         relay.watcher_count() > 0
     })
     .await?;
-    let mut collector = Collector::connect(setting.director, &setting.zone)
+    let mut collector = Collector::connect(config.director, &config.zone)
         .await
         .map_err(stand_in("collector"))?;
-    join(&setting, relay, &report).await?;
+    join(&config, relay, &report).await?;
     collector
-        .report_host(&setting.zone, &setting.hosts[0].id, 12)
+        .report_host(&config.zone, &config.hosts[0].id, 12)
         .await
         .map_err(stand_in("collector"))?;
-    drain(&setting, &surroundings, &report).await?;
-    relay.remove_proxy(PROXY);
+    drain(&config, &stand_ins, &report).await?;
+    relay.remove_proxy(PROXY_NUMBER);
     report("proxy 0 leaves; the drain was kept and nobody was without a host");
     Ok(())
 }
@@ -189,44 +188,44 @@
     let start = Instant::now();
     while ping(director).await.is_err() {
         if start.elapsed() > WAIT_TIMEOUT {
-            let what = "the director answers a ping".into();
-            return Err(WaitTimeout { what }.into());
+            let description = "the director answers a ping".into();
+            return Err(WaitTimeout { description }.into());
         }
         tokio::time::sleep(PING_INTERVAL).await;
     }
     Ok(())
 }
 
-/// The proxy joins and gets both hosts.
+/// Lets the proxy join and waits until it has both hosts as endpoints.
 async fn join(
-    setting: &Setting,
+    config: &ScenarioConfig,
     relay: &Relay,
     report: impl Fn(&str),
 ) -> Result<(), ScenarioError> {
-    relay.join_proxy(PROXY, &setting.zone, 5.0);
+    relay.join_proxy(PROXY_NUMBER, &config.zone, 5.0);
     report("proxy 0 joins");
     wait_until("a table with both hosts", || {
-        relay.endpoints(PROXY).len() == 2
+        relay.endpoints(PROXY_NUMBER).len() == 2
     })
     .await?;
     report(&format!(
         "proxy 0 is bound to a table: {:?}",
-        relay.endpoints(PROXY)
+        relay.endpoints(PROXY_NUMBER)
     ));
     Ok(())
 }
 
-/// The second host drains: the proxy sends it nothing new, then its table does not hold it any more.
+/// Drains the second host. Waits until it is withdrawn from the proxy, then until its endpoint has left the table.
 async fn drain(
-    setting: &Setting,
-    surroundings: &Surroundings,
+    config: &ScenarioConfig,
+    stand_ins: &StandIns,
     report: impl Fn(&str),
 ) -> Result<(), ScenarioError> {
-    let Surroundings { relay, discovery } = surroundings;
-    let [staying, draining] = &setting.hosts;
+    let StandIns { relay, discovery } = stand_ins;
+    let [staying, draining] = &config.hosts;
     discovery.set_host(
         &draining.id,
-        &setting.zone,
+        &config.zone,
         "Terminating",
         "127.0.0.1:1",
         0.0,
@@ -237,24 +236,24 @@
         draining.id
     ));
     wait_until("the withdrawal", || {
-        !relay.endpoints(PROXY).contains_key(&draining.id)
+        !relay.endpoints(PROXY_NUMBER).contains_key(&draining.id)
     })
     .await?;
     report(&format!(
         "proxy 0 sends it nothing new, {} ms later",
         start.elapsed().as_millis()
     ));
-    if !relay.endpoints(PROXY).contains_key(&staying.id) {
-        return Err(ScenarioError::LeftWithout(staying.id.clone()));
+    if !relay.endpoints(PROXY_NUMBER).contains_key(&staying.id) {
+        return Err(ScenarioError::HostMissing(staying.id.clone()));
     }
     wait_until("its endpoint leaves the table", || {
-        !relay.has_endpoint(PROXY, &draining.id)
+        !relay.has_endpoint(PROXY_NUMBER, &draining.id)
     })
     .await?;
     report(&format!(
         "its endpoint has left the table, {} ms later: {:?}",
         start.elapsed().as_millis(),
-        relay.endpoints(PROXY)
+        relay.endpoints(PROXY_NUMBER)
     ));
     Ok(())
 }
