--- a/crates/director/grpc/src/connections.rs
+++ b/crates/director/grpc/src/connections.rs
@@ -105,8 +105,8 @@
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Accepts the next connection. At the limit, the oldest connection that is not in use is closed; if all are in use,
-    /// the new connection is rejected and the next one is awaited.
+    /// Accepts the next connection. At the limit, the oldest connection that is not in use is closed; if all are in
+    /// use, the new connection is rejected and the next one is awaited.
     pub(crate) async fn accept(
         &self,
         listener: &TcpListener,
--- a/crates/director/grpc/src/convert/common.rs
+++ b/crates/director/grpc/src/convert/common.rs
@@ -27,8 +27,8 @@
     }
 }
 
-/// Decodes an address to `host:port`, with brackets around an IPv6 address. Returns `None` if the address or its numeric
-/// port is missing.
+/// Decodes an address to `host:port`, with brackets around an IPv6 address. Returns `None` if the address or its
+/// numeric port is missing.
 pub(super) fn decode_address(address: Option<&core::Address>) -> Option<String> {
     let core::address::Address::SocketAddress(socket_address) = address?.address.as_ref()?;
     let Some(core::socket_address::PortSpecifier::PortValue(port)) = &socket_address.port_specifier
--- a/crates/director/grpc/src/events.rs
+++ b/crates/director/grpc/src/events.rs
@@ -47,8 +47,8 @@
         self.bounded.send(event).await.map_err(|_| TransportClosed)
     }
 
-    /// Sends an input that occurs at most once per response or stream, without waiting. It is discarded if the transport
-    /// was dropped.
+    /// Sends an input that occurs at most once per response or stream, without waiting. It is discarded if the
+    /// transport was dropped.
     pub(crate) fn send_now(&self, input: Input) {
         _ = self.unbounded.send(TransportEvent::Input(input));
     }
--- a/crates/director/grpc/src/transport.rs
+++ b/crates/director/grpc/src/transport.rs
@@ -1,4 +1,5 @@
-//! Combines the gRPC servers and the report clients behind one interface: inputs are read from it, effects applied to it.
+//! Combines the gRPC servers and the report clients behind one interface: inputs are read from it, effects applied to
+//! it.
 
 use crate::connections::{ConnectionHandle, ConnectionLimit};
 use crate::events::{self, EventReceiver, EventSender, StreamCommand, TransportEvent};
--- a/examples/gateway/src/error.rs
+++ b/examples/gateway/src/error.rs
@@ -1,63 +1,63 @@
-//! Why a step of the scenario failed.
+//! Errors of the scenario's steps.
 
 use std::fmt;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The first thing that went wrong; it ends the scenario.
+/// Error that ends the scenario.
 #[derive(Debug)]
 pub enum ScenarioError {
     /// A file of the scenario can't be read or written.
     File {
-        /// Which one.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error from the operating system.
         cause: io::Error,
     },
-    /// A program can't be started, or not be ended.
+    /// A program can't be started or killed.
     Process {
-        /// Its name.
+        /// File name of the program, or the process's node name.
         program: String,
-        /// What the system says.
+        /// Error from the operating system.
         cause: io::Error,
     },
-    /// An operator's command ended with an error.
+    /// `rushctl` exited with a non-zero code.
     Command {
-        /// Its words, without `rushctl`.
-        words: String,
-        /// What it wrote to standard error.
+        /// Command line without the program name.
+        arguments: String,
+        /// Trimmed standard error output.
         output: String,
     },
-    /// The output of a command is not of the form that is read here.
+    /// The output of `rushctl` has an unexpected format.
     CommandOutput(&'static str),
-    /// A connection could not be made, or broke.
+    /// A TCP connection can't be established.
     Connection(io::Error),
-    /// HTTP's rules were broken, here or on the other side.
+    /// An HTTP connection failed or its peer violated the protocol.
     Http(hyper::Error),
-    /// A request can't be written.
+    /// A request has an invalid path or header.
     Request(hyper::http::Error),
-    /// No response came in time.
+    /// A request timed out.
     NoResponse,
-    /// What was waited for did not come.
+    /// A condition did not become true in time.
     TimedOut {
-        /// What was waited for.
+        /// Description of the condition.
         awaited: &'static str,
-        /// For how long.
+        /// Time after which waiting ended.
         limit: Duration,
     },
-    /// The gateway did not do what this step shows.
+    /// A step's check of the gateway's responses failed.
     Unexpected(&'static str),
 }
 
 impl ScenarioError {
-    /// For errors of the system at a file.
+    /// Returns a converter for I/O errors of a file.
     pub fn file(path: &Path) -> impl FnOnce(io::Error) -> ScenarioError {
         let path = path.to_path_buf();
         move |cause| ScenarioError::File { path, cause }
     }
 
-    /// For errors of the system at a program.
+    /// Returns a converter for errors of starting or killing a program.
     pub fn process(program: &str) -> impl FnOnce(io::Error) -> ScenarioError {
         let program = program.to_string();
         move |cause| ScenarioError::Process { program, cause }
@@ -69,14 +69,16 @@
         match self {
             ScenarioError::File { path, cause } => write!(f, "{}: {cause}", path.display()),
             ScenarioError::Process { program, cause } => write!(f, "{program}: {cause}"),
-            ScenarioError::Command { words, output } => write!(f, "rushctl {words}: {output}"),
+            ScenarioError::Command { arguments, output } => {
+                write!(f, "rushctl {arguments}: {output}")
+            }
             ScenarioError::CommandOutput(problem) => f.write_str(problem),
             ScenarioError::Connection(cause) => write!(f, "connection: {cause}"),
             ScenarioError::Http(cause) => write!(f, "HTTP: {cause}"),
             ScenarioError::Request(cause) => write!(f, "request: {cause}"),
-            ScenarioError::NoResponse => f.write_str("no response in time"),
+            ScenarioError::NoResponse => f.write_str("request timed out"),
             ScenarioError::TimedOut { awaited, limit } => {
-                write!(f, "{awaited}: not within {} s", limit.as_secs())
+                write!(f, "{awaited}: timed out after {} s", limit.as_secs())
             }
             ScenarioError::Unexpected(problem) => f.write_str(problem),
         }
--- a/examples/gateway/src/host.rs
+++ b/examples/gateway/src/host.rs
@@ -1,4 +1,4 @@
-//! A stand-in host: serves any request that is meant for it, and sends heartbeats to the controllers.
+//! Stand-in host that serves requests addressed to it and sends heartbeats to the controllers.
 
 use crate::http_client::{HttpRequest, send};
 use bytes::Bytes;
@@ -14,23 +14,23 @@
 use std::time::Duration;
 use tokio::net::TcpListener;
 
-/// As `heartbeat_interval_s` of the settings that `rushctl make-settings` writes.
+/// Must equal `heartbeat_interval_s` in the settings that `rushctl make-settings` writes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// One host of a service.
+/// A host of a service, with counters of the requests that it executed.
 pub struct Host {
     id: String,
     service: &'static str,
     address: String,
-    /// Counts its heartbeats.
+    /// Sequence number of the last heartbeat.
     call_sequence: Cell<u64>,
     is_draining: Cell<bool>,
-    /// How often each operation key, or attempt without one, was run.
+    /// Number of executions by operation key, or by attempt ID for requests without a key.
     runs: RefCell<BTreeMap<String, u32>>,
 }
 
 impl Host {
-    /// A host that is ready and has run nothing.
+    /// Creates a host in state `ready`. It neither listens nor sends heartbeats before [`Host::start`].
     pub fn new(id: String, service: &'static str, address: String) -> Host {
         Host {
             id,
@@ -42,27 +42,27 @@
         }
     }
 
-    /// The id by which the gateway knows it.
+    /// Instance ID under which the host registers.
     pub fn id(&self) -> &str {
         &self.id
     }
 
-    /// From the next heartbeat on it says that it drains.
+    /// Sets the state reported by subsequent heartbeats to `draining`.
     pub fn drain(&self) {
         self.is_draining.set(true);
     }
 
-    /// How often it ran an operation.
-    pub fn runs_of(&self, key: &str) -> u32 {
+    /// Number of executions of an operation key.
+    pub fn run_count(&self, key: &str) -> u32 {
         self.runs.borrow().get(key).copied().unwrap_or(0)
     }
 
-    /// How many requests it ran.
+    /// Number of requests executed so far.
     pub fn total_runs(&self) -> u32 {
         self.runs.borrow().values().sum()
     }
 
-    /// Serves requests and sends heartbeats to the controllers, until the process ends.
+    /// Spawns local tasks that serve requests and send heartbeats to the controllers.
     pub fn start(self: Rc<Self>, controllers: &'static [&'static str]) {
         tokio::task::spawn_local(serve(self.clone()));
         tokio::task::spawn_local(async move {
@@ -73,13 +73,13 @@
         });
     }
 
-    /// Sends one heartbeat to the controllers in turn until one acknowledges it; whether one did.
+    /// Sends one heartbeat, trying each controller until one acknowledges it. Returns `false` if none did.
     pub async fn send_heartbeat(&self, controllers: &[&str]) -> bool {
         let sequence = self.call_sequence.get() + 1;
         self.call_sequence.set(sequence);
         let (path, body) = (
             format!("/-/instances/{}", self.id),
-            self.heartbeat(sequence),
+            self.heartbeat_body(sequence),
         );
         for attempt in 0..controllers.len() {
             let address = controllers[(sequence as usize + attempt) % controllers.len()];
@@ -97,7 +97,7 @@
         false
     }
 
-    fn heartbeat(&self, sequence: u64) -> String {
+    fn heartbeat_body(&self, sequence: u64) -> String {
         let state = if self.is_draining.get() {
             "draining"
         } else {
@@ -134,7 +134,7 @@
     request: Request<Incoming>,
 ) -> Result<Response<Full<Bytes>>, hyper::Error> {
     if header(&request, "expected-instance").is_some_and(|expected| expected != host.id) {
-        return Ok(misdirected(&host));
+        return Ok(misdirected_response(&host));
     }
     let attempt = header(&request, "attempt-id").unwrap_or_default();
     let key = header(&request, "operation-key");
@@ -148,8 +148,8 @@
     Ok(response.expect("a valid head"))
 }
 
-/// The request is meant for another host: it is not run.
-fn misdirected(host: &Host) -> Response<Full<Bytes>> {
+/// Response to a request for another instance, which is not executed.
+fn misdirected_response(host: &Host) -> Response<Full<Bytes>> {
     Response::builder()
         .status(StatusCode::MISDIRECTED_REQUEST)
         .header("answering-instance", &host.id)
--- a/examples/gateway/src/http_client.rs
+++ b/examples/gateway/src/http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 request on a connection of its own.
+//! HTTP/1.1 client that opens a new connection for each request.
 
 use crate::error::ScenarioError;
 use bytes::Bytes;
@@ -8,42 +8,43 @@
 use std::time::Duration;
 use tokio::net::TcpStream;
 
-/// A response that takes longer counts as none.
+/// Limit for connecting, sending the request and reading the whole response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What is sent, and where to.
+/// A request and the server to send it to.
 pub struct HttpRequest<'a> {
-    /// Address and port.
+    /// Server address as `host:port`.
     pub address: &'a str,
-    /// The method.
+    /// HTTP method in capital letters, such as `GET`.
     pub method: &'a str,
-    /// The path.
+    /// Absolute path, with a query if needed.
     pub path: &'a str,
-    /// Names and values; HTTP wants a `host` among them.
+    /// Header names and values. Must include `host`.
     pub headers: &'a [(&'a str, &'a str)],
-    /// The body, which may be empty.
+    /// Request body; may be empty.
     pub body: &'a str,
 }
 
-/// What came back.
+/// The parts of a response that the scenario checks.
 pub struct HttpResponse {
-    /// The status.
+    /// HTTP status code.
     pub status: u16,
-    /// `Response-Seal`, or `-` where there is none.
+    /// Value of the `Response-Seal` header, or `-` if it is missing.
     pub seal: String,
 }
 
 impl HttpResponse {
-    /// Whether the status is 200.
+    /// Returns true for status 200 only.
     pub fn is_ok(&self) -> bool {
         self.status == 200
     }
 }
 
-/// Sends a request and reads the whole response.
+/// Sends a request and reads the whole response. The response body is discarded.
 ///
 /// # Errors
-/// No connection, no response within three seconds, or one that breaks off.
+/// Returns an error if the connection fails, the response is invalid or incomplete, or the request takes longer than
+/// three seconds.
 pub async fn send(request: HttpRequest<'_>) -> Result<HttpResponse, ScenarioError> {
     tokio::time::timeout(RESPONSE_TIMEOUT, exchange(request))
         .await
--- a/examples/gateway/src/main.rs
+++ b/examples/gateway/src/main.rs
@@ -1,11 +1,11 @@
-//! A small gateway on loopback, shown step by step: `toy-gateway FOLDER-OF-PROGRAMS`. Each step prints a line; the first
-//! that fails ends it with code 1.
+//! Runs a small gateway cluster on loopback: `toy-gateway FOLDER-OF-PROGRAMS`. Each step prints a line. The program
+//! exits with code 1 at the first step that fails.
 //!
 //! * [`scenario`]: the steps.
-//! * [`programs`]: the gateway's programs as processes, and the operators' command line.
+//! * [`programs`]: starts the gateway's programs and runs `rushctl`.
 //! * [`host`]: stand-in hosts.
-//! * [`http_client`]: one request on a connection of its own.
-//! * [`error`]: why a step failed.
+//! * [`http_client`]: sends HTTP requests.
+//! * [`error`]: errors of the steps.
 
 mod error;
 mod host;
--- a/examples/gateway/src/programs.rs
+++ b/examples/gateway/src/programs.rs
@@ -1,18 +1,19 @@
-//! The gateway's programs: the operators' command line, and processes that end with the scenario.
+//! Starts the gateway's programs as child processes and runs `rushctl` commands.
 
 use crate::error::ScenarioError;
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// Where the programs are, and a folder for their settings, keys and logs.
+/// Folder of the built programs, and the scenario's folder with their settings, keys and logs.
 pub struct Programs {
     binaries: PathBuf,
     folder: PathBuf,
 }
 
 impl Programs {
-    /// `binaries`: the folder of the built programs; `folder`: one that may be made and is removed at the end.
+    /// `binaries` contains the built programs. `folder` is created by `rushctl make-settings` and deleted by
+    /// [`Programs::remove_folder`].
     pub fn new(binaries: &Path, folder: PathBuf) -> Programs {
         Programs {
             binaries: binaries.into(),
@@ -20,38 +21,38 @@
         }
     }
 
-    /// The scenario's folder.
+    /// Folder of the settings, keys and logs.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 
-    /// The path of a file in the scenario's folder.
+    /// Returns the path of a file in the scenario's folder.
     pub fn path(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
-    /// Runs `rushctl` with these words; what it printed.
+    /// Runs `rushctl` to completion and returns its standard output.
     ///
     /// # Errors
-    /// It can't be started, or ends with another code than 0.
-    pub fn rushctl(&self, words: &[&str]) -> Result<String, ScenarioError> {
+    /// Returns an error if it can't be started or exits with a non-zero code.
+    pub fn rushctl(&self, arguments: &[&str]) -> Result<String, ScenarioError> {
         let output = Command::new(self.binaries.join("rushctl"))
-            .args(words)
+            .args(arguments)
             .output()
             .map_err(ScenarioError::process("rushctl"))?;
         if output.status.success() {
             return Ok(String::from_utf8_lossy(&output.stdout).into_owned());
         }
         Err(ScenarioError::Command {
-            words: words.join(" "),
+            arguments: arguments.join(" "),
             output: String::from_utf8_lossy(&output.stderr).trim().to_string(),
         })
     }
 
-    /// Starts a program by the settings file `name`.conf; its log goes to `name`.log.
+    /// Starts a program with the settings file `NAME.conf`. Its standard error goes to `NAME.log`.
     ///
     /// # Errors
-    /// The log can't be made, or the program not be started.
+    /// Returns an error if the log file can't be created or the program can't be started.
     pub fn start(&self, program: &str, name: &str) -> Result<Process, ScenarioError> {
         let path = self.path(&format!("{name}.log"));
         let log = File::create(&path).map_err(ScenarioError::file(&path))?;
@@ -68,28 +69,28 @@
         })
     }
 
-    /// Removes the scenario's folder.
+    /// Deletes the scenario's folder with its contents. Errors are ignored.
     pub fn remove_folder(&self) {
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-/// A process that is killed when this goes.
+/// A child process, killed on drop.
 pub struct Process {
     name: String,
     child: Child,
 }
 
 impl Process {
-    /// The name of its node.
+    /// Node name, which is also the stem of the settings and log files.
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// Kills it, and waits until it has ended.
+    /// Kills the process and waits for it to exit.
     ///
     /// # Errors
-    /// It can't be killed.
+    /// Returns an error if the process can't be killed or waited for.
     pub fn kill(&mut self) -> Result<(), ScenarioError> {
         self.child
             .kill()
@@ -106,10 +107,10 @@
     }
 }
 
-/// Adds lines to the end of a file.
+/// Appends text to an existing file.
 ///
 /// # Errors
-/// It can't be read or written.
+/// Returns an error if the file can't be read or written.
 pub fn append_to_file(path: &Path, lines: &str) -> Result<(), ScenarioError> {
     let text = fs::read_to_string(path).map_err(ScenarioError::file(path))?;
     fs::write(path, text + lines).map_err(ScenarioError::file(path))
--- a/examples/gateway/src/scenario.rs
+++ b/examples/gateway/src/scenario.rs
@@ -1,5 +1,5 @@
-//! The steps, in their order: settings and keys, start, configuration, reads, an order and its repeat, a drain, the loss of
-//! a controller, and the state as the operators' commands show it.
+//! Steps of the scenario, in order: generate settings and keys, start the programs, put a configuration, send reads,
+//! repeat an order, drain a host, kill a controller, and print the state with operator commands.
 
 use crate::error::ScenarioError;
 use crate::host::Host;
@@ -9,55 +9,57 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Two services, a route to each: reads, which may be repeated, and orders, which run once for each key.
+/// Configuration with two services and a route to each: reads, which may be retried, and orders, which run at most once
+/// per operation key.
 const CONFIGURATION: &str = r#"{"version":1,"routes":{"columns":["name","host","path_prefix","route_kind","timeout_s","target_latency_s","priority","maximum_attempts","service"],"rows":[["reads","shop.example","/read/","read_only",2,0.3,1,2,"stock"],["orders","shop.example","/order/","idempotent",2,0.3,0,2,"orders"]]},"services":{"columns":["name","health_check_path","connection_capacity"],"rows":[["stock","/health",50],["orders","/health",50]]},"limits":{"header_size_bytes":16384,"body_size_bytes":1000000,"header_timeout_s":3,"idle_timeout_s":15}}"#;
-/// `control_plane` addresses of the controllers that `rushctl make-settings` plans.
+/// `control_plane` addresses of the controllers in the generated settings.
 const CONTROLLERS: [&str; 4] = [
     "127.30.0.1:8544",
     "127.30.0.2:8544",
     "127.30.0.3:8544",
     "127.30.0.4:8544",
 ];
-/// `front_http` addresses of the gateways that it plans, and their `readiness` addresses.
+/// `front_http` addresses of the gateways in the generated settings.
 const GATEWAYS: [&str; 2] = ["127.30.0.11:8548", "127.30.0.12:8548"];
+/// `readiness` addresses of the gateways, in the order of [`GATEWAYS`].
 const READINESS: [&str; 2] = ["127.30.0.11:8542", "127.30.0.12:8542"];
 const HOSTS_PER_SERVICE: u8 = 3;
-/// The key of the order that is repeated.
+/// Operation key of the order that is sent twice.
 const REPEATED_KEY: &str = "k-1";
-/// How long the gateways may take to get ready.
+/// Maximum time from putting the configuration until all gateways are ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long after a drain was acknowledged all gateways know of it.
-const DRAIN_SPREAD_DELAY: Duration = Duration::from_millis(100);
-/// Of the twenty orders right after the loss of a controller, so many are answered at least.
+/// Time after the acknowledgement of a drain until all gateways have applied it.
+const DRAIN_PROPAGATION_DELAY: Duration = Duration::from_millis(100);
+/// Minimum number of successful responses to the 20 orders sent after a controller is killed.
 const MIN_ORDERS_AFTER_LOSS: u32 = 18;
 
-/// The kinds of requests, by their routes.
+/// Route of a client request.
 #[derive(Clone, Copy)]
 enum Route<'a> {
     Read,
     Order { key: &'a str },
 }
 
-/// The world that the steps act on.
+/// State shared by the scenario's steps.
 struct Scenario {
     programs: Programs,
     processes: Vec<Process>,
     hosts: Vec<Rc<Host>>,
-    last_step: u32,
+    step_number: u32,
 }
 
-/// Plays all steps with the programs of a folder.
+/// Runs all steps with the programs in `binaries`.
 ///
 /// # Errors
-/// The first step that fails, and why.
+/// Returns the error of the first step that fails. The scenario's folder is then kept.
 pub async fn play(binaries: &Path) -> Result<(), ScenarioError> {
     let folder = std::env::temp_dir().join(format!("rushcourse-gateway-{}", std::process::id()));
     let mut scenario = Scenario {
         programs: Programs::new(binaries, folder),
         processes: Vec::new(),
         hosts: Vec::new(),
-        last_step: 0,
+        step_number: 0,
     };
     scenario.make_settings_and_keys()?;
     scenario.start_processes()?;
@@ -76,8 +78,8 @@
 
 impl Scenario {
     fn print_step(&mut self, text: &str) {
-        self.last_step += 1;
-        println!("{:2}. {text}", self.last_step);
+        self.step_number += 1;
+        println!("{:2}. {text}", self.step_number);
     }
 
     fn make_settings_and_keys(&mut self) -> Result<(), ScenarioError> {
@@ -85,12 +87,12 @@
         let files = self.programs.rushctl(&["make-settings", &folder])?;
         self.print_step(&format!("settings files made: {}", files.lines().count()));
         let keys = self.programs.path("keys").to_string_lossy().into_owned();
-        let words: Vec<&str> = ["make-keys", &keys]
+        let arguments: Vec<&str> = ["make-keys", &keys]
             .into_iter()
             .chain(files.lines())
             .collect();
-        let output = self.programs.rushctl(&words)?;
-        // A part for each file: its name after `# `, and the lines that belong into it.
+        let output = self.programs.rushctl(&arguments)?;
+        // The output has a section for each file: a line `# PATH`, followed by the lines to append to it.
         for part in output.split("# ").filter(|part| !part.is_empty()) {
             let (file, lines) = part.split_once('\n').ok_or(ScenarioError::CommandOutput(
                 "make-keys names no settings file",
@@ -101,7 +103,8 @@
         Ok(())
     }
 
-    /// `core-N` and `frontend-N` are the names that `rushctl make-settings` gives to the files.
+    /// Starts all controllers and gateways. `rushctl make-settings` names their settings files `core-N` and
+    /// `frontend-N`.
     fn start_processes(&mut self) -> Result<(), ScenarioError> {
         for number in 1..=CONTROLLERS.len() {
             let process = self
@@ -135,16 +138,16 @@
         let path = self.programs.path("configuration.json");
         std::fs::write(&path, CONFIGURATION).map_err(ScenarioError::file(&path))?;
         let file = path.to_string_lossy().into_owned();
-        let output = self.operator(&["put", &file])?;
+        let output = self.run_operator_command(&["put", &file])?;
         self.print_step(&format!("configuration put: {}", output.trim()));
         Ok(())
     }
 
-    /// Runs a command of the operators at all controllers.
-    fn operator(&self, command: &[&str]) -> Result<String, ScenarioError> {
+    /// Runs a `rushctl` command with the addresses of all controllers.
+    fn run_operator_command(&self, command: &[&str]) -> Result<String, ScenarioError> {
         let controllers = CONTROLLERS.join(",");
-        let words = [&["--at", controllers.as_str()], command].concat();
-        self.programs.rushctl(&words)
+        let arguments = [&["--at", controllers.as_str()], command].concat();
+        self.programs.rushctl(&arguments)
     }
 
     async fn wait_until_ready(&mut self) -> Result<(), ScenarioError> {
@@ -183,7 +186,7 @@
         let runs: u32 = self
             .hosts
             .iter()
-            .map(|host| host.runs_of(REPEATED_KEY))
+            .map(|host| host.run_count(REPEATED_KEY))
             .sum();
         self.print_step(&format!(
             "order {REPEATED_KEY} at one gateway: {} {}; again at the other: {} {}; runs: {runs}",
@@ -204,7 +207,7 @@
         if !host.send_heartbeat(&CONTROLLERS).await {
             return Err(ScenarioError::Unexpected("the drain was not acknowledged"));
         }
-        tokio::time::sleep(DRAIN_SPREAD_DELAY).await;
+        tokio::time::sleep(DRAIN_PROPAGATION_DELAY).await;
         let runs_before = host.total_runs();
         for number in 100..140 {
             request(number, Route::Read).await?;
@@ -254,7 +257,7 @@
             &["disks"],
             &["key", REPEATED_KEY],
         ] {
-            print!("{}", self.operator(command)?);
+            print!("{}", self.run_operator_command(command)?);
         }
         Ok(())
     }
@@ -276,7 +279,7 @@
     true
 }
 
-/// A client's request to one of the gateways in turn.
+/// Sends a client request. `number` selects the gateway (round robin) and is part of the attempt ID.
 async fn request(number: usize, route: Route<'_>) -> Result<HttpResponse, ScenarioError> {
     let gateway = number % GATEWAYS.len();
     let kind = match route {
--- a/examples/grpc-standin/src/channel.rs
+++ b/examples/grpc-standin/src/channel.rs
@@ -1,4 +1,4 @@
-//! Channels to a director.
+//! Client channels to a director's gRPC address.
 
 use crate::error::StandinError;
 use std::net::SocketAddr;
@@ -6,23 +6,23 @@
 use tonic::transport::{Certificate, Channel, ClientTlsConfig, Endpoint, Identity};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// The name that a director's certificate bears in tests.
+/// DNS name in the director's test certificates.
 const DIRECTOR_NAME: &str = "director.test";
 
-/// A plain channel.
+/// Connects without TLS.
 ///
 /// # Errors
-/// The connection can't be made.
+/// Returns an error if the connection can't be established within 5 s.
 pub async fn connect(to: SocketAddr) -> Result<Channel, StandinError> {
     let endpoint = Endpoint::from_shared(format!("http://{to}"))?;
     Ok(endpoint.connect_timeout(CONNECT_TIMEOUT).connect().await?)
 }
 
-/// A channel over TLS, which trusts those whom this certificate (PEM) has signed. It shows a certificate of its own with
-/// its key, where they are given.
+/// Connects with TLS. `authority` is the trusted CA certificate and `own` the client certificate with its key, all in
+/// PEM format.
 ///
 /// # Errors
-/// The connection can't be made, or the handshake fails.
+/// Returns an error if the connection can't be established or the handshake fails.
 pub async fn connect_tls(
     to: SocketAddr,
     authority: &str,
--- a/examples/grpc-standin/src/environment.rs
+++ b/examples/grpc-standin/src/environment.rs
@@ -1,4 +1,4 @@
-//! What stands around a director: the platform's stand-ins, and the director's process with a file of fronts.
+//! Starts a director's process with a generated fronts file, and the relay and discovery stand-ins that it connects to.
 
 use crate::error::StandinError;
 use rushcourse_standin::discovery::Discovery;
@@ -8,21 +8,23 @@
 use std::path::{Path, PathBuf};
 use tokio::process::{Child, Command};
 
-/// Fields of `/proc/PID/stat` after the name, which ends with `)`: time in user mode and in the kernel.
+/// Index of `utime` among the fields of `/proc/PID/stat` after the closing parenthesis of the process name.
 const USER_TIME_FIELD: usize = 11;
+/// Index of `stime`, counted like [`USER_TIME_FIELD`].
 const SYSTEM_TIME_FIELD: usize = 12;
+/// Unit of the CPU times in `/proc/PID/stat` (`USER_HZ`).
 const TICKS_PER_SECOND: f64 = 100.0;
 
-/// What a process has taken so far.
+/// Resources used by a process.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProcessUsage {
-    /// Seconds of processor time.
+    /// CPU time in user and kernel mode since the process started, in seconds.
     pub cpu_seconds: f64,
-    /// KiB of memory that are resident.
+    /// Resident memory in KiB.
     pub resident_kib: u64,
 }
 
-/// Files that are removed with it.
+/// Temporary files of a director, deleted on drop.
 struct TemporaryFiles {
     config: PathBuf,
     fronts: PathBuf,
@@ -56,24 +58,24 @@
     })
 }
 
-/// A director and what stands around it; all of it ends with this.
+/// A director's process with its stand-ins. The process is killed on drop.
 pub struct Environment {
-    /// The platform's relay.
+    /// Relay that the director connects to.
     pub relay: Relay,
-    /// Discovery, which serves the membership list.
+    /// Discovery service with the host list, empty at the start.
     pub discovery: Discovery,
-    /// Where the director serves gRPC.
+    /// Address on which the director serves gRPC.
     pub grpc: SocketAddr,
     director: Child,
     _files: TemporaryFiles,
 }
 
 impl Environment {
-    /// Stand-ins at the configuration's addresses, and a director of this program that serves gRPC at `grpc`.
-    /// `arguments` are added to the call of `grpc(...)`; they begin with a comma.
+    /// Starts the stand-ins on the addresses in `config` and a director that serves gRPC on `grpc`. `arguments` is
+    /// appended to the argument list of `grpc(...)` in the fronts file and must be empty or begin with a comma.
     ///
     /// # Errors
-    /// An address can't be bound, a file can't be written, or the program can't be started.
+    /// Returns an error if an address can't be bound, a file can't be written, or the program can't be started.
     pub async fn start(
         config: &Value,
         grpc: SocketAddr,
@@ -105,7 +107,7 @@
         })
     }
 
-    /// What the director's process has taken so far, where `/proc` says so.
+    /// Returns the resource usage of the director's process. `None` if it has exited or `/proc` is not available.
     pub fn usage(&self) -> Option<ProcessUsage> {
         let pid = self.director.id()?;
         let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
--- a/examples/grpc-standin/src/error.rs
+++ b/examples/grpc-standin/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a stand-in can't do what it was asked for.
+//! Error type of the stand-ins.
 
 use std::error::Error;
 use std::fmt;
@@ -7,58 +7,58 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Why a stand-in can't do what it was asked for.
+/// Error of a stand-in, the scenario or a measurement.
 #[derive(Debug)]
 pub enum StandinError {
     /// A file can't be read or written.
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// A file is not JSON.
+    /// A configuration file is not valid JSON.
     Json {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Syntax error with its line and column.
         source: serde_json::Error,
     },
-    /// A field of the configuration is no address.
+    /// A configuration field is not a valid socket address.
     ConfigAddress {
-        /// The field, as a JSON pointer.
+        /// JSON pointer of the field.
         field: &'static str,
-        /// Its value.
+        /// Value of the field, empty if it is missing or not a string.
         value: String,
     },
-    /// An address of the stand-ins' own can't be read.
+    /// A fixed listen address can't be parsed.
     Address(AddrParseError),
     /// A stand-in can't listen, or a program can't be started.
     Start {
-        /// What it is.
+        /// Kind or address of the stand-in, or path of the program.
         what: String,
-        /// Why.
+        /// Error from the operating system.
         source: io::Error,
     },
-    /// A connection can't be made.
+    /// A gRPC connection can't be established.
     Connect(tonic::transport::Error),
-    /// A connection can't be made, or a call can't be sent, below gRPC.
+    /// An HTTP/2 connection or stream failed.
     Http2(h2::Error),
-    /// A TCP connection can't be made.
+    /// A TCP connection can't be established.
     Tcp(io::Error),
-    /// A request's headers can't be built.
+    /// The headers of a request are invalid.
     Request(http::Error),
-    /// Something did not happen in time.
-    Wait(String),
-    /// The director does not answer.
-    NoAnswer,
-    /// Proxies still send requests to a host that drains.
+    /// A condition did not become true in time; the text describes it.
+    Timeout(String),
+    /// The director did not accept connections in time.
+    NotResponding,
+    /// Some proxies still select a draining host after the time limit.
     NotDrained {
-        /// How many.
+        /// Number of these proxies.
         proxies: usize,
-        /// The host.
+        /// ID of the draining host.
         host: String,
-        /// How long was waited.
+        /// The time limit.
         waited: Duration,
     },
 }
@@ -69,7 +69,7 @@
             StandinError::File { path, source } => write!(f, "{}: {source}", path.display()),
             StandinError::Json { path, source } => write!(f, "{}: {source}", path.display()),
             StandinError::ConfigAddress { field, value } => {
-                write!(f, "the configuration's {field} is no address: {value:?}")
+                write!(f, "configuration field {field}: invalid address {value:?}")
             }
             StandinError::Address(source) => write!(f, "{source}"),
             StandinError::Start { what, source } => write!(f, "{what}: {source}"),
@@ -80,15 +80,15 @@
             StandinError::Http2(source) => write!(f, "{source}"),
             StandinError::Tcp(source) => write!(f, "{source}"),
             StandinError::Request(source) => write!(f, "{source}"),
-            StandinError::Wait(text) => write!(f, "{text}"),
-            StandinError::NoAnswer => write!(f, "the director does not answer"),
+            StandinError::Timeout(text) => write!(f, "{text}"),
+            StandinError::NotResponding => write!(f, "the director does not respond"),
             StandinError::NotDrained {
                 proxies,
                 host,
                 waited,
             } => write!(
                 f,
-                "{proxies} relays still pick {host} after {} s",
+                "{proxies} relays still select {host} after {} s",
                 waited.as_secs()
             ),
         }
@@ -116,12 +116,12 @@
 }
 
 impl StandinError {
-    /// What a wait for something says where that did not happen.
-    pub(crate) fn wait(error: impl fmt::Display) -> StandinError {
-        StandinError::Wait(error.to_string())
+    /// Converts the error of a wait.
+    pub(crate) fn timeout(error: impl fmt::Display) -> StandinError {
+        StandinError::Timeout(error.to_string())
     }
 
-    /// Why something can't be started.
+    /// Returns a converter for errors of starting a stand-in or a program.
     pub(crate) fn start(what: impl Into<String>) -> impl FnOnce(io::Error) -> StandinError {
         let what = what.into();
         move |source| StandinError::Start { what, source }
--- a/examples/grpc-standin/src/host.rs
+++ b/examples/grpc-standin/src/host.rs
@@ -1,5 +1,4 @@
-//! A host that reports its load over gRPC (ORCA, out of band). The published service is small: its two messages are
-//! written here by name and number.
+//! Host that reports its load over gRPC (ORCA, out of band). The messages of the ORCA service are defined here by hand.
 
 use bytes::Bytes;
 use futures_util::future::BoxFuture;
@@ -19,35 +18,35 @@
 use tonic::{Request, Response, Status};
 
 const INITIAL_UTILIZATION: f64 = 0.5;
-/// Requests that the host reports as waiting.
-const QUEUE: f64 = 2.0;
-/// Between two reports, whatever interval is asked for.
+/// Reported value of the named metric `queue`, in requests.
+const QUEUE_LENGTH: f64 = 2.0;
+/// Interval between reports. The interval in the request is ignored.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// `xds.data.orca.v3.OrcaLoadReport`.
+/// Message `xds.data.orca.v3.OrcaLoadReport`, with the fields that the director reads.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OrcaLoadReport {
-    /// Share of its processors in use.
+    /// CPU utilization, where 1.0 means fully used. Always 0.
     #[prost(double, tag = "1")]
     pub cpu_utilization: f64,
-    /// Metrics of the application, by name.
+    /// Application metrics by name. Contains `queue`.
     #[prost(btree_map = "string, double", tag = "8")]
     pub named_metrics: BTreeMap<String, f64>,
-    /// Utilization as the application sees it.
+    /// Utilization computed by the application, where 1.0 means fully used.
     #[prost(double, tag = "9")]
     pub application_utilization: f64,
 }
 
-/// `xds.service.orca.v3.OrcaLoadReportRequest`; what it asks for is not looked at.
+/// Message `xds.service.orca.v3.OrcaLoadReportRequest`. Its fields are not decoded.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OrcaLoadReportRequest {}
 
 #[derive(Debug)]
 struct Shared {
-    /// Utilization as bits of an `f64`.
+    /// Reported utilization, as the bits of an `f64`.
     utilization: AtomicU64,
     stream_count: AtomicUsize,
-    /// Reports go out while this holds.
+    /// False while the host is stalled.
     is_reporting: watch::Sender<bool>,
 }
 
@@ -55,25 +54,25 @@
     fn report(&self) -> OrcaLoadReport {
         OrcaLoadReport {
             application_utilization: f64::from_bits(self.utilization.load(Ordering::Relaxed)),
-            named_metrics: [("queue".to_string(), QUEUE)].into(),
+            named_metrics: [("queue".to_string(), QUEUE_LENGTH)].into(),
             ..OrcaLoadReport::default()
         }
     }
 }
 
-/// A host that listens and reports its load.
+/// A host that serves ORCA report streams. Clones share the same state.
 #[derive(Clone)]
 pub struct ReportingHost {
-    /// Where it listens.
+    /// Bound listen address.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
 impl ReportingHost {
-    /// Listens at an address.
+    /// Starts a host. Port 0 selects a free port.
     ///
     /// # Errors
-    /// The address can't be bound.
+    /// Returns an error if the address can't be bound.
     pub async fn start(address: SocketAddr) -> io::Result<ReportingHost> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -90,19 +89,19 @@
         Ok(ReportingHost { address, shared })
     }
 
-    /// Reports this utilization from now on.
+    /// Sets the utilization of subsequent reports.
     pub fn set_utilization(&self, utilization: f64) {
         self.shared
             .utilization
             .store(utilization.to_bits(), Ordering::Relaxed);
     }
 
-    /// From now on it answers pings and reports nothing, or reports again.
+    /// Pauses or resumes reports on all streams. HTTP/2 pings are acknowledged either way.
     pub fn set_stalled(&self, is_stalled: bool) {
         self.shared.is_reporting.send_replace(!is_stalled);
     }
 
-    /// How many report streams were ever opened.
+    /// Number of report streams opened since the start, including closed ones.
     pub fn stream_count(&self) -> usize {
         self.shared.stream_count.load(Ordering::Relaxed)
     }
@@ -125,15 +124,15 @@
     fn call(&mut self, _: Request<OrcaLoadReportRequest>) -> Self::Future {
         let shared = self.shared.clone();
         Box::pin(async move {
-            let (reports, waiting_reports) = mpsc::channel(1);
+            let (reports, queued_reports) = mpsc::channel(1);
             shared.stream_count.fetch_add(1, Ordering::Relaxed);
             tokio::spawn(send_reports(shared, reports));
-            Ok(Response::new(ReceiverStream::new(waiting_reports)))
+            Ok(Response::new(ReceiverStream::new(queued_reports)))
         })
     }
 }
 
-/// Reports until nobody receives reports any more.
+/// Sends reports on one stream until its receiver is dropped.
 async fn send_reports(shared: Arc<Shared>, reports: mpsc::Sender<Result<OrcaLoadReport, Status>>) {
     let mut is_reporting = shared.is_reporting.subscribe();
     loop {
--- a/examples/grpc-standin/src/lib.rs
+++ b/examples/grpc-standin/src/lib.rs
@@ -1,6 +1,6 @@
-//! Stand-ins over gRPC to try a director with: a proxy, a host that reports its load, peers that keep to no protocol.
-//! They make no load and simulate nothing. The messages are those of a library that others wrote from the published
-//! protocol, so that each side checks the other's reading.
+//! gRPC stand-ins for testing a director: a proxy, a host that reports its load, and peers that violate the protocol.
+//! Messages come from the `envoy-types` crate instead of the director's own definitions, so that an encoding error on
+//! either side makes a test fail.
 
 mod channel;
 mod environment;
--- a/examples/grpc-standin/src/link.rs
+++ b/examples/grpc-standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A link to another address that can be frozen: bytes are kept on either side, and nothing is closed.
+//! TCP forwarder that can be frozen to simulate a network partition: connections stay open, but no bytes pass.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,21 +8,22 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Bytes that are copied at a time.
+/// Size of a forwarding buffer in bytes.
 const BUFFER_SIZE: usize = 16 << 10;
 
-/// A link that can be frozen.
+/// A TCP forwarder to a fixed address.
 pub struct Link {
-    /// Where it is connected to.
+    /// Bound listen address.
     pub address: SocketAddr,
+    /// False while the link is frozen.
     is_open: Arc<watch::Sender<bool>>,
 }
 
 impl Link {
-    /// Listens at one address and forwards to another.
+    /// Listens on `at` and forwards each connection to `to`.
     ///
     /// # Errors
-    /// The address can't be bound.
+    /// Returns an error if `at` can't be bound.
     pub async fn start(at: SocketAddr, to: SocketAddr) -> io::Result<Link> {
         let listener = TcpListener::bind(at).await?;
         let address = listener.local_addr()?;
@@ -31,21 +32,21 @@
         Ok(Link { address, is_open })
     }
 
-    /// Freezes it, or lets bytes pass again.
+    /// Stops or resumes forwarding in both directions.
     pub fn set_frozen(&self, is_frozen: bool) {
         self.is_open.send_replace(!is_frozen);
     }
 }
 
 async fn accept(listener: TcpListener, to: SocketAddr, is_open: Arc<watch::Sender<bool>>) {
-    while let Ok((near, _)) = listener.accept().await {
-        let Ok(far) = TcpStream::connect(to).await else {
+    while let Ok((client, _)) = listener.accept().await {
+        let Ok(server) = TcpStream::connect(to).await else {
             continue;
         };
-        let (near_in, near_out) = near.into_split();
-        let (far_in, far_out) = far.into_split();
-        tokio::spawn(forward(near_in, far_out, is_open.subscribe()));
-        tokio::spawn(forward(far_in, near_out, is_open.subscribe()));
+        let (client_reader, client_writer) = client.into_split();
+        let (server_reader, server_writer) = server.into_split();
+        tokio::spawn(forward(client_reader, server_writer, is_open.subscribe()));
+        tokio::spawn(forward(server_reader, client_writer, is_open.subscribe()));
     }
 }
 
--- a/examples/grpc-standin/src/load_reporter.rs
+++ b/examples/grpc-standin/src/load_reporter.rs
@@ -1,4 +1,4 @@
-//! A proxy's stream of load reports (LRS).
+//! Load reporting stream (LRS) of a proxy.
 
 use crate::channel::connect;
 use crate::error::StandinError;
@@ -18,24 +18,24 @@
 use tonic::Status;
 use tonic::transport::Channel;
 
-/// Requests that may wait to be sent.
-const MAX_WAITING_REQUESTS: usize = 16;
-/// The span that each report covers.
+/// Capacity of the queue of requests to send.
+const REQUEST_CHANNEL_CAPACITY: usize = 16;
+/// Value of `load_report_interval` in each report.
 const REPORT_SPAN: Duration = Duration {
     seconds: 1,
     nanos: 0,
 };
 
-/// What a proxy saw of a host.
+/// Requests from a proxy to one host within a report interval.
 #[derive(Clone, Debug)]
 pub struct Observation {
-    /// The host: host:port.
+    /// Endpoint of the host as `host:port`.
     pub address: String,
-    /// Requests that were sent to it.
+    /// Number of requests sent to the host.
     pub attempts: u64,
-    /// Those of them that failed.
+    /// Number of failed requests; at most `attempts`.
     pub failed: u64,
-    /// Mean latency of the successful ones, in ms.
+    /// Mean latency of the successful requests in ms.
     pub mean_latency: f64,
 }
 
@@ -61,18 +61,17 @@
     }
 }
 
-/// What the director has answered.
 #[derive(Debug, Default)]
 struct State {
-    /// ms between two reports, as the director asks for them.
+    /// Report interval in the director's last response, in ms.
     report_interval: Option<f64>,
-    /// The status that the stream ended with.
+    /// Final status of the stream. `None` while it is open.
     status: Option<Status>,
 }
 
 type SharedState = Arc<Mutex<State>>;
 
-/// A stream of load reports, which ends with it.
+/// A load reporting stream, closed on drop.
 pub struct LoadReporter {
     requests: mpsc::Sender<LoadStatsRequest>,
     state: SharedState,
@@ -86,24 +85,24 @@
 }
 
 impl LoadReporter {
-    /// Opens a stream for the proxy of this id and zone.
+    /// Connects to a director and opens a stream for a proxy with this node ID and zone.
     ///
     /// # Errors
-    /// The connection can't be made.
+    /// Returns an error if the connection can't be established.
     pub async fn start(
         director: SocketAddr,
         id: &str,
         zone: &str,
     ) -> Result<LoadReporter, StandinError> {
         let channel = connect(director).await?;
-        let (requests, waiting_requests) = mpsc::channel(MAX_WAITING_REQUESTS);
+        let (requests, queued_requests) = mpsc::channel(REQUEST_CHANNEL_CAPACITY);
         let first = LoadStatsRequest {
             node: Some(ProxyOptions::new(id, zone, &[], false).node()),
             cluster_stats: Vec::new(),
         };
         _ = requests.send(first).await;
         let state = SharedState::default();
-        let task = tokio::spawn(run(channel, waiting_requests, state.clone()));
+        let task = tokio::spawn(run(channel, queued_requests, state.clone()));
         Ok(LoadReporter {
             requests,
             state,
@@ -111,7 +110,7 @@
         })
     }
 
-    /// Reports on a class over a second.
+    /// Sends a report on a class that covers one second.
     pub async fn report(&self, class: &str, observations: &[Observation]) {
         let locality = UpstreamLocalityStats {
             total_successful_requests: observations.iter().map(Observation::successes).sum(),
@@ -132,12 +131,12 @@
         _ = self.requests.send(request).await;
     }
 
-    /// ms between two reports, as the director asks for them.
+    /// Report interval requested by the director, in ms. `None` before its first response.
     pub fn report_interval(&self) -> Option<f64> {
         lock(&self.state).report_interval
     }
 
-    /// The status that the stream ended with.
+    /// Final status of the stream. `None` while it is open.
     pub fn status(&self) -> Option<Status> {
         lock(&self.state).status.clone()
     }
--- a/examples/grpc-standin/src/main.rs
+++ b/examples/grpc-standin/src/main.rs
@@ -1,4 +1,5 @@
-//! A proxy and a host over gRPC around a director, for a first look, and figures of a director's process.
+//! `toy-grpc`: runs gRPC stand-ins around a director, joins a running director as a proxy, and measures latency and
+//! resource usage of a director's process.
 
 use argh::FromArgs;
 use rushcourse_grpc_standin::measure::{self, Protocol};
@@ -10,11 +11,12 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// How often `join` looks for changes.
+/// Interval at which `join` checks for new responses.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Must match [`POLL_INTERVAL`].
 const POLLS_PER_SECOND: u64 = 20;
 
-/// Stand-ins over gRPC, to try and measure a director with.
+/// Runs gRPC stand-ins around a director, or measures a director.
 #[derive(FromArgs)]
 struct Arguments {
     #[argh(subcommand)]
@@ -29,11 +31,11 @@
     Measure(Measure),
 }
 
-/// Starts a director and plays a drain around it, with relays of both kinds and a host that reports its load.
+/// Starts a director and drains a host, with a relay on each kind of stream and a host that reports its load.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "story")]
 struct Story {
-    /// the director's configuration; the addresses in it are served
+    /// the director's configuration; the stand-ins listen on the addresses in it
     #[argh(positional)]
     config: PathBuf,
     /// the director's program
@@ -41,7 +43,7 @@
     director: PathBuf,
 }
 
-/// Joins a running director as a relay and prints each change of its tables.
+/// Joins a running director as a relay and prints its tables after each response.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "join")]
 struct Join {
@@ -54,34 +56,34 @@
     /// the relay's zone
     #[argh(option, default = "\"east\".into()")]
     zone: String,
-    /// classes to ask for, with commas between
+    /// classes to subscribe to, separated by commas
     #[argh(option, default = "\"look,pay\".into()")]
     classes: String,
-    /// incremental instead of state of the world
+    /// use a delta stream instead of a state-of-the-world stream
     #[argh(switch)]
     delta: bool,
-    /// seconds after which it leaves
+    /// seconds after which the relay leaves
     #[argh(option, default = "10")]
     seconds: u64,
 }
 
-/// Measures a director's process and prints rows of a table. It takes a minute a row.
+/// Measures a director's process and prints a Markdown table. Each row takes about a minute.
 #[derive(FromArgs)]
 #[argh(subcommand, name = "measure")]
 struct Measure {
-    /// the configuration to start from; the addresses in it are served
+    /// base configuration of the director; the stand-ins listen on the addresses in it
     #[argh(positional)]
     config: PathBuf,
     /// the director's program
     #[argh(option)]
     director: PathBuf,
-    /// how many relays
+    /// number of relays
     #[argh(option, default = "60")]
     relays: usize,
-    /// platform, whole or delta; all of them without
+    /// protocol to measure: platform, whole or delta (default: all)
     #[argh(option)]
     way: Option<String>,
-    /// relays beside these that read nothing
+    /// number of additional relays that read nothing
     #[argh(option, default = "0")]
     stalled: usize,
 }
--- a/examples/grpc-standin/src/measure.rs
+++ b/examples/grpc-standin/src/measure.rs
@@ -1,5 +1,5 @@
-//! Measures a director's process: from an event to the applied table, bytes and messages a change, memory and processor
-//! time, with proxies over gRPC or over the platform's protocol, and what a stalled stream costs the others.
+//! Measures a director with many proxies over gRPC or the relay protocol: latency from a change of the host list to the
+//! proxies' tables, bytes and messages per change, memory and CPU usage. Stalled gRPC streams can be added.
 
 use crate::environment::Environment;
 use crate::error::StandinError;
@@ -12,36 +12,37 @@
 
 const GRPC_ADDRESS: &str = "127.0.0.1:7900";
 const HOST_COUNT: usize = 20;
-/// Changes of the list that are timed.
-const CHANGES: usize = 10;
-/// Between them: an ordinary proxy is not sent messages more often than the cap allows.
+/// Number of hosts that are drained and restored during a run.
+const CHANGE_COUNT: usize = 10;
+/// Time between the end of a drain and the next one. Long enough that the message rate limit per proxy delays no
+/// change.
 const CHANGE_INTERVAL: Duration = Duration::from_millis(3500);
-/// From the joining of all to the first change.
+/// Delay between the join of the last proxy and the first change.
 const SETTLE_DELAY: Duration = Duration::from_secs(12);
-/// For all proxies to follow a change.
+/// Maximum time until all proxies have applied a change.
 const CHANGE_TIMEOUT: Duration = Duration::from_secs(20);
 const POLL_INTERVAL: Duration = Duration::from_micros(500);
 
-/// How proxies are reached.
+/// Protocol between the director and the proxies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Protocol {
-    /// By the platform's relay.
+    /// The relay's line protocol.
     Platform,
-    /// By state-of-the-world streams.
+    /// State-of-the-world discovery streams over gRPC.
     StateOfTheWorld,
-    /// By delta streams.
+    /// Delta discovery streams over gRPC.
     Delta,
 }
 
 impl Protocol {
-    /// All of them, in the order of the rows.
+    /// All protocols in the order of the printed rows.
     pub const ALL: [Protocol; 3] = [
         Protocol::Platform,
         Protocol::StateOfTheWorld,
         Protocol::Delta,
     ];
 
-    /// What the command line calls it.
+    /// Value of the `--way` option for this protocol.
     pub fn argument(self) -> &'static str {
         match self {
             Protocol::Platform => "platform",
@@ -61,7 +62,7 @@
     }
 }
 
-/// Times in ms, from the list's change to the moment when a proxy picks the host no more.
+/// Latencies in ms between a drain in the host list and the removal of the host from a proxy's table.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Latencies {
     median: f64,
@@ -70,7 +71,7 @@
 }
 
 impl Latencies {
-    fn of(mut samples: Vec<f64>) -> Latencies {
+    fn from_samples(mut samples: Vec<f64>) -> Latencies {
         samples.sort_by(f64::total_cmp);
         let quantile = |share: f64| {
             let rank = (samples.len() as f64 * share).ceil() as usize;
@@ -85,29 +86,31 @@
     }
 }
 
-/// What each change costs for each proxy. Over the platform's protocol the bytes go to the relay once for all.
+/// Bytes and messages per change and proxy. Not available for [`Protocol::Platform`], where proxies share the messages
+/// to the relay.
 #[derive(Clone, Copy, Debug)]
 pub struct StreamCosts {
     bytes: f64,
     messages: f64,
 }
 
-/// What was measured in one run.
+/// Results of one run. The `Display` format is a row of the table with [`TABLE_HEAD`].
 #[derive(Clone, Debug)]
 pub struct Measurement {
     protocol: Protocol,
     proxy_count: usize,
     stalled_count: usize,
-    /// ms until all had their tables.
+    /// Time until all proxies had their tables, in ms.
     join_time: f64,
     latencies: Latencies,
     stream_costs: Option<StreamCosts>,
-    /// KiB resident at the end, and seconds of processor time for each second that passed.
+    /// Resident memory of the director at the end of the run, in KiB.
     resident_kib: u64,
+    /// Average number of CPU cores used by the director during the changes.
     cpu_share: f64,
 }
 
-/// The head of a table of measurements.
+/// Header row of the Markdown table of measurements.
 pub const TABLE_HEAD: &str = "| way | relays | stalled | joined, ms | drain to applied, ms: median / p99 / longest | bytes a change | messages | MiB | cores |";
 
 impl fmt::Display for Measurement {
@@ -133,8 +136,8 @@
     }
 }
 
-/// A configuration with room for so many proxies, and hosts that are known from the start.
-fn config(base: &Value, proxy_count: usize) -> Value {
+/// Returns the base configuration with limits sized for `proxy_count` proxies and [`HOST_COUNT`] known hosts.
+fn build_config(base: &Value, proxy_count: usize) -> Value {
     let size = 1.0 + proxy_count as f64 / 100.0;
     let mut config = base.clone();
     for (field, value) in [
@@ -164,21 +167,21 @@
     format!("127.0.0.1:{}", 9000 + index)
 }
 
-/// One run: a director and its proxies.
+/// A director and its proxies during a run.
 struct Run {
     environment: Environment,
     protocol: Protocol,
     proxy_count: usize,
-    /// Over gRPC: those that follow their tables.
-    following: Vec<Proxy>,
-    /// Over gRPC: those that read nothing. They are held so that their streams stay open.
+    /// gRPC proxies that apply their tables. Empty for [`Protocol::Platform`].
+    active: Vec<Proxy>,
+    /// gRPC proxies that read nothing, kept so that their streams stay open.
     stalled: Vec<Proxy>,
 }
 
-/// One run with so many proxies that follow their tables and, over gRPC, some beside them that read nothing.
+/// Measures a director with `proxy_count` proxies. Over gRPC, `stalled_count` additional proxies read nothing.
 ///
 /// # Errors
-/// Something can't be started, or does not happen in time.
+/// Returns an error if a stand-in or the director can't be started, or a change is not applied in time.
 pub async fn measure(
     base: &Value,
     program: &Path,
@@ -186,7 +189,7 @@
     proxy_count: usize,
     stalled_count: usize,
 ) -> Result<Measurement, StandinError> {
-    let config = config(base, proxy_count + stalled_count);
+    let config = build_config(base, proxy_count + stalled_count);
     let grpc = GRPC_ADDRESS.parse()?;
     let environment =
         Environment::start(&config, grpc, program, ", take_within_ms = 600000").await?;
@@ -197,7 +200,7 @@
         environment.relay.watcher_count() > 0
     })
     .await
-    .map_err(StandinError::wait)?;
+    .map_err(StandinError::timeout)?;
     let start = Instant::now();
     let run = Run::start(environment, protocol, proxy_count, stalled_count).await?;
     let join_time = start.elapsed().as_secs_f64() * 1000.0;
@@ -225,7 +228,7 @@
     Ok(measurement)
 }
 
-/// What all proxies that follow their tables have received.
+/// Totals received by all active gRPC proxies.
 #[derive(Clone, Copy)]
 struct Received {
     bytes: usize,
@@ -233,9 +236,9 @@
 }
 
 impl Received {
-    /// For each proxy and change.
+    /// Returns the difference to `before`, per proxy and change.
     fn costs_since(self, before: Received, proxy_count: usize) -> StreamCosts {
-        let changes = (CHANGES * proxy_count) as f64;
+        let changes = (CHANGE_COUNT * proxy_count) as f64;
         StreamCosts {
             bytes: (self.bytes - before.bytes) as f64 / changes,
             messages: (self.responses - before.responses) as f64 / changes,
@@ -244,7 +247,7 @@
 }
 
 impl Run {
-    /// Lets all proxies join, and waits until they have their tables.
+    /// Joins all proxies and waits until the active ones have tables with all hosts.
     async fn start(
         environment: Environment,
         protocol: Protocol,
@@ -255,7 +258,7 @@
             environment,
             protocol,
             proxy_count,
-            following: Vec::new(),
+            active: Vec::new(),
             stalled: Vec::new(),
         };
         if protocol == Protocol::Platform {
@@ -271,35 +274,35 @@
             (0..proxy_count).all(|proxy| run.host_count(proxy) == HOST_COUNT)
         })
         .await
-        .map_err(StandinError::wait)?;
+        .map_err(StandinError::timeout)?;
         Ok(run)
     }
 
-    async fn join(&mut self, number: usize, isstalled: bool) -> Result<(), StandinError> {
+    async fn join(&mut self, number: usize, is_stalled: bool) -> Result<(), StandinError> {
         let is_delta = self.protocol == Protocol::Delta;
         let id = format!("relay-{number}");
         let mut options = ProxyOptions::new(&id, "east", &["look", "pay"], is_delta);
-        if isstalled {
+        if is_stalled {
             options.behavior = Behavior::ReadsNothing;
         }
         let proxy = Proxy::start(self.environment.grpc, options).await?;
-        if isstalled {
+        if is_stalled {
             self.stalled.push(proxy);
         } else {
-            self.following.push(proxy);
+            self.active.push(proxy);
         }
         Ok(())
     }
 
-    /// How many hosts a proxy may pick.
+    /// Number of selectable hosts in a proxy's table.
     fn host_count(&self, proxy: usize) -> usize {
         match self.protocol {
             Protocol::Platform => self.environment.relay.endpoints(proxy as u32).len(),
-            _ => self.following[proxy].weights("look").len(),
+            _ => self.active[proxy].weights("look").len(),
         }
     }
 
-    /// Whether a proxy may pick a host.
+    /// Returns whether a proxy's table contains a host that is not draining.
     fn picks(&self, proxy: usize, host: &str) -> bool {
         match self.protocol {
             Protocol::Platform => self
@@ -307,32 +310,32 @@
                 .relay
                 .endpoints(proxy as u32)
                 .contains_key(host),
-            _ => self.following[proxy].weights("look").contains_key(host),
+            _ => self.active[proxy].weights("look").contains_key(host),
         }
     }
 
     fn received(&self) -> Received {
-        let sum = |of: fn(&Proxy) -> usize| self.following.iter().map(of).sum();
+        let sum = |count: fn(&Proxy) -> usize| self.active.iter().map(count).sum();
         Received {
             bytes: sum(Proxy::resource_bytes),
             responses: sum(Proxy::response_count),
         }
     }
 
-    /// Drains hosts, one after the other, and lets each come back.
+    /// Drains and restores [`CHANGE_COUNT`] hosts in turn and returns the latencies of the drains.
     async fn change_hosts(&self) -> Result<Latencies, StandinError> {
         let mut samples = Vec::new();
-        for change in 0..CHANGES {
+        for change in 0..CHANGE_COUNT {
             let host = change % HOST_COUNT;
             self.drain(host, &mut samples).await?;
             tokio::time::sleep(CHANGE_INTERVAL / 2).await;
             set_phase(&self.environment, host, "Ready");
             tokio::time::sleep(CHANGE_INTERVAL / 2).await;
         }
-        Ok(Latencies::of(samples))
+        Ok(Latencies::from_samples(samples))
     }
 
-    /// Drains a host, and times how long each proxy still picks it.
+    /// Drains a host and appends to `samples` the time in ms until each proxy stops selecting it.
     async fn drain(&self, host: usize, samples: &mut Vec<f64>) -> Result<(), StandinError> {
         let start = Instant::now();
         set_phase(&self.environment, host, "Terminating");
--- a/examples/grpc-standin/src/proxy.rs
+++ b/examples/grpc-standin/src/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy: it holds the tables that it was sent, and answers them, well or badly.
+//! Proxy with a discovery stream. It keeps the tables from the director's responses and acknowledges or rejects them as
+//! configured.
 
 mod stream;
 mod table;
@@ -16,52 +17,52 @@
 use tokio::task::JoinHandle;
 use tonic::transport::Channel;
 
-/// Requests a second that a proxy says it brings.
+/// Value of `rate` in the node metadata: approximate requests per second.
 const DEFAULT_RATE: f64 = 5.0;
 
-/// How a proxy answers what it is sent.
+/// How a proxy reacts to responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
-    /// It follows each response and acknowledges it (ACK).
+    /// Applies each response and acknowledges it (ACK).
     Acknowledges,
-    /// It reads and follows, and answers nothing.
+    /// Applies each response and sends no further request.
     IsSilent,
-    /// It answers that it can't use what it was sent (NACK).
+    /// Applies each response, but rejects it (NACK).
     Rejects,
-    /// It acknowledges the response before the last, again and again.
+    /// Applies each response, but acknowledges the previous one.
     AcknowledgesOlder,
-    /// It reads nothing after its first request.
+    /// Reads no responses after subscribing.
     ReadsNothing,
 }
 
-/// What a proxy holds from an earlier stream.
+/// Resource versions that a proxy has applied, sent when it subscribes on a new stream.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HeldVersions {
-    /// By resource name (delta streams).
+    /// Versions by resource name, for delta streams.
     pub by_name: BTreeMap<String, String>,
-    /// Of all resources together (state-of-the-world streams).
+    /// Version of all resources, for state-of-the-world streams. Empty if none was applied.
     pub combined: String,
 }
 
-/// What a proxy starts from.
+/// Identity, subscription and behavior of a proxy.
 #[derive(Clone, Debug)]
 pub struct ProxyOptions {
-    /// `node.id`.
+    /// Node ID (`node.id`).
     pub id: String,
-    /// `node.locality.zone`.
+    /// Zone (`node.locality.zone`).
     pub zone: String,
-    /// The classes that it subscribes to.
+    /// Names of the subscribed classes.
     pub classes: Vec<String>,
-    /// A delta stream, or state of the world.
+    /// Opens a delta stream instead of a state-of-the-world stream.
     pub is_delta: bool,
-    /// How it answers.
+    /// How the proxy reacts to responses.
     pub behavior: Behavior,
-    /// What it holds from before.
+    /// Versions applied on an earlier stream. Empty for a new proxy.
     pub held: HeldVersions,
 }
 
 impl ProxyOptions {
-    /// A proxy that holds nothing and acknowledges all.
+    /// Returns options of a new proxy that acknowledges all responses.
     pub fn new(id: &str, zone: &str, classes: &[&str], is_delta: bool) -> ProxyOptions {
         ProxyOptions {
             id: id.into(),
@@ -91,19 +92,20 @@
     }
 }
 
-/// What a proxy has received.
 #[derive(Debug, Default)]
 struct State {
+    /// Applied tables by class.
     tables: BTreeMap<String, Table>,
     held: HeldVersions,
+    /// Nonces of all responses, in the order of arrival.
     nonces: Vec<String>,
-    /// Bytes of the resources that came.
+    /// Total encoded size of the received resources.
     resource_bytes: usize,
-    /// The status that its stream ended with.
+    /// Final status of the stream. `None` while it is open.
     status: Option<tonic::Status>,
 }
 
-/// The state as the proxy's task and its owner share it.
+/// State shared by [`Proxy`] and its stream's task.
 #[derive(Clone, Debug, Default)]
 struct SharedState(Arc<Mutex<State>>);
 
@@ -113,7 +115,7 @@
     }
 }
 
-/// A proxy with its stream, which ends with it.
+/// A proxy with a discovery stream, closed on drop.
 pub struct Proxy {
     state: SharedState,
     task: JoinHandle<()>,
@@ -126,28 +128,28 @@
 }
 
 impl Proxy {
-    /// Opens a stream to a director and follows it.
+    /// Connects to a director and opens a stream.
     ///
     /// # Errors
-    /// The connection can't be made.
+    /// Returns an error if the connection can't be established.
     pub async fn start(director: SocketAddr, options: ProxyOptions) -> Result<Proxy, StandinError> {
         Ok(Proxy::on_channel(connect(director).await?, options))
     }
 
-    /// The same on a channel that is open.
+    /// Opens a stream on an existing channel.
     pub fn on_channel(channel: Channel, options: ProxyOptions) -> Proxy {
         let state = SharedState::default();
         let task = tokio::spawn(stream::run(channel, options, state.clone()));
         Proxy { state, task }
     }
 
-    /// The table that it holds for a class.
+    /// Returns the applied table of a class. Empty if none was received.
     pub fn table(&self, class: &str) -> Table {
         let state = self.state.lock();
         state.tables.get(class).cloned().unwrap_or_default()
     }
 
-    /// Weights of the hosts that it may pick for a class.
+    /// Returns the weights by host ID of a class's table, without draining hosts.
     pub fn weights(&self, class: &str) -> BTreeMap<String, u32> {
         let table = self.table(class);
         table
@@ -158,22 +160,22 @@
             .collect()
     }
 
-    /// How many responses came.
+    /// Number of responses received.
     pub fn response_count(&self) -> usize {
         self.state.lock().nonces.len()
     }
 
-    /// Bytes of the resources that came.
+    /// Total encoded size of all received resources, in bytes.
     pub fn resource_bytes(&self) -> usize {
         self.state.lock().resource_bytes
     }
 
-    /// The versions that it holds.
+    /// Returns the applied versions, for the options of a reconnecting proxy.
     pub fn held(&self) -> HeldVersions {
         self.state.lock().held.clone()
     }
 
-    /// The status that its stream ended with.
+    /// Final status of the stream. `None` while it is open.
     pub fn status(&self) -> Option<tonic::Status> {
         self.state.lock().status.clone()
     }
--- a/examples/grpc-standin/src/proxy/stream.rs
+++ b/examples/grpc-standin/src/proxy/stream.rs
@@ -1,4 +1,4 @@
-//! A proxy's discovery stream, state of the world or delta.
+//! Discovery stream of a proxy, state of the world or delta.
 
 use super::table::Table;
 use super::{Behavior, ProxyOptions, SharedState, State};
@@ -15,28 +15,27 @@
 
 const CLUSTER_LOAD_ASSIGNMENT_TYPE_URL: &str =
     "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment";
-/// Requests that may wait to be sent.
-const MAX_WAITING_REQUESTS: usize = 16;
+/// Capacity of the queue of requests to send.
+const REQUEST_CHANNEL_CAPACITY: usize = 16;
 
-/// An answer to a response.
-struct Answer {
+/// An ACK or NACK of the response with this nonce.
+struct Acknowledgement {
     nonce: String,
     is_nack: bool,
 }
 
-impl Answer {
-    /// What a NACK says.
+impl Acknowledgement {
     fn error_detail(&self) -> Option<rpc::Status> {
         self.is_nack.then(|| rpc::Status {
             code: Code::InvalidArgument as i32,
-            message: "it is not to this relay's taste".into(),
+            message: "rejected by the stand-in proxy".into(),
             ..rpc::Status::default()
         })
     }
 }
 
 impl State {
-    /// Takes a resource over. Returns its name; nothing where it can't be read.
+    /// Applies a resource and returns its name, or `None` if it can't be decoded.
     fn apply(&mut self, resource: &Any) -> Option<String> {
         let assignment = ClusterLoadAssignment::decode(&resource.value[..]).ok()?;
         self.resource_bytes += resource.value.len();
@@ -45,8 +44,8 @@
         Some(name)
     }
 
-    /// The answer to a response; nothing where the proxy gives none.
-    fn answer(&mut self, behavior: Behavior, nonce: String) -> Option<Answer> {
+    /// Records a response's nonce and returns the acknowledgement to send, if any.
+    fn acknowledge(&mut self, behavior: Behavior, nonce: String) -> Option<Acknowledgement> {
         self.nonces.push(nonce.clone());
         let (nonce, is_nack) = match behavior {
             Behavior::Acknowledges | Behavior::ReadsNothing => (nonce, false),
@@ -54,11 +53,11 @@
             Behavior::AcknowledgesOlder => (self.nonces.iter().rev().nth(1)?.clone(), false),
             Behavior::IsSilent => return None,
         };
-        Some(Answer { nonce, is_nack })
+        Some(Acknowledgement { nonce, is_nack })
     }
 }
 
-/// Follows a stream until it ends.
+/// Opens a stream, applies its responses until it ends, and records its final status.
 pub(super) async fn run(channel: Channel, options: ProxyOptions, state: SharedState) {
     let ended = if options.is_delta {
         follow_delta(channel, &options, &state).await
@@ -69,7 +68,7 @@
     state.lock().status = Some(status);
 }
 
-/// The status of a stream that the director ends properly.
+/// Status recorded for a stream that the director ended without an error.
 pub(crate) fn stream_ended() -> Status {
     Status::ok("the stream has ended")
 }
@@ -79,7 +78,7 @@
     options: &ProxyOptions,
     state: &SharedState,
 ) -> Result<(), Status> {
-    let (requests, waiting_requests) = mpsc::channel(MAX_WAITING_REQUESTS);
+    let (requests, queued_requests) = mpsc::channel(REQUEST_CHANNEL_CAPACITY);
     let subscription = DiscoveryRequest {
         resource_names: options.classes.clone(),
         type_url: CLUSTER_LOAD_ASSIGNMENT_TYPE_URL.into(),
@@ -93,26 +92,26 @@
     _ = requests.send(first).await;
     let mut client = AggregatedDiscoveryServiceClient::new(channel);
     let mut responses = client
-        .stream_aggregated_resources(ReceiverStream::new(waiting_requests))
+        .stream_aggregated_resources(ReceiverStream::new(queued_requests))
         .await?
         .into_inner();
     if options.behavior == Behavior::ReadsNothing {
         return std::future::pending().await;
     }
     while let Some(response) = responses.message().await? {
-        let answer = {
+        let acknowledgement = {
             let mut state = state.lock();
             for resource in &response.resources {
                 state.apply(resource);
             }
             state.held.combined = response.version_info.clone();
-            state.answer(options.behavior, response.nonce)
+            state.acknowledge(options.behavior, response.nonce)
         };
-        if let Some(answer) = answer {
+        if let Some(acknowledgement) = acknowledgement {
             let request = DiscoveryRequest {
                 version_info: response.version_info,
-                error_detail: answer.error_detail(),
-                response_nonce: answer.nonce,
+                error_detail: acknowledgement.error_detail(),
+                response_nonce: acknowledgement.nonce,
                 ..subscription.clone()
             };
             _ = requests.send(request).await;
@@ -126,19 +125,19 @@
     options: &ProxyOptions,
     state: &SharedState,
 ) -> Result<(), Status> {
-    let (requests, waiting_requests) = mpsc::channel(MAX_WAITING_REQUESTS);
-    let first = first_delta_request(options);
+    let (requests, queued_requests) = mpsc::channel(REQUEST_CHANNEL_CAPACITY);
+    let first = initial_delta_request(options);
     _ = requests.send(first).await;
     let mut client = AggregatedDiscoveryServiceClient::new(channel);
     let mut responses = client
-        .delta_aggregated_resources(ReceiverStream::new(waiting_requests))
+        .delta_aggregated_resources(ReceiverStream::new(queued_requests))
         .await?
         .into_inner();
     if options.behavior == Behavior::ReadsNothing {
         return std::future::pending().await;
     }
     while let Some(response) = responses.message().await? {
-        let answer = {
+        let acknowledgement = {
             let mut state = state.lock();
             for resource in &response.resources {
                 let name = resource.resource.as_ref().and_then(|any| state.apply(any));
@@ -147,13 +146,13 @@
                     state.held.by_name.insert(name, version);
                 }
             }
-            state.answer(options.behavior, response.nonce)
+            state.acknowledge(options.behavior, response.nonce)
         };
-        if let Some(answer) = answer {
+        if let Some(acknowledgement) = acknowledgement {
             let request = DeltaDiscoveryRequest {
                 type_url: CLUSTER_LOAD_ASSIGNMENT_TYPE_URL.into(),
-                error_detail: answer.error_detail(),
-                response_nonce: answer.nonce,
+                error_detail: acknowledgement.error_detail(),
+                response_nonce: acknowledgement.nonce,
                 ..DeltaDiscoveryRequest::default()
             };
             _ = requests.send(request).await;
@@ -162,7 +161,7 @@
     Ok(())
 }
 
-fn first_delta_request(options: &ProxyOptions) -> DeltaDiscoveryRequest {
+fn initial_delta_request(options: &ProxyOptions) -> DeltaDiscoveryRequest {
     let held = options.held.by_name.clone();
     DeltaDiscoveryRequest {
         node: Some(options.node()),
--- a/examples/grpc-standin/src/proxy/table.rs
+++ b/examples/grpc-standin/src/proxy/table.rs
@@ -1,4 +1,4 @@
-//! A class's table, as a proxy reads it from the published message.
+//! Endpoint table of a class, decoded from a `ClusterLoadAssignment`.
 
 use envoy_types::pb::envoy::config::core::v3::{
     Address, HealthStatus, Metadata, address, socket_address,
@@ -9,30 +9,30 @@
 use envoy_types::pb::google::protobuf::value::Kind;
 use std::collections::BTreeMap;
 
-/// The director's own fields stand under this name.
+/// Key in `filter_metadata` of the director's own metadata fields.
 const METADATA_NAMESPACE: &str = "rushcourse";
 
-/// One host of a table.
+/// A host of a table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint {
-    /// host:port.
+    /// Address as `host:port`. Empty if the message has none.
     pub address: String,
-    /// Its zone.
+    /// Zone of the endpoint's locality.
     pub zone: String,
-    /// Its weight.
+    /// Load balancing weight. 0 if the message has none.
     pub weight: u32,
-    /// It gets no new requests.
+    /// Whether the health status is `DRAINING`: the host receives no new requests.
     pub draining: bool,
 }
 
-/// A class's table.
+/// Endpoints and admission settings of a class.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    /// By the host's name in the membership list.
+    /// Endpoints by the host's ID in the membership list.
     pub endpoints: BTreeMap<String, Endpoint>,
-    /// Requests to reject, in millionths.
+    /// Share of requests that the proxy must reject, in parts per million.
     pub drop_per_million: u32,
-    /// The word for the retry policy.
+    /// Name of the retry policy from the locality metadata, such as `never`.
     pub retry_policy: String,
 }
 
--- a/examples/grpc-standin/src/raw.rs
+++ b/examples/grpc-standin/src/raw.rs
@@ -1,4 +1,4 @@
-//! Peers that keep to no protocol, or to half of one.
+//! Peers that violate the gRPC protocol: calls with arbitrary message bytes, and raw TCP connections.
 
 use crate::error::StandinError;
 use bytes::{BufMut, Bytes, BytesMut};
@@ -6,31 +6,31 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Bytes of one padding header.
+/// Length of a padding header's value in bytes.
 const PADDING_HEADER_SIZE: usize = 1024;
 
-/// How a raw call has ended.
+/// How a raw call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// With this gRPC status: a number.
+    /// The value of `grpc-status`, a decimal status code.
     Status(String),
-    /// Without a status.
+    /// The response ended without `grpc-status`.
     NoStatus,
-    /// By a reset of its stream or connection.
+    /// The stream or connection was reset; the text is the HTTP/2 error.
     Reset(String),
 }
 
-/// A call on a connection of its own whose messages are given as bytes.
+/// A gRPC call on its own connection, whose messages are given as bytes.
 pub struct RawCall {
     send: h2::SendStream<Bytes>,
     response: h2::client::ResponseFuture,
 }
 
 impl RawCall {
-    /// Opens a call of a method, with about so many bytes of metadata beside what it needs.
+    /// Opens a call to the method at `path`, with about `padding` bytes of additional headers.
     ///
     /// # Errors
-    /// The connection can't be made, or the call can't be sent.
+    /// Returns an error if the connection can't be established or the headers can't be sent.
     pub async fn open(to: SocketAddr, path: &str, padding: usize) -> Result<RawCall, StandinError> {
         let stream = TcpStream::connect(to).await.map_err(StandinError::Tcp)?;
         let (mut client, connection) = h2::client::handshake(stream).await?;
@@ -47,10 +47,10 @@
         Ok(RawCall { send, response })
     }
 
-    /// Sends a message of which only the first `sent` bytes follow its head.
+    /// Sends the length prefix of a message, followed by at most its first `sent` bytes.
     ///
     /// # Errors
-    /// The stream has ended.
+    /// Returns an error if the stream is closed.
     pub fn send_message(&mut self, bytes: &[u8], sent: usize) -> Result<(), StandinError> {
         let mut frame = BytesMut::new();
         frame.put_u8(0);
@@ -59,15 +59,15 @@
         Ok(self.send.send_data(frame.freeze(), false)?)
     }
 
-    /// Ends the requests.
+    /// Half-closes the stream: no more messages follow.
     ///
     /// # Errors
-    /// The stream has ended.
+    /// Returns an error if the stream is closed.
     pub fn finish(&mut self) -> Result<(), StandinError> {
         Ok(self.send.send_data(Bytes::new(), true)?)
     }
 
-    /// Waits for the end of the call.
+    /// Discards all responses and returns how the call ended.
     pub async fn wait_for_end(self) -> CallEnd {
         let response = match self.response.await {
             Ok(response) => response,
@@ -96,13 +96,14 @@
     status.to_str().ok().map(String::from)
 }
 
-/// Connects, sends these bytes, and reads until the other side ends. Returns what came.
+/// Sends bytes on a new TCP connection and returns everything received until the server closes it. Returns an empty
+/// vector if the connection can't be established.
 pub async fn send_bytes(to: SocketAddr, bytes: &[u8]) -> Vec<u8> {
     let Ok(mut stream) = TcpStream::connect(to).await else {
         return Vec::new();
     };
     _ = stream.write_all(bytes).await;
-    let mut answer = Vec::new();
-    _ = stream.read_to_end(&mut answer).await;
-    answer
+    let mut response = Vec::new();
+    _ = stream.read_to_end(&mut response).await;
+    response
 }
--- a/examples/grpc-standin/src/story.rs
+++ b/examples/grpc-standin/src/story.rs
@@ -1,4 +1,4 @@
-//! The example's story over gRPC: two proxies join, one by each kind of stream, a host reports its load, another one
+//! Example scenario over gRPC: two proxies join, one on each kind of stream, a host reports its load, and another host
 //! drains.
 
 use crate::environment::Environment;
@@ -12,17 +12,17 @@
 use std::time::{Duration, Instant};
 
 const GRPC_ADDRESS: &str = "127.0.0.1:7900";
-const REPORTING_HOST: &str = "127.0.0.1:7801";
-const OTHER_HOST: &str = "127.0.0.1:7802";
-/// Proxies that the director's settings are to name.
+const REPORTING_HOST_ADDRESS: &str = "127.0.0.1:7801";
+const DRAINED_HOST_ADDRESS: &str = "127.0.0.1:7802";
+/// Value of `proxy-count` in the director's settings.
 const PROXY_COUNT: u32 = 8;
-const JOIN_ATTEMPTS: usize = 100;
+const MAX_JOIN_ATTEMPTS: usize = 100;
 const JOIN_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Plays the story around a director of this program, and prints it line by line.
+/// Runs the scenario with a director started from `program`. `print` receives a line of text for each step.
 ///
 /// # Errors
-/// Something can't be started, or does not happen in time.
+/// Returns an error if a stand-in or the director can't be started, or a step does not complete in time.
 pub async fn play(
     mut config: Value,
     program: &Path,
@@ -33,12 +33,12 @@
     }
     let grpc = GRPC_ADDRESS.parse()?;
     let environment = Environment::start(&config, grpc, program, ", ask_hosts = True").await?;
-    let host = ReportingHost::start(REPORTING_HOST.parse()?)
+    let host = ReportingHost::start(REPORTING_HOST_ADDRESS.parse()?)
         .await
-        .map_err(StandinError::start(REPORTING_HOST))?;
+        .map_err(StandinError::start(REPORTING_HOST_ADDRESS))?;
     let discovery = &environment.discovery;
     discovery.set_host("h-1", "east", "Ready", &host.address.to_string(), 0.0);
-    discovery.set_host("h-2", "east", "Ready", OTHER_HOST, 0.0);
+    discovery.set_host("h-2", "east", "Ready", DRAINED_HOST_ADDRESS, 0.0);
     print(&format!(
         "relay, discovery and a host that reports its load stand in; a director serves gRPC at {grpc}"
     ));
@@ -47,19 +47,19 @@
         proxies.iter().all(|proxy| proxy.weights("look").len() == 2)
     })
     .await
-    .map_err(StandinError::wait)?;
+    .map_err(StandinError::timeout)?;
     let names = ["relay 3 (state of the world)", "relay 4 (incremental)"];
     for (proxy, name) in proxies.iter().zip(names) {
         print(&format!("{name} is bound: {:?}", proxy.weights("look")));
     }
     wait_until("load reports", || host.stream_count() > 0)
         .await
-        .map_err(StandinError::wait)?;
+        .map_err(StandinError::timeout)?;
     print("the director asks h-1 for its load");
     drain(&environment, &proxies, print).await
 }
 
-/// Drains the other host, and waits until no proxy sends it anything new.
+/// Drains host `h-2` and waits until no proxy selects it.
 async fn drain(
     environment: &Environment,
     proxies: &[Proxy],
@@ -68,7 +68,7 @@
     let start = Instant::now();
     environment
         .discovery
-        .set_host("h-2", "east", "Terminating", OTHER_HOST, 0.0);
+        .set_host("h-2", "east", "Terminating", DRAINED_HOST_ADDRESS, 0.0);
     print("discovery says that h-2 is terminating");
     wait_until("the drain", || {
         proxies
@@ -76,7 +76,7 @@
             .all(|proxy| proxy.weights("look").keys().eq(["h-1"]))
     })
     .await
-    .map_err(StandinError::wait)?;
+    .map_err(StandinError::timeout)?;
     print(&format!(
         "neither relay sends it anything new, {} ms later",
         start.elapsed().as_millis()
@@ -84,15 +84,15 @@
     Ok(())
 }
 
-/// Joins as soon as the director answers.
+/// Joins as a proxy, retrying until the director accepts the connection.
 async fn join(grpc: SocketAddr, number: u32, is_delta: bool) -> Result<Proxy, StandinError> {
     let id = format!("relay-{number}");
     let options = ProxyOptions::new(&id, "east", &["look", "pay"], is_delta);
-    for _ in 0..JOIN_ATTEMPTS {
+    for _ in 0..MAX_JOIN_ATTEMPTS {
         if let Ok(proxy) = Proxy::start(grpc, options.clone()).await {
             return Ok(proxy);
         }
         tokio::time::sleep(JOIN_RETRY_DELAY).await;
     }
-    Err(StandinError::NoAnswer)
+    Err(StandinError::NotResponding)
 }
--- a/examples/standin/src/discovery.rs
+++ b/examples/standin/src/discovery.rs
@@ -89,8 +89,8 @@
         self.revision.send_replace(revision);
     }
 
-    /// Returns the complete list, or only the entries newer than a revision. Entries in phase `Gone` are included only in
-    /// the latter.
+    /// Returns the complete list, or only the entries newer than a revision. Entries in phase `Gone` are included only
+    /// in the latter.
     pub fn list(&self, newer_than: Option<u64>) -> Value {
         let members = self.members.lock().unwrap_or_else(PoisonError::into_inner);
         let is_listed = |member: &Member| match newer_than {
--- a/examples/standin/src/relay/tables.rs
+++ b/examples/standin/src/relay/tables.rs
@@ -61,8 +61,8 @@
             .map(|((proxy, _), _)| *proxy)
     }
 
-    /// Applies one order. `proxies` are the joined proxies. Returns `None` if the order is invalid or binds a proxy that
-    /// has not joined.
+    /// Applies one order. `proxies` are the joined proxies. Returns `None` if the order is invalid or binds a proxy
+    /// that has not joined.
     pub(super) fn apply(
         &mut self,
         order: &str,
