--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The targets that people and CI use. Nothing here installs anything but what cargo fetches.
+# Targets for development and CI. They install nothing; cargo downloads the dependencies.
 CONFIG ?= examples/config.json
 
 .PHONY: build test lint run example example-grpc example-gateway prove-cost prove-consensus prove-grpc prove-size
@@ -17,36 +17,39 @@
 run: build
 	RELAY_CONFIG=$(CONFIG) exec target/release/rushcourse serve
 
-# What a majority of disks holds, through all orders of delivery, loss, crash and wipe on small worlds: states, depth and
-# violations (none), and each variant broken on purpose, which has to be caught. Ends non-zero otherwise.
+# Model-checks consensus in small clusters over all orders of message delivery, loss, crash and disk wipe. Prints the
+# number of states, the depth and the violations. Exits non-zero on a violation or if a seeded fault is not detected.
 prove-consensus:
 	cargo build --release --locked -p rushcourse-modelcheck
 	target/release/modelcheck
 
-# What directors of the gateway say to each other, in bytes, at 8 to 80 frontend directors and 30 and 255 hosts. Ends
-# non-zero if what one frontend director gets grows with their number.
+# Computes the bytes sent between nodes of a gateway cluster with 8 to 80 frontend nodes and 30 or 255 hosts. Exits
+# non-zero if the bytes received by one frontend node grow with the number of frontend nodes.
 prove-cost:
 	cargo build --release --locked -p rushcourse-netcost
 	target/release/netcost
 
-# The same scripts over both protocols: tables compared, rules checked. Ends non-zero on any difference.
+# Runs the same scripts over the relay protocol and gRPC, compares the proxies' tables and checks the routing rules.
+# Exits non-zero on any difference or violation.
 prove-grpc:
 	cargo build --release --locked -p rushcourse-simulation
 	target/release/rushcourse-simulation prove-grpc --scripts 240
 
-# What a round, a report and a joining cost at 60 to 2,400 proxies. Ends non-zero if a joining looks at the whole fleet.
+# Measures the cost of a round, a report and a join with 60 to 2,400 proxies. Exits non-zero if a join examines the whole
+# fleet.
 prove-size:
 	cargo build --release --locked -p rushcourse-simulation
 	target/release/rushcourse-simulation prove-size
 
-# A director with a toy relay and a toy host over gRPC around it.
+# Runs a director with stand-ins for the relay, discovery, two gRPC proxies and a host that reports its load.
 example-grpc: build
 	target/release/toy-grpc story examples/config.json --director target/release/rushcourse
 
+# Runs a director with stand-ins for the relay, discovery, a collector and two hosts.
 example: build
 	target/release/toy examples/config.json --director target/release/rushcourse
 
-# A small gateway on loopback: four core and two frontend directors, stand-in hosts, each step a line.
+# Runs a small gateway cluster on loopback with four controllers, two gateways and stand-in hosts, and prints each step.
 example-gateway:
 	cargo build --release --locked -p rushcourse-controller -p rushcourse-gateway -p rushcourse-cli -p rushcourse-gateway-standin
 	target/release/toy-gateway target/release
