--- a/crates/director/director/tests/sockets/lifecycle.rs
+++ b/crates/director/director/tests/sockets/lifecycle.rs
@@ -127,7 +127,7 @@
     let (path, log) = (file("config.json", &config.to_string()), file("log", ""));
     let mut child = spawn(&path, &log, None);
     let lines = std::cell::RefCell::new(Vec::new());
-    let done = rushcourse_standin::scenario::play(&config, |line| {
+    let done = rushcourse_standin::scenario::run(&config, |line| {
         lines.borrow_mut().push(line.to_string())
     })
     .await;
--- a/examples/gateway/src/host.rs
+++ b/examples/gateway/src/host.rs
@@ -148,7 +148,7 @@
     Ok(response.expect("a valid head"))
 }
 
-/// Response to a request for another instance, which is not executed.
+/// Returns the 421 response to a request that names another instance. The request is not executed.
 fn misdirected_response(host: &Host) -> Response<Full<Bytes>> {
     Response::builder()
         .status(StatusCode::MISDIRECTED_REQUEST)
--- a/examples/gateway/src/main.rs
+++ b/examples/gateway/src/main.rs
@@ -24,7 +24,7 @@
         .build()
         .expect("a runtime");
     let tasks = tokio::task::LocalSet::new();
-    if let Err(error) = tasks.block_on(&runtime, scenario::play(Path::new(&binaries))) {
+    if let Err(error) = tasks.block_on(&runtime, scenario::run(Path::new(&binaries))) {
         eprintln!("toy-gateway: {error}");
         std::process::exit(1);
     }
--- a/examples/gateway/src/scenario.rs
+++ b/examples/gateway/src/scenario.rs
@@ -53,7 +53,7 @@
 ///
 /// # Errors
 /// Returns the error of the first step that fails. The scenario's folder is then kept.
-pub async fn play(binaries: &Path) -> Result<(), ScenarioError> {
+pub async fn run(binaries: &Path) -> Result<(), ScenarioError> {
     let folder = std::env::temp_dir().join(format!("rushcourse-gateway-{}", std::process::id()));
     let mut scenario = Scenario {
         programs: Programs::new(binaries, folder),
--- a/examples/grpc-standin/src/main.rs
+++ b/examples/grpc-standin/src/main.rs
@@ -146,7 +146,7 @@
     match arguments.command {
         Command::Story(story) => {
             let config = read_config(&story.config)?;
-            story::play(config, &story.director, |line| println!("toy-grpc: {line}")).await
+            story::run(config, &story.director, |line| println!("toy-grpc: {line}")).await
         }
         Command::Join(join) => join.run().await,
         Command::Measure(measure) => measure.run().await,
--- a/examples/grpc-standin/src/story.rs
+++ b/examples/grpc-standin/src/story.rs
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 /// Returns an error if a stand-in or the director can't be started, or a step does not complete in time.
-pub async fn play(
+pub async fn run(
     mut config: Value,
     program: &Path,
     print: impl Fn(&str),
--- a/examples/standin/src/main.rs
+++ b/examples/standin/src/main.rs
@@ -63,7 +63,7 @@
         Some(program) => Some(start_director(program, &toy.config)?),
         None => None,
     };
-    scenario::play(&config, |line| println!("toy: {line}"))
+    scenario::run(&config, |line| println!("toy: {line}"))
         .await
         .map_err(ToyError::Scenario)
 }
--- a/examples/standin/src/scenario.rs
+++ b/examples/standin/src/scenario.rs
@@ -156,7 +156,7 @@
 /// # Errors
 /// Returns an error if the configuration lacks a required field, an address can't be bound, or the director does not
 /// reach an expected state in time.
-pub async fn play(config: &Value, report: impl Fn(&str)) -> Result<(), ScenarioError> {
+pub async fn run(config: &Value, report: impl Fn(&str)) -> Result<(), ScenarioError> {
     let config = ScenarioConfig::read(config)?;
     let stand_ins = StandIns::start(&config).await?;
     report(&format!(
