--- a/crates/gateway/transport/tests/keys.rs
+++ b/crates/gateway/transport/tests/keys.rs
@@ -5,7 +5,7 @@
 use common::authority::Authority;
 use common::node::Node;
 use common::run;
-use rushcourse_config::PeerKeys;
+use rushcourse_config::PeerKeyFiles;
 use rushcourse_messages::{Message, Role};
 use rushcourse_transport::Session;
 use tempfile::TempDir;
@@ -128,7 +128,7 @@
 
 impl RotatingNode<'_> {
     /// Installs a new certificate signed by `issuer`, with the authorities in `trusted`.
-    fn set_keys(&self, issuer: &Authority, trusted: &[&Authority]) -> PeerKeys {
+    fn set_keys(&self, issuer: &Authority, trusted: &[&Authority]) -> PeerKeyFiles {
         let keys = issuer.issue(self.directory.path(), self.file, self.names, trusted);
         self.node
             .context
@@ -138,8 +138,8 @@
     }
 
     /// Asserts that a key file without a key is rejected with an error that names the file.
-    fn set_unusable_keys(&self, keys: PeerKeys) {
-        let unusable = PeerKeys {
+    fn set_unusable_keys(&self, keys: PeerKeyFiles) {
+        let unusable = PeerKeyFiles {
             key: keys.certificate.clone(),
             ..keys
         };
