--- a/crates/tools/modelcheck/src/explore.rs
+++ b/crates/tools/modelcheck/src/explore.rs
@@ -1,94 +1,94 @@
-//! Breadth first over all orders, each state once; then random walks behind it.
+//! Breadth-first search over the states of a scene. Each distinct state is visited once.
 
-use crate::moves::Move;
+use crate::actions::Action;
 use crate::mutation::Mutation;
 use crate::scene::Scene;
 use crate::violation::Violation;
 use crate::world::World;
 use std::collections::BTreeSet;
 
-/// How far to look.
+/// Limits of an exploration.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// States looked at breadth first, at most: some 4 KB each while they are on the frontier.
+    /// Maximum number of distinct states in the breadth-first search. Each state on the frontier takes about 4 KB.
     pub states: usize,
-    /// Random walks.
+    /// Number of random walks after the search.
     pub walks: usize,
-    /// Moves of one walk at most.
+    /// Maximum number of actions in a walk.
     pub steps: usize,
-    /// Other walks for other seeds.
+    /// Seed of the random walks.
     pub seed: u64,
 }
 
-/// A rule that is broken, and the way there.
+/// A violation and the actions that lead to it.
 #[derive(Clone, Debug)]
 pub struct Counterexample {
-    /// The rule.
+    /// The violated rule, with details.
     pub violation: Violation,
-    /// The moves that lead there, from behind the scene's opening.
-    pub way: Vec<Move>,
-    /// Whether the rule was broken only once faults had ended behind these moves.
-    pub is_closed: bool,
+    /// Actions that lead to the violation, starting after the scene's setup actions.
+    pub trace: Vec<Action>,
+    /// Whether the violation appeared only when the world settled after these actions.
+    pub is_settled: bool,
 }
 
-/// What exploring found.
+/// Result of an exploration.
 #[derive(Clone, Debug, Default)]
 pub struct Findings {
-    /// Different states that were met breadth first.
+    /// Number of distinct states visited by the breadth-first search.
     pub states: usize,
-    /// The depth to which all of them were seen.
+    /// Number of actions up to which the search covered all states; one more if it found a counterexample.
     pub depth: usize,
-    /// Whether no state is left that was not seen.
+    /// Whether the search visited all reachable states.
     pub is_complete: bool,
-    /// States met on walks.
+    /// Number of actions in all random walks together.
     pub walked: usize,
-    /// Moves of the longest walk.
+    /// Number of actions in the longest walk.
     pub longest_walk: usize,
-    /// The first rule that was found broken.
+    /// First violation, if any.
     pub counterexample: Option<Counterexample>,
 }
 
-/// The states that were met breadth first, and the way to each.
+/// Fingerprints of the visited states, and the steps that reconstruct the trace to each of them.
 #[derive(Default)]
 struct Visited {
     fingerprints: BTreeSet<u64>,
-    /// For each state but the first: the state before it, and the move between them.
+    /// One entry for each state except the initial one.
     steps: Vec<Step>,
 }
 
 struct Step {
-    /// The index of the state before; `None`: it is the first state.
-    before: Option<usize>,
-    what: Move,
+    /// Index of the step to the preceding state; `None` for the initial state.
+    previous: Option<usize>,
+    action: Action,
 }
 
-/// A state whose moves were not all played yet.
-struct Unexplored<'a> {
+/// A state whose successors have not been generated.
+struct FrontierState<'a> {
     world: World<'a>,
-    /// The index of its step; `None`: it is the first state.
+    /// Index of the step that leads to the state; `None` for the initial state.
     step: Option<usize>,
 }
 
 impl Visited {
-    /// Notes a state, unless it was met before.
-    fn insert(&mut self, world: &World, before: Option<usize>, what: Move) -> Option<usize> {
+    /// Adds a state and returns the index of its step. Returns `None` if the state was visited before.
+    fn insert(&mut self, world: &World, previous: Option<usize>, action: Action) -> Option<usize> {
         if !self.fingerprints.insert(world.fingerprint()) {
             return None;
         }
-        self.steps.push(Step { before, what });
+        self.steps.push(Step { previous, action });
         Some(self.steps.len() - 1)
     }
 
-    /// The moves that lead to a state.
-    fn way_to(&self, index: usize) -> Vec<Move> {
-        let mut way = Vec::new();
+    /// Returns the actions from the initial state to the target of a step.
+    fn trace_to(&self, index: usize) -> Vec<Action> {
+        let mut trace = Vec::new();
         let mut next = Some(index);
         while let Some(step) = next.map(|index| &self.steps[index]) {
-            way.push(step.what);
-            next = step.before;
+            trace.push(step.action);
+            next = step.previous;
         }
-        way.reverse();
-        way
+        trace.reverse();
+        trace
     }
 
     fn findings(&self, depth: usize) -> Findings {
@@ -100,16 +100,17 @@
     }
 }
 
-/// Explores one scene breadth first, with all defences or one taken out. The same bounds give the same figures.
+/// Searches the states of a scene level by level until it finds a violation, `max_states` is reached or no state is
+/// left.
 pub(crate) fn breadth_first(
     scene: &Scene,
     mutation: Option<Mutation>,
-    most_states: usize,
+    max_states: usize,
 ) -> Findings {
-    let start = World::opened(scene, mutation);
+    let start = World::after_setup(scene, mutation);
     let mut visited = Visited::default();
     visited.fingerprints.insert(start.fingerprint());
-    let mut frontier = vec![Unexplored {
+    let mut frontier = vec![FrontierState {
         world: start,
         step: None,
     }];
@@ -123,7 +124,7 @@
                     ..visited.findings(depth + 1)
                 };
             }
-            if visited.fingerprints.len() >= most_states {
+            if visited.fingerprints.len() >= max_states {
                 return visited.findings(depth);
             }
         }
@@ -136,26 +137,26 @@
     }
 }
 
-/// Plays all moves of a state; states that were not met before go to the next frontier.
+/// Generates the successors of a state and adds unvisited ones to the next frontier. Returns the first violation.
 fn expand<'a>(
-    state: &Unexplored<'a>,
+    state: &FrontierState<'a>,
     visited: &mut Visited,
-    next: &mut Vec<Unexplored<'a>>,
+    next: &mut Vec<FrontierState<'a>>,
 ) -> Option<Counterexample> {
-    for what in state.world.moves() {
+    for action in state.world.enabled_actions() {
         let mut world = state.world.clone();
-        world.play(what);
-        let Some(step) = visited.insert(&world, state.step, what) else {
+        world.apply(action);
+        let Some(step) = visited.insert(&world, state.step, action) else {
             continue;
         };
         if let Some(violation) = world.violation() {
             return Some(Counterexample {
                 violation: violation.clone(),
-                way: visited.way_to(step),
-                is_closed: false,
+                trace: visited.trace_to(step),
+                is_settled: false,
             });
         }
-        next.push(Unexplored {
+        next.push(FrontierState {
             world,
             step: Some(step),
         });
