--- a/crates/director/director/tests/grpc/discovery.rs
+++ b/crates/director/director/tests/grpc/discovery.rs
@@ -193,7 +193,7 @@
         .wait_until("removed", || proxy.table("look").endpoints.len() == 1)
         .await;
     assert_eq!(
-        harness.relay.watches_started(),
+        harness.relay.total_watch_count(),
         0,
         "the relay is not watched"
     );
--- a/crates/director/director/tests/grpc/identity.rs
+++ b/crates/director/director/tests/grpc/identity.rs
@@ -33,7 +33,7 @@
     let (harness, at) = serving(", ping_every_ms = 300, ping_within_ms = 300").await;
     let link = Link::start(free_address(), at).await.expect("a link");
     let vanished = joined(&harness, link.address, proxy(3, true)).await;
-    link.freeze(true);
+    link.set_frozen(true);
     harness
         .wait_for_metric("rushcourse_streams_joined", 1.0)
         .await;
--- a/crates/director/director/tests/sockets/lifecycle.rs
+++ b/crates/director/director/tests/sockets/lifecycle.rs
@@ -60,7 +60,7 @@
     // The relay and discovery move to other addresses. A second SIGHUP during the move repeats the same reload.
     let relay = harness
         .relay
-        .also_at(free_address())
+        .listen_at(free_address())
         .await
         .expect("a second address of the relay");
     let discovery = start_second_discovery().await;
@@ -72,7 +72,7 @@
         .await;
     harness
         .wait_until("the new relay address is watched", || {
-            harness.relay.watches_started() >= 2
+            harness.relay.total_watch_count() >= 2
         })
         .await;
     harness
@@ -130,7 +130,7 @@
     );
     let mut child = spawn_director(&path, &log, None);
     let lines = std::cell::RefCell::new(Vec::new());
-    let result = rushcourse_standin::scenario::play(&config, |line| {
+    let result = rushcourse_standin::scenario::run(&config, |line| {
         lines.borrow_mut().push(line.to_string())
     })
     .await;
