--- a/crates/director/director-state/src/inbound_connections.rs
+++ b/crates/director/director-state/src/inbound_connections.rs
@@ -21,8 +21,8 @@
 const REGISTRATION_TIMEOUT: Duration = Duration::from_millis(1200);
 /// Time within which an HTTP request has to be served.
 const HTTP_TIMEOUT: Duration = Duration::from_secs(2);
-/// A collector that has been silent for this long may be closed in favour of a new one; collectors report every second.
-const COLLECTOR_SILENCE_TIMEOUT: Duration = Duration::from_secs(5);
+/// A collector that sends nothing for this long may be closed in favour of a new one; collectors report every second.
+const COLLECTOR_INACTIVITY_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Reason sent to an unregistered peer for any message but a ping or the registration of a collector of a known zone.
 const NOT_SERVED: &str = "only a collector of a known zone is served";
@@ -202,13 +202,13 @@
         }
     }
 
-    /// Registers a collector. If there are too many, it replaces the one that has been silent longest, or is rejected if
-    /// none has been silent for [`COLLECTOR_SILENCE_TIMEOUT`].
+    /// Registers a collector. If there are too many, it replaces the one that has been inactive longest, or is rejected
+    /// if none has been inactive for [`COLLECTOR_INACTIVITY_TIMEOUT`].
     fn register_collector(&mut self, context: &mut StepContext, inbound: InboundId, zone: &str) {
         if self.collector_count() >= self.limits.max_collectors {
-            match self.silent_collector(context.now) {
-                Some(silent) => {
-                    self.close(context, silent, "silent, another collector joins", None);
+            match self.inactive_collector(context.now) {
+                Some(inactive) => {
+                    self.close(context, inactive, "silent, another collector joins", None);
                 }
                 None => return self.reject(context, inbound, "too many collectors"),
             }
@@ -222,14 +222,15 @@
         }
     }
 
-    /// Returns the collector that has been silent longest, if it exceeds [`COLLECTOR_SILENCE_TIMEOUT`].
-    fn silent_collector(&self, now: Ms) -> Option<InboundId> {
+    /// Returns the collector that has been inactive longest, if it exceeds [`COLLECTOR_INACTIVITY_TIMEOUT`].
+    fn inactive_collector(&self, now: Ms) -> Option<InboundId> {
         let (inbound, connection) = self
             .open
             .iter()
             .filter(|(_, connection)| connection.is_collector())
             .min_by(|a, b| a.1.last_message_at.total_cmp(&b.1.last_message_at))?;
-        (now - connection.last_message_at > millis(COLLECTOR_SILENCE_TIMEOUT)).then_some(*inbound)
+        (now - connection.last_message_at > millis(COLLECTOR_INACTIVITY_TIMEOUT))
+            .then_some(*inbound)
     }
 
     /// Closes expired connections; returns the next deadline.
--- a/crates/director/director-state/src/membership_watch.rs
+++ b/crates/director/director-state/src/membership_watch.rs
@@ -16,7 +16,7 @@
 /// Time limit for the reply to a watch request.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(500);
 /// A watch without notifications for this long is considered lost; the relay sends a keep-alive every second.
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(2200);
+const INACTIVITY_TIMEOUT: Duration = Duration::from_millis(2200);
 /// A snapshot is complete after this time without a further notification.
 const SNAPSHOT_QUIET_PERIOD: Duration = Duration::from_millis(300);
 /// After a watch that was established for longer than this, the next one is requested without backoff.
@@ -48,7 +48,7 @@
 /// notifications are missed.
 struct PreviousWatch {
     connection: RelayConnectionId,
-    /// Time at which the watch is closed, because it is silent or has been replaced.
+    /// Time at which the watch is closed, because it is inactive or has been replaced.
     expires_at: Ms,
     /// The watch at the new address is established; only acknowledgements are read from this one.
     is_replaced: bool,
@@ -178,7 +178,7 @@
             previous.is_replaced = true;
         }
         self.state = State::InitialSnapshot {
-            complete_at: context.after(SILENCE_TIMEOUT),
+            complete_at: context.after(INACTIVITY_TIMEOUT),
         };
     }
 
@@ -204,7 +204,7 @@
                 complete_at: context.after(SNAPSHOT_QUIET_PERIOD),
             },
             _ => State::Live {
-                expires_at: context.after(SILENCE_TIMEOUT),
+                expires_at: context.after(INACTIVITY_TIMEOUT),
             },
         };
         self.apply(context, notification, zones, in_snapshot);
@@ -259,7 +259,7 @@
     fn complete_snapshot(&mut self, context: &mut StepContext) {
         self.membership.complete_snapshot(context);
         self.state = State::Live {
-            expires_at: context.after(SILENCE_TIMEOUT),
+            expires_at: context.after(INACTIVITY_TIMEOUT),
         };
     }
 
@@ -312,7 +312,7 @@
                 .acknowledge(context, proxy, ack_number, elapsed),
             Some(_) if previous.is_replaced => {}
             Some(notification) => {
-                previous.expires_at = context.after(SILENCE_TIMEOUT);
+                previous.expires_at = context.after(INACTIVITY_TIMEOUT);
                 self.last_line_at = context.now;
                 self.apply(context, &notification, zones, false);
             }
--- a/crates/director/director-state/tests/inbound.rs
+++ b/crates/director/director-state/tests/inbound.rs
@@ -134,7 +134,7 @@
     assert_eq!(
         harness.inbound.closed,
         inbound_ids(&[1, 4, 3]),
-        "a silent collector stays"
+        "an inactive collector stays"
     );
 }
 
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn new_collector_at_the_limit_replaces_only_a_silent_one() {
+fn new_collector_at_the_limit_replaces_only_an_inactive_one() {
     // Given more collectors than allowed, of which the last ones are rejected.
     let max = session_limits().max_collectors as u64;
     let mut harness = Harness::with_bound_proxies();
@@ -168,7 +168,7 @@
         inbound_ids(&[max + 1, max + 2, max + 3]),
         "registered collectors stay"
     );
-    // When the first collector becomes silent.
+    // When the first collector becomes inactive.
     for _ in 0..6 {
         harness.run_for(1000.0);
         for collector in 2..=max {
@@ -180,7 +180,7 @@
     assert_eq!(
         harness.inbound.closed.last(),
         Some(&InboundId(1)),
-        "the silent collector is closed"
+        "the inactive collector is closed"
     );
     harness.receive(100, HOST_REPORT);
     assert_eq!(harness.gauge("collectors_joined"), max as f64);
--- a/crates/director/director-state/tests/membership.rs
+++ b/crates/director/director-state/tests/membership.rs
@@ -1,4 +1,4 @@
-//! The watch of the relay: disconnects, silence, unreadable lines, and reconciliation of joined proxies after a gap.
+//! The watch of the relay: disconnects, inactivity, unreadable lines, and reconciliation of joined proxies after a gap.
 
 mod common;
 
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn silence_ends_a_watch_and_keep_alives_prevent_it() {
+fn inactive_watch_is_replaced_unless_keep_alives_arrive() {
     let mut harness = Harness::with_bound_proxies();
     for _ in 0..10 {
         harness.run_for(1000.0);
@@ -110,7 +110,7 @@
     assert_eq!(
         watches(&harness),
         (2, 1),
-        "a silent watch is closed and replaced"
+        "an inactive watch is closed and replaced"
     );
     assert!(harness.has_logged(&["watch lost", "no sign of life"]));
 }
--- a/crates/director/xds/src/load_reports/burst_filter.rs
+++ b/crates/director/xds/src/load_reports/burst_filter.rs
@@ -16,7 +16,7 @@
 pub(crate) enum FilterDecision {
     /// The report is current; contains its events.
     Accepted(Vec<Event>),
-    /// The report follows a silence and is held until `BURST_DELAY` has passed without another one.
+    /// The report follows an idle period and is held until `BURST_DELAY` has passed without another one.
     Deferred,
     /// The report is held instead of an earlier one of the burst, which is discarded.
     ReplacedDeferred,
@@ -50,10 +50,10 @@
 
     /// Decides on a report that has been converted to `events`.
     pub(crate) fn admit(&mut self, now: Ms, events: Vec<Event>) -> FilterDecision {
-        let silence = now - self.last_report_at;
-        let follows_silence = silence > MAX_INTERVALS_COVERED * self.report_interval;
+        let idle_period = now - self.last_report_at;
+        let follows_idle_period = idle_period > MAX_INTERVALS_COVERED * self.report_interval;
         self.last_report_at = now;
-        if self.deferred.is_none() && !follows_silence {
+        if self.deferred.is_none() && !follows_idle_period {
             return FilterDecision::Accepted(events);
         }
         let deferred = DeferredReport { since: now, events };
--- a/crates/director/xds/tests/load_reports.rs
+++ b/crates/director/xds/tests/load_reports.rs
@@ -149,7 +149,7 @@
     let mut harness = reporting();
     harness.now += 1000.0;
     report(&mut harness, stats(vec![endpoint(7000, 10, 0, 50.0)]));
-    // After 4 s of silence, a burst arrives: four delayed reports with errors, then a current one without.
+    // After 4 s without reports, a burst arrives: four delayed reports with errors, then a current one without.
     harness.now += 4000.0;
     for _ in 0..4 {
         report(&mut harness, stats(vec![endpoint(7000, 10, 10, 0.0)]));
--- a/crates/gateway/consensus/src/configuration/mod.rs
+++ b/crates/gateway/consensus/src/configuration/mod.rs
@@ -70,6 +70,7 @@
         acceptor.highest_version(self.committed)
     }
 
+    /// Handles the end of a session. Sending the committed version to the peer starts anew when it reconnects.
     pub fn peer_disconnected(&mut self, peer: NodeId) {
         self.lagging.remove(peer);
     }
--- a/crates/gateway/consensus/src/context.rs
+++ b/crates/gateway/consensus/src/context.rs
@@ -160,14 +160,17 @@
         }
     }
 
+    /// Removes and returns the oldest unhandled message of this replica to itself; `None` if all are handled.
     pub fn next_loopback(&mut self) -> Option<Message> {
         self.loopback.pop_front()
     }
 
+    /// Adds an [`Effect::Log`] to the effects of the step.
     pub fn log(&mut self, event: LogEvent) {
         self.push(Effect::Log(event));
     }
 
+    /// Adds an effect after those that the step has produced so far.
     pub fn push(&mut self, effect: Effect) {
         self.effects.push(effect);
     }
--- a/crates/gateway/consensus/src/membership/mod.rs
+++ b/crates/gateway/consensus/src/membership/mod.rs
@@ -140,6 +140,7 @@
         }
     }
 
+    /// The voting set that this replica has adopted. Its epoch is [`Epoch::NONE`] before the first one.
     pub fn voting_set(&self) -> &VotingSet {
         &self.voting_set
     }
@@ -154,6 +155,7 @@
         self.completeness == StateCompleteness::Incomplete
     }
 
+    /// Whether the voting set contains this replica. A member without complete state doesn't vote.
     pub fn is_member(&self) -> bool {
         self.voting_set.contains(self.setup.node)
     }
@@ -175,6 +177,7 @@
             || (epoch == self.voting_set.epoch && epoch == self.left_in_epoch)
     }
 
+    /// The other controllers that this replica has sessions with, in ascending order of address.
     pub fn connected_peers(&self) -> Vec<NodeId> {
         self.peers.connected().collect()
     }
@@ -228,12 +231,14 @@
         }
     }
 
+    /// Handles the end of a session. A member of the voting set counts as absent from `now` on.
     pub fn peer_disconnected(&mut self, now: Timestamp, peer: NodeId) {
         self.standbys.remove(peer);
         self.peers
             .disconnect(now, peer, self.voting_set.contains(peer));
     }
 
+    /// Handles a peer's announcement of its shutdown, which is ignored unless the peer is connected.
     pub fn peer_shutting_down(&mut self, peer: NodeId) {
         self.peers.mark_shutting_down(peer);
     }
--- a/crates/gateway/consensus/src/paxos/peer_reports.rs
+++ b/crates/gateway/consensus/src/paxos/peer_reports.rs
@@ -134,6 +134,7 @@
         report.map_or(Timestamp::ZERO, |report| report.sent_at)
     }
 
+    /// The latest report of a connected peer, recent or not; `None` if it has sent none in this session.
     pub fn get(&self, peer: NodeId) -> Option<&PeerReport> {
         self.reports.get(&peer)
     }
--- a/crates/shared/policy/src/state/attempts.rs
+++ b/crates/shared/policy/src/state/attempts.rs
@@ -15,6 +15,7 @@
 }
 
 impl AttemptTotals {
+    /// Adds up totals without decaying any of them. `updated_at` of the result is 0.
     pub fn sum<'a>(all: impl Iterator<Item = &'a AttemptTotals>) -> AttemptTotals {
         all.fold(AttemptTotals::default(), |sum, totals| sum.plus(totals))
     }
--- a/crates/shared/policy/src/state/hosts.rs
+++ b/crates/shared/policy/src/state/hosts.rs
@@ -27,6 +27,7 @@
 }
 
 impl ListedHost {
+    /// Creates the state of a newly listed host, which is in no pool and not withdrawn.
     pub fn new(entry: HostEntry) -> ListedHost {
         ListedHost {
             entry,
@@ -38,6 +39,7 @@
         }
     }
 
+    /// Whether the host accepts new requests, unlike one that drains or is gone.
     pub fn is_ready(&self) -> bool {
         self.entry.readiness == Readiness::Ready
     }
@@ -47,11 +49,13 @@
         self.missing_since = self.missing_since.or(Some(now));
     }
 
+    /// Records that the host has terminated. It no longer counts as missing.
     pub fn mark_gone(&mut self) {
         self.entry.readiness = Readiness::Gone;
         self.missing_since = None;
     }
 
+    /// Whether the host is withdrawn from the tables of this channel, according to the last update sent.
     pub fn is_withdrawn(&self, channel: Channel) -> bool {
         self.withdrawn[channel as usize]
     }
@@ -72,14 +76,17 @@
         self.pool_count.max(1)
     }
 
+    /// Hosts that accept new requests, sorted by name. Includes hosts that are withdrawn.
     pub fn ready(&self) -> impl Iterator<Item = (&HostId, &ListedHost)> + Clone {
         self.by_id.iter().filter(|(_, host)| host.is_ready())
     }
 
+    /// Hosts of a zone that accept new requests, sorted by name. Includes hosts that are withdrawn.
     pub fn ready_in(&self, zone: ZoneId) -> impl Iterator<Item = &ListedHost> + Clone {
         self.ready().map(|(_, host)| host).filter(move |host| host.entry.zone == zone)
     }
 
+    /// Like [`HostList::ready_in`], but with mutable references.
     pub fn ready_in_mut(&mut self, zone: ZoneId) -> impl Iterator<Item = &mut ListedHost> {
         let is_in_zone = move |host: &&mut ListedHost| host.is_ready() && host.entry.zone == zone;
         self.by_id.values_mut().filter(is_in_zone)
@@ -132,6 +139,7 @@
 }
 
 impl ChannelHost<'_> {
+    /// Whether the host is withdrawn on `channel`; the other channel is not considered.
     pub fn is_withdrawn(&self) -> bool {
         self.listed.is_withdrawn(self.channel)
     }
--- a/crates/shared/policy/src/state/outbox.rs
+++ b/crates/shared/policy/src/state/outbox.rs
@@ -52,6 +52,7 @@
 }
 
 impl Outbox {
+    /// Creates an outbox with an empty open batch, number 1.
     pub fn new() -> Outbox {
         Outbox {
             batch: 1,
@@ -63,10 +64,12 @@
         }
     }
 
+    /// Appends an action to the open batch without counting its lines, which is up to the caller.
     pub fn push(&mut self, action: Action) {
         self.actions.push(action);
     }
 
+    /// Appends a log action to the open batch; `text` consists of `key=value` pairs.
     pub fn log(&mut self, text: String) {
         self.push(Action::Log { text });
     }
--- a/crates/shared/policy/src/state/proxies.rs
+++ b/crates/shared/policy/src/state/proxies.rs
@@ -78,6 +78,7 @@
         self.groups.iter().any(|group| group.table.is_none())
     }
 
+    /// Tables to which the proxy is bound, in the order of its groups. Groups that await a bind are left out.
     pub fn tables(&self) -> impl Iterator<Item = TableId> {
         self.groups.iter().filter_map(|group| group.table)
     }
@@ -126,6 +127,7 @@
 }
 
 impl ProxyRegistry {
+    /// Whether the proxy is joined and receives its messages on this channel.
     pub fn is_joined_by(&self, proxy: ProxyId, channel: Channel) -> bool {
         self.by_id.get(&proxy).is_some_and(|proxy| proxy.channel == channel)
     }
@@ -158,6 +160,7 @@
         self.by_id.iter().filter(|(_, proxy)| is_beyond(proxy)).map(|(id, _)| *id).collect()
     }
 
+    /// Joined proxies of a zone, in ascending order of their numbers.
     pub fn in_zone(&self, zone: ZoneId) -> impl Iterator<Item = &Proxy> {
         self.by_id.values().filter(move |proxy| proxy.zone == zone)
     }
--- a/crates/shared/policy/src/state/reports.rs
+++ b/crates/shared/policy/src/state/reports.rs
@@ -22,6 +22,7 @@
 }
 
 impl HostReports {
+    /// Creates an empty set of totals. `feedback_delay` is in ms.
     pub fn new(feedback_delay: Ms) -> HostReports {
         HostReports { feedback_delay, ..HostReports::default() }
     }
@@ -31,6 +32,7 @@
         self.totals.entry(ZoneHost { zone, host }).or_default().record(now, decay, sample);
     }
 
+    /// Totals that proxies of a zone reported about a host, recent or not; `None` if there are none.
     pub fn get(&self, zone: ZoneId, host: &HostId) -> Option<&AttemptTotals> {
         self.totals.get(&ZoneHost { zone, host: host.clone() })
     }
@@ -55,6 +57,7 @@
         self.totals.retain(|key, _| key.host != *host || !zones.contains(&key.zone));
     }
 
+    /// Number of pairs of zone and host that have totals, recent or not.
     pub fn len(&self) -> usize {
         self.totals.len()
     }
--- a/crates/shared/policy/src/state/table_set.rs
+++ b/crates/shared/policy/src/state/table_set.rs
@@ -68,14 +68,17 @@
 }
 
 impl TableSet {
+    /// Creates a set without tables. `TableKey::group` is an index into `groups`.
     pub fn new(groups: Vec<ClassGroup>) -> TableSet {
         TableSet { groups, ..TableSet::default() }
     }
 
+    /// The classes that the tables of a key serve. Panics if `key.group` is not an index into `groups`.
     pub fn group(&self, key: &TableKey) -> ClassGroup {
         self.groups[key.group]
     }
 
+    /// Proxies that are bound to a table, in ascending order; none if the table does not exist.
     pub fn users(&self, table: TableId) -> impl Iterator<Item = ProxyId> {
         self.by_id.get(&table).into_iter().flat_map(|table| table.users.iter().copied())
     }
@@ -85,6 +88,7 @@
         self.current.get(&self.by_id[&table].key) == Some(&table)
     }
 
+    /// Whether the table exists and contains the host with a weight above 0.
     pub fn has_endpoint(&self, table: TableId, host: &str) -> bool {
         self.by_id.get(&table).is_some_and(|table| table.weights.contains_key(host))
     }
@@ -118,12 +122,14 @@
         idle
     }
 
+    /// Records that a proxy is bound to a table. Does nothing if the table does not exist.
     pub fn add_user(&mut self, table: TableId, proxy: ProxyId) {
         if let Some(table) = self.by_id.get_mut(&table) {
             table.users.insert(proxy);
         }
     }
 
+    /// Records that a proxy is no longer bound to a table. Does nothing if the table does not exist.
     pub fn remove_user(&mut self, table: TableId, proxy: ProxyId) {
         if let Some(table) = self.by_id.get_mut(&table) {
             table.users.remove(&proxy);
--- a/crates/shared/policy/src/state/updates.rs
+++ b/crates/shared/policy/src/state/updates.rs
@@ -22,10 +22,12 @@
 }
 
 impl Update {
+    /// Returns the update that withdraws the host from all tables of its channel.
     pub fn withdraw(host: &ChannelHost<'_>) -> Update {
         Update::Withdraw { host: host.id.clone(), channel: host.channel }
     }
 
+    /// Returns the update that ends the withdrawal of the host on its channel.
     pub fn restore(host: &ChannelHost<'_>) -> Update {
         Update::Restore { host: host.id.clone(), channel: host.channel }
     }
@@ -64,6 +66,7 @@
         PlannedUpdate { priority, update, value: 0.0 }
     }
 
+    /// Whether the update is sent without waiting for a round and without the safety check.
     pub fn is_urgent(&self) -> bool {
         self.priority.is_infinite()
     }
--- a/crates/shared/policy/src/state/zones.rs
+++ b/crates/shared/policy/src/state/zones.rs
@@ -85,6 +85,7 @@
         CrossZoneWeights((0..zones).map(row).collect())
     }
 
+    /// Whether no factors have been computed yet. All factors count as 1 then.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/crates/tools/simulation/src/world/reports.rs
+++ b/crates/tools/simulation/src/world/reports.rs
@@ -10,10 +10,10 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Gap between reports after which the director treats a report stream as silent, in ms.
-const SILENCE_TIMEOUT: Ms = 2500.0;
-/// Time for which the director holds back the first report of a stream after a silence, in ms.
-const DELAY_AFTER_SILENCE: Ms = 200.0;
+/// Time without reports above which the director treats a report stream as idle, in ms.
+const INACTIVITY_TIMEOUT: Ms = 2500.0;
+/// Time for which the director holds back the first report of a stream after an idle period, in ms.
+const DELAY_AFTER_IDLE_PERIOD: Ms = 200.0;
 /// Period that each report covers, in ms.
 const REPORT_SPAN: Ms = 1000.0;
 
@@ -46,11 +46,15 @@
 
 impl World<'_> {
     /// Sends the reports of a second: directly on the streams of proxies, and through the collector for the others. The
-    /// director holds back a stream's first report after a silence, as it may belong to a burst of outdated ones. The
-    /// collector's messages are delayed by the same time, so that all modes use the same reports at the same time.
+    /// director holds back a stream's first report after an idle period, as it may belong to a burst of outdated ones.
+    /// The collector's messages are delayed by the same time, so that all modes use the same reports at the same time.
     pub(super) fn send_reports(&mut self, reports: Vec<ProxyReport>) {
-        let was_silent = self.now - self.last_report > SILENCE_TIMEOUT;
-        let delay = if was_silent { DELAY_AFTER_SILENCE } else { 0.0 };
+        let was_idle = self.now - self.last_report > INACTIVITY_TIMEOUT;
+        let delay = if was_idle {
+            DELAY_AFTER_IDLE_PERIOD
+        } else {
+            0.0
+        };
         self.last_report = self.now;
         let reports = Rc::new(reports);
         self.schedule_after(delay, Pending::Reports(reports.clone()));
