--- a/crates/director/grpc/src/services.rs
+++ b/crates/director/grpc/src/services.rs
@@ -89,7 +89,7 @@
         let ConnectionInfo {
             handle: connection,
             peer,
-        } = info.ok_or_else(|| Status::internal("connection info is missing"))?;
+        } = info.ok_or_else(|| Status::internal("a connection of unknown origin"))?;
         let stream = StreamId(self.next_stream_id.fetch_add(1, Ordering::Relaxed));
         let (command_sender, commands) = mpsc::channel(COMMAND_CHANNEL_CAPACITY);
         connection.stream_opened();
