--- a/crates/director/director/tests/common/mod.rs
+++ b/crates/director/director/tests/common/mod.rs
@@ -6,20 +6,21 @@
 use rushcourse_standin::relay::Relay;
 use rushcourse_standin::wait::wait_until;
 use serde_json::Value;
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
-use tokio::net::TcpStream;
+use tokio::net::{TcpSocket, TcpStream};
 
 pub const PROGRAM: &str = env!("CARGO_BIN_EXE_rushcourse");
 /// An address without a listener, for hosts that receive no requests in a test.
 pub const HOST_ADDRESS: &str = "127.0.0.1:1";
 
 /// Returns an address with a free port. On Linux, where all of 127/8 is loopback, each call uses a different IP, so
-/// that no connection of another test can take the port before the server binds it.
+/// that no connection of another test can take the port before the server binds it. The socket never listens: a child
+/// process forked meanwhile holds a copy of it until its exec, and a listening copy would make the server's bind fail.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let (pid, n) = (std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
@@ -34,8 +35,10 @@
     } else {
         [127, 0, 0, 1]
     };
-    let listener = TcpListener::bind(SocketAddr::from((ip, 0))).expect("a port");
-    listener.local_addr().expect("an address")
+    let socket = TcpSocket::new_v4().expect("a socket");
+    socket.set_reuseaddr(true).expect("the option");
+    socket.bind(SocketAddr::from((ip, 0))).expect("a port");
+    socket.local_addr().expect("an address")
 }
 
 pub fn example_config() -> Value {
